--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -16,10 +16,10 @@
 import time
 from statistics import quantiles
 
-from kestrelplank.config import lean  # noqa: F401
-from kestrelplank.config.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.consensus.messages import ServerListNews
 from kestrelplank.http.serve import listener
+from kestrelplank.settings import lean  # noqa: F401
+from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.messages import ConfigurationNews
 
 IP, CLIENTS = "127.0.0.1", 8
--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -14,7 +14,6 @@
 from pathlib import Path
 
 from kestrelplank import decode
-from kestrelplank.config.operator import MS, Nodes
 from kestrelplank.decode import Ids, text
 from kestrelplank.files import nodelist
 from kestrelplank.files.source import Source
@@ -22,6 +21,7 @@
 from kestrelplank.lab.parties import Kit
 from kestrelplank.net.counters import Counters
 from kestrelplank.policy import Conductor as Policy
+from kestrelplank.settings.operator import MS, Nodes
 from kestrelplank.state.guards import Terms, judge
 from kestrelplank.state.nodeset import Listed, NodeSet, assemble
 from kestrelplank.state.roster import Roster
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -63,8 +63,8 @@
     path = os.environ.get("KESTRELPLANK_INI")
     if not path:
         return None
-    from kestrelplank.config import operator
-    from kestrelplank.config.ini import Ini
+    from kestrelplank.settings import operator
+    from kestrelplank.settings.ini import Ini
 
     return operator.read(Ini.of(path))
 
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -4,8 +4,8 @@
 
 import click
 
-from kestrelplank.config import operator, relay
-from kestrelplank.config.ini import Ini, Unusable
+from kestrelplank.settings import operator, relay
+from kestrelplank.settings.ini import Ini, Unusable
 
 
 def kind(ini: Ini) -> str:
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -5,8 +5,8 @@
 import click
 import msgspec
 
-from kestrelplank.config import operator
-from kestrelplank.config.ini import UNITS, Ini, Unusable
+from kestrelplank.settings import operator
+from kestrelplank.settings.ini import UNITS, Ini, Unusable
 
 
 def shown(value: object, field: str, section: str) -> str:
--- a/kestrelplank/cli/nodes.py
+++ b/kestrelplank/cli/nodes.py
@@ -7,10 +7,10 @@
 import click
 import msgspec
 
-from kestrelplank.config import operator
-from kestrelplank.config.ini import Ini, Unusable
 from kestrelplank.files import nodelist
 from kestrelplank.files.source import bytes_of, load
+from kestrelplank.settings import operator
+from kestrelplank.settings.ini import Ini, Unusable
 from kestrelplank.state.guards import ACCEPTED, Terms, judge
 from kestrelplank.state.nodeset import NodeSet, Part, Refused, assemble, difference
 
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -6,8 +6,8 @@
 import click
 import msgspec
 
-from kestrelplank.config.ini import Ini, Unusable
 from kestrelplank.files.whole import write_whole
+from kestrelplank.settings.ini import Ini, Unusable
 
 
 def encoded(found: dict) -> bytes:
--- a/kestrelplank/cli/serve.py
+++ b/kestrelplank/cli/serve.py
@@ -5,7 +5,7 @@
 
 import click
 
-from kestrelplank.config.operator import VARIABLE
+from kestrelplank.settings.operator import VARIABLE
 
 
 @click.command()
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -5,8 +5,8 @@
 import click
 import msgspec
 
-from kestrelplank.config import operator
-from kestrelplank.config.ini import Ini, Unusable
+from kestrelplank.settings import operator
+from kestrelplank.settings.ini import Ini, Unusable
 
 WITHIN = 3.0  # s
 
--- a/kestrelplank/configuration/plan.py
+++ b/kestrelplank/configuration/plan.py
@@ -14,8 +14,8 @@
 from returns.result import Failure, Result, Success
 from serde import deserialize, disabled
 
-from kestrelplank.config.ini import Unusable
-from kestrelplank.config.platform import checked, ns
+from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.platform import checked, ns
 
 IDEMPOTENT, NON_IDEMPOTENT, UPLOAD = "idempotent", "non_idempotent", "upload"
 KINDS = (IDEMPOTENT, NON_IDEMPOTENT, UPLOAD)
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -8,8 +8,8 @@
 import time
 from collections.abc import Callable
 
-from kestrelplank.config.platform import endpoint
 from kestrelplank.consensus.messages import Message, address_of
+from kestrelplank.settings.platform import endpoint
 from kestrelplank.transport.messages import Envelope, decode_at_member
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import FrameConnection
--- a/kestrelplank/control/platform_list.py
+++ b/kestrelplank/control/platform_list.py
@@ -6,9 +6,9 @@
 import httpcore
 import msgspec
 
-from kestrelplank.config.platform import endpoint, ns
 from kestrelplank.http.call import Line as Connection
 from kestrelplank.http.call import dial
+from kestrelplank.settings.platform import endpoint, ns
 from kestrelplank.transport.server_list import Entry
 
 DIAL = 0.6  # s, for a connection to come up
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -10,7 +10,6 @@
 
 import msgspec
 
-from kestrelplank.config.platform import Settings, ns
 from kestrelplank.configuration.plan import Configuration
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.control.calls import Shown, application
@@ -34,6 +33,7 @@
 from kestrelplank.control.start import started
 from kestrelplank.control.status import EdgeStatus, MemberStatus
 from kestrelplank.http.serve import Duties, listener, server
+from kestrelplank.settings.platform import Settings, ns
 from kestrelplank.sharding.lines import Line
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.transport.messages import EdgeBeat, Envelope, LoadReport, decode_at_member
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from kestrelplank.config.platform import endpoint
 from kestrelplank.http.call import Answer, Connection, dial
+from kestrelplank.settings.platform import endpoint
 from kestrelplank.sharding.lines import CALL, HOLD, RELEASE, Line
 
 S = 1_000_000_000
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -6,13 +6,13 @@
 import time
 from random import Random, SystemRandom
 
-from kestrelplank.config.platform import Settings, endpoint, ns
 from kestrelplank.configuration.plan import Configuration
 from kestrelplank.edge.client_requests import ClientRequests
 from kestrelplank.edge.server_connections import ServerConnections
 from kestrelplank.forwarding.forwarder import Forwarder
 from kestrelplank.http.serve import Duties, listener
 from kestrelplank.http.serve import server as http_server
+from kestrelplank.settings.platform import Settings, endpoint, ns
 from kestrelplank.transport.edge_view import SILENT, Change, EdgeView
 from kestrelplank.transport.messages import LoadReport, ToEdge, decode_at_edge
 from kestrelplank.transport.wire import FrameConnection
--- a/kestrelplank/files/source.py
+++ b/kestrelplank/files/source.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from kestrelplank.config.ini import Unusable
-from kestrelplank.config.operator import Nodes
 from kestrelplank.decode import Ids, Malformed
 from kestrelplank.files import nodelist
 from kestrelplank.files.watch import Watch
 from kestrelplank.files.whole import write_whole
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.loop import Loop, Timer
+from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.operator import Nodes
 from kestrelplank.state import guards, roster
 from kestrelplank.state.intake import ACCEPTED, REFUSED, SAME, SETTLED, Debounce, Intake, restored
 from kestrelplank.state.nodeset import NodeSet
--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -47,10 +47,10 @@
 from docopt import DocoptExit, docopt
 
 if __name__ == "__main__":  # before all that loads pyserde or httpcore; who imports this module keeps what it has
-    from kestrelplank.config import lean  # noqa: F401
-from kestrelplank.config import platform
-from kestrelplank.config.ini import Unusable
-from kestrelplank.config.logs import set_up
+    from kestrelplank.settings import lean  # noqa: F401
+from kestrelplank.settings import platform
+from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.logs import set_up
 
 if TYPE_CHECKING:
     from kestrelplank.control.status import MemberStatus, ServiceStatus
--- a/kestrelplank/lab/discovery.py
+++ b/kestrelplank/lab/discovery.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from kestrelplank.config.ini import Unusable
 from kestrelplank.files import nodelist
 from kestrelplank.lab.part import Part
 from kestrelplank.lab.script import Fault
+from kestrelplank.settings.ini import Unusable
 from kestrelplank.state import guards, roster
 from kestrelplank.state.intake import SETTLED, Debounce, Intake
 from kestrelplank.state.nodeset import Listed, NodeSet
--- a/kestrelplank/lab/node.py
+++ b/kestrelplank/lab/node.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from kestrelplank.config.ini import Count, Number, Share, Span
+from kestrelplank.settings.ini import Count, Number, Share, Span
 
 GLIDE = 50_000_000  # a cold node's pace grows: it is looked at anew so often
 SLACK = 1.1  # of what pushes a cold node over, for chance
--- a/kestrelplank/lab/script.py
+++ b/kestrelplank/lab/script.py
@@ -5,8 +5,8 @@
 
 from msgspec import Meta, Struct
 
-from kestrelplank.config.ini import Count, Flag, Ini, Number, Section, Share, Span, Spans, Words
 from kestrelplank.lab.node import Kind
+from kestrelplank.settings.ini import Count, Flag, Ini, Number, Section, Share, Span, Spans, Words
 
 MS = 1_000_000
 Some = Annotated[Count, Meta(ge=1)]
--- a/kestrelplank/net/extras.py
+++ b/kestrelplank/net/extras.py
@@ -2,8 +2,6 @@
 
 import time
 
-from kestrelplank.config.operator import Members as MembersFile
-from kestrelplank.config.operator import Status as StatusFile
 from kestrelplank.decode import Ids
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.loop import Loop
@@ -11,6 +9,8 @@
 from kestrelplank.net.peers import Peers
 from kestrelplank.net.status import Status
 from kestrelplank.policy import Conductor
+from kestrelplank.settings.operator import Members as MembersFile
+from kestrelplank.settings.operator import Status as StatusFile
 from kestrelplank.state.digest import Seen, zone_sums
 from kestrelplank.state.membership import Membership, Terms
 
--- a/kestrelplank/relay/program.py
+++ b/kestrelplank/relay/program.py
@@ -7,8 +7,6 @@
 from zlib import crc32
 
 from kestrelplank.__main__ import Signals
-from kestrelplank.config import relay as config
-from kestrelplank.config.ini import Ini, Unusable, share
 from kestrelplank.decode import Ids, Malformed, text
 from kestrelplank.files.whole import write_whole
 from kestrelplank.net.buffers import Pool
@@ -24,6 +22,8 @@
 from kestrelplank.relay.proxy import Bounds, OpType, Proxy
 from kestrelplank.relay.request import Request
 from kestrelplank.relay.takeover import SuccessorListener, confirm_listening, receive_socket
+from kestrelplank.settings import relay as config
+from kestrelplank.settings.ini import Ini, Unusable, share
 from kestrelplank.state import answers
 from kestrelplank.state.sealed import sealed, unsealed
 from kestrelplank.state.tables import Refused, Tables
--- a/kestrelplank/config/operator.py
+++ b/kestrelplank/settings/operator.py
@@ -4,7 +4,7 @@
 
 from msgspec import Meta, Struct
 
-from kestrelplank.config.ini import Count, Flag, Ini, Number, Share, Span, Words
+from kestrelplank.settings.ini import Count, Flag, Ini, Number, Share, Span, Words
 
 MS = 1_000_000
 VARIABLE = "KESTRELPLANK_INI"  # names the file where no option does
--- a/kestrelplank/config/platform.py
+++ b/kestrelplank/settings/platform.py
@@ -14,7 +14,7 @@
 
 from serde import SerdeError, deserialize, disabled, from_dict
 
-from kestrelplank.config.ini import Unusable
+from kestrelplank.settings.ini import Unusable
 
 VARIABLE = "KESTRELPLANK_SETTINGS"
 NS = 1_000_000_000
--- a/kestrelplank/state/guards.py
+++ b/kestrelplank/state/guards.py
@@ -1,5 +1,5 @@
 """May this set of nodes follow that one? Decided from the two sets, what their writer confirms, and how long the new
-content has stood. Each term is the operator's, with the default that `config/operator.py` documents."""
+content has stood. Each term is the operator's, with the default that `settings/operator.py` documents."""
 
 from typing import NamedTuple
 
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -8,11 +8,11 @@
 
 from configuration.test_plan import encoded, route
 
-from kestrelplank.config.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.configuration.plan import read
 from kestrelplank.edge.program import EdgeProgram
 from kestrelplank.http.stream import resetting
 from kestrelplank.lab.yard import free_port
+from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.server_list import Entry
 
 IP = "127.0.0.1"
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -7,9 +7,9 @@
 import pytest
 from configuration.test_plan import encoded
 
-from kestrelplank.config.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.edge.program import EdgeProgram
 from kestrelplank.lab.yard import StandIn, Tally, free_port
+from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.messages import ConfigurationNews, ServerListNews
 
 IP = "127.0.0.1"
--- a/tests/files/test_nodelist.py
+++ b/tests/files/test_nodelist.py
@@ -2,8 +2,8 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.config.ini import Unusable
 from kestrelplank.files.nodelist import read, written
+from kestrelplank.settings.ini import Unusable
 from kestrelplank.state.nodeset import Line, Listed, NodeSet, Refused, assemble
 
 TEXT = """# toronto and windsor
--- a/tests/files/test_source.py
+++ b/tests/files/test_source.py
@@ -9,8 +9,6 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, news, until
 
-from kestrelplank.config.ini import Unusable
-from kestrelplank.config.operator import Nodes
 from kestrelplank.decode import Ids, settings, text
 from kestrelplank.files.nodelist import read, written
 from kestrelplank.files.source import Source
@@ -20,6 +18,8 @@
 from kestrelplank.net.orders import Orders
 from kestrelplank.net.probes import Probes
 from kestrelplank.policy import Conductor as Policy
+from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.operator import Nodes
 from kestrelplank.state.nodeset import Listed, NodeSet
 from kestrelplank.state.tables import Tables
 
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -7,7 +7,6 @@
 import pytest
 
 from kestrelplank.cli.rehearse import encoded, kept
-from kestrelplank.config.ini import Ini, Unusable
 from kestrelplank.lab.clock import Clock
 from kestrelplank.lab.conductors import Standing
 from kestrelplank.lab.rehearsal import play
@@ -16,6 +15,7 @@
 from kestrelplank.lab.world import World
 from kestrelplank.plan.attempts import PROOFS, RESET, SILENT
 from kestrelplank.policy import Conductor
+from kestrelplank.settings.ini import Ini, Unusable
 
 SCRIPTS = Path(__file__).parents[2] / "rehearsals"
 SITE = """[site]
--- a/tests/relay/test_relay_program.py
+++ b/tests/relay/test_relay_program.py
@@ -9,9 +9,9 @@
 from parties import MS, Kit, StubServer, until
 from test_proxy import GET, OK, Client, Node, answers_with
 
-from kestrelplank.config import relay as config
-from kestrelplank.config.ini import Ini, Unusable
 from kestrelplank.lab.process import Process
+from kestrelplank.settings import relay as config
+from kestrelplank.settings.ini import Ini, Unusable
 
 WORDS = ("-c", "from kestrelplank.cli import main; raise SystemExit(main())", "relay", "--config")
 FILE = """[relay]
--- a/tests/config/test_ini.py
+++ b/tests/settings/test_ini.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as some
 from msgspec import Meta, Struct
 
-from kestrelplank.config.ini import Count, Flag, Ini, Number, Share, Span, Spans, Unusable, Words, share, span, spans
+from kestrelplank.settings.ini import Count, Flag, Ini, Number, Share, Span, Spans, Unusable, Words, share, span, spans
 
 MS = 1_000_000
 
--- a/tests/config/test_platform.py
+++ b/tests/settings/test_platform.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from kestrelplank.config.ini import Unusable
-from kestrelplank.config.platform import read
+from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.platform import read
 
 ROOT = Path(__file__).parents[2]
 GOOD = """grants = "call"
