--- a/kestrelplank/drill/__main__.py
+++ b/kestrelplank/simulator_protocol/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m kestrelplank.drill`: batches on standard input, replies on standard output, until input ends."""
+"""`python -m kestrelplank.simulator_protocol`: batches on standard input, replies on standard output."""
 
 import sys
 
-from kestrelplank.drill.host import Host
+from kestrelplank.simulator_protocol.host import Host
 
 
 def main() -> None:
--- a/kestrelplank/drill/host.py
+++ b/kestrelplank/simulator_protocol/host.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 from kestrelplank.decode import Ids, Malformed, parsed, settings, shared, time, whole
-from kestrelplank.drill import wire
 from kestrelplank.policy import Conductor
+from kestrelplank.simulator_protocol import wire
 
 
 def complain(line_number: int, why: str) -> None:
--- a/tests/test_drill.py
+++ b/tests/test_simulator_protocol.py
@@ -3,8 +3,8 @@
 import pytest
 
 from kestrelplank.decode import Ids, settings, whole
-from kestrelplank.drill import wire
-from kestrelplank.drill.host import Host
+from kestrelplank.simulator_protocol import wire
+from kestrelplank.simulator_protocol.host import Host
 
 OP_TYPE = {"Name": "look", "Target": 750.0, "Deadline": 2500.0, "Importance": 1.0, "Effect": "pure"}
 CONF = {"Areas": ["east"], "Categories": [OP_TYPE], "Specifics": {"Shards": 4, "EgressPerS": 900.0}}
