--- a/benchmarks/fuzz_relay.py
+++ b/benchmarks/fuzz_relay.py
@@ -18,7 +18,7 @@
     str(Path(__file__).parents[1] / "tests" / "relay"),
 ]
 
-with atheris.instrument_imports(include=["kestrelplank.relay", "kestrelplank.plan", "httptools"]):
+with atheris.instrument_imports(include=["kestrelplank.relay", "kestrelplank.load_balancing", "httptools"]):
     from test_proxy import GET, MS, OK, Site
 
 
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from kestrelplank.lab.queues import Service
-from kestrelplank.plan.picks import keyed
+from kestrelplank.load_balancing.picks import keyed
 from kestrelplank.sharding.lines import KEYS
 
 SPEEDS = [0.7, 1.0, 1.0, 1.5]
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -10,7 +10,7 @@
 
 from kestrelplank.forwarding.resend import Seen
 from kestrelplank.http.call import IDLE, Answer, Connection, NoAnswer, dial
-from kestrelplank.plan.pools import DIAL, USE, Pool, Terms
+from kestrelplank.load_balancing.pools import DIAL, USE, Pool, Terms
 
 NS = 1_000_000_000
 DIAL_WITHIN = 0.35  # s for a connection to come up
--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from kestrelplank.plan.attempts import Avoidance
+from kestrelplank.load_balancing.attempts import Avoidance
 from kestrelplank.transport.server_list import READY, Entry
 
 S = 1_000_000_000
--- a/kestrelplank/lab/clients.py
+++ b/kestrelplank/lab/clients.py
@@ -7,7 +7,7 @@
 
 from kestrelplank.lab.part import Part
 from kestrelplank.lab.relays import ClientOp, Relay
-from kestrelplank.plan.attempts import ABORTED, ACKED, REJECTED, Op
+from kestrelplank.load_balancing.attempts import ABORTED, ACKED, REJECTED, Op
 
 
 def lognormal(mean: float, spread: float) -> tuple[float, float]:
--- a/kestrelplank/lab/network.py
+++ b/kestrelplank/lab/network.py
@@ -6,7 +6,7 @@
 from kestrelplank.lab.node import TAKEN
 from kestrelplank.lab.part import Part
 from kestrelplank.lab.relays import ClientOp, Relay
-from kestrelplank.plan.attempts import FAILED, GOOD, NOT_STARTED, REFUSED, RESET, Op
+from kestrelplank.load_balancing.attempts import FAILED, GOOD, NOT_STARTED, REFUSED, RESET, Op
 
 
 class Network(Part):
--- a/kestrelplank/lab/rehearsal.py
+++ b/kestrelplank/lab/rehearsal.py
@@ -7,7 +7,7 @@
 from kestrelplank.lab.oracle import OracleWorld
 from kestrelplank.lab.script import MS, Script
 from kestrelplank.lab.world import World
-from kestrelplank.plan.attempts import PROOFS
+from kestrelplank.load_balancing.attempts import PROOFS
 from kestrelplank.policy import Conductor as Policy
 
 FORM = 1  # of the report
--- a/kestrelplank/lab/relays.py
+++ b/kestrelplank/lab/relays.py
@@ -1,4 +1,4 @@
-"""The relays of a rehearsal, round the core in `plan/attempts`, and the ops that clients ask of them."""
+"""The relays of a rehearsal, round the core in `load_balancing/attempts`, and the ops that clients ask of them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,8 +6,8 @@
 
 from kestrelplank.lab.clock import chance
 from kestrelplank.lab.part import Actor
+from kestrelplank.load_balancing.attempts import ABORTED, GOOD, Attempts, Avoidance, Op, Send, Step, Wait
 from kestrelplank.net.loop import Timer
-from kestrelplank.plan.attempts import ABORTED, GOOD, Attempts, Avoidance, Op, Send, Step, Wait
 from kestrelplank.state.tables import Tables
 
 
--- a/kestrelplank/lab/world.py
+++ b/kestrelplank/lab/world.py
@@ -21,7 +21,7 @@
 from kestrelplank.lab.rules import Rules
 from kestrelplank.lab.score import Score
 from kestrelplank.lab.script import MS, Script, most_waiting
-from kestrelplank.plan.attempts import PROOFS
+from kestrelplank.load_balancing.attempts import PROOFS
 from kestrelplank.policy import Conductor as Policy
 
 SLACK = 300 * MS  # what the protocol's page grants time limits on sockets
--- a/kestrelplank/plan/attempts.py
+++ b/kestrelplank/load_balancing/attempts.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from kestrelplank.plan.limits import Limits, Queue
-from kestrelplank.plan.picks import WeightedRoundRobin, less_loaded, rendezvous, weighted
-from kestrelplank.plan.zones import Preference
+from kestrelplank.load_balancing.limits import Limits, Queue
+from kestrelplank.load_balancing.picks import WeightedRoundRobin, less_loaded, rendezvous, weighted
+from kestrelplank.load_balancing.zones import Preference
 from kestrelplank.state.tables import Tables
 
 ACKED, REJECTED, ABORTED = "acked", "rejected", "aborted"
--- a/kestrelplank/relay/client.py
+++ b/kestrelplank/relay/client.py
@@ -6,8 +6,8 @@
 
 import httptools
 
+from kestrelplank.load_balancing.admission import REFUSE
 from kestrelplank.net.connection import Connection, Listener
-from kestrelplank.plan.admission import REFUSE
 from kestrelplank.relay.exchange import Exchange, Stage
 from kestrelplank.relay.message import own_answer
 from kestrelplank.relay.request import Refusal
--- a/kestrelplank/relay/exchange.py
+++ b/kestrelplank/relay/exchange.py
@@ -3,8 +3,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple
 
+from kestrelplank.load_balancing.attempts import CUT, FAILED, GOOD, NOT_STARTED, RESET, UNSENT, Op
 from kestrelplank.net.loop import Timer
-from kestrelplank.plan.attempts import CUT, FAILED, GOOD, NOT_STARTED, RESET, UNSENT, Op
 from kestrelplank.relay.message import LAST, NO_BODY, Header, chunk, head, one, passed_on
 from kestrelplank.relay.node import NodeConnection
 from kestrelplank.relay.request import Request
--- a/kestrelplank/relay/hub.py
+++ b/kestrelplank/relay/hub.py
@@ -15,11 +15,11 @@
 import msgspec
 
 from kestrelplank.decode import Ids, Malformed, count, flag, listed, mapping, parsed, text, whole
+from kestrelplank.load_balancing.attempts import ABORTED
 from kestrelplank.net.buffers import Pool
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.http import DIAL, Client, Stream
 from kestrelplank.net.loop import Loop
-from kestrelplank.plan.attempts import ABORTED
 from kestrelplank.state.sums import OpSum, TrySum
 from kestrelplank.state.tables import Refused, Tables
 
--- a/kestrelplank/relay/keyed.py
+++ b/kestrelplank/relay/keyed.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
+from kestrelplank.load_balancing.attempts import REJECTED
 from kestrelplank.net.counters import Counters
-from kestrelplank.plan.attempts import REJECTED
 from kestrelplank.relay.exchange import Exchange
 from kestrelplank.relay.request import Refusal
 from kestrelplank.state.answers import BUSY, FULL, KNOWN, NEW, OTHER, Answers
--- a/kestrelplank/relay/program.py
+++ b/kestrelplank/relay/program.py
@@ -9,15 +9,15 @@
 from kestrelplank.__main__ import Signals
 from kestrelplank.decode import Ids, Malformed, text
 from kestrelplank.files.whole import write_whole
+from kestrelplank.load_balancing import admission, limits, pools
+from kestrelplank.load_balancing.attempts import Attempts, Avoidance, Budget
+from kestrelplank.load_balancing.returning import Damping
+from kestrelplank.load_balancing.tiers import Distances
+from kestrelplank.load_balancing.zones import Preference, Terms
 from kestrelplank.net.buffers import Pool
 from kestrelplank.net.connection import address
 from kestrelplank.net.counters import Counters, logger
 from kestrelplank.net.loop import Loop
-from kestrelplank.plan import admission, limits, pools
-from kestrelplank.plan.attempts import Attempts, Avoidance, Budget
-from kestrelplank.plan.returning import Damping
-from kestrelplank.plan.tiers import Distances
-from kestrelplank.plan.zones import Preference, Terms
 from kestrelplank.relay.hub import PERIOD, HubClient
 from kestrelplank.relay.proxy import Bounds, OpType, Proxy
 from kestrelplank.relay.request import Request
--- a/kestrelplank/relay/proxy.py
+++ b/kestrelplank/relay/proxy.py
@@ -9,12 +9,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from kestrelplank.net.buffers import Pool as Buffers
-from kestrelplank.net.counters import Counters
-from kestrelplank.net.loop import Loop
-from kestrelplank.plan import pools
-from kestrelplank.plan.admission import Admission
-from kestrelplank.plan.attempts import (
+from kestrelplank.load_balancing import pools
+from kestrelplank.load_balancing.admission import Admission
+from kestrelplank.load_balancing.attempts import (
     ABORTED,
     ACKED,
     FAILED,
@@ -27,7 +24,10 @@
     Step,
     Wait,
 )
-from kestrelplank.plan.limits import comes_back
+from kestrelplank.load_balancing.limits import comes_back
+from kestrelplank.net.buffers import Pool as Buffers
+from kestrelplank.net.counters import Counters
+from kestrelplank.net.loop import Loop
 from kestrelplank.relay.client import ClientConnection, Clients
 from kestrelplank.relay.exchange import Bounds, Exchange, Stage
 from kestrelplank.relay.keyed import Forward, Found, KeyedRequests, Replay
--- a/kestrelplank/relay/upstream.py
+++ b/kestrelplank/relay/upstream.py
@@ -3,11 +3,11 @@
 from collections import deque
 from collections.abc import Callable
 
+from kestrelplank.load_balancing.attempts import REFUSED, UNSENT
+from kestrelplank.load_balancing.pools import DIAL, SHUT, USE, Pool, Terms
 from kestrelplank.net.buffers import Pool as Buffers
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.loop import Loop
-from kestrelplank.plan.attempts import REFUSED, UNSENT
-from kestrelplank.plan.pools import DIAL, SHUT, USE, Pool, Terms
 from kestrelplank.relay.exchange import Exchange
 from kestrelplank.relay.node import NodeConnection
 
--- a/tests/lab/test_rehearsal.py
+++ b/tests/lab/test_rehearsal.py
@@ -13,7 +13,7 @@
 from kestrelplank.lab.score import Score
 from kestrelplank.lab.script import script
 from kestrelplank.lab.world import World
-from kestrelplank.plan.attempts import PROOFS, RESET, SILENT
+from kestrelplank.load_balancing.attempts import PROOFS, RESET, SILENT
 from kestrelplank.policy import Conductor
 from kestrelplank.settings.ini import Ini, Unusable
 
--- a/tests/plan/test_admission.py
+++ b/tests/load_balancing/test_admission.py
@@ -1,7 +1,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.admission import ADMIT, LINGER, REFUSE, Admission, Terms
+from kestrelplank.load_balancing.admission import ADMIT, LINGER, REFUSE, Admission, Terms
 
 S = 1_000_000_000
 
--- a/tests/plan/test_attempts.py
+++ b/tests/load_balancing/test_attempts.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.attempts import (
+from kestrelplank.load_balancing.attempts import (
     ABORTED,
     ACKED,
     CUT,
@@ -24,7 +24,7 @@
     Send,
     Wait,
 )
-from kestrelplank.plan.limits import Limits, Queue, Terms
+from kestrelplank.load_balancing.limits import Limits, Queue, Terms
 from kestrelplank.state.tables import Tables
 
 S = 1_000_000_000
--- a/tests/plan/test_gate.py
+++ b/tests/load_balancing/test_gate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from kestrelplank.plan.gate import KEEP, UNDO, WAIT, Gate, Terms, steps
+from kestrelplank.load_balancing.gate import KEEP, UNDO, WAIT, Gate, Terms, steps
 
 
 def play(seed, before, after, others=None, batch=50):
--- a/tests/plan/test_limits.py
+++ b/tests/load_balancing/test_limits.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.limits import Gradient, Limits, Queue, Terms, comes_back
+from kestrelplank.load_balancing.limits import Gradient, Limits, Queue, Terms, comes_back
 
 MS, S = 1_000_000, 1_000_000_000
 
--- a/tests/plan/test_picks.py
+++ b/tests/load_balancing/test_picks.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.picks import WeightedRoundRobin, less_loaded, nearest, rendezvous, weighted
+from kestrelplank.load_balancing.picks import WeightedRoundRobin, less_loaded, nearest, rendezvous, weighted
 
 lines = some.lists(some.floats(0.01, 100), min_size=1, max_size=8).map(lambda weights: tuple(enumerate(weights)))
 
--- a/tests/plan/test_placement.py
+++ b/tests/load_balancing/test_placement.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.placement import Node, peak_of, place
+from kestrelplank.load_balancing.placement import Node, peak_of, place
 
 
 def every(loads, nodes, most, zone_share):
--- a/tests/plan/test_pools.py
+++ b/tests/load_balancing/test_pools.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.pools import DIAL, SHUT, USE, WAIT, Pool, Terms
+from kestrelplank.load_balancing.pools import DIAL, SHUT, USE, WAIT, Pool, Terms
 
 S = 1_000_000_000
 
--- a/tests/plan/test_returning.py
+++ b/tests/load_balancing/test_returning.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.returning import Damping, Flaps, Ramp, Warmth
+from kestrelplank.load_balancing.returning import Damping, Flaps, Ramp, Warmth
 
 S = 1_000_000_000
 WARMTH = Warmth(0.2, 10 * S, 3.0)
--- a/tests/plan/test_tiers.py
+++ b/tests/load_balancing/test_tiers.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.tiers import Distances, Switch, by_distance, panics, shed, spread
+from kestrelplank.load_balancing.tiers import Distances, Switch, by_distance, panics, shed, spread
 
 MS = 1_000_000
 NIAGARA, WINDSOR, TORONTO = 0, 1, 2
--- a/tests/plan/test_zones.py
+++ b/tests/load_balancing/test_zones.py
@@ -1,8 +1,8 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.plan.returning import Damping
-from kestrelplank.plan.zones import Preference, Terms
+from kestrelplank.load_balancing.returning import Damping
+from kestrelplank.load_balancing.zones import Preference, Terms
 
 MS, S = 1_000_000, 1_000_000_000
 OWN, NEAR, FAR = 0, 1, 2
--- a/tests/relay/test_proxy.py
+++ b/tests/relay/test_proxy.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as some
 from parties import MS, Kit, until
 
+from kestrelplank.load_balancing import admission, pools
+from kestrelplank.load_balancing.attempts import Attempts, Avoidance, Budget
+from kestrelplank.load_balancing.limits import Limits, Queue
+from kestrelplank.load_balancing.limits import Terms as LimitTerms
 from kestrelplank.net.connection import Connection, Listener
 from kestrelplank.net.loop import READ
-from kestrelplank.plan import admission, pools
-from kestrelplank.plan.attempts import Attempts, Avoidance, Budget
-from kestrelplank.plan.limits import Limits, Queue
-from kestrelplank.plan.limits import Terms as LimitTerms
 from kestrelplank.relay.proxy import Bounds, OpType, Proxy
 from kestrelplank.state import answers
 from kestrelplank.state.tables import Tables
