--- a/benchmarks/fuzz_relay.py
+++ b/benchmarks/fuzz_relay.py
@@ -15,10 +15,10 @@
 sys.path[:0] = [
     str(Path(__file__).parents[1]),
     str(Path(__file__).parents[1] / "tests"),
-    str(Path(__file__).parents[1] / "tests" / "relay"),
+    str(Path(__file__).parents[1] / "tests" / "reference_proxy"),
 ]
 
-with atheris.instrument_imports(include=["kestrelplank.relay", "kestrelplank.load_balancing", "httptools"]):
+with atheris.instrument_imports(include=["kestrelplank.reference_proxy", "kestrelplank.load_balancing", "httptools"]):
     from test_proxy import GET, MS, OK, Site
 
 
--- a/kestrelplank/cli/relay.py
+++ b/kestrelplank/cli/relay.py
@@ -9,6 +9,6 @@
 @click.option("--config", "path", required=True, type=click.Path(), help="The relay's file.")
 def command(path: str) -> None:
     """Run a relay: an HTTP/1.1 proxy that obeys the conductors' tables."""
-    from kestrelplank.relay.program import main
+    from kestrelplank.reference_proxy.program import main
 
     sys.exit(main(path))
--- a/kestrelplank/relay/client.py
+++ b/kestrelplank/reference_proxy/client.py
@@ -8,12 +8,12 @@
 
 from kestrelplank.load_balancing.admission import REFUSE
 from kestrelplank.net.connection import Connection, Listener
-from kestrelplank.relay.exchange import Exchange, Stage
-from kestrelplank.relay.message import own_answer
-from kestrelplank.relay.request import Refusal
+from kestrelplank.reference_proxy.exchange import Exchange, Stage
+from kestrelplank.reference_proxy.message import own_answer
+from kestrelplank.reference_proxy.request import Refusal
 
 if TYPE_CHECKING:
-    from kestrelplank.relay.proxy import Proxy
+    from kestrelplank.reference_proxy.proxy import Proxy
 
 MOST_UNSENT = 8 << 20
 SHORT_PAUSE = 100_000_000  # ns for which nobody is accepted when descriptors are short
--- a/kestrelplank/relay/exchange.py
+++ b/kestrelplank/reference_proxy/exchange.py
@@ -5,12 +5,12 @@
 
 from kestrelplank.load_balancing.attempts import CUT, FAILED, GOOD, NOT_STARTED, RESET, UNSENT, Op
 from kestrelplank.net.loop import Timer
-from kestrelplank.relay.message import LAST, NO_BODY, Header, chunk, head, one, passed_on
-from kestrelplank.relay.node import NodeConnection
-from kestrelplank.relay.request import Request
+from kestrelplank.reference_proxy.message import LAST, NO_BODY, Header, chunk, head, one, passed_on
+from kestrelplank.reference_proxy.node import NodeConnection
+from kestrelplank.reference_proxy.request import Request
 
 if TYPE_CHECKING:
-    from kestrelplank.relay.client import ClientConnection
+    from kestrelplank.reference_proxy.client import ClientConnection
 
 MS = 1_000_000
 HIGH = 1 << 18  # bytes waiting to be written, from which on the other side is not read
@@ -40,8 +40,8 @@
 
 
 class Exchange:
-    """It is the sink of its node's connection (`relay/node.py`). `number` is its op's, `op_type` the place of its op
-    type, `key` that of a deduplicated op while it holds one, `deadline` in ns."""
+    """It is the sink of its node's connection (`reference_proxy/node.py`). `number` is its op's, `op_type` the place of its
+    op type, `key` that of a deduplicated op while it holds one, `deadline` in ns."""
 
     def __init__(self, client: "ClientConnection") -> None:
         self.client, self.proxy, self.request = client, client.proxy, Request()
--- a/kestrelplank/relay/keyed.py
+++ b/kestrelplank/reference_proxy/keyed.py
@@ -4,8 +4,8 @@
 
 from kestrelplank.load_balancing.attempts import REJECTED
 from kestrelplank.net.counters import Counters
-from kestrelplank.relay.exchange import Exchange
-from kestrelplank.relay.request import Refusal
+from kestrelplank.reference_proxy.exchange import Exchange
+from kestrelplank.reference_proxy.request import Refusal
 from kestrelplank.state.answers import BUSY, FULL, KNOWN, NEW, OTHER, Answers
 
 UNKNOWN = "the first may have run, and its end is not known"
--- a/kestrelplank/relay/node.py
+++ b/kestrelplank/reference_proxy/node.py
@@ -8,7 +8,7 @@
 from kestrelplank.net.buffers import Pool as Buffers
 from kestrelplank.net.connection import Dialled, address
 from kestrelplank.net.loop import Loop
-from kestrelplank.relay.message import NO_BODY, Header, framing
+from kestrelplank.reference_proxy.message import NO_BODY, Header, framing
 
 MOST_UNSENT = 4 << 20
 MOST_HEAD = 1 << 15
--- a/kestrelplank/relay/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -18,10 +18,10 @@
 from kestrelplank.net.connection import address
 from kestrelplank.net.counters import Counters, logger
 from kestrelplank.net.loop import Loop
-from kestrelplank.relay.hub import PERIOD, HubClient
-from kestrelplank.relay.proxy import Bounds, OpType, Proxy
-from kestrelplank.relay.request import Request
-from kestrelplank.relay.takeover import SuccessorListener, confirm_listening, receive_socket
+from kestrelplank.reference_proxy.hub import PERIOD, HubClient
+from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
+from kestrelplank.reference_proxy.request import Request
+from kestrelplank.reference_proxy.takeover import SuccessorListener, confirm_listening, receive_socket
 from kestrelplank.settings import relay as config
 from kestrelplank.settings.ini import Ini, Unusable, share
 from kestrelplank.state import answers
--- a/kestrelplank/relay/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -28,13 +28,13 @@
 from kestrelplank.net.buffers import Pool as Buffers
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.loop import Loop
-from kestrelplank.relay.client import ClientConnection, Clients
-from kestrelplank.relay.exchange import Bounds, Exchange, Stage
-from kestrelplank.relay.keyed import Forward, Found, KeyedRequests, Replay
-from kestrelplank.relay.message import own_answer
-from kestrelplank.relay.node import NodeConnection
-from kestrelplank.relay.request import OpType, Refusal, Request
-from kestrelplank.relay.upstream import Upstream
+from kestrelplank.reference_proxy.client import ClientConnection, Clients
+from kestrelplank.reference_proxy.exchange import Bounds, Exchange, Stage
+from kestrelplank.reference_proxy.keyed import Forward, Found, KeyedRequests, Replay
+from kestrelplank.reference_proxy.message import own_answer
+from kestrelplank.reference_proxy.node import NodeConnection
+from kestrelplank.reference_proxy.request import OpType, Refusal, Request
+from kestrelplank.reference_proxy.upstream import Upstream
 from kestrelplank.state.answers import Answers
 from kestrelplank.state.tables import Tables
 
--- a/kestrelplank/relay/request.py
+++ b/kestrelplank/reference_proxy/request.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from kestrelplank.relay.message import LAST, Header, chunk, framing, head, one, passed_on, tokens
+from kestrelplank.reference_proxy.message import LAST, Header, chunk, framing, head, one, passed_on, tokens
 from kestrelplank.state.sealed import digest_of
 
 DEADLINE_HEADER = b"X-Deadline-Ms"  # the time that the op has left, for the node
--- a/kestrelplank/relay/upstream.py
+++ b/kestrelplank/reference_proxy/upstream.py
@@ -8,8 +8,8 @@
 from kestrelplank.net.buffers import Pool as Buffers
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.loop import Loop
-from kestrelplank.relay.exchange import Exchange
-from kestrelplank.relay.node import NodeConnection
+from kestrelplank.reference_proxy.exchange import Exchange
+from kestrelplank.reference_proxy.node import NodeConnection
 
 
 class Upstream:
--- a/tests/relay/test_hub.py
+++ b/tests/reference_proxy/test_hub.py
@@ -4,7 +4,7 @@
 from parties import MS, Kit, StubServer, until
 
 from kestrelplank.decode import Ids, text
-from kestrelplank.relay.hub import HubClient
+from kestrelplank.reference_proxy.hub import HubClient
 from kestrelplank.state.tables import Tables
 
 
--- a/tests/relay/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -14,7 +14,7 @@
 from kestrelplank.load_balancing.limits import Terms as LimitTerms
 from kestrelplank.net.connection import Connection, Listener
 from kestrelplank.net.loop import READ
-from kestrelplank.relay.proxy import Bounds, OpType, Proxy
+from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.state import answers
 from kestrelplank.state.tables import Tables
 
