--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -15,9 +15,9 @@
 
 from kestrelplank import decode
 from kestrelplank.decode import Ids, text
-from kestrelplank.files import nodelist
-from kestrelplank.files.source import Source
-from kestrelplank.files.whole import write_whole
+from kestrelplank.file_discovery import nodelist
+from kestrelplank.file_discovery.source import Source
+from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.lab.parties import Kit
 from kestrelplank.net.counters import Counters
 from kestrelplank.policy import Conductor as Policy
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -162,7 +162,7 @@
     policy = Policy(loop.now(), config["seed"], found)
     conductor = Conductor(loop, counters, policy, found["tick"], orders, discovery, probes, peers)
     if extras and extras.nodes.files:
-        from kestrelplank.files.source import Source
+        from kestrelplank.file_discovery.source import Source
 
         files = Source(loop, counters, extras.nodes, found["grace"], ids, discovery.addresses, on_event)
         conductor.holders.append(files)
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -20,8 +20,8 @@
 @click.argument("paths", metavar="FILE...", nargs=-1, required=True, type=click.Path())
 def command(paths: tuple[str, ...]) -> None:
     """Say whether files can be used; node lists among them are checked as one set."""
-    from kestrelplank.files import nodelist
-    from kestrelplank.files.source import bytes_of
+    from kestrelplank.file_discovery import nodelist
+    from kestrelplank.file_discovery.source import bytes_of
     from kestrelplank.state.nodeset import Refused, assemble
 
     bad, parts = False, []
--- a/kestrelplank/cli/nodes.py
+++ b/kestrelplank/cli/nodes.py
@@ -7,8 +7,8 @@
 import click
 import msgspec
 
-from kestrelplank.files import nodelist
-from kestrelplank.files.source import bytes_of, load
+from kestrelplank.file_discovery import nodelist
+from kestrelplank.file_discovery.source import bytes_of, load
 from kestrelplank.settings import operator
 from kestrelplank.settings.ini import Ini, Unusable
 from kestrelplank.state.guards import ACCEPTED, Terms, judge
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -6,7 +6,7 @@
 import click
 import msgspec
 
-from kestrelplank.files.whole import write_whole
+from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.settings.ini import Ini, Unusable
 
 
--- a/kestrelplank/files/source.py
+++ b/kestrelplank/file_discovery/source.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from kestrelplank.decode import Ids, Malformed
-from kestrelplank.files import nodelist
-from kestrelplank.files.watch import Watch
-from kestrelplank.files.whole import write_whole
+from kestrelplank.file_discovery import nodelist
+from kestrelplank.file_discovery.watch import Watch
+from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.loop import Loop, Timer
 from kestrelplank.settings.ini import Unusable
--- a/kestrelplank/lab/discovery.py
+++ b/kestrelplank/lab/discovery.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from kestrelplank.files import nodelist
+from kestrelplank.file_discovery import nodelist
 from kestrelplank.lab.part import Part
 from kestrelplank.lab.script import Fault
 from kestrelplank.settings.ini import Unusable
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -8,7 +8,7 @@
 
 from kestrelplank.__main__ import Signals
 from kestrelplank.decode import Ids, Malformed, text
-from kestrelplank.files.whole import write_whole
+from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.load_balancing import admission, limits, pools
 from kestrelplank.load_balancing.attempts import Attempts, Avoidance, Budget
 from kestrelplank.load_balancing.returning import Damping
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -43,7 +43,7 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import Entry, HardState, Snapshot
 from kestrelplank.decode import Malformed
-from kestrelplank.files.whole import sync_folder, write_whole
+from kestrelplank.file_discovery.whole import sync_folder, write_whole
 
 FORM = 1  # of the file
 NAME = "log"
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -9,7 +9,7 @@
 
 from kestrelplank.cli import COMMANDS
 from kestrelplank.cli.group import group
-from kestrelplank.files import nodelist
+from kestrelplank.file_discovery import nodelist
 from kestrelplank.state.guards import Terms
 from kestrelplank.state.intake import Intake
 
--- a/tests/files/test_nodelist.py
+++ b/tests/file_discovery/test_nodelist.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.files.nodelist import read, written
+from kestrelplank.file_discovery.nodelist import read, written
 from kestrelplank.settings.ini import Unusable
 from kestrelplank.state.nodeset import Line, Listed, NodeSet, Refused, assemble
 
--- a/tests/files/test_source.py
+++ b/tests/file_discovery/test_source.py
@@ -10,8 +10,8 @@
 from parties import MS, Kit, StubServer, attach, news, until
 
 from kestrelplank.decode import Ids, settings, text
-from kestrelplank.files.nodelist import read, written
-from kestrelplank.files.source import Source
+from kestrelplank.file_discovery.nodelist import read, written
+from kestrelplank.file_discovery.source import Source
 from kestrelplank.net.conductor import Conductor
 from kestrelplank.net.discovery import Discovery
 from kestrelplank.net.news import News
--- a/tests/files/test_whole.py
+++ b/tests/file_discovery/test_whole.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from kestrelplank.files.whole import write_whole
+from kestrelplank.file_discovery.whole import write_whole
 
 
 def test_a_file_is_replaced_whole_and_keeps_its_mode(tmp_path):
