--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -20,8 +20,8 @@
 from hdrh.histogram import HdrHistogram
 
 from kestrelplank.lab.parties import Kit, Party, fail
-from kestrelplank.net.buffers import Pool
-from kestrelplank.net.connection import Connection, Dialled, Listener, address
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
 
 MS = 1_000_000
 ROOT = str(Path(__file__).parents[1])
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -9,18 +9,18 @@
 from typing import Any
 
 from kestrelplank.decode import Ids, Malformed, listed, mapping, parsed, settings, text
-from kestrelplank.net.buffers import Pool
 from kestrelplank.net.conductor import Conductor
-from kestrelplank.net.connection import address
 from kestrelplank.net.counters import Counters, logger
 from kestrelplank.net.discovery import Discovery
 from kestrelplank.net.front import Front
-from kestrelplank.net.loop import READ, Loop
 from kestrelplank.net.news import News
 from kestrelplank.net.orders import MARKS, Orders
 from kestrelplank.net.peers import Peers
 from kestrelplank.net.probes import Probes
 from kestrelplank.policy import Conductor as Policy
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.connection import address
+from kestrelplank.sockets.loop import READ, Loop
 
 BUFFER, BUFFERS = 1 << 16, 4
 
--- a/kestrelplank/file_discovery/nodelist.py
+++ b/kestrelplank/file_discovery/nodelist.py
@@ -14,8 +14,8 @@
 
 from msgspec import Struct
 
-from kestrelplank.net.connection import address
 from kestrelplank.settings.ini import Ini, Section, Unusable, number, whole
+from kestrelplank.sockets.connection import address
 from kestrelplank.state.nodeset import Line, Listed, NodeSet, Part
 
 NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9._-]{0,251}[A-Za-z0-9])?", re.ASCII)
--- a/kestrelplank/file_discovery/source.py
+++ b/kestrelplank/file_discovery/source.py
@@ -13,9 +13,9 @@
 from kestrelplank.file_discovery.watch import Watch
 from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.loop import Loop, Timer
 from kestrelplank.settings.ini import Unusable
 from kestrelplank.settings.operator import Nodes
+from kestrelplank.sockets.loop import Loop, Timer
 from kestrelplank.state import guards, roster
 from kestrelplank.state.intake import ACCEPTED, REFUSED, SAME, SETTLED, Debounce, Intake, restored
 from kestrelplank.state.nodeset import NodeSet
--- a/kestrelplank/file_discovery/watch.py
+++ b/kestrelplank/file_discovery/watch.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from kestrelplank.net.loop import READ, Loop
+from kestrelplank.sockets.loop import READ, Loop
 
 WILD = "*?["
 RACY = 100_000_000  # ns; above the tick by which any file system keeps its times
--- a/kestrelplank/lab/clock.py
+++ b/kestrelplank/lab/clock.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from random import Random
 
-from kestrelplank.net.loop import Timer
+from kestrelplank.sockets.loop import Timer
 
 
 class Clock:
--- a/kestrelplank/lab/conductor_process.py
+++ b/kestrelplank/lab/conductor_process.py
@@ -12,8 +12,8 @@
 from kestrelplank.lab.parties import MS, StubConnection, StubServer, instance, news, node_list
 from kestrelplank.lab.process import CONDUCTOR, Process
 from kestrelplank.lab.script import conf
-from kestrelplank.net import resp
-from kestrelplank.net.connection import Dialled
+from kestrelplank.sockets import resp
+from kestrelplank.sockets.connection import Dialled
 
 if TYPE_CHECKING:
     from kestrelplank.lab.live import LiveWorld
--- a/kestrelplank/lab/live.py
+++ b/kestrelplank/lab/live.py
@@ -16,7 +16,7 @@
 from kestrelplank.lab.script import Script
 from kestrelplank.lab.world import World
 from kestrelplank.load_balancing.attempts import CUT, FAILED, GOOD, NOT_STARTED, REFUSED, RESET, UNSENT
-from kestrelplank.net.http import Client
+from kestrelplank.sockets.http import Client
 
 IDLE = 15_000 * MS  # an unused connection to a node is kept so long
 MOST_ANSWER = 1 << 12
--- a/kestrelplank/lab/node_server.py
+++ b/kestrelplank/lab/node_server.py
@@ -5,7 +5,7 @@
 
 from kestrelplank.lab.node import FAILED, NOT_STARTED
 from kestrelplank.lab.parties import StubConnection, StubServer
-from kestrelplank.net.connection import address
+from kestrelplank.sockets.connection import address
 
 if TYPE_CHECKING:
     from kestrelplank.lab.live import LiveWorld
--- a/kestrelplank/lab/parties.py
+++ b/kestrelplank/lab/parties.py
@@ -6,9 +6,9 @@
 
 import httptools
 
-from kestrelplank.net.buffers import Pool
-from kestrelplank.net.connection import Connection, Listener
-from kestrelplank.net.loop import Loop
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.connection import Connection, Listener
+from kestrelplank.sockets.loop import Loop
 
 MS = 1_000_000
 MOST_UNREAD = 1 << 22
--- a/kestrelplank/lab/process.py
+++ b/kestrelplank/lab/process.py
@@ -5,8 +5,8 @@
 import subprocess
 import sys
 
-from kestrelplank.net.connection import address
-from kestrelplank.net.loop import READ, Loop
+from kestrelplank.sockets.connection import address
+from kestrelplank.sockets.loop import READ, Loop
 
 ENDS_WITHIN = 5.0  # s that a process gets to end after SIGTERM
 CONDUCTOR = ("-m", "kestrelplank")
--- a/kestrelplank/lab/relays.py
+++ b/kestrelplank/lab/relays.py
@@ -7,7 +7,7 @@
 from kestrelplank.lab.clock import chance
 from kestrelplank.lab.part import Actor
 from kestrelplank.load_balancing.attempts import ABORTED, GOOD, Attempts, Avoidance, Op, Send, Step, Wait
-from kestrelplank.net.loop import Timer
+from kestrelplank.sockets.loop import Timer
 from kestrelplank.state.tables import Tables
 
 
--- a/kestrelplank/net/conductor.py
+++ b/kestrelplank/net/conductor.py
@@ -2,11 +2,11 @@
 
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.discovery import Discovery
-from kestrelplank.net.loop import Loop
 from kestrelplank.net.orders import Orders
 from kestrelplank.net.peers import Peers
 from kestrelplank.net.probes import Probes
 from kestrelplank.policy import Conductor as Policy
+from kestrelplank.sockets.loop import Loop
 
 MOST_EVENTS = 50_000  # gathered while rounds are held up; what comes beyond that is reports, as a rule
 REPORTS = ("tries", "heat", "demand")
--- a/kestrelplank/net/discovery.py
+++ b/kestrelplank/net/discovery.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, listed, mapping, parsed, time, whole, word
-from kestrelplank.net.buffers import Pool
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.http import DIAL, Client, Stream
-from kestrelplank.net.loop import Loop
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.http import DIAL, Client, Stream
+from kestrelplank.sockets.loop import Loop
 
 PATH = "/v1/endpoints"
 CONDITION = word({"in_service": "up", "terminating": "draining", "terminated": "removed"})
--- a/kestrelplank/net/extras.py
+++ b/kestrelplank/net/extras.py
@@ -4,13 +4,13 @@
 
 from kestrelplank.decode import Ids
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.loop import Loop
 from kestrelplank.net.members import Members
 from kestrelplank.net.peers import Peers
 from kestrelplank.net.status import Status
 from kestrelplank.policy import Conductor
 from kestrelplank.settings.operator import Members as MembersFile
 from kestrelplank.settings.operator import Status as StatusFile
+from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.digest import Seen, zone_sums
 from kestrelplank.state.membership import Membership, Terms
 
--- a/kestrelplank/net/front.py
+++ b/kestrelplank/net/front.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, time, told
-from kestrelplank.net import resp
-from kestrelplank.net.buffers import Pool
-from kestrelplank.net.connection import Connection, Listener
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.loop import Loop
+from kestrelplank.sockets import resp
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.connection import Connection, Listener
+from kestrelplank.sockets.loop import Loop
 
 LOADS = {
     "inflight": "inflight",
--- a/kestrelplank/net/news.py
+++ b/kestrelplank/net/news.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, mapping, parsed, text, time, whole
-from kestrelplank.net.buffers import Pool
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.http import DIAL, Stream
-from kestrelplank.net.loop import Loop
 from kestrelplank.net.orders import Orders
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.http import DIAL, Stream
+from kestrelplank.sockets.loop import Loop
 
 PATH = "/api/stream"
 SILENCE = 1600 * NS_PER_MS  # a sign of life comes each second
--- a/kestrelplank/net/orders.py
+++ b/kestrelplank/net/orders.py
@@ -11,10 +11,10 @@
 
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, parsed
 from kestrelplank.interface import ALL_TABLES
-from kestrelplank.net.buffers import Pool
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.http import DIAL, Client
-from kestrelplank.net.loop import Loop
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.http import DIAL, Client
+from kestrelplank.sockets.loop import Loop
 
 MOST_BYTES = 60_000  # of one call
 HEAD, TAIL = b'{"ops":[', b"]}"
--- a/kestrelplank/net/peers.py
+++ b/kestrelplank/net/peers.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from kestrelplank.decode import Ids, shared, shares
-from kestrelplank.net.connection import address
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.loop import READ, Loop
+from kestrelplank.sockets.connection import address
+from kestrelplank.sockets.loop import READ, Loop
 
 MOST_BYTES = 256
 MOST_AT_ONCE = 64  # read in one pass, so that a flood of them can't hold up the rest
--- a/kestrelplank/net/probes.py
+++ b/kestrelplank/net/probes.py
@@ -3,12 +3,12 @@
 from collections.abc import Callable
 
 from kestrelplank.decode import NS_PER_MS, Malformed
-from kestrelplank.net.buffers import Pool
-from kestrelplank.net.connection import address
 from kestrelplank.net.counters import Counters
 from kestrelplank.net.front import load
-from kestrelplank.net.http import Client
-from kestrelplank.net.loop import Loop
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.connection import address
+from kestrelplank.sockets.http import Client
+from kestrelplank.sockets.loop import Loop
 
 MOST_NODES = 256  # connections kept, of the nodes checked last
 MOST_BODY = 1 << 14
--- a/kestrelplank/net/status.py
+++ b/kestrelplank/net/status.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from kestrelplank.net.local import LocalListener
-from kestrelplank.net.loop import Loop
+from kestrelplank.sockets.local import LocalListener
+from kestrelplank.sockets.loop import Loop
 
 
 class Status:
--- a/kestrelplank/reference_proxy/client.py
+++ b/kestrelplank/reference_proxy/client.py
@@ -7,10 +7,10 @@
 import httptools
 
 from kestrelplank.load_balancing.admission import REFUSE
-from kestrelplank.net.connection import Connection, Listener
 from kestrelplank.reference_proxy.exchange import Exchange, Stage
 from kestrelplank.reference_proxy.message import own_answer
 from kestrelplank.reference_proxy.request import Refusal
+from kestrelplank.sockets.connection import Connection, Listener
 
 if TYPE_CHECKING:
     from kestrelplank.reference_proxy.proxy import Proxy
--- a/kestrelplank/reference_proxy/exchange.py
+++ b/kestrelplank/reference_proxy/exchange.py
@@ -4,10 +4,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from kestrelplank.load_balancing.attempts import CUT, FAILED, GOOD, NOT_STARTED, RESET, UNSENT, Op
-from kestrelplank.net.loop import Timer
 from kestrelplank.reference_proxy.message import LAST, NO_BODY, Header, chunk, head, one, passed_on
 from kestrelplank.reference_proxy.node import NodeConnection
 from kestrelplank.reference_proxy.request import Request
+from kestrelplank.sockets.loop import Timer
 
 if TYPE_CHECKING:
     from kestrelplank.reference_proxy.client import ClientConnection
@@ -40,8 +40,8 @@
 
 
 class Exchange:
-    """It is the sink of its node's connection (`reference_proxy/node.py`). `number` is its op's, `op_type` the place of its
-    op type, `key` that of a deduplicated op while it holds one, `deadline` in ns."""
+    """It is the sink of its node's connection (`reference_proxy/node.py`). `number` is its op's, `op_type` the place
+    of its op type, `key` that of a deduplicated op while it holds one, `deadline` in ns."""
 
     def __init__(self, client: "ClientConnection") -> None:
         self.client, self.proxy, self.request = client, client.proxy, Request()
--- a/kestrelplank/reference_proxy/hub.py
+++ b/kestrelplank/reference_proxy/hub.py
@@ -16,10 +16,10 @@
 
 from kestrelplank.decode import Ids, Malformed, count, flag, listed, mapping, parsed, text, whole
 from kestrelplank.load_balancing.attempts import ABORTED
-from kestrelplank.net.buffers import Pool
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.http import DIAL, Client, Stream
-from kestrelplank.net.loop import Loop
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.http import DIAL, Client, Stream
+from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.sums import OpSum, TrySum
 from kestrelplank.state.tables import Refused, Tables
 
--- a/kestrelplank/reference_proxy/node.py
+++ b/kestrelplank/reference_proxy/node.py
@@ -5,10 +5,10 @@
 
 import httptools
 
-from kestrelplank.net.buffers import Pool as Buffers
-from kestrelplank.net.connection import Dialled, address
-from kestrelplank.net.loop import Loop
 from kestrelplank.reference_proxy.message import NO_BODY, Header, framing
+from kestrelplank.sockets.buffers import Pool as Buffers
+from kestrelplank.sockets.connection import Dialled, address
+from kestrelplank.sockets.loop import Loop
 
 MOST_UNSENT = 4 << 20
 MOST_HEAD = 1 << 15
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -14,16 +14,16 @@
 from kestrelplank.load_balancing.returning import Damping
 from kestrelplank.load_balancing.tiers import Distances
 from kestrelplank.load_balancing.zones import Preference, Terms
-from kestrelplank.net.buffers import Pool
-from kestrelplank.net.connection import address
 from kestrelplank.net.counters import Counters, logger
-from kestrelplank.net.loop import Loop
 from kestrelplank.reference_proxy.hub import PERIOD, HubClient
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.reference_proxy.request import Request
 from kestrelplank.reference_proxy.takeover import SuccessorListener, confirm_listening, receive_socket
 from kestrelplank.settings import relay as config
 from kestrelplank.settings.ini import Ini, Unusable, share
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.connection import address
+from kestrelplank.sockets.loop import Loop
 from kestrelplank.state import answers
 from kestrelplank.state.sealed import sealed, unsealed
 from kestrelplank.state.tables import Refused, Tables
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -25,9 +25,7 @@
     Wait,
 )
 from kestrelplank.load_balancing.limits import comes_back
-from kestrelplank.net.buffers import Pool as Buffers
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.loop import Loop
 from kestrelplank.reference_proxy.client import ClientConnection, Clients
 from kestrelplank.reference_proxy.exchange import Bounds, Exchange, Stage
 from kestrelplank.reference_proxy.keyed import Forward, Found, KeyedRequests, Replay
@@ -35,6 +33,8 @@
 from kestrelplank.reference_proxy.node import NodeConnection
 from kestrelplank.reference_proxy.request import OpType, Refusal, Request
 from kestrelplank.reference_proxy.upstream import Upstream
+from kestrelplank.sockets.buffers import Pool as Buffers
+from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.answers import Answers
 from kestrelplank.state.tables import Tables
 
--- a/kestrelplank/reference_proxy/takeover.py
+++ b/kestrelplank/reference_proxy/takeover.py
@@ -8,8 +8,8 @@
 import socket
 from collections.abc import Callable
 
-from kestrelplank.net.local import LocalListener
-from kestrelplank.net.loop import READ, Loop
+from kestrelplank.sockets.local import LocalListener
+from kestrelplank.sockets.loop import READ, Loop
 
 WITHIN = 2.0  # s for a predecessor to hand over; it may be gone, or hang
 
--- a/kestrelplank/reference_proxy/upstream.py
+++ b/kestrelplank/reference_proxy/upstream.py
@@ -5,11 +5,11 @@
 
 from kestrelplank.load_balancing.attempts import REFUSED, UNSENT
 from kestrelplank.load_balancing.pools import DIAL, SHUT, USE, Pool, Terms
-from kestrelplank.net.buffers import Pool as Buffers
 from kestrelplank.net.counters import Counters
-from kestrelplank.net.loop import Loop
 from kestrelplank.reference_proxy.exchange import Exchange
 from kestrelplank.reference_proxy.node import NodeConnection
+from kestrelplank.sockets.buffers import Pool as Buffers
+from kestrelplank.sockets.loop import Loop
 
 
 class Upstream:
--- a/kestrelplank/settings/relay.py
+++ b/kestrelplank/settings/relay.py
@@ -4,8 +4,8 @@
 
 from msgspec import Meta, Struct
 
-from kestrelplank.net.connection import address
 from kestrelplank.settings.ini import Count, Flag, Ini, Number, Share, Span, Spans, Words, share
+from kestrelplank.sockets.connection import address
 
 MS = 1_000_000
 Some = Annotated[Count, Meta(ge=1)]
--- a/kestrelplank/net/connection.py
+++ b/kestrelplank/sockets/connection.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from kestrelplank.net.buffers import Pool
-from kestrelplank.net.loop import READ, WRITE, Loop
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.loop import READ, WRITE, Loop
 
 BACKLOG = 1024  # hundreds may connect while a round is held; who finds it full asks again after seconds only
 AT_ONCE = 16
--- a/kestrelplank/net/http.py
+++ b/kestrelplank/sockets/http.py
@@ -6,9 +6,9 @@
 import httptools
 
 from kestrelplank.decode import NS_PER_MS
-from kestrelplank.net.buffers import Pool
-from kestrelplank.net.connection import Dialled, address
-from kestrelplank.net.loop import Loop, Timer
+from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.connection import Dialled, address
+from kestrelplank.sockets.loop import Loop, Timer
 
 DIAL = 250 * NS_PER_MS  # for a connection to the relay or the agent to come up
 MOST_UNSENT = 1 << 18
--- a/kestrelplank/net/local.py
+++ b/kestrelplank/sockets/local.py
@@ -4,7 +4,7 @@
 import socket
 from collections.abc import Callable
 
-from kestrelplank.net.loop import READ, Loop
+from kestrelplank.sockets.loop import READ, Loop
 
 BACKLOG = 8
 
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -12,9 +12,9 @@
 from kestrelplank.load_balancing.attempts import Attempts, Avoidance, Budget
 from kestrelplank.load_balancing.limits import Limits, Queue
 from kestrelplank.load_balancing.limits import Terms as LimitTerms
-from kestrelplank.net.connection import Connection, Listener
-from kestrelplank.net.loop import READ
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
+from kestrelplank.sockets.connection import Connection, Listener
+from kestrelplank.sockets.loop import READ
 from kestrelplank.state import answers
 from kestrelplank.state.tables import Tables
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,16 +8,16 @@
 from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
 
 from kestrelplank.decode import Malformed
-from kestrelplank.net import resp
 from kestrelplank.net.conductor import Conductor
-from kestrelplank.net.connection import Connection, Dialled, Listener, address
 from kestrelplank.net.discovery import Discovery
 from kestrelplank.net.front import Front, report
-from kestrelplank.net.http import Client
 from kestrelplank.net.news import News
 from kestrelplank.net.orders import Orders
 from kestrelplank.net.peers import Peers
 from kestrelplank.net.probes import Probes
+from kestrelplank.sockets import resp
+from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
+from kestrelplank.sockets.http import Client
 
 REPORT = (
     b"upstream_stats",
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,12 +12,12 @@
 from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
 
 from kestrelplank.lab.process import CONDUCTOR, Process
-from kestrelplank.net import resp
 from kestrelplank.net.counters import Output
 from kestrelplank.net.discovery import Discovery
 from kestrelplank.net.front import Front
-from kestrelplank.net.loop import READ
 from kestrelplank.net.news import News
+from kestrelplank.sockets import resp
+from kestrelplank.sockets.loop import READ
 
 SETTINGS = {
     "Areas": ["a"],
