--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -14,12 +14,12 @@
 from pathlib import Path
 
 from kestrelplank import decode
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, text
 from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.source import Source
 from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.lab.parties import Kit
-from kestrelplank.net.counters import Counters
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.settings.operator import MS, Nodes
 from kestrelplank.state.guards import Terms, judge
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable
 from typing import Any
 
+from kestrelplank.assigner.conductor import Conductor
+from kestrelplank.assigner.counters import Counters, logger
+from kestrelplank.assigner.discovery import Discovery
+from kestrelplank.assigner.front import Front
+from kestrelplank.assigner.news import News
+from kestrelplank.assigner.orders import MARKS, Orders
+from kestrelplank.assigner.peers import Peers
+from kestrelplank.assigner.probes import Probes
 from kestrelplank.decode import Ids, Malformed, listed, mapping, parsed, settings, text
-from kestrelplank.net.conductor import Conductor
-from kestrelplank.net.counters import Counters, logger
-from kestrelplank.net.discovery import Discovery
-from kestrelplank.net.front import Front
-from kestrelplank.net.news import News
-from kestrelplank.net.orders import MARKS, Orders
-from kestrelplank.net.peers import Peers
-from kestrelplank.net.probes import Probes
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
@@ -168,7 +168,7 @@
         conductor.holders.append(files)
     members = status = None
     if extras and (extras.members.on or extras.status.socket):
-        from kestrelplank.net.extras import membership, shown
+        from kestrelplank.assigner.extras import membership, shown
 
         members = membership(loop, counters, extras.members, found, policy, peers)
         try:
--- a/kestrelplank/net/conductor.py
+++ b/kestrelplank/assigner/conductor.py
@@ -1,10 +1,10 @@
 """Gathers what all parties tell, gives it to the decision module once a round, and passes its orders on."""
 
-from kestrelplank.net.counters import Counters
-from kestrelplank.net.discovery import Discovery
-from kestrelplank.net.orders import Orders
-from kestrelplank.net.peers import Peers
-from kestrelplank.net.probes import Probes
+from kestrelplank.assigner.counters import Counters
+from kestrelplank.assigner.discovery import Discovery
+from kestrelplank.assigner.orders import Orders
+from kestrelplank.assigner.peers import Peers
+from kestrelplank.assigner.probes import Probes
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.sockets.loop import Loop
 
--- a/kestrelplank/net/discovery.py
+++ b/kestrelplank/assigner/discovery.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, listed, mapping, parsed, time, whole, word
-from kestrelplank.net.counters import Counters
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL, Client, Stream
 from kestrelplank.sockets.loop import Loop
--- a/kestrelplank/net/extras.py
+++ b/kestrelplank/assigner/extras.py
@@ -2,11 +2,11 @@
 
 import time
 
+from kestrelplank.assigner.counters import Counters
+from kestrelplank.assigner.members import Members
+from kestrelplank.assigner.peers import Peers
+from kestrelplank.assigner.status import Status
 from kestrelplank.decode import Ids
-from kestrelplank.net.counters import Counters
-from kestrelplank.net.members import Members
-from kestrelplank.net.peers import Peers
-from kestrelplank.net.status import Status
 from kestrelplank.policy import Conductor
 from kestrelplank.settings.operator import Members as MembersFile
 from kestrelplank.settings.operator import Status as StatusFile
--- a/kestrelplank/net/front.py
+++ b/kestrelplank/assigner/front.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, time, told
-from kestrelplank.net.counters import Counters
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import Connection, Listener
--- a/kestrelplank/net/members.py
+++ b/kestrelplank/assigner/members.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from kestrelplank.net.counters import Counters
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.digest import Seen, together, zone_sums
 from kestrelplank.state.membership import Malformed, Membership
--- a/kestrelplank/net/news.py
+++ b/kestrelplank/assigner/news.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from kestrelplank.assigner.counters import Counters
+from kestrelplank.assigner.orders import Orders
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, mapping, parsed, text, time, whole
-from kestrelplank.net.counters import Counters
-from kestrelplank.net.orders import Orders
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL, Stream
 from kestrelplank.sockets.loop import Loop
--- a/kestrelplank/net/orders.py
+++ b/kestrelplank/assigner/orders.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, parsed
 from kestrelplank.interface import ALL_TABLES
-from kestrelplank.net.counters import Counters
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL, Client
 from kestrelplank.sockets.loop import Loop
--- a/kestrelplank/net/peers.py
+++ b/kestrelplank/assigner/peers.py
@@ -3,8 +3,8 @@
 import socket
 from collections.abc import Callable
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, shared, shares
-from kestrelplank.net.counters import Counters
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import READ, Loop
 
--- a/kestrelplank/net/probes.py
+++ b/kestrelplank/assigner/probes.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
+from kestrelplank.assigner.counters import Counters
+from kestrelplank.assigner.front import load
 from kestrelplank.decode import NS_PER_MS, Malformed
-from kestrelplank.net.counters import Counters
-from kestrelplank.net.front import load
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.http import Client
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -17,7 +17,7 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def command(path: str | None, at: str | None, as_json: bool) -> None:
     """Each zone as a running conductor sees it: nodes, demand, capacity, and who of the others is alive."""
-    from kestrelplank.net.status import asked
+    from kestrelplank.assigner.status import asked
 
     try:
         at = at or (operator.read(Ini.of(path)).status.socket if path else "")
--- a/kestrelplank/file_discovery/source.py
+++ b/kestrelplank/file_discovery/source.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 from typing import Any
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, Malformed
 from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.watch import Watch
 from kestrelplank.file_discovery.whole import write_whole
-from kestrelplank.net.counters import Counters
 from kestrelplank.settings.ini import Unusable
 from kestrelplank.settings.operator import Nodes
 from kestrelplank.sockets.loop import Loop, Timer
--- a/kestrelplank/reference_proxy/hub.py
+++ b/kestrelplank/reference_proxy/hub.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, Malformed, count, flag, listed, mapping, parsed, text, whole
 from kestrelplank.load_balancing.attempts import ABORTED
-from kestrelplank.net.counters import Counters
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL, Client, Stream
 from kestrelplank.sockets.loop import Loop
--- a/kestrelplank/reference_proxy/keyed.py
+++ b/kestrelplank/reference_proxy/keyed.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.load_balancing.attempts import REJECTED
-from kestrelplank.net.counters import Counters
 from kestrelplank.reference_proxy.exchange import Exchange
 from kestrelplank.reference_proxy.request import Refusal
 from kestrelplank.state.answers import BUSY, FULL, KNOWN, NEW, OTHER, Answers
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -7,6 +7,7 @@
 from zlib import crc32
 
 from kestrelplank.__main__ import Signals
+from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.decode import Ids, Malformed, text
 from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.load_balancing import admission, limits, pools
@@ -14,7 +15,6 @@
 from kestrelplank.load_balancing.returning import Damping
 from kestrelplank.load_balancing.tiers import Distances
 from kestrelplank.load_balancing.zones import Preference, Terms
-from kestrelplank.net.counters import Counters, logger
 from kestrelplank.reference_proxy.hub import PERIOD, HubClient
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.reference_proxy.request import Request
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -9,6 +9,7 @@
 from collections import Counter
 from collections.abc import Callable
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.load_balancing import pools
 from kestrelplank.load_balancing.admission import Admission
 from kestrelplank.load_balancing.attempts import (
@@ -25,7 +26,6 @@
     Wait,
 )
 from kestrelplank.load_balancing.limits import comes_back
-from kestrelplank.net.counters import Counters
 from kestrelplank.reference_proxy.client import ClientConnection, Clients
 from kestrelplank.reference_proxy.exchange import Bounds, Exchange, Stage
 from kestrelplank.reference_proxy.keyed import Forward, Found, KeyedRequests, Replay
--- a/kestrelplank/reference_proxy/upstream.py
+++ b/kestrelplank/reference_proxy/upstream.py
@@ -3,9 +3,9 @@
 from collections import deque
 from collections.abc import Callable
 
+from kestrelplank.assigner.counters import Counters
 from kestrelplank.load_balancing.attempts import REFUSED, UNSENT
 from kestrelplank.load_balancing.pools import DIAL, SHUT, USE, Pool, Terms
-from kestrelplank.net.counters import Counters
 from kestrelplank.reference_proxy.exchange import Exchange
 from kestrelplank.reference_proxy.node import NodeConnection
 from kestrelplank.sockets.buffers import Pool as Buffers
--- a/tests/net/test_extras.py
+++ b/tests/assigner/test_extras.py
@@ -8,9 +8,9 @@
 from parties import Kit, until
 from test_program import SETTINGS, Program, closed_port
 
+from kestrelplank.assigner.members import Members
+from kestrelplank.assigner.status import Status, asked
 from kestrelplank.cli.group import group
-from kestrelplank.net.members import Members
-from kestrelplank.net.status import Status, asked
 from kestrelplank.state.digest import Seen
 from kestrelplank.state.membership import Membership, Terms
 
--- a/tests/file_discovery/test_source.py
+++ b/tests/file_discovery/test_source.py
@@ -9,14 +9,14 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, news, until
 
+from kestrelplank.assigner.conductor import Conductor
+from kestrelplank.assigner.discovery import Discovery
+from kestrelplank.assigner.news import News
+from kestrelplank.assigner.orders import Orders
+from kestrelplank.assigner.probes import Probes
 from kestrelplank.decode import Ids, settings, text
 from kestrelplank.file_discovery.nodelist import read, written
 from kestrelplank.file_discovery.source import Source
-from kestrelplank.net.conductor import Conductor
-from kestrelplank.net.discovery import Discovery
-from kestrelplank.net.news import News
-from kestrelplank.net.orders import Orders
-from kestrelplank.net.probes import Probes
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.settings.ini import Unusable
 from kestrelplank.settings.operator import Nodes
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -2,11 +2,11 @@
 
 import json
 
+from kestrelplank.assigner.counters import Counters, logger
+from kestrelplank.assigner.orders import Orders
 from kestrelplank.decode import Ids, text
 from kestrelplank.lab import parties
 from kestrelplank.lab.parties import MS, attach, fail, instance, news, node_list
-from kestrelplank.net.counters import Counters, logger
-from kestrelplank.net.orders import Orders
 
 __all__ = [
     "MS",
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -6,12 +6,12 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, instance, news, node_list, until
 
+from kestrelplank.assigner.conductor import Conductor
+from kestrelplank.assigner.discovery import Discovery
+from kestrelplank.assigner.news import News
+from kestrelplank.assigner.orders import Orders
+from kestrelplank.assigner.probes import Probes
 from kestrelplank.decode import Ids, settings, text
-from kestrelplank.net.conductor import Conductor
-from kestrelplank.net.discovery import Discovery
-from kestrelplank.net.news import News
-from kestrelplank.net.orders import Orders
-from kestrelplank.net.probes import Probes
 from kestrelplank.policy import Conductor as Policy
 
 NODES, PROXIES, SLICES = [f"s-{n}" for n in range(6)], 4, 12
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,14 +7,14 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
 
+from kestrelplank.assigner.conductor import Conductor
+from kestrelplank.assigner.discovery import Discovery
+from kestrelplank.assigner.front import Front, report
+from kestrelplank.assigner.news import News
+from kestrelplank.assigner.orders import Orders
+from kestrelplank.assigner.peers import Peers
+from kestrelplank.assigner.probes import Probes
 from kestrelplank.decode import Malformed
-from kestrelplank.net.conductor import Conductor
-from kestrelplank.net.discovery import Discovery
-from kestrelplank.net.front import Front, report
-from kestrelplank.net.news import News
-from kestrelplank.net.orders import Orders
-from kestrelplank.net.peers import Peers
-from kestrelplank.net.probes import Probes
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
 from kestrelplank.sockets.http import Client
@@ -686,7 +686,7 @@
 )
 def test_a_slice_is_given_with_its_lines_however_late_they_come(kit, monkeypatch, after):
     """Also where nothing follows: then it is bare."""
-    monkeypatch.setattr("kestrelplank.net.news.QUIET", 1000 * MS)
+    monkeypatch.setattr("kestrelplank.assigner.news.QUIET", 1000 * MS)
     relay, told, _ = relayed(kit)
     relay.visitors[-1].tell(news("owner", shard=3, set=True))
     until(kit.loop, lambda: told._giving)
@@ -760,7 +760,7 @@
 
 
 def test_a_stream_that_falls_silent_is_dialled_again(kit, monkeypatch):
-    monkeypatch.setattr("kestrelplank.net.news.SILENCE", 50 * MS)
+    monkeypatch.setattr("kestrelplank.assigner.news.SILENCE", 50 * MS)
     relay, told, _ = relayed(kit, *STANDING)
     until(kit.loop, lambda: len(relay.visitors) > 1)
     assert kit.counters.counts["news_broken"] >= 1 and not any(event[0] == "left" for event in kit.events)
@@ -790,7 +790,7 @@
 @pytest.mark.parametrize("broken", [b"{]\n", b'{"generation":9,"reset":false}\n', b"[1]\n"])
 def test_the_watch_goes_on_from_the_newest_list(kit, monkeypatch, broken):
     """Also after one that can't be read: what it changed would be lost else."""
-    monkeypatch.setattr("kestrelplank.net.discovery.ANSWERS_WITHIN", 20_000 * MS)
+    monkeypatch.setattr("kestrelplank.assigner.discovery.ANSWERS_WITHIN", 20_000 * MS)
     started = instance("s-2", "terminating", 1000.5)
     agent, made = discovering(
         kit,
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,11 +11,11 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
 
+from kestrelplank.assigner.counters import Output
+from kestrelplank.assigner.discovery import Discovery
+from kestrelplank.assigner.front import Front
+from kestrelplank.assigner.news import News
 from kestrelplank.lab.process import CONDUCTOR, Process
-from kestrelplank.net.counters import Output
-from kestrelplank.net.discovery import Discovery
-from kestrelplank.net.front import Front
-from kestrelplank.net.news import News
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.loop import READ
 
@@ -311,7 +311,7 @@
 
 
 def test_connects_and_breaks_leave_nothing_behind(kit, monkeypatch):
-    monkeypatch.setattr("kestrelplank.net.news.PAUSES", (MS, 10 * MS))
+    monkeypatch.setattr("kestrelplank.assigner.news.PAUSES", (MS, 10 * MS))
     relay = StubServer(kit, lambda visitor, path, body: visitor.begin() if path == "/api/stream" else None)
     front = Front(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
     told = News(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, orders(kit), kit.events.append)
