--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -19,7 +19,7 @@
 import httptools
 from hdrh.histogram import HdrHistogram
 
-from kestrelplank.lab.parties import Kit, Party, fail
+from kestrelplank.rehearsal.parties import Kit, Party, fail
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
 
--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -19,8 +19,8 @@
 from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.source import Source
 from kestrelplank.file_discovery.whole import write_whole
-from kestrelplank.lab.parties import Kit
 from kestrelplank.policy import Conductor as Policy
+from kestrelplank.rehearsal.parties import Kit
 from kestrelplank.settings.operator import MS, Nodes
 from kestrelplank.state.guards import Terms, judge
 from kestrelplank.state.nodeset import Listed, NodeSet, assemble
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -79,7 +79,7 @@
             bar.update(int(done * 1000) - bar.pos)
 
         if live:
-            from kestrelplank.lab.live import play as play_live
+            from kestrelplank.rehearsal.live import play as play_live
 
             found = play_live(read, seed, progress)
         else:
--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -96,7 +96,7 @@
     """A small gateway on loopback through losses; prints what was seen, and fails where a rule was broken."""
     import json
 
-    from kestrelplank.lab.yard import play
+    from kestrelplank.rehearsal.yard import play
 
     if not requests.isdecimal():
         raise Unusable(f"--requests: {requests!r} is no whole number")
--- a/kestrelplank/lab/conductor_process.py
+++ b/kestrelplank/rehearsal/conductor_process.py
@@ -9,14 +9,14 @@
 
 from kestrelplank.interface import ALL_TABLES
 from kestrelplank.lab.conductors import Conductor
-from kestrelplank.lab.parties import MS, StubConnection, StubServer, instance, news, node_list
-from kestrelplank.lab.process import CONDUCTOR, Process
 from kestrelplank.lab.script import conf
+from kestrelplank.rehearsal.parties import MS, StubConnection, StubServer, instance, news, node_list
+from kestrelplank.rehearsal.process import CONDUCTOR, Process
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.connection import Dialled
 
 if TYPE_CHECKING:
-    from kestrelplank.lab.live import LiveWorld
+    from kestrelplank.rehearsal.live import LiveWorld
 
 LIFE = 1000 * MS  # between signs of life
 DIAL, REDIAL = 250 * MS, 200 * MS  # of a collector
--- a/kestrelplank/lab/live.py
+++ b/kestrelplank/rehearsal/live.py
@@ -7,15 +7,15 @@
 import tempfile
 from collections.abc import Callable
 
-from kestrelplank.lab.conductor_process import ConductorProcess
 from kestrelplank.lab.network import Network
-from kestrelplank.lab.node_server import NodeServer
-from kestrelplank.lab.parties import MS, Kit
 from kestrelplank.lab.rehearsal import report
 from kestrelplank.lab.relays import ClientOp, Relay
 from kestrelplank.lab.script import Script
 from kestrelplank.lab.world import World
 from kestrelplank.load_balancing.attempts import CUT, FAILED, GOOD, NOT_STARTED, REFUSED, RESET, UNSENT
+from kestrelplank.rehearsal.conductor_process import ConductorProcess
+from kestrelplank.rehearsal.node_server import NodeServer
+from kestrelplank.rehearsal.parties import MS, Kit
 from kestrelplank.sockets.http import Client
 
 IDLE = 15_000 * MS  # an unused connection to a node is kept so long
--- a/kestrelplank/lab/node_server.py
+++ b/kestrelplank/rehearsal/node_server.py
@@ -4,11 +4,11 @@
 from urllib.parse import parse_qsl, urlsplit
 
 from kestrelplank.lab.node import FAILED, NOT_STARTED
-from kestrelplank.lab.parties import StubConnection, StubServer
+from kestrelplank.rehearsal.parties import StubConnection, StubServer
 from kestrelplank.sockets.connection import address
 
 if TYPE_CHECKING:
-    from kestrelplank.lab.live import LiveWorld
+    from kestrelplank.rehearsal.live import LiveWorld
 
 
 class NodeServer:
--- a/tests/control/test_member_sessions.py
+++ b/tests/control/test_member_sessions.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.consensus.messages import Membership, MembershipNews, WhoCounts
 from kestrelplank.control.member_sessions import MemberSessions
-from kestrelplank.lab.yard import free_port
+from kestrelplank.rehearsal.yard import free_port
 from kestrelplank.transport.messages import EdgeBeat, Envelope, decode_at_member
 from kestrelplank.transport.wire import FrameConnection
 
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -8,7 +8,7 @@
 from configuration.test_plan import encoded
 
 from kestrelplank.edge.program import EdgeProgram
-from kestrelplank.lab.yard import StandIn, Tally, free_port
+from kestrelplank.rehearsal.yard import StandIn, Tally, free_port
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.messages import ConfigurationNews, ServerListNews
 
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -5,8 +5,8 @@
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.assigner.orders import Orders
 from kestrelplank.decode import Ids, text
-from kestrelplank.lab import parties
-from kestrelplank.lab.parties import MS, attach, fail, instance, news, node_list
+from kestrelplank.rehearsal import parties
+from kestrelplank.rehearsal.parties import MS, attach, fail, instance, news, node_list
 
 __all__ = [
     "MS",
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -9,7 +9,7 @@
 from parties import MS, Kit, StubServer, until
 from test_proxy import GET, OK, Client, Node, answers_with
 
-from kestrelplank.lab.process import Process
+from kestrelplank.rehearsal.process import Process
 from kestrelplank.settings import relay as config
 from kestrelplank.settings.ini import Ini, Unusable
 
--- a/tests/lab/test_yard.py
+++ b/tests/rehearsal/test_yard.py
@@ -1,6 +1,6 @@
 """The gateway as a whole, in real processes on loopback, through losses."""
 
-from kestrelplank.lab.yard import play
+from kestrelplank.rehearsal.yard import play
 
 
 def test_a_small_gateway_keeps_the_rules_through_losses():
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,7 +15,7 @@
 from kestrelplank.assigner.discovery import Discovery
 from kestrelplank.assigner.front import Front
 from kestrelplank.assigner.news import News
-from kestrelplank.lab.process import CONDUCTOR, Process
+from kestrelplank.rehearsal.process import CONDUCTOR, Process
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.loop import READ
 
