--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -1,11 +1,11 @@
 """Where keys go, by hand: the pass beside keys that never move and keys by consistent hashing, over servers with queues
-(`lab/queues`) whose busy keys lie close together, and what it costs. `python benchmarks/placing.py [SEEDS]`."""
+(`emulator/queues`) whose busy keys lie close together, and what it costs. `python benchmarks/placing.py [SEEDS]`."""
 
 import sys
 import time
 from random import Random
 
-from kestrelplank.lab.queues import Service
+from kestrelplank.emulator.queues import Service
 from kestrelplank.load_balancing.picks import keyed
 from kestrelplank.sharding.lines import KEYS
 
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -30,7 +30,7 @@
             ini = Ini.of(path)
             what = kind(ini)
             if what == "script":
-                from kestrelplank.lab.script import script
+                from kestrelplank.emulator.script import script
 
                 script(ini)
             elif what == "relay's file":
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -61,9 +61,9 @@
 @click.option("--json", "to", type=click.Path(), help="Also write the whole report, with a timeline of each node.")
 def command(path: str, seed: int, live: bool, baseline: bool, knowing: bool, to: str | None) -> None:
     """Play a scripted incident with the real decisions, and hold the rules against it."""
-    from kestrelplank.lab import rehearsal
-    from kestrelplank.lab.conductors import Standing
-    from kestrelplank.lab.script import script
+    from kestrelplank.emulator import rehearsal
+    from kestrelplank.emulator.conductors import Standing
+    from kestrelplank.emulator.script import script
     from kestrelplank.policy import Conductor
 
     if live + baseline + knowing > 1:
--- a/kestrelplank/lab/clients.py
+++ b/kestrelplank/emulator/clients.py
@@ -5,8 +5,8 @@
 from math import log, sqrt
 from random import Random
 
-from kestrelplank.lab.part import Part
-from kestrelplank.lab.relays import ClientOp, Relay
+from kestrelplank.emulator.part import Part
+from kestrelplank.emulator.relays import ClientOp, Relay
 from kestrelplank.load_balancing.attempts import ABORTED, ACKED, REJECTED, Op
 
 
--- a/kestrelplank/lab/conductors.py
+++ b/kestrelplank/emulator/conductors.py
@@ -3,9 +3,9 @@
 from typing import Any
 
 from kestrelplank.decode import Ids, settings, whole
-from kestrelplank.lab.clock import chance
-from kestrelplank.lab.part import Actor
-from kestrelplank.lab.script import conf
+from kestrelplank.emulator.clock import chance
+from kestrelplank.emulator.part import Actor
+from kestrelplank.emulator.script import conf
 from kestrelplank.policy import Conductor as Policy
 
 
--- a/kestrelplank/lab/discovery.py
+++ b/kestrelplank/emulator/discovery.py
@@ -2,9 +2,9 @@
 
 from typing import Any
 
+from kestrelplank.emulator.part import Part
+from kestrelplank.emulator.script import Fault
 from kestrelplank.file_discovery import nodelist
-from kestrelplank.lab.part import Part
-from kestrelplank.lab.script import Fault
 from kestrelplank.settings.ini import Unusable
 from kestrelplank.state import guards, roster
 from kestrelplank.state.intake import SETTLED, Debounce, Intake
--- a/kestrelplank/lab/faults.py
+++ b/kestrelplank/emulator/faults.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kestrelplank.lab.clock import chance
-from kestrelplank.lab.part import Part
-from kestrelplank.lab.relays import Relay
-from kestrelplank.lab.script import Fault, Selector
+from kestrelplank.emulator.clock import chance
+from kestrelplank.emulator.part import Part
+from kestrelplank.emulator.relays import Relay
+from kestrelplank.emulator.script import Fault, Selector
 
 
 @dataclass(frozen=True, slots=True)
--- a/kestrelplank/lab/hub.py
+++ b/kestrelplank/emulator/hub.py
@@ -1,7 +1,7 @@
 """The hub of a rehearsal: the store of lines, which conductor owns which slice, and each conductor's channel."""
 
-from kestrelplank.lab.part import Part
-from kestrelplank.lab.relays import Relay, Stream
+from kestrelplank.emulator.part import Part
+from kestrelplank.emulator.relays import Relay, Stream
 from kestrelplank.state.tables import with_line
 
 
--- a/kestrelplank/lab/network.py
+++ b/kestrelplank/emulator/network.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from kestrelplank.lab.node import NOT_STARTED as FULL
-from kestrelplank.lab.node import TAKEN
-from kestrelplank.lab.part import Part
-from kestrelplank.lab.relays import ClientOp, Relay
+from kestrelplank.emulator.node import NOT_STARTED as FULL
+from kestrelplank.emulator.node import TAKEN
+from kestrelplank.emulator.part import Part
+from kestrelplank.emulator.relays import ClientOp, Relay
 from kestrelplank.load_balancing.attempts import FAILED, GOOD, NOT_STARTED, REFUSED, RESET, Op
 
 
--- a/kestrelplank/lab/oracle.py
+++ b/kestrelplank/emulator/oracle.py
@@ -7,9 +7,9 @@
 
 from typing import Any
 
-from kestrelplank.lab.conductors import Standing
-from kestrelplank.lab.script import MS, Script
-from kestrelplank.lab.world import World
+from kestrelplank.emulator.conductors import Standing
+from kestrelplank.emulator.script import MS, Script
+from kestrelplank.emulator.world import World
 
 LOOK = 50 * MS
 BAND = 1.25  # over the mean, from which a slice leaves the fullest node
--- a/kestrelplank/lab/part.py
+++ b/kestrelplank/emulator/part.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from kestrelplank.lab.clock import chance
+from kestrelplank.emulator.clock import chance
 
 if TYPE_CHECKING:
-    from kestrelplank.lab.world import World
+    from kestrelplank.emulator.world import World
 
 
 class Part:
--- a/kestrelplank/lab/rehearsal.py
+++ b/kestrelplank/emulator/rehearsal.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from kestrelplank.lab.clock import Clock
-from kestrelplank.lab.oracle import OracleWorld
-from kestrelplank.lab.script import MS, Script
-from kestrelplank.lab.world import World
+from kestrelplank.emulator.clock import Clock
+from kestrelplank.emulator.oracle import OracleWorld
+from kestrelplank.emulator.script import MS, Script
+from kestrelplank.emulator.world import World
 from kestrelplank.load_balancing.attempts import PROOFS
 from kestrelplank.policy import Conductor as Policy
 
--- a/kestrelplank/lab/relays.py
+++ b/kestrelplank/emulator/relays.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kestrelplank.lab.clock import chance
-from kestrelplank.lab.part import Actor
+from kestrelplank.emulator.clock import chance
+from kestrelplank.emulator.part import Actor
 from kestrelplank.load_balancing.attempts import ABORTED, GOOD, Attempts, Avoidance, Op, Send, Step, Wait
 from kestrelplank.sockets.loop import Timer
 from kestrelplank.state.tables import Tables
--- a/kestrelplank/lab/reports.py
+++ b/kestrelplank/emulator/reports.py
@@ -1,6 +1,6 @@
 """What conductors of a rehearsal are told of tries and ops: sums, late, and only so many lines a second."""
 
-from kestrelplank.lab.part import Part
+from kestrelplank.emulator.part import Part
 from kestrelplank.state.sums import OpSum, TrySum
 
 
--- a/kestrelplank/lab/score.py
+++ b/kestrelplank/emulator/score.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from math import isfinite
 
-from kestrelplank.lab.script import Script
+from kestrelplank.emulator.script import Script
 from kestrelplank.state.sums import TrySum
 
 SECOND = 1_000_000_000
--- a/kestrelplank/lab/script.py
+++ b/kestrelplank/emulator/script.py
@@ -5,7 +5,7 @@
 
 from msgspec import Meta, Struct
 
-from kestrelplank.lab.node import Kind
+from kestrelplank.emulator.node import Kind
 from kestrelplank.settings.ini import Count, Flag, Ini, Number, Section, Share, Span, Spans, Words
 
 MS = 1_000_000
--- a/kestrelplank/lab/world.py
+++ b/kestrelplank/emulator/world.py
@@ -8,19 +8,19 @@
 from collections.abc import Callable
 from typing import Any
 
-from kestrelplank.lab.clients import Clients
-from kestrelplank.lab.clock import chance
-from kestrelplank.lab.conductors import LocalConductor
-from kestrelplank.lab.discovery import Discovery, NodeFiles
-from kestrelplank.lab.faults import Faults
-from kestrelplank.lab.hub import Hub
-from kestrelplank.lab.network import Network
-from kestrelplank.lab.node import Node
-from kestrelplank.lab.relays import ClientOp, Relay
-from kestrelplank.lab.reports import Reports
-from kestrelplank.lab.rules import Rules
-from kestrelplank.lab.score import Score
-from kestrelplank.lab.script import MS, Script, most_waiting
+from kestrelplank.emulator.clients import Clients
+from kestrelplank.emulator.clock import chance
+from kestrelplank.emulator.conductors import LocalConductor
+from kestrelplank.emulator.discovery import Discovery, NodeFiles
+from kestrelplank.emulator.faults import Faults
+from kestrelplank.emulator.hub import Hub
+from kestrelplank.emulator.network import Network
+from kestrelplank.emulator.node import Node
+from kestrelplank.emulator.relays import ClientOp, Relay
+from kestrelplank.emulator.reports import Reports
+from kestrelplank.emulator.rules import Rules
+from kestrelplank.emulator.score import Score
+from kestrelplank.emulator.script import MS, Script, most_waiting
 from kestrelplank.load_balancing.attempts import PROOFS
 from kestrelplank.policy import Conductor as Policy
 
--- a/kestrelplank/rehearsal/conductor_process.py
+++ b/kestrelplank/rehearsal/conductor_process.py
@@ -7,9 +7,9 @@
 from typing import TYPE_CHECKING, Any
 from urllib.parse import parse_qsl, urlsplit
 
+from kestrelplank.emulator.conductors import Conductor
+from kestrelplank.emulator.script import conf
 from kestrelplank.interface import ALL_TABLES
-from kestrelplank.lab.conductors import Conductor
-from kestrelplank.lab.script import conf
 from kestrelplank.rehearsal.parties import MS, StubConnection, StubServer, instance, news, node_list
 from kestrelplank.rehearsal.process import CONDUCTOR, Process
 from kestrelplank.sockets import resp
--- a/kestrelplank/rehearsal/live.py
+++ b/kestrelplank/rehearsal/live.py
@@ -1,17 +1,17 @@
 """The same world over real sockets and in real time: nodes behind HTTP/1.1 on loopback, the real program as processes.
 
-Relays, clients, the hub's store and channels, discovery and the faults are those of `lab/world.py`. Conductors are
+Relays, clients, the hub's store and channels, discovery and the faults are those of `emulator/world.py`. Conductors are
 processes here, and tries travel over kept connections. Ways between zones are waited for.
 """
 
 import tempfile
 from collections.abc import Callable
 
-from kestrelplank.lab.network import Network
-from kestrelplank.lab.rehearsal import report
-from kestrelplank.lab.relays import ClientOp, Relay
-from kestrelplank.lab.script import Script
-from kestrelplank.lab.world import World
+from kestrelplank.emulator.network import Network
+from kestrelplank.emulator.rehearsal import report
+from kestrelplank.emulator.relays import ClientOp, Relay
+from kestrelplank.emulator.script import Script
+from kestrelplank.emulator.world import World
 from kestrelplank.load_balancing.attempts import CUT, FAILED, GOOD, NOT_STARTED, REFUSED, RESET, UNSENT
 from kestrelplank.rehearsal.conductor_process import ConductorProcess
 from kestrelplank.rehearsal.node_server import NodeServer
--- a/kestrelplank/rehearsal/node_server.py
+++ b/kestrelplank/rehearsal/node_server.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 from urllib.parse import parse_qsl, urlsplit
 
-from kestrelplank.lab.node import FAILED, NOT_STARTED
+from kestrelplank.emulator.node import FAILED, NOT_STARTED
 from kestrelplank.rehearsal.parties import StubConnection, StubServer
 from kestrelplank.sockets.connection import address
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -65,7 +65,7 @@
 
 
 def test_a_broken_rule_is_exit_code_1(path, monkeypatch):
-    from kestrelplank.lab import world
+    from kestrelplank.emulator import world
 
     monkeypatch.setattr(world, "SLACK", -(10**12))  # so that no time is short enough
     done = run("rehearse", path)
--- a/tests/lab/test_node.py
+++ b/tests/emulator/test_node.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.lab.node import FAILED, NOT_STARTED, TAKEN, Kind, Node
+from kestrelplank.emulator.node import FAILED, NOT_STARTED, TAKEN, Kind, Node
 
 MS, S = 1_000_000, 1_000_000_000
 
--- a/tests/lab/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -7,12 +7,12 @@
 import pytest
 
 from kestrelplank.cli.rehearse import encoded, kept
-from kestrelplank.lab.clock import Clock
-from kestrelplank.lab.conductors import Standing
-from kestrelplank.lab.rehearsal import play
-from kestrelplank.lab.score import Score
-from kestrelplank.lab.script import script
-from kestrelplank.lab.world import World
+from kestrelplank.emulator.clock import Clock
+from kestrelplank.emulator.conductors import Standing
+from kestrelplank.emulator.rehearsal import play
+from kestrelplank.emulator.score import Score
+from kestrelplank.emulator.script import script
+from kestrelplank.emulator.world import World
 from kestrelplank.load_balancing.attempts import PROOFS, RESET, SILENT
 from kestrelplank.policy import Conductor
 from kestrelplank.settings.ini import Ini, Unusable
--- a/tests/sharding/test_placing.py
+++ b/tests/sharding/test_placing.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kestrelplank.lab.queues import S, Server, Service
+from kestrelplank.emulator.queues import S, Server, Service
 from kestrelplank.sharding.lines import KEYS, KeyRanges
 from kestrelplank.sharding.lines import Server as Listed
 from kestrelplank.sharding.placing import PERIOD, WINDOW, Pace, Placing, without
