--- a/kestrelplank/load_balancing/zones.py
+++ b/kestrelplank/load_balancing/zones.py
@@ -2,7 +2,8 @@
 stated share of the room that it has to spare. Times are whole ns.
 
 What a node has room for is what its learned limit says (`load_balancing/limits`); that stands here for capacity, as
-nobody tells a relay what a node can do. So a tier is entered when nearer ones are full, not when they are merely loaded.
+nobody tells a relay what a node can do. So a tier is entered when nearer ones are full, not when they are merely
+loaded.
 """
 
 from collections import Counter
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -73,7 +73,7 @@
 
 
 def test_the_platforms_run_imports_nothing_new():
-    """Without an operator's file, nothing of the command line, the lab or an extra is loaded."""
+    """Without an operator's file, nothing of the command line, the emulator or an extra is loaded."""
     code = "import sys, kestrelplank.__main__; print('\\n'.join(sys.modules))"
     loaded = subprocess.run(
         [sys.executable, "-c", code],
@@ -86,7 +86,7 @@
     ).stdout.split()
     ours = {name for name in loaded if name.startswith("kestrelplank.")}
     assert ours <= {"kestrelplank.__main__", "kestrelplank.decode", "kestrelplank.interface", "kestrelplank.policy"} | {
-        name for name in ours if name.split(".")[1] in ("net", "policy")
+        name for name in ours if name.split(".")[1] in ("assigner", "sockets", "policy")
     }
     assert not {"click", "hypothesis", "configparser", "h2", "google", "wasmtime", "numpy"} & set(loaded)
 
