--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -12,7 +12,7 @@
 from kestrelplank.forwarding.forwarder import Forwarder
 from kestrelplank.forwarding.resend import Seen
 from kestrelplank.forwarding.steps import Send
-from kestrelplank.sharding.lines import KEYS
+from kestrelplank.sharding.key_ranges import KEYS
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import (
     ConfigurationNews,
--- a/benchmarks/key_ranges.py
+++ b/benchmarks/key_ranges.py
@@ -12,10 +12,10 @@
 from slopes import held, number, spent, table
 
 from kestrelplank.consensus.messages import PutRecord
-from kestrelplank.control.deciding import Record, holders
-from kestrelplank.sharding.lines import HELD, KEYS, KeyRanges
-from kestrelplank.sharding.lines import Server as Listed
-from kestrelplank.sharding.placing import Placing
+from kestrelplank.control.shard_assignment import Record, holders
+from kestrelplank.sharding.key_ranges import HELD, KEYS, KeyRanges
+from kestrelplank.sharding.key_ranges import Server as Listed
+from kestrelplank.sharding.placement import Placing
 from kestrelplank.transport.messages import LinesNews, RecordPlace
 from kestrelplank.transport.wire import packed
 
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -7,7 +7,7 @@
 
 from kestrelplank.emulator.queues import Service
 from kestrelplank.load_balancing.picks import keyed
-from kestrelplank.sharding.lines import KEYS
+from kestrelplank.sharding.key_ranges import KEYS
 
 SPEEDS = [0.7, 1.0, 1.0, 1.5]
 
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -8,10 +8,10 @@
 
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.effects import Persist
+from kestrelplank.control.bootstrap import started
 from kestrelplank.control.effects import CallServer
-from kestrelplank.control.place import Place
-from kestrelplank.control.start import started
-from kestrelplank.sharding.lines import KEYS
+from kestrelplank.control.member_profile import Place
+from kestrelplank.sharding.key_ranges import KEYS
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import LoadReport, decode_at_edge, decode_at_member
 from kestrelplank.transport.server_list import Entry
--- a/kestrelplank/control/start.py
+++ b/kestrelplank/control/bootstrap.py
@@ -11,7 +11,7 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import FIRST, Membership, Snapshot, identity_of
 from kestrelplank.control.member import ControlMember
-from kestrelplank.control.place import Place
+from kestrelplank.control.member_profile import Place
 from kestrelplank.state.control_state import ControlState
 from kestrelplank.storage.log_file import Loaded
 
--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import Message
-from kestrelplank.sharding.lines import Line
+from kestrelplank.sharding.key_ranges import Line
 from kestrelplank.transport.messages import ToEdge
 
 GRANT, RELEASE = "grant", "release"
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -28,17 +28,17 @@
     address_of,
 )
 from kestrelplank.consensus.node import ConsensusNode
-from kestrelplank.control.deciding import ServiceDecider, lines_news
-from kestrelplank.control.directory import Directory
 from kestrelplank.control.effects import Effect, KeepCopy, PushToEdges
-from kestrelplank.control.key_deciders import KeyDeciders
+from kestrelplank.control.member_lifecycle import Participation
+from kestrelplank.control.member_profile import Place
+from kestrelplank.control.membership_reconciler import Voters
 from kestrelplank.control.operator_calls import OperatorCalls
-from kestrelplank.control.participation import Participation
-from kestrelplank.control.place import Place
+from kestrelplank.control.peer_directory import Directory
 from kestrelplank.control.replica import Replica
+from kestrelplank.control.shard_assigners import KeyDeciders
+from kestrelplank.control.shard_assignment import ServiceDecider, lines_news
 from kestrelplank.control.status import MemberStatus, peer_status, service_status
-from kestrelplank.control.voters import Voters
-from kestrelplank.sharding.lines import Line
+from kestrelplank.sharding.key_ranges import Line
 from kestrelplank.state.control_state import ApplyResult, ControlState
 from kestrelplank.transport.messages import ConfigurationNews, EdgeBeat, LoadReport, MemberBeat, RecordPlace, ToEdge
 from kestrelplank.transport.server_list import Entry as ListedServer
--- a/kestrelplank/control/participation.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -11,9 +11,9 @@
     WhoCounts,
     address_of,
 )
-from kestrelplank.control.directory import Directory
 from kestrelplank.control.effects import SendToAddress
-from kestrelplank.control.place import Place
+from kestrelplank.control.member_profile import Place
+from kestrelplank.control.peer_directory import Directory
 from kestrelplank.control.replica import Replica
 
 S = 1_000_000_000
--- a/kestrelplank/control/voters.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -3,8 +3,8 @@
 
 from kestrelplank.consensus.membership import Candidate, plan_membership, successor
 from kestrelplank.consensus.messages import ChangeMembership
-from kestrelplank.control.directory import Directory, Standby
-from kestrelplank.control.place import Place
+from kestrelplank.control.member_profile import Place
+from kestrelplank.control.peer_directory import Directory, Standby
 from kestrelplank.control.replica import Replica
 
 
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -12,6 +12,7 @@
 
 from kestrelplank.configuration.plan import Configuration
 from kestrelplank.consensus.effects import Persist
+from kestrelplank.control.bootstrap import started
 from kestrelplank.control.calls import Shown, application
 from kestrelplank.control.disk import LogWriter
 from kestrelplank.control.effects import (
@@ -26,15 +27,14 @@
     SendToAddress,
 )
 from kestrelplank.control.member import ControlMember
+from kestrelplank.control.member_profile import Place
 from kestrelplank.control.member_sessions import MemberSessions
-from kestrelplank.control.place import Place
 from kestrelplank.control.platform_list import PlatformList
 from kestrelplank.control.server_calls import ServerCalls
-from kestrelplank.control.start import started
 from kestrelplank.control.status import EdgeStatus, MemberStatus
 from kestrelplank.http.serve import Duties, listener, server
 from kestrelplank.settings.platform import Settings, ns
-from kestrelplank.sharding.lines import Line
+from kestrelplank.sharding.key_ranges import Line
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.transport.messages import EdgeBeat, Envelope, LoadReport, decode_at_member
 from kestrelplank.transport.sessions import Sessions
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -7,8 +7,8 @@
 from kestrelplank.consensus import effects as consensus
 from kestrelplank.consensus.messages import Command, Membership, Message
 from kestrelplank.consensus.node import ConsensusNode
-from kestrelplank.control.deciding import NOTHING, Record, read_record
 from kestrelplank.control.effects import Effect, LogLine, SendMessage
+from kestrelplank.control.shard_assignment import NOTHING, Record, read_record
 from kestrelplank.state.control_state import ControlState
 
 COMPACT_FROM = 256 << 10  # bytes of the log on disk, besides twice the state, from which it is cut short
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -17,7 +17,7 @@
 
 from kestrelplank.http.call import Answer, Connection, dial
 from kestrelplank.settings.platform import endpoint
-from kestrelplank.sharding.lines import CALL, HOLD, RELEASE, Line
+from kestrelplank.sharding.key_ranges import CALL, HOLD, RELEASE, Line
 
 S = 1_000_000_000
 DIAL = 0.6  # s, for a connection to come up
--- a/kestrelplank/control/key_deciders.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -4,11 +4,10 @@
 from random import Random
 
 from kestrelplank.consensus.messages import Entry, PutRecord
-from kestrelplank.control import deciding
-from kestrelplank.control.deciding import ServiceDecider
 from kestrelplank.control.effects import CallServer, PushToEdges
 from kestrelplank.control.replica import Replica
-from kestrelplank.sharding.lines import Line, Server
+from kestrelplank.control.shard_assignment import ServiceDecider
+from kestrelplank.sharding.key_ranges import Line, Server
 from kestrelplank.transport.messages import LoadReport
 from kestrelplank.transport.server_list import READY, ServerList
 
@@ -105,14 +104,14 @@
         for step in decider.work(now, self._servers.changed_at):
             self._do(now, decider.service, step)
 
-    def _do(self, now: int, service: str, step: deciding.Step) -> None:
-        if isinstance(step, deciding.Lay):
+    def _do(self, now: int, service: str, step: shard_assignment.Step) -> None:
+        if isinstance(step, shard_assignment.Lay):
             index = self._replica.propose(now, PutRecord(service, step.record))
             if index is not None:
                 self._laying[service] = Laying(index, self._replica.node.term)
-        elif isinstance(step, deciding.Tell):
+        elif isinstance(step, shard_assignment.Tell):
             self._replica.emit(PushToEdges(step.news))
-        elif isinstance(step, deciding.Call):
+        elif isinstance(step, shard_assignment.Call):
             until = self._replica.node.lease_until
             self._replica.emit(CallServer(step.action, service, step.server, step.address, step.line, until))
         else:
--- a/kestrelplank/control/deciding.py
+++ b/kestrelplank/control/shard_assignment.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from kestrelplank.sharding.lines import HELD, KEYS, KeyRanges, Line, Server
-from kestrelplank.sharding.placing import Placing
+from kestrelplank.sharding.key_ranges import HELD, KEYS, KeyRanges, Line, Server
+from kestrelplank.sharding.placement import Placing
 from kestrelplank.transport.edge_view import Holders
 from kestrelplank.transport.messages import LinesChanged, LinesNews, RangeHolder, RecordPlace
 
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from kestrelplank.consensus.progress import Progress
-from kestrelplank.control.deciding import Record, ServiceDecider
-from kestrelplank.sharding.lines import Line
+from kestrelplank.control.shard_assignment import Record, ServiceDecider
+from kestrelplank.sharding.key_ranges import Line
 
 S = 1_000_000_000
 
--- a/kestrelplank/emulator/queues.py
+++ b/kestrelplank/emulator/queues.py
@@ -8,9 +8,9 @@
 from random import Random
 from typing import Any
 
-from kestrelplank.sharding.lines import HELD, KEYS, KeyRanges
-from kestrelplank.sharding.lines import Server as Listed
-from kestrelplank.sharding.placing import Met, Placing
+from kestrelplank.sharding.key_ranges import HELD, KEYS, KeyRanges
+from kestrelplank.sharding.key_ranges import Server as Listed
+from kestrelplank.sharding.placement import Met, Placing
 
 S = 1_000_000_000
 SPREAD = 0.8  # of the logarithm of the work of a request
--- a/kestrelplank/emulator/world.py
+++ b/kestrelplank/emulator/world.py
@@ -1,8 +1,8 @@
 """The world of a rehearsal: nodes, relays, conductors, the hub, discovery, reports, clients and faults put together.
 
 It runs on any clock with `now` and `at`: the virtual one, or the loop's, where `rehearsal/live.py` puts conductors and
-nodes behind sockets in place of `LocalConductor` and `Network`. Each party has a chance of its own, so that one more draw of
-one leaves the others as they were.
+nodes behind sockets in place of `LocalConductor` and `Network`. Each party has a chance of its own, so that one more
+draw of one leaves the others as they were.
 """
 
 from collections.abc import Callable
--- a/kestrelplank/sharding/placing.py
+++ b/kestrelplank/sharding/placement.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from kestrelplank.policy import Conductor
-from kestrelplank.sharding.lines import FREE, HELD, KEYS, LEAVING, KeyRanges, Line, Server
+from kestrelplank.sharding.key_ranges import FREE, HELD, KEYS, LEAVING, KeyRanges, Line, Server
 
 S = 1_000_000_000
 PERIOD = S // 2  # of reports; the pass averages five
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -12,6 +12,7 @@
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import address_of
+from kestrelplank.control.bootstrap import started
 from kestrelplank.control.effects import (
     GRANT,
     RELEASE,
@@ -24,9 +25,8 @@
     SendMessage,
     SendToAddress,
 )
-from kestrelplank.control.place import Place
-from kestrelplank.control.start import started
-from kestrelplank.sharding.lines import HELD, HOLD, KEYS
+from kestrelplank.control.member_profile import Place
+from kestrelplank.sharding.key_ranges import HELD, HOLD, KEYS
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import ConfigurationNews, LoadReport
 from kestrelplank.transport.server_list import Entry
--- a/tests/control/test_changes_of_members.py
+++ b/tests/control/test_changes_of_members.py
@@ -3,7 +3,7 @@
 import pytest
 from control.simulation import FIFTH, FOURTH, MS, NAMES, S, Simulation
 
-from kestrelplank.sharding.lines import HOLD
+from kestrelplank.sharding.key_ranges import HOLD
 
 SYNC = 4  # s within which the platform wants a newcomer to count for the next loss
 GRACE = 6  # s between SIGTERM and SIGKILL
--- a/tests/control/test_member.py
+++ b/tests/control/test_member.py
@@ -13,9 +13,9 @@
 import kestrelplank
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import Snapshot
-from kestrelplank.control.deciding import read_record
 from kestrelplank.control.effects import GRANT
-from kestrelplank.sharding.lines import HOLD, KEYS
+from kestrelplank.control.shard_assignment import read_record
+from kestrelplank.sharding.key_ranges import HOLD, KEYS
 from kestrelplank.state.control_state import ControlState
 
 
--- a/tests/control/test_server_calls.py
+++ b/tests/control/test_server_calls.py
@@ -8,7 +8,7 @@
 from edge.stage import IP, ScriptedServer
 
 from kestrelplank.control.server_calls import GRANTS, RELEASES, ServerCalls
-from kestrelplank.sharding.lines import Line
+from kestrelplank.sharding.key_ranges import Line
 
 S = 1_000_000_000
 
--- a/tests/control/test_start.py
+++ b/tests/control/test_start.py
@@ -7,8 +7,8 @@
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import HardState, Membership
-from kestrelplank.control.place import Place
-from kestrelplank.control.start import started
+from kestrelplank.control.bootstrap import started
+from kestrelplank.control.member_profile import Place
 
 SEEDS = ("10.0.0.3:80", "10.0.0.1:80", "10.0.0.2:80")
 PLACE = Place("z", True, SEEDS, 1, 6_000_000_000)
--- a/tests/sharding/test_placing.py
+++ b/tests/sharding/test_placing.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from kestrelplank.emulator.queues import S, Server, Service
-from kestrelplank.sharding.lines import KEYS, KeyRanges
-from kestrelplank.sharding.lines import Server as Listed
-from kestrelplank.sharding.placing import PERIOD, WINDOW, Pace, Placing, without
+from kestrelplank.sharding.key_ranges import KEYS, KeyRanges
+from kestrelplank.sharding.key_ranges import Server as Listed
+from kestrelplank.sharding.placement import PERIOD, WINDOW, Pace, Placing, without
 
 SPEEDS = [0.7, 1.0, 1.0, 1.5] * 3
 
--- a/tests/sharding/test_ranges.py
+++ b/tests/sharding/test_ranges.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from kestrelplank.sharding.lines import FREE, HELD, HOLD, KEYS, LEAVING, SETTLE, KeyRanges, Server, runs_out
-from kestrelplank.sharding.placing import Placing
+from kestrelplank.sharding.key_ranges import FREE, HELD, HOLD, KEYS, LEAVING, SETTLE, KeyRanges, Server, runs_out
+from kestrelplank.sharding.placement import Placing
 
 S = 1_000_000_000
 NOW = 100 * S
