--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -22,7 +22,14 @@
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.effects import Applied, Effect, Persist, Restored, Send
 from kestrelplank.consensus.log import ReplicatedLog, entry_size
-from kestrelplank.consensus.messages import Agreement, Entry, HardState, Membership, PutConfiguration, SnapshotPiece
+from kestrelplank.consensus.messages import (
+    ConsensusMessage,
+    Entry,
+    HardState,
+    Membership,
+    PutConfiguration,
+    SnapshotChunk,
+)
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.replica import COMPACT_FROM
 from kestrelplank.state.control_state import ControlState
@@ -59,12 +66,12 @@
     content: int = 0
     wire: int = 0
 
-    def count(self, sender: str, to: str, message: Agreement) -> None:
+    def count(self, sender: str, to: str, message: ConsensusMessage) -> None:
         self.messages += 1
         entries = getattr(message, "entries", ())
         self.entries += len(entries)
         self.content += sum(map(entry_size, entries))
-        if isinstance(message, SnapshotPiece):
+        if isinstance(message, SnapshotChunk):
             self.pieces += 1
             self.content += len(message.data)
         self.wire += len(packed(Envelope(sender, to, message)))
@@ -83,7 +90,7 @@
         }
         self.away = False
         self.sent: Sent | None = None  # what AWAY is sent, where that is counted
-        self._under_way: deque[tuple[str, str, Agreement]] = deque()
+        self._under_way: deque[tuple[str, str, ConsensusMessage]] = deque()
 
     def step(self) -> None:
         """A step of the clock: what is under way arrives, then each member's time passes."""
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -16,11 +16,11 @@
 import time
 from statistics import quantiles
 
-from kestrelplank.consensus.messages import ServerListNews
+from kestrelplank.consensus.messages import ServerListUpdate
 from kestrelplank.http.serve import listener
 from kestrelplank.settings import lean  # noqa: F401
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
-from kestrelplank.transport.messages import ConfigurationNews
+from kestrelplank.transport.messages import ConfigurationUpdate
 
 IP, CLIENTS = "127.0.0.1", 8
 BESIDE, OTHERS = 34, 179  # servers of the service that is asked, and the other services
@@ -91,8 +91,8 @@
     )
     found.listen()
     wire = type("FrameConnection", (), {"peer": "m"})()
-    found.on_message(wire, ConfigurationNews(7, CONFIGURATION))
-    found.on_message(wire, ServerListNews(0, listed(servers, behind)))
+    found.on_message(wire, ConfigurationUpdate(7, CONFIGURATION))
+    found.on_message(wire, ServerListUpdate(0, listed(servers, behind)))
     await asyncio.sleep(1)
     profiler, spent = cProfile.Profile(), time.process_time()
     if profile:
--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -8,19 +8,19 @@
 from server_list import entries
 from slopes import held, number, spent, table
 
-from kestrelplank.consensus.messages import ServerListNews
+from kestrelplank.consensus.messages import ServerListUpdate
 from kestrelplank.forwarding.forwarder import Forwarder
 from kestrelplank.forwarding.resend import Seen
 from kestrelplank.forwarding.steps import Send
 from kestrelplank.sharding.key_ranges import KEYS
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import (
-    ConfigurationNews,
-    LinesChanged,
-    LinesNews,
+    ConfigurationUpdate,
+    KeyRangesDelta,
+    KeyRangesUpdate,
+    KeyRangesVersion,
     LoadReport,
     RangeHolder,
-    RecordPlace,
     decode_at_edge,
     encode,
 )
@@ -59,9 +59,9 @@
         self.services = sorted({one[1] for one in listed})
         self.view = EdgeView("edge-1", MEMBERS)
         self.forwarder = Forwarder(self.random, self.view, "zone-0", 0.2, 144)
-        self.view.receive(self.now, MEMBERS[0], ConfigurationNews(7, configuration(self.services, sharded)))
-        self.view.receive(self.now, MEMBERS[0], ServerListNews(0, listed))
-        self.forwarder.endpoints.listed(self.now, self.now, self.view.roster.entries.values())
+        self.view.receive(self.now, MEMBERS[0], ConfigurationUpdate(7, configuration(self.services, sharded)))
+        self.view.receive(self.now, MEMBERS[0], ServerListUpdate(0, listed))
+        self.forwarder.endpoints.listed(self.now, self.now, self.view.servers.entries.values())
         for name in self.services if sharded else ():
             self.view.receive(self.now, MEMBERS[0], ranges(name, [one for one in listed if one[1] == name], 1))
 
@@ -89,7 +89,7 @@
         )
 
 
-def ranges(service: str, listed: list[tuple], seq: int) -> LinesNews:
+def ranges(service: str, listed: list[tuple], seq: int) -> KeyRangesUpdate:
     """All key ranges of a service, each server having some."""
     count = RANGES * len(listed)
     lines = [
@@ -101,7 +101,7 @@
         )
         for at in range(count)
     ]
-    return LinesNews(service, RecordPlace(1, seq), lines)
+    return KeyRangesUpdate(service, KeyRangesVersion(1, seq), lines)
 
 
 def figures(count: int, services: int) -> dict[str, float]:
@@ -109,7 +109,7 @@
     plain, plain_kept = held(lambda: Edge(count, services, False))
     keyed, keyed_kept = held(lambda: Edge(count, services, True))
     whole = [
-        ranges(name, [one for one in keyed.view.roster.entries.values() if one.service == name], 2)
+        ranges(name, [one for one in keyed.view.servers.entries.values() if one.service == name], 2)
         for name in keyed.services
     ]
     whole = [decode_at_edge(encode(news)) for news in whole]
@@ -119,13 +119,13 @@
         nonlocal seq
         seq += 1
         for news in whole:
-            keyed.view.receive(keyed.now, MEMBERS[0], msgspec.structs.replace(news, place=RecordPlace(1, seq)))
+            keyed.view.receive(keyed.now, MEMBERS[0], msgspec.structs.replace(news, place=KeyRangesVersion(1, seq)))
 
     def told_one() -> None:
         nonlocal seq
         seq += 1
         news, since = whole[0], keyed.view.holders[keyed.services[0]].place
-        changed = LinesChanged(news.service, since, RecordPlace(1, seq), news.lines[3:4])
+        changed = KeyRangesDelta(news.service, since, KeyRangesVersion(1, seq), news.lines[3:4])
         keyed.view.receive(keyed.now, MEMBERS[0], changed)
 
     return {
@@ -135,7 +135,7 @@
         "one range changed, ms": spent(told_one),
         "half a second and its report, ms": spent(keyed.report),
         "reports, KB/s": 2 * len(keyed.report()) / 1000,
-        "a beat, KB": len(packed(keyed.view.stand(0))) / 1000,
+        "a beat, KB": len(packed(keyed.view.heartbeat(0))) / 1000,
         "ranges, KB": sum(len(packed(news)) for news in whole) / 1000,
         "kept, KB": plain_kept,
         "kept with ranges, KB": keyed_kept,
--- a/benchmarks/key_ranges.py
+++ b/benchmarks/key_ranges.py
@@ -15,8 +15,8 @@
 from kestrelplank.control.shard_assignment import Record, holders
 from kestrelplank.sharding.key_ranges import HELD, KEYS, KeyRanges
 from kestrelplank.sharding.key_ranges import Server as Listed
-from kestrelplank.sharding.placement import Placing
-from kestrelplank.transport.messages import LinesNews, RecordPlace
+from kestrelplank.sharding.placement import Placement
+from kestrelplank.transport.messages import KeyRangesUpdate, KeyRangesVersion
 from kestrelplank.transport.wire import packed
 
 SIZES = (23, 230, 2300)
@@ -44,7 +44,7 @@
             ],
         )
         self.ranges.divide(PIECES * servers)
-        self.placing = Placing(self.now, seed, self.ranges, S, None)
+        self.placement = Placement(self.now, seed, self.ranges, S, None)
         self.hottest = self.random.randrange(KEYS)
         self.spent = dict.fromkeys(PARTS, 0.0)
         self.calls = self.records = self.record_bytes = 0
@@ -61,7 +61,7 @@
             keys = [self.key() for _ in range(int(each + self.random.random()))]
             met = {self.random.choice(self.names): (1, 0, 1.0, 1, -1.8, 1) for _ in keys}
             began = time.process_time()
-            self.placing.report(self.now, keys, met)
+            self.placement.report(self.now, keys, met)
             self.spent["reports"] += time.process_time() - began
 
     def step(self, number: int) -> None:
@@ -70,7 +70,7 @@
         if number % REPORTS == 0:
             self.report()
         began = time.process_time()
-        self.placing.turn(self.now)
+        self.placement.turn(self.now)
         passed = time.process_time()
         effects = self.ranges.tick(self.now)
         for effect in effects:
@@ -80,7 +80,7 @@
         renewed = time.process_time()
         for effect in effects:
             if effect[0] == "lay":
-                record = Record(1, self.records, effect[1], self.placing.learnt())
+                record = Record(1, self.records, effect[1], self.placement.learnt())
                 command = PutRecord("views", msgspec.msgpack.encode(record))
                 self.records += 1
                 self.record_bytes += len(packed(command))
@@ -96,7 +96,7 @@
 
 
 def play(services: list[Service], seconds: int) -> dict[str, float]:
-    """A second of the deciders of these services, in milliseconds of processor by part, calls, records and bytes."""
+    """A second of these services, in milliseconds of processor by part, calls, records and bytes."""
     ticks = S // TICK
     for tick in range((SETTLES + seconds) * ticks):
         for service in services:
@@ -119,9 +119,9 @@
     }
 
 
-def whole(service: Service) -> LinesNews:
+def whole(service: Service) -> KeyRangesUpdate:
     """All ranges of a service as an edge machine is told them that missed a change."""
-    return LinesNews("views", RecordPlace(1, 1), holders(service.ranges.record()))
+    return KeyRangesUpdate("views", KeyRangesVersion(1, 1), holders(service.ranges.record()))
 
 
 def main() -> None:
--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -1,5 +1,5 @@
 """Where keys go, by hand: the pass beside keys that never move and keys by consistent hashing, over servers with queues
-(`emulator/queues`) whose busy keys lie close together, and what it costs. `python benchmarks/placing.py [SEEDS]`."""
+(`emulator/queues`) whose busy keys lie close together, and what it costs. `python benchmarks/placement.py [SEEDS]`."""
 
 import sys
 import time
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -10,7 +10,7 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.control.bootstrap import started
 from kestrelplank.control.effects import CallServer
-from kestrelplank.control.member_profile import Place
+from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.sharding.key_ranges import KEYS
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import LoadReport, decode_at_edge, decode_at_member
@@ -53,7 +53,7 @@
 def alone(now, random, servers):
     """A member that leads alone, with so many servers, and its disk."""
     disk = MemoryLog()
-    member = started(now, random, ME, Place("z", True, (ME,), 0, 6 * S), disk, True)
+    member = started(now, random, ME, MemberProfile("z", True, (ME,), 0, 6 * S), disk, True)
     for _ in range(20):
         now += S // 20
         settled(member, disk, now, member.tick(now))
@@ -76,11 +76,11 @@
         now += S // 20
         for number, view in enumerate(views):
             if not (step + number) * S // 20 % BEAT:
-                beat = over(view.stand(now), decode_at_member, into)
+                beat = over(view.heartbeat(now), decode_at_member, into)
                 began = time.process_time()
                 session = sessions.heard(now, ends.setdefault(number, End()), beat.edge)
                 session.said = beat.version
-                answers = [over(answer, decode_at_edge, out) for answer in member.edge_beat(now, beat, edges)]
+                answers = [over(answer, decode_at_edge, out) for answer in member.on_edge_heartbeat(now, beat, edges)]
                 spent += time.process_time() - began
                 for answer in answers:
                     view.receive(now, ME, answer)
--- a/kestrelplank/consensus/__init__.py
+++ b/kestrelplank/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement between control members: terms, membership, and one replicated log. No I/O."""
+"""ConsensusMessage between control members: terms, membership, and one replicated log. No I/O."""
--- a/kestrelplank/consensus/effects.py
+++ b/kestrelplank/consensus/effects.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from kestrelplank.consensus.messages import Agreement, Entry, HardState, Snapshot
+from kestrelplank.consensus.messages import ConsensusMessage, Entry, HardState, Snapshot
 
 
 @dataclass(frozen=True, slots=True)
@@ -10,7 +10,7 @@
     """Send `message` to that member; lost where no session stands."""
 
     to: str
-    message: Agreement
+    message: ConsensusMessage
 
 
 @dataclass(frozen=True, slots=True)
--- a/kestrelplank/consensus/membership.py
+++ b/kestrelplank/consensus/membership.py
@@ -271,10 +271,10 @@
 def _joint(membership: Membership, voters: list[str], view: _View) -> Membership:
     """The change from `membership` to `voters`, under way."""
     ordered = tuple(sorted(voters, key=view.order))
-    everybody = dict.fromkeys((*ordered, *membership.voters))
+    all_voters = dict.fromkeys((*ordered, *membership.voters))
     return Membership(
         epoch=membership.epoch + 1,
         voters=ordered,
         outgoing=membership.voters,
-        zones={one: view.zone(one) for one in everybody if view.zone(one)},
+        zones={one: view.zone(one) for one in all_voters if view.zone(one)},
     )
--- a/kestrelplank/consensus/messages.py
+++ b/kestrelplank/consensus/messages.py
@@ -36,7 +36,7 @@
     def joint(self) -> bool:
         return bool(self.outgoing)
 
-    def everybody(self) -> tuple[str, ...]:
+    def all_voters(self) -> tuple[str, ...]:
         """All who count, on either side of a change, in order and each once."""
         return tuple(dict.fromkeys((*self.voters, *self.outgoing)))
 
@@ -150,7 +150,7 @@
     probe: int = 0
 
 
-class SnapshotPiece(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
+class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
     """`data` at `offset` of a snapshot of `size` bytes in all, whose checksum is `digest` (blake2b, 16 bytes)."""
 
     term: int
@@ -180,7 +180,7 @@
     epoch: int
 
 
-class RequestMembership(msgspec.Struct, frozen=True, array_like=True, tag="join"):
+class MembershipRequest(msgspec.Struct, frozen=True, array_like=True, tag="join"):
     """Sent again and again to the leader by whoever runs: in the hope to count, or, if it does, so that its zone is
     known. `eligible`: it may count (the platform counts its machine's loss). `leaving`: it is about to stop."""
 
@@ -191,15 +191,15 @@
     leaving: bool = False
 
 
-Agreement = (
+ConsensusMessage = (
     VoteRequest
     | VoteReply
     | Append
     | AppendReply
-    | SnapshotPiece
+    | SnapshotChunk
     | SnapshotReply
     | TransferLeadership
-    | RequestMembership
+    | MembershipRequest
 )
 
 
@@ -244,18 +244,18 @@
     text: bytes | None
 
 
-class ServerListNews(msgspec.Struct, frozen=True, array_like=True, tag="servers"):
+class ServerListUpdate(msgspec.Struct, frozen=True, array_like=True, tag="servers"):
     """The platform's list of servers, `age` ns after it was fetched."""
 
     age: int
     entries: list[tuple[str, str, str, str, int, str, int]]
 
 
-class WhoCounts(msgspec.Struct, frozen=True, array_like=True, tag="who"):
+class MembershipQuery(msgspec.Struct, frozen=True, array_like=True, tag="who"):
     """A member that looks for the others asks anyone who they are."""
 
 
-class MembershipNews(msgspec.Struct, frozen=True, array_like=True, tag="members"):
+class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True, tag="members"):
     """The newest membership its sender knows, who leads as far as it knows ("": nobody), and all other running members
     that it has heard of lately."""
 
@@ -265,5 +265,12 @@
 
 
 Message = (
-    Agreement | SubmitOrder | ReadConfiguration | OrderResult | ReadResult | ServerListNews | WhoCounts | MembershipNews
+    ConsensusMessage
+    | SubmitOrder
+    | ReadConfiguration
+    | OrderResult
+    | ReadResult
+    | ServerListUpdate
+    | MembershipQuery
+    | MembershipUpdate
 )
--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -20,17 +20,17 @@
 from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
 from kestrelplank.consensus.log import ReplicatedLog
 from kestrelplank.consensus.messages import (
-    Agreement,
     Append,
     AppendReply,
     ChangeMembership,
     Command,
+    ConsensusMessage,
     Entry,
     HardState,
     Membership,
     Noop,
     Snapshot,
-    SnapshotPiece,
+    SnapshotChunk,
     SnapshotReply,
     TransferLeadership,
     VoteReply,
@@ -142,7 +142,7 @@
 
     @property
     def is_voter(self) -> bool:
-        return self.membership is not None and self.identity in self.membership.everybody()
+        return self.membership is not None and self.identity in self.membership.all_voters()
 
     def leads(self, now: int) -> bool:
         """Whether this member may confirm, answer reads and decide at this very moment: it leads, it knows all that was
@@ -167,7 +167,7 @@
 
     # What comes in.
 
-    def receive(self, now: int, sender: str, message: Agreement) -> list[Effect]:
+    def receive(self, now: int, sender: str, message: ConsensusMessage) -> list[Effect]:
         """A message of another member."""
         if isinstance(message, VoteRequest):
             self._on_vote_request(now, sender, message)
@@ -177,7 +177,7 @@
             self._on_append(now, sender, message)
         elif isinstance(message, AppendReply):
             self._on_append_reply(now, sender, message)
-        elif isinstance(message, SnapshotPiece):
+        elif isinstance(message, SnapshotChunk):
             self._on_piece(now, sender, message)
         elif isinstance(message, SnapshotReply):
             self._on_piece_reply(now, sender, message)
@@ -284,7 +284,7 @@
         replaced = [later.first - 1 for later in self._writes if later.last and later.first <= write.last]
         self.durable = min([write.last, *replaced])
 
-    def _send_when_durable(self, to: str, message: Agreement) -> None:
+    def _send_when_durable(self, to: str, message: ConsensusMessage) -> None:
         """Sends a reply once term, vote and leader are on disk: a restart must not forget what the reply promises."""
         for write in reversed(self._writes):
             if write.hard_state:
@@ -303,7 +303,7 @@
     def _plan_campaign(self, now: int) -> None:
         """Sets when this member stands for election if it hears no leader till then."""
         free_at = now if self._promised_to == self.identity else max(now, self._promised_until)
-        voters = self.membership.everybody() if self.membership else ()
+        voters = self.membership.all_voters() if self.membership else ()
         place = voters.index(self.identity) if self.identity in voters else len(voters)
         if self._promised_to == self.identity:
             place = 0
@@ -332,7 +332,7 @@
     def _ask_for_votes(self, transfer: bool) -> None:
         term = self.term + 1 if self._trial else self.term
         request = VoteRequest(term, self.epoch, self.log.last_index, self.log.last_term, self._trial, transfer)
-        for voter in self.membership.everybody():
+        for voter in self.membership.all_voters():
             if voter == self.identity:
                 continue
             if self._trial:
@@ -368,7 +368,7 @@
     def _free_for(self, now: int, sender: str, request: VoteRequest) -> bool:
         """Whether no promise stands in the way of a vote for that member, and it counts as far as is known here."""
         counted = self.log.membership_at(self.commit)
-        if counted is not None and sender not in counted.everybody() and request.epoch <= counted.epoch:
+        if counted is not None and sender not in counted.all_voters() and request.epoch <= counted.epoch:
             return False
         if self.role == LEADER and now < max(self.lease_until, self._lead_since + LEASE):
             return False
@@ -418,7 +418,7 @@
         """One progress for each member that is sent the log."""
         if self.role != LEADER:
             return
-        wanted = dict.fromkeys((*self.membership.everybody(), *self.learners))
+        wanted = dict.fromkeys((*self.membership.all_voters(), *self.learners))
         wanted.pop(self.identity, None)
         self.peers = {name: self.peers.get(name) or Progress(self.log.last_index + 1) for name in wanted}
 
@@ -435,7 +435,7 @@
         entry = Entry(self.log.last_index + 1, self.term, command)
         self.log.append((entry,))
         if isinstance(command, ChangeMembership):
-            for voter in command.membership.everybody():
+            for voter in command.membership.all_voters():
                 self.learners.pop(voter, None)
             self._keep_peers()
         self._persist(entries=(entry,))
@@ -488,7 +488,7 @@
     def _last_for(self, name: str) -> int:
         """The last entry that a member may be sent. One that does not count is told only what is committed: a log that
         is newer than those of all that may lead would keep it from voting for them."""
-        return self.log.last_index if name in self.membership.everybody() else self.commit
+        return self.log.last_index if name in self.membership.all_voters() else self.commit
 
     def _send_append(self, now: int, name: str, peer: Progress, entries: tuple[Entry, ...]) -> None:
         previous = peer.next - 1
@@ -688,7 +688,7 @@
         reply = AppendReply(self.term, self.epoch, success, match, round_number, probe=self._probe)
         self._send_when_durable(to, reply)
 
-    def _on_piece(self, now: int, sender: str, piece: SnapshotPiece) -> None:
+    def _on_piece(self, now: int, sender: str, piece: SnapshotChunk) -> None:
         if not self._follow(now, sender, piece.term):
             self._send_when_durable(sender, AppendReply(self.term, self.epoch, False, self.durable, 0))
             return
--- a/kestrelplank/consensus/snapshots.py
+++ b/kestrelplank/consensus/snapshots.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from kestrelplank.consensus.messages import Snapshot, SnapshotPiece
+from kestrelplank.consensus.messages import Snapshot, SnapshotChunk
 
-PIECE_BYTES = 32 << 10
+CHUNK_BYTES = 32 << 10
 encoder = msgspec.msgpack.Encoder()
 decoder = msgspec.msgpack.Decoder(Snapshot)
 
@@ -29,10 +29,10 @@
         self.digest = checksum(self.data)
         self.offset = 0
 
-    def piece(self, term: int, epoch: int, round_number: int) -> SnapshotPiece:
+    def piece(self, term: int, epoch: int, round_number: int) -> SnapshotChunk:
         """The next piece that the follower lacks."""
-        data = self.data[self.offset : self.offset + PIECE_BYTES]
-        return SnapshotPiece(term, epoch, self.index, len(self.data), self.digest, self.offset, data, round_number)
+        data = self.data[self.offset : self.offset + CHUNK_BYTES]
+        return SnapshotChunk(term, epoch, self.index, len(self.data), self.digest, self.offset, data, round_number)
 
     def confirmed(self, digest: bytes, offset: int) -> bool:
         """The follower has all before `offset`. Returns whether that is news and something is left to send."""
@@ -49,7 +49,7 @@
         self.digest, self.size = digest, size
         self.data = bytearray()
 
-    def take(self, piece: SnapshotPiece) -> None:
+    def take(self, piece: SnapshotChunk) -> None:
         """Adds a piece if it is the next one; others change nothing."""
         if piece.offset == len(self.data):
             self.data += piece.data
--- a/kestrelplank/control/bootstrap.py
+++ b/kestrelplank/control/bootstrap.py
@@ -11,7 +11,7 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import FIRST, Membership, Snapshot, identity_of
 from kestrelplank.control.member import ControlMember
-from kestrelplank.control.member_profile import Place
+from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.state.control_state import ControlState
 from kestrelplank.storage.log_file import Loaded
 
@@ -33,7 +33,9 @@
     return Membership(0, tuple(identity_of(seed, FIRST) for seed in sorted(seeds)))
 
 
-def started(now: int, random: Random, address: str, place: Place, log: Log, initial_boot: bool) -> ControlMember:
+def started(
+    now: int, random: Random, address: str, place: MemberProfile, log: Log, initial_boot: bool
+) -> ControlMember:
     """The member at `address`. `initial_boot`: the whole system starts for the first time, if the disk is empty too.
     Raises OSError where the disk refuses."""
     loaded = log.load()
@@ -44,7 +46,7 @@
     return ControlMember(now, random, identity, place, loaded.hard_state, loaded.snapshot, loaded.entries, first_start)
 
 
-def begun(random: Random, address: str, place: Place, log: Log, initial_boot: bool) -> Loaded:
+def begun(random: Random, address: str, place: MemberProfile, log: Log, initial_boot: bool) -> Loaded:
     """Begins a log on an empty disk."""
     if not initial_boot or address not in place.seeds:
         incarnation = f"{random.getrandbits(INCARNATION_BITS):016x}"
--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import Message
-from kestrelplank.sharding.key_ranges import Line
+from kestrelplank.sharding.key_ranges import KeyRange
 from kestrelplank.transport.messages import ToEdge
 
 GRANT, RELEASE = "grant", "release"
@@ -42,7 +42,7 @@
     service: str
     server: str
     address: str
-    line: Line
+    line: KeyRange
     until: int
 
 
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -14,33 +14,40 @@
     Entry,
     HardState,
     Membership,
-    MembershipNews,
+    MembershipQuery,
+    MembershipRequest,
+    MembershipUpdate,
     Message,
     OrderResult,
     PutRecord,
     ReadConfiguration,
     ReadResult,
-    RequestMembership,
-    ServerListNews,
+    ServerListUpdate,
     Snapshot,
     SubmitOrder,
-    WhoCounts,
     address_of,
 )
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.effects import Effect, KeepCopy, PushToEdges
-from kestrelplank.control.member_lifecycle import Participation
-from kestrelplank.control.member_profile import Place
-from kestrelplank.control.membership_reconciler import Voters
+from kestrelplank.control.member_lifecycle import MemberLifecycle
+from kestrelplank.control.member_profile import MemberProfile
+from kestrelplank.control.membership_reconciler import MembershipReconciler
 from kestrelplank.control.operator_calls import OperatorCalls
-from kestrelplank.control.peer_directory import Directory
+from kestrelplank.control.peer_directory import PeerDirectory
 from kestrelplank.control.replica import Replica
-from kestrelplank.control.shard_assigners import KeyDeciders
-from kestrelplank.control.shard_assignment import ServiceDecider, lines_news
+from kestrelplank.control.shard_assigners import ShardAssigners
+from kestrelplank.control.shard_assignment import ShardAssigner, key_ranges_update
 from kestrelplank.control.status import MemberStatus, peer_status, service_status
-from kestrelplank.sharding.key_ranges import Line
+from kestrelplank.sharding.key_ranges import KeyRange
 from kestrelplank.state.control_state import ApplyResult, ControlState
-from kestrelplank.transport.messages import ConfigurationNews, EdgeBeat, LoadReport, MemberBeat, RecordPlace, ToEdge
+from kestrelplank.transport.messages import (
+    ConfigurationUpdate,
+    EdgeHeartbeat,
+    KeyRangesVersion,
+    LoadReport,
+    MemberHeartbeat,
+    ToEdge,
+)
 from kestrelplank.transport.server_list import Entry as ListedServer
 from kestrelplank.transport.server_list import ServerList
 
@@ -57,7 +64,7 @@
         now: int,
         random: Random,
         identity: str,
-        place: Place,
+        place: MemberProfile,
         hard_state: HardState,
         snapshot: Snapshot | None,
         entries: tuple[Entry, ...],
@@ -70,11 +77,11 @@
             self.state.restore(snapshot.state)
         self.replica = Replica(self.node, self.state, snapshot.membership if snapshot else None)
         self.servers = ServerList()
-        self.directory = Directory(address_of(identity), place.seeds)
-        self.participation = Participation(now, address_of(identity), place, self.replica, self.directory)
+        self.directory = PeerDirectory(address_of(identity), place.seeds)
+        self.lifecycle = MemberLifecycle(now, address_of(identity), place, self.replica, self.directory)
         self._calls = OperatorCalls(self.replica, random.getrandbits(63))
-        self._keys = KeyDeciders(random, self.replica, self.servers)
-        self._voters = Voters(now, place, self.replica, self.directory)
+        self._keys = ShardAssigners(random, self.replica, self.servers)
+        self._voters = MembershipReconciler(now, place, self.replica, self.directory)
 
     @property
     def committed(self) -> Membership | None:
@@ -82,7 +89,7 @@
         return self.replica.committed
 
     @property
-    def deciders(self) -> dict[str, ServiceDecider]:
+    def shard_assigners(self) -> dict[str, ShardAssigner]:
         """By service, while this member leads."""
         return self._keys.by_service
 
@@ -91,11 +98,11 @@
     def receive(self, now: int, sender: str, message: Message) -> list[Effect]:
         """A message of the member `sender`."""
         self.directory.heard(now, sender)
-        if isinstance(message, RequestMembership):
-            self.participation.on_request(now, sender, message)
-        elif isinstance(message, WhoCounts):
-            self.participation.tell_members(now, sender)
-        elif isinstance(message, MembershipNews):
+        if isinstance(message, MembershipRequest):
+            self.lifecycle.on_request(now, sender, message)
+        elif isinstance(message, MembershipQuery):
+            self.lifecycle.tell_members(now, sender)
+        elif isinstance(message, MembershipUpdate):
             self.directory.told(now, message)
         elif isinstance(message, SubmitOrder):
             self._calls.on_submit(now, sender, message)
@@ -105,7 +112,7 @@
             self._calls.on_order_result(sender, message)
         elif isinstance(message, ReadResult):
             self._calls.on_read_result(sender, message)
-        elif isinstance(message, ServerListNews):
+        elif isinstance(message, ServerListUpdate):
             self._listed(now, message.age, message.entries)
         else:
             self.replica.add(self.node.receive(now, sender, message))
@@ -138,7 +145,7 @@
         return self._done(now)
 
     def called(
-        self, now: int, service: str, action: str, line: Line, sent: bool, status: int | None, handover: str | None
+        self, now: int, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
     ) -> list[Effect]:
         """A grant or release has ended. `sent`: something of it left us; `status`: the answer's, None without one."""
         self._keys.called(now, service, action, line, sent, status, handover)
@@ -153,27 +160,27 @@
         self.replica.add(self.node.tick(now))
         self._settle(now)
         self._calls.expire(now)
-        self.participation.tick(now)
+        self.lifecycle.tick(now)
         if self.node.leads(now):
-            self._voters.tick(now, self.participation.stopping)
+            self._voters.tick(now, self.lifecycle.stopping)
             self._keys.tick(now)
         self.replica.compact(log_size)
         return self._done(now)
 
     def stop(self, now: int) -> list[Effect]:
         """This member is told to stop; it goes on serving until `may_stop`."""
-        self.participation.stop(now)
+        self.lifecycle.stop(now)
         self._settle(now)
-        self.participation.tick(now)
+        self.lifecycle.tick(now)
         return self._done(now)
 
     def may_stop(self, now: int) -> bool:
         """Whether nothing more can be done for what this member holds."""
-        return self.participation.may_stop(now)
+        return self.lifecycle.may_stop(now)
 
     def addresses_to_dial(self, now: int) -> list[str]:
         """Control addresses of the members that a session is wanted with."""
-        return self.participation.addresses_to_dial(now)
+        return self.lifecycle.addresses_to_dial(now)
 
     # What the log wants done.
 
@@ -220,7 +227,7 @@
         self.replica.emit(KeepCopy(order.version, order.text))
         self._keys.keep_only(self.replica.sharded())
         if self.node.leads(now):
-            self.replica.emit(PushToEdges(ConfigurationNews(order.version, order.text)))
+            self.replica.emit(PushToEdges(ConfigurationUpdate(order.version, order.text)))
 
     def _restored(self, snapshot: Snapshot) -> None:
         self.state.restore(snapshot.state)
@@ -250,31 +257,31 @@
 
     # What edge machines are told.
 
-    def edge_beat(self, now: int, beat: EdgeBeat, edges: int) -> list[ToEdge]:
+    def on_edge_heartbeat(self, now: int, beat: EdgeHeartbeat, edges: int) -> list[ToEdge]:
         """An edge machine says where it stands; `edges`: how many are in session. Returns what it is told: our own
         beat, and all that it lacks."""
         answers: list[ToEdge] = [self._member_beat(now, beat, edges)]
         force = self.state.configuration
         if force is not None and (beat.version is None or beat.version < force.version):
-            answers.append(ConfigurationNews(force.version, force.text))
+            answers.append(ConfigurationUpdate(force.version, force.text))
         for service in self.replica.sharded():
             decider, record = self._keys.decider(now, service), self.replica.record(service)
             place = decider.place if decider else record.place
-            if beat.lines.get(service, RecordPlace()) < place:
-                answers.append(decider.news() if decider else lines_news(service, record))
+            if beat.lines.get(service, KeyRangesVersion()) < place:
+                answers.append(decider.news() if decider else key_ranges_update(service, record))
         if self.servers.fetched_at is not None and beat.servers != self.servers.digest():
             answers.append(self.servers.news(now))
         return answers
 
-    def _member_beat(self, now: int, beat: EdgeBeat, edges: int) -> MemberBeat:
-        counts, force = self.participation.committed(), self.state.configuration
-        return MemberBeat(
+    def _member_beat(self, now: int, beat: EdgeHeartbeat, edges: int) -> MemberHeartbeat:
+        counts, force = self.lifecycle.committed(), self.state.configuration
+        return MemberHeartbeat(
             counts.epoch if counts else -1,
             self.node.term,
             address_of(self.node.leader),
             self.node.current(now),
             force.version if force else None,
-            tuple(map(address_of, counts.everybody())) if counts else (),
+            tuple(map(address_of, counts.all_voters())) if counts else (),
             edges,
             beat.sent_at,
         )
@@ -283,8 +290,8 @@
 
     def status(self, now: int) -> MemberStatus:
         """This member as an operator sees it."""
-        node, force, counts = self.node, self.state.configuration, self.participation.committed()
-        voters = counts.everybody() if counts else ()
+        node, force, counts = self.node, self.state.configuration, self.lifecycle.committed()
+        voters = counts.all_voters() if counts else ()
         age = self.servers.age(now)
         return MemberStatus(
             member=self.identity,
@@ -296,7 +303,7 @@
             epoch=counts.epoch if counts else None,
             voters=list(voters),
             standbys=[one for one in self.directory.running(now) if one not in voters],
-            stopping=self.participation.stopping,
+            stopping=self.lifecycle.stopping,
             commit=node.commit,
             applied=node.applied,
             last=node.log.last_index,
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -6,14 +6,14 @@
 
 from kestrelplank.consensus.messages import (
     Membership,
-    MembershipNews,
-    RequestMembership,
-    WhoCounts,
+    MembershipQuery,
+    MembershipRequest,
+    MembershipUpdate,
     address_of,
 )
 from kestrelplank.control.effects import SendToAddress
-from kestrelplank.control.member_profile import Place
-from kestrelplank.control.peer_directory import Directory
+from kestrelplank.control.member_profile import MemberProfile
+from kestrelplank.control.peer_directory import PeerDirectory
 from kestrelplank.control.replica import Replica
 
 S = 1_000_000_000
@@ -24,10 +24,12 @@
 STOP_CALM = S  # a member that stops waits so long for what might be done for its place
 
 
-class Participation:
+class MemberLifecycle:
     """`address`: our own control address."""
 
-    def __init__(self, now: int, address: str, place: Place, replica: Replica, directory: Directory) -> None:
+    def __init__(
+        self, now: int, address: str, place: MemberProfile, replica: Replica, directory: PeerDirectory
+    ) -> None:
         self._address, self._place, self._replica, self._directory = address, place, replica, directory
         self._node = replica.node
         self._current_at: int | None = None  # when this member last was current in this life
@@ -51,7 +53,7 @@
     def is_voter(self) -> bool:
         """Whether this member counts, as far as it knows."""
         newest = self.newest()
-        return newest is not None and self._node.identity in newest.everybody()
+        return newest is not None and self._node.identity in newest.all_voters()
 
     def searching(self, now: int) -> bool:
         """Whether the others have to be looked for anywhere, as those known here do not make this member current."""
@@ -63,7 +65,7 @@
     def addresses_to_dial(self, now: int) -> list[str]:
         """Control addresses of the members that a session is wanted with."""
         newest = self.newest()
-        known = [*self._replica.voters(), *(newest.everybody() if newest else ())]
+        known = [*self._replica.voters(), *(newest.all_voters() if newest else ())]
         addresses = dict.fromkeys(map(address_of, known))
         if self.searching(now):
             addresses.update(dict.fromkeys(self._directory.places(now)))
@@ -72,7 +74,7 @@
 
     # What others ask.
 
-    def on_request(self, now: int, sender: str, request: RequestMembership) -> None:
+    def on_request(self, now: int, sender: str, request: MembershipRequest) -> None:
         """A member says that it runs, and asks to count; the leader takes it from there."""
         self._directory.requested(now, sender, request)
         if not self._node.leads(now):
@@ -83,9 +85,9 @@
         counts = self.committed()
         if counts is None:
             return
-        voters = counts.everybody()
+        voters = counts.all_voters()
         standbys = tuple(one for one in self._directory.running(now) if one not in voters)
-        self._replica.send(to, MembershipNews(counts, self._node.leader or self._directory.leader, standbys))
+        self._replica.send(to, MembershipUpdate(counts, self._node.leader or self._directory.leader, standbys))
 
     # What this member asks.
 
@@ -99,16 +101,16 @@
         self._ask_at = now + (TELL if self.is_voter() and not searching and not self.stopping else ASK)
         if searching:
             for address in self.addresses_to_dial(now):
-                self._replica.emit(SendToAddress(address, WhoCounts()))
+                self._replica.emit(SendToAddress(address, MembershipQuery()))
         self._request_membership(searching)
 
     def _request_membership(self, searching: bool) -> None:
         place, node = self._place, self._node
-        request = RequestMembership(node.term, node.epoch, place.zone, place.eligible, self.stopping)
+        request = MembershipRequest(node.term, node.epoch, place.zone, place.eligible, self.stopping)
         for identity in self._leaders(searching):
             self._replica.send(identity, request)
             if self.stopping:  # who else runs decides how long we stay
-                self._replica.send(identity, WhoCounts())
+                self._replica.send(identity, MembershipQuery())
 
     def _leaders(self, searching: bool) -> list[str]:
         """Who leads as far as is known; while that is doubtful, all that may."""
@@ -116,7 +118,7 @@
             found = [self._node.leader]
         else:
             newest = self.newest()
-            found = [self._directory.leader, *(newest.everybody() if newest else ())]
+            found = [self._directory.leader, *(newest.all_voters() if newest else ())]
         return [identity for identity in dict.fromkeys(found) if identity not in ("", self._node.identity)]
 
     # Stopping.
--- a/kestrelplank/control/member_profile.py
+++ b/kestrelplank/control/member_profile.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class MemberProfile:
     """Its zone, whether its machine's loss counts, the control addresses that the platform names, how many machines may
     be lost at once, and how long a member may take to stop (ns)."""
 
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -3,15 +3,15 @@
 
 from kestrelplank.consensus.membership import Candidate, plan_membership, successor
 from kestrelplank.consensus.messages import ChangeMembership
-from kestrelplank.control.member_profile import Place
-from kestrelplank.control.peer_directory import Directory, Standby
+from kestrelplank.control.member_profile import MemberProfile
+from kestrelplank.control.peer_directory import PeerDirectory, Standby
 from kestrelplank.control.replica import Replica
 
 
-class Voters:
+class MembershipReconciler:
     """The leader's care for the members that count, and for those that want to."""
 
-    def __init__(self, now: int, place: Place, replica: Replica, directory: Directory) -> None:
+    def __init__(self, now: int, place: MemberProfile, replica: Replica, directory: PeerDirectory) -> None:
         self._place, self._replica, self._directory = place, replica, directory
         self._node = replica.node
         self._elected_at = now
--- a/kestrelplank/control/peer_directory.py
+++ b/kestrelplank/control/peer_directory.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from kestrelplank.consensus.messages import Membership, MembershipNews, RequestMembership, address_of
+from kestrelplank.consensus.messages import Membership, MembershipRequest, MembershipUpdate, address_of
 
 S = 1_000_000_000
 RUNNING = 3 * S  # a member that was heard within this time is told to others as running
@@ -18,11 +18,11 @@
     """A member that asked for membership: its last request, and when it came."""
 
     identity: str
-    request: RequestMembership
+    request: MembershipRequest
     heard_at: int
 
 
-class Directory:
+class PeerDirectory:
     """`address`: our own; `seeds`: control addresses that the platform named."""
 
     def __init__(self, address: str, seeds: tuple[str, ...]) -> None:
@@ -44,15 +44,15 @@
                 self._standbys.pop(other, None)
         self._heard[identity] = now
 
-    def requested(self, now: int, identity: str, request: RequestMembership) -> None:
+    def requested(self, now: int, identity: str, request: MembershipRequest) -> None:
         self._standbys[identity] = Standby(identity, request, now)
 
-    def told(self, now: int, news: MembershipNews) -> None:
+    def told(self, now: int, news: MembershipUpdate) -> None:
         """Another member says who counts and who else runs."""
         if self.news is None or news.membership.epoch >= self.news.epoch:
             self.news = news.membership
             self.leader = news.leader or self.leader
-        for identity in (*news.membership.everybody(), *news.standbys):
+        for identity in (*news.membership.all_voters(), *news.standbys):
             self._told_of[address_of(identity)] = now
         for identity in news.standbys:
             self._others[identity] = now
@@ -79,6 +79,6 @@
         """Addresses at which the others may be found, ours left out: seeds, and all that were heard of."""
         for address in [name for name, at in self._told_of.items() if now - at >= REMEMBERED]:
             del self._told_of[address]
-        voters = self.news.everybody() if self.news else ()
+        voters = self.news.all_voters() if self.news else ()
         found = [*self._seeds, *map(address_of, voters), *self._told_of, *map(address_of, self._heard)]
         return [address for address in dict.fromkeys(found) if address != self._address]
--- a/kestrelplank/control/platform_list.py
+++ b/kestrelplank/control/platform_list.py
@@ -6,8 +6,7 @@
 import httpcore
 import msgspec
 
-from kestrelplank.http.call import Line as Connection
-from kestrelplank.http.call import dial
+from kestrelplank.http.call import Connection, dial
 from kestrelplank.settings.platform import endpoint, ns
 from kestrelplank.transport.server_list import Entry
 
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -27,16 +27,16 @@
     SendToAddress,
 )
 from kestrelplank.control.member import ControlMember
-from kestrelplank.control.member_profile import Place
+from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.member_sessions import MemberSessions
 from kestrelplank.control.platform_list import PlatformList
 from kestrelplank.control.server_calls import ServerCalls
 from kestrelplank.control.status import EdgeStatus, MemberStatus
 from kestrelplank.http.serve import Duties, listener, server
 from kestrelplank.settings.platform import Settings, ns
-from kestrelplank.sharding.key_ranges import Line
+from kestrelplank.sharding.key_ranges import KeyRange
 from kestrelplank.storage.log_file import LogFile
-from kestrelplank.transport.messages import EdgeBeat, Envelope, LoadReport, decode_at_member
+from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, LoadReport, decode_at_member
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import FrameConnection, packed
 
@@ -59,7 +59,7 @@
         host, port = settings.listen("control_plane")
         self.address = f"{host}:{port}"
         self.random = Random(SystemRandom().getrandbits(64))
-        self.place = Place(
+        self.place = MemberProfile(
             local.zone,
             local.quorum_member,
             tuple(settings.network.seed_nodes),
@@ -122,7 +122,7 @@
         self.carry_out(self.member.persisted(time.monotonic_ns(), number))
 
     def called(
-        self, service: str, action: str, line: Line, sent: bool, status: int | None, handover: str | None
+        self, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
     ) -> None:
         """A grant or release has ended."""
         self.carry_out(self.member.called(time.monotonic_ns(), service, action, line, sent, status, handover))
@@ -171,23 +171,23 @@
 
     # Connections that came in.
 
-    def on_message(self, wire: FrameConnection, message: Envelope | EdgeBeat | LoadReport) -> None:
+    def on_message(self, wire: FrameConnection, message: Envelope | EdgeHeartbeat | LoadReport) -> None:
         """A message of another member or of an edge machine."""
         now = time.monotonic_ns()
         self.inbound[wire] = now
         if isinstance(message, Envelope):
             self.members.on_inbound(wire, message)
-        elif isinstance(message, EdgeBeat):
+        elif isinstance(message, EdgeHeartbeat):
             self._on_edge_beat(now, wire, message)
         else:
             self.member.load_report(now, message)
 
-    def _on_edge_beat(self, now: int, wire: FrameConnection, beat: EdgeBeat) -> None:
+    def _on_edge_beat(self, now: int, wire: FrameConnection, beat: EdgeHeartbeat) -> None:
         session = self.edges.heard(now, wire, beat.edge)
         if session is None:
             return
         session.said = beat.version
-        for answer in self.member.edge_beat(now, beat, len(self.edges.by_name)):
+        for answer in self.member.on_edge_heartbeat(now, beat, len(self.edges.by_name)):
             wire.send(answer)
 
     def on_end(self, wire: FrameConnection) -> None:
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -60,13 +60,13 @@
 
     def voters(self) -> tuple[str, ...]:
         """All that count by the newest membership in our log, committed or not."""
-        return self.node.membership.everybody() if self.node.membership else ()
+        return self.node.membership.all_voters() if self.node.membership else ()
 
     def counts(self, membership: Membership) -> None:
         """That membership is committed."""
         if self.committed is None or membership.epoch > self.committed.epoch:
             self.committed = membership
-            self.log(f"epoch {membership.epoch}: {', '.join(membership.everybody())} count")
+            self.log(f"epoch {membership.epoch}: {', '.join(membership.all_voters())} count")
 
     def sharded(self) -> list[str]:
         """The services that the configuration in force divides by key."""
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -17,7 +17,7 @@
 
 from kestrelplank.http.call import Answer, Connection, dial
 from kestrelplank.settings.platform import endpoint
-from kestrelplank.sharding.key_ranges import CALL, HOLD, RELEASE, Line
+from kestrelplank.sharding.key_ranges import CALL, HOLD, RELEASE, KeyRange
 
 S = 1_000_000_000
 DIAL = 0.6  # s, for a connection to come up
@@ -25,7 +25,7 @@
 GRANT = "grant"
 FAILED = (OSError, TimeoutError)
 # service, action, line, whether anything was sent, status of the answer if one came, handover that it carried
-Called = Callable[[str, str, Line, bool, int | None, str | None], None]
+Called = Callable[[str, str, KeyRange, bool, int | None, str | None], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     service: str
     server: str
     address: str
-    line: Line
+    line: KeyRange
     until: int
 
     def body(self) -> bytes:
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -1,4 +1,4 @@
-"""All sharded services as the leader decides for them: one `ServiceDecider` each while this member leads. No I/O."""
+"""All sharded services as the leader decides for them: one `ShardAssigner` each while this member leads. No I/O."""
 
 from dataclasses import dataclass
 from random import Random
@@ -7,8 +7,8 @@
 from kestrelplank.control import shard_assignment
 from kestrelplank.control.effects import CallServer, PushToEdges
 from kestrelplank.control.replica import Replica
-from kestrelplank.control.shard_assignment import ServiceDecider
-from kestrelplank.sharding.key_ranges import Line, Server
+from kestrelplank.control.shard_assignment import ShardAssigner
+from kestrelplank.sharding.key_ranges import KeyRange, Server
 from kestrelplank.transport.messages import LoadReport
 from kestrelplank.transport.server_list import READY, ServerList
 
@@ -23,15 +23,15 @@
     term: int
 
 
-class KeyDeciders:
+class ShardAssigners:
     """`servers`: the platform's list."""
 
     def __init__(self, random: Random, replica: Replica, servers: ServerList) -> None:
         self._random, self._replica, self._servers = random, replica, servers
-        self.by_service: dict[str, ServiceDecider] = {}
+        self.by_service: dict[str, ShardAssigner] = {}
         self._laying: dict[str, Laying] = {}
 
-    def decider(self, now: int, service: str) -> ServiceDecider | None:
+    def decider(self, now: int, service: str) -> ShardAssigner | None:
         """Who decides for that service here, while this member leads."""
         return self.by_service.get(service) if self._replica.node.leads(now) else None
 
@@ -46,7 +46,7 @@
             self._work(now, decider)
 
     def called(
-        self, now: int, service: str, action: str, line: Line, sent: bool, status: int | None, handover: str | None
+        self, now: int, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
     ) -> None:
         """A grant or release has ended."""
         decider = self.by_service.get(service)
@@ -74,7 +74,7 @@
         """What an edge machine has seen of servers and keys."""
         decider = self.by_service.get(report.service)
         if decider is not None:
-            decider.placing.report(now, report.keys, report.servers)
+            decider.placement.report(now, report.keys, report.servers)
 
     def keep_only(self, services: list[str]) -> None:
         """Lets go of all others."""
@@ -83,9 +83,9 @@
             self._laying.pop(service, None)
             self._replica.log(f"no longer deciding for {service}")
 
-    def _begin(self, now: int, service: str) -> ServiceDecider:
+    def _begin(self, now: int, service: str) -> ShardAssigner:
         term = self._replica.node.term
-        decider = self.by_service[service] = ServiceDecider(
+        decider = self.by_service[service] = ShardAssigner(
             now,
             service,
             term,
@@ -98,7 +98,7 @@
         self._replica.emit(PushToEdges(decider.news()))
         return decider
 
-    def _work(self, now: int, decider: ServiceDecider) -> None:
+    def _work(self, now: int, decider: ShardAssigner) -> None:
         """Does what is due for a service's lines."""
         if not self._replica.node.leads(now):
             return
--- a/kestrelplank/control/shard_assignment.py
+++ b/kestrelplank/control/shard_assignment.py
@@ -10,17 +10,17 @@
 
 import msgspec
 
-from kestrelplank.sharding.key_ranges import HELD, KEYS, KeyRanges, Line, Server
-from kestrelplank.sharding.placement import Placing
-from kestrelplank.transport.edge_view import Holders
-from kestrelplank.transport.messages import LinesChanged, LinesNews, RangeHolder, RecordPlace
+from kestrelplank.sharding.key_ranges import HELD, KEYS, KeyRange, KeyRanges, Server
+from kestrelplank.sharding.placement import Placement
+from kestrelplank.transport.edge_view import KeyRangeTable
+from kestrelplank.transport.messages import KeyRangesDelta, KeyRangesUpdate, KeyRangesVersion, RangeHolder
 
 S = 1_000_000_000
 PIECES = 4  # lines that a server's part of the keys is made of at first
 SETTLING = 8 * S // 5  # ns that the list must have stood before the first keys are given out: it fills slowly
 
 # A line as recorded: first key, last key, server, its address, fence, handover.
-RecordedLine = tuple[int, int, str, str, int, str | None]
+RecordedKeyRange = tuple[int, int, str, str, int, str | None]
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
@@ -29,18 +29,18 @@
 
     term: int
     number: int
-    lines: list[RecordedLine]
+    lines: list[RecordedKeyRange]
     learnt: dict[str, list[float]]
 
     @property
-    def place(self) -> RecordPlace:
-        return RecordPlace(self.term, self.number)
+    def place(self) -> KeyRangesVersion:
+        return KeyRangesVersion(self.term, self.number)
 
 
 class FormerRecord(msgspec.Struct, frozen=True, array_like=True):
     """A record of before there was a log."""
 
-    lines: list[RecordedLine]
+    lines: list[RecordedKeyRange]
     learnt: dict[str, list[float]]
 
 
@@ -53,7 +53,7 @@
     nothing was ever recorded. Raises ValueError where it is neither."""
     if data is None:
         return NOTHING
-    for form in (Record, FormerRecord, list[RecordedLine]):
+    for form in (Record, FormerRecord, list[RecordedKeyRange]):
         try:
             found = msgspec.msgpack.decode(data, type=form)
         except msgspec.ValidationError:
@@ -66,19 +66,19 @@
     raise ValueError("no record of key ranges")
 
 
-def holders(lines: Iterable[RecordedLine]) -> list[RangeHolder]:
+def holders(lines: Iterable[RecordedKeyRange]) -> list[RangeHolder]:
     """Recorded lines as edge machines are told them."""
     return [RangeHolder(first, last, server, address) for first, last, server, address, _, _ in lines]
 
 
-def lines_news(service: str, record: Record) -> LinesNews:
+def key_ranges_update(service: str, record: Record) -> KeyRangesUpdate:
     """All of a record for edge machines, as a member tells it that does not decide."""
-    return LinesNews(service, record.place, holders(record.lines))
+    return KeyRangesUpdate(service, record.place, holders(record.lines))
 
 
 @dataclass(frozen=True, slots=True)
 class Lay:
-    """Have this record committed, then call `ServiceDecider.recorded`."""
+    """Have this record committed, then call `ShardAssigner.recorded`."""
 
     record: bytes
 
@@ -90,21 +90,21 @@
     action: str
     server: str
     address: str
-    line: Line
+    line: KeyRange
 
 
 @dataclass(frozen=True, slots=True)
 class Tell:
     """Tell every edge machine."""
 
-    news: LinesNews | LinesChanged
+    news: KeyRangesUpdate | KeyRangesDelta
 
 
 @dataclass(frozen=True, slots=True)
 class Bare:
     """These keys had no holder for so long (ns), and have one now."""
 
-    line: Line
+    line: KeyRange
     spell: int
 
     def told(self) -> str:
@@ -116,7 +116,7 @@
 class Still:
     """These keys have had no holder for long, and still have none."""
 
-    line: Line
+    line: KeyRange
 
     def told(self) -> str:
         """As it is logged."""
@@ -126,7 +126,7 @@
 Step = Lay | Call | Tell | Bare | Still
 
 
-class ServiceDecider:
+class ShardAssigner:
     """`found`: the newest record in the log; `target` (ns): within which the service's requests should be answered."""
 
     def __init__(
@@ -135,7 +135,7 @@
         self.service = service
         self.lines = KeyRanges(now, term, found.lines)
         self.lines.listed(now, servers)
-        self.placing = Placing(now, seed, self.lines, target, found.learnt)
+        self.placement = Placement(now, seed, self.lines, target, found.learnt)
         self._term, self._number = term, 0
         self._record, self._place = found, found.place
         self._proposed: Record | None = None
@@ -143,9 +143,11 @@
     def listed(self, now: int, servers: list[Server]) -> None:
         """The platform's list says something new."""
         self.lines.listed(now, servers)
-        self.placing.listed()
+        self.placement.listed()
 
-    def called(self, now: int, action: str, line: Line, sent: bool, status: int | None, handover: str | None) -> bool:
+    def called(
+        self, now: int, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
+    ) -> bool:
         """A grant or release has ended. Returns whether there may be work at once: a renewal's answer changes nothing
         that the pass need know before the next tick."""
         if line not in self.lines.lines:
@@ -159,9 +161,9 @@
             if not self.lines.servers or now - list_changed_at < SETTLING:
                 return []
             self.lines.divide(PIECES * len(self.lines.servers))
-        self.placing.turn(now)
+        self.placement.turn(now)
         steps: list[Step] = []
-        leaving: list[Line] = []
+        leaving: list[KeyRange] = []
         for effect in self.lines.tick(now):
             if effect[0] == "lay":
                 steps.append(self._lay(effect[1]))
@@ -190,20 +192,20 @@
             else:  # on its way to another server already
                 changes.append(RangeHolder(first, last, "", ""))
         since, self._record, self._place = self._place, record, record.place
-        return Tell(LinesChanged(self.service, since, self._place, changes))
+        return Tell(KeyRangesDelta(self.service, since, self._place, changes))
 
-    def news(self) -> LinesNews:
+    def news(self) -> KeyRangesUpdate:
         """All lines for an edge machine that lacks some: as recorded, and what leaves its server since."""
-        recorded = Holders(self._place, holders(self._record.lines))
+        recorded = KeyRangeTable(self._place, holders(self._record.lines))
         leaving = []
         for line in self.lines.lines:
             holder = recorded.of(line.first)
             if holder is not None and (line.state != HELD or line.server != holder.server):
                 leaving.append(RangeHolder(line.first, line.last, "", ""))
-        return LinesNews(self.service, self._place, recorded.lines, leaving)
+        return KeyRangesUpdate(self.service, self._place, recorded.lines, leaving)
 
     @property
-    def place(self) -> RecordPlace:
+    def place(self) -> KeyRangesVersion:
         """Where edge machines stand that have been told everything."""
         return self._place
 
@@ -213,12 +215,12 @@
 
     def _lay(self, lines: list[list]) -> Lay:
         self._number += 1
-        self._proposed = Record(self._term, self._number, [tuple(line) for line in lines], self.placing.learnt())
+        self._proposed = Record(self._term, self._number, [tuple(line) for line in lines], self.placement.learnt())
         return Lay(_encoder.encode(self._proposed))
 
-    def _tell_leaving(self, lines: list[Line]) -> Tell:
+    def _tell_leaving(self, lines: list[KeyRange]) -> Tell:
         """Lines that just leave their servers: requests for these keys had better wait."""
         since = self._place
-        self._place = RecordPlace(since.term, since.record, since.notice + 1)
+        self._place = KeyRangesVersion(since.term, since.record, since.notice + 1)
         ranges = [RangeHolder(line.first, line.last, "", "") for line in sorted(lines, key=lambda line: line.first)]
-        return Tell(LinesChanged(self.service, since, self._place, ranges))
+        return Tell(KeyRangesDelta(self.service, since, self._place, ranges))
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -3,8 +3,8 @@
 import msgspec
 
 from kestrelplank.consensus.progress import Progress
-from kestrelplank.control.shard_assignment import Record, ServiceDecider
-from kestrelplank.sharding.key_ranges import Line
+from kestrelplank.control.shard_assignment import Record, ShardAssigner
+from kestrelplank.sharding.key_ranges import KeyRange
 
 S = 1_000_000_000
 
@@ -79,7 +79,7 @@
     return PeerStatus(peer.match, heard_s, peer.caught_up(commit))
 
 
-def service_status(now: int, decider: ServiceDecider | None, record: Record) -> ServiceStatus:
+def service_status(now: int, decider: ShardAssigner | None, record: Record) -> ServiceStatus:
     """A service, of which `record` is the newest in the log; `decider`: where this member decides for it."""
     return ServiceStatus(
         decides=decider is not None,
@@ -87,11 +87,11 @@
         record=record.number,
         bare_s=round(decider.bare(), 3) if decider else None,
         lines=[line_status(now, line) for line in decider.lines.lines] if decider else [],
-        learnt=decider.placing.learnt() if decider else record.learnt,
+        learnt=decider.placement.learnt() if decider else record.learnt,
     )
 
 
-def line_status(now: int, line: Line) -> LineStatus:
+def line_status(now: int, line: KeyRange) -> LineStatus:
     """A line of the decider's."""
     runs_out_s = round((line.until - now) / S, 3)
     return LineStatus(line.first, line.last, line.server, line.fence, line.state, runs_out_s)
--- a/kestrelplank/edge/client_requests.py
+++ b/kestrelplank/edge/client_requests.py
@@ -68,7 +68,7 @@
 
     def most_body(self) -> int:
         """Bytes that one body may have."""
-        configuration = self.forwarder.view.timetable
+        configuration = self.forwarder.view.configuration
         return configuration.max_body if configuration else BODY_BEFORE_CONFIGURATION
 
 
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -35,9 +35,9 @@
         self.settings = settings
         local, bounds = settings.local_system, settings.bounds
         self.random = Random(SystemRandom().getrandbits(64))
-        self.outlook = EdgeView(local.node_name, tuple(settings.network.seed_nodes))
+        self.view = EdgeView(local.node_name, tuple(settings.network.seed_nodes))
         self.forwarder = Forwarder(
-            self.random, self.outlook, local.zone, bounds.retry_budget_ratio, bounds.retry_allowance, ns(bounds.drain_s)
+            self.random, self.view, local.zone, bounds.retry_budget_ratio, bounds.retry_allowance, ns(bounds.drain_s)
         )
         self.connections = ServerConnections(time.monotonic_ns)
         self.requests = ClientRequests(
@@ -66,7 +66,7 @@
             extra={
                 "counts": self.requests.counts,
                 "held": self.requests.held,
-                "ready": self.outlook.ready(),
+                "ready": self.view.ready(),
                 "sessions": {
                     member: (now - self.heard.get(wire, now)) // 1_000_000 for member, wire in self.wires.items()
                 },
@@ -84,18 +84,18 @@
         """A message of the member at the address `wire.peer`."""
         now = time.monotonic_ns()
         self.heard[wire] = now
-        change = self.outlook.receive(now, wire.peer, message)
+        change = self.view.receive(now, wire.peer, message)
         if change is None:
             return
         if change is Change.CONFIGURATION:
-            timetable = self.outlook.timetable
-            self.set_limits(timetable)
-            log.info("Edge: configuration %08x", timetable.key.version)
+            configuration = self.view.configuration
+            self.set_limits(configuration)
+            log.info("Edge: configuration %08x", configuration.key.version)
         elif change is Change.SERVERS:
-            self.forwarder.endpoints.listed(now, self.outlook.roster.fetched_at, self.outlook.roster.entries.values())
+            self.forwarder.endpoints.listed(now, self.view.servers.fetched_at, self.view.servers.entries.values())
         elif change is Change.MEMBERS:
             self.meet()
-        self.forwarder.budget.edges = self.outlook.edges
+        self.forwarder.budget.edges = self.view.edges
         self.requests.wake()
 
     async def meeting(self) -> None:
@@ -106,7 +106,7 @@
 
     def meet(self) -> None:
         """Sessions with all members that count, or with those that may say who does, and with nobody else."""
-        wanted = self.outlook.to_dial(time.monotonic_ns())
+        wanted = self.view.addresses_to_dial(time.monotonic_ns())
         for member in wanted:
             if member not in self.sessions:
                 self.sessions[member] = asyncio.create_task(self.session(member))
@@ -129,7 +129,7 @@
                 wire.peer, self.wires[member] = member, wire
                 self.heard[wire] = time.monotonic_ns()
                 while wire.open and time.monotonic_ns() - self.heard[wire] < SILENT:
-                    wire.send(self.outlook.stand(time.monotonic_ns()))
+                    wire.send(self.view.heartbeat(time.monotonic_ns()))
                     await asyncio.sleep(BEAT)
             except (OSError, TimeoutError):
                 pass
@@ -149,7 +149,7 @@
         while True:
             await asyncio.sleep(REPORT)
             for service, found in self.forwarder.report().items():
-                wire = self.wires.get(self.outlook.decider(service) or "")
+                wire = self.wires.get(self.view.decider(service) or "")
                 if wire is not None and (found["keys"] or found["servers"]):
                     wire.send(LoadReport(service, found["keys"], found["servers"]))
             servers = self.forwarder.endpoints.by_name.values()
--- a/kestrelplank/emulator/queues.py
+++ b/kestrelplank/emulator/queues.py
@@ -10,7 +10,7 @@
 
 from kestrelplank.sharding.key_ranges import HELD, KEYS, KeyRanges
 from kestrelplank.sharding.key_ranges import Server as Listed
-from kestrelplank.sharding.placement import Met, Placing
+from kestrelplank.sharding.placement import Met, Placement
 
 S = 1_000_000_000
 SPREAD = 0.8  # of the logarithm of the work of a request
@@ -57,7 +57,7 @@
 
 
 class Service:
-    """All servers of one service, `KeyRanges` and `Placing` over them, and a stream of requests by a Zipf law over
+    """All servers of one service, `KeyRanges` and `Placement` over them, and a stream of requests by a Zipf law over
     neighbouring keys; `hot`: a key that takes a part of all (key, part)."""
 
     def __init__(
@@ -87,7 +87,7 @@
         """Another decider begins, with what the former left."""
         self.lines = KeyRanges(self.now(), ballot, found)
         self.lines.listed(self.now(), self.listed)
-        self.placing = Placing(self.now(), ballot, self.lines, round(self.aim * S), known)
+        self.placement = Placement(self.now(), ballot, self.lines, round(self.aim * S), known)
 
     def now(self) -> int:
         return 100 * S + round(self.at * S)
@@ -116,11 +116,11 @@
                     self.came += 1
                     self.next += self.random.expovariate(self.per_s)
                 if self.moves or not self.lines.lines[0].server:
-                    self.placing.turn(self.now())
+                    self.placement.turn(self.now())
                 self.settle()
             for server in self.servers.values():
                 server.drain(self.at)
-            self.placing.report(
+            self.placement.report(
                 self.now(),
                 keys,
                 {name: server.met() for name, server in self.servers.items() if server.tries or server.told},
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -54,7 +54,7 @@
     ) -> tuple[ForwardedRequest | None, Step]:
         """A request has come whole, its body `size` bytes; its client waits `within` ns. Returns the request in hand
         (None where it is refused at the door) and the first step."""
-        configuration = self.view.timetable
+        configuration = self.view.configuration
         if configuration is None:
             return None, self._refuse(Fault.NOT_READY, 300 * MS)
         route = configuration.route(host, path)
--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -56,7 +56,7 @@
     from kestrelplank.control.status import MemberStatus, ServiceStatus
 
 
-def configuration(path: str) -> Any:
+def read_configuration(path: str) -> Any:
     """The configuration in that file; Unusable, in one line, where it is none."""
     from kestrelplank.configuration.plan import read
 
@@ -71,9 +71,9 @@
 
 def check(path: str) -> int:
     """Whether a configuration file is valid; one line either way."""
-    timetable = configuration(path)
-    routes = sum(map(len, timetable.hosts.values()))
-    print(f"{path}: version {timetable.key.version:08x}, {routes} routes, {len(timetable.services)} services")
+    configuration = read_configuration(path)
+    routes = sum(map(len, configuration.hosts.values()))
+    print(f"{path}: version {configuration.key.version:08x}, {routes} routes, {len(configuration.services)} services")
     return 0
 
 
@@ -83,7 +83,7 @@
 
     from kestrelplank.configuration.change import changes
 
-    found = changes(configuration(old), configuration(new))
+    found = changes(read_configuration(old), read_configuration(new))
     if as_json:
         print(json.dumps([change._asdict() for change in found]))
     else:
@@ -155,17 +155,17 @@
     import json
     import time
 
-    timetable = configuration(path)
+    configuration = read_configuration(path)
     try:
         until = time.monotonic() + float(wait)
     except ValueError as err:
         raise Unusable(f"--wait: {wait!r} is no number of seconds") from err
 
     async def send() -> tuple[int, bytes, list[str]]:
-        answered, body = await call(address, b"POST", b"/api/configuration/replace", timetable.text)
+        answered, body = await call(address, b"POST", b"/api/configuration/replace", configuration.text)
         behind: list[str] = []
         while answered == 200:
-            behind = behind_by(await seen_by(address), timetable.key.version)
+            behind = behind_by(await seen_by(address), configuration.key.version)
             if not behind or time.monotonic() >= until:
                 break
             await asyncio.sleep(0.1)
@@ -177,11 +177,11 @@
     elif answered != 200:
         print(f"{address}: refused, {answered}: {json.loads(body).get('why')}")
     elif not json.loads(body)["in_force"]:
-        print(f"{address}: version {timetable.key.version:08x} changed nothing: it is not above the one in force")
+        print(f"{address}: version {configuration.key.version:08x} changed nothing: it is not above the one in force")
         return 1
     else:
         print(
-            f"{address}: version {timetable.key.version:08x} is acknowledged; "
+            f"{address}: version {configuration.key.version:08x} is acknowledged; "
             + (f"behind: {', '.join(behind)}" if behind else "all in session have it")
         )
     return 0 if answered == 200 and not behind else 1
--- a/kestrelplank/http/call.py
+++ b/kestrelplank/http/call.py
@@ -117,9 +117,6 @@
         self.stream.reset()
 
 
-Line = Connection  # the name by which the control program imports it
-
-
 async def dial(address: tuple[str, int], within: float) -> Connection:
     """A new connection within so many seconds; OSError or TimeoutError where none comes up."""
     return Connection(address, await connect(*address, within))
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -64,7 +64,7 @@
     warm_at: int
 
 
-class Line:
+class KeyRange:
     """Keys `first` to `last` (both included). `server` may hold them, `until` at the latest; `flying`: calls that have
     not ended; `void`: the answer of the one that is out will be that of a server that is gone, and counts for nothing.
     `fence` is the grant's, `handover` what it carries. LEAVING: taken from `server`, for `heir` if one is known. FREE:
@@ -103,9 +103,9 @@
     def record(self) -> list[Any]:
         return [self.first, self.last, self.server, self.address, self.fence, self.handover]
 
-    def cut(self, at: int) -> "Line":
+    def cut(self, at: int) -> "KeyRange":
         """Gives away the keys from `at` on, as a line of their own with all that holds of this one."""
-        other = Line(at, self.last, self.server, self.address, self.fence, self.handover)
+        other = KeyRange(at, self.last, self.server, self.address, self.fence, self.handover)
         other.state, other.until, other.due, other.heir = self.state, self.until, self.due, self.heir
         other.laid, other.bare_at = self.laid, self.bare_at
         self.last = at - 1
@@ -118,12 +118,12 @@
     def __init__(self, now: int, ballot: int, found: Any) -> None:
         # Above all that former deciders laid down, though they had to leap over what servers had seen.
         self.fence = max(ballot, *(parts[4] // BALLOT_FENCES + 1 for parts in found or ()), 0) * BALLOT_FENCES
-        self.lines: list[Line] = []
+        self.lines: list[KeyRange] = []
         for parts in found or ():
-            line = Line(*parts)
+            line = KeyRange(*parts)
             line.until = runs_out(now + CALL + SETTLE)
             self.lines.append(line)
-        self._laying: list[Line] | None = None
+        self._laying: list[KeyRange] | None = None
         self.servers: dict[str, Server] = {}
         self.gone: dict[str, int] = {}  # server that the platform no longer lists, since when
         self.moved = 0  # keys that changed hands
@@ -135,7 +135,7 @@
     def divide(self, pieces: int) -> None:
         """Nothing was ever laid down: all keys are free, in so many lines of equal length."""
         for piece in range(pieces):
-            line = Line(KEYS * piece // pieces, KEYS * (piece + 1) // pieces - 1, "", "", 0)
+            line = KeyRange(KEYS * piece // pieces, KEYS * (piece + 1) // pieces - 1, "", "", 0)
             line.state = FREE
             self.lines.append(line)
 
@@ -154,46 +154,46 @@
                 if server is None:
                     self._bared(now, line)
 
-    def _ended(self, now: int, line: Line) -> None:
+    def _ended(self, now: int, line: KeyRange) -> None:
         line.state, line.until, line.handover = FREE, 0, None
         line.void = line.flying > 0
         self._bared(now, line)
 
     @staticmethod
-    def _bared(now: int, line: Line) -> None:
+    def _bared(now: int, line: KeyRange) -> None:
         line.bare_at = now if line.bare_at is None else line.bare_at
 
-    def leave(self, now: int, line: Line, heir: str | None) -> None:
+    def leave(self, now: int, line: KeyRange, heir: str | None) -> None:
         """The line's keys shall go to another server."""
         if line.state == HELD:
             line.state, line.heir, line.due = LEAVING, heir, now
             self._news.append(("leaving", line))
 
-    def cut(self, line: Line, at: int) -> Line:
+    def cut(self, line: KeyRange, at: int) -> KeyRange:
         """Cuts a line in two, the keys from `at` on being the other's. Not while a call is out."""
         other = line.cut(at)
         self.lines.insert(self.lines.index(line) + 1, other)
         return other
 
-    def joinable(self, line: Line, other: Line) -> bool:
+    def joinable(self, line: KeyRange, other: KeyRange) -> bool:
         """Whether `other`, the one behind `line`, can be made a part of it: one server holds both, and nothing is
         under way."""
         return line.server == other.server and all(
             one.state == HELD and one.laid and not one.flying and one.bare_at is None for one in (line, other)
         )
 
-    def join(self, line: Line, other: Line) -> None:
+    def join(self, line: KeyRange, other: KeyRange) -> None:
         """Makes two lines of one server one again, under a fence above both, which is laid down first."""
         self.fence += 1
         line.last, line.fence, line.laid, line.handover = other.last, self.fence, False, None
         line.until = max(line.until, other.until)
         self.lines.remove(other)
 
-    def free(self) -> list[Line]:
+    def free(self) -> list[KeyRange]:
         """Lines that nobody holds and that are not being laid down for anybody."""
         return [line for line in self.lines if line.state == FREE and line.laid]
 
-    def give(self, line: Line, server: Server) -> None:
+    def give(self, line: KeyRange, server: Server) -> None:
         """The line goes to this server, once that is laid down; grants follow."""
         if line.server != server.name:
             self.moved += line.last - line.first + 1
@@ -235,7 +235,7 @@
             line.laid, line.due = True, now
         self._laying = None
 
-    def called(self, now: int, word: str, line: Line, sent: bool, status: int | None, handover: str | None) -> None:
+    def called(self, now: int, word: str, line: KeyRange, sent: bool, status: int | None, handover: str | None) -> None:
         """A call has ended now: `sent`: something of it left us; `status`: the answer's, None where none came."""
         line.flying = 0
         if line.void:
@@ -248,7 +248,7 @@
         elif line.state == LEAVING:
             self._released(now, line, seen, handover)
 
-    def _granted(self, now: int, line: Line, seen: Seen, status: int | None) -> None:
+    def _granted(self, now: int, line: KeyRange, seen: Seen, status: int | None) -> None:
         """A grant has ended. Where it may have arrived, the hold may run from when it can have at the latest."""
         if seen is Seen.ANSWERED:
             line.until, line.handover, line.refused = max(line.until, runs_out(now)), None, 0
@@ -261,7 +261,7 @@
         else:
             line.due = now + AGAIN
 
-    def _released(self, now: int, line: Line, seen: Seen, handover: str | None) -> None:
+    def _released(self, now: int, line: KeyRange, seen: Seen, handover: str | None) -> None:
         """A release has ended. Only its own answer shows that the work on these keys has."""
         if verdict(Call.RELEASE, seen).ran is Ran.YES:
             line.state, line.until, line.handover = FREE, 0, handover
@@ -269,7 +269,7 @@
         else:
             line.due = now + AGAIN
 
-    def _served(self, now: int, line: Line) -> None:
+    def _served(self, now: int, line: KeyRange) -> None:
         """Its keys have a holder."""
         line.still = False
         if line.bare_at is None or line.state != HELD:
@@ -278,7 +278,7 @@
         self.bare += spell * (line.last - line.first + 1)
         self._news.append(("bare", line, spell))
 
-    def _fenced(self, now: int, line: Line) -> None:
+    def _fenced(self, now: int, line: KeyRange) -> None:
         line.refused += 1
         if line.refused > LEAPS and line.state == HELD:
             self.leave(now, line, None)
@@ -286,7 +286,7 @@
             self.fence += 1 if line.refused == 1 else BALLOT_FENCES << line.refused
             line.fence, line.laid = self.fence, False
 
-    def standing_still(self, now: int) -> list[Line]:
+    def standing_still(self, now: int) -> list[KeyRange]:
         """Lines that have had no holder for long, each told once until it has one again."""
         found = [
             line for line in self.lines if not line.still and line.bare_at is not None and now - line.bare_at >= STILL
--- a/kestrelplank/sharding/placement.py
+++ b/kestrelplank/sharding/placement.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from kestrelplank.policy import Conductor
-from kestrelplank.sharding.key_ranges import FREE, HELD, KEYS, LEAVING, KeyRanges, Line, Server
+from kestrelplank.sharding.key_ranges import FREE, HELD, KEYS, LEAVING, KeyRange, KeyRanges, Server
 
 S = 1_000_000_000
 PERIOD = S // 2  # of reports; the pass averages five
@@ -90,7 +90,7 @@
 Met = tuple[int, int, float, int, float, int]
 
 
-class Placing:
+class Placement:
     """One service's placement while we decide for it."""
 
     def __init__(
@@ -101,8 +101,8 @@
         self._seed, self._target = seed, target
         self._pass: Conductor | None = None  # made with the first lines: its periods count from then on
         self._given = 0  # numbers of slices
-        self._numbers: dict[int, Line] = {}
-        self._of: dict[Line, int] = {}
+        self._numbers: dict[int, KeyRange] = {}
+        self._of: dict[KeyRange, int] = {}
         self._nodes: dict[str, int] = {}
         self._names: dict[int, str] = {}
         self._zones: dict[str, int] = {}
@@ -110,7 +110,7 @@
         self._fresh_keys: list[int] = []  # told since the last period
         self._sorted: list[int] = []  # all of these, and the newest
         self._newest: list[int] = []
-        self._changed: set[Line] = set()  # lines whose newest requests clearly differ from what was usual
+        self._changed: set[KeyRange] = set()  # lines whose newest requests clearly differ from what was usual
         self._met: deque[tuple[int, Mapping[str, Met]]] = deque()
         self._sums: dict[str, list[int]] = {}  # of these by server: tries, failures and reports
         self._fresh: dict[str, list[float]] = {}  # what servers told since the last period
@@ -119,7 +119,7 @@
         self._told_at, self._round_at = now, now
         self._began: int | None = None  # when the first requests that we were told of came
         self._roster_due = True
-        self._joining: dict[Line, Line] = {}  # line on its way to the server of the one before it
+        self._joining: dict[KeyRange, KeyRange] = {}  # line on its way to the server of the one before it
 
     def learnt(self) -> dict[str, list[float]]:
         """What is known of each server, for the record: else each new decider would begin with none."""
@@ -189,13 +189,13 @@
                 self._lines.give(line, servers[place])
                 heapreplace(fullest, (load + 1 / servers[place].slots, place))
 
-    def _order(self, now: int, line: Line, name: str) -> None:
+    def _order(self, now: int, line: KeyRange, name: str) -> None:
         if line.state == HELD and line.server != name:
             self._lines.leave(now, line, name)
         elif line.state == LEAVING or line.state == FREE:
             line.heir = name
 
-    def _number(self, line: Line) -> int:
+    def _number(self, line: KeyRange) -> int:
         self._given += 1
         self._numbers[self._given], self._of[line] = line, self._given
         return self._given
@@ -291,7 +291,7 @@
         if any(abs(one / self._worth.get(name, 1.0) - 1) > 0.1 for name, one in worth.items()):
             self._worth, self._roster_due = worth, True
 
-    def _heats(self, now: int, span: int) -> dict[Line, float]:
+    def _heats(self, now: int, span: int) -> dict[KeyRange, float]:
         """Requests a second by line."""
         lines = self._lines.lines
         ends = [line.last for line in lines]
@@ -310,7 +310,7 @@
         usual = FLOOR * max(sum(heats.values()), len(self._lines.servers)) / KEYS
         return {line: heat + usual * (line.last - line.first + 1) for line, heat in heats.items()}
 
-    def _cuts(self, heats: dict[Line, float], mean: float) -> list[tuple[Any, ...]]:
+    def _cuts(self, heats: dict[KeyRange, float], mean: float) -> list[tuple[Any, ...]]:
         """Cuts what is too hot, the hottest first, each once a period."""
         events: list[tuple[Any, ...]] = []
         room = MOST_LINES * max(1, len(self._lines.servers)) - len(self._lines.lines)
@@ -340,7 +340,7 @@
             heats[other], heats[line] = heats[line] * share, heats[line] * (1 - share)
         return events
 
-    def _joins(self, now: int, heats: dict[Line, float], mean: float) -> list[tuple[Any, ...]]:
+    def _joins(self, now: int, heats: dict[KeyRange, float], mean: float) -> list[tuple[Any, ...]]:
         """Makes cool neighbours one line again, a pair a period, so that there is room for cuts where the heat goes
         next. The pass knows no more of a line that goes to its neighbour's server for that."""
         lines = self._lines.lines
@@ -389,7 +389,7 @@
     return left
 
 
-def within(keys: list[int], line: Line) -> list[int]:
+def within(keys: list[int], line: KeyRange) -> list[int]:
     """Those of the sorted keys that lie in the line."""
     return keys[bisect_left(keys, line.first) : bisect_right(keys, line.last)]
 
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -5,15 +5,15 @@
 from enum import Enum
 
 from kestrelplank.configuration.plan import Configuration, read
-from kestrelplank.consensus.messages import ServerListNews
+from kestrelplank.consensus.messages import ServerListUpdate
 from kestrelplank.transport.messages import (
-    ConfigurationNews,
-    EdgeBeat,
-    LinesChanged,
-    LinesNews,
-    MemberBeat,
+    ConfigurationUpdate,
+    EdgeHeartbeat,
+    KeyRangesDelta,
+    KeyRangesUpdate,
+    KeyRangesVersion,
+    MemberHeartbeat,
     RangeHolder,
-    RecordPlace,
     ToEdge,
 )
 from kestrelplank.transport.server_list import ServerList
@@ -33,14 +33,14 @@
     MEMBERS = "members"
 
 
-class Holders:
+class KeyRangeTable:
     """The lines of one service, by the highest place that has come."""
 
-    def __init__(self, place: RecordPlace, lines: list[RangeHolder]) -> None:
+    def __init__(self, place: KeyRangesVersion, lines: list[RangeHolder]) -> None:
         self.place, self.lines = place, lines
         self._firsts = [line.first for line in lines]
 
-    def under(self, place: RecordPlace, changes: list[RangeHolder]) -> "Holders":
+    def under(self, place: KeyRangesVersion, changes: list[RangeHolder]) -> "KeyRangeTable":
         """These lines with `changes`, in order and apart, laid over them."""
         lines, left = [], changes[::-1]
         for line in self.lines:
@@ -55,7 +55,7 @@
                 lines.append(left.pop())
             if first <= line.last:
                 lines.append(RangeHolder(first, line.last, line.server, line.address))
-        return Holders(place, lines + left[::-1])
+        return KeyRangeTable(place, lines + left[::-1])
 
     def of(self, key: int) -> RangeHolder | None:
         place = bisect_right(self._firsts, key) - 1
@@ -72,9 +72,9 @@
         self.name, self.seeds = name, seeds
         self.members: tuple[str, ...] = ()
         self.epoch, self.term, self.leader = -1, -1, ""
-        self.timetable: Configuration | None = None
-        self.holders: dict[str, Holders] = {}
-        self.roster = ServerList()
+        self.configuration: Configuration | None = None
+        self.holders: dict[str, KeyRangeTable] = {}
+        self.servers = ServerList()
         self.edges = 1
         self._heard_at: int | None = None  # when a member that counts last spoke
         self._vouched = False  # whether a current member has vouched for what is held here
@@ -83,17 +83,17 @@
         """A message of the member at that address. Returns what has changed by it, if anything."""
         if member in self.members:
             self._heard_at = now
-        if isinstance(message, MemberBeat):
+        if isinstance(message, MemberHeartbeat):
             return self._told_members(now, member, message)
-        if isinstance(message, ConfigurationNews):
+        if isinstance(message, ConfigurationUpdate):
             return self._told_configuration(message)
-        if isinstance(message, LinesNews):
+        if isinstance(message, KeyRangesUpdate):
             return self._told_lines(message)
-        if isinstance(message, LinesChanged):
+        if isinstance(message, KeyRangesDelta):
             return self._told_changes(message)
         return self._told_servers(now, message)
 
-    def _told_members(self, now: int, member: str, beat: MemberBeat) -> Change | None:
+    def _told_members(self, now: int, member: str, beat: MemberHeartbeat) -> Change | None:
         """Who counts, who leads, and whether what we hold is the newest in force."""
         if beat.epoch < self.epoch:
             return None  # by a membership that is no more: it may not vouch, and knows less than we do
@@ -111,52 +111,52 @@
 
     def _holds(self, version: int | None) -> bool:
         """Whether nothing newer than what is held here is in force, if that version is."""
-        if self.timetable is None:
+        if self.configuration is None:
             return False
-        return version is None or version <= self.timetable.key.version
+        return version is None or version <= self.configuration.key.version
 
-    def _told_configuration(self, news: ConfigurationNews) -> Change | None:
-        if self.timetable is not None and news.version <= self.timetable.key.version:
+    def _told_configuration(self, news: ConfigurationUpdate) -> Change | None:
+        if self.configuration is not None and news.version <= self.configuration.key.version:
             return None  # never back within a life
         found = read(news.text).value_or(None)
         if found is None:
             return None
-        self.timetable = found
+        self.configuration = found
         return Change.CONFIGURATION
 
-    def _told_lines(self, news: LinesNews) -> Change | None:
+    def _told_lines(self, news: KeyRangesUpdate) -> Change | None:
         held = self.holders.get(news.service)
         if held is not None and news.place <= held.place:
             return None
-        self.holders[news.service] = Holders(news.place, news.lines).under(news.place, news.leaving)
+        self.holders[news.service] = KeyRangeTable(news.place, news.lines).under(news.place, news.leaving)
         return Change.LINES
 
-    def _told_changes(self, news: LinesChanged) -> Change | None:
+    def _told_changes(self, news: KeyRangesDelta) -> Change | None:
         held = self.holders.get(news.service)
         if held is None or held.place != news.since:
             return None  # what came between is missed, or known already: our next beat says where we stand
         self.holders[news.service] = held.under(news.place, news.lines)
         return Change.LINES
 
-    def _told_servers(self, now: int, news: ServerListNews) -> Change | None:
-        return Change.SERVERS if self.roster.take(now, news.age, news.entries) else None
+    def _told_servers(self, now: int, news: ServerListUpdate) -> Change | None:
+        return Change.SERVERS if self.servers.take(now, news.age, news.entries) else None
 
-    def stand(self, now: int) -> EdgeBeat:
+    def heartbeat(self, now: int) -> EdgeHeartbeat:
         """Where this machine stands, as it says in each beat; what it lacks is sent in return."""
-        return EdgeBeat(
+        return EdgeHeartbeat(
             self.name,
-            self.timetable.key.version if self.timetable else None,
+            self.configuration.key.version if self.configuration else None,
             {service: held.place for service, held in self.holders.items()},
-            self.roster.digest() if self.roster.fetched_at is not None else None,
+            self.servers.digest() if self.servers.fetched_at is not None else None,
             now,
         )
 
     def ready(self) -> bool:
         """Whether requests may be taken: a current member of the newest epoch has vouched for what is held here, and a
         list of servers has come. Once it is so it stays so: what comes later is newer."""
-        return self._vouched and self.roster.fetched_at is not None
+        return self._vouched and self.servers.fetched_at is not None
 
-    def to_dial(self, now: int) -> tuple[str, ...]:
+    def addresses_to_dial(self, now: int) -> tuple[str, ...]:
         """Addresses of the members that a session is wanted with."""
         if self._heard_at is not None and now - self._heard_at < FALLBACK:
             return self.members
--- a/kestrelplank/transport/messages.py
+++ b/kestrelplank/transport/messages.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from kestrelplank.consensus.messages import Message, ServerListNews
+from kestrelplank.consensus.messages import Message, ServerListUpdate
 
 
-class RecordPlace(msgspec.Struct, frozen=True, array_like=True, order=True):
+class KeyRangesVersion(msgspec.Struct, frozen=True, array_like=True, order=True):
     """Which lines of a service are meant: the term of the leader that recorded them, the number of the record in that
     term, and how many notices of leaving ranges it has told on top of that record."""
 
@@ -29,14 +29,14 @@
 # From an edge machine to a control member.
 
 
-class EdgeBeat(msgspec.Struct, frozen=True, array_like=True, tag="edge"):
+class EdgeHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="edge"):
     """Where an edge machine stands: the version that it goes by (None: none yet), the place of the lines that it has by
     service, and the digest of its list of servers (None: none yet). What it lacks is sent in return. `sent_at`: ns on
     its own steady clock, which the answer gives back."""
 
     edge: str
     version: int | None
-    lines: dict[str, RecordPlace]
+    lines: dict[str, KeyRangesVersion]
     servers: int | None
     sent_at: int = 0
 
@@ -53,8 +53,8 @@
 # From a control member to an edge machine.
 
 
-class MemberBeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """Told in answer to each `EdgeBeat`. `epoch`, `voters`: the newest membership that is committed here, control
+class MemberHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
+    """Told in answer to each `EdgeHeartbeat`. `epoch`, `voters`: the newest membership that is committed here, control
     addresses; `term`, `leader`: who leads as far as is known here ("": nobody). `current`: the sender may vouch that
     `version` (None: no configuration yet) is in force. `edges`: edge machines in session with it. `answers`: `sent_at`
     of the beat that this answers, so that the edge machine knows how old this word is at most."""
@@ -69,32 +69,32 @@
     answers: int = 0
 
 
-class ConfigurationNews(msgspec.Struct, frozen=True, array_like=True, tag="configuration"):
+class ConfigurationUpdate(msgspec.Struct, frozen=True, array_like=True, tag="configuration"):
     """The configuration in force, as the operator sent it."""
 
     version: int
     text: bytes
 
 
-class LinesNews(msgspec.Struct, frozen=True, array_like=True, tag="lines"):
+class KeyRangesUpdate(msgspec.Struct, frozen=True, array_like=True, tag="lines"):
     """All lines of a service as recorded, and the ranges that just leave their holders."""
 
     service: str
-    place: RecordPlace
+    place: KeyRangesVersion
     lines: list[RangeHolder]
     leaving: list[RangeHolder] = []
 
 
-class LinesChanged(msgspec.Struct, frozen=True, array_like=True, tag="changed"):
+class KeyRangesDelta(msgspec.Struct, frozen=True, array_like=True, tag="changed"):
     """What is other at `place` than it was at `since`; of use only to who stands at `since`."""
 
     service: str
-    since: RecordPlace
-    place: RecordPlace
+    since: KeyRangesVersion
+    place: KeyRangesVersion
     lines: list[RangeHolder]
 
 
-ToEdge = MemberBeat | ConfigurationNews | LinesNews | LinesChanged | ServerListNews
+ToEdge = MemberHeartbeat | ConfigurationUpdate | KeyRangesUpdate | KeyRangesDelta | ServerListUpdate
 
 
 # Between control members.
@@ -109,7 +109,7 @@
     message: Message
 
 
-ToMember = Envelope | EdgeBeat | LoadReport
+ToMember = Envelope | EdgeHeartbeat | LoadReport
 
 _encoder = msgspec.msgpack.Encoder()
 _to_edge = msgspec.msgpack.Decoder(ToEdge)
--- a/kestrelplank/transport/server_list.py
+++ b/kestrelplank/transport/server_list.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from kestrelplank.consensus.messages import ServerListNews
+from kestrelplank.consensus.messages import ServerListUpdate
 
 READY, DRAINING = "ready", "draining"
 
@@ -60,9 +60,9 @@
     def age(self, now: int) -> int | None:
         return None if self.fetched_at is None else now - self.fetched_at
 
-    def news(self, now: int) -> ServerListNews:
+    def news(self, now: int) -> ServerListUpdate:
         """The list as it is told to others. Only where one has come."""
-        return ServerListNews(now - (self.fetched_at or 0), [tuple(entry) for entry in self.entries.values()])
+        return ServerListUpdate(now - (self.fetched_at or 0), [tuple(entry) for entry in self.entries.values()])
 
     def digest(self) -> int:
         """Short for what the list says, to see whether another has the same."""
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -34,7 +34,7 @@
     ReadConfiguration,
     ReadResult,
     Snapshot,
-    SnapshotPiece,
+    SnapshotChunk,
     SubmitOrder,
     address_of,
     identity_of,
@@ -74,7 +74,7 @@
 
 def size_of(message: Message) -> int:
     """About how many bytes of content it has."""
-    if isinstance(message, SnapshotPiece):
+    if isinstance(message, SnapshotChunk):
         return len(message.data)
     if isinstance(message, Append):
         return sum(len(getattr(entry.command, "text", b"")) for entry in message.entries)
@@ -376,7 +376,7 @@
             return
         voters = node.membership.voters
         for other in self.running():
-            if other.identity in node.membership.everybody() or not self.reach(machine, other):
+            if other.identity in node.membership.all_voters() or not self.reach(machine, other):
                 continue
             node.add_learner(other.identity)
             lost = [voter for voter in voters if address_of(voter) == other.address]
@@ -510,7 +510,7 @@
 
     def _send_from_core(self, machine: Machine, effect: Send) -> None:
         disk = machine.disk
-        self.pieces_sent += isinstance(effect.message, SnapshotPiece)
+        self.pieces_sent += isinstance(effect.message, SnapshotChunk)
         self.checks.sent(machine.identity, effect.to, effect.message, disk.hard_state, disk.last_index)
         self.send(machine, effect.to, effect.message)
 
@@ -696,7 +696,7 @@
         return all(machine.replica.index == self.checks.last_index for machine in self.running())
 
     def calm(self, within: int = 30 * S) -> None:
-        """End all troubles, start what is down, and play until everybody has caught up."""
+        """End all troubles, start what is down, and play until all_voters has caught up."""
         self.conditions = Conditions()
         self.join()
         for name, machine in self.machines.items():
--- a/tests/consensus/replacing.py
+++ b/tests/consensus/replacing.py
@@ -102,7 +102,7 @@
     def _keep_learners(self, machine: Machine) -> None:
         """The leader sends its log to all that run, and to nobody else but those that count."""
         node = machine.node
-        counted = node.membership.everybody()
+        counted = node.membership.all_voters()
         running = [one.identity for one in self.running() if self.reach(machine, one) and one.identity not in counted]
         for identity in running:
             node.add_learner(identity)
@@ -118,7 +118,7 @@
         found = [self._candidate(machine.identity, now, caught_up=True)]
         for identity, peer in node.peers.items():
             heard_at = peer.heard_at
-            if identity in node.membership.everybody():
+            if identity in node.membership.all_voters():
                 heard_at = max(heard_at, self._heard_before_election(machine, identity))
             found.append(self._candidate(identity, heard_at, peer.caught_up(node.commit)))
         return found
--- a/tests/consensus/test_cases.py
+++ b/tests/consensus/test_cases.py
@@ -7,10 +7,10 @@
 
 from consensus.cluster import IN_FORCE, MS, OVERTAKEN, UNKNOWN, Cluster, Conditions, S
 from kestrelplank.consensus.node import LEADER, LEASE, SLACK
-from kestrelplank.consensus.snapshots import PIECE_BYTES
+from kestrelplank.consensus.snapshots import CHUNK_BYTES
 
 SOON = 10 * S  # by which a cluster without trouble has a leader and all are current
-LARGE = b"x" * (4 * PIECE_BYTES + 17)  # a configuration whose snapshot takes five pieces
+LARGE = b"x" * (4 * CHUNK_BYTES + 17)  # a configuration whose snapshot takes five pieces
 PIECES = 5
 
 
@@ -378,7 +378,7 @@
 def pieces_taken(cluster, name, count):
     """Whether the member has that many bytes of a snapshot that it still receives."""
     incoming = cluster.machines[name].node.incoming
-    return incoming is not None and len(incoming.data) >= count * PIECE_BYTES
+    return incoming is not None and len(incoming.data) >= count * CHUNK_BYTES
 
 
 @pytest.mark.parametrize("trouble", ["reset", "cut", "frozen"])
--- a/tests/consensus/test_histories.py
+++ b/tests/consensus/test_histories.py
@@ -1,5 +1,5 @@
 """Random histories of a whole cluster under all troubles that are borne, each from one seed. Whatever happens, the
-invariants of `checks` hold after every step; after the troubles everybody catches up, and orders are taken again."""
+invariants of `checks` hold after every step; after the troubles all_voters catches up, and orders are taken again."""
 
 from random import Random
 
@@ -183,7 +183,7 @@
     # The whole.
 
     def play(self, span: int) -> None:
-        """Troubles for `span` ns, then calm: everybody catches up, and an order is taken."""
+        """Troubles for `span` ns, then calm: all_voters catches up, and an order is taken."""
         cluster = self.cluster
         cluster.at(0, self.operate)
         cluster.at(S + self.random.randrange(4 * S), self.trouble)
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -274,10 +274,10 @@
 def test_every_set_of_tolerated_losses_is_replaced(count, losses):
     """Of `count` machines the first 2 * losses + 1 count. Whichever of them fall silent, and however many: what the
     others can replace is replaced, and no plan leaves a silent voter in while a standby is out."""
-    everybody = "abcdefghijk"[:count]
-    voters, standbys = everybody[: 2 * losses + 1], everybody[2 * losses + 1 :]
+    all_voters = "abcdefghijk"[:count]
+    voters, standbys = all_voters[: 2 * losses + 1], all_voters[2 * losses + 1 :]
     for lost in permutations(voters[1:], losses):
-        known = " ".join(f"{name}:silent" if name in lost else name for name in everybody)
+        known = " ".join(f"{name}:silent" if name in lost else name for name in all_voters)
         planned = plan(" ".join(voters), known, 2 * losses + 1)
         replaced = min(losses, len(standbys))
         if replaced == 0:
--- a/tests/consensus/test_membership_model.py
+++ b/tests/consensus/test_membership_model.py
@@ -55,7 +55,7 @@
     outgoing: int = 0
 
     @property
-    def everybody(self):
+    def all_voters(self):
         return self.voters | self.outgoing
 
 
@@ -107,7 +107,7 @@
 @cache
 def is_quorum(group, yes, defect=None):
     if defect == "one majority of both sides together":
-        both = group.everybody
+        both = group.all_voters
         return 2 * (both & yes).bit_count() > both.bit_count()
     return all(2 * (side & yes).bit_count() > side.bit_count() for side in group if side)
 
@@ -169,7 +169,7 @@
 
 def elections(world, me, member, defect, bounds):
     group, _ = newest(member.log)
-    if not group.everybody >> me & 1:
+    if not group.all_voters >> me & 1:
         return
     for quorum in least_quorums(group, defect):
         chosen = places_in(quorum)
@@ -201,7 +201,7 @@
     if known == 0 and voter >= FOUNDERS:
         return True  # it was told of no membership yet
     group, _ = newest(own.log)
-    return bool(group.everybody >> candidate & 1) or epoch(asked.log) > known
+    return bool(group.all_voters >> candidate & 1) or epoch(asked.log) > known
 
 
 def own_match(me, log):
@@ -232,7 +232,7 @@
     for other, peer in enumerate(world.members):
         if other == me or peer.gone or peer.term > member.term:
             continue
-        if not group.everybody >> other & 1 and defect != "news for those that do not count":
+        if not group.all_voters >> other & 1 and defect != "news for those that do not count":
             continue
         log = member.log if peer.log[: len(member.log)] != member.log else peer.log
         if peer.term == member.term and log == peer.log and member.match[other] == len(member.log):
@@ -291,12 +291,12 @@
 def out(world):
     """The wiped members that may still be needed."""
     group, place = newest(world.committed)
-    counted = group.everybody
+    counted = group.all_voters
     for member in world.members:
         if not member.gone:
             for entry in member.log[place:]:
                 if entry.group is not None:
-                    counted |= entry.group.everybody
+                    counted |= entry.group.all_voters
     return [one for one in EVERYBODY if world.members[one].gone and counted >> one & 1]
 
 
@@ -328,7 +328,7 @@
     running = [one for one in EVERYBODY if one != missing and not world.members[one].gone]
     for me in running:
         group, _ = newest(world.members[me].log)
-        if not group.everybody >> me & 1:
+        if not group.all_voters >> me & 1:
             continue
         would = 0
         for one in running:
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -25,10 +25,10 @@
     SendMessage,
     SendToAddress,
 )
-from kestrelplank.control.member_profile import Place
+from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.sharding.key_ranges import HELD, HOLD, KEYS
 from kestrelplank.transport.edge_view import EdgeView
-from kestrelplank.transport.messages import ConfigurationNews, LoadReport
+from kestrelplank.transport.messages import ConfigurationUpdate, LoadReport
 from kestrelplank.transport.server_list import Entry
 
 NAMES = ("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80")
@@ -103,7 +103,7 @@
 
     def place(self, name, seeds=None):
         zone = self.zones.get(name, f"zone-{name.split('.')[3].split(':')[0]}")
-        return Place(zone, name not in self.ineligible, tuple(seeds or self.seeds), self.losses, 6 * S)
+        return MemberProfile(zone, name not in self.ineligible, tuple(seeds or self.seeds), self.losses, 6 * S)
 
     def start(self, name, first=False, seeds=None):
         """`seeds`: what the platform names, where it is not what it was at first."""
@@ -179,20 +179,20 @@
             self.run(name, self.members[name].receive(self.now, sender, message))
 
     def push(self, name, message):
-        if name in self.edge.to_dial(self.now) and self.reaches(name, EDGE) and not self.edge_loses_news:
+        if name in self.edge.addresses_to_dial(self.now) and self.reaches(name, EDGE) and not self.edge_loses_news:
             self.tell_edge(name, message)
 
     def tell_edge(self, name, message):
-        if isinstance(message, ConfigurationNews):
+        if isinstance(message, ConfigurationUpdate):
             self.one_text(message.version, message.text)
-        before = self.edge.timetable.key.version if self.edge.timetable else -1
+        before = self.edge.configuration.key.version if self.edge.configuration else -1
         self.edge.receive(self.now, name, message)
-        assert (self.edge.timetable.key.version if self.edge.timetable else -1) >= before
+        assert (self.edge.configuration.key.version if self.edge.configuration else -1) >= before
 
     def beat(self):
         """The edge machine's beat to each member."""
         for name in self.edge_sessions():
-            for message in self.members[name].edge_beat(self.now, self.edge.stand(self.now), 1):
+            for message in self.members[name].on_edge_heartbeat(self.now, self.edge.heartbeat(self.now), 1):
                 self.tell_edge(name, message)
 
     def report(self):
@@ -208,7 +208,7 @@
         """Members that the edge machine is in session with."""
         return [
             name
-            for name in self.edge.to_dial(self.now)
+            for name in self.edge.addresses_to_dial(self.now)
             if name in self.members
             and name not in self.frozen
             and self.reaches(name, EDGE)
@@ -376,19 +376,19 @@
 
     def decider(self):
         name = self.leader()
-        return name if name is not None and self.members[name].deciders else None
+        return name if name is not None and self.members[name].shard_assigners else None
 
     def followers(self):
         return [name for name in self.members if name != self.leader()]
 
     def voters(self):
         """Addresses of all that count, as the leader has it."""
-        return [address_of(one) for one in self.members[self.leader()].committed.everybody()]
+        return [address_of(one) for one in self.members[self.leader()].committed.all_voters()]
 
     def decided(self):
         """The lines of whoever decides."""
         name = self.decider()
-        return self.members[name].deciders["views"].lines.lines if name else []
+        return self.members[name].shard_assigners["views"].lines.lines if name else []
 
     def lines(self):
         return [(line.first, line.last, line.server) for line in self.decided()]
--- a/tests/control/test_changes_of_members.py
+++ b/tests/control/test_changes_of_members.py
@@ -302,11 +302,13 @@
     going = system.leader()
     system.stop(going)
     system.turn(GRACE)
-    assert sorted(system.edge.to_dial(system.now)) == sorted([*(name for name in NAMES if name != going), FOURTH])
+    assert sorted(system.edge.addresses_to_dial(system.now)) == sorted(
+        [*(name for name in NAMES if name != going), FOURTH]
+    )
     system.cut = {frozenset((name, "edge")) for name in NAMES}  # the newcomer is all that it reaches
     order = system.put(system.leader(), 5)
     system.turn(1)
-    assert order.acknowledged and system.edge.timetable.key.version == 5
+    assert order.acknowledged and system.edge.configuration.key.version == 5
 
 
 def test_as_many_count_as_bear_two_losses():
--- a/tests/control/test_member.py
+++ b/tests/control/test_member.py
@@ -295,7 +295,7 @@
     system.turn(HOLD / S + 8)
     assert len(system.versions()) == 1 and min(system.versions()) >= system.acknowledged
     assert system.all_count() and system.all_current()
-    assert system.all_held() and system.edge.timetable.key.version >= system.acknowledged
+    assert system.all_held() and system.edge.configuration.key.version >= system.acknowledged
 
 
 @pytest.mark.parametrize("lines_alone", [True, False])
--- a/tests/control/test_member_sessions.py
+++ b/tests/control/test_member_sessions.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-from kestrelplank.consensus.messages import Membership, MembershipNews, WhoCounts
+from kestrelplank.consensus.messages import Membership, MembershipQuery, MembershipUpdate
 from kestrelplank.control.member_sessions import MemberSessions
 from kestrelplank.rehearsal.yard import free_port
-from kestrelplank.transport.messages import EdgeBeat, Envelope, decode_at_member
+from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, decode_at_member
 from kestrelplank.transport.wire import FrameConnection
 
 ONE, TWO = "127.0.0.1", "127.0.0.2"
-NEWS = MembershipNews(Membership(0, ("a:1/first",)), "", ())
+NEWS = MembershipUpdate(Membership(0, ("a:1/first",)), "", ())
 
 
 class Member:
@@ -66,8 +66,8 @@
 def test_a_message_goes_over_the_session_that_was_dialled_and_its_answer_back_over_it():
     async def play(one, two):
         one.sessions.dial([f"{TWO}:80"])  # the other dials nobody
-        await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", WhoCounts()), two)
-        assert two.met[0] == (one.identity, WhoCounts())
+        await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
+        assert two.met[0] == (one.identity, MembershipQuery())
         two.sessions.send(one.identity, NEWS)
         await until(lambda: one.met)
         assert one.met == [(two.identity, NEWS)]
@@ -78,7 +78,7 @@
 def test_what_is_meant_for_a_former_incarnation_reaches_nobody():
     async def play(one, two):
         one.sessions.dial([f"{TWO}:80"])
-        await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", WhoCounts()), two)
+        await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
         seen = len(two.met)
         one.sessions.send(f"{TWO}:80/former", NEWS)
         one.sessions.send(two.identity, NEWS)
@@ -94,14 +94,14 @@
         _, wire = await loop.create_connection(
             lambda: FrameConnection(decode_at_member, lambda *_: None, lambda _: None), TWO, two.port
         )
-        wire.send(Envelope("127.0.0.9:80/a", "", WhoCounts()))
+        wire.send(Envelope("127.0.0.9:80/a", "", MembershipQuery()))
         wire.send(Envelope("127.0.0.9:80/b", "", NEWS))
         wire.send(Envelope("127.0.0.9:80/a", "", NEWS))
         await until(lambda: len(two.met) == 2)
-        assert two.met == [("127.0.0.9:80/a", WhoCounts()), ("127.0.0.9:80/a", NEWS)]
+        assert two.met == [("127.0.0.9:80/a", MembershipQuery()), ("127.0.0.9:80/a", NEWS)]
         wire.reset()
         one.sessions.dial([f"{TWO}:80"])
-        await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", WhoCounts()), two)
+        await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
         (session,) = two.sessions._inbound.by_name.values()
         for sender in ("127.0.0.2:80/y", "127.0.0.2:80/z", "127.0.0.2:80/y"):
             session.wire.send(Envelope(sender, one.identity, NEWS))
@@ -114,9 +114,9 @@
 def test_words_of_edge_machines_on_a_connection_that_we_dialled_are_nobodys():
     async def play(one, two):
         one.sessions.dial([f"{TWO}:80"])
-        await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", WhoCounts()), two)
+        await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
         (session,) = two.sessions._inbound.by_name.values()
-        session.wire.send(EdgeBeat("edge-1", None, {}, None))
+        session.wire.send(EdgeHeartbeat("edge-1", None, {}, None))
         session.wire.send(Envelope(two.identity, one.identity, NEWS))
         await until(lambda: one.met)
         assert one.met == [(two.identity, NEWS)]
@@ -127,7 +127,7 @@
 def test_who_is_no_longer_wanted_is_let_go_of_and_who_ended_is_dialled_anew():
     async def play(one, two):
         one.sessions.dial([f"{TWO}:80"])
-        send = lambda: one.sessions.send_to_address(f"{TWO}:80", WhoCounts())  # noqa: E731
+        send = lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery())  # noqa: E731
         await told(one, send, two)
         (session,) = two.sessions._inbound.by_name.values()
         session.wire.reset()
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -15,7 +15,7 @@
     SubmitOrder,
 )
 from kestrelplank.control.pending_calls import MOST, PATIENCE
-from kestrelplank.transport.messages import EdgeBeat
+from kestrelplank.transport.messages import EdgeHeartbeat
 
 OTHER = {"service_table": [{"name": "views", "sharded": True}, {"name": "orders"}, {"name": "more"}]}
 AT_ONCE = 0
@@ -39,7 +39,7 @@
 
 def vouches(system, name):
     """Whether that member tells edge machines that it is current."""
-    (beat, *_) = system.members[name].edge_beat(system.now, EdgeBeat("edge-9", None, {}, None), 1)
+    (beat, *_) = system.members[name].on_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)
     return beat.current
 
 
@@ -96,7 +96,10 @@
     system.turn(3)
     order, found = system.put(name, 5), system.show(name)
     assert order.acknowledged is False and found.known is False and not vouches(system, name)
-    assert system.members[name].edge_beat(system.now, EdgeBeat("edge-9", None, {}, None), 1)[0].version is None
+    assert (
+        system.members[name].on_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)[0].version
+        is None
+    )
 
 
 def test_no_loss_that_is_borne_loses_an_acknowledged_change():
@@ -387,4 +390,4 @@
     system.cut = {frozenset((system.leader(), EDGE))}
     order = system.put(system.leader(), 5)
     system.turn(1)
-    assert order.acknowledged and system.edge.timetable.key.version == 5 and system.edge.ready()
+    assert order.acknowledged and system.edge.configuration.key.version == 5 and system.edge.ready()
--- a/tests/control/test_server_calls.py
+++ b/tests/control/test_server_calls.py
@@ -8,7 +8,7 @@
 from edge.stage import IP, ScriptedServer
 
 from kestrelplank.control.server_calls import GRANTS, RELEASES, ServerCalls
-from kestrelplank.sharding.key_ranges import Line
+from kestrelplank.sharding.key_ranges import KeyRange
 
 S = 1_000_000_000
 
@@ -33,7 +33,7 @@
         self.more.set()
 
     def put(self, action, first, until=None):
-        line = Line(first, first, "s", "a", 7, "old" if action == "grant" else None)
+        line = KeyRange(first, first, "s", "a", 7, "old" if action == "grant" else None)
         until = time.monotonic_ns() + 9 * S if until is None else until
         self.calls.queue.put_nowait(("call", action, "views", "s", "a", line, until))
         return line
--- a/tests/control/test_start.py
+++ b/tests/control/test_start.py
@@ -8,10 +8,10 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import HardState, Membership
 from kestrelplank.control.bootstrap import started
-from kestrelplank.control.member_profile import Place
+from kestrelplank.control.member_profile import MemberProfile
 
 SEEDS = ("10.0.0.3:80", "10.0.0.1:80", "10.0.0.2:80")
-PLACE = Place("z", True, SEEDS, 1, 6_000_000_000)
+PLACE = MemberProfile("z", True, SEEDS, 1, 6_000_000_000)
 FIRST = Membership(0, ("10.0.0.1:80/first", "10.0.0.2:80/first", "10.0.0.3:80/first"))
 
 
@@ -29,7 +29,7 @@
 def test_a_member_that_is_no_seed_or_comes_later_is_another_one_that_counts_for_nothing(address, initial_boot):
     one, other = (start(MemoryLog(), address, initial_boot, seed) for seed in (1, 2))
     assert one.identity.startswith(f"{address}/") and one.identity != f"{address}/first"
-    assert one.identity != other.identity and one.node.membership is None and not one.participation.is_voter()
+    assert one.identity != other.identity and one.node.membership is None and not one.lifecycle.is_voter()
 
 
 @pytest.mark.parametrize("initial_boot", [True, False])
@@ -37,7 +37,7 @@
     disk = MemoryLog()
     before = start(disk)
     disk.write([Persist(1, HardState(4, "10.0.0.2:80/first", "10.0.0.2:80/first"))])
-    other_seeds = Place("z", True, ("10.9.0.1:80",), 1, 6_000_000_000)
+    other_seeds = MemberProfile("z", True, ("10.9.0.1:80",), 1, 6_000_000_000)
     after = start(disk, initial_boot=initial_boot, place=other_seeds)
     assert after.identity == before.identity and after.node.term == 4 and after.committed == FIRST
 
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -127,7 +127,7 @@
         """A configuration comes into force."""
         given = {"limits": LIMITS, "virtual_hosts": HOSTS, "service_table": SERVICES, **changes}
         found = read(encoded(version=version, **given)).unwrap()
-        self.program.outlook.timetable = found
+        self.program.view.configuration = found
         self.program.set_limits(found)
 
     def listed(self, *servers):
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -10,7 +10,7 @@
 from kestrelplank.edge.program import EdgeProgram
 from kestrelplank.rehearsal.yard import StandIn, Tally, free_port
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
-from kestrelplank.transport.messages import ConfigurationNews, ServerListNews
+from kestrelplank.transport.messages import ConfigurationUpdate, ServerListUpdate
 
 IP = "127.0.0.1"
 LIMITS = {"max_body_bytes": 100_000}
@@ -45,9 +45,9 @@
     found = EdgeProgram(settings)
     found.listen()
     wire = type("Connection", (), {"peer": "m"})()
-    found.on_message(wire, ConfigurationNews(7, encoded(limits=LIMITS)))
+    found.on_message(wire, ConfigurationUpdate(7, encoded(limits=LIMITS)))
     entry = ("orders-0", "orders", f"{IP}:{behind.address[1]}", "hall", 4, "ready", 0)
-    found.on_message(wire, ServerListNews(0, [entry]))
+    found.on_message(wire, ServerListUpdate(0, [entry]))
     while not found.front.started:
         await asyncio.sleep(0)
     try:
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -11,7 +11,13 @@
 from kestrelplank.forwarding.resend import Seen
 from kestrelplank.forwarding.steps import Give, Refuse, Send, Wait
 from kestrelplank.transport.edge_view import EdgeView
-from kestrelplank.transport.messages import ConfigurationNews, LinesNews, RangeHolder, RecordPlace, ServerListNews
+from kestrelplank.transport.messages import (
+    ConfigurationUpdate,
+    KeyRangesUpdate,
+    KeyRangesVersion,
+    RangeHolder,
+    ServerListUpdate,
+)
 
 MS, S = 1_000_000, 1_000_000_000
 NOW = 100 * S
@@ -19,24 +25,24 @@
 
 def forwarder(servers=3, keys=True, state="ready", **changes):
     view = EdgeView("edge-1", ("10.0.0.1:80",))
-    view.receive(NOW, "m", ConfigurationNews(7, encoded(**changes)))
+    view.receive(NOW, "m", ConfigurationUpdate(7, encoded(**changes)))
     entries = [
         (f"{service}-{number}", service, f"10.1.0.{number}:80", "z", 2, state, 0)
         for service in ("views", "orders")
         for number in range(servers)
     ]
-    view.receive(NOW, "m", ServerListNews(0, entries))
+    view.receive(NOW, "m", ServerListUpdate(0, entries))
     if keys:
         view.receive(
             NOW, "m", lines(1, [[0, 32767, "views-0", "10.1.0.0:80"], [32768, 65535, "views-1", "10.1.0.1:80"]])
         )
     found = Forwarder(Random(1), view, "z", 0.2, 64)
-    found.endpoints.listed(NOW, NOW, view.roster.entries.values())
+    found.endpoints.listed(NOW, NOW, view.servers.entries.values())
     return found
 
 
 def lines(seq, parts):
-    return LinesNews("views", RecordPlace(1, seq), [RangeHolder(*part) for part in parts])
+    return KeyRangesUpdate("views", KeyRangesVersion(1, seq), [RangeHolder(*part) for part in parts])
 
 
 def begin(found, path="/a/x", key="5", within=2 * S, host="shop.example"):
@@ -153,7 +159,7 @@
     found = forwarder()
     request, step = begin(found)
     changed = [{"host_name": "shop.example", "host_routes": [route("/a/", "non_idempotent", "orders")]}]
-    found.view.receive(NOW, "m", ConfigurationNews(9, encoded(version="00000009", virtual_hosts=changed)))
+    found.view.receive(NOW, "m", ConfigurationUpdate(9, encoded(version="00000009", virtual_hosts=changed)))
     assert found.ended(NOW + MS, request, Seen.RESET).endpoint.service == "views"
     assert begin(found, key=None)[1].endpoint.service == "orders"
     assert configuration()["config_version"] == "00000007"
@@ -237,7 +243,7 @@
     found = forwarder()
     entries = [
         entry._replace(state="draining") if entry.server == "views-0" else entry
-        for entry in found.view.roster.entries.values()
+        for entry in found.view.servers.entries.values()
     ]
     found.endpoints.listed(NOW + S, NOW + S, entries)
     assert (
--- a/tests/sharding/test_placing.py
+++ b/tests/sharding/test_placing.py
@@ -13,7 +13,7 @@
 from kestrelplank.emulator.queues import S, Server, Service
 from kestrelplank.sharding.key_ranges import KEYS, KeyRanges
 from kestrelplank.sharding.key_ranges import Server as Listed
-from kestrelplank.sharding.placement import PERIOD, WINDOW, Pace, Placing, without
+from kestrelplank.sharding.placement import PERIOD, WINDOW, Pace, Placement, without
 
 SPEEDS = [0.7, 1.0, 1.0, 1.5] * 3
 
@@ -60,9 +60,9 @@
     for kept in (False, True):
         service = Service(3, SPEEDS, 80, 0.16, 0.6)
         service.play(30)
-        service.decide(2, service.lines.record(), service.placing.learnt() if kept else None)
+        service.decide(2, service.lines.record(), service.placement.learnt() if kept else None)
         service.play(1)
-        worth = service.placing._worth
+        worth = service.placement._worth
         worths.append(
             mean(worth.get(f"s{at}", 1.0) for at, speed in enumerate(SPEEDS) if speed == 1.5)
             / mean(worth.get(f"s{at}", 1.0) for at, speed in enumerate(SPEEDS) if speed == 0.7)
@@ -106,22 +106,22 @@
     ranges = KeyRanges(now, 1, None)
     ranges.listed(now, [Listed(name, f"{name}:80", "z", 2, True, 0) for name in "abc"])
     ranges.divide(6)
-    placing, reports = Placing(now, 1, ranges, S), []
+    placement, reports = Placement(now, 1, ranges, S), []
     for later, keys, met in told:
         now += later
-        placing.turn(now)
+        placement.turn(now)
         servers = {name: (*parts, 1.0, 1, -1.0, 1) for name, parts in met.items()}
-        placing.report(now, keys, servers)
+        placement.report(now, keys, servers)
         reports.append((now, keys, servers))
     now += PERIOD
-    placing.turn(now)
-    assert placing._sorted == sorted(key for at, keys, _ in reports if now - at <= WINDOW for key in keys)
+    placement.turn(now)
+    assert placement._sorted == sorted(key for at, keys, _ in reports if now - at <= WINDOW for key in keys)
     sums = {}
     for at, _, servers in reports:
         for name, parts in servers.items() if now - at < WINDOW else ():
             tries, failed, count = sums.get(name, (0, 0, 0))
             sums[name] = (tries + parts[0], failed + parts[1], count + 1)
-    assert {name: tuple(parts) for name, parts in placing._sums.items()} == sums
+    assert {name: tuple(parts) for name, parts in placement._sums.items()} == sums
 
 
 @given(st.lists(st.integers(0, 20)), st.data())
--- a/tests/sharding/test_ranges.py
+++ b/tests/sharding/test_ranges.py
@@ -3,7 +3,7 @@
 import pytest
 
 from kestrelplank.sharding.key_ranges import FREE, HELD, HOLD, KEYS, LEAVING, SETTLE, KeyRanges, Server, runs_out
-from kestrelplank.sharding.placement import Placing
+from kestrelplank.sharding.placement import Placement
 
 S = 1_000_000_000
 NOW = 100 * S
@@ -103,7 +103,7 @@
 def test_keys_that_nobody_knows_anything_of_are_dealt_out_evenly_neighbours_apart():
     lines = interlocking(names=(), pieces=24)
     lines.listed(NOW, [server("s"), server("t", slots=4), server("gone", ready=False)])
-    Placing(NOW, 1, lines, S).turn(NOW)
+    Placement(NOW, 1, lines, S).turn(NOW)
     names = [line.server for line in lines.lines]
     assert names.count("s") == 8 and names.count("t") == 16 and "s s" not in " ".join(names)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -18,18 +18,18 @@
     newest; `log_lag`: entries that the other member lacks."""
 
     def __init__(self, lag=0, majority=True, log_lag=0, in_force=True):
-        self.timetable, self.lag, self.majority, self.log_lag = None, lag, majority, log_lag
+        self.configuration, self.lag, self.majority, self.log_lag = None, lag, majority, log_lag
         self.in_force = in_force
 
-    async def put(self, timetable):
-        self.timetable = timetable if self.majority else None
+    async def put(self, configuration):
+        self.configuration = configuration if self.majority else None
         return AnswerOrder(1, self.majority, self.majority and self.in_force)
 
     async def show(self):
-        return Shown(True, self.timetable.text if self.timetable else None)
+        return Shown(True, self.configuration.text if self.configuration else None)
 
     def status(self):
-        version = f"{self.timetable.key.version:08x}" if self.timetable else None
+        version = f"{self.configuration.key.version:08x}" if self.configuration else None
         self.lag -= 1
         return MemberStatus(
             member="a:1/first",
@@ -123,7 +123,7 @@
 def test_a_file_that_is_no_configuration_is_never_sent(file, capsys):
     member = Member()
     path = file(virtual_hosts=[{"host_name": "", "host_routes": []}])
-    assert run(member, "replace", "ADDRESS", path) == 2 and member.timetable is None
+    assert run(member, "replace", "ADDRESS", path) == 2 and member.configuration is None
     assert capsys.readouterr().err == f"kestrelplank: {path}: virtual_hosts[0].host_name: empty\n"
 
 
--- a/tests/transport/test_edge_view.py
+++ b/tests/transport/test_edge_view.py
@@ -4,15 +4,15 @@
 
 from configuration.test_plan import encoded
 
-from kestrelplank.consensus.messages import ServerListNews
-from kestrelplank.transport.edge_view import FALLBACK, VOUCHED_WITHIN, Change, EdgeView, Holders
+from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.transport.edge_view import FALLBACK, VOUCHED_WITHIN, Change, EdgeView, KeyRangeTable
 from kestrelplank.transport.messages import (
-    ConfigurationNews,
-    LinesChanged,
-    LinesNews,
-    MemberBeat,
+    ConfigurationUpdate,
+    KeyRangesDelta,
+    KeyRangesUpdate,
+    KeyRangesVersion,
+    MemberHeartbeat,
     RangeHolder,
-    RecordPlace,
 )
 from kestrelplank.transport.server_list import DRAINING, READY, ServerList
 
@@ -21,11 +21,11 @@
 
 
 def beat(version=None, voters=MEMBERS, epoch=0, term=1, leader="a:1", current=True, answers=0):
-    return MemberBeat(epoch, term, leader, current, version, voters, 12, answers)
+    return MemberHeartbeat(epoch, term, leader, current, version, voters, 12, answers)
 
 
 def configuration(version):
-    return ConfigurationNews(version, encoded(version=f"{version:08x}"))
+    return ConfigurationUpdate(version, encoded(version=f"{version:08x}"))
 
 
 def entry(name, state=READY):
@@ -36,15 +36,15 @@
     """A view that has that configuration and a list of servers, and has heard nobody vouch."""
     view = EdgeView("edge-1", MEMBERS)
     view.receive(0, "a:1", configuration(version))
-    view.receive(0, "a:1", ServerListNews(0, [entry("s")]))
+    view.receive(0, "a:1", ServerListUpdate(0, [entry("s")]))
     return view
 
 
 def test_of_seeds_that_are_down_or_gone_one_that_answers_is_enough():
     view = EdgeView("edge-1", ("a:1", "gone:1", "down:1"))
-    assert view.to_dial(0) == ("a:1", "gone:1", "down:1")
+    assert view.addresses_to_dial(0) == ("a:1", "gone:1", "down:1")
     assert view.receive(0, "a:1", beat()) is Change.MEMBERS and view.members == MEMBERS
-    assert view.to_dial(0) == MEMBERS and view.receive(0, "b:1", beat()) is None
+    assert view.addresses_to_dial(0) == MEMBERS and view.receive(0, "b:1", beat()) is None
 
 
 def test_ready_is_who_holds_what_a_current_member_vouches_for():
@@ -80,7 +80,7 @@
 
 def test_a_word_that_a_freeze_or_a_cut_has_held_up_vouches_for_nothing():
     view = holding(5)
-    asked_at = view.stand(7 * S).sent_at
+    asked_at = view.heartbeat(7 * S).sent_at
     view.receive(asked_at + VOUCHED_WITHIN + 1, "a:1", beat(5, answers=asked_at))
     assert not view.ready()
     view.receive(asked_at + VOUCHED_WITHIN, "a:1", beat(5, answers=asked_at))
@@ -89,7 +89,7 @@
 
 def test_without_a_configuration_nobody_is_ready():
     view = EdgeView("edge-1", MEMBERS)
-    view.receive(0, "a:1", ServerListNews(0, [entry("s")]))
+    view.receive(0, "a:1", ServerListUpdate(0, [entry("s")]))
     view.receive(0, "a:1", beat(None))
     assert not view.ready()
 
@@ -98,7 +98,7 @@
     view = EdgeView("edge-1", MEMBERS)
     view.receive(0, "a:1", beat())
     assert view.receive(0, "a:1", beat(voters=("a:1", "b:1", "d:1"), epoch=2)) is Change.MEMBERS
-    assert view.to_dial(0) == ("a:1", "b:1", "d:1")
+    assert view.addresses_to_dial(0) == ("a:1", "b:1", "d:1")
     assert view.receive(0, "c:1", beat(epoch=0)) is None and view.members == ("a:1", "b:1", "d:1")
 
 
@@ -106,12 +106,12 @@
     view = EdgeView("edge-1", ("a:1", "x:1"))
     view.receive(0, "a:1", beat(voters=("b:1", "c:1")))
     view.receive(0, "b:1", beat(voters=("b:1", "c:1")))
-    assert view.to_dial(FALLBACK - 1) == ("b:1", "c:1")
-    assert view.to_dial(FALLBACK) == ("b:1", "c:1", "a:1", "x:1")
+    assert view.addresses_to_dial(FALLBACK - 1) == ("b:1", "c:1")
+    assert view.addresses_to_dial(FALLBACK) == ("b:1", "c:1", "a:1", "x:1")
     view.receive(FALLBACK, "x:1", beat(voters=("d:1", "c:1"), epoch=7))
-    assert view.to_dial(FALLBACK) == ("d:1", "c:1", "a:1", "x:1")
+    assert view.addresses_to_dial(FALLBACK) == ("d:1", "c:1", "a:1", "x:1")
     view.receive(FALLBACK, "d:1", beat(voters=("d:1", "c:1"), epoch=7))
-    assert view.to_dial(FALLBACK) == ("d:1", "c:1")
+    assert view.addresses_to_dial(FALLBACK) == ("d:1", "c:1")
 
 
 def test_reports_go_to_who_leads_by_the_newest_term():
@@ -126,16 +126,16 @@
 def test_a_life_never_goes_back():
     view = EdgeView("edge-1", MEMBERS)
     assert view.receive(0, "a:1", configuration(9)) is Change.CONFIGURATION
-    assert view.receive(0, "b:1", configuration(5)) is None and view.timetable.key.version == 9
-    lines = LinesNews("views", RecordPlace(2, 1), [RangeHolder(0, 65535, "s", "s:80")])
+    assert view.receive(0, "b:1", configuration(5)) is None and view.configuration.key.version == 9
+    lines = KeyRangesUpdate("views", KeyRangesVersion(2, 1), [RangeHolder(0, 65535, "s", "s:80")])
     assert view.receive(0, "a:1", lines) is Change.LINES
-    assert view.receive(0, "b:1", LinesNews("views", RecordPlace(1, 7), [])) is None
+    assert view.receive(0, "b:1", KeyRangesUpdate("views", KeyRangesVersion(1, 7), [])) is None
     assert view.holders["views"].of(7).server == "s"
 
 
 def test_a_configuration_that_can_not_be_read_changes_nothing():
     view = EdgeView("edge-1", MEMBERS)
-    assert view.receive(0, "a:1", ConfigurationNews(9, b"{")) is None and view.timetable is None
+    assert view.receive(0, "a:1", ConfigurationUpdate(9, b"{")) is None and view.configuration is None
 
 
 def test_lines_laid_over_others_cover_what_they_say_and_nothing_else():
@@ -146,9 +146,9 @@
             ends = sorted(random.sample(range(40), random.randrange(1, most)))
             return [RangeHolder(first, last - 1, f"{name}{first}", "") for first, last in zip([0, *ends], [*ends, 40])]
 
-        old = Holders(RecordPlace(1, 1), some(9, "old"))
+        old = KeyRangeTable(KeyRangesVersion(1, 1), some(9, "old"))
         changes = [line for line in some(12, "new") if random.random() < 0.4]
-        new = old.under(RecordPlace(1, 2), changes)
+        new = old.under(KeyRangesVersion(1, 2), changes)
         assert [line.first for line in new.lines] == [0, *(line.last + 1 for line in new.lines[:-1])]
         for key in range(40):
             over = next((line for line in changes if line.first <= key <= line.last), old.of(key))
@@ -158,25 +158,29 @@
 def test_changes_count_only_on_top_of_the_place_that_they_differ_from():
     view = EdgeView("edge-1", MEMBERS)
     lines = [RangeHolder(0, 99, "s", "s:80"), RangeHolder(100, 65535, "t", "t:80")]
-    view.receive(0, "a:1", LinesNews("views", RecordPlace(2, 1), lines))
-    leaving = LinesChanged("views", RecordPlace(2, 1), RecordPlace(2, 1, 1), [RangeHolder(50, 99, "", "")])
+    view.receive(0, "a:1", KeyRangesUpdate("views", KeyRangesVersion(2, 1), lines))
+    leaving = KeyRangesDelta("views", KeyRangesVersion(2, 1), KeyRangesVersion(2, 1, 1), [RangeHolder(50, 99, "", "")])
     assert view.receive(0, "a:1", leaving) is Change.LINES
     assert view.holders["views"].of(49).server == "s" and view.holders["views"].of(50) is None
-    changed = LinesChanged("views", RecordPlace(2, 1, 1), RecordPlace(2, 2), [RangeHolder(50, 99, "t", "t:80")])
+    changed = KeyRangesDelta(
+        "views", KeyRangesVersion(2, 1, 1), KeyRangesVersion(2, 2), [RangeHolder(50, 99, "t", "t:80")]
+    )
     assert view.receive(0, "a:1", changed) is Change.LINES and view.holders["views"].of(50).server == "t"
     assert view.receive(0, "b:1", changed) is None  # it comes twice
-    late = LinesChanged("views", RecordPlace(2, 3), RecordPlace(2, 4), [RangeHolder(0, 9, "u", "u:80")])
-    assert view.receive(0, "a:1", late) is None and view.stand(0).lines["views"] == RecordPlace(2, 2)
+    late = KeyRangesDelta("views", KeyRangesVersion(2, 3), KeyRangesVersion(2, 4), [RangeHolder(0, 9, "u", "u:80")])
+    assert view.receive(0, "a:1", late) is None and view.heartbeat(0).lines["views"] == KeyRangesVersion(2, 2)
 
 
 def test_who_missed_a_notice_of_leaving_ranges_takes_nothing_that_builds_on_it_until_it_is_told_all():
     view = EdgeView("edge-1", MEMBERS)
     lines = [RangeHolder(0, 99, "s", "s:80"), RangeHolder(100, 65535, "t", "t:80")]
-    view.receive(0, "a:1", LinesNews("views", RecordPlace(2, 1), lines))
-    second = LinesChanged("views", RecordPlace(2, 1, 1), RecordPlace(2, 1, 2), [RangeHolder(100, 199, "", "")])
-    assert view.receive(0, "a:1", second) is None and view.stand(0).lines["views"] == RecordPlace(2, 1)
+    view.receive(0, "a:1", KeyRangesUpdate("views", KeyRangesVersion(2, 1), lines))
+    second = KeyRangesDelta(
+        "views", KeyRangesVersion(2, 1, 1), KeyRangesVersion(2, 1, 2), [RangeHolder(100, 199, "", "")]
+    )
+    assert view.receive(0, "a:1", second) is None and view.heartbeat(0).lines["views"] == KeyRangesVersion(2, 1)
     leaving = [RangeHolder(50, 99, "", ""), RangeHolder(100, 199, "", "")]
-    assert view.receive(0, "a:1", LinesNews("views", RecordPlace(2, 1, 2), lines, leaving)) is Change.LINES
+    assert view.receive(0, "a:1", KeyRangesUpdate("views", KeyRangesVersion(2, 1, 2), lines, leaving)) is Change.LINES
     held = view.holders["views"]
     assert held.of(49).server == "s" and held.of(50) is None and held.of(199) is None and held.of(200).server == "t"
 
--- a/tests/transport/test_wire.py
+++ b/tests/transport/test_wire.py
@@ -9,19 +9,19 @@
 
 from kestrelplank.transport import wire as module
 from kestrelplank.transport.messages import (
-    ConfigurationNews,
-    EdgeBeat,
-    LinesNews,
-    MemberBeat,
+    ConfigurationUpdate,
+    EdgeHeartbeat,
+    KeyRangesUpdate,
+    KeyRangesVersion,
+    MemberHeartbeat,
     RangeHolder,
-    RecordPlace,
     decode_at_edge,
     encode,
 )
 from kestrelplank.transport.wire import COMPRESSED, MOST_FRAME, FrameConnection, packed
 
-GOOD = MemberBeat(1, 2, "10.0.0.1:80", True, 7, ("10.0.0.1:80",), 12)
-LAST = ConfigurationNews(0, b"last")
+GOOD = MemberHeartbeat(1, 2, "10.0.0.1:80", True, 7, ("10.0.0.1:80",), 12)
+LAST = ConfigurationUpdate(0, b"last")
 
 
 class Pipe:
@@ -95,7 +95,7 @@
 
 @WAYS
 def test_messages_come_whole_and_in_order_small_and_large(way):
-    messages = [ConfigurationNews(size, b"ab" * size) for size in (0, 1, 700, 800, 90_000, 3)]
+    messages = [ConfigurationUpdate(size, b"ab" * size) for size in (0, 1, 700, 800, 90_000, 3)]
     met, _ = carried(way, lambda wire: [wire.send(message) for message in messages])
     assert met == [*messages, LAST]
 
@@ -103,7 +103,7 @@
 @WAYS
 def test_a_message_packed_once_for_many_comes_like_any_other(way):
     lines = [RangeHolder(number, number, "server", "10.0.0.1:80") for number in range(2000)]
-    message = LinesNews("views", RecordPlace(1, 2, 3), lines)
+    message = KeyRangesUpdate("views", KeyRangesVersion(1, 2, 3), lines)
     assert len(packed(message)) < len(encode(message)) / 4
     met, _ = carried(way, lambda wire: wire.send(packed(message)))
     assert met[0] == message
@@ -121,7 +121,7 @@
         of(msgspec.msgpack.encode([1])),  # no message
         of(msgspec.msgpack.encode({"t": "x"})),
         of(msgspec.msgpack.encode(["configuration", "7", b""])),  # a field of another type
-        of(encode(EdgeBeat("edge", None, {}, None))),  # a message that goes the other way only
+        of(encode(EdgeHeartbeat("edge", None, {}, None))),  # a message that goes the other way only
         of(b"no such thing", COMPRESSED),
         of(zlib.compress(encode(GOOD))[:-2], COMPRESSED),  # torn
         of(zlib.compress(bytes(MOST_FRAME + 1)), COMPRESSED),  # swells beyond what is held
@@ -154,7 +154,7 @@
         noise = Random(1).randbytes(1 << 20)
         async with asyncio.timeout(10):
             while wire.open:
-                wire.send(ConfigurationNews(1, noise))
+                wire.send(ConfigurationUpdate(1, noise))
                 await asyncio.sleep(0)
             await ended
         wire.send(LAST)
