--- a/kestrelplank/control/platform_list.py
+++ b/kestrelplank/control/platform_client.py
@@ -35,7 +35,7 @@
     next_token: str | None = None
 
 
-class PlatformList:
+class PlatformClient:
     """The list at that address."""
 
     def __init__(self, address: str) -> None:
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -13,8 +13,6 @@
 from kestrelplank.configuration.plan import Configuration
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.control.bootstrap import started
-from kestrelplank.control.calls import Shown, application
-from kestrelplank.control.disk import LogWriter
 from kestrelplank.control.effects import (
     AnswerOrder,
     AnswerRead,
@@ -26,10 +24,12 @@
     SendMessage,
     SendToAddress,
 )
+from kestrelplank.control.log_writer import LogWriter
 from kestrelplank.control.member import ControlMember
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.member_sessions import MemberSessions
-from kestrelplank.control.platform_list import PlatformList
+from kestrelplank.control.operator_api import Shown, application
+from kestrelplank.control.platform_client import PlatformClient
 from kestrelplank.control.server_calls import ServerCalls
 from kestrelplank.control.status import EdgeStatus, MemberStatus
 from kestrelplank.http.serve import Duties, listener, server
@@ -73,7 +73,7 @@
         self.edges = Sessions()
         self.inbound: dict[FrameConnection, int] = {}  # when each last said anything
         self.servers: dict[str, ServerCalls] = {}
-        self.list = PlatformList(settings.cloud.address)
+        self.list = PlatformClient(settings.cloud.address)
         self.calls: dict[int, asyncio.Future[AnswerOrder | AnswerRead]] = {}
         self.ticket = 0
 
--- a/tests/control/test_disk.py
+++ b/tests/control/test_log_writer.py
@@ -6,8 +6,8 @@
 import pytest
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.control import disk
-from kestrelplank.control.disk import LogWriter
+from kestrelplank.control import log_writer
+from kestrelplank.control.log_writer import LogWriter
 
 
 class File:
@@ -70,7 +70,7 @@
 
 
 def test_a_refused_write_is_made_again_with_the_same_and_nothing_passes_it(monkeypatch):
-    monkeypatch.setattr(disk, "AGAIN", 0)
+    monkeypatch.setattr(log_writer, "AGAIN", 0)
     file = File(refusals=2)
     file.let.set()
 
--- a/tests/control/test_operator_wire.py
+++ b/tests/control/test_operator_api.py
@@ -5,8 +5,8 @@
 import pytest
 from configuration.test_plan import encoded
 
-from kestrelplank.control.calls import application
 from kestrelplank.control.effects import AnswerOrder
+from kestrelplank.control.operator_api import application
 from kestrelplank.http.serve import listener, server
 from kestrelplank.http.stream import resetting
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,8 +6,8 @@
 import pytest
 from configuration.test_plan import configuration, route
 
-from kestrelplank.control.calls import Shown, application
 from kestrelplank.control.effects import AnswerOrder
+from kestrelplank.control.operator_api import Shown, application
 from kestrelplank.control.status import EdgeStatus, LineStatus, MemberStatus, PeerStatus, ServiceStatus
 from kestrelplank.gateway import main
 from kestrelplank.http.serve import listener, server
