--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -31,7 +31,7 @@
     SnapshotChunk,
 )
 from kestrelplank.consensus.node import ConsensusNode
-from kestrelplank.control.replica import COMPACT_FROM
+from kestrelplank.control.replica import COMPACTION_MIN_BYTES
 from kestrelplank.state.control_state import ControlState
 from kestrelplank.transport.messages import Envelope
 from kestrelplank.transport.wire import packed
@@ -124,7 +124,7 @@
     def _compact(self, name: str) -> None:
         """Cuts the log short where the program would."""
         state = self.states[name].snapshot()
-        if logged(self.nodes[name].log) > COMPACT_FROM + 2 * len(state):
+        if logged(self.nodes[name].log) > COMPACTION_MIN_BYTES + 2 * len(state):
             self._carry_out(name, self.nodes[name].compact(state))
 
     def _carry_out(self, name: str, effects: list[Effect]) -> None:
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -8,7 +8,7 @@
 
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.control.bootstrap import started
+from kestrelplank.control.bootstrap import start_member
 from kestrelplank.control.effects import CallServer
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.sharding.key_ranges import KEYS
@@ -36,9 +36,9 @@
     for effect in effects:
         if isinstance(effect, Persist):
             disk.write([effect])
-            settled(member, disk, now, member.persisted(now, effect.number))
+            settled(member, disk, now, member.handle_persisted(now, effect.number))
         elif isinstance(effect, CallServer):
-            done = member.called(now, effect.service, effect.action, effect.line, True, 200, "h")
+            done = member.handle_server_call_ended(now, effect.service, effect.action, effect.line, True, 200, "h")
             settled(member, disk, now, done)
 
 
@@ -53,13 +53,13 @@
 def alone(now, random, servers):
     """A member that leads alone, with so many servers, and its disk."""
     disk = MemoryLog()
-    member = started(now, random, ME, MemberProfile("z", True, (ME,), 0, 6 * S), disk, True)
+    member = start_member(now, random, ME, MemberProfile("z", True, (ME,), 0, 6 * S), disk, True)
     for _ in range(20):
         now += S // 20
         settled(member, disk, now, member.tick(now))
     entries = [Entry(f"i-{number}", "views", f"10.1.0.{number}:80", "z", 2, "ready", 0) for number in range(servers)]
-    settled(member, disk, now, member.fetched(now, entries))
-    settled(member, disk, now, member.put(now, 1, read(TEXT).unwrap()))
+    settled(member, disk, now, member.handle_servers_fetched(now, entries))
+    settled(member, disk, now, member.handle_replace_call(now, 1, read(TEXT).unwrap()))
     for _ in range(80):
         now += S // 20
         settled(member, disk, now, member.tick(now))
@@ -80,7 +80,7 @@
                 began = time.process_time()
                 session = sessions.heard(now, ends.setdefault(number, End()), beat.edge)
                 session.said = beat.version
-                answers = [over(answer, decode_at_edge, out) for answer in member.on_edge_heartbeat(now, beat, edges)]
+                answers = [over(answer, decode_at_edge, out) for answer in member.handle_edge_heartbeat(now, beat, edges)]
                 spent += time.process_time() - began
                 for answer in answers:
                     view.receive(now, ME, answer)
@@ -89,7 +89,7 @@
                 servers_met = {f"i-{random.randrange(servers)}": (1, 0, 1.0, 1, 0.0, 0) for _ in keys}
                 report = over(LoadReport("views", keys, servers_met), decode_at_member, into)
                 began = time.process_time()
-                member.load_report(now, report)
+                member.handle_load_report(now, report)
                 spent += time.process_time() - began
         began = time.process_time()
         settled(member, disk, now, member.tick(now))
--- a/kestrelplank/control/bootstrap.py
+++ b/kestrelplank/control/bootstrap.py
@@ -1,8 +1,8 @@
-"""How a control member begins a life: who it is, and what its disk has.
+"""How a control member starts: who it is, and what its disk has.
 
 At the first start of the whole system the members at the seeds are the first voters. They must name each other before
 they have spoken, so their incarnation is `FIRST`. Any other member that finds its disk empty draws an incarnation and
-waits to be taken in.
+waits until the voters make it one of theirs.
 """
 
 from random import Random
@@ -18,41 +18,57 @@
 INCARNATION_BITS = 64
 
 
-class Log(Protocol):
-    """A member's durable log, as far as a start uses it."""
+class DurableLog(Protocol):
+    """A member's log on disk, as far as a start uses it."""
 
-    def load(self) -> Loaded: ...
+    def load(self) -> Loaded:
+        """Return what the disk holds."""
+        ...
 
-    def keep_incarnation(self, incarnation: str) -> None: ...
+    def keep_incarnation(self, incarnation: str) -> None:
+        """Make the member's incarnation durable."""
+        ...
 
-    def write(self, persists: list[Persist]) -> None: ...
+    def write(self, persists: list[Persist]) -> None:
+        """Make these durable together."""
+        ...
 
 
 def first_membership(seeds: tuple[str, ...]) -> Membership:
-    """Who counts at the first start of the system."""
+    """Return the membership at the first start of the system: the members at the seeds are its voters."""
     return Membership(0, tuple(identity_of(seed, FIRST) for seed in sorted(seeds)))
 
 
-def started(
-    now: int, random: Random, address: str, place: MemberProfile, log: Log, initial_boot: bool
+def start_member(
+    now: int, random: Random, address: str, profile: MemberProfile, log: DurableLog, initial_boot: bool
 ) -> ControlMember:
-    """The member at `address`. `initial_boot`: the whole system starts for the first time, if the disk is empty too.
-    Raises OSError where the disk refuses."""
+    """Return the member at `address` as its disk has it, or a new one where the disk is empty.
+
+    :param address: the member's own control address.
+    :param initial_boot: the platform starts the whole system for the first time; heeded where the disk is empty too.
+    :raises OSError: the disk refuses.
+    """
     loaded = log.load()
     first_start = initial_boot and loaded.snapshot is None and not loaded.entries
-    if loaded.incarnation is None or (loaded.incarnation == FIRST and first_start):
-        loaded = begun(random, address, place, log, initial_boot)  # the second: a former life ended just as it began
+    first_start_broke_off = loaded.incarnation == FIRST and first_start
+    if loaded.incarnation is None or first_start_broke_off:
+        loaded = initialize_log(random, address, profile, log, initial_boot)
     identity = identity_of(address, loaded.incarnation)
-    return ControlMember(now, random, identity, place, loaded.hard_state, loaded.snapshot, loaded.entries, first_start)
+    return ControlMember(
+        now, random, identity, profile, loaded.hard_state, loaded.snapshot, loaded.entries, first_start
+    )
+
 
+def initialize_log(random: Random, address: str, profile: MemberProfile, log: DurableLog, initial_boot: bool) -> Loaded:
+    """Begin the log on an empty disk and return what it holds then.
 
-def begun(random: Random, address: str, place: MemberProfile, log: Log, initial_boot: bool) -> Loaded:
-    """Begins a log on an empty disk."""
-    if not initial_boot or address not in place.seeds:
+    :raises OSError: the disk refuses.
+    """
+    if not initial_boot or address not in profile.seeds:
         incarnation = f"{random.getrandbits(INCARNATION_BITS):016x}"
         log.keep_incarnation(incarnation)
         return Loaded(incarnation)
-    snapshot = Snapshot(0, 0, first_membership(place.seeds), ControlState().snapshot())
+    snapshot = Snapshot(0, 0, first_membership(profile.seeds), ControlState().snapshot())
     log.keep_incarnation(FIRST)
     log.write([Persist(0, snapshot=snapshot)])
     return Loaded(FIRST, snapshot=snapshot)
--- /dev/null
+++ b/kestrelplank/control/edge_updates.py
@@ -0,0 +1,72 @@
+"""What a control member sends an edge machine in answer to its heartbeat: its own heartbeat, and all that the edge
+machine lacks. No I/O.
+"""
+
+from kestrelplank.consensus.messages import address_of
+from kestrelplank.control.member_lifecycle import MemberLifecycle
+from kestrelplank.control.replica import Replica
+from kestrelplank.control.shard_assigners import ShardAssigners
+from kestrelplank.control.shard_assignment import key_ranges_update
+from kestrelplank.transport.messages import (
+    ConfigurationUpdate,
+    EdgeHeartbeat,
+    KeyRangesUpdate,
+    KeyRangesVersion,
+    MemberHeartbeat,
+    ToEdge,
+)
+from kestrelplank.transport.server_list import ServerList
+
+
+class EdgeUpdates:
+    """The answers to heartbeats of edge machines.
+
+    Only what is committed goes out; an edge machine that has it already gets none of it again.
+    """
+
+    def __init__(
+        self, replica: Replica, lifecycle: MemberLifecycle, servers: ServerList, assigners: ShardAssigners
+    ) -> None:
+        self._replica = replica
+        self._node = replica.node
+        self._lifecycle = lifecycle
+        self._servers = servers
+        self._assigners = assigners
+
+    def handle_edge_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> list[ToEdge]:
+        """Return what an edge machine is sent that says what it has.
+
+        :param edge_count: how many edge machines are in session with this member.
+        """
+        answers: list[ToEdge] = [self._member_heartbeat(now, heartbeat, edge_count)]
+        configuration = self._replica.state.configuration
+        if configuration is not None and (heartbeat.version is None or heartbeat.version < configuration.version):
+            answers.append(ConfigurationUpdate(configuration.version, configuration.text))
+        for service in self._replica.sharded_services():
+            update = self._key_ranges(now, service, heartbeat.lines.get(service, KeyRangesVersion()))
+            if update is not None:
+                answers.append(update)
+        if self._servers.fetched_at is not None and heartbeat.servers != self._servers.digest():
+            answers.append(self._servers.news(now))
+        return answers
+
+    def _key_ranges(self, now: int, service: str, known: KeyRangesVersion) -> KeyRangesUpdate | None:
+        """Return the key ranges of a service where the edge machine knows an older version of them."""
+        assigner, record = self._assigners.decider(now, service), self._replica.record(service)
+        if assigner is not None:
+            return assigner.news() if known < assigner.place else None
+        return key_ranges_update(service, record) if known < record.place else None
+
+    def _member_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> MemberHeartbeat:
+        membership = self._lifecycle.committed_membership()
+        configuration = self._replica.state.configuration
+        return MemberHeartbeat(
+            membership.epoch if membership else -1,
+            self._node.term,
+            address_of(self._node.leader),
+            self._node.current(now),
+            configuration.version if configuration else None,
+            tuple(map(address_of, membership.all_voters())) if membership else (),
+            edge_count,
+            heartbeat.sent_at,
+        )
--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send `message` to the member of that identity; lost where no session stands."""
+    """Send `message` to the member whose identity is `to`; it is lost where there is no session with it."""
 
     to: str
     message: Message
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToAddress:
-    """Send `message` to whoever serves control at that address; lost where no session stands."""
+    """Send `message` to whoever serves control at `address`; it is lost where there is no session with it."""
 
     address: str
     message: Message
@@ -35,8 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallServer:
-    """Call `server` at `address`: GRANT or RELEASE the keys of `line`; then `ControlMember.called`. A grant is not sent
-    any more at `until` (ns), when this member's lease runs out."""
+    """Call `server` at `address`: GRANT or RELEASE the keys of `line`; then `ControlMember.handle_server_call_ended`.
+
+    A grant is not sent any more at `until` (ns), when this member's lease runs out.
+    """
 
     action: str
     service: str
@@ -48,8 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerOrder:
-    """The operator's order `ticket` is `acknowledged`; or nothing is known of it, and it may be sent again. `in_force`:
-    this very text is; else a higher version is, or another text of the same."""
+    """Answer the operator's order `ticket`.
+
+    :param acknowledged: it is in force, or can't be any more; else the outcome is unknown and it may be sent again.
+    :param in_force: this very text is in force; else a higher version is, or another text of the same.
+    """
 
     ticket: int
     acknowledged: bool
@@ -58,7 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerRead:
-    """The operator's read `ticket`. `known`: `text` is the newest configuration acknowledged (None: there is none)."""
+    """Answer the operator's read `ticket`.
+
+    :param known: `text` is the newest configuration that was acknowledged; None where there is none.
+    """
 
     ticket: int
     known: bool
@@ -75,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line in the log."""
+    """Write a line to the program's log."""
 
     text: str
 
--- /dev/null
+++ b/kestrelplank/control/inbound_connections.py
@@ -0,0 +1,62 @@
+"""Connections that other members and edge machines dialled to us: when each was last heard, and which edge machine is
+in session on which.
+"""
+
+from kestrelplank.control.status import EdgeStatus, seconds
+from kestrelplank.time_units import SECOND
+from kestrelplank.transport.sessions import Sessions
+from kestrelplank.transport.wire import FrameConnection
+
+SILENCE_TIMEOUT_NS = 2 * SECOND
+"""A connection on which nothing has come for so long is ended."""
+
+
+class InboundConnections:
+    """All connections that came in, from the first message on."""
+
+    def __init__(self) -> None:
+        self._heard_at: dict[FrameConnection, int] = {}
+        self._edges = Sessions()
+
+    @property
+    def edge_count(self) -> int:
+        """How many edge machines are in session."""
+        return len(self._edges.by_name)
+
+    def handle_heard(self, now: int, wire: FrameConnection) -> None:
+        """Something has come on that connection."""
+        self._heard_at[wire] = now
+
+    def handle_edge_heard(self, now: int, wire: FrameConnection, edge: str, version: int | None) -> bool:
+        """That edge machine speaks there, and goes by that configuration. Return False where it has dialled anew since."""
+        session = self._edges.heard(now, wire, edge)
+        if session is None:
+            return False
+        session.said = version
+        return True
+
+    def handle_ended(self, wire: FrameConnection) -> None:
+        """That connection has ended."""
+        self._heard_at.pop(wire, None)
+        self._edges.ended(wire)
+
+    def reset_silent(self, now: int) -> None:
+        """End connections on which nothing has come for too long."""
+        for wire, heard_at in list(self._heard_at.items()):
+            if now - heard_at > SILENCE_TIMEOUT_NS:
+                wire.reset()
+
+    def send_to_edges(self, data: bytes) -> None:
+        """Send a packed message to every edge machine in session."""
+        for wire in self._edges.wires():
+            wire.send(data)
+
+    def edge_statuses(self, now: int) -> dict[str, EdgeStatus]:
+        """Return the status of each edge machine in session, by name."""
+        return {
+            name: EdgeStatus(
+                configuration_version=None if session.said is None else f"{session.said:08x}",
+                last_heard_s=seconds(session.silent_for(now)),
+            )
+            for name, session in sorted(self._edges.by_name.items())
+        }
--- a/kestrelplank/control/log_writer.py
+++ b/kestrelplank/control/log_writer.py
@@ -1,5 +1,4 @@
-"""Writes of the replicated log: one thread, in order, several that wait in one write. A disk that refuses is asked
-again with the same."""
+"""Writes of the replicated log to disk: by one thread, in order, several that wait in one write."""
 
 import asyncio
 import logging
@@ -9,59 +8,72 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.storage.log_file import LogFile
 
-AGAIN = 0.3  # s until a disk that refused is asked again
+RETRY_INTERVAL_S = 0.3
+"""Until a write that the disk refused is tried again."""
+
 log = logging.getLogger("storage")
 
 
 class LogWriter:
-    """Writes for one member. `persisted(number)` is called in the loop's thread, in order, when that `Persist` is
-    durable."""
+    """The writes of one member. It owns the thread that alone touches the file once the member has started.
+
+    What holds at all times, and the test of each (`tests/control/test_log_writer.py`):
+
+    - Writes are made in the order in which they were taken, and reported durable in that order:
+      `test_writes_that_wait_are_made_in_one_and_reported_in_order`.
+    - No write passes one that the disk refuses:
+      `test_a_refused_write_is_made_again_with_the_same_and_nothing_passes_it`.
 
-    def __init__(self, file: LogFile, persisted: Callable[[int], None]) -> None:
-        self._file, self._persisted = file, persisted
+    :param handle_persisted: called in the loop's thread with the number of each `Persist` that is durable.
+    """
+
+    def __init__(self, file: LogFile, handle_persisted: Callable[[int], None]) -> None:
+        self._file = file
+        self._handle_persisted = handle_persisted
         self._thread = ThreadPoolExecutor(1)
-        self._waiting: list[Persist] = []
-        self._copies: list[tuple[int, bytes]] = []
-        self._due = asyncio.Event()
+        self._pending: list[Persist] = []
+        self._pending_copy: tuple[int, bytes] | None = None
+        self._work_pending = asyncio.Event()
 
     @property
-    def size(self) -> int:
-        """Bytes of the log on disk."""
+    def log_size_bytes(self) -> int:
+        """Of the log on disk."""
         return self._file.size
 
     def write(self, persist: Persist) -> None:
-        """Takes a write; it is made after all that were taken before it."""
-        self._waiting.append(persist)
-        self._due.set()
+        """Take a write; it is made after all that were taken before it."""
+        self._pending.append(persist)
+        self._work_pending.set()
 
-    def copy(self, version: int, text: bytes) -> None:
-        """Takes a readable copy of a configuration, made when nothing else waits. Of several the last is enough."""
-        self._copies = [(version, text)]
-        self._due.set()
+    def write_copy(self, version: int, text: bytes) -> None:
+        """Take a readable copy of a configuration, made when no write waits. Only the last of several is made."""
+        self._pending_copy = (version, text)
+        self._work_pending.set()
 
     async def run(self) -> None:
-        """Writes until it is cancelled."""
+        """Write until cancelled."""
         while True:
-            await self._due.wait()
-            if self._waiting:
-                batch, self._waiting = self._waiting, []
-                await self._write(batch)
-                for persist in batch:
-                    self._persisted(persist.number)
-            elif self._copies:
-                version, text = self._copies.pop()
-                await self._in_thread(self._file.keep_copy, version, text)
+            await self._work_pending.wait()
+            if self._pending:
+                await self._write_pending()
+            elif self._pending_copy is not None:
+                version, text = self._pending_copy
+                self._pending_copy = None
+                await asyncio.get_running_loop().run_in_executor(self._thread, self._file.keep_copy, version, text)
             else:
-                self._due.clear()
+                self._work_pending.clear()
+
+    async def _write_pending(self) -> None:
+        batch, self._pending = self._pending, []
+        await self._write_until_done(batch)
+        for persist in batch:
+            self._handle_persisted(persist.number)
 
-    async def _write(self, batch: list[Persist]) -> None:
+    async def _write_until_done(self, batch: list[Persist]) -> None:
         while True:
             try:
-                await self._in_thread(self._file.write, batch)
+                await asyncio.get_running_loop().run_in_executor(self._thread, self._file.write, batch)
                 return
             except OSError as err:
-                log.warning("Storage: can't write the log: %s", err)
-                await asyncio.sleep(AGAIN)
-
-    async def _in_thread(self, work: Callable, *given: object) -> None:
-        await asyncio.get_running_loop().run_in_executor(self._thread, work, *given)
+                log.warning("Storage: can't write the log, trying again in %s s: %s", RETRY_INTERVAL_S, err)
+                await asyncio.sleep(RETRY_INTERVAL_S)
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -1,15 +1,17 @@
-"""One control member without I/O: the replicated log, what it adds up to, operators' calls, who decides for keys, and
-what edge machines are told. Each call returns effects (`control.effects`), to be carried out in order.
+"""One control member without I/O: the replicated log and what it adds up to, operators' calls, the assignment of keys to
+servers, and what edge machines are sent.
 
-Whoever leads the log decides for every sharded service, confirms orders and answers reads. Another member that is
-current passes operators' calls on to the leader; one that is not refuses them at once, and tells edge machines so.
+Each `handle_...` method takes one event and returns effects (`control.effects`), to be carried out in order.
 """
 
 from random import Random
+from typing import assert_never
 
 from kestrelplank.configuration.plan import Configuration
 from kestrelplank.consensus import effects as consensus
 from kestrelplank.consensus.messages import (
+    Append,
+    AppendReply,
     ChangeMembership,
     Entry,
     HardState,
@@ -19,15 +21,22 @@
     MembershipUpdate,
     Message,
     OrderResult,
+    PutConfiguration,
     PutRecord,
     ReadConfiguration,
     ReadResult,
     ServerListUpdate,
     Snapshot,
+    SnapshotChunk,
+    SnapshotReply,
     SubmitOrder,
+    TransferLeadership,
+    VoteReply,
+    VoteRequest,
     address_of,
 )
 from kestrelplank.consensus.node import ConsensusNode
+from kestrelplank.control.edge_updates import EdgeUpdates
 from kestrelplank.control.effects import Effect, KeepCopy, PushToEdges
 from kestrelplank.control.member_lifecycle import MemberLifecycle
 from kestrelplank.control.member_profile import MemberProfile
@@ -35,36 +44,53 @@
 from kestrelplank.control.operator_calls import OperatorCalls
 from kestrelplank.control.peer_directory import PeerDirectory
 from kestrelplank.control.replica import Replica
+from kestrelplank.control.server_discovery import ServerDiscovery
 from kestrelplank.control.shard_assigners import ShardAssigners
-from kestrelplank.control.shard_assignment import ShardAssigner, key_ranges_update
-from kestrelplank.control.status import MemberStatus, peer_status, service_status
+from kestrelplank.control.shard_assignment import ShardAssigner
+from kestrelplank.control.status import MemberStatus, member_status
 from kestrelplank.sharding.key_ranges import KeyRange
-from kestrelplank.state.control_state import ApplyResult, ControlState
-from kestrelplank.transport.messages import (
-    ConfigurationUpdate,
-    EdgeHeartbeat,
-    KeyRangesVersion,
-    LoadReport,
-    MemberHeartbeat,
-    ToEdge,
-)
+from kestrelplank.state.control_state import ControlState
+from kestrelplank.transport.messages import ConfigurationUpdate, EdgeHeartbeat, LoadReport, ToEdge
 from kestrelplank.transport.server_list import Entry as ListedServer
 from kestrelplank.transport.server_list import ServerList
 
-S = 1_000_000_000
-POLL, POLL_RANK = S // 2, S // 2  # how old the platform's list may become, and how much older by rank
-
 
 class ControlMember:
-    """The member `identity`. `hard_state`, `snapshot` and `entries` are what its disk has; `first_start`: the system
-    has never run before. Times are whole ns of the steady clock."""
+    """The member `identity`, composed of its parts. Times are whole ns of the steady clock.
+
+    Whoever leads the log assigns keys, acknowledges orders and answers reads. Another member that is current forwards
+    operators' calls to the leader; one that is not rejects them at once, and says so to edge machines.
+
+    What holds at all times, and the test of each (`tests/control/`; most are also checked after each step of
+    `test_whatever_happens_no_key_is_held_twice_and_nothing_acknowledged_is_lost`):
+
+    - No two members lead at one moment: `test_a_leader_frozen_beyond_its_lease_does_no_harm`.
+    - A configuration is in force, and acknowledged, only once a majority has it on disk:
+      `test_a_change_is_in_force_once_two_disks_have_it`.
+    - What was acknowledged outlives every loss that is borne:
+      `test_no_loss_that_is_borne_loses_an_acknowledged_change`.
+    - A version has one text: `test_of_two_operators_with_one_number_at_two_members_one_prevails`.
+    - Only a leader answers a read or an order: `test_a_member_that_does_not_lead_answers_a_forwarded_call_with_not_known`.
+    - A member that is not current rejects calls at once and does not vouch for its configuration:
+      `test_a_member_cut_off_for_20_s_refuses_at_once_and_tells_edge_machines_that_it_is_not_current`.
+    - A member with an empty disk is another one, and vouches for nothing:
+      `test_a_member_with_an_empty_disk_answers_nothing_and_vouches_for_nothing`.
+    - Key ranges are committed before a server is granted them, so no key has two servers:
+      `test_all_power_lost_right_after_a_move_leaves_the_key_with_one_server`.
+    - A member that stops hands leadership over first, and takes nothing acknowledged with it:
+      `test_a_leader_that_leaves_right_after_an_order_takes_nothing_with_it`.
+
+    :param identity: control address and incarnation.
+    :param hard_state: what the disk has, as are `snapshot` and `entries`.
+    :param first_start: the system has never run before.
+    """
 
     def __init__(
         self,
         now: int,
         random: Random,
         identity: str,
-        place: MemberProfile,
+        profile: MemberProfile,
         hard_state: HardState,
         snapshot: Snapshot | None,
         entries: tuple[Entry, ...],
@@ -75,244 +101,203 @@
         self.state = ControlState()
         if snapshot is not None:
             self.state.restore(snapshot.state)
-        self.replica = Replica(self.node, self.state, snapshot.membership if snapshot else None)
-        self.servers = ServerList()
-        self.directory = PeerDirectory(address_of(identity), place.seeds)
-        self.lifecycle = MemberLifecycle(now, address_of(identity), place, self.replica, self.directory)
-        self._calls = OperatorCalls(self.replica, random.getrandbits(63))
-        self._keys = ShardAssigners(random, self.replica, self.servers)
-        self._voters = MembershipReconciler(now, place, self.replica, self.directory)
+        self._replica = Replica(self.node, self.state, snapshot.membership if snapshot else None)
+        self._servers = ServerList()
+        address = address_of(identity)
+        self._directory = PeerDirectory(address, profile.seeds)
+        self.lifecycle = MemberLifecycle(now, address, profile, self._replica, self._directory)
+        self._operator_calls = OperatorCalls(self._replica, random.getrandbits(63))
+        self._assigners = ShardAssigners(random, self._replica, self._servers)
+        self._reconciler = MembershipReconciler(now, profile, self._replica, self._directory)
+        self._discovery = ServerDiscovery(self._replica, self._servers, self._assigners)
+        self._edge_updates = EdgeUpdates(self._replica, self.lifecycle, self._servers, self._assigners)
 
     @property
-    def committed(self) -> Membership | None:
+    def committed_membership(self) -> Membership | None:
         """The newest membership that is committed in our log."""
-        return self.replica.committed
+        return self._replica.committed_membership
 
     @property
     def shard_assigners(self) -> dict[str, ShardAssigner]:
         """By service, while this member leads."""
-        return self._keys.by_service
-
-    # What comes in.
-
-    def receive(self, now: int, sender: str, message: Message) -> list[Effect]:
-        """A message of the member `sender`."""
-        self.directory.heard(now, sender)
-        if isinstance(message, MembershipRequest):
-            self.lifecycle.on_request(now, sender, message)
-        elif isinstance(message, MembershipQuery):
-            self.lifecycle.tell_members(now, sender)
-        elif isinstance(message, MembershipUpdate):
-            self.directory.told(now, message)
-        elif isinstance(message, SubmitOrder):
-            self._calls.on_submit(now, sender, message)
-        elif isinstance(message, ReadConfiguration):
-            self._calls.on_read(now, sender, message)
-        elif isinstance(message, OrderResult):
-            self._calls.on_order_result(sender, message)
-        elif isinstance(message, ReadResult):
-            self._calls.on_read_result(sender, message)
-        elif isinstance(message, ServerListUpdate):
-            self._listed(now, message.age, message.entries)
-        else:
-            self.replica.add(self.node.receive(now, sender, message))
-        return self._done(now)
-
-    def persisted(self, now: int, number: int) -> list[Effect]:
+        return self._assigners.by_service
+
+    # Events from outside.
+
+    def handle_message(self, now: int, sender: str, message: Message) -> list[Effect]:
+        """Take a message of the member whose identity is `sender`."""
+        self._directory.handle_contact(now, sender)
+        match message:
+            case (
+                Append()
+                | AppendReply()
+                | VoteRequest()
+                | VoteReply()
+                | SnapshotChunk()
+                | SnapshotReply()
+                | TransferLeadership()
+            ):
+                self._replica.add_events(self.node.receive(now, sender, message))
+            case MembershipRequest():
+                self.lifecycle.handle_membership_request(now, sender, message)
+            case MembershipQuery():
+                self.lifecycle.handle_membership_query(now, sender)
+            case MembershipUpdate():
+                self._directory.handle_membership_update(now, message)
+            case SubmitOrder():
+                self._operator_calls.handle_submit_order(now, sender, message)
+            case ReadConfiguration():
+                self._operator_calls.handle_read_configuration(now, sender, message)
+            case OrderResult():
+                self._operator_calls.handle_order_result(sender, message)
+            case ReadResult():
+                self._operator_calls.handle_read_result(sender, message)
+            case ServerListUpdate():
+                self._discovery.handle_server_list_update(now, message)
+            case _:
+                assert_never(message)
+        return self._take_effects(now)
+
+    def handle_persisted(self, now: int, number: int) -> list[Effect]:
         """The `Persist` with that number is durable, and all before it."""
-        self.replica.persisted(now, number)
-        return self._done(now)
-
-    def put(self, now: int, ticket: int, configuration: Configuration) -> list[Effect]:
-        """The operator sends a configuration that has passed the checks; `AnswerOrder` follows."""
-        self._calls.put(now, ticket, configuration)
-        return self._done(now)
-
-    def show(self, now: int, ticket: int) -> list[Effect]:
-        """The operator asks for the newest configuration; `AnswerRead` follows."""
-        self._calls.show(now, ticket)
-        return self._done(now)
-
-    def fetched(self, now: int, entries: list[ListedServer]) -> list[Effect]:
-        """The platform's list, fetched by us right now."""
-        changed = self._listed(now, 0, entries)
-        news = self.servers.news(now)
-        for voter in self.replica.voters():
-            if voter != self.identity:
-                self.replica.send(voter, news)
-        if changed:
-            self.replica.emit(PushToEdges(news))
-        return self._done(now)
-
-    def called(
+        self._replica.handle_persisted(now, number)
+        return self._take_effects(now)
+
+    def handle_replace_call(self, now: int, ticket: int, configuration: Configuration) -> list[Effect]:
+        """The operator sends a configuration that has passed the checks; `AnswerOrder` with the ticket follows."""
+        self._operator_calls.handle_replace_call(now, ticket, configuration)
+        return self._take_effects(now)
+
+    def handle_show_call(self, now: int, ticket: int) -> list[Effect]:
+        """The operator asks for the newest configuration; `AnswerRead` with the ticket follows."""
+        self._operator_calls.handle_show_call(now, ticket)
+        return self._take_effects(now)
+
+    def handle_servers_fetched(self, now: int, entries: list[ListedServer]) -> list[Effect]:
+        """We have just fetched the platform's list of servers."""
+        self._discovery.handle_fetched(now, entries)
+        return self._take_effects(now)
+
+    def handle_server_call_ended(
         self, now: int, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
     ) -> list[Effect]:
-        """A grant or release has ended. `sent`: something of it left us; `status`: the answer's, None without one."""
-        self._keys.called(now, service, action, line, sent, status, handover)
-        return self._done(now)
-
-    def load_report(self, now: int, report: LoadReport) -> None:
-        """What an edge machine has seen of servers and keys."""
-        self._keys.load_report(now, report)
-
-    def tick(self, now: int, log_size: int = 0) -> list[Effect]:
-        """What is due, at least every 50 ms. `log_size`: bytes of the log on disk."""
-        self.replica.add(self.node.tick(now))
-        self._settle(now)
-        self._calls.expire(now)
+        """A `CallServer` has ended.
+
+        :param sent: whether anything of it left us.
+        :param status: the answer's; None without one.
+        :param handover: what the answer to a release carried.
+        """
+        self._assigners.called(now, service, action, line, sent, status, handover)
+        return self._take_effects(now)
+
+    def handle_load_report(self, now: int, report: LoadReport) -> None:
+        """An edge machine says what it has seen of servers and keys."""
+        self._assigners.load_report(now, report)
+
+    def handle_edge_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> list[ToEdge]:
+        """Return what is sent to an edge machine in answer to its heartbeat.
+
+        :param edge_count: how many edge machines are in session.
+        """
+        return self._edge_updates.handle_edge_heartbeat(now, heartbeat, edge_count)
+
+    def tick(self, now: int, log_size_bytes: int = 0) -> list[Effect]:
+        """Do what is due; to be called at least every 50 ms.
+
+        :param log_size_bytes: of the log on disk.
+        """
+        self._replica.add_events(self.node.tick(now))
+        self._handle_consensus_events(now)
+        self._operator_calls.tick(now)
         self.lifecycle.tick(now)
         if self.node.leads(now):
-            self._voters.tick(now, self.lifecycle.stopping)
-            self._keys.tick(now)
-        self.replica.compact(log_size)
-        return self._done(now)
-
-    def stop(self, now: int) -> list[Effect]:
-        """This member is told to stop; it goes on serving until `may_stop`."""
-        self.lifecycle.stop(now)
-        self._settle(now)
+            self._reconciler.tick(now, stopping=self.lifecycle.stopping)
+            self._assigners.tick(now)
+        self._replica.compact_if_due(log_size_bytes)
+        return self._take_effects(now)
+
+    def begin_stop(self, now: int) -> list[Effect]:
+        """Begin to stop in order; the member goes on serving until `may_stop`."""
+        self.lifecycle.begin_stop(now)
+        self._handle_consensus_events(now)
         self.lifecycle.tick(now)
-        return self._done(now)
+        return self._take_effects(now)
+
+    # Questions of the program.
 
     def may_stop(self, now: int) -> bool:
         """Whether nothing more can be done for what this member holds."""
         return self.lifecycle.may_stop(now)
 
     def addresses_to_dial(self, now: int) -> list[str]:
-        """Control addresses of the members that a session is wanted with."""
+        """Return the control addresses of the members that a session is wanted with."""
         return self.lifecycle.addresses_to_dial(now)
 
-    # What the log wants done.
+    def server_fetch_due_in_ns(self, now: int) -> int | None:
+        """Return the time until this member should fetch the platform's list of servers; None: it need not."""
+        return self._discovery.fetch_due_in_ns(now)
 
-    def _done(self, now: int) -> list[Effect]:
-        self._settle(now)
-        return self.replica.take_effects()
+    def status(self, now: int) -> MemberStatus:
+        """Return this member as an operator sees it, without edge machines."""
+        return member_status(now, self._replica, self.lifecycle, self._servers, self._assigners)
+
+    # Events of the consensus node.
+
+    def _take_effects(self, now: int) -> list[Effect]:
+        self._handle_consensus_events(now)
+        return self._replica.take_effects()
 
-    def _settle(self, now: int) -> None:
-        """Takes what the node wants done, in order, until it wants nothing more."""
-        events = self.replica.events
+    def _handle_consensus_events(self, now: int) -> None:
+        """Handle what the node wants done, in order, until it wants nothing more."""
+        events = self._replica.events
         while events:
             event = events.popleft()
-            if isinstance(event, consensus.Send):
-                self.replica.send(event.to, event.message)
-            elif isinstance(event, consensus.Persist):
-                self.replica.emit(event)
-            elif isinstance(event, consensus.Applied):
-                self._applied(now, event.entry)
-            elif isinstance(event, consensus.Restored):
-                self._restored(event.snapshot)
-            elif isinstance(event, consensus.Elected):
-                self.replica.log(f"leads, term {event.term}")
-                self._voters.elected(now)
-            else:
-                self.replica.log("leads no longer")
-                self._keys.keep_only([])
-                self._calls.deposed()
-
-    def _applied(self, now: int, entry: Entry) -> None:
-        result = self.state.apply(entry)
+            match event:
+                case consensus.Send():
+                    self._replica.send(event.to, event.message)
+                case consensus.Persist():
+                    self._replica.emit(event)
+                case consensus.Applied():
+                    self._handle_applied(now, event.entry)
+                case consensus.Restored():
+                    self._handle_restored(event.snapshot)
+                case consensus.Elected():
+                    self._handle_elected(now, event.term)
+                case consensus.Deposed():
+                    self._handle_deposed()
+                case _:
+                    assert_never(event)
+
+    def _handle_applied(self, now: int, entry: Entry) -> None:
+        in_force = self.state.apply(entry).in_force
         command = entry.command
         if isinstance(command, ChangeMembership):
-            self.replica.counts(command.membership)
-        if result.in_force is not None:
-            self._in_force(now, result)
+            self._replica.handle_membership_committed(command.membership)
+        if in_force is not None:
+            self._handle_configuration_in_force(now, in_force)
         if isinstance(command, PutRecord):
-            self._keys.recorded(now, entry, command)
-        self._calls.applied(entry, result.in_force is not None)
-
-    def _in_force(self, now: int, result: ApplyResult) -> None:
-        order = result.in_force
-        assert order is not None
-        self.replica.log(f"configuration {order.version:08x} is in force")
-        self.replica.emit(KeepCopy(order.version, order.text))
-        self._keys.keep_only(self.replica.sharded())
+            self._assigners.recorded(now, entry, command)
+        self._operator_calls.handle_applied(entry, took_force=in_force is not None)
+
+    def _handle_configuration_in_force(self, now: int, order: PutConfiguration) -> None:
+        self._replica.log(f"configuration {order.version:08x} is in force: its entry is committed")
+        self._replica.emit(KeepCopy(order.version, order.text))
+        self._assigners.keep_only(self._replica.sharded_services())
         if self.node.leads(now):
-            self.replica.emit(PushToEdges(ConfigurationUpdate(order.version, order.text)))
+            self._replica.emit(PushToEdges(ConfigurationUpdate(order.version, order.text)))
 
-    def _restored(self, snapshot: Snapshot) -> None:
+    def _handle_restored(self, snapshot: Snapshot) -> None:
         self.state.restore(snapshot.state)
-        self.replica.counts(snapshot.membership)
-        force = self.state.configuration
-        self.replica.log(
-            f"has taken a snapshot, configuration {force.version:08x}" if force else "has taken a snapshot"
-        )
-
-    # The platform's list.
-
-    def list_due(self, now: int) -> int | None:
-        """ns until this member should fetch the list, unless another has told a newer one by then. None: it is no
-        voter, so it need not."""
-        others = [voter for voter in self.replica.voters() if voter != self.node.leader]
-        if self.identity != self.node.leader and self.identity not in others:
-            return None
-        rank = 0 if self.identity == self.node.leader else others.index(self.identity) + 1
-        age = self.servers.age(now)
-        return 0 if age is None else max(0, POLL + rank * POLL_RANK - age)
-
-    def _listed(self, now: int, age: int, entries: list[tuple]) -> bool:
-        changed = self.servers.take(now, age, entries)
-        if changed:
-            self._keys.listed(now)
-        return changed
-
-    # What edge machines are told.
-
-    def on_edge_heartbeat(self, now: int, beat: EdgeHeartbeat, edges: int) -> list[ToEdge]:
-        """An edge machine says where it stands; `edges`: how many are in session. Returns what it is told: our own
-        beat, and all that it lacks."""
-        answers: list[ToEdge] = [self._member_beat(now, beat, edges)]
-        force = self.state.configuration
-        if force is not None and (beat.version is None or beat.version < force.version):
-            answers.append(ConfigurationUpdate(force.version, force.text))
-        for service in self.replica.sharded():
-            decider, record = self._keys.decider(now, service), self.replica.record(service)
-            place = decider.place if decider else record.place
-            if beat.lines.get(service, KeyRangesVersion()) < place:
-                answers.append(decider.news() if decider else key_ranges_update(service, record))
-        if self.servers.fetched_at is not None and beat.servers != self.servers.digest():
-            answers.append(self.servers.news(now))
-        return answers
-
-    def _member_beat(self, now: int, beat: EdgeHeartbeat, edges: int) -> MemberHeartbeat:
-        counts, force = self.lifecycle.committed(), self.state.configuration
-        return MemberHeartbeat(
-            counts.epoch if counts else -1,
-            self.node.term,
-            address_of(self.node.leader),
-            self.node.current(now),
-            force.version if force else None,
-            tuple(map(address_of, counts.all_voters())) if counts else (),
-            edges,
-            beat.sent_at,
-        )
-
-    # What others ask.
-
-    def status(self, now: int) -> MemberStatus:
-        """This member as an operator sees it."""
-        node, force, counts = self.node, self.state.configuration, self.lifecycle.committed()
-        voters = counts.all_voters() if counts else ()
-        age = self.servers.age(now)
-        return MemberStatus(
-            member=self.identity,
-            state=node.catching_up(now),
-            term=node.term,
-            leader=node.leader,
-            leads=node.leads(now),
-            current=node.current(now),
-            epoch=counts.epoch if counts else None,
-            voters=list(voters),
-            standbys=[one for one in self.directory.running(now) if one not in voters],
-            stopping=self.lifecycle.stopping,
-            commit=node.commit,
-            applied=node.applied,
-            last=node.log.last_index,
-            in_force=f"{force.version:08x}" if force else None,
-            peers={name: peer_status(now, peer, node.commit) for name, peer in sorted(node.peers.items())},
-            servers=len(self.servers.entries),
-            list_age_s=None if age is None else round(age / S, 3),
-            services={
-                service: service_status(now, self._keys.decider(now, service), self.replica.record(service))
-                for service in self.replica.sharded()
-            },
-        )
+        self._replica.handle_membership_committed(snapshot.membership)
+        configuration = self.state.configuration
+        version = f"configuration {configuration.version:08x}" if configuration else "no configuration"
+        self._replica.log(f"installed a snapshot, {version}: the leader no longer has the entries missing here")
+
+    def _handle_elected(self, now: int, term: int) -> None:
+        self._replica.handle_elected(term)
+        self._reconciler.handle_elected(now)
+
+    def _handle_deposed(self) -> None:
+        self._replica.handle_deposed()
+        self._assigners.keep_only([])
+        self._operator_calls.handle_deposed()
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -1,7 +1,7 @@
-"""How one member finds the others, asks to count, and stops in order. No I/O.
+"""How one member finds the others, asks to be a voter, and stops in order. No I/O.
 
-A member that the others know and that is current asks little: it tells the leader where it is. One that is not current
-looks for the others at every address it has heard of, for as long as it runs.
+A member that the others know and that is current asks little: it tells the leader that it runs. One that is not current
+searches for the others at every address it has heard of, for as long as it runs.
 """
 
 from kestrelplank.consensus.messages import (
@@ -15,137 +15,156 @@
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.peer_directory import PeerDirectory
 from kestrelplank.control.replica import Replica
+from kestrelplank.time_units import MILLISECOND, SECOND
 
-S = 1_000_000_000
-ASK = 300_000_000  # ns between requests of a member that does not count, looks for the others, or is about to stop
-TELL = S  # ns between a voter's words to the leader on where it is
-SEARCH_AFTER = S  # a member that has not been current for so long looks for the others anywhere
-STOP_MARGIN = 3 * S // 2  # of the grace, for what is in hand when a member stops
-STOP_CALM = S  # a member that stops waits so long for what might be done for its place
+REQUEST_INTERVAL_NS = 300 * MILLISECOND
+"""Between requests of a member that is no voter, searches for the others, or is about to stop."""
+VOTER_REQUEST_INTERVAL_NS = SECOND
+"""Between requests of a voter, by which the leader knows its zone."""
+SEARCH_DELAY_NS = SECOND
+"""A member that has not been current for so long searches for the others."""
+STOP_MARGIN_NS = 3 * SECOND // 2
+"""What is kept of the time to stop for the connections and requests in hand."""
+STOP_SETTLE_NS = SECOND
+"""For so long a member that stops waits to hear whether another could take its place."""
 
 
 class MemberLifecycle:
-    """`address`: our own control address."""
+    """A member's way from its start to its end.
+
+    :param address: our own control address.
+    """
 
     def __init__(
-        self, now: int, address: str, place: MemberProfile, replica: Replica, directory: PeerDirectory
+        self, now: int, address: str, profile: MemberProfile, replica: Replica, directory: PeerDirectory
     ) -> None:
-        self._address, self._place, self._replica, self._directory = address, place, replica, directory
+        self._address = address
+        self._profile = profile
+        self._replica = replica
+        self._directory = directory
         self._node = replica.node
-        self._current_at: int | None = None  # when this member last was current in this life
-        self._started_at = self._ask_at = now
+        self._started_at = self._request_at = now
+        self._current_at: int | None = None  # when this member was last current since its start
         self._stop_at: int | None = None
 
     # What is known.
 
     @property
     def stopping(self) -> bool:
+        """Whether this member was asked to stop."""
         return self._stop_at is not None
 
-    def newest(self) -> Membership | None:
-        """The newest membership known, in our log or by what others told."""
-        return newer(self._node.membership, self._directory.news)
+    def newest_membership(self) -> Membership | None:
+        """Return the newest membership known, in our log or by what others told."""
+        return newer(self._node.membership, self._directory.newest_membership)
 
-    def committed(self) -> Membership | None:
-        """The newest membership that is known to be committed, by our log or by what others told."""
-        return newer(self._replica.committed, self._directory.news)
+    def committed_membership(self) -> Membership | None:
+        """Return the newest membership known to be committed, by our log or by what others told."""
+        return newer(self._replica.committed_membership, self._directory.newest_membership)
 
     def is_voter(self) -> bool:
-        """Whether this member counts, as far as it knows."""
-        newest = self.newest()
+        """Whether this member is a voter, as far as it knows."""
+        newest = self.newest_membership()
         return newest is not None and self._node.identity in newest.all_voters()
 
-    def searching(self, now: int) -> bool:
-        """Whether the others have to be looked for anywhere, as those known here do not make this member current."""
+    def is_searching(self, now: int) -> bool:
+        """Whether the others must be searched for at any address, as those known here do not make us current."""
         if self._current_at is None:
-            known = self._node.membership is not None
-            return not known or now - self._started_at >= SEARCH_AFTER
-        return now - self._current_at >= SEARCH_AFTER
+            knows_members = self._node.membership is not None
+            return not knows_members or now - self._started_at >= SEARCH_DELAY_NS
+        return now - self._current_at >= SEARCH_DELAY_NS
 
     def addresses_to_dial(self, now: int) -> list[str]:
-        """Control addresses of the members that a session is wanted with."""
-        newest = self.newest()
-        known = [*self._replica.voters(), *(newest.all_voters() if newest else ())]
-        addresses = dict.fromkeys(map(address_of, known))
-        if self.searching(now):
-            addresses.update(dict.fromkeys(self._directory.places(now)))
+        """Return the control addresses of the members that a session is wanted with."""
+        newest = self.newest_membership()
+        voters = [*self._replica.voters(), *(newest.all_voters() if newest else ())]
+        addresses = dict.fromkeys(map(address_of, voters))
+        if self.is_searching(now):
+            addresses.update(dict.fromkeys(self._directory.known_addresses(now)))
         addresses.pop(self._address, None)
         return list(addresses)
 
     # What others ask.
 
-    def on_request(self, now: int, sender: str, request: MembershipRequest) -> None:
-        """A member says that it runs, and asks to count; the leader takes it from there."""
-        self._directory.requested(now, sender, request)
+    def handle_membership_request(self, now: int, sender: str, request: MembershipRequest) -> None:
+        """A member runs, and asks to be or to stay a voter. The leader decides; any other tells it who the voters are."""
+        self._directory.handle_membership_request(now, sender, request)
         if not self._node.leads(now):
-            self.tell_members(now, sender)
+            self.handle_membership_query(now, sender)
 
-    def tell_members(self, now: int, to: str) -> None:
-        """Who counts and who leads, for a member that asks."""
-        counts = self.committed()
-        if counts is None:
+    def handle_membership_query(self, now: int, sender: str) -> None:
+        """Tell a member who the voters are, who leads and who else runs, as far as known here."""
+        membership = self.committed_membership()
+        if membership is None:
             return
-        voters = counts.all_voters()
-        standbys = tuple(one for one in self._directory.running(now) if one not in voters)
-        self._replica.send(to, MembershipUpdate(counts, self._node.leader or self._directory.leader, standbys))
+        leader = self._node.leader or self._directory.leader
+        self._replica.send(sender, MembershipUpdate(membership, leader, self.standbys(now)))
+
+    def standbys(self, now: int) -> tuple[str, ...]:
+        """Return the members that run and are no voters."""
+        membership = self.committed_membership()
+        voters = membership.all_voters() if membership else ()
+        return tuple(identity for identity in self._directory.running(now) if identity not in voters)
 
     # What this member asks.
 
     def tick(self, now: int) -> None:
-        """Looks for the others where that is due, and tells the leader that we run."""
+        """Search for the others where that is due, and tell the leader that we run."""
         if self._node.current(now):
             self._current_at = now
-        if now < self._ask_at:
+        if now < self._request_at:
             return
-        searching = self.searching(now)
-        self._ask_at = now + (TELL if self.is_voter() and not searching and not self.stopping else ASK)
+        searching = self.is_searching(now)
+        settled = self.is_voter() and not searching and not self.stopping
+        self._request_at = now + (VOTER_REQUEST_INTERVAL_NS if settled else REQUEST_INTERVAL_NS)
         if searching:
             for address in self.addresses_to_dial(now):
                 self._replica.emit(SendToAddress(address, MembershipQuery()))
         self._request_membership(searching)
 
     def _request_membership(self, searching: bool) -> None:
-        place, node = self._place, self._node
-        request = MembershipRequest(node.term, node.epoch, place.zone, place.eligible, self.stopping)
-        for identity in self._leaders(searching):
+        profile, node = self._profile, self._node
+        request = MembershipRequest(node.term, node.epoch, profile.zone, profile.eligible, self.stopping)
+        for identity in self._likely_leaders(searching):
             self._replica.send(identity, request)
             if self.stopping:  # who else runs decides how long we stay
                 self._replica.send(identity, MembershipQuery())
 
-    def _leaders(self, searching: bool) -> list[str]:
-        """Who leads as far as is known; while that is doubtful, all that may."""
+    def _likely_leaders(self, searching: bool) -> list[str]:
+        """Return who leads as far as is known; while that is doubtful, all that may."""
         if self._node.leader and not searching:
-            found = [self._node.leader]
+            identities = [self._node.leader]
         else:
-            newest = self.newest()
-            found = [self._directory.leader, *(newest.all_voters() if newest else ())]
-        return [identity for identity in dict.fromkeys(found) if identity not in ("", self._node.identity)]
+            newest = self.newest_membership()
+            identities = [self._directory.leader, *(newest.all_voters() if newest else ())]
+        return [identity for identity in dict.fromkeys(identities) if identity not in ("", self._node.identity)]
 
     # Stopping.
 
-    def stop(self, now: int) -> None:
-        """This member is told to stop: a leader hands over, and another is asked to take its place. It goes on serving
-        until `may_stop`."""
+    def begin_stop(self, now: int) -> None:
+        """Hand leadership over, and ask for another in our place. The member goes on serving until `may_stop`."""
         if self.stopping:
             return
-        self._stop_at = self._ask_at = now
+        self._stop_at = self._request_at = now
         self._node.may_campaign = False
-        self._replica.add(self._node.transfer(now))
+        self._replica.transfer_leadership(now)
 
     def may_stop(self, now: int) -> bool:
-        """Whether nothing more can be done for what this member holds: it does not count any more, or the others have
-        it and nobody could take its place, or its time is up."""
+        """Whether nothing more can be done for what this member holds.
+
+        It is no voter any more; or the others have all that it has, and nobody could take its place; or its time is up.
+        """
         if self._stop_at is None:
             return False
-        if not self.is_voter() or now >= self._stop_at + self._place.grace - STOP_MARGIN:
+        if not self.is_voter() or now >= self._stop_at + self._profile.stop_grace_ns - STOP_MARGIN_NS:
             return True
-        if now < self._stop_at + STOP_CALM or self._directory.others_run(now):
+        if now < self._stop_at + STOP_SETTLE_NS or self._directory.other_standbys_run(now):
             return False
         return self._node.commit == self._node.log.last_index and self._node.current(now)
 
 
-def newer(one: Membership | None, other: Membership | None) -> Membership | None:
-    """The one of the higher epoch."""
-    if one is None or other is None:
-        return one or other
-    return other if other.epoch > one.epoch else one
+def newer(first: Membership | None, second: Membership | None) -> Membership | None:
+    """Return the membership of the higher epoch, the first of two that are equal."""
+    if first is None or second is None:
+        return first or second
+    return second if second.epoch > first.epoch else first
--- a/kestrelplank/control/member_profile.py
+++ b/kestrelplank/control/member_profile.py
@@ -5,16 +5,22 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberProfile:
-    """Its zone, whether its machine's loss counts, the control addresses that the platform names, how many machines may
-    be lost at once, and how long a member may take to stop (ns)."""
+    """A member's machine, and what the platform demands of the system.
+
+    :param zone: the failure domain of the machine.
+    :param eligible: whether the member may be a voter: the platform counts its machine's loss.
+    :param seeds: control addresses that the platform names.
+    :param machine_losses: how many machines may be lost at once.
+    :param stop_grace_ns: how long a member may take to stop.
+    """
 
     zone: str
     eligible: bool
     seeds: tuple[str, ...]
     machine_losses: int
-    grace: int
+    stop_grace_ns: int
 
     @property
     def target_voters(self) -> int:
-        """How many members must count so that the losses are borne."""
+        """How many voters bear `machine_losses`."""
         return 2 * self.machine_losses + 1
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -14,27 +14,36 @@
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import FrameConnection
 
-S = 1_000_000_000
-DIAL = 0.6  # s, for a connection to come up
-AGAIN = 0.25  # s between dials of a member that does not answer
-Receive = Callable[[str, Message], None]
+DIAL_TIMEOUT_S = 0.6
+REDIAL_INTERVAL_S = 0.25
+"""Between dials of a member that does not answer."""
+REDIAL_AFTER_END_S = REDIAL_INTERVAL_S / 2
+"""From the end of a connection to the next dial."""
+
+MessageHandler = Callable[[str, Message], None]
 
 
 class MemberSessions:
-    """Sessions of the member `identity`; members listen for each other at `port`. `receive(sender, message)` is called
-    for each message that is for us."""
+    """Sessions of one member with the others. It owns the connections that it dialled and the tasks that keep them.
+
+    :param identity: our own.
+    :param port: where members listen for each other.
+    :param handle_message: called with the sender's identity and each message that is for us.
+    """
 
-    def __init__(self, identity: str, port: int, receive: Receive) -> None:
-        self._identity, self._port, self._receive = identity, port, receive
+    def __init__(self, identity: str, port: int, handle_message: MessageHandler) -> None:
+        self._identity = identity
+        self._port = port
+        self._handle_message = handle_message
         self._inbound = Sessions()
         self._dialled: dict[str, FrameConnection] = {}  # by control address
-        self._dialling: dict[str, asyncio.Task[None]] = {}
+        self._dialling: dict[str, asyncio.Task[None]] = {}  # by control address
 
     def dial(self, addresses: list[str]) -> None:
-        """Keeps sessions with the members at these addresses, and lets go of others that we dialled."""
+        """Keep sessions with the members at these addresses, and end others that we dialled."""
         for address in addresses:
             if address not in self._dialling:
-                self._dialling[address] = asyncio.create_task(self._keep(address))
+                self._dialling[address] = asyncio.create_task(self._keep_connected(address))
         for address in [address for address in self._dialling if address not in addresses]:
             self._dialling.pop(address).cancel()
             wire = self._dialled.pop(address, None)
@@ -42,7 +51,7 @@
                 wire.reset()
 
     def send(self, to: str, message: Message) -> None:
-        """Sends to the member of that identity; lost where there is no session."""
+        """Send to the member of that identity; lost where there is no session."""
         wire = self._dialled.get(address_of(to))
         session = self._inbound.by_name.get(to)
         if wire is not None and wire.open:
@@ -51,52 +60,50 @@
             session.wire.send(Envelope(self._identity, to, message))
 
     def send_to_address(self, address: str, message: Message) -> None:
-        """Sends to whoever is at that control address."""
+        """Send to whoever is at that control address; lost where we have no connection to it."""
         wire = self._dialled.get(address)
         if wire is not None:
             wire.send(Envelope(self._identity, "", message))
 
-    def on_inbound(self, wire: FrameConnection, envelope: Envelope) -> None:
-        """A message on a connection that came in."""
+    def handle_inbound(self, wire: FrameConnection, envelope: Envelope) -> None:
+        """A message has come on a connection that came in."""
         if self._inbound.heard(time.monotonic_ns(), wire, envelope.sender) is not None:
-            self._take(envelope)
+            self._deliver(envelope)
 
-    def on_inbound_end(self, wire: FrameConnection) -> None:
+    def handle_inbound_ended(self, wire: FrameConnection) -> None:
+        """A connection that came in has ended."""
         self._inbound.ended(wire)
 
     def close(self) -> None:
+        """End all connections that we dialled."""
         self.dial([])
 
-    def _on_dialled(self, wire: FrameConnection, envelope: object) -> None:
-        """A message on a connection that we dialled; `wire.peer`: our address for it, and who has spoken there."""
-        address, sender = wire.peer
+    def _handle_dialled(self, wire: FrameConnection, envelope: object) -> None:
+        """A message has come on a connection that we dialled.
+
+        `wire.peer` has the address that we dialled, and who has spoken there first: None before anybody has.
+        """
+        address, speaker = wire.peer
         if self._dialled.get(address) is not wire or not isinstance(envelope, Envelope):
             return
-        if sender is None:
+        if speaker is None:
             wire.peer = (address, envelope.sender)
-        elif sender != envelope.sender:
+        elif speaker != envelope.sender:
             return
-        self._take(envelope)
+        self._deliver(envelope)
 
-    def _take(self, envelope: Envelope) -> None:
+    def _deliver(self, envelope: Envelope) -> None:
         if envelope.to in ("", self._identity) and envelope.sender != self._identity:
-            self._receive(envelope.sender, envelope.message)
+            self._handle_message(envelope.sender, envelope.message)
 
-    async def _keep(self, address: str) -> None:
-        """A connection to that address, dialled anew whenever it has ended."""
-        host = endpoint(address)[0]
-        loop = asyncio.get_running_loop()
+    async def _keep_connected(self, address: str) -> None:
+        """Keep a connection to that address, dialled anew whenever it has ended."""
         while True:
             ended = asyncio.Event()
             try:
-                async with asyncio.timeout(DIAL):
-                    _, wire = await loop.create_connection(
-                        lambda: FrameConnection(decode_at_member, self._on_dialled, lambda _: ended.set()),  # noqa: B023
-                        host,
-                        self._port,
-                    )
+                wire = await self._connect(address, ended)
             except (OSError, TimeoutError):
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(REDIAL_INTERVAL_S)
                 continue
             wire.peer = (address, None)
             self._dialled[address] = wire
@@ -106,4 +113,19 @@
                 wire.reset()
                 if self._dialled.get(address) is wire:
                     del self._dialled[address]
-            await asyncio.sleep(AGAIN / 2)
+            await asyncio.sleep(REDIAL_AFTER_END_S)
+
+    async def _connect(self, address: str, ended: asyncio.Event) -> FrameConnection:
+        """Return a new connection, which sets `ended` when it has ended.
+
+        :raises OSError: it is refused.
+        :raises TimeoutError: nobody answers.
+        """
+        host = endpoint(address)[0]
+        async with asyncio.timeout(DIAL_TIMEOUT_S):
+            _, wire = await asyncio.get_running_loop().create_connection(
+                lambda: FrameConnection(decode_at_member, self._handle_dialled, lambda _: ended.set()),
+                host,
+                self._port,
+            )
+        return wire
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -1,66 +1,100 @@
-"""What a leader does about who counts: it sends the log to members that ask to count, and changes the membership where
-`consensus.membership` says so. No I/O."""
+"""What a leader does about who the voters are: it sends the log to members that ask to be one, and changes the
+membership where `consensus.membership` says so. No I/O.
+"""
 
 from kestrelplank.consensus.membership import Candidate, plan_membership, successor
-from kestrelplank.consensus.messages import ChangeMembership
+from kestrelplank.consensus.messages import ChangeMembership, Membership
 from kestrelplank.control.member_profile import MemberProfile
-from kestrelplank.control.peer_directory import PeerDirectory, Standby
+from kestrelplank.control.peer_directory import PeerDirectory, RequestingMember
 from kestrelplank.control.replica import Replica
+from kestrelplank.time_units import SECOND
 
 
 class MembershipReconciler:
-    """The leader's care for the members that count, and for those that want to."""
+    """The leader's care for the voters, and for members that ask to be one. It changes one membership at a time."""
 
-    def __init__(self, now: int, place: MemberProfile, replica: Replica, directory: PeerDirectory) -> None:
-        self._place, self._replica, self._directory = place, replica, directory
+    def __init__(self, now: int, profile: MemberProfile, replica: Replica, directory: PeerDirectory) -> None:
+        self._profile = profile
+        self._replica = replica
+        self._directory = directory
         self._node = replica.node
         self._elected_at = now
 
-    def elected(self, now: int) -> None:
+    def handle_elected(self, now: int) -> None:
         """This member leads from now on."""
         self._elected_at = now
 
-    def tick(self, now: int, stopping: bool) -> None:
-        """Only while this member leads. `stopping`: it is about to stop."""
-        self._feed_learners(now)
+    def tick(self, now: int, *, stopping: bool) -> None:
+        """Do what is due; only while this member leads.
+
+        :param stopping: this member is about to stop.
+        """
+        self._reconcile_learners(now)
         membership = self._node.membership
-        if membership is None or membership.joint or membership != self._replica.committed:
+        if membership is None or membership.joint or membership != self._replica.committed_membership:
             return
-        candidates = self.candidates(now, stopping)
-        plan = plan_membership(now, membership, candidates, self._node.identity, self._place.target_voters)
-        if plan is not None:
-            if self._replica.propose(now, ChangeMembership(plan)) is not None:
-                new, old = ", ".join(plan.voters), ", ".join(plan.outgoing)
-                self._replica.log(f"proposes epoch {plan.epoch}: {new} instead of {old}")
+        candidates = self.candidates(now, stopping=stopping)
+        planned = plan_membership(now, membership, candidates, self._node.identity, self._profile.target_voters)
+        if planned is not None:
+            self._propose(now, planned, candidates)
         elif successor(now, membership, candidates, self._node.identity) is not None:
-            self._replica.log("hands leadership over")
-            self._replica.add(self._node.transfer(now))
+            self._hand_over(now, membership, stopping=stopping)
 
-    def candidates(self, now: int, stopping: bool) -> list[Candidate]:
-        """What the leader knows of each member that runs or counts, itself first."""
+    def candidates(self, now: int, *, stopping: bool) -> list[Candidate]:
+        """Return what the leader knows of each member that is a voter or asks to be one, itself first."""
         own = self._node.identity
-        asked = {standby.identity: standby for standby in self._directory.standbys(now)}
-        others = [one for one in dict.fromkeys((*self._replica.voters(), *asked)) if one != own]
-        itself = Candidate(own, self._place.zone, self._place.eligible, stopping, now, caught_up=True)
-        return [itself, *(self._candidate(identity, asked.get(identity)) for identity in others)]
+        requesting = {member.identity: member for member in self._directory.requesting(now)}
+        others = [identity for identity in dict.fromkeys((*self._replica.voters(), *requesting)) if identity != own]
+        itself = Candidate(own, self._profile.zone, self._profile.eligible, stopping, now, caught_up=True)
+        return [itself, *(self._candidate(identity, requesting.get(identity)) for identity in others)]
 
-    def _candidate(self, identity: str, standby: Standby | None) -> Candidate:
+    def _candidate(self, identity: str, requesting: RequestingMember | None) -> Candidate:
         peer = self._node.peers.get(identity)
         heard_at = peer.heard_at if peer is not None else 0
         if identity in self._replica.voters():
             heard_at = max(heard_at, self._elected_at)
         caught_up = peer is not None and peer.caught_up(self._node.commit)
-        if standby is None:
+        if requesting is None:
             return Candidate(identity, "", True, False, heard_at, caught_up)
-        request = standby.request
-        heard_at = max(heard_at, standby.heard_at)
+        request = requesting.request
+        heard_at = max(heard_at, requesting.heard_at)
         return Candidate(identity, request.zone, request.eligible, request.leaving, heard_at, caught_up)
 
-    def _feed_learners(self, now: int) -> None:
-        """Sends the log to members that ask to count and do not yet, and to no others."""
+    def _propose(self, now: int, planned: Membership, candidates: list[Candidate]) -> None:
+        if self._replica.propose(now, ChangeMembership(planned)) is None:
+            return
+        replaced = [candidate for candidate in candidates if candidate.identity not in planned.voters]
+        reasons = [describe(now, candidate) for candidate in replaced if candidate.identity in planned.outgoing]
+        self._replica.log(
+            f"proposes membership epoch {planned.epoch}: voters {', '.join(planned.voters)}"
+            f" instead of {', '.join(planned.outgoing)}" + (f"; replaced: {'; '.join(reasons)}" if reasons else "")
+        )
+
+    def _hand_over(self, now: int, membership: Membership, *, stopping: bool) -> None:
+        if stopping:
+            reason = "this member is stopping"
+        elif self._node.identity not in membership.voters:
+            reason = f"this member is no voter of membership epoch {membership.epoch}"
+        else:
+            reason = "this member is not eligible and another can take its place"
+        self._replica.log(f"hands leadership over: {reason}")
+        self._replica.transfer_leadership(now)
+
+    def _reconcile_learners(self, now: int) -> None:
+        """Send the log to members that ask to be voters and are none yet, and to no other."""
         voters = self._replica.voters()
-        asking = [standby.identity for standby in self._directory.standbys(now) if standby.identity not in voters]
+        asking = [member.identity for member in self._directory.requesting(now) if member.identity not in voters]
         for identity in asking:
             self._node.add_learner(identity)
         for identity in [identity for identity in self._node.learners if identity not in asking]:
             self._node.remove_learner(identity)
+
+
+def describe(now: int, candidate: Candidate) -> str:
+    """Return what a leader knows of a voter that it replaces, for a line of the log."""
+    facts = [f"last heard {(now - candidate.heard_at) / SECOND:.1f} s ago"]
+    if candidate.leaving:
+        facts.append("stopping")
+    if not candidate.eligible:
+        facts.append("not eligible")
+    return f"{candidate.identity} {', '.join(facts)}"
--- a/kestrelplank/control/operator_api.py
+++ b/kestrelplank/control/operator_api.py
@@ -1,26 +1,24 @@
-"""Calls of the operator: one handler object for each resource."""
+"""The operators' HTTP API: one handler object for each resource."""
 
-from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
-from typing import Any, Protocol
+from collections.abc import Awaitable, Callable, MutableMapping
+from http import HTTPStatus
+from typing import Protocol
 
 import msgspec
 
 from kestrelplank.configuration.plan import Configuration, read
-from kestrelplank.control.effects import AnswerOrder
+from kestrelplank.control.effects import AnswerOrder, AnswerRead
 from kestrelplank.control.status import MemberStatus
 from kestrelplank.forwarding.errors import ANSWERS, Fault
 
-MOST_BODY = 8 << 20  # a configuration goes to the other members in one message
-Result = tuple[int, bytes]
+MAX_BODY_BYTES = 8 << 20  # a configuration goes to the other members in one message
 
-
-@dataclass(frozen=True, slots=True)
-class Shown:
-    """What a read found. `known`: `text` is the newest configuration that was acknowledged, None if there is none."""
-
-    known: bool
-    text: bytes | None
+Result = tuple[int, bytes]  # status and body
+Scope = MutableMapping[str, object]
+Message = MutableMapping[str, object]
+Receive = Callable[[], Awaitable[Message]]
+Send = Callable[[Message], Awaitable[None]]
+Application = Callable[[Scope, Receive, Send], Awaitable[None]]
 
 
 class Acknowledged(msgspec.Struct, frozen=True):
@@ -30,87 +28,135 @@
     in_force: bool
 
 
-def refusal(fault: Fault, why: str) -> Result:
-    """The answer for a call that failed."""
+def rejected(fault: Fault, why: str) -> Result:
+    """Return the answer to a call that failed."""
     return ANSWERS[fault].status, msgspec.json.encode({"error": fault.value, "why": why})
 
 
 class Member(Protocol):
     """What a handler may ask of the program."""
 
-    async def put(self, configuration: Configuration) -> AnswerOrder: ...
+    async def replace_configuration(self, configuration: Configuration) -> AnswerOrder:
+        """Return what became of an order."""
+        ...
+
+    async def show_configuration(self) -> AnswerRead:
+        """Return the newest configuration, if the member can know it."""
+        ...
+
+    def status(self) -> MemberStatus:
+        """Return the member as it sees itself and the others."""
+        ...
+
 
-    async def show(self) -> Shown: ...
+class Handler(Protocol):
+    """A resource of the API, which is called by one method."""
+
+    @property
+    def method(self) -> str:
+        """The HTTP method."""
+        ...
+
+    @property
+    def path(self) -> str:
+        """The path, all of it."""
+        ...
+
+    async def answer(self, member: Member, body: bytes) -> Result:
+        """Return status and body of the answer to a call with that body."""
+        ...
 
-    def status(self) -> MemberStatus: ...
 
+class ReplaceConfiguration:
+    """`POST /api/configuration/replace`: a complete configuration.
 
-class Replace:
-    """`POST /api/configuration/replace`: a whole configuration. One that is not above the one in force is acknowledged
-    and changes nothing; `in_force` in the answer tells it from one that prevailed."""
+    One that is not above the one in force is acknowledged and changes nothing; `in_force` in the answer tells it from
+    one that prevailed.
+    """
 
     method, path = "POST", "/api/configuration/replace"
 
     async def answer(self, member: Member, body: bytes) -> Result:
-        found = read(body)
-        configuration = found.value_or(None)
+        """Put the configuration in force, once enough members have it."""
+        parsed = read(body)
+        configuration = parsed.value_or(None)
         if configuration is None:
-            return refusal(Fault.INVALID, str(found.failure()))
-        result = await member.put(configuration)
-        if not result.acknowledged:
-            return refusal(Fault.NO_MAJORITY, "not enough members can keep it")
-        return 200, msgspec.json.encode(Acknowledged(f"{configuration.key.version:08x}", result.in_force))
+            return rejected(Fault.INVALID, str(parsed.failure()))
+        answer = await member.replace_configuration(configuration)
+        if not answer.acknowledged:
+            return rejected(Fault.NO_MAJORITY, "not enough members can keep it")
+        version = f"{configuration.key.version:08x}"
+        return HTTPStatus.OK, msgspec.json.encode(Acknowledged(version, answer.in_force))
 
 
-class Show:
+class ShowConfiguration:
     """`GET /api/configuration/show`: the newest configuration, to the byte as it was sent."""
 
     method, path = "GET", "/api/configuration/show"
 
-    async def answer(self, member: Member, body: bytes) -> Result:
-        shown = await member.show()
-        if not shown.known:
-            return refusal(Fault.NO_MAJORITY, "no member that is in touch with a majority answered")
-        if shown.text is None:
-            return refusal(Fault.NO_RESOURCE, "no configuration has come yet")
-        return 200, shown.text
+    async def answer(self, member: Member, body: bytes) -> Result:  # noqa: ARG002 every handler takes a body
+        """Return the configuration."""
+        answer = await member.show_configuration()
+        if not answer.known:
+            return rejected(Fault.NO_MAJORITY, "no member that is in touch with a majority answered")
+        if answer.text is None:
+            return rejected(Fault.NO_RESOURCE, "no configuration has come yet")
+        return HTTPStatus.OK, answer.text
 
 
-class Status:
+class ShowStatus:
     """`GET /api/status`: this member as it sees itself and the others."""
 
     method, path = "GET", "/api/status"
 
-    async def answer(self, member: Member, body: bytes) -> Result:
-        return 200, msgspec.json.encode(member.status())
-
-
-HANDLERS = (Replace(), Show(), Status())
-
-
-def application(member: Member) -> Callable[..., Awaitable[None]]:
-    """The ASGI application round the handlers."""
-    by_place = {(handler.method, handler.path): handler for handler in HANDLERS}
-
-    async def app(scope: dict[str, Any], receive: Any, send: Any) -> None:
-        parts, size = [], 0
-        while True:
-            message = await receive()
-            if message["type"] != "http.request":
-                return
-            parts.append(message["body"])
-            size += len(message["body"])
-            if not message.get("more_body") or size > MOST_BODY:
-                break
-        handler = by_place.get((scope["method"], scope["path"]))
-        if size > MOST_BODY:
-            status, body = refusal(Fault.TOO_LARGE, f"over {MOST_BODY} bytes")
-        elif handler is None:
-            status, body = refusal(Fault.NO_RESOURCE, scope["path"])
-        else:
-            status, body = await handler.answer(member, b"".join(parts))
-        headers = [(b"content-type", b"application/json"), (b"content-length", str(len(body)).encode())]
-        await send({"type": "http.response.start", "status": status, "headers": headers})
-        await send({"type": "http.response.body", "body": body})
+    async def answer(self, member: Member, body: bytes) -> Result:  # noqa: ARG002 every handler takes a body
+        """Return the status."""
+        return HTTPStatus.OK, msgspec.json.encode(member.status())
+
+
+HANDLERS: tuple[Handler, ...] = (ReplaceConfiguration(), ShowConfiguration(), ShowStatus())
+
+
+def application(member: Member) -> Application:
+    """Return the ASGI application round the handlers."""
+    handlers = {(handler.method, handler.path): handler for handler in HANDLERS}
+
+    async def app(scope: Scope, receive: Receive, send: Send) -> None:
+        body = await read_body(receive)
+        if body is None:
+            return
+        method, path = str(scope["method"]), str(scope["path"])
+        status, answer = await answer_call(handlers.get((method, path)), path, member, body)
+        headers = [(b"content-type", b"application/json"), (b"content-length", str(len(answer)).encode())]
+        await send({"type": "http.response.start", "status": int(status), "headers": headers})
+        await send({"type": "http.response.body", "body": answer})
 
     return app
+
+
+async def read_body(receive: Receive) -> bytes | None:
+    """Return a request's body, cut off once it is over `MAX_BODY_BYTES`; None where the client has gone before its end."""
+    chunks: list[bytes] = []
+    size = 0
+    while True:
+        message = await receive()
+        if message["type"] != "http.request":
+            return None
+        chunk = message["body"]
+        assert isinstance(chunk, bytes)
+        chunks.append(chunk)
+        size += len(chunk)
+        if not message.get("more_body") or size > MAX_BODY_BYTES:
+            return b"".join(chunks)
+
+
+async def answer_call(handler: Handler | None, path: str, member: Member, body: bytes) -> Result:
+    """Return status and body of the answer to a call.
+
+    :param handler: of the resource at `path`; None where there is none.
+    """
+    if len(body) > MAX_BODY_BYTES:
+        return rejected(Fault.TOO_LARGE, f"over {MAX_BODY_BYTES} bytes")
+    if handler is None:
+        return rejected(Fault.NO_RESOURCE, path)
+    return await handler.answer(member, body)
--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -1,5 +1,6 @@
-"""Operators' orders and reads: confirmed and answered by the leader, passed on to it by a member that is current,
-refused at once by any other. No I/O."""
+"""Operators' orders and reads: answered by the leader, forwarded to it by a member that is current, rejected at once by
+any other. No I/O.
+"""
 
 from kestrelplank.configuration.plan import Configuration
 from kestrelplank.consensus.messages import (
@@ -11,118 +12,150 @@
     SubmitOrder,
 )
 from kestrelplank.control.effects import AnswerOrder, AnswerRead
-from kestrelplank.control.pending_calls import Caller, PassedCalls, PassedOn, PendingOrders, Ticket
+from kestrelplank.control.pending_calls import (
+    Caller,
+    ForwardedCalls,
+    ForwardingMember,
+    LocalCaller,
+    PendingOrders,
+)
 from kestrelplank.control.replica import Replica
 
 
 class OperatorCalls:
-    """Calls that this member has been asked, by an operator or by a member that passed one on. `life`: drawn anew at
-    each start."""
+    """Calls that an operator made to this member, or that another member forwarded to it.
+
+    :param start_id: drawn anew at each start of the member.
+    """
 
-    def __init__(self, replica: Replica, life: int) -> None:
-        self._replica, self._node = replica, replica.node
+    def __init__(self, replica: Replica, start_id: int) -> None:
+        self._replica = replica
+        self._node = replica.node
         self._orders = PendingOrders()
-        self._passed = PassedCalls(replica.node.identity, life)
+        self._forwarded = ForwardedCalls(replica.node.identity, start_id)
 
-    # What the operator asks this member.
+    # Calls of the operator to this member.
 
-    def put(self, now: int, ticket: int, configuration: Configuration) -> None:
-        """`AnswerOrder` follows."""
+    def handle_replace_call(self, now: int, ticket: int, configuration: Configuration) -> None:
+        """Take an order that has passed the checks; `AnswerOrder` follows."""
         order = PutConfiguration(configuration.key.version, configuration.key.digest, configuration.text)
         if self._node.leads(now):
-            self._confirm(now, Ticket(ticket), order)
-        elif self._can_pass_on(now):
-            call = self._passed.add(now, ticket, self._node.leader, reads=False)
+            self._take_order(now, LocalCaller(ticket), order)
+        elif self._can_forward(now):
+            call = self._forwarded.add(now, ticket, self._node.leader, is_read=False)
             self._replica.send(self._node.leader, SubmitOrder(call, order))
         else:
-            self._answer_order(Ticket(ticket), False)
+            self._answer_order_unknown(LocalCaller(ticket))
 
-    def show(self, now: int, ticket: int) -> None:
-        """`AnswerRead` follows."""
+    def handle_show_call(self, now: int, ticket: int) -> None:
+        """Take a read; `AnswerRead` follows."""
         if self._node.leads(now):
-            self._read(now, Ticket(ticket))
-        elif self._can_pass_on(now):
-            call = self._passed.add(now, ticket, self._node.leader, reads=True)
+            self._answer_read_by_state(now, LocalCaller(ticket))
+        elif self._can_forward(now):
+            call = self._forwarded.add(now, ticket, self._node.leader, is_read=True)
             self._replica.send(self._node.leader, ReadConfiguration(call))
         else:
-            self._answer_read(Ticket(ticket), False, None)
+            self._answer_read_unknown(LocalCaller(ticket))
+
+    # Messages of other members.
 
-    # What other members ask, and what they answer.
+    def handle_submit_order(self, now: int, sender: str, message: SubmitOrder) -> None:
+        """Take an order that another member forwards."""
+        self._take_order(now, ForwardingMember(sender, message.call), message.order)
 
-    def on_submit(self, now: int, sender: str, message: SubmitOrder) -> None:
-        self._confirm(now, PassedOn(sender, message.call), message.order)
+    def handle_read_configuration(self, now: int, sender: str, message: ReadConfiguration) -> None:
+        """Answer a read that another member forwards."""
+        self._answer_read_by_state(now, ForwardingMember(sender, message.call))
 
-    def on_read(self, now: int, sender: str, message: ReadConfiguration) -> None:
-        self._read(now, PassedOn(sender, message.call))
+    def handle_order_result(self, sender: str, result: OrderResult) -> None:
+        """Pass on the answer to an order that we forwarded."""
+        forwarded = self._forwarded.take_answered(sender, result.call, is_read=False)
+        if forwarded is not None:
+            self._answer_order(LocalCaller(forwarded.ticket), result.acknowledged, result.in_force)
 
-    def on_order_result(self, sender: str, result: OrderResult) -> None:
-        passed = self._passed.answered(sender, result.call, reads=False)
-        if passed is not None:
-            self._answer_order(Ticket(passed.ticket), result.acknowledged, result.in_force)
+    def handle_read_result(self, sender: str, result: ReadResult) -> None:
+        """Pass on the answer to a read that we forwarded."""
+        forwarded = self._forwarded.take_answered(sender, result.call, is_read=True)
+        if forwarded is not None:
+            self._answer_read(LocalCaller(forwarded.ticket), result.known, result.text)
 
-    def on_read_result(self, sender: str, result: ReadResult) -> None:
-        passed = self._passed.answered(sender, result.call, reads=True)
-        if passed is not None:
-            self._answer_read(Ticket(passed.ticket), result.known, result.text)
+    # Events of the replicated log, and time.
 
-    # What happens meanwhile.
+    def handle_applied(self, entry: Entry, *, took_force: bool) -> None:
+        """Answer those whose order this committed entry decides.
 
-    def applied(self, entry: Entry, took_force: bool) -> None:
-        """That entry is committed and applied; `took_force`: it was an order that is in force now."""
-        acknowledged, unknown = self._orders.applied(entry)
-        for caller in acknowledged:
+        :param took_force: the entry is an order, and its configuration is in force now.
+        """
+        outcome = self._orders.handle_applied(entry)
+        for caller in outcome.acknowledged:
             self._answer_order(caller, True, took_force)
-        for caller in unknown:
-            self._answer_order(caller, False)
-
-    def deposed(self) -> None:
-        """This member leads no longer."""
-        for caller in self._orders.drop():
-            self._answer_order(caller, False)
-
-    def expire(self, now: int) -> None:
-        """Ends calls that have waited too long."""
-        for caller in self._orders.expired(now):
-            self._answer_order(caller, False)
-        for passed in self._passed.expired(now, self._node.leader):
-            if passed.reads:
-                self._answer_read(Ticket(passed.ticket), False, None)
+        for caller in outcome.unknown:
+            self._answer_order_unknown(caller)
+
+    def handle_deposed(self) -> None:
+        """Answer all whose order is pending: this member leads no longer, so its outcome is unknown."""
+        for caller in self._orders.take_all():
+            self._answer_order_unknown(caller)
+
+    def tick(self, now: int) -> None:
+        """End calls that have waited too long."""
+        for caller in self._orders.take_expired(now):
+            self._answer_order_unknown(caller)
+        for forwarded in self._forwarded.take_expired(now, self._node.leader):
+            caller = LocalCaller(forwarded.ticket)
+            if forwarded.is_read:
+                self._answer_read_unknown(caller)
             else:
-                self._answer_order(Ticket(passed.ticket), False)
+                self._answer_order_unknown(caller)
 
-    def _can_pass_on(self, now: int) -> bool:
-        known = self._node.leader not in ("", self._node.identity)
-        return known and self._node.current(now) and not self._passed.full()
+    def _can_forward(self, now: int) -> bool:
+        another_leads = self._node.leader not in ("", self._node.identity)
+        return another_leads and self._node.current(now) and not self._forwarded.full()
 
-    def _confirm(self, now: int, caller: Caller, order: PutConfiguration) -> None:
-        """An order that we are to put in force, if we lead."""
+    def _take_order(self, now: int, caller: Caller, order: PutConfiguration) -> None:
+        """Answer the order, or let the caller wait until it is committed."""
         if not self._node.leads(now):
-            self._answer_order(caller, False)
+            self._answer_order_unknown(caller)
         elif self._replica.state.acknowledges(order):
-            self._answer_order(caller, True, self._replica.state.holds(order))
+            self._answer_order(caller, True, self._replica.state.is_in_force(order))
         elif self._orders.full():
-            self._answer_order(caller, False)
-        elif not self._orders.attach(now, caller, order):
-            index = self._replica.propose(now, order)
-            if index is None:
-                self._answer_order(caller, False)
-            else:
-                self._orders.add(now, caller, order, index, self._node.term)
-
-    def _read(self, now: int, caller: Caller) -> None:
-        """A read that we are to answer, if we lead: then all that was ever acknowledged is applied here."""
-        known = self._node.leads(now)
-        force = self._replica.state.configuration if known else None
-        self._answer_read(caller, known, force.text if force else None)
-
-    def _answer_order(self, caller: Caller, acknowledged: bool, in_force: bool = False) -> None:
-        if isinstance(caller, Ticket):
-            self._replica.emit(AnswerOrder(caller.number, acknowledged, in_force))
+            self._answer_order_unknown(caller)
+        elif not self._orders.join(now, caller, order):
+            self._propose(now, caller, order)
+
+    def _propose(self, now: int, caller: Caller, order: PutConfiguration) -> None:
+        index = self._replica.propose(now, order)
+        if index is None:
+            self._answer_order_unknown(caller)
         else:
-            self._replica.send(caller.sender, OrderResult(caller.call, acknowledged, in_force))
+            self._orders.add(now, caller, order, index, self._node.term)
+
+    def _answer_read_by_state(self, now: int, caller: Caller) -> None:
+        """Answer a read. Only a leader can: all that was ever acknowledged is applied here."""
+        if not self._node.leads(now):
+            self._answer_read_unknown(caller)
+            return
+        configuration = self._replica.state.configuration
+        self._answer_read(caller, True, configuration.text if configuration else None)
+
+    def _answer_order_unknown(self, caller: Caller) -> None:
+        """Say that the order may be in force later, or never: the caller may send it again."""
+        self._answer_order(caller, False, False)
+
+    def _answer_order(self, caller: Caller, acknowledged: bool, in_force: bool) -> None:
+        match caller:
+            case LocalCaller():
+                self._replica.emit(AnswerOrder(caller.ticket, acknowledged, in_force))
+            case ForwardingMember():
+                self._replica.send(caller.identity, OrderResult(caller.call, acknowledged, in_force))
+
+    def _answer_read_unknown(self, caller: Caller) -> None:
+        """Say that this member can't know the newest configuration."""
+        self._answer_read(caller, False, None)
 
     def _answer_read(self, caller: Caller, known: bool, text: bytes | None) -> None:
-        if isinstance(caller, Ticket):
-            self._replica.emit(AnswerRead(caller.number, known, text))
-        else:
-            self._replica.send(caller.sender, ReadResult(caller.call, known, text))
+        match caller:
+            case LocalCaller():
+                self._replica.emit(AnswerRead(caller.ticket, known, text))
+            case ForwardingMember():
+                self._replica.send(caller.identity, ReadResult(caller.call, known, text))
--- a/kestrelplank/control/peer_directory.py
+++ b/kestrelplank/control/peer_directory.py
@@ -1,21 +1,25 @@
-"""Which control members there are besides the voters, as far as this one knows, and where to look for others. No I/O.
+"""Which other control members there are as far as this one knows, and where to look for more. No I/O.
 
-Nothing here is durable or agreed: it says whom to dial and ask, and who asks to become a voter. Who counts is the log's
-affair.
+Nothing here is durable or agreed: it says whom to dial and to ask, and who asks to become a voter. Who is a voter is
+decided in the log.
 """
 
 from dataclasses import dataclass
 
 from kestrelplank.consensus.messages import Membership, MembershipRequest, MembershipUpdate, address_of
+from kestrelplank.time_units import SECOND
 
-S = 1_000_000_000
-RUNNING = 3 * S  # a member that was heard within this time is told to others as running
-REMEMBERED = 60 * S  # so long an address that was heard of is asked, when the others have to be looked for
+RUNNING_TIMEOUT_NS = 3 * SECOND
+"""A member that was heard within this time is named to others as running."""
+ADDRESS_RETENTION_NS = 60 * SECOND
+"""For so long an address is tried in a search after it was last heard of."""
+STANDBY_RETENTION_NS = SECOND
+"""For so long a member counts as a standby after another member named it as one."""
 
 
 @dataclass(frozen=True, slots=True)
-class Standby:
-    """A member that asked for membership: its last request, and when it came."""
+class RequestingMember:
+    """A member that asks to be a voter: its last request, and when that came."""
 
     identity: str
     request: MembershipRequest
@@ -23,62 +27,88 @@
 
 
 class PeerDirectory:
-    """`address`: our own; `seeds`: control addresses that the platform named."""
+    """The members that this one has heard of.
+
+    :param address: our own control address.
+    :param seeds: control addresses that the platform named.
+    """
 
     def __init__(self, address: str, seeds: tuple[str, ...]) -> None:
         self._address = address
         self._seeds = seeds
-        self._heard: dict[str, int] = {}  # by identity: when it last spoke to us
-        self._told_of: dict[str, int] = {}  # by address: when we last heard of it from others
-        self._standbys: dict[str, Standby] = {}
-        self._others: dict[str, int] = {}  # by identity: when we last heard of it as a member that is no voter
-        self.news: Membership | None = None  # the newest membership that others told
-        self.leader = ""  # who leads by that
-
-    def heard(self, now: int, identity: str) -> None:
+        self._heard_at: dict[str, int] = {}  # by identity: when it last spoke to us
+        self._requests: dict[str, RequestingMember] = {}  # by identity
+        self._address_named_at: dict[str, int] = {}  # by address: when another member last named it
+        self._standby_named_at: dict[str, int] = {}  # by identity: when another member last named it as no voter
+        self._newest_membership: Membership | None = None
+        self._leader = ""
+
+    @property
+    def newest_membership(self) -> Membership | None:
+        """The newest committed membership that another member told us; None before any has."""
+        return self._newest_membership
+
+    @property
+    def leader(self) -> str:
+        """The identity of the leader as another member told us; "" where nobody has."""
+        return self._leader
+
+    def handle_contact(self, now: int, identity: str) -> None:
         """That member speaks to us. Of two incarnations at an address the one that speaks is the one that runs."""
-        address = address_of(identity)
-        if identity not in self._heard:
-            for other in [other for other in self._heard if address_of(other) == address]:
-                del self._heard[other]
-                self._standbys.pop(other, None)
-        self._heard[identity] = now
-
-    def requested(self, now: int, identity: str, request: MembershipRequest) -> None:
-        self._standbys[identity] = Standby(identity, request, now)
-
-    def told(self, now: int, news: MembershipUpdate) -> None:
-        """Another member says who counts and who else runs."""
-        if self.news is None or news.membership.epoch >= self.news.epoch:
-            self.news = news.membership
-            self.leader = news.leader or self.leader
-        for identity in (*news.membership.all_voters(), *news.standbys):
-            self._told_of[address_of(identity)] = now
-        for identity in news.standbys:
-            self._others[identity] = now
-
-    def standbys(self, now: int) -> list[Standby]:
-        """Members that asked for membership lately, in the order in which they did first."""
-        for identity in [name for name, one in self._standbys.items() if now - one.heard_at >= RUNNING]:
-            del self._standbys[identity]
-        return list(self._standbys.values())
+        if identity not in self._heard_at:
+            self._forget_former_incarnations(address_of(identity))
+        self._heard_at[identity] = now
+
+    def handle_membership_request(self, now: int, identity: str, request: MembershipRequest) -> None:
+        """That member runs, and asks to be or to stay a voter."""
+        self._requests[identity] = RequestingMember(identity, request, now)
+
+    def handle_membership_update(self, now: int, update: MembershipUpdate) -> None:
+        """Another member tells who the voters are and who else runs."""
+        if self._newest_membership is None or update.membership.epoch >= self._newest_membership.epoch:
+            self._newest_membership = update.membership
+            self._leader = update.leader or self._leader
+        for identity in (*update.membership.all_voters(), *update.standbys):
+            self._address_named_at[address_of(identity)] = now
+        for identity in update.standbys:
+            self._standby_named_at[identity] = now
+
+    def requesting(self, now: int) -> list[RequestingMember]:
+        """Return the members that lately asked to be voters, in the order in which they did first."""
+        for identity, member in list(self._requests.items()):
+            if now - member.heard_at >= RUNNING_TIMEOUT_NS:
+                del self._requests[identity]
+        return list(self._requests.values())
 
     def running(self, now: int) -> tuple[str, ...]:
-        """Identities of members that have spoken to us lately."""
-        for identity in [name for name, at in self._heard.items() if now - at >= REMEMBERED]:
-            del self._heard[identity]
-        return tuple(identity for identity, at in self._heard.items() if now - at < RUNNING)
-
-    def others_run(self, now: int) -> bool:
-        """Whether members run that are no voters, as others told lately, and that might become some."""
-        for identity in [name for name, at in self._others.items() if now - at >= S]:
-            del self._others[identity]
-        return any(address_of(identity) != self._address for identity in self._others)
-
-    def places(self, now: int) -> list[str]:
-        """Addresses at which the others may be found, ours left out: seeds, and all that were heard of."""
-        for address in [name for name, at in self._told_of.items() if now - at >= REMEMBERED]:
-            del self._told_of[address]
-        voters = self.news.all_voters() if self.news else ()
-        found = [*self._seeds, *map(address_of, voters), *self._told_of, *map(address_of, self._heard)]
-        return [address for address in dict.fromkeys(found) if address != self._address]
+        """Return the identities of members that have spoken to us lately."""
+        forget_older(self._heard_at, now - ADDRESS_RETENTION_NS)
+        return tuple(identity for identity, at in self._heard_at.items() if now - at < RUNNING_TIMEOUT_NS)
+
+    def other_standbys_run(self, now: int) -> bool:
+        """Whether another member runs that is no voter and might become one, as others told us lately."""
+        forget_older(self._standby_named_at, now - STANDBY_RETENTION_NS)
+        return any(address_of(identity) != self._address for identity in self._standby_named_at)
+
+    def known_addresses(self, now: int) -> list[str]:
+        """Return the addresses at which others may be found: the seeds, and all that were heard of; not our own."""
+        forget_older(self._address_named_at, now - ADDRESS_RETENTION_NS)
+        voters = self._newest_membership.all_voters() if self._newest_membership else ()
+        addresses = [
+            *self._seeds,
+            *map(address_of, voters),
+            *self._address_named_at,
+            *map(address_of, self._heard_at),
+        ]
+        return [address for address in dict.fromkeys(addresses) if address != self._address]
+
+    def _forget_former_incarnations(self, address: str) -> None:
+        for identity in [identity for identity in self._heard_at if address_of(identity) == address]:
+            del self._heard_at[identity]
+            self._requests.pop(identity, None)
+
+
+def forget_older(last_at: dict[str, int], limit: int) -> None:
+    """Remove what was last seen at the instant `limit` or before."""
+    for name in [name for name, at in last_at.items() if at <= limit]:
+        del last_at[name]
--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -1,46 +1,72 @@
-"""Orders and reads of the operator that have not been answered yet, at the leader and at a member that passed them on.
+"""Orders and reads of the operator that are not answered yet: at the leader, and at a member that forwarded them to it.
 No I/O.
 
 An order is answered once its own entry of the log is applied: the same index and the same term. If another entry is
-applied at that index, or the member leads no longer, or it takes too long, nothing is known of it: the operator sends
-it again, and whoever then leads finds it in force, or proposes it anew.
+applied at that index, or the member stops leading, or it takes too long, the outcome is unknown: the operator sends it
+again, and whoever then leads finds it in force, or proposes it anew.
 """
 
 from dataclasses import dataclass, field
 
 from kestrelplank.consensus.messages import CallId, Entry, PutConfiguration
+from kestrelplank.time_units import MILLISECOND
 
-S = 1_000_000_000
-PATIENCE = 800_000_000  # ns that a call waits: the operator goes elsewhere after a second
-MOST = 64  # calls under way, beyond which new ones are turned away
+CALL_TIMEOUT_NS = 800 * MILLISECOND  # the operator goes elsewhere after a second
+MAX_PENDING_CALLS = 64  # beyond these a new call is rejected
 
 
 @dataclass(frozen=True, slots=True)
-class Ticket:
-    """A call that the operator made to this member."""
+class LocalCaller:
+    """An operator that called this member; `ticket` names the call."""
 
-    number: int
+    ticket: int
 
 
 @dataclass(frozen=True, slots=True)
-class PassedOn:
-    """A call that another member passed on to us; `sender`: its identity."""
+class ForwardingMember:
+    """The member `identity` that forwarded an operator's call to us."""
 
-    sender: str
+    identity: str
     call: CallId
 
 
-Caller = Ticket | PassedOn
+Caller = LocalCaller | ForwardingMember
+
+
+@dataclass(frozen=True, slots=True)
+class Waiter:
+    """A caller that waits for an order's outcome, until the instant `until`."""
+
+    caller: Caller
+    until: int
 
 
 @dataclass(slots=True)
 class PendingOrder:
-    """An order in the log that is not committed as far as is known here."""
+    """An order in the log, at `index` and of `term`, that is not committed as far as is known here."""
 
     order: PutConfiguration
     index: int
     term: int
-    waiting: list[tuple[Caller, int]] = field(default_factory=list)  # and until when
+    waiters: list[Waiter] = field(default_factory=list)
+
+    def take_expired(self, now: int) -> list[Caller]:
+        """Remove and return the callers that have waited too long."""
+        expired = [waiter.caller for waiter in self.waiters if now >= waiter.until]
+        self.waiters = [waiter for waiter in self.waiters if now < waiter.until]
+        return expired
+
+
+@dataclass(frozen=True, slots=True)
+class Outcome:
+    """Whose orders an applied entry decides.
+
+    :param acknowledged: the entry is their order.
+    :param unknown: another entry has taken the index of their order.
+    """
+
+    acknowledged: list[Caller]
+    unknown: list[Caller]
 
 
 class PendingOrders:
@@ -50,84 +76,97 @@
         self._orders: list[PendingOrder] = []
 
     def full(self) -> bool:
-        return sum(len(order.waiting) for order in self._orders) >= MOST
+        """Whether no further caller may wait."""
+        return sum(len(pending.waiters) for pending in self._orders) >= MAX_PENDING_CALLS
 
-    def attach(self, now: int, caller: Caller, order: PutConfiguration) -> bool:
-        """Lets the caller wait for the very same order, if that is under way already."""
+    def join(self, now: int, caller: Caller, order: PutConfiguration) -> bool:
+        """Let the caller wait for the very same order. Return False where that is not pending."""
         for pending in self._orders:
             if (pending.order.version, pending.order.digest) == (order.version, order.digest):
-                pending.waiting.append((caller, now + PATIENCE))
+                pending.waiters.append(Waiter(caller, now + CALL_TIMEOUT_NS))
                 return True
         return False
 
     def add(self, now: int, caller: Caller, order: PutConfiguration, index: int, term: int) -> None:
-        self._orders.append(PendingOrder(order, index, term, [(caller, now + PATIENCE)]))
-
-    def applied(self, entry: Entry) -> tuple[list[Caller], list[Caller]]:
-        """Who is acknowledged by this entry, and whose order has not become the entry at its index."""
-        acknowledged: list[Caller] = []
-        unknown: list[Caller] = []
-        left = []
-        for order in self._orders:
-            if order.index > entry.index:
-                left.append(order)
+        """Let the caller wait for the order that was proposed at `index` in `term`."""
+        self._orders.append(PendingOrder(order, index, term, [Waiter(caller, now + CALL_TIMEOUT_NS)]))
+
+    def handle_applied(self, entry: Entry) -> Outcome:
+        """Remove the orders that this entry decides, and return who waited for them."""
+        outcome = Outcome([], [])
+        undecided = []
+        for pending in self._orders:
+            if pending.index > entry.index:
+                undecided.append(pending)
                 continue
-            same = (order.index, order.term) == (entry.index, entry.term)
-            (acknowledged if same else unknown).extend(caller for caller, _ in order.waiting)
-        self._orders = left
-        return acknowledged, unknown
-
-    def expired(self, now: int) -> list[Caller]:
-        """Who has waited too long. The order itself stays, for who sends it again."""
-        found = []
-        for order in self._orders:
-            found += [caller for caller, until in order.waiting if now >= until]
-            order.waiting = [(caller, until) for caller, until in order.waiting if now < until]
-        return found
-
-    def drop(self) -> list[Caller]:
-        """This member leads no longer: nothing is known of any."""
-        found = [caller for order in self._orders for caller, _ in order.waiting]
+            is_this_entry = (pending.index, pending.term) == (entry.index, entry.term)
+            decided = outcome.acknowledged if is_this_entry else outcome.unknown
+            decided.extend(waiter.caller for waiter in pending.waiters)
+        self._orders = undecided
+        return outcome
+
+    def take_expired(self, now: int) -> list[Caller]:
+        """Remove and return who has waited too long. The orders stay, for who sends one again."""
+        return [caller for pending in self._orders for caller in pending.take_expired(now)]
+
+    def take_all(self) -> list[Caller]:
+        """Remove all orders and return who waited: this member leads no longer, so their outcome is unknown."""
+        callers = [waiter.caller for pending in self._orders for waiter in pending.waiters]
         self._orders = []
-        return found
+        return callers
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
-    """A call that we passed on to `leader` and that is not answered."""
+class ForwardedCall:
+    """A call of the operator that we forwarded to `leader`, and that is not answered.
+
+    :param ticket: names the call between the program and this member.
+    :param until: when it has waited too long.
+    :param is_read: a read, else an order.
+    """
 
     ticket: int
     leader: str
     until: int
-    reads: bool
+    is_read: bool
 
 
-class PassedCalls:
-    """Calls of the operator to this member, passed on to the leader. `life` is drawn anew at each start of a member, so
-    that an answer to a former life's call matches none of ours."""
+class ForwardedCalls:
+    """Calls of the operator to this member that it forwarded to the leader.
 
-    def __init__(self, member: str, life: int) -> None:
-        self._member, self._life, self._number = member, life, 0
-        self._calls: dict[int, Passed] = {}
+    :param member: our identity.
+    :param start_id: drawn anew at each start, so that an answer to a call from before it matches none of ours.
+    """
 
-    def full(self) -> bool:
-        return len(self._calls) >= MOST
-
-    def add(self, now: int, ticket: int, leader: str, reads: bool) -> CallId:
-        self._number += 1
-        self._calls[self._number] = Passed(ticket, leader, now + PATIENCE, reads)
-        return CallId(self._member, self._life, self._number)
+    def __init__(self, member: str, start_id: int) -> None:
+        self._member = member
+        self._start_id = start_id
+        self._last_number = 0
+        self._calls: dict[int, ForwardedCall] = {}
 
-    def answered(self, sender: str, call: CallId, reads: bool) -> Passed | None:
-        """The call that this answers, if it is one of ours, of this kind, and waits for that sender."""
-        passed = self._calls.get(call.number)
-        if passed is None or (call.member, call.life) != (self._member, self._life):
+    def full(self) -> bool:
+        """Whether no further call may be forwarded."""
+        return len(self._calls) >= MAX_PENDING_CALLS
+
+    def add(self, now: int, ticket: int, leader: str, *, is_read: bool) -> CallId:
+        """Keep the call until it is answered. Return the identifier that its answer will bear."""
+        self._last_number += 1
+        self._calls[self._last_number] = ForwardedCall(ticket, leader, now + CALL_TIMEOUT_NS, is_read)
+        return self._call_id(self._last_number)
+
+    def take_answered(self, sender: str, call: CallId, *, is_read: bool) -> ForwardedCall | None:
+        """Remove and return the call that `sender` answers; None unless it is ours, of this kind, and sent to it."""
+        forwarded = self._calls.get(call.number)
+        if forwarded is None or call != self._call_id(call.number):
             return None
-        if passed.leader != sender or passed.reads != reads:
+        if forwarded.leader != sender or forwarded.is_read != is_read:
             return None
         return self._calls.pop(call.number)
 
-    def expired(self, now: int, leader: str) -> list[Passed]:
-        """Calls that have waited too long, or whose leader leads no longer."""
+    def take_expired(self, now: int, leader: str) -> list[ForwardedCall]:
+        """Remove and return calls that have waited too long, or that another than the present leader was sent."""
         ended = [number for number, call in self._calls.items() if now >= call.until or call.leader != leader]
         return [self._calls.pop(number) for number in ended]
+
+    def _call_id(self, number: int) -> CallId:
+        return CallId(self._member, self._start_id, number)
--- a/kestrelplank/control/platform_client.py
+++ b/kestrelplank/control/platform_client.py
@@ -10,9 +10,18 @@
 from kestrelplank.settings.platform import endpoint, ns
 from kestrelplank.transport.server_list import Entry
 
-DIAL = 0.6  # s, for a connection to come up
-WITHIN = 1.5  # s, for all pages
-FAILED = (OSError, TimeoutError, httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
+DIAL_TIMEOUT_S = 0.6
+FETCH_TIMEOUT_S = 1.5
+"""For all pages."""
+FAILURES = (
+    OSError,
+    TimeoutError,
+    httpcore.NetworkError,
+    httpcore.ProtocolError,
+    httpcore.TimeoutException,
+    msgspec.DecodeError,
+)
+
 log = logging.getLogger("control")
 
 
@@ -36,47 +45,52 @@
 
 
 class PlatformClient:
-    """The list at that address."""
+    """The platform at that address. It owns the connection to it, and ends that when a fetch fails."""
 
     def __init__(self, address: str) -> None:
         self._address = endpoint(address)
         self._connection: Connection | None = None
 
-    async def fetch(self) -> list[Entry] | None:
-        """The whole list, page by page; None where it could not be had."""
+    async def fetch_servers(self) -> list[Entry] | None:
+        """Return the complete list; None where it could not be fetched."""
         try:
-            async with asyncio.timeout(WITHIN):
-                return await self._pages()
-        except (*FAILED, msgspec.DecodeError) as err:
-            log.warning("Control: the platform's list can't be had: %s", type(err).__name__)
-            if self._connection is not None:
-                self._connection.reset()
-            self._connection = None
+            async with asyncio.timeout(FETCH_TIMEOUT_S):
+                return await self._fetch_pages()
+        except FAILURES as err:
+            log.warning(
+                "Control: can't fetch the platform's list of servers, the last one stays: %s", type(err).__name__
+            )
+            self._reset()
             return None
 
-    async def _pages(self) -> list[Entry] | None:
-        found: list[Entry] = []
+    async def _fetch_pages(self) -> list[Entry] | None:
+        entries: list[Entry] = []
         token: str | None = None
         while True:
-            page = await self._page(token)
+            page = await self._fetch_page(token)
             if page is None:
                 return None
-            found += [entry(instance) for instance in page.instances]
+            entries += [server_entry(instance) for instance in page.instances]
             token = page.next_token
             if not token:
-                return found
+                return entries
 
-    async def _page(self, token: str | None) -> Page | None:
+    async def _fetch_page(self, token: str | None) -> Page | None:
         connection = self._connection
         if connection is None or connection.surplus() or not connection.keep:
-            connection = self._connection = await dial(self._address, DIAL)
+            connection = self._connection = await dial(self._address, DIAL_TIMEOUT_S)
         target = "/instances" + (f"?page_token={token}" if token else "")
         answer = await connection.ask(b"GET", target.encode(), [(b"Host", b"platform")], b"")
         return msgspec.json.decode(answer.body, type=Page) if answer.status == 200 else None
 
+    def _reset(self) -> None:
+        if self._connection is not None:
+            self._connection.reset()
+        self._connection = None
+
 
-def entry(instance: Instance) -> Entry:
-    """The server as our processes tell it to each other."""
+def server_entry(instance: Instance) -> Entry:
+    """Return the server as our processes send it to each other."""
     return Entry(
         instance.server_id,
         instance.target_service,
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -1,18 +1,23 @@
 """The control program: one `ControlMember` on sockets, disk and the steady clock. It translates, sends and writes, and
-decides nothing."""
+decides nothing.
+"""
 
 import asyncio
+import itertools
 import logging
 import signal
 import time
-from collections.abc import Callable
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager, closing
 from random import Random, SystemRandom
+from typing import assert_never
 
 import msgspec
 
 from kestrelplank.configuration.plan import Configuration
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.control.bootstrap import started
+from kestrelplank.consensus.messages import Message
+from kestrelplank.control.bootstrap import start_member
 from kestrelplank.control.effects import (
     AnswerOrder,
     AnswerRead,
@@ -24,256 +29,272 @@
     SendMessage,
     SendToAddress,
 )
+from kestrelplank.control.inbound_connections import InboundConnections
 from kestrelplank.control.log_writer import LogWriter
 from kestrelplank.control.member import ControlMember
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.member_sessions import MemberSessions
-from kestrelplank.control.operator_api import Shown, application
+from kestrelplank.control.operator_api import application
 from kestrelplank.control.platform_client import PlatformClient
 from kestrelplank.control.server_calls import ServerCalls
-from kestrelplank.control.status import EdgeStatus, MemberStatus
+from kestrelplank.control.status import MemberStatus
+from kestrelplank.control.waiting_calls import WaitingCalls
 from kestrelplank.http.serve import Duties, listener, server
 from kestrelplank.settings.platform import Settings, ns
 from kestrelplank.sharding.key_ranges import KeyRange
 from kestrelplank.storage.log_file import LogFile
-from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, LoadReport, decode_at_member
-from kestrelplank.transport.sessions import Sessions
+from kestrelplank.time_units import SECOND
+from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, LoadReport, ToMember, decode_at_member
 from kestrelplank.transport.wire import FrameConnection, packed
 
-S = 1_000_000_000
-TICK = 0.05  # s
-LIST_AGAIN = 0.3  # s until the platform's list is asked for again where it could not be had
-LIST_LOOK = 0.5  # s at most between looks at whether the list is ours to fetch
-START_AGAIN = 0.3  # s until a disk that refused at the start is asked again
-SILENT = 2 * S  # a connection that came in and says nothing for so long is ended
-IDLE, ANSWERING = 15, 1  # s, of connections of operators: between calls, and to finish when we stop
+TICK_INTERVAL_S = 0.05
+SERVER_FETCH_CHECK_INTERVAL_S = 0.5
+"""At most between looks at whether the platform's list of servers is ours to fetch."""
+SERVER_FETCH_RETRY_S, SERVER_FETCH_RETRY_JITTER_S = 0.3, 0.2
+START_RETRY_INTERVAL_S = 0.3
+"""Until a disk that refused at the start is asked again."""
+OPERATOR_IDLE_S = 15
+"""How long an operator's connection is kept between calls."""
+OPERATOR_DRAIN_S = 1
+"""What calls in hand have to finish when the program stops."""
+
 log = logging.getLogger("control")
 
 
+async def run(settings: Settings) -> int:
+    """Run the program until SIGTERM or SIGINT. Return the exit code: 1 where a part of it failed by a defect, else 0."""
+    stop = stop_on_signals()
+    random = Random(SystemRandom().getrandbits(64))
+    file = LogFile(settings.local_system.data_directory or f"/tmp/{settings.local_system.node_name}")
+    member = await start_from_disk(settings, random, file)
+    return await ControlProgram(settings, random, file, member).run(stop)
+
+
+def stop_on_signals() -> asyncio.Event:
+    """Return what is set by SIGTERM or SIGINT. SIGHUP is ignored: our settings don't change while we run."""
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)
+    return stop
+
+
+async def start_from_disk(settings: Settings, random: Random, file: LogFile) -> ControlMember:
+    """Return the member as its disk has it; a disk that refuses is asked again until it does not."""
+    local = settings.local_system
+    host, port = settings.listen("control_plane")
+    profile = MemberProfile(
+        zone=local.zone,
+        eligible=local.quorum_member,
+        seeds=tuple(settings.network.seed_nodes),
+        machine_losses=settings.fault_tolerance.machine_losses,
+        stop_grace_ns=ns(settings.bounds.grace_s),
+    )
+    while True:
+        try:
+            return start_member(time.monotonic_ns(), random, f"{host}:{port}", profile, file, local.initial_boot)
+        except OSError as err:
+            log.warning("Storage: can't begin, trying again in %s s: %s", START_RETRY_INTERVAL_S, err)
+            await asyncio.sleep(START_RETRY_INTERVAL_S)
+
+
 class ControlProgram:
-    """The program. One loop; the disk has a thread of its own."""
-
-    def __init__(self, settings: Settings) -> None:
-        self.settings = settings
-        local = settings.local_system
-        host, port = settings.listen("control_plane")
-        self.address = f"{host}:{port}"
-        self.random = Random(SystemRandom().getrandbits(64))
-        self.place = MemberProfile(
-            local.zone,
-            local.quorum_member,
-            tuple(settings.network.seed_nodes),
-            settings.fault_tolerance.machine_losses,
-            ns(settings.bounds.grace_s),
+    """The program round a member that has started. One loop; the disk has a thread of its own.
+
+    What owns which resource, in the order in which `run` lets them go:
+
+    - the operators' HTTP server: their connections, ended once calls in hand are answered;
+    - the members' listener (`_listen_for_peers`): accepts connections; `_inbound` keeps what came in;
+    - `Duties`: the tasks of `_log_writer`, `_tick` and `_fetch_servers`;
+    - `_sessions`: the connections that we dialled to other members;
+    - `_server_calls`: connections to servers, one object an address; they end with the process.
+    """
+
+    def __init__(self, settings: Settings, random: Random, file: LogFile, member: ControlMember) -> None:
+        self._settings = settings
+        self._random = random
+        self._member = member
+        self._log_writer = LogWriter(file, self._handle_persisted)
+        self._sessions = MemberSessions(member.identity, settings.telegraph_port(), self._handle_peer_message)
+        self._inbound = InboundConnections()
+        self._platform = PlatformClient(settings.cloud.address)
+        self._server_calls: dict[str, ServerCalls] = {}  # by address
+        tickets = itertools.count(1)
+        self._orders = WaitingCalls[AnswerOrder](tickets)
+        self._reads = WaitingCalls[AnswerRead](tickets)
+
+    async def run(self, stop: asyncio.Event) -> int:
+        """Run until `stop` is set, then stop in order. Return the exit code."""
+        duties = Duties("Control", stop)
+        with closing(self._sessions):
+            try:
+                async with self._listen_for_peers(), self._serve_operators():
+                    log.info("Control: member %s starts", self._member.identity)
+                    for duty in (self._log_writer.run(), self._tick(), self._fetch_servers()):
+                        duties.add(duty)
+                    await stop.wait()
+                    if not duties.failed:
+                        log.info("Control: stopping, as SIGTERM or SIGINT came")
+                        await self._stop_member()
+            finally:
+                duties.cancel()
+        log.info("Control: stopped")
+        return 1 if duties.failed else 0
+
+    # Resources.
+
+    @asynccontextmanager
+    async def _listen_for_peers(self) -> AsyncIterator[None]:
+        """Accept connections of other members and of edge machines."""
+        listening = await asyncio.get_running_loop().create_server(
+            lambda: FrameConnection(decode_at_member, self._handle_message, self._handle_connection_ended),
+            self._settings.local_system.ip_address,
+            self._settings.telegraph_port(),
         )
-        self.file = LogFile(local.data_directory or f"/tmp/{local.node_name}")
-        self.member: ControlMember | None = None
-        self.writer = LogWriter(self.file, self.persisted)
-        self.members: MemberSessions | None = None
-        self.edges = Sessions()
-        self.inbound: dict[FrameConnection, int] = {}  # when each last said anything
-        self.servers: dict[str, ServerCalls] = {}
-        self.list = PlatformClient(settings.cloud.address)
-        self.calls: dict[int, asyncio.Future[AnswerOrder | AnswerRead]] = {}
-        self.ticket = 0
-
-    # What the member wants done.
-
-    def carry_out(self, effects: list[Effect]) -> None:
-        """Does these in order."""
+        try:
+            yield
+        finally:
+            listening.close()
+
+    @asynccontextmanager
+    async def _serve_operators(self) -> AsyncIterator[None]:
+        """Serve the operators' API; at the end calls in hand are answered first."""
+        http_server = server(application(self), OPERATOR_IDLE_S, OPERATOR_DRAIN_S)
+        serving = asyncio.create_task(http_server.serve([listener(*self._settings.listen("control_plane"))]))
+        try:
+            yield
+        finally:
+            http_server.should_exit = True
+            await serving
+
+    # Tasks.
+
+    async def _tick(self) -> None:
+        """Let the member do what is due, and end connections on which nothing comes."""
+        while True:
+            await asyncio.sleep(TICK_INTERVAL_S)
+            now = time.monotonic_ns()
+            self._carry_out(self._member.tick(now, self._log_writer.log_size_bytes))
+            self._sessions.dial(self._member.addresses_to_dial(now))
+            self._inbound.reset_silent(now)
+
+    async def _fetch_servers(self) -> None:
+        """Fetch the platform's list of servers whenever it is ours to fetch."""
+        while True:
+            due_in_ns = self._member.server_fetch_due_in_ns(time.monotonic_ns())
+            if due_in_ns is None:
+                await asyncio.sleep(SERVER_FETCH_CHECK_INTERVAL_S)
+            elif due_in_ns > 0:
+                await asyncio.sleep(min(SERVER_FETCH_CHECK_INTERVAL_S, due_in_ns / SECOND + 0.01))
+            else:
+                await self._fetch_servers_once()
+
+    async def _fetch_servers_once(self) -> None:
+        entries = await self._platform.fetch_servers()
+        if entries is None:
+            await asyncio.sleep(SERVER_FETCH_RETRY_S + self._random.random() * SERVER_FETCH_RETRY_JITTER_S)
+        else:
+            self._carry_out(self._member.handle_servers_fetched(time.monotonic_ns(), entries))
+
+    async def _stop_member(self) -> None:
+        """Wait until nothing more can be done for what the member holds."""
+        self._carry_out(self._member.begin_stop(time.monotonic_ns()))
+        while not self._member.may_stop(time.monotonic_ns()):
+            await asyncio.sleep(TICK_INTERVAL_S)
+
+    # Effects of the member.
+
+    def _carry_out(self, effects: list[Effect]) -> None:
+        """Carry out the effects, in order."""
         for effect in effects:
             self._carry_out_one(effect)
 
     def _carry_out_one(self, effect: Effect) -> None:
-        if isinstance(effect, SendMessage):
-            self.members.send(effect.to, effect.message)
-        elif isinstance(effect, Persist):
-            self.writer.write(effect)
-        elif isinstance(effect, SendToAddress):
-            self.members.send_to_address(effect.address, effect.message)
-        elif isinstance(effect, PushToEdges):
-            self._push(effect)
-        elif isinstance(effect, CallServer):
-            self._call_server(effect)
-        elif isinstance(effect, AnswerOrder | AnswerRead):
-            future = self.calls.pop(effect.ticket, None)
-            if future is not None and not future.done():
-                future.set_result(effect)
-        elif isinstance(effect, KeepCopy):
-            self.writer.copy(effect.version, effect.text)
-        elif isinstance(effect, LogLine):
-            log.info("Control: %s", effect.text)
-
-    def _push(self, effect: PushToEdges) -> None:
-        data = packed(effect.message)
-        for wire in self.edges.wires():
-            wire.send(data)
+        match effect:
+            case SendMessage():
+                self._sessions.send(effect.to, effect.message)
+            case Persist():
+                self._log_writer.write(effect)
+            case SendToAddress():
+                self._sessions.send_to_address(effect.address, effect.message)
+            case PushToEdges():
+                self._inbound.send_to_edges(packed(effect.message))
+            case CallServer():
+                self._call_server(effect)
+            case AnswerOrder():
+                self._orders.resolve(effect)
+            case AnswerRead():
+                self._reads.resolve(effect)
+            case KeepCopy():
+                self._log_writer.write_copy(effect.version, effect.text)
+            case LogLine():
+                log.info("Control: %s", effect.text)
+            case _:
+                assert_never(effect)
 
     def _call_server(self, effect: CallServer) -> None:
-        calls = self.servers.get(effect.address)
+        calls = self._server_calls.get(effect.address)
         if calls is None:
-            calls = self.servers[effect.address] = ServerCalls(self.called, effect.address)
+            calls = self._server_calls[effect.address] = ServerCalls(self._handle_server_call_ended, effect.address)
         calls.queue.put_nowait(
             ("call", effect.action, effect.service, effect.server, effect.address, effect.line, effect.until)
         )
 
-    def persisted(self, number: int) -> None:
-        """A write is durable."""
-        self.carry_out(self.member.persisted(time.monotonic_ns(), number))
+    # Events for the member.
+
+    def _handle_persisted(self, number: int) -> None:
+        self._carry_out(self._member.handle_persisted(time.monotonic_ns(), number))
 
-    def called(
+    def _handle_server_call_ended(
         self, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
     ) -> None:
-        """A grant or release has ended."""
-        self.carry_out(self.member.called(time.monotonic_ns(), service, action, line, sent, status, handover))
-
-    # Calls of the operator.
+        now = time.monotonic_ns()
+        self._carry_out(self._member.handle_server_call_ended(now, service, action, line, sent, status, handover))
 
-    async def put(self, configuration: Configuration) -> AnswerOrder:
-        """What became of an order."""
-        answer = await self._wait_for(
-            lambda now, ticket: self.member.put(now, ticket, configuration), AnswerOrder(0, False)
-        )
-        return answer if isinstance(answer, AnswerOrder) else AnswerOrder(0, False)
-
-    async def show(self) -> Shown:
-        """The newest configuration."""
-        answer = await self._wait_for(lambda now, ticket: self.member.show(now, ticket), AnswerRead(0, False, None))
-        if not isinstance(answer, AnswerRead):
-            return Shown(False, None)
-        return Shown(answer.known, answer.text)
-
-    async def _wait_for(
-        self, start: Callable[[int, int], list[Effect]], otherwise: AnswerOrder | AnswerRead
-    ) -> AnswerOrder | AnswerRead:
-        """The answer to a call that `start(now, ticket)` begins; `otherwise` before there is a member."""
-        if self.member is None:
-            return otherwise
-        self.ticket += 1
-        ticket = self.ticket
-        future = self.calls[ticket] = asyncio.get_running_loop().create_future()
-        try:
-            self.carry_out(start(time.monotonic_ns(), ticket))
-            return await future
-        finally:
-            self.calls.pop(ticket, None)
+    def _handle_peer_message(self, sender: str, message: Message) -> None:
+        """Take a message of the member `sender`, whoever of us dialled."""
+        self._carry_out(self._member.handle_message(time.monotonic_ns(), sender, message))
 
-    def status(self) -> MemberStatus:
-        """This member as an operator sees it."""
-        now = time.monotonic_ns()
-        edges = {
-            name: EdgeStatus(
-                None if session.said is None else f"{session.said:08x}", round(session.silent_for(now) / S, 3)
-            )
-            for name, session in sorted(self.edges.by_name.items())
-        }
-        return msgspec.structs.replace(self.member.status(now), edges=edges)
-
-    # Connections that came in.
-
-    def on_message(self, wire: FrameConnection, message: Envelope | EdgeHeartbeat | LoadReport) -> None:
-        """A message of another member or of an edge machine."""
+    def _handle_message(self, wire: FrameConnection, message: ToMember) -> None:
+        """Take a message on a connection that came in."""
         now = time.monotonic_ns()
-        self.inbound[wire] = now
-        if isinstance(message, Envelope):
-            self.members.on_inbound(wire, message)
-        elif isinstance(message, EdgeHeartbeat):
-            self._on_edge_beat(now, wire, message)
-        else:
-            self.member.load_report(now, message)
-
-    def _on_edge_beat(self, now: int, wire: FrameConnection, beat: EdgeHeartbeat) -> None:
-        session = self.edges.heard(now, wire, beat.edge)
-        if session is None:
+        self._inbound.handle_heard(now, wire)
+        match message:
+            case Envelope():
+                self._sessions.handle_inbound(wire, message)
+            case EdgeHeartbeat():
+                self._handle_edge_heartbeat(now, wire, message)
+            case LoadReport():
+                self._member.handle_load_report(now, message)
+            case _:
+                assert_never(message)
+
+    def _handle_edge_heartbeat(self, now: int, wire: FrameConnection, heartbeat: EdgeHeartbeat) -> None:
+        if not self._inbound.handle_edge_heard(now, wire, heartbeat.edge, heartbeat.version):
             return
-        session.said = beat.version
-        for answer in self.member.on_edge_heartbeat(now, beat, len(self.edges.by_name)):
+        for answer in self._member.handle_edge_heartbeat(now, heartbeat, self._inbound.edge_count):
             wire.send(answer)
 
-    def on_end(self, wire: FrameConnection) -> None:
-        self.inbound.pop(wire, None)
-        self.edges.ended(wire)
-        self.members.on_inbound_end(wire)
+    def _handle_connection_ended(self, wire: FrameConnection) -> None:
+        self._inbound.handle_ended(wire)
+        self._sessions.handle_inbound_ended(wire)
 
-    # Duties.
+    # Calls of the operator (`operator_api.Member`).
 
-    async def ticking(self) -> None:
-        """Lets the member do what is due, and ends connections that stand silent."""
-        while True:
-            await asyncio.sleep(TICK)
-            now = time.monotonic_ns()
-            self.carry_out(self.member.tick(now, self.writer.size))
-            self.members.dial(self.member.addresses_to_dial(now))
-            for wire, heard_at in list(self.inbound.items()):
-                if now - heard_at > SILENT:
-                    wire.reset()
-
-    async def fetching(self) -> None:
-        """Fetches the platform's list where nobody in front of us has lately."""
-        while True:
-            due = self.member.list_due(time.monotonic_ns())
-            if due is None or due > 0:
-                await asyncio.sleep(LIST_LOOK if due is None else min(LIST_LOOK, due / S + 0.01))
-                continue
-            entries = await self.list.fetch()
-            if entries is None:
-                await asyncio.sleep(LIST_AGAIN + self.random.random() * 0.2)
-            else:
-                self.carry_out(self.member.fetched(time.monotonic_ns(), entries))
-
-    async def leaving(self) -> None:
-        """Stops in order: until nothing more can be done for what this member holds."""
-        self.carry_out(self.member.stop(time.monotonic_ns()))
-        while not self.member.may_stop(time.monotonic_ns()):
-            await asyncio.sleep(TICK)
-
-    async def run(self) -> int:
-        """Runs until SIGTERM. Returns the exit code."""
-        stop = asyncio.Event()
-        loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
-        loop.add_signal_handler(signal.SIGHUP, lambda: None)
-        self.member = await self._started()
-        self.members = MemberSessions(self.member.identity, self.settings.telegraph_port(), self.receive)
-        peers = await loop.create_server(
-            lambda: FrameConnection(decode_at_member, self.on_message, self.on_end),
-            self.settings.local_system.ip_address,
-            self.settings.telegraph_port(),
+    async def replace_configuration(self, configuration: Configuration) -> AnswerOrder:
+        """Return what became of an order."""
+        return await self._orders.answer(
+            lambda ticket: self._carry_out(self._member.handle_replace_call(time.monotonic_ns(), ticket, configuration))
         )
-        front = server(application(self), IDLE, ANSWERING)
-        serving = asyncio.create_task(front.serve([listener(*self.settings.listen("control_plane"))]))
-        log.info("Control: member %s", self.member.identity)
-        duties = Duties("Control", stop)
-        for duty in (self.writer.run(), self.ticking(), self.fetching()):
-            duties.add(duty)
-        await stop.wait()
-        if not duties.failed:
-            log.info("Control: stopping")
-            await self.leaving()
-        front.should_exit = True
-        await serving
-        peers.close()
-        duties.cancel()
-        self.members.close()
-        log.info("Control: stopped")
-        return 1 if duties.failed else 0
-
-    async def _started(self) -> ControlMember:
-        """The member as its disk has it; a disk that refuses is asked again."""
-        initial_boot = self.settings.local_system.initial_boot
-        while True:
-            try:
-                return started(time.monotonic_ns(), self.random, self.address, self.place, self.file, initial_boot)
-            except OSError as err:
-                log.warning("Storage: can't begin: %s", err)
-                await asyncio.sleep(START_AGAIN)
-
-    def receive(self, sender: str, message: object) -> None:
-        """A message of the member `sender`."""
-        self.carry_out(self.member.receive(time.monotonic_ns(), sender, message))
 
+    async def show_configuration(self) -> AnswerRead:
+        """Return the newest configuration, if this member can know it."""
+        return await self._reads.answer(
+            lambda ticket: self._carry_out(self._member.handle_show_call(time.monotonic_ns(), ticket))
+        )
 
-async def run(settings: Settings) -> int:
-    """Runs the program until SIGTERM. Returns the exit code."""
-    return await ControlProgram(settings).run()
+    def status(self) -> MemberStatus:
+        """Return this member as an operator sees it."""
+        now = time.monotonic_ns()
+        return msgspec.structs.replace(self._member.status(now), edges=self._inbound.edge_statuses(now))
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -1,5 +1,6 @@
-"""This member's part in the replicated log, with what the log adds up to, and the effects gathered while a call is
-carried out. No I/O."""
+"""This member's copy of the replicated log and of the state that it adds up to, and the effects gathered while a call
+is carried out. No I/O.
+"""
 
 from collections import deque
 from collections.abc import Iterable
@@ -11,47 +12,76 @@
 from kestrelplank.control.shard_assignment import NOTHING, Record, read_record
 from kestrelplank.state.control_state import ControlState
 
-COMPACT_FROM = 256 << 10  # bytes of the log on disk, besides twice the state, from which it is cut short
+COMPACTION_MIN_BYTES = 256 << 10
+"""The log is compacted where it exceeds twice the state by this on disk."""
 
 
 class Replica:
-    """`committed`: the newest membership known to be committed, None where none is known. `events`: what the node wants
-    done, in order; whoever carries a call out takes them one by one, as each may lead to more."""
+    """The consensus node, the replicated state, and what is to be done for them.
 
-    def __init__(self, node: ConsensusNode, state: ControlState, committed: Membership | None) -> None:
-        self.node, self.state, self.committed = node, state, committed
+    `committed_membership` is the newest membership known to be committed, None where none is known. `events` is what
+    the node wants done, in order; whoever carries a call out takes them one by one, as each may lead to more.
+    """
+
+    def __init__(self, node: ConsensusNode, state: ControlState, committed_membership: Membership | None) -> None:
+        self.node = node
+        self.state = state
+        self.committed_membership = committed_membership
         self.events: deque[consensus.Effect] = deque()
         self._effects: list[Effect] = []
-        self._records: dict[str, tuple[bytes, Record]] = {}  # decoded, by service
-        self._compacting: int | None = None  # the number of the write that cuts the log short
+        self._decoded_records: dict[str, tuple[bytes, Record]] = {}  # by service: as stored, and decoded
+        self._compacting: int | None = None  # the number of the `Persist` that compacts the log
+        self._led_term = 0
+        self._handed_over = False  # whether this member gave up leading in order
 
     # The log.
 
-    def add(self, events: Iterable[consensus.Effect]) -> None:
-        """What a call of the node returned."""
+    def add_events(self, events: Iterable[consensus.Effect]) -> None:
+        """Queue what a call of the node returned."""
         self.events.extend(events)
 
     def propose(self, now: int, command: Command) -> int | None:
-        """Puts a command at the end of the log. Returns its index, None where this member does not lead."""
+        """Append a command to the log. Return its index, None where this member does not lead."""
         index, events = self.node.propose(now, command)
-        self.add(events)
+        self.add_events(events)
         return index
 
-    def persisted(self, now: int, number: int) -> None:
-        """The write with that number is durable, and all before it."""
+    def transfer_leadership(self, now: int) -> None:
+        """Give up leading in order, so that another may be elected at once."""
+        self._handed_over = True
+        self.add_events(self.node.transfer(now))
+
+    def handle_elected(self, term: int) -> None:
+        """This member leads `term` from now on."""
+        self._led_term = term
+        self._handed_over = False
+        self.log(f"leads term {term}: elected by a majority, and the first entry of the term is committed")
+
+    def handle_deposed(self) -> None:
+        """This member leads no longer."""
+        if self._handed_over:
+            reason = "it handed leadership over"
+        elif self.node.term > self._led_term:
+            reason = f"term {self.node.term} has begun"
+        else:
+            reason = "its lease ran out, as no majority of the voters answered"
+        self.log(f"steps down from leading term {self._led_term}: {reason}")
+
+    def handle_persisted(self, now: int, number: int) -> None:
+        """The `Persist` with that number is durable, and all before it."""
         if self._compacting is not None and number >= self._compacting:
             self._compacting = None
-        self.add(self.node.persisted(now, number))
+        self.add_events(self.node.persisted(now, number))
 
-    def compact(self, log_size: int) -> None:
-        """Cuts the log short if its `log_size` bytes on disk are far more than the state."""
-        if self._compacting is not None or log_size <= COMPACT_FROM:
+    def compact_if_due(self, log_size_bytes: int) -> None:
+        """Replace applied entries by a snapshot if the log on disk is far larger than the state."""
+        if self._compacting is not None or log_size_bytes <= COMPACTION_MIN_BYTES:
             return
         state = self.state.snapshot()
-        if log_size <= COMPACT_FROM + 2 * len(state):
+        if log_size_bytes <= COMPACTION_MIN_BYTES + 2 * len(state):
             return
         events = self.node.compact(state)
-        self.add(events)
+        self.add_events(events)
         for event in events:
             if isinstance(event, consensus.Persist):
                 self._compacting = event.number
@@ -59,43 +89,55 @@
     # What the log adds up to.
 
     def voters(self) -> tuple[str, ...]:
-        """All that count by the newest membership in our log, committed or not."""
+        """Return all voters of the newest membership in our log, committed or not."""
         return self.node.membership.all_voters() if self.node.membership else ()
 
-    def counts(self, membership: Membership) -> None:
-        """That membership is committed."""
-        if self.committed is None or membership.epoch > self.committed.epoch:
-            self.committed = membership
-            self.log(f"epoch {membership.epoch}: {', '.join(membership.all_voters())} count")
+    def handle_membership_committed(self, membership: Membership) -> None:
+        """Keep the membership if it is newer than the one known to be committed."""
+        if self.committed_membership is None or membership.epoch > self.committed_membership.epoch:
+            self.committed_membership = membership
+            self.log(membership_line(membership))
 
-    def sharded(self) -> list[str]:
-        """The services that the configuration in force divides by key."""
-        force = self.state.parsed
-        return [service.name for service in force.services.values() if service.sharded] if force else []
+    def sharded_services(self) -> list[str]:
+        """Return the services that the configuration in force divides by key."""
+        configuration = self.state.parsed
+        if configuration is None:
+            return []
+        return [service.name for service in configuration.services.values() if service.sharded]
 
     def record(self, service: str) -> Record:
-        """The newest record of a service."""
+        """Return the newest committed record of a service's key ranges."""
         data = self.state.records.get(service)
         if data is None:
             return NOTHING
-        known = self._records.get(service)
-        if known is None or known[0] is not data:
-            known = self._records[service] = (data, read_record(data))
-        return known[1]
+        decoded = self._decoded_records.get(service)
+        if decoded is None or decoded[0] is not data:
+            decoded = self._decoded_records[service] = (data, read_record(data))
+        return decoded[1]
 
     # Effects.
 
     def emit(self, effect: Effect) -> None:
+        """Have `effect` carried out, after all that were emitted before."""
         self._effects.append(effect)
 
     def send(self, to: str, message: Message) -> None:
-        """Sends to the member of that identity."""
+        """Send to the member of that identity."""
         self.emit(SendMessage(to, message))
 
     def log(self, text: str) -> None:
+        """Write a line to the program's log."""
         self.emit(LogLine(text))
 
     def take_effects(self) -> list[Effect]:
-        """All effects since the last time."""
+        """Return all effects since the last time."""
         effects, self._effects = self._effects, []
         return effects
+
+
+def membership_line(membership: Membership) -> str:
+    """Return the line of the program's log that says who the voters are."""
+    line = f"membership epoch {membership.epoch} is committed: voters {', '.join(membership.voters)}"
+    if membership.joint:
+        line += f", and until the change has ended also {', '.join(membership.outgoing)}"
+    return line
--- /dev/null
+++ b/kestrelplank/control/server_discovery.py
@@ -0,0 +1,63 @@
+"""The platform's list of servers at one control member, and whose turn it is to fetch it. No I/O.
+
+One member fetches the list and sends it to the other voters: the leader, as long as it does so in time, else the next
+voter in order.
+"""
+
+from collections.abc import Sequence
+
+from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.control.effects import PushToEdges
+from kestrelplank.control.replica import Replica
+from kestrelplank.control.shard_assigners import ShardAssigners
+from kestrelplank.time_units import SECOND
+from kestrelplank.transport.server_list import Entry as ListedServer
+from kestrelplank.transport.server_list import ServerList
+
+FETCH_INTERVAL_NS = SECOND // 2
+"""How old the list may become at the leader."""
+FETCH_STAGGER_NS = SECOND // 2
+"""How much longer each further voter leaves it to those before it."""
+
+
+class ServerDiscovery:
+    """Keeps `servers` fresh, and tells the assigners what changed."""
+
+    def __init__(self, replica: Replica, servers: ServerList, assigners: ShardAssigners) -> None:
+        self._replica = replica
+        self._node = replica.node
+        self._servers = servers
+        self._assigners = assigners
+
+    def fetch_due_in_ns(self, now: int) -> int | None:
+        """Return the time until this member should fetch the list, unless a newer one comes before.
+
+        None: it is no voter, so it need not.
+        """
+        own, leader = self._node.identity, self._node.leader
+        other_voters = [voter for voter in self._replica.voters() if voter != leader]
+        if own != leader and own not in other_voters:
+            return None
+        rank = 0 if own == leader else other_voters.index(own) + 1
+        age = self._servers.age(now)
+        return 0 if age is None else max(0, FETCH_INTERVAL_NS + rank * FETCH_STAGGER_NS - age)
+
+    def handle_fetched(self, now: int, entries: list[ListedServer]) -> None:
+        """Take the list that we have just fetched, and send it to the other voters and, if it changed, to edges."""
+        changed = self._take(now, 0, entries)
+        update = self._servers.news(now)
+        for voter in self._replica.voters():
+            if voter != self._node.identity:
+                self._replica.send(voter, update)
+        if changed:
+            self._replica.emit(PushToEdges(update))
+
+    def handle_server_list_update(self, now: int, update: ServerListUpdate) -> None:
+        """Take the list that another member fetched, if it is newer than ours."""
+        self._take(now, update.age, update.entries)
+
+    def _take(self, now: int, age_ns: int, entries: Sequence[tuple[str, str, str, str, int, str, int]]) -> bool:
+        changed = self._servers.take(now, age_ns, entries)
+        if changed:
+            self._assigners.listed(now)
+        return changed
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -39,7 +39,7 @@
         """What a leader does in each tick; begins with services that it has not decided for yet."""
         if self._servers.fetched_at is None:
             return
-        for service in self._replica.sharded():
+        for service in self._replica.sharded_services():
             decider = self.by_service.get(service)
             if decider is None:
                 decider = self._begin(now, service)
--- a/kestrelplank/rehearsal/yard.py
+++ b/kestrelplank/rehearsal/yard.py
@@ -384,7 +384,7 @@
 
     async def decides(self, machine: Machine) -> bool:
         seen = await self.status(machine)
-        return seen is not None and any(service.decides for service in seen.services.values())
+        return seen is not None and any(service.assigned_here for service in seen.services.values())
 
     async def current(self, machine: Machine) -> bool:
         seen = await self.status(machine)
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -15,12 +15,16 @@
 from kestrelplank.consensus.messages import Entry, PutConfiguration, PutRecord
 from kestrelplank.decode import Malformed
 
-FORM = 1  # of a snapshot
+SNAPSHOT_FORM = 1
 NO_VERSION = -1
 
 
 class SnapshotForm(msgspec.Struct, frozen=True, array_like=True):
-    """A snapshot as it is encoded. `records`: services and their records, in the order of the services' names."""
+    """A snapshot as it is encoded.
+
+    :param form: `SNAPSHOT_FORM`.
+    :param records: services and their records, in the order of the services' names.
+    """
 
     form: int
     configuration: PutConfiguration | None
@@ -34,16 +38,20 @@
     sharded: bool = False
 
 
-class Outline(msgspec.Struct, frozen=True):
-    """The part of a configuration that decides which records there may be."""
+class ConfigurationOutline(msgspec.Struct, frozen=True):
+    """What decides which services may have records, of a configuration as the operator sent it."""
 
     service_table: list[ServiceOutline]
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyResult:
-    """What one entry changed. `in_force`: the configuration that took force with it; `dropped`: services whose records
-    went with that; `record_of`: the service whose record is now the entry's."""
+    """What one entry changed.
+
+    :param in_force: the configuration that the entry put in force.
+    :param dropped: services whose records were removed with that.
+    :param record_of: the service whose record is now the entry's.
+    """
 
     in_force: PutConfiguration | None = None
     dropped: tuple[str, ...] = ()
@@ -51,6 +59,7 @@
 
     @property
     def changed(self) -> bool:
+        """Whether the entry changed anything."""
         return self.in_force is not None or self.record_of is not None
 
 
@@ -58,14 +67,23 @@
 
 
 class ControlState:
-    """The replicated state machine. Before the first configuration it holds nothing."""
+    """The replicated state machine. Before the first configuration it holds nothing.
+
+    What holds at all times, and the test of each (`tests/state/test_control_state.py`):
+
+    - The version in force never falls, and a version has one text, the first that came:
+      `test_the_version_never_falls_and_the_state_stays_bounded`.
+    - Members that applied the same entries have snapshots of the same bytes, also after a restore:
+      `test_a_snapshot_in_between_changes_nothing`.
+    - A snapshot that can't be read changes nothing: `test_a_snapshot_that_cannot_be_read_changes_nothing`.
+    """
 
     def __init__(self) -> None:
         self._configuration: PutConfiguration | None = None
         self._records: dict[str, bytes] = {}
-        self._sharded: frozenset[str] | None = frozenset()
+        self._sharded: frozenset[str] | None = frozenset()  # None: any service may be
         self._parsed: Configuration | None = None
-        self._parse_due = False
+        self._parse_pending = False
 
     @property
     def configuration(self) -> PutConfiguration | None:
@@ -74,15 +92,18 @@
 
     @property
     def version(self) -> int:
-        """Its version, NO_VERSION where none is in force."""
+        """The version in force; `NO_VERSION` where none is."""
         return NO_VERSION if self._configuration is None else self._configuration.version
 
     @property
     def parsed(self) -> Configuration | None:
-        """The configuration in force, compiled when first asked for. None where none is in force, and where this
-        release refuses a text that the member which took the order had accepted."""
-        if self._parse_due:
-            self._parse_due = False
+        """The configuration in force, parsed when first asked for.
+
+        None where none is in force, and where this release rejects a text that the member which took the order had
+        accepted.
+        """
+        if self._parse_pending and self._configuration is not None:
+            self._parse_pending = False
             self._parsed = read(self._configuration.text).value_or(None)
         return self._parsed
 
@@ -91,39 +112,42 @@
         """The record of each sharded service that has one."""
         return MappingProxyType(self._records)
 
-    def holds(self, order: PutConfiguration) -> bool:
+    def is_in_force(self, order: PutConfiguration) -> bool:
         """Whether the order's very text is in force."""
-        held = self.configuration
-        return held is not None and (held.version, held.digest) == (order.version, order.digest)
+        in_force = self._configuration
+        return in_force is not None and (in_force.version, in_force.digest) == (order.version, order.digest)
 
     def acknowledges(self, order: PutConfiguration) -> bool:
-        """Whether its operator may be told 200: it is in force, or overtaken, or its number is taken."""
+        """Whether its operator may be answered 200: it is in force, or overtaken, or its version has another text."""
         return order.version <= self.version
 
     def apply(self, entry: Entry) -> ApplyResult:
-        """Applies a committed entry; each index comes once, in order."""
+        """Apply a committed entry; each index comes once, in order."""
         command = entry.command
         if isinstance(command, PutConfiguration):
             return self._put_configuration(command)
         if isinstance(command, PutRecord):
             return self._put_record(command)
-        return NO_CHANGE  # memberships count from when they are in the log: the consensus core holds them
+        return NO_CHANGE  # a membership is in effect from when it is in the log: the consensus core keeps it
 
     def snapshot(self) -> bytes:
-        """The whole state, the same bytes at each member that applied the same entries."""
+        """Return the complete state, the same bytes at each member that applied the same entries."""
         records = tuple(sorted(self._records.items()))
-        return msgspec.msgpack.encode(SnapshotForm(FORM, self._configuration, records))
+        return msgspec.msgpack.encode(SnapshotForm(SNAPSHOT_FORM, self._configuration, records))
 
     def restore(self, snapshot: bytes) -> None:
-        """Replaces the state by that of `snapshot`. Raises Malformed where it can't be read; then nothing changed."""
-        found = decoded(snapshot)
-        self._hold(found.configuration)
-        self._records = dict(found.records)
+        """Replace the state by that of `snapshot`.
+
+        :raises Malformed: it can't be read; then nothing has changed.
+        """
+        content = decode_snapshot(snapshot)
+        self._set_configuration(content.configuration)
+        self._records = dict(content.records)
 
     def _put_configuration(self, order: PutConfiguration) -> ApplyResult:
         if self.acknowledges(order):
             return NO_CHANGE
-        self._hold(order)
+        self._set_configuration(order)
         dropped = tuple(service for service in sorted(self._records) if not self._may_have_record(service))
         for service in dropped:
             del self._records[service]
@@ -135,31 +159,34 @@
         self._records[command.service] = command.record
         return ApplyResult(record_of=command.service)
 
-    def _hold(self, order: PutConfiguration | None) -> None:
+    def _set_configuration(self, order: PutConfiguration | None) -> None:
         self._configuration = order
         self._sharded = frozenset() if order is None else sharded_services(order.text)
         self._parsed = None
-        self._parse_due = order is not None
+        self._parse_pending = order is not None
 
     def _may_have_record(self, service: str) -> bool:
         return self._sharded is None or service in self._sharded
 
 
 def sharded_services(text: bytes) -> frozenset[str] | None:
-    """The services that a configuration shards, without reading the rest; None where the text does not tell."""
+    """Return the services that a configuration shards, without reading the rest; None where the text does not say."""
     try:
-        outline = msgspec.json.decode(text, type=Outline)
+        outline = msgspec.json.decode(text, type=ConfigurationOutline)
     except (msgspec.DecodeError, RecursionError):
         return None
     return frozenset(service.name for service in outline.service_table if service.sharded)
 
 
-def decoded(snapshot: bytes) -> SnapshotForm:
-    """A snapshot's content. Raises Malformed."""
+def decode_snapshot(snapshot: bytes) -> SnapshotForm:
+    """Return a snapshot's content.
+
+    :raises Malformed: it can't be read, or is of an unknown form.
+    """
     try:
-        found = msgspec.msgpack.decode(snapshot, type=SnapshotForm)
+        content = msgspec.msgpack.decode(snapshot, type=SnapshotForm)
     except msgspec.DecodeError as err:
         raise Malformed(f"snapshot of the control state: {err}") from err
-    if found.form != FORM:
-        raise Malformed(f"snapshot of the control state: form {found.form} is not known, {FORM} is")
-    return found
+    if content.form != SNAPSHOT_FORM:
+        raise Malformed(f"snapshot of the control state: form {content.form} is not known, {SNAPSHOT_FORM} is")
+    return content
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -12,7 +12,7 @@
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import address_of
-from kestrelplank.control.bootstrap import started
+from kestrelplank.control.bootstrap import start_member
 from kestrelplank.control.effects import (
     GRANT,
     RELEASE,
@@ -110,7 +110,9 @@
         disk = self.disks.setdefault(name, MemoryLog())
         self.lives[name] = self.lives.get(name, 0) + 1
         self.waiting[name], self.writing[name] = [], False
-        self.members[name] = started(self.now, Random(self.random.random()), name, self.place(name, seeds), disk, first)
+        self.members[name] = start_member(
+            self.now, Random(self.random.random()), name, self.place(name, seeds), disk, first
+        )
 
     def kill(self, name, wipe=False):
         del self.members[name]
@@ -121,7 +123,7 @@
 
     def stop(self, name):
         """SIGTERM: it ends when it may."""
-        self.run(name, self.members[name].stop(self.now))
+        self.run(name, self.members[name].begin_stop(self.now))
         self.stopping[name] = self.now
 
     def later(self, delay, what, *given):
@@ -176,7 +178,7 @@
         if name in self.frozen:
             self.later(10 * MS, self.arrive, origin, sender, name, to, message)
         elif to in (name, self.members[name].identity):
-            self.run(name, self.members[name].receive(self.now, sender, message))
+            self.run(name, self.members[name].handle_message(self.now, sender, message))
 
     def push(self, name, message):
         if name in self.edge.addresses_to_dial(self.now) and self.reaches(name, EDGE) and not self.edge_loses_news:
@@ -192,7 +194,7 @@
     def beat(self):
         """The edge machine's beat to each member."""
         for name in self.edge_sessions():
-            for message in self.members[name].on_edge_heartbeat(self.now, self.edge.heartbeat(self.now), 1):
+            for message in self.members[name].handle_edge_heartbeat(self.now, self.edge.heartbeat(self.now), 1):
                 self.tell_edge(name, message)
 
     def report(self):
@@ -202,7 +204,7 @@
                 self.hot + self.random.randrange(300) if self.random.random() < 0.8 else self.random.randrange(KEYS)
                 for _ in range(40)
             ]
-            self.members[name].load_report(self.now, LoadReport("views", keys, {}))
+            self.members[name].handle_load_report(self.now, LoadReport("views", keys, {}))
 
     def edge_sessions(self):
         """Members that the edge machine is in session with."""
@@ -246,7 +248,7 @@
             return
         self.writing[name] = False
         for persist in batch:
-            self.run(name, self.members[name].persisted(self.now, persist.number))
+            self.run(name, self.members[name].handle_persisted(self.now, persist.number))
         self.write(name, life)
 
     # The servers.
@@ -269,7 +271,9 @@
 
     def call_ended(self, name, life, call, sent, status, handover):
         if self.lives[name] == life and name in self.members:
-            effects = self.members[name].called(self.now, call.service, call.action, call.line, sent, status, handover)
+            effects = self.members[name].handle_server_call_ended(
+                self.now, call.service, call.action, call.line, sent, status, handover
+            )
             self.run(name, effects)
 
     def listed(self):
@@ -304,8 +308,8 @@
     def tick(self, name):
         member = self.members[name]
         self.run(name, member.tick(self.now, self.disks[name].size))
-        if member.list_due(self.now) == 0:
-            self.run(name, member.fetched(self.now, self.listed()))
+        if member.server_fetch_due_in_ns(self.now) == 0:
+            self.run(name, member.handle_servers_fetched(self.now, self.listed()))
         if name in self.stopping and member.may_stop(self.now):
             self.kill(name)
 
@@ -352,13 +356,13 @@
         text = encoded(version=f"{version:08x}", **changes)
         self.ticket += 1
         order = self.orders[self.ticket] = Order(version, text, self.now)
-        self.run(name, self.members[name].put(self.now, self.ticket, read(text).unwrap()))
+        self.run(name, self.members[name].handle_replace_call(self.now, self.ticket, read(text).unwrap()))
         return order
 
     def show(self, name):
         self.ticket += 1
         found = self.reads[self.ticket] = Read(self.acknowledged, self.now)
-        self.run(name, self.members[name].show(self.now, self.ticket))
+        self.run(name, self.members[name].handle_show_call(self.now, self.ticket))
         return found
 
     def settled(self, version):
@@ -383,7 +387,7 @@
 
     def voters(self):
         """Addresses of all that count, as the leader has it."""
-        return [address_of(one) for one in self.members[self.leader()].committed.all_voters()]
+        return [address_of(one) for one in self.members[self.leader()].committed_membership.all_voters()]
 
     def decided(self):
         """The lines of whoever decides."""
@@ -408,7 +412,7 @@
     def all_count(self):
         """Whether every member that runs is a voter of a membership that each of them knows to be committed, with no
         change under way: who lost a disk is whole again."""
-        known = [member.committed for member in self.members.values()]
+        known = [member.committed_membership for member in self.members.values()]
         return all(
             counts is not None and not counts.joint and member.identity in counts.voters
             for member in self.members.values()
--- a/tests/control/test_bootstrap.py
+++ b/tests/control/test_bootstrap.py
@@ -7,7 +7,7 @@
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import HardState, Membership
-from kestrelplank.control.bootstrap import started
+from kestrelplank.control.bootstrap import start_member
 from kestrelplank.control.member_profile import MemberProfile
 
 SEEDS = ("10.0.0.3:80", "10.0.0.1:80", "10.0.0.2:80")
@@ -16,13 +16,13 @@
 
 
 def start(disk, address="10.0.0.1:80", initial_boot=True, seed=1, place=PLACE):
-    return started(0, Random(seed), address, place, disk, initial_boot)
+    return start_member(0, Random(seed), address, place, disk, initial_boot)
 
 
 def test_at_the_first_start_the_seeds_count_whatever_their_order():
     for address in SEEDS:
         member = start(MemoryLog(), address)
-        assert member.identity == f"{address}/first" and member.committed == FIRST == member.node.membership
+        assert member.identity == f"{address}/first" and member.committed_membership == FIRST == member.node.membership
 
 
 @pytest.mark.parametrize("address, initial_boot", [("10.0.0.4:80", True), ("10.0.0.1:80", False)])
@@ -39,7 +39,7 @@
     disk.write([Persist(1, HardState(4, "10.0.0.2:80/first", "10.0.0.2:80/first"))])
     other_seeds = MemberProfile("z", True, ("10.9.0.1:80",), 1, 6_000_000_000)
     after = start(disk, initial_boot=initial_boot, place=other_seeds)
-    assert after.identity == before.identity and after.node.term == 4 and after.committed == FIRST
+    assert after.identity == before.identity and after.node.term == 4 and after.committed_membership == FIRST
 
 
 def test_a_newcomer_comes_back_as_itself():
@@ -51,8 +51,8 @@
     disk = MemoryLog()
     disk.keep_incarnation("first")
     member = start(disk)
-    assert member.identity == "10.0.0.1:80/first" and member.committed == FIRST
-    assert start(disk).committed == FIRST
+    assert member.identity == "10.0.0.1:80/first" and member.committed_membership == FIRST
+    assert start(disk).committed_membership == FIRST
 
 
 def test_a_disk_that_refuses_is_told_and_nothing_is_begun():
@@ -61,4 +61,4 @@
     with pytest.raises(OSError):
         start(disk)
     disk.refusal = None
-    assert start(disk).committed == FIRST
+    assert start(disk).committed_membership == FIRST
--- a/tests/control/test_log_writer.py
+++ b/tests/control/test_log_writer.py
@@ -70,7 +70,7 @@
 
 
 def test_a_refused_write_is_made_again_with_the_same_and_nothing_passes_it(monkeypatch):
-    monkeypatch.setattr(log_writer, "AGAIN", 0)
+    monkeypatch.setattr(log_writer, "RETRY_INTERVAL_S", 0)
     file = File(refusals=2)
     file.let.set()
 
@@ -91,7 +91,7 @@
         writer.write(Persist(1))
         await until(file.begun.is_set)
         for version in (5, 6):
-            writer.copy(version, b"")
+            writer.write_copy(version, b"")
         writer.write(Persist(2))
         file.let.set()
         await until(lambda: file.copies)
@@ -107,6 +107,6 @@
     file.size = size
 
     async def play(writer, told):
-        assert writer.size == size
+        assert writer.log_size_bytes == size
 
     played(file, play)
--- a/tests/control/test_member_sessions.py
+++ b/tests/control/test_member_sessions.py
@@ -23,14 +23,14 @@
     async def listen(self):
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(
-            lambda: FrameConnection(decode_at_member, self.on_message, self.sessions.on_inbound_end),
+            lambda: FrameConnection(decode_at_member, self.on_message, self.sessions.handle_inbound_ended),
             self.ip,
             self.port,
         )
 
     def on_message(self, wire, message):
         if isinstance(message, Envelope):
-            self.sessions.on_inbound(wire, message)
+            self.sessions.handle_inbound(wire, message)
 
 
 def played(play):
--- a/tests/control/test_membership_changes.py
+++ b/tests/control/test_membership_changes.py
@@ -19,7 +19,7 @@
 def count(system, *names):
     """Whether exactly these count, and no change is under way."""
     name = system.leader()
-    if name is None or system.members[name].committed.joint:
+    if name is None or system.members[name].committed_membership.joint:
         return False
     return sorted(system.voters()) == sorted(names)
 
@@ -252,7 +252,7 @@
         dead = system.followers()[0]
         system.kill(dead)
         system.start(FOURTH)
-        while not any("proposes epoch" in text for _, _, text in system.logged):
+        while not any("proposes membership epoch" in text for _, _, text in system.logged):
             system.step()
         for _ in range(steps):
             system.step()
@@ -273,7 +273,7 @@
         dead = system.followers()[0]
         system.kill(dead)
         system.start(FOURTH)
-        while not any("proposes epoch" in text for _, _, text in system.logged):
+        while not any("proposes membership epoch" in text for _, _, text in system.logged):
             system.step()
         for _ in range(steps):
             system.step()
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -20,7 +20,7 @@
         self.asked, self.kept, self.majority = [], [], asyncio.Event()
         self.arrived = asyncio.Event()
 
-    async def put(self, configuration):
+    async def replace_configuration(self, configuration):
         self.asked.append(configuration.text)
         self.arrived.set()
         await self.majority.wait()
--- a/tests/control/test_operator_orders.py
+++ b/tests/control/test_operator_orders.py
@@ -14,7 +14,7 @@
     ReadResult,
     SubmitOrder,
 )
-from kestrelplank.control.pending_calls import MOST, PATIENCE
+from kestrelplank.control.pending_calls import CALL_TIMEOUT_NS, MAX_PENDING_CALLS
 from kestrelplank.transport.messages import EdgeHeartbeat
 
 OTHER = {"service_table": [{"name": "views", "sharded": True}, {"name": "orders"}, {"name": "more"}]}
@@ -39,7 +39,7 @@
 
 def vouches(system, name):
     """Whether that member tells edge machines that it is current."""
-    (beat, *_) = system.members[name].on_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)
+    (beat, *_) = system.members[name].handle_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)
     return beat.current
 
 
@@ -97,7 +97,7 @@
     order, found = system.put(name, 5), system.show(name)
     assert order.acknowledged is False and found.known is False and not vouches(system, name)
     assert (
-        system.members[name].on_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)[0].version
+        system.members[name].handle_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)[0].version
         is None
     )
 
@@ -219,7 +219,7 @@
     answers = [
         effect.message
         for message in (ReadConfiguration(call), SubmitOrder(call, order))
-        for effect in follower.receive(system.now, "10.0.0.9:80/first", message)
+        for effect in follower.handle_message(system.now, "10.0.0.9:80/first", message)
     ]
     assert answers == [ReadResult(call, False, None), OrderResult(call, False)]
 
@@ -348,10 +348,10 @@
     system = begun()
     leader = system.leader()
     cut_off(system, leader)
-    orders = [system.put(leader, 100 + number) for number in range(MOST + 3)]
-    assert [order.acknowledged for order in orders] == [None] * MOST + [False] * 3
+    orders = [system.put(leader, 100 + number) for number in range(MAX_PENDING_CALLS + 3)]
+    assert [order.acknowledged for order in orders] == [None] * MAX_PENDING_CALLS + [False] * 3
     system.turn(1)
-    assert all(order.acknowledged is False and took(order) <= PATIENCE + 50 * MS for order in orders)
+    assert all(order.acknowledged is False and took(order) <= CALL_TIMEOUT_NS + 50 * MS for order in orders)
 
 
 def test_an_order_that_its_leader_could_not_commit_is_answered_when_it_leads_no_longer_and_may_be_sent_again():
--- a/tests/control/test_pending_calls.py
+++ b/tests/control/test_pending_calls.py
@@ -3,7 +3,15 @@
 import pytest
 
 from kestrelplank.consensus.messages import CallId, Entry, Noop, PutConfiguration
-from kestrelplank.control.pending_calls import MOST, PATIENCE, PassedCalls, PassedOn, PendingOrders, Ticket
+from kestrelplank.control.pending_calls import (
+    CALL_TIMEOUT_NS,
+    MAX_PENDING_CALLS,
+    ForwardedCalls,
+    ForwardingMember,
+    LocalCaller,
+    Outcome,
+    PendingOrders,
+)
 
 NOW = 100
 ORDER = PutConfiguration(5, "digest", b"text")
@@ -13,47 +21,49 @@
 
 def test_an_order_is_acknowledged_by_its_own_entry_only():
     orders = PendingOrders()
-    orders.add(NOW, Ticket(1), ORDER, 7, 2)
-    assert orders.applied(Entry(6, 2, Noop())) == ([], [])
-    assert orders.applied(Entry(7, 2, ORDER)) == ([Ticket(1)], [])
-    assert orders.applied(Entry(8, 2, ORDER)) == ([], [])
+    orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
+    assert orders.handle_applied(Entry(6, 2, Noop())) == Outcome([], [])
+    assert orders.handle_applied(Entry(7, 2, ORDER)) == Outcome([LocalCaller(1)], [])
+    assert orders.handle_applied(Entry(8, 2, ORDER)) == Outcome([], [])
 
 
 def test_of_an_order_whose_place_another_terms_entry_took_nothing_is_known():
     orders = PendingOrders()
-    orders.add(NOW, Ticket(1), ORDER, 7, 2)
-    assert orders.applied(Entry(7, 3, ORDER)) == ([], [Ticket(1)])
+    orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
+    assert orders.handle_applied(Entry(7, 3, ORDER)) == Outcome([], [LocalCaller(1)])
 
 
 def test_the_very_same_order_waits_for_the_one_under_way_and_another_text_does_not():
-    orders, passed_on = PendingOrders(), PassedOn("10.0.0.2:80/first", CallId("10.0.0.2:80/first", 9, 1))
-    orders.add(NOW, Ticket(1), ORDER, 7, 2)
-    assert orders.attach(NOW, passed_on, ORDER) and not orders.attach(NOW, Ticket(3), OTHER)
-    assert orders.applied(Entry(7, 2, ORDER)) == ([Ticket(1), passed_on], [])
+    orders, passed_on = PendingOrders(), ForwardingMember("10.0.0.2:80/first", CallId("10.0.0.2:80/first", 9, 1))
+    orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
+    assert orders.join(NOW, passed_on, ORDER) and not orders.join(NOW, LocalCaller(3), OTHER)
+    assert orders.handle_applied(Entry(7, 2, ORDER)) == Outcome([LocalCaller(1), passed_on], [])
 
 
 def test_who_waited_too_long_is_told_so_once_and_the_order_stays_for_who_sends_it_again():
     orders = PendingOrders()
-    orders.add(NOW, Ticket(1), ORDER, 7, 2)
-    assert orders.expired(NOW + PATIENCE - 1) == [] and orders.expired(NOW + PATIENCE) == [Ticket(1)]
-    assert orders.expired(NOW + PATIENCE) == []
-    assert orders.attach(NOW + PATIENCE, Ticket(2), ORDER)
-    assert orders.applied(Entry(7, 2, ORDER)) == ([Ticket(2)], [])
+    orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
+    assert orders.take_expired(NOW + CALL_TIMEOUT_NS - 1) == [] and orders.take_expired(NOW + CALL_TIMEOUT_NS) == [
+        LocalCaller(1)
+    ]
+    assert orders.take_expired(NOW + CALL_TIMEOUT_NS) == []
+    assert orders.join(NOW + CALL_TIMEOUT_NS, LocalCaller(2), ORDER)
+    assert orders.handle_applied(Entry(7, 2, ORDER)) == Outcome([LocalCaller(2)], [])
 
 
 def test_who_leads_no_longer_knows_nothing_of_any():
     orders = PendingOrders()
-    orders.add(NOW, Ticket(1), ORDER, 7, 2)
-    orders.add(NOW, Ticket(2), OTHER, 8, 2)
-    assert orders.drop() == [Ticket(1), Ticket(2)] and orders.drop() == []
+    orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
+    orders.add(NOW, LocalCaller(2), OTHER, 8, 2)
+    assert orders.take_all() == [LocalCaller(1), LocalCaller(2)] and orders.take_all() == []
 
 
 def test_calls_under_way_have_a_bound():
-    orders, passed = PendingOrders(), PassedCalls("a", 1)
-    for number in range(MOST):
+    orders, passed = PendingOrders(), ForwardedCalls("a", 1)
+    for number in range(MAX_PENDING_CALLS):
         assert not orders.full() and not passed.full()
-        orders.add(NOW, Ticket(number), ORDER, 7 + number, 2)
-        passed.add(NOW, number, LEADER, reads=False)
+        orders.add(NOW, LocalCaller(number), ORDER, 7 + number, 2)
+        passed.add(NOW, number, LEADER, is_read=False)
     assert orders.full() and passed.full()
 
 
@@ -69,16 +79,16 @@
     ],
 )
 def test_an_answer_ends_the_call_that_it_names_and_no_other(sender, call, reads, answers):
-    passed = PassedCalls("a", 9)
-    assert passed.add(NOW, 31, LEADER, reads=False) == CallId("a", 9, 1)
-    found = passed.answered(sender, call, reads)
+    passed = ForwardedCalls("a", 9)
+    assert passed.add(NOW, 31, LEADER, is_read=False) == CallId("a", 9, 1)
+    found = passed.take_answered(sender, call, is_read=reads)
     assert (found is not None and found.ticket == 31) if answers else found is None
-    assert passed.answered(LEADER, CallId("a", 9, 1), False) is None or not answers  # and only once
+    assert passed.take_answered(LEADER, CallId("a", 9, 1), is_read=False) is None or not answers  # and only once
 
 
 def test_a_passed_call_ends_when_it_has_waited_too_long_or_its_leader_leads_no_longer():
-    passed = PassedCalls("a", 9)
-    passed.add(NOW, 1, LEADER, reads=False)
-    passed.add(NOW + 5, 2, LEADER, reads=True)
-    assert [call.ticket for call in passed.expired(NOW + PATIENCE, LEADER)] == [1]
-    assert [call.ticket for call in passed.expired(NOW + 6, "")] == [2]
+    passed = ForwardedCalls("a", 9)
+    passed.add(NOW, 1, LEADER, is_read=False)
+    passed.add(NOW + 5, 2, LEADER, is_read=True)
+    assert [call.ticket for call in passed.take_expired(NOW + CALL_TIMEOUT_NS, LEADER)] == [1]
+    assert [call.ticket for call in passed.take_expired(NOW + 6, "")] == [2]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,9 +6,9 @@
 import pytest
 from configuration.test_plan import configuration, route
 
-from kestrelplank.control.effects import AnswerOrder
-from kestrelplank.control.operator_api import Shown, application
-from kestrelplank.control.status import EdgeStatus, LineStatus, MemberStatus, PeerStatus, ServiceStatus
+from kestrelplank.control.effects import AnswerOrder, AnswerRead
+from kestrelplank.control.operator_api import application
+from kestrelplank.control.status import EdgeStatus, KeyRangeStatus, MemberStatus, PeerStatus, ServiceStatus
 from kestrelplank.gateway import main
 from kestrelplank.http.serve import listener, server
 
@@ -21,12 +21,12 @@
         self.configuration, self.lag, self.majority, self.log_lag = None, lag, majority, log_lag
         self.in_force = in_force
 
-    async def put(self, configuration):
+    async def replace_configuration(self, configuration):
         self.configuration = configuration if self.majority else None
         return AnswerOrder(1, self.majority, self.majority and self.in_force)
 
-    async def show(self):
-        return Shown(True, self.configuration.text if self.configuration else None)
+    async def show_configuration(self):
+        return AnswerRead(0, True, self.configuration.text if self.configuration else None)
 
     def status(self):
         version = f"{self.configuration.key.version:08x}" if self.configuration else None
@@ -42,21 +42,21 @@
             voters=["a:1/first", "b:1/first"],
             standbys=["c:1/5f2c09d1"],
             stopping=False,
-            commit=8,
-            applied=8,
-            last=9,
-            in_force=version,
-            peers={"b:1/first": PeerStatus(match=8 - self.log_lag, heard_s=0.1, caught_up=True)},
-            servers=4,
-            list_age_s=0.2,
+            commit_index=8,
+            applied_index=8,
+            last_index=9,
+            configuration_version=version,
+            peers={"b:1/first": PeerStatus(match_index=8 - self.log_lag, last_heard_s=0.1, caught_up=True)},
+            server_count=4,
+            server_list_age_s=0.2,
             services={
                 "views": ServiceStatus(
-                    decides=True,
-                    term=3,
-                    record=7,
-                    bare_s=0.0,
-                    lines=[LineStatus(0, 65535, "s", 3000001, "held", 3.1)],
-                    learnt={"s": [1.5, 2.0, 0.0, 0.0]},
+                    assigned_here=True,
+                    record_term=3,
+                    record_number=7,
+                    unowned_s=0.0,
+                    key_ranges=[KeyRangeStatus(0, 65535, "s", 3000001, "held", 3.1)],
+                    server_estimates={"s": [1.5, 2.0, 0.0, 0.0]},
                 )
             },
             edges={
@@ -152,7 +152,7 @@
 
 def test_status_as_json_is_what_the_member_said(capsys):
     assert run(Member(), "status", "ADDRESS", "--json") == 0
-    assert json.loads(capsys.readouterr().out)["services"]["views"]["lines"][0]["server"] == "s"
+    assert json.loads(capsys.readouterr().out)["services"]["views"]["key_ranges"][0]["server"] == "s"
 
 
 def test_a_difference_is_told_route_by_route_and_field_by_field(file, capsys):
