--- /dev/null
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -0,0 +1,202 @@
+"""Files and records that commit 4f929ce left on disks: today's code reads them to the same values, and writes the same
+bytes for those values. `data/4f929ce/README.md` says how they were made."""
+
+import json
+import os
+import shutil
+from pathlib import Path
+
+import msgspec
+import pytest
+from by_position import by_position
+
+from kestrelplank.consensus import snapshots
+from kestrelplank.consensus.effects import Persist
+from kestrelplank.consensus.messages import Command, Entry, HardState, Snapshot
+from kestrelplank.control.shard_assignment import read_record
+from kestrelplank.decode import Malformed
+from kestrelplank.state import journal
+from kestrelplank.state.control_state import ControlState
+from kestrelplank.state.guards import Terms
+from kestrelplank.state.intake import Intake, restored
+from kestrelplank.state.sealed import sealed, unsealed
+from kestrelplank.state.tables import Tables
+from kestrelplank.storage.log_file import LogFile
+
+DATA = Path(__file__).parent / "data" / "4f929ce"
+
+
+def values(name):
+    return json.loads((DATA / name).read_text())
+
+
+LOG_FILES = values("log_files/values.json")
+
+
+def loaded(folder):
+    """What a start finds in that folder: incarnation, hard state, snapshot, entries."""
+    log = LogFile(os.fspath(folder))
+    found = log.load()
+    log.close()
+    return [by_position(value) for value in (found.incarnation, found.hard_state, found.snapshot, found.entries)]
+
+
+def copied(name, folder):
+    return Path(shutil.copytree(DATA / "log_files" / name, folder / name))
+
+
+# A control member's disk.
+
+
+@pytest.mark.parametrize("name", LOG_FILES["files"])
+def test_a_log_file_is_read_to_the_same_values(name, tmp_path):
+    folder = copied(name, tmp_path)
+    assert loaded(folder) == LOG_FILES["files"][name]["loaded"]
+    assert loaded(folder) == LOG_FILES["files"][name]["loaded"]  # and again, after what reading has changed
+
+
+@pytest.mark.parametrize("name", [name for name, file in LOG_FILES["files"].items() if "writes" in file])
+def test_a_log_file_of_the_same_writes_has_the_same_bytes(name, tmp_path, monkeypatch):
+    salt = bytes.fromhex(LOG_FILES["salt"])
+    monkeypatch.setattr(os, "urandom", lambda size: salt[:size])
+    log = LogFile(os.fspath(tmp_path))
+    log.load()
+    log.keep_incarnation(LOG_FILES["incarnation"])
+    for persists in LOG_FILES["files"][name]["writes"]:
+        log.write(
+            [
+                Persist(
+                    number,
+                    msgspec.convert(hard_state, HardState | None),
+                    msgspec.convert(snapshot, Snapshot | None),
+                    msgspec.convert(entries, tuple[Entry, ...]),
+                )
+                for number, hard_state, snapshot, entries in persists
+            ]
+        )
+    log.close()
+    assert (tmp_path / "log").read_bytes() == (DATA / "log_files" / name / "log").read_bytes()
+
+
+def test_a_log_file_is_not_changed_by_reading_it(tmp_path):
+    folder = copied("compacted", tmp_path)
+    loaded(folder)
+    assert (folder / "log").read_bytes() == (DATA / "log_files/compacted/log").read_bytes()
+
+
+def test_a_torn_tail_is_cut_off(tmp_path):
+    folder = copied("torn_tail", tmp_path)
+    loaded(folder)
+    assert (DATA / "log_files/appended/log").read_bytes().startswith((folder / "log").read_bytes())
+
+
+def test_a_log_file_damaged_before_its_end_counts_as_empty(tmp_path):
+    folder = copied("appended", tmp_path)
+    data = bytearray((folder / "log").read_bytes())
+    data[len(data) // 2] ^= 1
+    (folder / "log").write_bytes(data)
+    assert loaded(folder) == [None, by_position(HardState()), None, []]
+
+
+def test_every_kind_of_command_is_in_a_log_file():
+    commands = [entry[2][0] for file in LOG_FILES["files"].values() for entry in file["loaded"][3]]
+    assert set(commands) == {kind.__struct_config__.tag for kind in Command.__args__}
+
+
+def test_a_readable_copy_has_the_same_name_and_bytes(tmp_path):
+    copies = sorted((DATA / "log_files/compacted").glob("configuration-*"))
+    assert len(copies) == 2
+    log = LogFile(os.fspath(tmp_path))
+    for copy in copies:
+        log.keep_copy(json.loads(copy.read_bytes())["version"], copy.read_bytes())
+    assert [(path.name, path.read_bytes()) for path in sorted(tmp_path.glob("configuration-*"))] == [
+        (path.name, path.read_bytes()) for path in copies
+    ]
+
+
+@pytest.mark.parametrize("name", values("control_state_snapshots.json"))
+def test_a_snapshot_of_the_control_state_is_read_to_the_same_values(name):
+    example = values("control_state_snapshots.json")[name]
+    data = bytes.fromhex(example["bytes"])
+    state = ControlState()
+    state.restore(data)
+    assert by_position(state.configuration) == example["value"]["configuration"]
+    assert {service: record.hex() for service, record in state.records.items()} == example["value"]["records"]
+    assert state.version == example["value"]["version"]
+    assert state.snapshot() == data
+
+
+def test_a_snapshot_on_its_way_to_a_follower_has_the_same_bytes_and_checksum():
+    example = values("consensus_snapshot.json")
+    data = bytes.fromhex(example["bytes"])
+    snapshot = snapshots.decoder.decode(data)
+    assert by_position(snapshot) == example["value"]
+    assert snapshots.encoder.encode(snapshot) == data
+    assert snapshots.checksum(data).hex() == example["digest"]
+
+
+@pytest.mark.parametrize("name", values("key_ranges_records.json"))
+def test_a_record_of_key_ranges_is_read_to_the_same_values(name):
+    example = values("key_ranges_records.json")[name]
+    data = bytes.fromhex(example["bytes"])
+    record = read_record(data)
+    assert by_position(record) == example["value"]
+    if name == "record":
+        assert msgspec.msgpack.encode(record) == data
+
+
+# The house's other durable files.
+
+
+@pytest.mark.parametrize("name", values("journals/values.json"))
+def test_a_journal_is_read_to_the_same_values(name):
+    found = journal.recovered((DATA / "journals" / name).read_bytes())
+    assert by_position(list(found)) == values("journals/values.json")[name]
+
+
+def test_a_journal_of_the_same_values_has_the_same_bytes():
+    records = [value for _, value in values("journals/values.json")["appended"][0]]
+    made = journal.Journal()
+    for value in records:
+        made.add(value)
+    assert made.write() == (DATA / "journals/appended").read_bytes()
+    (first, _), *_ = compacted = values("journals/values.json")["compacted"][0]
+    assert journal.snapshot([value for _, value in compacted], first) == (DATA / "journals/compacted").read_bytes()
+
+
+def test_a_node_lists_state_is_read_to_the_same_values_and_stored_as_the_same_bytes():
+    data = (DATA / "node_list_state").read_bytes()
+    nodes, version, history = restored(data)
+    assert {
+        "nodes": {name: list(listed) for name, listed in nodes.nodes.items()},
+        "hash": nodes.hash,
+        "version": version,
+        "history": [list(entry) for entry in history],
+    } == values("node_list_state.values.json")
+    assert Intake(Terms(0.25, 0, False), nodes, version, history).stored() == data
+    with pytest.raises(Malformed):
+        restored(data[:-3])
+
+
+def test_a_reference_proxys_tables_are_read_to_the_same_values_and_kept_as_the_same_bytes():
+    data, expected = (DATA / "reference_proxy_state").read_bytes(), values("reference_proxy_state.values.json")
+    found = unsealed(1, data)
+    assert found == expected["unsealed"]
+    node_ids = expected["node_ids"]
+    names = {node: name for name, node in node_ids.items()}
+    tables = Tables(expected["tables"], expected["op_types"], expected["usual_again"])
+    tables.restore(found["tables"], node_ids.__getitem__)
+    every = range(expected["tables"])
+    assert [{names[node]: weight for node, weight in tables.lines(table).items()} for table in every] == expected[
+        "lines"
+    ]
+    assert [[[names[node], weight] for node, weight in tables.open(table)] for table in every] == expected["open"]
+    assert [tables.source(table) for table in every] == expected["source"]
+    shares = [[tables.share(table, op_type) for op_type in range(expected["op_types"])] for table in every]
+    assert shares == expected["share"]
+    assert [tables.again(table) for table in every] == expected["again"]
+    assert {
+        source: [names[node] for node in tables.withdrawn(int(source))] for source in expected["withdrawn"]
+    } == expected["withdrawn"]
+    kept = {"at": found["at"], "tables": tables.kept(names.__getitem__), "addresses": found["addresses"]}
+    assert sealed(1, kept) == data
--- /dev/null
+++ b/tests/transport/test_wire_of_4f929ce.py
@@ -0,0 +1,79 @@
+"""Messages as commit 4f929ce sent them: today's code sends the same bytes for the same values, and reads them back."""
+
+import json
+import typing
+from pathlib import Path
+
+import msgspec
+import pytest
+from by_position import by_position
+
+from kestrelplank.state import membership
+from kestrelplank.transport.messages import Envelope, ToEdge, ToMember, decode_at_edge, decode_at_member, encode
+from kestrelplank.transport.wire import COMPRESSED, packed, unpacked
+
+DATA = Path(__file__).parent / "data" / "4f929ce"
+MESSAGES = json.loads((DATA / "wire_messages.json").read_text())
+FRAMES = json.loads((DATA / "wire_frames.json").read_text())
+DECODERS = {"to a member": (ToMember, decode_at_member), "to an edge machine": (ToEdge, decode_at_edge)}
+
+
+def examples(suffix=""):
+    return [
+        pytest.param(*DECODERS[receiver], example, id=f"{receiver}-{place}-{example['tag']}")
+        for receiver in DECODERS
+        for place, example in enumerate(MESSAGES[receiver + suffix])
+    ]
+
+
+def tag_of(message_type):
+    return message_type.__struct_config__.tag
+
+
+@pytest.mark.parametrize("union, decode, example", examples())
+def test_a_message_has_the_same_bytes_for_the_same_value(union, decode, example):
+    body = bytes.fromhex(example["body"])
+    message = decode(body)
+    assert by_position(message) == example["value"]
+    assert encode(message) == body
+    assert encode(msgspec.convert(example["value"], union)) == body
+
+
+@pytest.mark.parametrize("union, decode, example", examples(", only read"))
+def test_a_message_with_fewer_fields_or_integers_for_floats_means_the_same(union, decode, example):
+    message = decode(bytes.fromhex(example["body"]))
+    assert by_position(message) == example["value"]
+
+
+def test_every_type_of_message_has_an_example():
+    carried = typing.get_args(typing.get_type_hints(Envelope)["message"])
+    to_members = {tag_of(kind) for kind in (*typing.get_args(ToMember), *carried) if kind is not Envelope}
+    assert {example["tag"] for example in MESSAGES["to a member"]} == to_members
+    assert {example["tag"] for example in MESSAGES["to an edge machine"]} == {
+        tag_of(kind) for kind in typing.get_args(ToEdge)
+    }
+
+
+def test_a_short_message_is_the_same_frame():
+    frame = bytes.fromhex(FRAMES["plain"]["frame"])
+    message = decode_at_edge(frame[4:])
+    assert by_position(message) == FRAMES["plain"]["value"]
+    assert packed(message) == frame
+
+
+def test_a_compressed_frame_is_read():
+    frame = bytes.fromhex(FRAMES["compressed"]["frame"])
+    head = int.from_bytes(frame[:4])
+    assert head == (len(frame) - 4 | COMPRESSED)
+    message = decode_at_edge(unpacked(frame[4:], True))
+    assert by_position(message) == FRAMES["compressed"]["value"]
+    again = packed(message)
+    assert int.from_bytes(again[:4]) & COMPRESSED and unpacked(again[4:], True) == unpacked(frame[4:], True)
+
+
+def test_an_assigners_datagram_has_the_same_bytes_for_the_same_value():
+    example = json.loads((DATA / "membership_datagram.json").read_text())
+    sender, members, zones = example["given"]
+    body = membership.encode(sender, [tuple(member) for member in members], [membership.Sums(*zone) for zone in zones])
+    assert body.hex() == example["bytes"]
+    assert by_position(membership.decode(body)) == example["value"]
