--- a/benchmarks/log_file.py
+++ b/benchmarks/log_file.py
@@ -117,19 +117,19 @@
     for index in range(1, changes + 1):
         # The state is told of each version; its text stands for one of eight, as making each takes longer than a write.
         entry = Entry(index, 1, PutConfiguration(index, digest, texts[index % 8]))
-        before = log.size
+        before = log.size_bytes
         writes.append(timed(log.write, [Persist(index, None, None, (entry,))]))
-        written += log.size - before
+        written += log.size_bytes - before
         state.apply(entry)
-        most = max(most, log.size)
-        if log.size > bound:
+        most = max(most, log.size_bytes)
+        if log.size_bytes > bound:
             if not compactions:
                 shutil.copy(log.path, fullest)
-            before = log.size
+            before = log.size_bytes
             snapshot = Snapshot(index, 1, MEMBERS, state.snapshot())
             compactions.append(timed(log.write, [Persist(index, None, snapshot)]))
-            written += log.size
-            most = max(most, before + log.size)
+            written += log.size_bytes
+            most = max(most, before + log.size_bytes)
     log.close()
     if not compactions:
         shutil.copy(log.path, fullest)
@@ -138,7 +138,7 @@
     for _ in range(STARTS):
         log = LogFile(fullest)
         starts.append(timed(log.load))
-        frames, size = log.frames, log.size
+        frames, size = log.frame_count, log.size_bytes
         log.close()
     return (
         routes,
--- a/kestrelplank/control/bootstrap.py
+++ b/kestrelplank/control/bootstrap.py
@@ -13,7 +13,7 @@
 from kestrelplank.control.member import ControlMember
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.state.control_state import ControlState
-from kestrelplank.storage.log_file import Loaded
+from kestrelplank.storage.records import LoadedLog
 
 INCARNATION_BITS = 64
 
@@ -21,7 +21,7 @@
 class Log(Protocol):
     """A member's durable log, as far as a start uses it."""
 
-    def load(self) -> Loaded: ...
+    def load(self) -> LoadedLog: ...
 
     def keep_incarnation(self, incarnation: str) -> None: ...
 
@@ -46,13 +46,13 @@
     return ControlMember(now, random, identity, place, loaded.hard_state, loaded.snapshot, loaded.entries, first_start)
 
 
-def begun(random: Random, address: str, place: MemberProfile, log: Log, initial_boot: bool) -> Loaded:
+def begun(random: Random, address: str, place: MemberProfile, log: Log, initial_boot: bool) -> LoadedLog:
     """Begins a log on an empty disk."""
     if not initial_boot or address not in place.seeds:
         incarnation = f"{random.getrandbits(INCARNATION_BITS):016x}"
         log.keep_incarnation(incarnation)
-        return Loaded(incarnation)
+        return LoadedLog(incarnation)
     snapshot = Snapshot(0, 0, first_membership(place.seeds), ControlState().snapshot())
     log.keep_incarnation(FIRST)
     log.write([Persist(0, snapshot=snapshot)])
-    return Loaded(FIRST, snapshot=snapshot)
+    return LoadedLog(FIRST, snapshot=snapshot)
--- a/kestrelplank/control/disk.py
+++ b/kestrelplank/control/disk.py
@@ -27,7 +27,7 @@
     @property
     def size(self) -> int:
         """Bytes of the log on disk."""
-        return self._file.size
+        return self._file.size_bytes
 
     def write(self, persist: Persist) -> None:
         """Takes a write; it is made after all that were taken before it."""
--- a/kestrelplank/storage/__init__.py
+++ b/kestrelplank/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a control member keeps on disk: its part of the replicated log, and readable copies of configurations."""
+"""What a control member must not lose, on its disk: the file format, recovery and compaction of one log file."""
--- /dev/null
+++ b/kestrelplank/storage/entries.py
@@ -0,0 +1,54 @@
+"""How writes of entries add up: later ones replace those of the same index and all behind it."""
+
+from collections.abc import Sequence
+
+from kestrelplank.consensus.effects import Persist
+from kestrelplank.consensus.messages import Entry, HardState, Snapshot
+from kestrelplank.storage.errors import MissingEntryError
+
+
+def merge_persists(persists: Sequence[Persist], snapshot_index: int) -> Persist:
+    """Return one Persist with the effect of all these in order. Entries that a snapshot contains are dropped.
+
+    :param snapshot_index: index of the snapshot held before them, 0 where there is none.
+    :raises MissingEntryError: entries do not follow each other.
+    """
+    hard_state: HardState | None = None
+    snapshot: Snapshot | None = None
+    entries: list[Entry] = []
+    for persist in persists:
+        hard_state = persist.hard_state or hard_state
+        if persist.snapshot is not None:
+            snapshot, snapshot_index = persist.snapshot, persist.snapshot.index
+            entries.clear()
+        replace_from(entries, entries_after(snapshot_index, persist.entries))
+    return Persist(0, hard_state, snapshot, tuple(entries))
+
+
+def replace_from(entries: list[Entry], newer: Sequence[Entry]) -> None:
+    """Replace, in `entries`, those from the first newer one's index on.
+
+    :raises MissingEntryError: an index would be missing between them.
+    """
+    if not newer:
+        return
+    kept = max(0, newer[0].index - entries[0].index) if entries else 0
+    if kept > len(entries):
+        raise MissingEntryError(newer[0].index, entries[-1].index)
+    entries[kept:] = newer
+
+
+def entries_after(index: int, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
+    """Return those entries that a snapshot at `index` does not contain."""
+    if not entries or entries[0].index > index:
+        return entries
+    return tuple(entry for entry in entries if entry.index > index)
+
+
+def check_contiguous(entries: Sequence[Entry], last_index: int) -> None:
+    """Check that no index is missing between `last_index` and the first entry.
+
+    :raises MissingEntryError: one is.
+    """
+    if entries and entries[0].index > last_index + 1:
+        raise MissingEntryError(entries[0].index, last_index)
--- /dev/null
+++ b/kestrelplank/storage/readable_copies.py
@@ -0,0 +1,31 @@
+"""Plain copies of the newest configurations, for operators to read; the program never reads them."""
+
+import logging
+from pathlib import Path
+
+from kestrelplank.file_discovery.whole import write_whole
+
+PREFIX, SUFFIX = "configuration-", ".json"
+TEMPORARY_PREFIX = f".{PREFIX}"  # of the names of copies that are being made
+COPIES_KEPT = 2
+log = logging.getLogger("storage")
+
+
+def write_readable_copy(folder: Path, version: int, text: bytes) -> None:
+    """Write a configuration as a plain file, and remove all but the newest copies; a refusal is only logged."""
+    try:
+        write_whole(str(folder / copy_name(version)), text)
+        for path in readable_copies(folder)[:-COPIES_KEPT]:
+            path.unlink()
+    except OSError as err:
+        log.warning("Storage: no plain copy of configuration %08x: %s", version, err)
+
+
+def copy_name(version: int) -> str:
+    """Return the name of a copy; names sort as versions do."""
+    return f"{PREFIX}{version:016x}{SUFFIX}"
+
+
+def readable_copies(folder: Path) -> list[Path]:
+    """Return the copies in the folder, the oldest version first."""
+    return sorted(path for path in folder.iterdir() if path.name.startswith(PREFIX) and path.name.endswith(SUFFIX))
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -303,7 +303,7 @@
 
     def tick(self, name):
         member = self.members[name]
-        self.run(name, member.tick(self.now, self.disks[name].size))
+        self.run(name, member.tick(self.now, self.disks[name].size_bytes))
         if member.list_due(self.now) == 0:
             self.run(name, member.fetched(self.now, self.listed()))
         if name in self.stopping and member.may_stop(self.now):
--- a/tests/control/test_changes_of_members.py
+++ b/tests/control/test_changes_of_members.py
@@ -366,5 +366,5 @@
     system.turn(SYNC)
     assert system.members[name].node.current(system.now) and system.versions() == {501}
     assert leader.node.log.last_index - leader.node.log.base_index < 500
-    assert all(disk.size < (1 << 20) for disk in system.disks.values())
+    assert all(disk.size_bytes < (1 << 20) for disk in system.disks.values())
     assert system.now > 50 * MS
--- a/tests/control/test_disk.py
+++ b/tests/control/test_disk.py
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("size", [0, 9])
 def test_the_size_is_the_files(size):
     file = File()
-    file.size = size
+    file.size_bytes = size
 
     async def play(writer, told):
         assert writer.size == size
--- a/tests/storage/memory.py
+++ b/tests/storage/memory.py
@@ -1,13 +1,14 @@
-"""A member's disk in memory: what the contract of `test_log_file` says of the one on disk."""
+"""A member's disk in memory: what the contract of `test_log_contract` says of the one on disk."""
 
 import msgspec
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.storage.log_file import Loaded
+from kestrelplank.storage.errors import MissingEntryError, NoIncarnationError, OtherIncarnationError
+from kestrelplank.storage.records import LoadedLog
 
 
 class MemoryLog:
-    """A member's log in memory: what the contract of `test_log_file` says of `LogFile`, for members that are simulated.
+    """A member's log in memory: what the contract of `test_log_contract` says of `LogFile`, for members that are simulated.
 
     It outlives the member: to lose a member's power is to drop the member and `load` again. What `write` returned from
     is there then, of what it refused nothing, or all where `keeps_refused`. `refusal`: raised by each write while it is
@@ -24,19 +25,19 @@
         self._incarnation, self._written = None, []
 
     def load(self):
-        found = Loaded(self._incarnation)
+        found = LoadedLog(self._incarnation)
         for persist in self._written:
             entries = () if persist.snapshot else found.entries
             snapshot = persist.snapshot or found.snapshot
             new = [entry for entry in persist.entries if snapshot is None or entry.index > snapshot.index]
             if new:
                 entries = (*(entry for entry in entries if entry.index < new[0].index), *new)
-            found = Loaded(self._incarnation, persist.hard_state or found.hard_state, snapshot, entries)
+            found = LoadedLog(self._incarnation, persist.hard_state or found.hard_state, snapshot, entries)
         return found
 
     def keep_incarnation(self, incarnation):
         if self._incarnation not in (None, incarnation):
-            raise ValueError(f"this disk is {self._incarnation}'s, not {incarnation}'s")
+            raise OtherIncarnationError(self._incarnation, incarnation)
         if self.refusal is not None:
             raise self.refusal
         self._incarnation = incarnation
@@ -44,7 +45,7 @@
 
     def write(self, persists):
         if self._incarnation is None:
-            raise ValueError("no incarnation is kept yet")
+            raise NoIncarnationError
         before = self._written
         self._written = [*before, *persists]
         found = self.load()
@@ -53,7 +54,7 @@
         start = 1 + (found.snapshot.index if found.snapshot else 0)
         if indices and (indices != list(range(first, first + len(indices))) or first != start):
             self._written = before
-            raise ValueError("an entry is missing before one of these")
+            raise MissingEntryError(first, start - 1)
         if self.refusal is not None:
             self._written = self._written if self.keeps_refused else before
             raise self.refusal
@@ -62,7 +63,7 @@
         self._written = [Persist(0, found.hard_state, found.snapshot, found.entries)]
 
     @property
-    def size(self):
+    def size_bytes(self):
         return len(msgspec.msgpack.encode([(one.hard_state, one.snapshot, one.entries) for one in self._written]))
 
     def keep_copy(self, version, text):
--- a/tests/storage/power_loss.py
+++ b/tests/storage/power_loss.py
@@ -191,6 +191,7 @@
         file.synced()
 
     def _ours(self, path):
+        path = os.fspath(path)
         return self.folder in (path, os.path.dirname(path))
 
     def _file(self, fd):
