--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -10,7 +10,7 @@
 
 from kestrelplank.consensus.messages import ServerListUpdate
 from kestrelplank.forwarding.forwarder import Forwarder
-from kestrelplank.forwarding.resend import Seen
+from kestrelplank.forwarding.retry_policy import CallOutcome
 from kestrelplank.forwarding.steps import Send
 from kestrelplank.sharding.key_ranges import KEYS
 from kestrelplank.transport.edge_view import EdgeView
@@ -61,7 +61,7 @@
         self.forwarder = Forwarder(self.random, self.view, "zone-0", 0.2, 144)
         self.view.receive(self.now, MEMBERS[0], ConfigurationUpdate(7, configuration(self.services, sharded)))
         self.view.receive(self.now, MEMBERS[0], ServerListUpdate(0, listed))
-        self.forwarder.endpoints.listed(self.now, self.now, self.view.servers.entries.values())
+        self.forwarder.endpoints.update(self.now, self.view.servers.entries.values())
         for name in self.services if sharded else ():
             self.view.receive(self.now, MEMBERS[0], ranges(name, [one for one in listed if one[1] == name], 1))
 
@@ -71,22 +71,20 @@
             self.now += S // PER_S
             service = self.random.choice(self.services)
             key = str(self.random.randrange(KEYS))
-            found, step = self.forwarder.begin(self.now, "shop.example", f"/{service}/x", key, S)
+            request = self.forwarder.admit(self.now, "shop.example", f"/{service}/x", key, S)
+            step = self.forwarder.next_step(self.now, request)
             assert isinstance(step, Send), step
-            self.forwarder.ended(self.now + 100 * MS, found, Seen.ANSWERED, (1, 0, 2))
+            self.forwarder.attempt_ended(self.now + 100 * MS, request, CallOutcome.ANSWERED, (1, 0, 2))
 
     def report(self) -> bytes:
         """What it tells in half a second, as it goes over the wire."""
         for _ in range(PER_S * REPORT // S):
             service = self.random.choice(self.services)
-            found, _ = self.forwarder.begin(self.now, "shop.example", f"/{service}/x", "4711", S)
-            self.forwarder.ended(self.now + 100 * MS, found, Seen.ANSWERED, (1, 0, 2))
-        found = self.forwarder.report().items()
-        return b"".join(
-            packed(LoadReport(name, one["keys"], one["servers"]))
-            for name, one in found
-            if one["keys"] or one["servers"]
-        )
+            request = self.forwarder.admit(self.now, "shop.example", f"/{service}/x", "4711", S)
+            self.forwarder.next_step(self.now, request)
+            self.forwarder.attempt_ended(self.now + 100 * MS, request, CallOutcome.ANSWERED, (1, 0, 2))
+        reports = self.forwarder.take_load_reports().items()
+        return b"".join(packed(LoadReport(name, keys, servers)) for name, (keys, servers) in reports if keys or servers)
 
 
 def ranges(service: str, listed: list[tuple], seq: int) -> KeyRangesUpdate:
--- a/benchmarks/server_list.py
+++ b/benchmarks/server_list.py
@@ -54,7 +54,7 @@
     frame = packed(servers.news(now))
     body, compressed = frame[4:], bool(int.from_bytes(frame[:4]) >> 31)
     endpoints = Endpoints(Random(1), "zone-0")
-    endpoints.listed(now, now, servers.entries.values())
+    endpoints.update(now, servers.entries.values())
     kept = held(lambda: taken(now, count))[1]
     return {
         "read from JSON, ms": spent(lambda: msgspec.json.decode(page)),
@@ -62,7 +62,7 @@
         "taken, one changed, ms": spent(other),
         "packed, ms": spent(lambda: packed(servers.news(now))),
         "read, ms": spent(lambda: decode_at_edge(unpacked(body, compressed))),
-        "endpoints, ms": spent(lambda: endpoints.listed(now, now, servers.entries.values())),
+        "endpoints, ms": spent(lambda: endpoints.update(now, servers.entries.values())),
         "plain, KB": len(msgspec.msgpack.encode(servers.news(now))) / 1000,
         "on the wire, KB": len(frame) / 1000,
         "kept, KB": kept,
@@ -80,7 +80,7 @@
 def endpoints_of(now: int, servers: ServerList) -> Endpoints:
     """What an edge member keeps of each server besides."""
     endpoints = Endpoints(Random(1), "zone-0")
-    endpoints.listed(now, now, servers.entries.values())
+    endpoints.update(now, servers.entries.values())
     return endpoints
 
 
--- a/kestrelplank/control/calls.py
+++ b/kestrelplank/control/calls.py
@@ -9,7 +9,13 @@
 from kestrelplank.configuration.plan import Configuration, read
 from kestrelplank.control.effects import AnswerOrder
 from kestrelplank.control.status import MemberStatus
-from kestrelplank.forwarding.errors import ANSWERS, Fault
+from kestrelplank.forwarding.errors import (
+    BodyTooLargeError,
+    InvalidConfigurationError,
+    NoMajorityError,
+    RequestError,
+    ResourceNotFoundError,
+)
 
 MOST_BODY = 8 << 20  # a configuration goes to the other members in one message
 Result = tuple[int, bytes]
@@ -30,9 +36,9 @@
     in_force: bool
 
 
-def refusal(fault: Fault, why: str) -> Result:
+def refusal(error: type[RequestError], why: str) -> Result:
     """The answer for a call that failed."""
-    return ANSWERS[fault].status, msgspec.json.encode({"error": fault.value, "why": why})
+    return error.status, msgspec.json.encode({"error": error.reason, "why": why})
 
 
 class Member(Protocol):
@@ -55,10 +61,10 @@
         found = read(body)
         configuration = found.value_or(None)
         if configuration is None:
-            return refusal(Fault.INVALID, str(found.failure()))
+            return refusal(InvalidConfigurationError, str(found.failure()))
         result = await member.put(configuration)
         if not result.acknowledged:
-            return refusal(Fault.NO_MAJORITY, "not enough members can keep it")
+            return refusal(NoMajorityError, "not enough members can keep it")
         return 200, msgspec.json.encode(Acknowledged(f"{configuration.key.version:08x}", result.in_force))
 
 
@@ -70,9 +76,9 @@
     async def answer(self, member: Member, body: bytes) -> Result:
         shown = await member.show()
         if not shown.known:
-            return refusal(Fault.NO_MAJORITY, "no member that is in touch with a majority answered")
+            return refusal(NoMajorityError, "no member that is in touch with a majority answered")
         if shown.text is None:
-            return refusal(Fault.NO_RESOURCE, "no configuration has come yet")
+            return refusal(ResourceNotFoundError, "no configuration has come yet")
         return 200, shown.text
 
 
@@ -104,9 +110,9 @@
                 break
         handler = by_place.get((scope["method"], scope["path"]))
         if size > MOST_BODY:
-            status, body = refusal(Fault.TOO_LARGE, f"over {MOST_BODY} bytes")
+            status, body = refusal(BodyTooLargeError, f"over {MOST_BODY} bytes")
         elif handler is None:
-            status, body = refusal(Fault.NO_RESOURCE, scope["path"])
+            status, body = refusal(ResourceNotFoundError, scope["path"])
         else:
             status, body = await handler.answer(member, b"".join(parts))
         headers = [(b"content-type", b"application/json"), (b"content-length", str(len(body)).encode())]
--- a/kestrelplank/edge/client_requests.py
+++ b/kestrelplank/edge/client_requests.py
@@ -11,11 +11,20 @@
 from zlib import crc32
 
 from kestrelplank.edge.server_connections import HOP, Outcome, ServerConnections, ServerRequest
-from kestrelplank.forwarding.errors import ANSWERS, Fault
+from kestrelplank.forwarding.errors import (
+    BadRequestError,
+    BodyMemoryError,
+    BodyTimeoutError,
+    BodyTooLargeError,
+    GatewayDefectError,
+    OutcomeUnknownError,
+    RequestError,
+    ShuttingDownError,
+)
 from kestrelplank.forwarding.forwarder import Forwarder
 from kestrelplank.forwarding.request import ForwardedRequest
-from kestrelplank.forwarding.resend import Seen
-from kestrelplank.forwarding.steps import Give, Refuse, Send, Step, Wait
+from kestrelplank.forwarding.retry_policy import CallOutcome
+from kestrelplank.forwarding.steps import ForwardAnswer, Send, Step, Wait
 from kestrelplank.http.call import Answer
 
 S = 1_000_000_000
@@ -92,35 +101,33 @@
         try:
             await self._run()
         except asyncio.CancelledError:  # the time to finish is over
-            await self._break_off(Fault.STOPPING)
+            await self._break_off(ShuttingDownError(COME_BACK))
         except Exception:  # noqa: BLE001 - else the client got an answer that says nothing of what ran
             log.exception("Edge: a request met a defect")
-            await self._break_off(Fault.DEFECT)
+            await self._break_off(GatewayDefectError(COME_BACK))
         finally:
             self.owner.held -= self.held
 
     async def _run(self) -> None:
-        if self._ambiguous():
-            await self.refuse(Refuse(Fault.BAD_REQUEST))
-            return
-        body = await self._body()
-        if isinstance(body, Fault):
-            await self.refuse(Refuse(body, COME_BACK if ANSWERS[body].promises else 0))
-            return
-        if body is None:  # the client has gone
-            return
-        now = time.monotonic_ns()
-        self.request, step = self.owner.forwarder.begin(
-            now,
-            self.fields.get(b"host", b"").decode("latin-1"),
-            self.scope["path"],
-            self.fields.get(KEY, b"").decode("latin-1") or None,
-            waits(self.fields) - (now - self.came),
-            len(body),
-        )
-        if self.request is None:
-            await self.refuse(step)
+        try:
+            if self._ambiguous():
+                raise BadRequestError
+            body = await self._body()
+            if body is None:  # the client has gone
+                return
+            now = time.monotonic_ns()
+            self.request = self.owner.forwarder.admit(
+                now,
+                self.fields.get(b"host", b"").decode("latin-1"),
+                self.scope["path"],
+                self.fields.get(KEY, b"").decode("latin-1") or None,
+                waits(self.fields) - (now - self.came),
+                len(body),
+            )
+        except RequestError as error:
+            await self.refuse(error)
             return
+        step = self.owner.forwarder.next_step(now, self.request)
         gone = asyncio.ensure_future(self._gone())
         try:
             await self._carry_out(step, self._for_server(body), gone)
@@ -128,16 +135,16 @@
             gone.cancel()
             self._log()
 
-    async def _break_off(self, fault: Fault) -> None:
+    async def _break_off(self, error: RequestError) -> None:
         """Answers at once, with what is certain of the request."""
         request = self.request
         if request is not None and request.endpoint is not None:
-            self.owner.forwarder.ended(time.monotonic_ns(), request, Seen.ABANDONED)
+            self.owner.forwarder.attempt_ended(time.monotonic_ns(), request, CallOutcome.ABANDONED)
         if request is not None and request.may_have_run:
-            fault = Fault.UNKNOWN_OUTCOME
+            error = OutcomeUnknownError()
         if self.answered:
             return
-        await self.refuse(Refuse(fault, COME_BACK if ANSWERS[fault].promises else 0))
+        await self.refuse(error)
 
     # What the client sends.
 
@@ -146,8 +153,8 @@
         names = [name for name, _ in self.headers if name in ONCE]
         return len(names) != len(set(names)) or not self.fields.get(ATTEMPT)
 
-    async def _body(self) -> bytes | Fault | None:
-        """The whole body; a fault where it can't be taken, None where the client has gone."""
+    async def _body(self) -> bytes | None:
+        """The whole body, None where the client has gone. Raises RequestError where it can't be taken."""
         parts, size, most = [], 0, self.owner.most_body()
         try:
             async with asyncio.timeout(waits(self.fields) / S):
@@ -161,13 +168,13 @@
                     self.held += len(part)
                     self.owner.held += len(part)
                     if size > most:
-                        return Fault.TOO_LARGE
+                        raise BodyTooLargeError
                     if self.owner.held > self.owner.most_held:
-                        return Fault.NO_MEMORY
+                        raise BodyMemoryError(COME_BACK)
                     if not message.get("more_body"):
                         return b"".join(parts)
-        except TimeoutError:
-            return Fault.TOO_SLOW
+        except TimeoutError as err:
+            raise BodyTimeoutError(COME_BACK) from err
 
     async def _gone(self) -> None:
         """Returns when the client has ended the connection."""
@@ -197,8 +204,10 @@
             if isinstance(step, Send):
                 self.outcome = await self._try(step, sent, gone)
                 endpoint = step.endpoint
-                step = forwarder.ended(time.monotonic_ns(), self.request, self.outcome.seen, self.outcome.load())
-                endpoint.kept = self.owner.connections.unused(endpoint.address)
+                step = forwarder.attempt_ended(
+                    time.monotonic_ns(), self.request, self.outcome.seen, self.outcome.load()
+                )
+                endpoint.idle_connections = self.owner.connections.unused(endpoint.address)
                 self._tried()
                 if gone.done():
                     return
@@ -207,12 +216,12 @@
                 await self._wait(step, gone)
                 if gone.done():
                     return
-                step = forwarder.again(time.monotonic_ns(), self.request)
-            elif isinstance(step, Give):
+                step = forwarder.next_step(time.monotonic_ns(), self.request)
+            elif isinstance(step, ForwardAnswer):
                 await self._give(self.outcome.answer)
                 return
             else:
-                await self.refuse(step)
+                await self.refuse(step.error)
                 return
 
     async def _try(self, step: Send, sent: ServerRequest, gone: asyncio.Future[None]) -> Outcome:
@@ -220,16 +229,16 @@
         endpoint = step.endpoint
         self.server = endpoint.server
         more = [
-            (DEADLINE, str(max(1, step.within // 1_000_000)).encode()),
+            (DEADLINE, str(max(1, step.timeout_ns // 1_000_000)).encode()),
             (TARGET, endpoint.server.encode()),
         ]
         request = ServerRequest(sent.method, sent.target, [*sent.headers, *more], sent.body, sent.attempt)
-        most = self.owner.forwarder.connections(self.request)
-        trying = asyncio.ensure_future(self.owner.connections.send(endpoint.address, request, step.within, most))
+        most = self.owner.forwarder.max_connections(self.request)
+        trying = asyncio.ensure_future(self.owner.connections.send(endpoint.address, request, step.timeout_ns, most))
         try:
             await asyncio.wait((trying, gone), return_when=asyncio.FIRST_COMPLETED)
             if not trying.done() and self.owner.forwarder.may_abandon(self.request):
-                return Outcome(Seen.ABANDONED)
+                return Outcome(CallOutcome.ABANDONED)
             return await trying
         finally:
             trying.cancel()
@@ -265,16 +274,15 @@
         length = answer.fields.get(b"content-length") if self.scope["method"] == "HEAD" else None
         await self.answer(answer.status, headers, answer.body, length)
 
-    async def refuse(self, step: Refuse) -> None:
+    async def refuse(self, error: RequestError) -> None:
         """An answer of our own, as the table of errors has it."""
-        fault = step.fault
-        self.owner.count(f"refused: {fault.value}")
+        self.owner.count(f"refused: {error.reason}")
         headers = []
-        if step.retry_after:
-            headers.append((b"retry-after", f"{step.retry_after / S:.3f}".encode()))
-        if fault is Fault.TOO_SLOW:
+        if error.retry_after_ns:
+            headers.append((b"retry-after", f"{error.retry_after_ns / S:.3f}".encode()))
+        if isinstance(error, BodyTimeoutError):
             headers.append((b"connection", b"close"))  # the rest of its body may come yet
-        await self.answer(ANSWERS[fault].status, headers, fault.value.encode())
+        await self.answer(error.status, headers, error.reason.encode())
 
     async def answer(self, status: int, headers: Headers, body: bytes, length: bytes | None = None) -> None:
         """Answers the client, once. `length`: of a body that is not sent, to a HEAD."""
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -92,10 +92,10 @@
             self.set_limits(configuration)
             log.info("Edge: configuration %08x", configuration.key.version)
         elif change is Change.SERVERS:
-            self.forwarder.endpoints.listed(now, self.view.servers.fetched_at, self.view.servers.entries.values())
+            self.forwarder.endpoints.update(self.view.servers.fetched_at, self.view.servers.entries.values())
         elif change is Change.MEMBERS:
             self.meet()
-        self.forwarder.budget.edges = self.view.edges
+        self.forwarder.retry_budget.edges = self.view.edges
         self.requests.wake()
 
     async def meeting(self) -> None:
@@ -148,14 +148,14 @@
         """Tells deciders what was seen, and closes what has been idle too long."""
         while True:
             await asyncio.sleep(REPORT)
-            for service, found in self.forwarder.report().items():
+            for service, (keys, servers) in self.forwarder.take_load_reports().items():
                 wire = self.wires.get(self.view.decider(service) or "")
-                if wire is not None and (found["keys"] or found["servers"]):
-                    wire.send(LoadReport(service, found["keys"], found["servers"]))
-            servers = self.forwarder.endpoints.by_name.values()
-            for server in servers:
-                server.kept = self.connections.unused(server.address)
-            self.connections.tidy({server.address for server in servers if server.ready})
+                if wire is not None and (keys or servers):
+                    wire.send(LoadReport(service, keys, servers))
+            endpoints = self.forwarder.endpoints.by_name.values()
+            for server in endpoints:
+                server.idle_connections = self.connections.unused(server.address)
+            self.connections.tidy({server.address for server in endpoints if server.ready})
 
     # The whole.
 
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from kestrelplank.forwarding.resend import Seen
+from kestrelplank.forwarding.retry_policy import CallOutcome
 from kestrelplank.http.call import IDLE, Answer, Connection, NoAnswer, dial
 from kestrelplank.load_balancing.pools import DIAL, USE, Pool, Terms
 
@@ -44,7 +44,7 @@
 class Outcome:
     """How a try ended; `answer` where one came whole that is this request's."""
 
-    seen: Seen
+    seen: CallOutcome
     answer: Answer | None = None
 
     def load(self) -> tuple[int, int, int] | None:
@@ -77,12 +77,12 @@
         connections = self._connections[address]
         number, connection = self._kept(pool, connections)
         if number is None:
-            return Outcome(Seen.NO_ROOM)
+            return Outcome(CallOutcome.NO_CONNECTION_FREE)
         until = asyncio.get_running_loop().time() + within / NS
         if connection is None:
             connection = await self._dial(pool, address, min(DIAL_WITHIN, within / NS))
             if connection is None:
-                return Outcome(Seen.UNSENT)
+                return Outcome(CallOutcome.CONNECT_FAIL)
             connections[number] = connection
             pool.opened(number)
         kept = False
@@ -122,7 +122,7 @@
         except NoAnswer as err:
             return Outcome(err.seen), False
         except TimeoutError:
-            return Outcome(Seen.SILENT if connection.stream.sent else Seen.UNSENT), False
+            return Outcome(CallOutcome.TIMEOUT if connection.stream.sent else CallOutcome.CONNECT_FAIL), False
 
     def _kept(self, pool: Pool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
         """A connection that can be used at once, or the number for a new one, or neither where all are busy."""
@@ -162,10 +162,10 @@
     return answer.only(b"x-attempt-id") == attempt
 
 
-def judge(answer: Answer) -> Seen:
+def judge(answer: Answer) -> CallOutcome:
     """What a whole answer to our request tells of it."""
     if b"x-not-executed" in answer.fields or answer.status == 421:
-        return Seen.NOT_RUN
+        return CallOutcome.NOT_EXECUTED
     if answer.status < 200 or answer.status < 300 and b"x-server-seal" not in answer.fields:
-        return Seen.UNREADABLE
-    return Seen.FAILED if answer.status >= 500 else Seen.ANSWERED
+        return CallOutcome.MALFORMED
+    return CallOutcome.SERVER_ERROR if answer.status >= 500 else CallOutcome.ANSWERED
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -1,221 +1,313 @@
-"""Where a client's request goes, how often, and when to give it up: the decisions of one edge machine. No I/O: each
-call returns a step (`forwarding.steps`) that an adapter carries out.
+"""The way of a client's request through an edge machine, from top to bottom: all its decisions, and no I/O.
 
-Whether a request may be sent again is not decided here but in `forwarding.resend`; attempts, time and the budget narrow
-that. What has been given up is answered at once.
+An adapter calls `Forwarder.admit` for each request that has come in full, then carries out one step after the other
+(`forwarding.steps`) until the client has its answer:
+
+    admit ─> next_step ─> Send ─> attempt_ended ─┬─> ForwardAnswer
+                │  ▲                 │           │
+                │  └── Wait          │ retry     ├─> Refuse
+                └────────────────────┴───────────┘
+
+The states between the steps are those of `forwarding.request.RequestState`. Whether a request may be sent again is not
+decided here but in `forwarding.retry_policy`; attempts, deadline and budget narrow that.
 """
 
 from random import Random
-from typing import Any
 
-from kestrelplank.forwarding.budget import Budget
-from kestrelplank.forwarding.endpoints import Endpoint, Endpoints
-from kestrelplank.forwarding.errors import ANSWERS, Fault
+from kestrelplank.configuration.plan import Configuration, Route, Service
+from kestrelplank.forwarding.endpoint import Endpoint, EndpointStats, ServerLoad
+from kestrelplank.forwarding.endpoints import Endpoints
+from kestrelplank.forwarding.errors import (
+    AttemptTimeoutError,
+    BadRequestError,
+    DeadlineTooNearError,
+    NoKeyHolderError,
+    NoServerError,
+    NotReadyError,
+    OutcomeUnknownError,
+    RequestError,
+    RouteNotFoundError,
+    ServersFullError,
+)
 from kestrelplank.forwarding.request import ForwardedRequest
-from kestrelplank.forwarding.resend import Again, Seen, Verdict, harmless, verdict
-from kestrelplank.forwarding.steps import Give, Refuse, Send, Step, Wait
+from kestrelplank.forwarding.retry_budget import RetryBudget
+from kestrelplank.forwarding.retry_policy import CallOutcome, RetryTarget, Verdict, is_idempotent, verdict
+from kestrelplank.forwarding.steps import ForwardAnswer, Refuse, Send, Step, Wait
+from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.edge_view import EdgeView
 
-S = 1_000_000_000
-MS = 1_000_000
+SHARD_KEYS = 65_536
+
+# The deadline.
+ANSWER_MARGIN_NS = 30 * MILLISECOND  # before the client's time is over, we answer it ourselves
+MIN_ATTEMPT_DIVISOR = 10  # an attempt with less than this part of the latency target left isn't made
 
-DIALS = 4  # servers tried where nothing was sent
-KEYLESS = 250 * MS  # what a refusal says for a key that nobody holds
-SPREAD = 0.5  # of a time to come back: so that those who come back do not come together
-LOOK = 60 * MS  # how often a request looks again whether a server has room
-CONNECTIONS = 0.8  # of what a server accepts from all callers, shared by all edge members
-WANTED_CONNECTIONS = 2  # one in use and one that comes up, where a server accepts as many from each edge member
-HUSH = 4, 0.6  # a repeatable request is silent after so many times what is usual there, and so much of its aim
-LAST = 30 * MS  # before the client's time is over, we answer it ourselves
-LEAST_OFFER = 10  # a send that has less than this part of the aim as its deadline is no offer
-KEY_LIMIT = 65536
+# Attempts.
+MAX_UNSENT_ATTEMPTS = 4  # connections that did not come up
+NOT_BEGUN = (CallOutcome.NO_CONNECTION_FREE, CallOutcome.UNSENDABLE)  # for a reason of our own, or of the client's
+SERVER_HEALTHY = (CallOutcome.ANSWERED, CallOutcome.NOT_EXECUTED)  # ends that say nothing against a server
+# An attempt that another server may repeat times out after so many times the latency usual there, and not before so
+# much of the latency target.
+EARLY_TIMEOUT_LATENCIES = 4
+EARLY_TIMEOUT_TARGET_FRACTION = 0.6
 
-NOT_BEGUN = (Seen.NO_ROOM, Seen.UNSENDABLE)  # for a reason of our own, or of the client's
-SOUND = (Seen.ANSWERED, Seen.NOT_RUN)  # ends of a try that say nothing against its server
+# Waiting.
+CAPACITY_POLL_INTERVAL_NS = 60 * MILLISECOND  # how often a waiting request looks again whether a server has capacity
+
+# Connections.
+CONNECTION_SHARE = 0.8  # of what a server accepts from all callers, shared by all edges
+WANTED_CONNECTIONS = 2  # one in use and one that comes up, where a server accepts as many from each edge
+
+# Retry-After.
+NOT_READY_RETRY_AFTER_NS = 300 * MILLISECOND
+NO_HOLDER_RETRY_AFTER_NS = 250 * MILLISECOND
+RETRY_AFTER_JITTER = 0.5  # so that those who come back do not come together
 
 
 class Forwarder:
-    """All requests of one edge member."""
+    """All requests of one edge machine.
+
+    Invariants: a request that may have run is neither sent again nor refused with a promise unless its route is
+    idempotent (`test_what_may_have_run_is_never_sent_again_nor_promised`); one keeps the route it came under
+    (`test_a_route_keeps_its_requests_through_a_change`); states follow `TRANSITIONS`
+    (`test_states_of_a_request_follow_the_table`); every attempt that is started is ended or discarded
+    (`test_where_all_connections_are_in_use_a_request_waits_here_and_nothing_counts_against_the_server`).
+
+    :param zone: of this edge machine.
+    :param retry_ratio: retries to requests, in the operator's bound for all edges together.
+    :param retry_allowance: retries beyond the ratio, in the same bound.
+    :param drain_ns: time from the platform's listing a server as draining until no request may reach it.
+    """
 
     def __init__(
-        self, random: Random, view: EdgeView, zone: str, ratio: float, allowance: float, drain: int = 5 * S // 2
+        self,
+        random: Random,
+        view: EdgeView,
+        zone: str,
+        retry_ratio: float,
+        retry_allowance: float,
+        drain_ns: int = 5 * SECOND // 2,
     ) -> None:
-        """`ratio`, `allowance`: the operator's bound on further tries. `drain`: ns after the platform lists a server as
-        leaving after which no request may reach it."""
-        self._random, self.view, self._drain = random, view, drain
+        self._random, self.view, self._drain_ns = random, view, drain_ns
         self.endpoints = Endpoints(random, zone)
-        self.budget = Budget(ratio, allowance)
-        self.keys: dict[str, list[int]] = {}  # that requests came for since the last report, by service
+        self.retry_budget = RetryBudget(retry_ratio, retry_allowance)
+        self.requested_keys: dict[str, list[int]] = {}  # by service, since the last report
+
+    # 1. Admission: configuration, route, service, shard key, deadline.
+
+    def admit(
+        self, now: int, host: str, path: str, shard_key: str | None, client_timeout_ns: int, body_bytes: int = 0
+    ) -> ForwardedRequest:
+        """Admit a request that has come in full.
 
-    # A request's way.
+        :param client_timeout_ns: for how long its client waits from now on.
+        :raises RequestError: it is refused, and no state is kept of it.
+        """
+        configuration, route = self._route(host, path)
+        service = configuration.services[route.service(self._random)]
+        key = self._shard_key(service, shard_key)
+        self.retry_budget.deposit(service.name)
+        deadline_at = now + min(client_timeout_ns, route.timeout)
+        return ForwardedRequest(route, service.name, service.connections, key, now, deadline_at, body_bytes)
 
-    def begin(
-        self, now: int, host: str, path: str, key: str | None, within: int, size: int = 0
-    ) -> tuple[ForwardedRequest | None, Step]:
-        """A request has come whole, its body `size` bytes; its client waits `within` ns. Returns the request in hand
-        (None where it is refused at the door) and the first step."""
+    def _route(self, host: str, path: str) -> tuple[Configuration, Route]:
         configuration = self.view.configuration
         if configuration is None:
-            return None, self._refuse(Fault.NOT_READY, 300 * MS)
+            raise NotReadyError(self._jittered(NOT_READY_RETRY_AFTER_NS))
         route = configuration.route(host, path)
         if route is None:
-            return None, Refuse(Fault.NO_ROUTE)
-        service = configuration.services[route.service(self._random)]
-        number = None
-        if service.sharded:
-            if key is None or not key.isdecimal() or int(key) >= KEY_LIMIT:
-                return None, Refuse(Fault.BAD_REQUEST)
-            number = int(key)
-            self.keys.setdefault(service.name, []).append(number)
-        self.budget.asked(service.name)
-        deadline = now + min(within, route.timeout)
-        request = ForwardedRequest(route, service.name, service.connections, number, now, deadline, size)
-        return request, self._next(now, request)
-
-    def again(self, now: int, request: ForwardedRequest) -> Step:
-        """The wait is over, or something has changed."""
-        return self._next(now, request)
-
-    def ended(self, now: int, request: ForwardedRequest, seen: Seen, load: tuple[int, int, int] | None = None) -> Step:
-        """The try that was out has ended so; `load`: what the server told of its load, if it did."""
-        endpoint = request.endpoint
-        if seen in NOT_BEGUN:
-            request.endpoint = None
-            self.endpoints.never_began(endpoint)
-            if seen is Seen.NO_ROOM:
-                return self._crowded(now, request, endpoint)
-            return self._refuse(Fault.BAD_REQUEST, 0, request)
-        self.endpoints.ended(now, endpoint, seen in SOUND, now - request.sent_at, load)
-        found = verdict(request.call, seen)
-        request.ended(seen, found, endpoint.server)
-        if found.again is Again.NO or not self._another_try(now, request, found):
-            return self._give_up(request)
-        return self._next(now, request)
-
-    def connections(self, request: ForwardedRequest) -> int:
-        """How many connections to one server of its service this member may have, with all edge members alike."""
-        share = int(CONNECTIONS * request.connections / self.view.edges)
-        least = WANTED_CONNECTIONS if WANTED_CONNECTIONS * self.view.edges <= request.connections else 1
-        return max(least, share)
-
-    @staticmethod
-    def may_abandon(request: ForwardedRequest) -> bool:
-        """Whether a try that is out may be broken off once the client has gone."""
-        return harmless(request.call)
+            raise RouteNotFoundError
+        return configuration, route
 
-    # Decisions.
+    def _shard_key(self, service: Service, shard_key: str | None) -> int | None:
+        """Return the key that tells the request's server, None where the service is not sharded."""
+        if not service.sharded:
+            return None
+        if shard_key is None or not shard_key.isdecimal() or int(shard_key) >= SHARD_KEYS:
+            raise BadRequestError
+        key = int(shard_key)
+        self.requested_keys.setdefault(service.name, []).append(key)
+        return key
 
-    def _another_try(self, now: int, request: ForwardedRequest, found: Verdict) -> bool:
-        """Whether limits leave room for a try that the verdict allows."""
-        if not found.arrived:
-            return request.dials < DIALS
-        return (
-            len(request.tried) < request.route.attempts
-            and now + 2 * LAST < request.deadline
-            and self.budget.spend(request.service)
-        )
+    # 2. Choice of server.
 
-    def _give_up(self, request: ForwardedRequest) -> Step:
-        """No further try follows the one that has just ended."""
-        if request.last_seen is Seen.ANSWERED:
-            return Give()
-        if request.last_seen is Seen.NOT_RUN:
-            return self._refuse(Fault.FULL, request.route.aim // 4, request)
-        if request.last_seen is Seen.UNSENT:
-            return self._refuse(Fault.NO_SERVER, request.route.aim // 2, request)
-        return self._refuse(Fault.UNKNOWN_OUTCOME, 0, request)
-
-    def _next(self, now: int, request: ForwardedRequest) -> Step:
-        """Where the request goes now."""
-        if now + max(LAST, request.route.aim // LEAST_OFFER) >= request.deadline:
-            return self._refuse(Fault.TOO_LATE, 0, request)
+    def next_step(self, now: int, request: ForwardedRequest) -> Step:
+        """Decide where the request goes: after its admission, after a wait, and before a retry."""
+        least_ns = max(ANSWER_MARGIN_NS, request.route.aim // MIN_ATTEMPT_DIVISOR)
+        if now + least_ns >= request.deadline_at:
+            return self._refuse(request, DeadlineTooNearError)
         if request.key is None:
-            return self._any_server(now, request)
-        return self._holder(now, request)
+            return self._to_any_server(now, request)
+        return self._to_key_holder(now, request, request.key)
 
-    def _any_server(self, now: int, request: ForwardedRequest) -> Step:
-        endpoint = self.endpoints.choose(now, request.service, request.tried, request.size)
+    def _to_any_server(self, now: int, request: ForwardedRequest) -> Step:
+        endpoint = self.endpoints.choose(now, request.service, request.attempted_servers, request.body_bytes)
         if endpoint is None:
-            return self._refuse(Fault.NO_SERVER, request.route.aim // 2, request)
-        if not endpoint.room(now, self.view.edges):
-            return self._crowded(now, request, endpoint)
-        return self._send(now, request, endpoint)
-
-    def _holder(self, now: int, request: ForwardedRequest) -> Step:
-        held = self.view.holders.get(request.service)
-        holder = held.of(request.key) if held else None
+            return self._refuse(request, NoServerError, request.route.aim // 2)
+        if not endpoint.has_capacity(now, self.view.edges):
+            return self._wait_for_capacity(now, request, endpoint)
+        return self._start_attempt(now, request, endpoint)
+
+    def _to_key_holder(self, now: int, request: ForwardedRequest, key: int) -> Step:
+        ranges = self.view.holders.get(request.service)
+        holder = ranges.of(key) if ranges else None
         endpoint = self.endpoints.by_name.get(holder.server) if holder else None
-        if endpoint is None or self._useless(now, request, endpoint):
-            return self._keyless(now, request)
-        if not endpoint.room(now, self.view.edges):
-            return self._crowded(now, request, endpoint)
-        return self._send(now, request, endpoint)
-
-    def _useless(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> bool:
-        """Whether nothing should go to the holder now, though it is the only one that could serve the key."""
-        if endpoint.closed(now, self._drain):
+        if endpoint is None or self._is_unusable_holder(now, request, endpoint):
+            return self._wait_for_holder(now, request)
+        if not endpoint.has_capacity(now, self.view.edges):
+            return self._wait_for_capacity(now, request, endpoint)
+        return self._start_attempt(now, request, endpoint)
+
+    def _is_unusable_holder(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> bool:
+        """Whether nothing should go to the holder now, though it is the only server that could serve the key."""
+        if endpoint.is_drained(now, self._drain_ns):
             return True
-        if not endpoint.ready and endpoint.server in request.tried:
+        if not endpoint.ready and endpoint.server in request.attempted_servers:
             return True
-        if request.last_seen is Seen.NOT_RUN and endpoint.server == request.tried[-1]:
-            return True  # it holds the key no longer: another holder is about to be told
-        return bool(request.dials) and self.endpoints.avoided(now, endpoint)
+        if request.last_outcome is CallOutcome.NOT_EXECUTED and endpoint.server == request.attempted_servers[-1]:
+            return True  # it holds the key no longer: we are about to hear of another holder
+        return bool(request.unsent_attempts) and self.endpoints.is_ejected(now, endpoint)
+
+    # 3. Waiting here: what hangs at a server can't be taken back, and can't be refused with a promise.
 
-    def _keyless(self, now: int, request: ForwardedRequest) -> Step:
-        """Nobody holds the key, as far as is known: worth the wait that a move takes."""
-        until = request.came + request.route.aim // 2
+    def _wait_for_holder(self, now: int, request: ForwardedRequest) -> Step:
+        """Wait for as long as a move of the key takes, as nobody holds it as far as is known."""
+        until = request.received_at + request.route.aim // 2
         if now >= until:
-            return self._refuse(Fault.NO_HOLDER, KEYLESS, request)
+            return self._refuse(request, NoKeyHolderError, NO_HOLDER_RETRY_AFTER_NS)
+        request.wait()
         return Wait(until)
 
-    def _crowded(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
-        """The only server that may run it has enough in hand: what hangs there can't be taken back, so it waits here
-        while its aim can still be met."""
-        left = request.came + request.route.aim - int(endpoint.took * S)
-        if now >= left:
-            return self._refuse(Fault.FULL, min(request.route.aim, int(endpoint.wait(now) * S)) // 2, request)
-        return Wait(min(left, now + LOOK))
-
-    def _send(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
-        request.endpoint, request.sent_at = endpoint, now
-        self.endpoints.began(endpoint)
-        within = request.deadline - now
-        if self._may_hush(request):
-            usual = int(HUSH[0] * endpoint.took * S)
-            within = min(within, max(usual, int(HUSH[1] * request.route.aim)))
-        return Send(endpoint, within)
-
-    def _may_hush(self, request: ForwardedRequest) -> bool:
-        """Whether silence may end this try before its deadline: only where another server may do it as well, and only
-        if the table lets what was silent be sent again."""
+    def _wait_for_capacity(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
+        """Wait while the latency target can still be met, as the server to be used has enough in hand."""
+        until = request.received_at + request.route.aim - int(endpoint.latency_s * SECOND)
+        if now >= until:
+            expected_wait_ns = int(endpoint.expected_wait_s(now) * SECOND)
+            return self._refuse(request, ServersFullError, min(request.route.aim, expected_wait_ns) // 2)
+        request.wait()
+        return Wait(min(until, now + CAPACITY_POLL_INTERVAL_NS))
+
+    # 4. The attempt, and its time-out.
+
+    def _start_attempt(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
+        request.start_attempt(now, endpoint)
+        endpoint.attempt_started()
+        timeout_ns = request.deadline_at - now
+        if self._may_time_out_early(request):
+            usual_ns = int(EARLY_TIMEOUT_LATENCIES * endpoint.latency_s * SECOND)
+            timeout_ns = min(timeout_ns, max(usual_ns, int(EARLY_TIMEOUT_TARGET_FRACTION * request.route.aim)))
+        return Send(endpoint, timeout_ns)
+
+    def _may_time_out_early(self, request: ForwardedRequest) -> bool:
+        """Whether silence may end this attempt before the deadline.
+
+        Only where another server may do it as well, and if the retry policy lets what timed out be sent again.
+        """
         return (
             request.key is None
-            and len(request.tried) + 1 < request.route.attempts
+            and len(request.attempted_servers) + 1 < request.route.attempts
             and len(self.endpoints.services.get(request.service, ())) > 1
-            and harmless(request.call)
+            and is_idempotent(request.call_kind)
+        )
+
+    def max_connections(self, request: ForwardedRequest) -> int:
+        """Return how many connections to one server of its service this edge may have, with all edges alike."""
+        share = int(CONNECTION_SHARE * request.max_connections / self.view.edges)
+        least = WANTED_CONNECTIONS if WANTED_CONNECTIONS * self.view.edges <= request.max_connections else 1
+        return max(least, share)
+
+    @staticmethod
+    def may_abandon(request: ForwardedRequest) -> bool:
+        """Whether an attempt that is out may be broken off once the client has gone."""
+        return is_idempotent(request.call_kind)
+
+    # 5. The attempt's end: retry, or give up.
+
+    def attempt_ended(
+        self, now: int, request: ForwardedRequest, outcome: CallOutcome, load: ServerLoad | None = None
+    ) -> Step:
+        """Decide what follows of the attempt that has just ended.
+
+        :param load: what the server reported of its load, None: nothing.
+        """
+        endpoint = request.endpoint
+        assert endpoint is not None  # an attempt is out
+        if outcome in NOT_BEGUN:
+            return self._attempt_not_begun(now, request, endpoint, outcome)
+        self.endpoints.attempt_ended(now, endpoint, outcome in SERVER_HEALTHY, now - request.sent_at, load)
+        result = verdict(request.call_kind, outcome)
+        request.end_attempt(endpoint.server, outcome, result)
+        if result.retry is RetryTarget.NONE or not self._may_retry(now, request, result):
+            return self._give_up(request, outcome)
+        return self.next_step(now, request)
+
+    def _attempt_not_begun(self, now: int, request: ForwardedRequest, endpoint: Endpoint, outcome: CallOutcome) -> Step:
+        """Decide what follows where nothing was sent, for a reason that says nothing of the server."""
+        request.discard_attempt()
+        endpoint.attempt_discarded()
+        if outcome is CallOutcome.NO_CONNECTION_FREE:
+            return self._wait_for_capacity(now, request, endpoint)
+        return self._refuse(request, BadRequestError)
+
+    def _may_retry(self, now: int, request: ForwardedRequest, result: Verdict) -> bool:
+        """Whether attempts, deadline and budget leave room for the retry that the policy allows."""
+        if not result.counts_as_attempt:
+            return request.unsent_attempts < MAX_UNSENT_ATTEMPTS
+        return (
+            len(request.attempted_servers) < request.route.attempts
+            and now + 2 * ANSWER_MARGIN_NS < request.deadline_at
+            and self.retry_budget.try_withdraw(request.service)
         )
 
-    def _refuse(self, fault: Fault, after: int, request: ForwardedRequest | None = None) -> Step:
-        """An answer of our own. Where a try may have run nothing is promised, and the last server's own answer, if
-        there was one, goes before ours."""
-        if request is not None and request.may_have_run:
-            if request.last_seen is Seen.FAILED:
-                return Give()
-            return Refuse(Fault.TIMED_OUT if request.last_seen is Seen.SILENT else Fault.UNKNOWN_OUTCOME)
-        spread = int(after * (1 + SPREAD * self._random.random()))
-        return Refuse(fault, spread if ANSWERS[fault].promises else 0)
-
-    # What was met.
-
-    def report(self) -> dict[str, dict[str, Any]]:
-        """Of each service divided by key, since the last time: the keys asked for, and by server what was met there
-        (`Endpoint.met`)."""
-        found: dict[str, dict[str, Any]] = {}
+    def _give_up(self, request: ForwardedRequest, outcome: CallOutcome) -> Step:
+        """Answer the client, as no retry follows the attempt that has just ended so."""
+        if outcome is CallOutcome.ANSWERED:
+            return self._forward_answer(request)
+        if outcome is CallOutcome.NOT_EXECUTED:
+            return self._refuse(request, ServersFullError, request.route.aim // 4)
+        if outcome is CallOutcome.CONNECT_FAIL:
+            return self._refuse(request, NoServerError, request.route.aim // 2)
+        return self._refuse(request, OutcomeUnknownError)
+
+    # 6. The answer.
+
+    @staticmethod
+    def _forward_answer(request: ForwardedRequest) -> Step:
+        request.forward_answer()
+        return ForwardAnswer()
+
+    def _refuse(self, request: ForwardedRequest, error: type[RequestError], retry_after_ns: int = 0) -> Step:
+        """Answer the client ourselves.
+
+        Where an attempt may have run nothing is promised, and the last server's own answer, if there was one, goes
+        before ours.
+        """
+        if not request.may_have_run:
+            request.refuse()
+            return Refuse(error(self._jittered(retry_after_ns)))
+        if request.last_outcome is CallOutcome.SERVER_ERROR:
+            return self._forward_answer(request)
+        request.refuse()
+        if request.last_outcome is CallOutcome.TIMEOUT:
+            return Refuse(AttemptTimeoutError())
+        return Refuse(OutcomeUnknownError())
+
+    def _jittered(self, retry_after_ns: int) -> int:
+        return int(retry_after_ns * (1 + RETRY_AFTER_JITTER * self._random.random()))
+
+    # What was met, for the member that assigns keys.
+
+    def take_load_reports(self) -> dict[str, tuple[list[int], dict[str, EndpointStats]]]:
+        """Return what was met since the last call, by sharded service, and begin anew.
+
+        The keys that were asked for, and `Endpoint.stats` of each server where anything was met.
+        """
+        reports = {}
         for service in self.view.holders:
             servers = {}
             for endpoint in self.endpoints.services.get(service, ()):
-                if endpoint.tries or endpoint.told_times:
-                    servers[endpoint.server] = endpoint.met()
-                    endpoint.forget()
-            found[service] = {"keys": self.keys.pop(service, []), "servers": servers}
-        return found
+                if endpoint.attempts or endpoint.load_reports:
+                    servers[endpoint.server] = endpoint.stats()
+                    endpoint.reset_stats()
+            reports[service] = self.requested_keys.pop(service, []), servers
+        return reports
--- a/kestrelplank/forwarding/request.py
+++ b/kestrelplank/forwarding/request.py
@@ -1,57 +1,124 @@
 """One client's request while an edge machine has it in hand."""
 
+from enum import Enum
+
 from kestrelplank.configuration.plan import Route
-from kestrelplank.forwarding.endpoints import Endpoint
-from kestrelplank.forwarding.resend import Call, Ran, Seen, Verdict
+from kestrelplank.forwarding.endpoint import Endpoint
+from kestrelplank.forwarding.retry_policy import CallKind, CallOutcome, Execution, Verdict
+
+
+class RequestState(Enum):
+    """Where a request is on its way. `TRANSITIONS` says what may follow."""
+
+    ADMITTED = "admitted"  # it has a route, a service and a deadline; no server yet
+    WAITING = "waiting"  # for capacity at a server, or for somebody to hold its key
+    IN_FLIGHT = "in flight"  # an attempt is out at `endpoint`
+    ATTEMPT_ENDED = "attempt ended"  # to be retried, or given up
+    ANSWERED = "answered"  # with what a server answered
+    REFUSED = "refused"  # with an answer of our own
+
+
+TRANSITIONS: dict[RequestState, frozenset[RequestState]] = {
+    RequestState.ADMITTED: frozenset({RequestState.WAITING, RequestState.IN_FLIGHT, RequestState.REFUSED}),
+    # A request that waits for its retry may be given up with the answer of its first attempt.
+    RequestState.WAITING: frozenset(
+        {RequestState.WAITING, RequestState.IN_FLIGHT, RequestState.ANSWERED, RequestState.REFUSED}
+    ),
+    RequestState.IN_FLIGHT: frozenset({RequestState.ATTEMPT_ENDED}),
+    RequestState.ATTEMPT_ENDED: frozenset(
+        {RequestState.WAITING, RequestState.IN_FLIGHT, RequestState.ANSWERED, RequestState.REFUSED}
+    ),
+    RequestState.ANSWERED: frozenset(),
+    RequestState.REFUSED: frozenset(),
+}
 
 
 class ForwardedRequest:
-    """A request in hand. Times in ns.
+    """A request in hand, and the transitions of its state: one method each.
+
+    Route, service and connections are those of the configuration under which the request came; a change of the
+    configuration leaves it alone (`test_a_route_keeps_its_requests_through_a_change`).
 
-    `route`, `service` and `connections` (what a server of that service accepts from all callers) are those of the
-    configuration under which it came: a change of the configuration leaves it alone. `tried`: servers that something
-    was sent to. `may_have_run`: some try has ended without proof that it has not run.
+    :param max_connections: what a server of the service accepts from all callers.
+    :param key: its shard key, None where the service is not sharded.
+    :param received_at: when it had come in full.
+    :param deadline_at: when its client or its route gives it up.
+    :param body_bytes: size of its body.
     """
 
     __slots__ = (
         "route",
         "service",
-        "connections",
+        "max_connections",
         "key",
-        "size",
-        "came",
-        "deadline",
-        "tried",
-        "dials",
+        "body_bytes",
+        "received_at",
+        "deadline_at",
+        "state",
+        "attempted_servers",
+        "unsent_attempts",
         "endpoint",
         "sent_at",
-        "last_seen",
+        "last_outcome",
         "may_have_run",
     )
 
     def __init__(
-        self, route: Route, service: str, connections: int, key: int | None, came: int, deadline: int, size: int
+        self,
+        route: Route,
+        service: str,
+        max_connections: int,
+        key: int | None,
+        received_at: int,
+        deadline_at: int,
+        body_bytes: int,
     ) -> None:
-        """`size`: bytes of its body; `deadline`: when its client or its route has given it up."""
-        self.route, self.service, self.connections = route, service, connections
-        self.key, self.size, self.came, self.deadline = key, size, came, deadline
-        self.tried: tuple[str, ...] = ()
-        self.dials, self.sent_at = 0, 0
-        self.endpoint: Endpoint | None = None
-        self.last_seen: Seen | None = None
-        self.may_have_run = False
+        self.route, self.service, self.max_connections = route, service, max_connections
+        self.key, self.body_bytes, self.received_at, self.deadline_at = key, body_bytes, received_at, deadline_at
+        self.state = RequestState.ADMITTED
+        self.attempted_servers: tuple[str, ...] = ()  # servers that something was sent to
+        self.unsent_attempts = 0  # attempts of which no byte was sent
+        self.endpoint: Endpoint | None = None  # where an attempt is out
+        self.sent_at = 0  # when the last attempt was sent
+        self.last_outcome: CallOutcome | None = None  # of the last attempt that was begun
+        self.may_have_run = False  # an attempt has ended without proof that it has not run
 
     @property
-    def call(self) -> Call:
-        """Its kind in the table of what may be sent again."""
-        return Call.REPEATABLE if self.route.repeatable else Call.SINGLE
-
-    def ended(self, seen: Seen, found: Verdict, server: str) -> None:
-        """The try at that server has ended so."""
-        self.endpoint, self.last_seen = None, seen
-        if found.ran is not Ran.NO:
+    def call_kind(self) -> CallKind:
+        """Its kind in the table of retries."""
+        return CallKind.IDEMPOTENT_REQUEST if self.route.repeatable else CallKind.NON_IDEMPOTENT_REQUEST
+
+    # Transitions.
+
+    def wait(self) -> None:
+        """Wait here until a server can be used."""
+        self.state = RequestState.WAITING
+
+    def start_attempt(self, now: int, endpoint: Endpoint) -> None:
+        """Send an attempt to that server."""
+        self.state = RequestState.IN_FLIGHT
+        self.endpoint, self.sent_at = endpoint, now
+
+    def discard_attempt(self) -> None:
+        """Drop the attempt that was to be sent: it was not begun, so it counts for nothing."""
+        self.state = RequestState.ATTEMPT_ENDED
+        self.endpoint = None
+
+    def end_attempt(self, server: str, outcome: CallOutcome, verdict: Verdict) -> None:
+        """End the attempt at that server, and keep what it proves."""
+        self.state = RequestState.ATTEMPT_ENDED
+        self.endpoint, self.last_outcome = None, outcome
+        if verdict.execution is not Execution.NOT_EXECUTED:
             self.may_have_run = True
-        if found.arrived:
-            self.tried = (*self.tried, server)
+        if verdict.counts_as_attempt:
+            self.attempted_servers = (*self.attempted_servers, server)
         else:
-            self.dials += 1
+            self.unsent_attempts += 1
+
+    def forward_answer(self) -> None:
+        """Answer with what the last attempt's server answered."""
+        self.state = RequestState.ANSWERED
+
+    def refuse(self) -> None:
+        """Answer with an answer of our own."""
+        self.state = RequestState.REFUSED
--- /dev/null
+++ b/kestrelplank/forwarding/retry_budget.py
@@ -0,0 +1,41 @@
+"""The retry budget of one edge machine."""
+
+
+class RetryBudget:
+    """Retries that this edge may still make at each service: a share of its requests, and a few saved up.
+
+    All edges together stay within the operator's bound even when they hear nothing of each other, as each may save up
+    only its part (`test_the_budget_keeps_all_members_together_within_the_operators_bound`).
+
+    Source: Finagle's and gRPC's retry budgets, see `load_balancing.attempts`; here the saved part shrinks as edges are
+    added.
+
+    :param ratio: retries to requests, as in the operator's bound for all edges together.
+    :param allowance: retries beyond the ratio, as in the same bound.
+    """
+
+    RATIO_SHARE = 0.7  # of the operator's ratio that is given out
+    MAX_BALANCE = 6.0
+    ALLOWANCE_SHARE = 0.5  # of the operator's allowance, over all edges
+
+    def __init__(self, ratio: float, allowance: float) -> None:
+        self._ratio, self._allowance = ratio, allowance
+        self._balance: dict[str, float] = {}
+        self.edges = 1
+
+    def capacity(self) -> float:
+        """Return how many retries may be saved up for one service."""
+        return max(1.0, min(self.MAX_BALANCE, self.ALLOWANCE_SHARE * self._allowance / self.edges))
+
+    def deposit(self, service: str) -> None:
+        """Credit the service with one client's request."""
+        capacity = self.capacity()
+        self._balance[service] = min(capacity, self._balance.get(service, capacity) + self.RATIO_SHARE * self._ratio)
+
+    def try_withdraw(self, service: str) -> bool:
+        """Whether the service may have one more retry, which then counts as made."""
+        balance = self._balance.get(service, self.capacity())
+        if balance < 1:
+            return False
+        self._balance[service] = balance - 1
+        return True
--- a/kestrelplank/forwarding/steps.py
+++ b/kestrelplank/forwarding/steps.py
@@ -2,38 +2,38 @@
 
 from dataclasses import dataclass
 
-from kestrelplank.forwarding.endpoints import Endpoint
-from kestrelplank.forwarding.errors import Fault
+from kestrelplank.forwarding.endpoint import Endpoint
+from kestrelplank.forwarding.errors import RequestError
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send the request to `endpoint` and call `Forwarder.ended` with what was seen. It has `within` ns, which is also
-    what the server is told."""
+    """Send the request to `endpoint`, then call `Forwarder.attempt_ended`.
+
+    :param timeout_ns: what the attempt has, which is also what the server is told.
+    """
 
     endpoint: Endpoint
-    within: int
+    timeout_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Call `Forwarder.again` at `until` (ns), or sooner where key ranges, servers or their load have changed."""
+    """Call `Forwarder.next_step` at `until`, or sooner where key ranges, servers or their load have changed."""
 
     until: int
 
 
 @dataclass(frozen=True, slots=True)
-class Give:
-    """Pass the answer of the last try on to the client."""
+class ForwardAnswer:
+    """Pass the answer of the last attempt on to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the client ourselves, as the table of errors says. `retry_after` (ns): when it may come back, 0 where
-    nothing is said of that."""
+    """Answer the client ourselves, as the error says."""
 
-    fault: Fault
-    retry_after: int = 0
+    error: RequestError
 
 
-Step = Send | Wait | Give | Refuse
+Step = Send | Wait | ForwardAnswer | Refuse
--- a/kestrelplank/http/call.py
+++ b/kestrelplank/http/call.py
@@ -5,7 +5,7 @@
 
 import httpcore
 
-from kestrelplank.forwarding.resend import Seen
+from kestrelplank.forwarding.retry_policy import CallOutcome
 from kestrelplank.http.stream import Stream, connect
 
 NS = 1_000_000_000
@@ -37,7 +37,7 @@
 class NoAnswer(OSError):
     """A call has ended without a whole answer. `seen`: what there was of it."""
 
-    def __init__(self, seen: Seen, why: str = "") -> None:
+    def __init__(self, seen: CallOutcome, why: str = "") -> None:
         super().__init__(f"{seen.value}: {why}" if why else seen.value)
         self.seen = seen
 
@@ -78,7 +78,7 @@
             raise
         except httpcore.LocalProtocolError as err:
             self.keep = False
-            raise NoAnswer(Seen.TORN if self.stream.sent else Seen.UNSENDABLE, str(err)) from err
+            raise NoAnswer(CallOutcome.TRUNCATED if self.stream.sent else CallOutcome.UNSENDABLE, str(err)) from err
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.ConnectionNotAvailable, OSError) as err:
             self.keep = False
             raise NoAnswer(self._seen(), str(err)) from err
@@ -89,7 +89,7 @@
             size += len(part)
             if size > MOST_ANSWER:
                 self.keep = False
-                raise NoAnswer(Seen.UNREADABLE, f"over {MOST_ANSWER} bytes")
+                raise NoAnswer(CallOutcome.MALFORMED, f"over {MOST_ANSWER} bytes")
             parts.append(part)
         await answer.stream.aclose()  # type: ignore[union-attr]
         fields = {name.lower(): value for name, value in answer.headers}
@@ -97,14 +97,14 @@
             self.keep = False
         return Answer(answer.status, answer.headers, fields, b"".join(parts))
 
-    def _seen(self) -> Seen:
+    def _seen(self) -> CallOutcome:
         """What there was of a call that has no whole answer."""
         stream = self.stream
         if not stream.sent:
-            return Seen.UNSENT
+            return CallOutcome.CONNECT_FAIL
         if stream.received:
-            return Seen.TORN if stream.ended else Seen.UNREADABLE
-        return Seen.CLOSED if stream.error is None else Seen.RESET
+            return CallOutcome.TRUNCATED if stream.ended else CallOutcome.MALFORMED
+        return CallOutcome.CLOSED if stream.error is None else CallOutcome.RESET
 
     def surplus(self) -> bool:
         """Whether bytes lie there that belong to no request, the other side has ended it, or part of our request has
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from kestrelplank.forwarding.resend import Call, Ran, Seen, verdict
+from kestrelplank.forwarding.retry_policy import CallKind, CallOutcome, Execution, verdict
 
 S = 1_000_000_000
 KEYS = 65536
@@ -38,14 +38,14 @@
 Effect = tuple[Any, ...]
 
 
-def seen_of(call: Call, sent: bool, status: int | None, handover: str | None) -> Seen:
+def seen_of(call: CallKind, sent: bool, status: int | None, handover: str | None) -> CallOutcome:
     """What the end of a grant or a release shows. A release is answered with a handover: a 200 without one is not its
     answer, but may be an older grant's."""
     if status is None:
-        return Seen.SILENT if sent else Seen.UNSENT
+        return CallOutcome.TIMEOUT if sent else CallOutcome.CONNECT_FAIL
     if status == GRANTED:
-        return Seen.UNREADABLE if call is Call.RELEASE and handover is None else Seen.ANSWERED
-    return Seen.NOT_RUN if 400 <= status < 500 else Seen.FAILED
+        return CallOutcome.MALFORMED if call is CallKind.RELEASE and handover is None else CallOutcome.ANSWERED
+    return CallOutcome.NOT_EXECUTED if 400 <= status < 500 else CallOutcome.SERVER_ERROR
 
 
 def runs_out(arrived: int) -> int:
@@ -241,29 +241,29 @@
         if line.void:
             line.void, line.due = False, now
             return
-        call = Call.GRANT if word == "grant" else Call.RELEASE
+        call = CallKind.GRANT if word == "grant" else CallKind.RELEASE
         seen = seen_of(call, sent, status, handover)
-        if call is Call.GRANT:
+        if call is CallKind.GRANT:
             self._granted(now, line, seen, status)
         elif line.state == LEAVING:
             self._released(now, line, seen, handover)
 
-    def _granted(self, now: int, line: KeyRange, seen: Seen, status: int | None) -> None:
+    def _granted(self, now: int, line: KeyRange, seen: CallOutcome, status: int | None) -> None:
         """A grant has ended. Where it may have arrived, the hold may run from when it can have at the latest."""
-        if seen is Seen.ANSWERED:
+        if seen is CallOutcome.ANSWERED:
             line.until, line.handover, line.refused = max(line.until, runs_out(now)), None, 0
             self._served(now, line)
             return
-        if verdict(Call.GRANT, seen).ran is not Ran.NO:
+        if verdict(CallKind.GRANT, seen).execution is not Execution.NOT_EXECUTED:
             line.until = max(line.until, runs_out(now + SETTLE))
         if status == FENCED:  # a higher fence was seen there: ours must be higher yet
             self._fenced(now, line)
         else:
             line.due = now + AGAIN
 
-    def _released(self, now: int, line: KeyRange, seen: Seen, handover: str | None) -> None:
+    def _released(self, now: int, line: KeyRange, seen: CallOutcome, handover: str | None) -> None:
         """A release has ended. Only its own answer shows that the work on these keys has."""
-        if verdict(Call.RELEASE, seen).ran is Ran.YES:
+        if verdict(CallKind.RELEASE, seen).execution is Execution.EXECUTED:
             line.state, line.until, line.handover = FREE, 0, handover
             self._bared(now, line)
         else:
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -134,7 +134,7 @@
         """The platform's list of the servers of `views`."""
         entries = [Entry(one.name, "views", f"{IP}:{one.port}", "hall", 4, "ready", 0) for one in servers]
         now = time.monotonic_ns()
-        self.program.forwarder.endpoints.listed(now, now, entries)
+        self.program.forwarder.endpoints.update(now, entries)
         self.program.requests.wake()
 
     async def client(self):
--- a/tests/edge/test_client_limits.py
+++ b/tests/edge/test_client_limits.py
@@ -151,6 +151,6 @@
         client.writer.write("\r\n".join(["GET /safe/x HTTP/1.1", "Host: shop.example", *fields, "", ""]).encode())
         assert (await client.answer())[0] in (400, 404)
         assert not stage.servers[0].sent()
-        assert all(endpoint.failed == 0 for endpoint in stage.program.forwarder.endpoints.by_name.values())
+        assert all(endpoint.failures == 0 for endpoint in stage.program.forwarder.endpoints.by_name.values())
 
     played(play, serving)
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -181,7 +181,7 @@
         while not behind.tally.runs or found.front.server_state.tasks:
             await asyncio.sleep(0)
         assert behind.tally.runs == {"me": runs}
-        assert [endpoint.own for endpoint in found.forwarder.endpoints.by_name.values()] == [0]
+        assert [endpoint.in_flight for endpoint in found.forwarder.endpoints.by_name.values()] == [0]
 
     run(play)
 
--- a/tests/edge/test_every_byte.py
+++ b/tests/edge/test_every_byte.py
@@ -42,7 +42,9 @@
             assert "retry-after" not in fields
             opened += 1
         counts = stage.program.requests.counts
-        dialled_again = counts.get("try unsent", 0)  # on a busy machine a dial may end before its connection is up
+        dialled_again = counts.get(
+            "try connect_fail", 0
+        )  # on a busy machine a dial may end before its connection is up
         assert sum(count for what, count in counts.items() if what.startswith("try ")) == opened + dialled_again
         assert len(server.sent()) == opened == ANSWER + 1 and len(server.connections) <= opened + dialled_again
         assert len([one for one in server.connections if one.received]) == opened
@@ -60,8 +62,8 @@
         await connection.writer.drain()
 
     async def play(stage):
-        stage.program.forwarder.budget.most = lambda: 10_000.0
-        stage.program.forwarder.budget._saved.clear()
+        stage.program.forwarder.retry_budget.capacity = lambda: 10_000.0
+        stage.program.forwarder.retry_budget._balance.clear()
         for place in range(0, ANSWER, 3):
             at[:] = [place]
             assert (await stage.ask(SAFE, b"", f"a-{place:03}"))[0] == 502
@@ -122,6 +124,6 @@
             stage.listed(stage.servers[0])
             status, _, body = await stage.ask(ONCE, b"pay", "me", 120)
         assert (status, body) in ((503, b"too late to begin"), (503, b"no server"))
-        assert stage.program.requests.counts["try unsent"] >= 1
+        assert stage.program.requests.counts["try connect_fail"] >= 1
 
     played(play, serving)
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -338,7 +338,7 @@
         assert [(await one)[0] for one in out] == [502] * 8
         for status, fields, _ in (await waits, await half.answer()):
             assert status == 503 and "retry-after" in fields
-        assert all(endpoint.own == 0 for endpoint in stage.program.forwarder.endpoints.by_name.values())
+        assert all(endpoint.in_flight == 0 for endpoint in stage.program.forwarder.endpoints.by_name.values())
 
     played(play, script)
 
--- a/tests/edge/test_server_connections.py
+++ b/tests/edge/test_server_connections.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as some
 
 from kestrelplank.edge.server_connections import ServerConnections, ServerRequest
-from kestrelplank.forwarding.resend import Seen
+from kestrelplank.forwarding.retry_policy import CallOutcome
 
 OURS = b"X-Attempt-Id: me\r\n"
 REQUEST = ServerRequest(b"GET", b"/a/b?c=%20d", [(b"host", b"h")], b"", b"me")
@@ -68,26 +68,30 @@
 
 def test_whole_answers_come_on_one_connection():
     ended, connections = played(answer(), answer(500, body=b"failed"), answer(404))
-    assert [one.seen for one in ended] == [Seen.ANSWERED, Seen.FAILED, Seen.ANSWERED] and connections == 1
+    assert [one.seen for one in ended] == [
+        CallOutcome.ANSWERED,
+        CallOutcome.SERVER_ERROR,
+        CallOutcome.ANSWERED,
+    ] and connections == 1
     assert ended[1].answer.status == 500 and ended[1].answer.body == b"failed"
 
 
 @pytest.mark.parametrize(
     "script, kind",
     [
-        (answer(503, OURS + b"X-Not-Executed: 1\r\n"), Seen.NOT_RUN),
-        (answer(429, OURS + b"X-Not-Executed: 1\r\n"), Seen.NOT_RUN),
-        (answer(429, b"X-Not-Executed: 1\r\n"), Seen.SILENT),  # whose? it may be a surplus one
-        (answer(429, OURS + b"X-Attempt-Id: other\r\nX-Not-Executed: 1\r\n"), Seen.SILENT),
-        (answer(503), Seen.FAILED),  # its own word: it may have run
-        (answer(421, OURS + b"X-Instance-Id: i-2\r\n"), Seen.NOT_RUN),
-        (answer(421, b"X-Instance-Id: i-2\r\n"), Seen.SILENT),
-        (answer(200, OURS), Seen.UNREADABLE),  # no stamp: not the server's answer
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", Seen.TORN),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcut", Seen.TORN),
-        (b"no answer at all\r\n\r\n", Seen.UNREADABLE),
-        ("close", Seen.CLOSED),
-        ("silence", Seen.SILENT),
+        (answer(503, OURS + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
+        (answer(429, OURS + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
+        (answer(429, b"X-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),  # whose? it may be a surplus one
+        (answer(429, OURS + b"X-Attempt-Id: other\r\nX-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),
+        (answer(503), CallOutcome.SERVER_ERROR),  # its own word: it may have run
+        (answer(421, OURS + b"X-Instance-Id: i-2\r\n"), CallOutcome.NOT_EXECUTED),
+        (answer(421, b"X-Instance-Id: i-2\r\n"), CallOutcome.TIMEOUT),
+        (answer(200, OURS), CallOutcome.MALFORMED),  # no stamp: not the server's answer
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", CallOutcome.TRUNCATED),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcut", CallOutcome.TRUNCATED),
+        (b"no answer at all\r\n\r\n", CallOutcome.MALFORMED),
+        ("close", CallOutcome.CLOSED),
+        ("silence", CallOutcome.TIMEOUT),
     ],
 )
 def test_what_an_answer_proves(script, kind):
@@ -97,9 +101,9 @@
 def test_an_answer_to_an_older_request_is_not_ours_and_ours_is_read_behind_it():
     other = answer(head=b"X-Attempt-Id: other\r\nX-Server-Seal: o\r\n", body=b"not yours")
     ended, _ = played(other + answer(body=b"mine"))
-    assert ended[0].seen == Seen.ANSWERED and ended[0].answer.body == b"mine"
-    assert kinds((other, answer(body=b"mine")), "close", within=0.3)[0] == Seen.ANSWERED
-    assert kinds(other, within=0.2) == [Seen.SILENT]
+    assert ended[0].seen == CallOutcome.ANSWERED and ended[0].answer.body == b"mine"
+    assert kinds((other, answer(body=b"mine")), "close", within=0.3)[0] == CallOutcome.ANSWERED
+    assert kinds(other, within=0.2) == [CallOutcome.TIMEOUT]
 
 
 def test_surplus_bytes_behind_an_answer_cost_the_connection_and_nothing_else():
@@ -110,7 +114,7 @@
 
 def test_a_connection_that_says_it_closes_is_not_used_again():
     ended, connections = played(answer(head=OURS + b"X-Server-Seal: s\r\nConnection: close\r\n"), answer())
-    assert [one.seen for one in ended] == [Seen.ANSWERED, Seen.ANSWERED] and connections == 2
+    assert [one.seen for one in ended] == [CallOutcome.ANSWERED, CallOutcome.ANSWERED] and connections == 2
 
 
 @pytest.mark.parametrize(
@@ -119,7 +123,7 @@
 def test_a_connection_is_kept_for_less_than_its_server_says(told, connections):
     keeps = answer(head=OURS + b"X-Server-Seal: s\r\nKeep-Alive: %s\r\n" % told)
     ended, came = played(keeps, keeps)
-    assert [one.seen for one in ended] == [Seen.ANSWERED] * 2 and came == connections
+    assert [one.seen for one in ended] == [CallOutcome.ANSWERED] * 2 and came == connections
 
 
 def test_nobody_there_is_proof_that_nothing_ran():
@@ -130,7 +134,7 @@
         await server.wait_closed()
         return await ServerConnections(time.monotonic_ns).send(address, REQUEST, 10**9, 24)
 
-    assert asyncio.run(play()).seen == Seen.UNSENT
+    assert asyncio.run(play()).seen == CallOutcome.CONNECT_FAIL
 
 
 def test_more_requests_than_connections_are_not_sent():
@@ -150,7 +154,7 @@
             writer.close()
         return sorted(one.seen.value for one in ended), len(came)
 
-    assert asyncio.run(play()) == ([Seen.NO_ROOM.value] * 3 + [Seen.SILENT.value] * 2, 2)
+    assert asyncio.run(play()) == ([CallOutcome.NO_CONNECTION_FREE.value] * 3 + [CallOutcome.TIMEOUT.value] * 2, 2)
 
 
 PIECES = [
@@ -181,10 +185,10 @@
     """Of 150 mixtures of an answer's parts; most end as broken."""
     data = b"".join(pieces)
     one = played(data + b"cut", within=0.5)[0][0]
-    if one.seen == Seen.ANSWERED:
+    if one.seen == CallOutcome.ANSWERED:
         assert one.answer.fields[b"x-attempt-id"] == b"me"
         assert one.answer.status >= 300 or b"x-server-seal" in one.answer.fields
         length = one.answer.fields.get(b"content-length")
         assert length is None or len(one.answer.body) == int(length)
-    if one.seen == Seen.NOT_RUN:
+    if one.seen == CallOutcome.NOT_EXECUTED:
         assert b"X-Not-Executed" in data and b"HTTP/1.1" in data
--- a/tests/edge/test_wire_fuzz.py
+++ b/tests/edge/test_wire_fuzz.py
@@ -14,7 +14,8 @@
 from hypothesis import strategies as some
 
 from kestrelplank.edge import server_connections
-from kestrelplank.forwarding import resend
+from kestrelplank.forwarding import retry_policy
+from kestrelplank.forwarding.retry_policy import CallKind
 
 ONCE, SAFE = "/once/x", "/safe/x"
 WITHIN = 200  # ms that clients wait: longer than the least that is worth an offer
@@ -201,14 +202,14 @@
     asked, seen = {}, Seen()
     script = script_for(asked, seen)
     async with asyncio.timeout(30), staging.staged(script, script) as stage:
-        stage.program.forwarder.budget.most = lambda: 100.0
-        stage.program.forwarder.budget._saved.clear()
+        stage.program.forwarder.retry_budget.capacity = lambda: 100.0
+        stage.program.forwarder.retry_budget._balance.clear()
         await asyncio.gather(*(client(stage, number, one, asked, seen) for number, one in enumerate(drawn)))
         for _ in range(3):
             await asyncio.sleep(0)
         if stage.program.requests.held:
             seen.strange.append("bodies are held for ever")
-        if any(endpoint.own for endpoint in stage.program.forwarder.endpoints.by_name.values()):
+        if any(endpoint.in_flight for endpoint in stage.program.forwarder.endpoints.by_name.values()):
             seen.strange.append("a server is thought busy for ever")
     return broken(asked, seen)
 
@@ -221,8 +222,11 @@
 
 def repeats(monkeypatch):
     """What ended without proof is sent again, whatever it is."""
-    row = {**resend.TABLE[resend.Call.SINGLE], **dict.fromkeys(resend.NO_PROOF, resend.HARMLESS)}
-    monkeypatch.setitem(resend.TABLE, resend.Call.SINGLE, row)
+    row = {
+        **retry_policy.RETRY_TABLE[CallKind.NON_IDEMPOTENT_REQUEST],
+        **dict.fromkeys(retry_policy.UNPROVEN_OUTCOMES, retry_policy.UNKNOWN_BUT_IDEMPOTENT),
+    }
+    monkeypatch.setitem(retry_policy.RETRY_TABLE, CallKind.NON_IDEMPOTENT_REQUEST, row)
 
 
 def takes_any(monkeypatch):
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -1,15 +1,27 @@
 """One request's life: where it goes, what is tried again, what is answered."""
 
 from random import Random
+from weakref import WeakKeyDictionary
 
 import pytest
 from configuration.test_plan import configuration, encoded, route
 
-from kestrelplank.forwarding.budget import Budget
-from kestrelplank.forwarding.errors import ANSWERS, Fault
+from kestrelplank.forwarding.errors import (
+    BadRequestError,
+    NoKeyHolderError,
+    NoServerError,
+    NotReadyError,
+    OutcomeUnknownError,
+    RequestError,
+    RouteNotFoundError,
+    ServersFullError,
+)
 from kestrelplank.forwarding.forwarder import Forwarder
-from kestrelplank.forwarding.resend import Seen
-from kestrelplank.forwarding.steps import Give, Refuse, Send, Wait
+from kestrelplank.forwarding.request import TRANSITIONS, ForwardedRequest, RequestState
+from kestrelplank.forwarding.retry_budget import RetryBudget
+from kestrelplank.forwarding.retry_policy import CallOutcome
+from kestrelplank.forwarding.steps import ForwardAnswer, Refuse, Send, Wait
+from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
@@ -19,7 +31,7 @@
     ServerListUpdate,
 )
 
-MS, S = 1_000_000, 1_000_000_000
+MS, S = MILLISECOND, SECOND
 NOW = 100 * S
 
 
@@ -34,97 +46,113 @@
     view.receive(NOW, "m", ServerListUpdate(0, entries))
     if keys:
         view.receive(
-            NOW, "m", lines(1, [[0, 32767, "views-0", "10.1.0.0:80"], [32768, 65535, "views-1", "10.1.0.1:80"]])
+            NOW, "m", key_ranges(1, [[0, 32767, "views-0", "10.1.0.0:80"], [32768, 65535, "views-1", "10.1.0.1:80"]])
         )
     found = Forwarder(Random(1), view, "z", 0.2, 64)
-    found.endpoints.listed(NOW, NOW, view.servers.entries.values())
+    found.endpoints.update(NOW, view.servers.entries.values())
     return found
 
 
-def lines(seq, parts):
-    return KeyRangesUpdate("views", KeyRangesVersion(1, seq), [RangeHolder(*part) for part in parts])
+def key_ranges(record, holders):
+    return KeyRangesUpdate("views", KeyRangesVersion(1, record), [RangeHolder(*holder) for holder in holders])
 
 
-def begin(found, path="/a/x", key="5", within=2 * S, host="shop.example"):
-    return found.begin(NOW, host, path, key, within)
+def begin(found, path="/a/x", key="5", within=2 * S, host="shop.example", now=NOW):
+    """Admits a request and takes its first step."""
+    request = found.admit(now, host, path, key, within)
+    return request, found.next_step(now, request)
 
 
 def test_a_request_with_a_key_goes_to_its_holder_for_as_long_as_client_and_route_wait():
     request, step = begin(forwarder())
-    assert isinstance(step, Send) and step.endpoint.server == "views-0" and step.within == 1500 * MS
+    assert isinstance(step, Send) and step.endpoint.server == "views-0" and step.timeout_ns == 1500 * MS
     assert begin(forwarder(), key="40000")[1].endpoint.server == "views-1"
-    assert begin(forwarder(), within=400 * MS)[1].within == 400 * MS
+    assert begin(forwarder(), within=400 * MS)[1].timeout_ns == 400 * MS
 
 
 @pytest.mark.parametrize(
-    "given, fault",
+    "given, error",
     [
-        ({"path": "/b/x"}, Fault.NO_ROUTE),
-        ({"host": "nobody"}, Fault.NO_ROUTE),
-        ({"key": None}, Fault.BAD_REQUEST),
-        ({"key": "65536"}, Fault.BAD_REQUEST),
-        ({"key": "-1"}, Fault.BAD_REQUEST),
+        ({"path": "/b/x"}, RouteNotFoundError),
+        ({"host": "nobody"}, RouteNotFoundError),
+        ({"key": None}, BadRequestError),
+        ({"key": "65536"}, BadRequestError),
+        ({"key": "-1"}, BadRequestError),
     ],
 )
-def test_what_can_go_nowhere_is_refused(given, fault):
-    assert begin(forwarder(), **given) == (None, Refuse(fault))
+def test_what_can_go_nowhere_is_refused(given, error):
+    with pytest.raises(RequestError) as refused:
+        begin(forwarder(), **given)
+    assert type(refused.value) is error and refused.value.retry_after_ns == 0
 
 
 def test_without_a_configuration_nothing_is_taken():
     found = Forwarder(Random(1), EdgeView("edge-1", ()), "z", 0.2, 64)
-    assert begin(found)[1].fault == Fault.NOT_READY
+    with pytest.raises(NotReadyError):
+        begin(found)
 
 
-@pytest.mark.parametrize("seen", [Seen.RESET, Seen.CLOSED, Seen.TORN, Seen.UNREADABLE, Seen.SILENT, Seen.ABANDONED])
+@pytest.mark.parametrize(
+    "outcome",
+    [
+        CallOutcome.RESET,
+        CallOutcome.CLOSED,
+        CallOutcome.TRUNCATED,
+        CallOutcome.MALFORMED,
+        CallOutcome.TIMEOUT,
+        CallOutcome.ABANDONED,
+    ],
+)
 @pytest.mark.parametrize("path, host", [("/a/x", "pay.example"), ("/a/b/x", "shop.example")])
-def test_what_may_have_run_is_never_sent_again_nor_promised(seen, path, host):
+def test_what_may_have_run_is_never_sent_again_nor_promised(outcome, path, host):
     found = forwarder()
     request, step = begin(found, path, None, host=host)
-    step = found.ended(NOW + MS, request, seen)
-    assert isinstance(step, Refuse) and not ANSWERS[step.fault].promises and step.retry_after == 0
+    step = found.attempt_ended(NOW + MS, request, outcome)
+    assert isinstance(step, Refuse) and step.error.may_have_run and step.error.retry_after_ns == 0
 
 
-@pytest.mark.parametrize("seen", [Seen.NOT_RUN, Seen.UNSENT])
-def test_what_surely_has_not_run_goes_to_another_server(seen):
+@pytest.mark.parametrize("outcome", [CallOutcome.NOT_EXECUTED, CallOutcome.CONNECT_FAIL])
+def test_what_surely_has_not_run_goes_to_another_server(outcome):
     found = forwarder()
     request, step = begin(found, host="pay.example", key=None)
     first = step.endpoint.server
-    step = found.ended(NOW + MS, request, seen)
-    assert isinstance(step, Send) and (seen == Seen.UNSENT or step.endpoint.server != first)
+    step = found.attempt_ended(NOW + MS, request, outcome)
+    assert isinstance(step, Send) and (outcome == CallOutcome.CONNECT_FAIL or step.endpoint.server != first)
     assert request.route.attempts == 2
-    if seen == Seen.NOT_RUN:  # the operator allows two
-        step = found.ended(NOW + 2 * MS, request, Seen.NOT_RUN)
-        assert step.fault == Fault.FULL and step.retry_after > 0
+    if outcome == CallOutcome.NOT_EXECUTED:  # the operator allows two
+        step = found.attempt_ended(NOW + 2 * MS, request, CallOutcome.NOT_EXECUTED)
+        assert isinstance(step.error, ServersFullError) and step.error.retry_after_ns > 0
 
 
 def test_a_repeatable_request_is_tried_again_once_after_a_failure():
     found = forwarder()
     request, step = begin(found)
-    assert isinstance(found.ended(NOW + MS, request, Seen.RESET), Send)
-    assert found.ended(NOW + 2 * MS, request, Seen.RESET) == Refuse(Fault.UNKNOWN_OUTCOME)
+    assert isinstance(found.attempt_ended(NOW + MS, request, CallOutcome.RESET), Send)
+    step = found.attempt_ended(NOW + 2 * MS, request, CallOutcome.RESET)
+    assert type(step.error) is OutcomeUnknownError and step.error.retry_after_ns == 0
     request, step = begin(found)
-    assert isinstance(found.ended(NOW + MS, request, Seen.FAILED), Send)
-    assert found.ended(NOW + 2 * MS, request, Seen.FAILED) == Give()
+    assert isinstance(found.attempt_ended(NOW + MS, request, CallOutcome.SERVER_ERROR), Send)
+    assert found.attempt_ended(NOW + 2 * MS, request, CallOutcome.SERVER_ERROR) == ForwardAnswer()
     request, step = begin(found, host="pay.example", key=None)
-    assert found.ended(NOW + MS, request, Seen.FAILED) == Give()
+    assert found.attempt_ended(NOW + MS, request, CallOutcome.SERVER_ERROR) == ForwardAnswer()
 
 
 def test_a_key_that_moves_is_waited_for_and_then_followed():
     found = forwarder()
     request, step = begin(found)
-    step = found.ended(NOW + MS, request, Seen.NOT_RUN)
+    step = found.attempt_ended(NOW + MS, request, CallOutcome.NOT_EXECUTED)
     assert step == Wait(NOW + 300 * MS)
-    assert isinstance(found.again(NOW + 2 * MS, request), Wait)
-    found.view.receive(NOW, "m", lines(2, [[0, 65535, "views-2", "10.1.0.2:80"]]))
-    assert found.again(NOW + 3 * MS, request).endpoint.server == "views-2"
+    assert isinstance(found.next_step(NOW + 2 * MS, request), Wait)
+    found.view.receive(NOW, "m", key_ranges(2, [[0, 65535, "views-2", "10.1.0.2:80"]]))
+    assert found.next_step(NOW + 3 * MS, request).endpoint.server == "views-2"
 
 
 def test_a_key_that_nobody_holds_is_refused_while_the_client_can_still_come_back():
     found = forwarder(keys=False)
     request, step = begin(found)
     assert isinstance(step, Wait)
-    step = found.again(step.until, request)
-    assert step.fault == Fault.NO_HOLDER and 0 < step.retry_after < 600 * MS
+    step = found.next_step(step.until, request)
+    assert isinstance(step.error, NoKeyHolderError) and 0 < step.error.retry_after_ns < 600 * MS
 
 
 def test_a_full_holder_is_waited_for_here_where_it_can_still_be_refused():
@@ -133,26 +161,27 @@
         begin(found)
     request, step = begin(found)
     assert isinstance(step, Wait)
-    step = found.again(NOW + 590 * MS, request)
-    assert step.fault == Fault.FULL and step.retry_after > 0
+    step = found.next_step(NOW + 590 * MS, request)
+    assert isinstance(step.error, ServersFullError) and step.error.retry_after_ns > 0
 
 
 def test_draining_servers_get_nothing_new():
-    assert begin(forwarder(state="draining"), host="pay.example", key=None)[1].fault == Fault.NO_SERVER
+    _, step = begin(forwarder(state="draining"), host="pay.example", key=None)
+    assert isinstance(step.error, NoServerError)
 
 
 def test_the_budget_keeps_all_members_together_within_the_operators_bound():
     edges, ratio, allowance = 12, 0.2, 64
-    spent, asked = 0, 0
+    retries, requests = 0, 0
     for _ in range(edges):
-        budget = Budget(ratio, allowance)
+        budget = RetryBudget(ratio, allowance)
         budget.edges = edges
         for _ in range(100):
-            budget.asked("orders")
-            asked += 1
-            while budget.spend("orders"):
-                spent += 1
-    assert 0.1 * asked < spent <= ratio * asked + allowance
+            budget.deposit("orders")
+            requests += 1
+            while budget.try_withdraw("orders"):
+                retries += 1
+    assert 0.1 * requests < retries <= ratio * requests + allowance
 
 
 def test_a_route_keeps_its_requests_through_a_change():
@@ -160,7 +189,7 @@
     request, step = begin(found)
     changed = [{"host_name": "shop.example", "host_routes": [route("/a/", "non_idempotent", "orders")]}]
     found.view.receive(NOW, "m", ConfigurationUpdate(9, encoded(version="00000009", virtual_hosts=changed)))
-    assert found.ended(NOW + MS, request, Seen.RESET).endpoint.service == "views"
+    assert found.attempt_ended(NOW + MS, request, CallOutcome.RESET).endpoint.service == "views"
     assert begin(found, key=None)[1].endpoint.service == "orders"
     assert configuration()["config_version"] == "00000007"
 
@@ -172,18 +201,23 @@
     request, _ = begin(found)
     for edges, most in ((1, 88), (12, 7), (52, 2), (55, 2), (56, 1), (200, 1)):  # two, if they fit: one comes up
         found.view.edges = edges
-        assert found.connections(request) == most
+        assert found.max_connections(request) == most
 
 
 def test_where_all_connections_are_in_use_a_request_waits_here_and_nothing_counts_against_the_server():
     found = forwarder()
     request, step = begin(found)
     endpoint = step.endpoint
-    step = found.ended(NOW, request, Seen.NO_ROOM)
-    assert isinstance(step, Wait) and (endpoint.own, endpoint.tries, endpoint.failed, request.dials) == (0, 0, 0, 0)
-    assert isinstance(found.again(step.until, request), Send)
-    step = found.ended(NOW + 599 * MS, request, Seen.NO_ROOM)
-    assert step.fault == Fault.FULL and step.retry_after > 0
+    step = found.attempt_ended(NOW, request, CallOutcome.NO_CONNECTION_FREE)
+    assert isinstance(step, Wait) and (
+        endpoint.in_flight,
+        endpoint.attempts,
+        endpoint.failures,
+        request.unsent_attempts,
+    ) == (0, 0, 0, 0)
+    assert isinstance(found.next_step(step.until, request), Send)
+    step = found.attempt_ended(NOW + 599 * MS, request, CallOutcome.NO_CONNECTION_FREE)
+    assert isinstance(step.error, ServersFullError) and step.error.retry_after_ns > 0
 
 
 def test_a_repeatable_request_that_any_server_may_run_is_not_waited_for_to_the_end_at_a_silent_one():
@@ -197,23 +231,23 @@
     )
     request, step = begin(found, "/c/x", None)
     first = step.endpoint.server
-    assert step.within == 600 * MS  # four times what is usual
-    step = found.ended(NOW + 600 * MS, request, Seen.SILENT)
-    assert step.endpoint.server != first and step.within == 900 * MS  # the last try has all that is left
-    assert begin(found, "/once/x", None)[1].within == 1500 * MS
-    assert begin(forwarder())[1].within == 1500 * MS  # a key has one holder
+    assert step.timeout_ns == 600 * MS  # four times what is usual
+    step = found.attempt_ended(NOW + 600 * MS, request, CallOutcome.TIMEOUT)
+    assert step.endpoint.server != first and step.timeout_ns == 900 * MS  # the last try has all that is left
+    assert begin(found, "/once/x", None)[1].timeout_ns == 1500 * MS
+    assert begin(forwarder())[1].timeout_ns == 1500 * MS  # a key has one holder
 
 
 def test_of_servers_alike_the_one_with_a_kept_connection_is_chosen_until_it_has_work_enough():
     found = forwarder(
         virtual_hosts=[{"host_name": "shop.example", "host_routes": [route("/c/", "non_idempotent", "orders")]}]
     )
-    found.endpoints.by_name["orders-1"].kept = 3
+    found.endpoints.by_name["orders-1"].idle_connections = 3
     chosen = [begin(found, "/c/x", None)[1].endpoint.server for _ in range(4)]
     assert chosen[:2] == ["orders-1"] * 2 and set(chosen[2:]) != {"orders-1"}
 
 
-def test_a_server_that_has_not_told_its_load_lately_gets_little_from_each_edge():
+def test_a_server_that_has_not_reported_its_load_lately_gets_little_from_each_edge():
     """Guards against all edges filling a server's queue at once, which it may never answer."""
     found = forwarder()
     assert [type(begin(found)[1]) for _ in range(7)] == [Send] * 6 + [Wait]  # alone it may take what the server can
@@ -221,8 +255,8 @@
     found.view.edges = 12
     requests = [begin(found) for _ in range(3)]
     assert [type(step) for _, step in requests] == [Send, Send, Wait]
-    found.ended(NOW, requests[0][0], Seen.ANSWERED, (1, 0, 2))
-    assert isinstance(found.again(NOW, requests[2][0]), Send)
+    found.attempt_ended(NOW, requests[0][0], CallOutcome.ANSWERED, (1, 0, 2))
+    assert isinstance(found.next_step(NOW, requests[2][0]), Send)
     assert isinstance([begin(found)[1] for _ in range(5)][-1], Wait)
 
 
@@ -234,21 +268,55 @@
     request, step = begin(found, key=None, host="pay.example")
     assert isinstance(step, Wait)
     later = NOW + request.route.aim
-    step = found.again(later, request)
-    assert step.fault == Fault.FULL and step.retry_after > 0 and ANSWERS[Fault.FULL].promises and not request.tried
+    step = found.next_step(later, request)
+    assert (
+        isinstance(step.error, ServersFullError)
+        and step.error.retry_after_ns > 0
+        and not step.error.may_have_run
+        and not request.attempted_servers
+    )
 
 
 def test_a_server_that_leaves_gets_nothing_long_before_its_time_is_over_though_it_still_holds_the_key():
-    """Guards against a decider that is lost just then: lines endpoint, and the edge would send by them to the end."""
+    """Guards against an assigner that is lost just then: key ranges stay as they are, and the edge would send by them."""
     found = forwarder()
     entries = [
         entry._replace(state="draining") if entry.server == "views-0" else entry
         for entry in found.view.servers.entries.values()
     ]
-    found.endpoints.listed(NOW + S, NOW + S, entries)
-    assert (
-        found.begin(NOW + S, "shop.example", "/a/x", "5", 2 * S)[1].endpoint.server == "views-0"
-    )  # its keys are on their way
-    request, step = found.begin(NOW + 2 * S, "shop.example", "/a/x", "5", 2 * S)
-    assert isinstance(step, Wait) and found.again(step.until, request).fault == Fault.NO_HOLDER
+    found.endpoints.update(NOW + S, entries)
+    assert begin(found, now=NOW + S)[1].endpoint.server == "views-0"  # its keys are on their way
+    request, step = begin(found, now=NOW + 2 * S)
+    assert isinstance(step, Wait) and isinstance(found.next_step(step.until, request).error, NoKeyHolderError)
     assert isinstance(begin(forwarder(state="draining"))[1], Wait)  # who first hears of it so can't tell for how long
+
+
+def test_states_of_a_request_follow_the_table(monkeypatch):
+    """Random lives of requests, through all outcomes: each change of state is one that the table has, and each is met."""
+    met = set()
+
+    def set_state(request, state):
+        former = states.get(request)
+        if former is not None:
+            met.add((former, state))
+        states[request] = state
+
+    states = WeakKeyDictionary()
+    tracked = type("TrackedRequest", (ForwardedRequest,), {"state": property(states.get, set_state)})
+    monkeypatch.setattr("kestrelplank.forwarding.forwarder.ForwardedRequest", tracked)
+    random = Random(3)
+    for _ in range(2000):
+        found, now = forwarder(keys=random.random() < 0.9), NOW
+        found.view.edges = random.choice([1, 12])
+        for _ in range(random.randrange(6)):
+            begin(found)
+        request, step = begin(found, random.choice(["/a/x", "/a/b/x"]), "5", within=random.choice([20 * MS, 2 * S]))
+        while isinstance(step, Send | Wait):
+            now += random.choice([MS, 200 * MS, 400 * MS])
+            if isinstance(step, Wait):
+                step = found.next_step(now, request)
+            else:
+                step = found.attempt_ended(now, request, random.choice(list(CallOutcome)))
+        assert request.state is (RequestState.ANSWERED if isinstance(step, ForwardAnswer) else RequestState.REFUSED)
+        assert request.endpoint is None
+    assert met == {(former, state) for former, following in TRANSITIONS.items() for state in following}
