--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -20,16 +20,11 @@
 from log_file import configuration
 
 from kestrelplank.configuration.plan import read
+from kestrelplank.consensus.consensus_messages import ConsensusMessage, SnapshotChunk
 from kestrelplank.consensus.effects import Applied, Effect, Persist, Restored, Send
 from kestrelplank.consensus.log import ReplicatedLog, entry_size
-from kestrelplank.consensus.messages import (
-    ConsensusMessage,
-    Entry,
-    HardState,
-    Membership,
-    PutConfiguration,
-    SnapshotChunk,
-)
+from kestrelplank.consensus.log_entries import Entry, HardState, PutConfiguration
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.replica import COMPACT_FROM
 from kestrelplank.state.control_state import ControlState
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -16,7 +16,7 @@
 import time
 from statistics import quantiles
 
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.http.serve import listener
 from kestrelplank.settings import lean  # noqa: F401
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -8,7 +8,7 @@
 from server_list import entries
 from slopes import held, number, spent, table
 
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.forwarding.forwarder import Forwarder
 from kestrelplank.forwarding.resend import Seen
 from kestrelplank.forwarding.steps import Send
--- a/benchmarks/key_ranges.py
+++ b/benchmarks/key_ranges.py
@@ -11,7 +11,7 @@
 import msgspec
 from slopes import held, number, spent, table
 
-from kestrelplank.consensus.messages import PutRecord
+from kestrelplank.consensus.log_entries import PutRecord
 from kestrelplank.control.shard_assignment import Record, holders
 from kestrelplank.sharding.key_ranges import HELD, KEYS, KeyRanges
 from kestrelplank.sharding.key_ranges import Server as Listed
--- a/benchmarks/log_file.py
+++ b/benchmarks/log_file.py
@@ -18,7 +18,8 @@
 
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Entry, HardState, Membership, PutConfiguration, Snapshot
+from kestrelplank.consensus.log_entries import Entry, HardState, PutConfiguration, Snapshot
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.state.control_state import ControlState
 from kestrelplank.storage.log_file import LogFile
 
--- a/kestrelplank/consensus/effects.py
+++ b/kestrelplank/consensus/effects.py
@@ -2,7 +2,8 @@
 
 from dataclasses import dataclass
 
-from kestrelplank.consensus.messages import ConsensusMessage, Entry, HardState, Snapshot
+from kestrelplank.consensus.consensus_messages import ConsensusMessage
+from kestrelplank.consensus.log_entries import Entry, HardState, Snapshot
 
 
 @dataclass(frozen=True, slots=True)
--- a/kestrelplank/consensus/log.py
+++ b/kestrelplank/consensus/log.py
@@ -1,7 +1,8 @@
 """The replicated log as one member has it in memory: a snapshot, the entries since, and some before it that others may
 still lack. Which membership counts is part of it."""
 
-from kestrelplank.consensus.messages import ChangeMembership, Entry, Membership, Snapshot
+from kestrelplank.consensus.log_entries import ChangeMembership, Entry, Snapshot
+from kestrelplank.consensus.membership import Membership
 
 KEPT_ENTRIES = 64  # entries that a snapshot covers and that are kept all the same, for followers that lag a little
 
--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -17,25 +17,27 @@
 from random import Random
 from typing import NamedTuple
 
-from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
-from kestrelplank.consensus.log import ReplicatedLog
-from kestrelplank.consensus.messages import (
+from kestrelplank.consensus.consensus_messages import (
     Append,
     AppendReply,
-    ChangeMembership,
-    Command,
     ConsensusMessage,
-    Entry,
-    HardState,
-    Membership,
-    Noop,
-    Snapshot,
     SnapshotChunk,
     SnapshotReply,
     TransferLeadership,
     VoteReply,
     VoteRequest,
 )
+from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
+from kestrelplank.consensus.log import ReplicatedLog
+from kestrelplank.consensus.log_entries import (
+    ChangeMembership,
+    Command,
+    Entry,
+    HardState,
+    Noop,
+    Snapshot,
+)
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.progress import Progress
 from kestrelplank.consensus.quorum import is_quorum, reached_by_quorum
 from kestrelplank.consensus.snapshots import IncomingSnapshot, OutgoingSnapshot
@@ -342,8 +344,8 @@
 
     def _on_vote_request(self, now: int, sender: str, request: VoteRequest) -> None:
         grants = self._would_vote(now, sender, request)
-        if request.trial:
-            reply = VoteReply(request.term if grants else self.term, self.epoch, grants, trial=True)
+        if request.pre_vote:
+            reply = VoteReply(request.term if grants else self.term, self.epoch, grants, pre_vote=True)
             self._effects.append(Send(sender, reply))
             return
         if request.term > self.term and (grants or self._free_for(now, sender, request)):
@@ -359,7 +361,7 @@
     def _would_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
         if request.term < self.term or not self._free_for(now, sender, request):
             return False
-        if request.term == self.term and (request.trial or self.hard_state.voted_for not in ("", sender)):
+        if request.term == self.term and (request.pre_vote or self.hard_state.voted_for not in ("", sender)):
             return False
         if self.role == LEADER and request.term == self.term:
             return False
@@ -377,7 +379,7 @@
         return now >= self._promised_until or sender == self._promised_to
 
     def _on_vote_reply(self, now: int, sender: str, reply: VoteReply) -> None:
-        if self.role != CANDIDATE or reply.trial != self._trial:
+        if self.role != CANDIDATE or reply.pre_vote != self._trial:
             return
         asked = self.term + 1 if self._trial else self.term
         if reply.granted and reply.term == asked:
@@ -498,7 +500,7 @@
     def _append_message(self, now: int, peer: Progress, previous: int, term: int, entries: tuple[Entry, ...]) -> Append:
         lease = max(0, self.lease_until - now) if self._elected else 0
         return Append(
-            self.term, self.epoch, previous, term, entries, self.commit, self._round, probe=peer.probe, lease=lease
+            self.term, self.epoch, previous, term, entries, self.commit, self._round, probe=peer.probe, lease_ns=lease
         )
 
     def _send_snapshot(self, now: int, name: str, peer: Progress) -> None:
@@ -511,7 +513,7 @@
         self._effects.append(Send(name, peer.snapshot.piece(self.term, self.epoch, self._round)))
 
     def _on_append_reply(self, now: int, sender: str, reply: AppendReply) -> None:
-        peer = self._heard_from(now, sender, reply.term, reply.round)
+        peer = self._heard_from(now, sender, reply.term, reply.heartbeat_round)
         if peer is None:
             return
         asked_from = peer.next
@@ -524,7 +526,7 @@
         self._advance_commit(now)
 
     def _on_piece_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
-        peer = self._heard_from(now, sender, reply.term, reply.round)
+        peer = self._heard_from(now, sender, reply.term, reply.heartbeat_round)
         if peer is not None and peer.piece_taken(reply):
             self._send_snapshot(now, sender, peer)
 
@@ -608,19 +610,21 @@
             self._send_when_durable(sender, reply)
             return
         self._take_vouching(now, message)
-        if message.prev_index == 0 and not message.entries and self.log.base_index > 0:
-            self._reply(now, sender, True, 0, message.round)
+        if message.previous_index == 0 and not message.entries and self.log.base_index > 0:
+            self._reply(now, sender, True, 0, message.heartbeat_round)
             return
         previous, entries = self._after_base(message)
-        if self.log.term_at(previous) != (message.prev_term if previous == message.prev_index else self.log.base_term):
-            self._reply(now, sender, False, self._likely_alike(previous), message.round)
+        if self.log.term_at(previous) != (
+            message.previous_term if previous == message.previous_index else self.log.base_term
+        ):
+            self._reply(now, sender, False, self._likely_alike(previous), message.heartbeat_round)
             return
         last = previous + len(entries)
         fresh = self._differing(entries)
         if fresh:
             self._take_entries(now, sender, fresh)
-        self._commit_to(min(message.commit, last))
-        self._reply(now, sender, True, min(last, self.durable), message.round)
+        self._commit_to(min(message.commit_index, last))
+        self._reply(now, sender, True, min(last, self.durable), message.heartbeat_round)
 
     def _follow(self, now: int, sender: str, term: int) -> bool:
         """Follows the leader of that term, if it is not a former one, and promises it to vote for nobody else."""
@@ -640,15 +644,15 @@
 
     def _take_vouching(self, now: int, message: Append) -> None:
         """The leader answered our probe after we had sent it: its word is no older than that."""
-        self._leader_commit = max(self._leader_commit, message.commit)
+        self._leader_commit = max(self._leader_commit, message.commit_index)
         asked_at = self._probes.get(message.probe)
-        if asked_at is not None and message.lease > 0:
-            self._vouched_until = max(self._vouched_until, asked_at + min(CURRENT, message.lease))
+        if asked_at is not None and message.lease_ns > 0:
+            self._vouched_until = max(self._vouched_until, asked_at + min(CURRENT, message.lease_ns))
 
     def _after_base(self, message: Append) -> tuple[int, tuple[Entry, ...]]:
         """Without the entries that are covered by our snapshot and no longer here: they are committed, so alike."""
-        if message.prev_index >= self.log.base_index:
-            return message.prev_index, message.entries
+        if message.previous_index >= self.log.base_index:
+            return message.previous_index, message.entries
         return self.log.base_index, tuple(entry for entry in message.entries if entry.index > self.log.base_index)
 
     def _likely_alike(self, previous: int) -> int:
@@ -693,14 +697,14 @@
             self._send_when_durable(sender, AppendReply(self.term, self.epoch, False, self.durable, 0))
             return
         if piece.index <= self.commit:
-            self._reply(now, sender, True, min(piece.index, self.durable), piece.round)
+            self._reply(now, sender, True, min(piece.index, self.durable), piece.heartbeat_round)
             return
         if self.incoming is None or self.incoming.digest != piece.digest:
-            self.incoming = IncomingSnapshot(piece.digest, piece.size)
+            self.incoming = IncomingSnapshot(piece.digest, piece.size_bytes)
         incoming = self.incoming
         incoming.take(piece)
         if not incoming.complete:
-            reply = SnapshotReply(self.term, self.epoch, piece.digest, len(incoming.data), piece.round)
+            reply = SnapshotReply(self.term, self.epoch, piece.digest, len(incoming.data), piece.heartbeat_round)
             self._send_when_durable(sender, reply)
             return
         self.incoming = None
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -3,8 +3,9 @@
 from collections import deque
 from typing import NamedTuple
 
+from kestrelplank.consensus.consensus_messages import AppendReply, SnapshotReply
 from kestrelplank.consensus.log import entry_size
-from kestrelplank.consensus.messages import AppendReply, Entry, SnapshotReply
+from kestrelplank.consensus.log_entries import Entry
 from kestrelplank.consensus.snapshots import OutgoingSnapshot
 
 S = 1_000_000_000
@@ -56,11 +57,11 @@
         self.probe = reply.probe or self.probe
         if not reply.success:
             self.alike = False
-            self.next = max(self.match, reply.match) + 1
+            self.next = max(self.match, reply.match_index) + 1
             self._in_flight.clear()
             self._bytes_in_flight = 0
             return
-        self.match = max(self.match, reply.match)
+        self.match = max(self.match, reply.match_index)
         self.next = max(self.next, self.match + 1)
         if self.snapshot is not None and self.match >= self.snapshot.index:
             self.snapshot = None
--- a/kestrelplank/consensus/quorum.py
+++ b/kestrelplank/consensus/quorum.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable
 
-from kestrelplank.consensus.messages import Membership
+from kestrelplank.consensus.membership import Membership
 
 
 def majority(count: int) -> int:
--- a/kestrelplank/consensus/snapshots.py
+++ b/kestrelplank/consensus/snapshots.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from kestrelplank.consensus.messages import Snapshot, SnapshotChunk
+from kestrelplank.consensus.consensus_messages import SnapshotChunk
+from kestrelplank.consensus.log_entries import Snapshot
 
 CHUNK_BYTES = 32 << 10
 encoder = msgspec.msgpack.Encoder()
--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Message
+from kestrelplank.consensus.member_messages import Message
 from kestrelplank.sharding.key_ranges import KeyRange
 from kestrelplank.transport.messages import ToEdge
 
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -9,24 +9,26 @@
 
 from kestrelplank.configuration.plan import Configuration
 from kestrelplank.consensus import effects as consensus
-from kestrelplank.consensus.messages import (
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.log_entries import (
     ChangeMembership,
     Entry,
     HardState,
-    Membership,
+    PutRecord,
+    Snapshot,
+)
+from kestrelplank.consensus.member_messages import (
     MembershipQuery,
     MembershipRequest,
     MembershipUpdate,
     Message,
     OrderResult,
-    PutRecord,
     ReadConfiguration,
     ReadResult,
     ServerListUpdate,
-    Snapshot,
     SubmitOrder,
-    address_of,
 )
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.effects import Effect, KeepCopy, PushToEdges
 from kestrelplank.control.member_lifecycle import MemberLifecycle
@@ -113,7 +115,7 @@
         elif isinstance(message, ReadResult):
             self._calls.on_read_result(sender, message)
         elif isinstance(message, ServerListUpdate):
-            self._listed(now, message.age, message.entries)
+            self._listed(now, message.age_ns, message.entries)
         else:
             self.replica.add(self.node.receive(now, sender, message))
         return self._done(now)
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -4,13 +4,9 @@
 looks for the others at every address it has heard of, for as long as it runs.
 """
 
-from kestrelplank.consensus.messages import (
-    Membership,
-    MembershipQuery,
-    MembershipRequest,
-    MembershipUpdate,
-    address_of,
-)
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.member_messages import MembershipQuery, MembershipRequest, MembershipUpdate
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.control.effects import SendToAddress
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.peer_directory import PeerDirectory
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -8,7 +8,8 @@
 import time
 from collections.abc import Callable
 
-from kestrelplank.consensus.messages import Message, address_of
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.member_messages import Message
 from kestrelplank.settings.platform import endpoint
 from kestrelplank.transport.messages import Envelope, decode_at_member
 from kestrelplank.transport.sessions import Sessions
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -1,8 +1,8 @@
 """What a leader does about who counts: it sends the log to members that ask to count, and changes the membership where
-`consensus.membership` says so. No I/O."""
+`consensus.membership_planning` says so. No I/O."""
 
-from kestrelplank.consensus.membership import Candidate, plan_membership, successor
-from kestrelplank.consensus.messages import ChangeMembership
+from kestrelplank.consensus.log_entries import ChangeMembership
+from kestrelplank.consensus.membership_planning import Candidate, plan_membership, successor
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.peer_directory import PeerDirectory, Standby
 from kestrelplank.control.replica import Replica
--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -2,14 +2,8 @@
 refused at once by any other. No I/O."""
 
 from kestrelplank.configuration.plan import Configuration
-from kestrelplank.consensus.messages import (
-    Entry,
-    OrderResult,
-    PutConfiguration,
-    ReadConfiguration,
-    ReadResult,
-    SubmitOrder,
-)
+from kestrelplank.consensus.log_entries import Entry, PutConfiguration
+from kestrelplank.consensus.member_messages import OrderResult, ReadConfiguration, ReadResult, SubmitOrder
 from kestrelplank.control.effects import AnswerOrder, AnswerRead
 from kestrelplank.control.pending_calls import Caller, PassedCalls, PassedOn, PendingOrders, Ticket
 from kestrelplank.control.replica import Replica
--- a/kestrelplank/control/peer_directory.py
+++ b/kestrelplank/control/peer_directory.py
@@ -6,7 +6,9 @@
 
 from dataclasses import dataclass
 
-from kestrelplank.consensus.messages import Membership, MembershipRequest, MembershipUpdate, address_of
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.member_messages import MembershipRequest, MembershipUpdate
+from kestrelplank.consensus.membership import Membership
 
 S = 1_000_000_000
 RUNNING = 3 * S  # a member that was heard within this time is told to others as running
--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -8,7 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from kestrelplank.consensus.messages import CallId, Entry, PutConfiguration
+from kestrelplank.consensus.log_entries import Entry, PutConfiguration
+from kestrelplank.consensus.member_messages import CallId
 
 S = 1_000_000_000
 PATIENCE = 800_000_000  # ns that a call waits: the operator goes elsewhere after a second
@@ -121,7 +122,7 @@
     def answered(self, sender: str, call: CallId, reads: bool) -> Passed | None:
         """The call that this answers, if it is one of ours, of this kind, and waits for that sender."""
         passed = self._calls.get(call.number)
-        if passed is None or (call.member, call.life) != (self._member, self._life):
+        if passed is None or (call.member, call.incarnation) != (self._member, self._life):
             return None
         if passed.leader != sender or passed.reads != reads:
             return None
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -5,7 +5,9 @@
 from collections.abc import Iterable
 
 from kestrelplank.consensus import effects as consensus
-from kestrelplank.consensus.messages import Command, Membership, Message
+from kestrelplank.consensus.log_entries import Command
+from kestrelplank.consensus.member_messages import Message
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.effects import Effect, LogLine, SendMessage
 from kestrelplank.control.shard_assignment import NOTHING, Record, read_record
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from kestrelplank.consensus.messages import Entry, PutRecord
+from kestrelplank.consensus.log_entries import Entry, PutRecord
 from kestrelplank.control import shard_assignment
 from kestrelplank.control.effects import CallServer, PushToEdges
 from kestrelplank.control.replica import Replica
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from kestrelplank.configuration.plan import Configuration, read
-from kestrelplank.consensus.messages import Entry, PutConfiguration, PutRecord
+from kestrelplank.consensus.log_entries import Entry, PutConfiguration, PutRecord
 from kestrelplank.decode import Malformed
 
 FORM = 1  # of a snapshot
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -41,7 +41,7 @@
 import msgspec
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Entry, HardState, Snapshot
+from kestrelplank.consensus.log_entries import Entry, HardState, Snapshot
 from kestrelplank.decode import Malformed
 from kestrelplank.file_discovery.whole import sync_folder, write_whole
 
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from kestrelplank.configuration.plan import Configuration, read
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
     EdgeHeartbeat,
@@ -139,7 +139,7 @@
         return Change.LINES
 
     def _told_servers(self, now: int, news: ServerListUpdate) -> Change | None:
-        return Change.SERVERS if self.servers.take(now, news.age, news.entries) else None
+        return Change.SERVERS if self.servers.take(now, news.age_ns, news.entries) else None
 
     def heartbeat(self, now: int) -> EdgeHeartbeat:
         """Where this machine stands, as it says in each beat; what it lacks is sent in return."""
--- a/kestrelplank/transport/messages.py
+++ b/kestrelplank/transport/messages.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from kestrelplank.consensus.messages import Message, ServerListUpdate
+from kestrelplank.consensus.member_messages import Message, ServerListUpdate
 
 
 class KeyRangesVersion(msgspec.Struct, frozen=True, array_like=True, order=True):
--- a/kestrelplank/transport/server_list.py
+++ b/kestrelplank/transport/server_list.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 
 READY, DRAINING = "ready", "draining"
 
--- a/tests/consensus/checks.py
+++ b/tests/consensus/checks.py
@@ -3,19 +3,18 @@
 A `Checks` object hears of each entry applied, each snapshot taken over, each message sent, each write made durable and
 each answer given, and raises `Broken` at the first that contradicts the ones before it."""
 
+from kestrelplank.consensus.consensus_messages import AppendReply, VoteReply
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import (
-    AppendReply,
+from kestrelplank.consensus.log_entries import (
     ChangeMembership,
     Entry,
     HardState,
-    Membership,
-    Message,
     PutConfiguration,
     PutRecord,
     Snapshot,
-    VoteReply,
 )
+from kestrelplank.consensus.member_messages import Message
+from kestrelplank.consensus.membership import Membership
 
 
 class Broken(AssertionError):
@@ -139,11 +138,11 @@
 
     def sent(self, who: str, to: str, message: Message, hard_state: HardState, last_durable: int) -> None:
         """`who` hands a message to its transport; `hard_state`, `last_durable`: what its disk has at this moment."""
-        if isinstance(message, VoteReply) and message.granted and not message.trial:
+        if isinstance(message, VoteReply) and message.granted and not message.pre_vote:
             known = self._votes.setdefault((who, message.term), to)
             self.need(known == to, who, "votes twice in term", message.term, known, to)
             durable = hard_state.term == message.term and hard_state.voted_for == to
             self.need(durable or hard_state.term > message.term, who, "votes before it is durable", hard_state, message)
         if isinstance(message, AppendReply) and message.success:
-            self.need(message.match <= last_durable, who, "acknowledges", message, "durable to", last_durable)
+            self.need(message.match_index <= last_durable, who, "acknowledges", message, "durable to", last_durable)
             self.need(hard_state.term >= message.term, who, "acknowledges", message, "before its term", hard_state)
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -18,27 +18,26 @@
 from random import Random
 
 from consensus.checks import Checks, Replica
+from kestrelplank.consensus.consensus_messages import Append, SnapshotChunk
 from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
-from kestrelplank.consensus.messages import (
-    FIRST,
-    Append,
-    CallId,
+from kestrelplank.consensus.identity import FIRST_INCARNATION, address_of, identity_of
+from kestrelplank.consensus.log_entries import (
     ChangeMembership,
     Entry,
     HardState,
-    Membership,
-    Message,
-    OrderResult,
     PutConfiguration,
     PutRecord,
+    Snapshot,
+)
+from kestrelplank.consensus.member_messages import (
+    CallId,
+    Message,
+    OrderResult,
     ReadConfiguration,
     ReadResult,
-    Snapshot,
-    SnapshotChunk,
     SubmitOrder,
-    address_of,
-    identity_of,
 )
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import CURRENT, ConsensusNode
 
 US = 1_000
@@ -187,7 +186,7 @@
             rate = 1 + self.random.uniform(-drift, drift)
             offset = self.random.randrange(1000 * S)
             self.machines[name] = Machine(name, Random(self.random.random()), rate, offset)
-        self.first = Membership(1, tuple(identity_of(name, FIRST) for name in names[:count]))
+        self.first = Membership(1, tuple(identity_of(name, FIRST_INCARNATION) for name in names[:count]))
         if start:
             for name in names[:count]:
                 self.at(self.random.randrange(300 * MS), lambda name=name: self.start(name, first=True))
@@ -259,7 +258,7 @@
         disk = machine.disk
         assert machine.node is None
         if not disk.incarnation:
-            disk.incarnation = FIRST if first else f"{self.random.getrandbits(32):08x}"
+            disk.incarnation = FIRST_INCARNATION if first else f"{self.random.getrandbits(32):08x}"
             disk.membership = self.first if first else None
         machine.life += 1
         machine.wiped = False
--- a/tests/consensus/replacing.py
+++ b/tests/consensus/replacing.py
@@ -6,8 +6,9 @@
 from dataclasses import dataclass
 
 from consensus.cluster import IN_FORCE, Cluster, Machine, S
-from kestrelplank.consensus.membership import Candidate, plan_membership, successor
-from kestrelplank.consensus.messages import ChangeMembership, address_of
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.log_entries import ChangeMembership
+from kestrelplank.consensus.membership_planning import Candidate, plan_membership, successor
 
 SYNC = 4 * S  # after which a newcomer has taken its place
 GRACE = 6 * S  # between SIGTERM and the end of a process
--- a/tests/consensus/test_consensus_node.py
+++ b/tests/consensus/test_consensus_node.py
@@ -3,7 +3,8 @@
 from random import Random
 
 from kestrelplank.consensus.effects import Applied, Deposed, Elected, Persist, Restored, Send
-from kestrelplank.consensus.messages import ChangeMembership, HardState, Membership, PutConfiguration
+from kestrelplank.consensus.log_entries import ChangeMembership, HardState, PutConfiguration
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import LEASE, ConsensusNode
 
 MS, S = 1_000_000, 1_000_000_000
--- a/tests/consensus/test_log_properties.py
+++ b/tests/consensus/test_log_properties.py
@@ -8,7 +8,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from kestrelplank.consensus.log import KEPT_ENTRIES, ReplicatedLog, entry_size
-from kestrelplank.consensus.messages import ChangeMembership, Entry, Membership, Noop, PutConfiguration, Snapshot
+from kestrelplank.consensus.log_entries import (
+    ChangeMembership,
+    Entry,
+    Noop,
+    PutConfiguration,
+    Snapshot,
+)
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.quorum import has_majority, is_quorum, majority, reached_by_quorum
 
 FIRST = Membership(1, ("a", "b", "c"))
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -9,7 +9,9 @@
 
 import pytest
 
-from kestrelplank.consensus.membership import (
+from kestrelplank.consensus.identity import identity_of
+from kestrelplank.consensus.membership import Membership
+from kestrelplank.consensus.membership_planning import (
     NEWCOMER_HEARD_WITHIN,
     REPLACE_AFTER,
     SECOND,
@@ -18,7 +20,6 @@
     plan_membership,
     successor,
 )
-from kestrelplank.consensus.messages import Membership, identity_of
 
 NOW = 100 * SECOND
 RECENTLY = 50_000_000  # ns since a member in touch was heard
--- a/tests/consensus/test_replacement.py
+++ b/tests/consensus/test_replacement.py
@@ -22,15 +22,9 @@
     every_point,
     started,
 )
-from kestrelplank.consensus.messages import (
-    FIRST,
-    ChangeMembership,
-    Entry,
-    HardState,
-    Membership,
-    Noop,
-    identity_of,
-)
+from kestrelplank.consensus.identity import FIRST_INCARNATION, identity_of
+from kestrelplank.consensus.log_entries import ChangeMembership, Entry, HardState, Noop
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import LEADER, LEASE
 
 
@@ -396,7 +390,7 @@
     }
     for name, (hard_state, entries) in logs.items():
         disk = cluster.machines[name].disk
-        disk.incarnation = FIRST if name in "abc" else "new"
+        disk.incarnation = FIRST_INCARNATION if name in "abc" else "new"
         disk.membership = cluster.first if name in "abc" else None
         disk.hard_state, disk.entries = hard_state, entries
         cluster.start(name)
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -5,26 +5,22 @@
 import pytest
 
 from consensus.cluster import IN_FORCE, Cluster, S
+from kestrelplank.consensus.consensus_messages import Append, AppendReply, VoteReply, VoteRequest
 from kestrelplank.consensus.effects import Persist, Send
-from kestrelplank.consensus.messages import (
-    FIRST,
-    Append,
-    AppendReply,
+from kestrelplank.consensus.identity import FIRST_INCARNATION, identity_of
+from kestrelplank.consensus.log_entries import (
     ChangeMembership,
     Entry,
     HardState,
-    Membership,
     PutConfiguration,
     Snapshot,
-    VoteReply,
-    VoteRequest,
-    identity_of,
 )
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import HEARTBEAT, KEPT_PROBES, LEADER, LEASE, MS, ConsensusNode
 from kestrelplank.consensus.progress import Progress
 from kestrelplank.consensus.snapshots import OutgoingSnapshot
 
-A, B, C, D = (identity_of(name, FIRST) for name in "abcd")
+A, B, C, D = (identity_of(name, FIRST_INCARNATION) for name in "abcd")
 ABC = Membership(1, (A, B, C))
 START = 10**9
 NOTHING = HardState()
@@ -55,7 +51,7 @@
         while sent and node.role != LEADER:
             one = sent.pop(0)
             if isinstance(one.message, VoteRequest) and one.to == answering:
-                reply = VoteReply(one.message.term, 1, granted=True, trial=one.message.trial)
+                reply = VoteReply(one.message.term, 1, granted=True, pre_vote=one.message.pre_vote)
                 sent += written(node, now, node.receive(now, answering, reply))
         if node.role == LEADER:
             return now
@@ -85,7 +81,8 @@
 
 def highest_match(sent):
     return max(
-        (one.message.match for one in sent if isinstance(one.message, AppendReply) and one.message.success), default=0
+        (one.message.match_index for one in sent if isinstance(one.message, AppendReply) and one.message.success),
+        default=0,
     )
 
 
@@ -264,5 +261,5 @@
         (reply,) = written(node, START + place, node.receive(START + place, A, heartbeat))
         probe = probe or reply.message.probe
     now = START + 50 * MS
-    written(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, probe=probe, lease=LEASE)))
+    written(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, probe=probe, lease_ns=LEASE)))
     assert node.current(now) is is_current
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -11,7 +11,7 @@
 
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import address_of
+from kestrelplank.consensus.identity import address_of
 from kestrelplank.control.bootstrap import started
 from kestrelplank.control.effects import (
     GRANT,
--- a/tests/control/test_member.py
+++ b/tests/control/test_member.py
@@ -12,7 +12,7 @@
 
 import kestrelplank
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Snapshot
+from kestrelplank.consensus.log_entries import Snapshot
 from kestrelplank.control.effects import GRANT
 from kestrelplank.control.shard_assignment import read_record
 from kestrelplank.sharding.key_ranges import HOLD, KEYS
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -6,10 +6,10 @@
 import pytest
 from control.simulation import EDGE, MS, NAMES, S, Simulation
 
-from kestrelplank.consensus.messages import (
+from kestrelplank.consensus.log_entries import PutConfiguration
+from kestrelplank.consensus.member_messages import (
     CallId,
     OrderResult,
-    PutConfiguration,
     ReadConfiguration,
     ReadResult,
     SubmitOrder,
--- a/tests/control/test_pending_calls.py
+++ b/tests/control/test_pending_calls.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from kestrelplank.consensus.messages import CallId, Entry, Noop, PutConfiguration
+from kestrelplank.consensus.log_entries import Entry, Noop, PutConfiguration
+from kestrelplank.consensus.member_messages import CallId
 from kestrelplank.control.pending_calls import MOST, PATIENCE, PassedCalls, PassedOn, PendingOrders, Ticket
 
 NOW = 100
--- a/tests/control/test_start.py
+++ b/tests/control/test_start.py
@@ -6,7 +6,8 @@
 from storage.memory import MemoryLog
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import HardState, Membership
+from kestrelplank.consensus.log_entries import HardState
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.control.bootstrap import started
 from kestrelplank.control.member_profile import MemberProfile
 
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -9,7 +9,14 @@
 from hypothesis import strategies as some
 
 from kestrelplank.configuration.plan import read
-from kestrelplank.consensus.messages import ChangeMembership, Entry, Membership, Noop, PutConfiguration, PutRecord
+from kestrelplank.consensus.log_entries import (
+    ChangeMembership,
+    Entry,
+    Noop,
+    PutConfiguration,
+    PutRecord,
+)
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.decode import Malformed
 from kestrelplank.state.control_state import NO_CHANGE, ApplyResult, ControlState
 
--- a/tests/storage/test_log_file.py
+++ b/tests/storage/test_log_file.py
@@ -12,16 +12,16 @@
 from storage.power_loss import Disk, PowerLost, fill
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import (
+from kestrelplank.consensus.log_entries import (
     ChangeMembership,
     Entry,
     HardState,
-    Membership,
     Noop,
     PutConfiguration,
     PutRecord,
     Snapshot,
 )
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.decode import Malformed
 from kestrelplank.storage import log_file
 from kestrelplank.storage.log_file import Loaded, LogFile
--- a/tests/transport/test_edge_view.py
+++ b/tests/transport/test_edge_view.py
@@ -4,7 +4,7 @@
 
 from configuration.test_plan import encoded
 
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.transport.edge_view import FALLBACK, VOUCHED_WITHIN, Change, EdgeView, KeyRangeTable
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
