--- a/kestrelplank/storage/entries.py
+++ b/kestrelplank/storage/entries.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Entry, HardState, Snapshot
+from kestrelplank.consensus.log_entries import Entry, HardState, Snapshot
 from kestrelplank.storage.errors import MissingEntryError
 
 
--- a/tests/storage/histories.py
+++ b/tests/storage/histories.py
@@ -6,14 +6,8 @@
 from storage.memory import MemoryLog
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import (
-    Entry,
-    HardState,
-    Membership,
-    PutConfiguration,
-    PutRecord,
-    Snapshot,
-)
+from kestrelplank.consensus.log_entries import Entry, HardState, PutConfiguration, PutRecord, Snapshot
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.storage.log_file import LogFile
 
 STRIDE = int(os.environ.get("KESTRELPLANK_STRIDE", "7"))  # 1: each length of what was not synced
--- a/tests/storage/scenario.py
+++ b/tests/storage/scenario.py
@@ -18,9 +18,7 @@
 )
 from storage.power_loss import Disk, PowerLost, fill
 
-from kestrelplank.consensus.messages import (
-    ChangeMembership,
-)
+from kestrelplank.consensus.log_entries import ChangeMembership
 from kestrelplank.storage.records import LoadedLog
 
 
--- a/tests/storage/test_log_contract.py
+++ b/tests/storage/test_log_contract.py
@@ -21,11 +21,7 @@
 from storage.memory import MemoryLog
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import (
-    ChangeMembership,
-    HardState,
-    Noop,
-)
+from kestrelplank.consensus.log_entries import ChangeMembership, HardState, Noop
 from kestrelplank.storage.errors import MissingEntryError, NoIncarnationError, OtherIncarnationError
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.storage.records import LoadedLog
