--- /dev/null
+++ b/tests/emulator/test_recorded_reports.py
@@ -0,0 +1,30 @@
+"""The reports of the scripts in `rehearsals/` are byte for byte those of 4f929ce, the last commit before the emulator was rewritten.
+
+The digests in `recorded_reports.json` were made in a clone at 4f929ce.
+"""
+
+import hashlib
+import json
+from pathlib import Path
+
+import pytest
+
+from kestrelplank.cli.rehearse import encoded
+from kestrelplank.emulator.rehearsal import play
+from kestrelplank.emulator.script import script
+from kestrelplank.settings.ini import Ini
+
+SCRIPTS = Path(__file__).parents[2] / "rehearsals"
+RECORDED = json.loads((Path(__file__).parent / "recorded_reports.json").read_text())
+
+
+def report_digest(name, seed, more, knowing):
+    text = (SCRIPTS / f"{name}.ini").read_text() + more
+    return hashlib.sha256(encoded(play(script(Ini(f"{name}.ini", text)), seed, knowing=knowing))).hexdigest()
+
+
+@pytest.mark.parametrize(
+    "row", RECORDED, ids=lambda row: f"{row['script']}-{row['seed']}-{row['more'].split()[-1:]}-{row['knowing']}"
+)
+def test_a_report_is_as_recorded_before_the_rewriting(row):
+    assert report_digest(row["script"], row["seed"], row["more"], row["knowing"]) == row["sha256"]
