--- a/benchmarks/placing.py
+++ b/benchmarks/placing.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from kestrelplank.emulator.queues import Service
-from kestrelplank.load_balancing.picks import keyed
+from kestrelplank.load_balancing.selection import rendezvous
 from kestrelplank.sharding.key_ranges import KEYS
 
 SPEEDS = [0.7, 1.0, 1.0, 1.5]
@@ -22,7 +22,7 @@
     """Each key by itself, by consistent hashing."""
 
     def holder(self, firsts, key):
-        return f"s{keyed(str(key), [(number, 1.0) for number in range(len(self.servers))])}"
+        return f"s{rendezvous(str(key), [(number, 1.0) for number in range(len(self.servers))])}"
 
 
 def play(kind, moves, count, per_s, seconds, seeds, hot):
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -10,7 +10,7 @@
 
 from kestrelplank.forwarding.resend import Seen
 from kestrelplank.http.call import IDLE, Answer, Connection, NoAnswer, dial
-from kestrelplank.load_balancing.pools import DIAL, USE, Pool, Terms
+from kestrelplank.load_balancing.connection_pool import ConnectionPool, NoConnection, PoolSettings
 
 NS = 1_000_000_000
 DIAL_WITHIN = 0.35  # s for a connection to come up
@@ -62,7 +62,7 @@
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self._clock = clock
-        self._pools: dict[str, Pool] = {}
+        self._pools: dict[str, ConnectionPool] = {}
         self._connections: dict[str, dict[int, Connection]] = {}
         self._number = 0
 
@@ -71,9 +71,11 @@
         cancelled."""
         pool = self._pools.get(address)
         if pool is None:
-            pool = self._pools[address] = Pool(self._clock(), Terms(most=most, idle=IDLE))
+            pool = self._pools[address] = ConnectionPool(
+                self._clock(), PoolSettings(max_connections=most, idle_timeout_ns=IDLE)
+            )
             self._connections[address] = {}
-        pool.bound(most)
+        pool.limit_connections(most)
         connections = self._connections[address]
         number, connection = self._kept(pool, connections)
         if number is None:
@@ -84,31 +86,31 @@
             if connection is None:
                 return Outcome(Seen.UNSENT)
             connections[number] = connection
-            pool.opened(number)
+            pool.dial_succeeded(number)
         kept = False
         try:
             outcome, kept = await self._exchange(pool, connection, request, until)
             return outcome
         finally:
-            if not pool.done(self._clock(), number, kept):
+            if not pool.release(self._clock(), number, kept):
                 connections.pop(number, None)
                 connection.reset()
 
     @staticmethod
-    async def _dial(pool: Pool, address: str, within: float) -> Connection | None:
+    async def _dial(pool: ConnectionPool, address: str, within: float) -> Connection | None:
         host, _, port = address.rpartition(":")
         try:
             return await dial((host, int(port)), within)
         except (OSError, TimeoutError):
-            pool.failed()
+            pool.dial_failed()
             return None
         except BaseException:
-            pool.failed()
+            pool.dial_failed()
             raise
 
     @staticmethod
     async def _exchange(
-        pool: Pool, connection: Connection, request: ServerRequest, until: float
+        pool: ConnectionPool, connection: Connection, request: ServerRequest, until: float
     ) -> tuple[Outcome, bool]:
         """The request on that connection, until so late by the loop's clock (s); and whether the connection is kept."""
         connection.stream.begin()
@@ -117,27 +119,27 @@
                 answer = await connection.ask(request.method, request.target, request.headers, request.body)
                 while not belongs(answer, request.attempt):  # to an older request, or to none: ours is still to come
                     answer = await connection.next_answer(request.method, request.target)
-            pool.keep_for(answer.kept_for())
+            pool.limit_idle_time(answer.kept_for())
             return Outcome(judge(answer), answer), connection.keep
         except NoAnswer as err:
             return Outcome(err.seen), False
         except TimeoutError:
             return Outcome(Seen.SILENT if connection.stream.sent else Seen.UNSENT), False
 
-    def _kept(self, pool: Pool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
+    def _kept(self, pool: ConnectionPool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
         """A connection that can be used at once, or the number for a new one, or neither where all are busy."""
         while True:
-            step = pool.take(self._clock())
-            if step[0] == DIAL:
+            number = pool.acquire(self._clock())
+            if number is NoConnection.DIAL:
                 self._number += 1
                 return self._number, None
-            if step[0] != USE:
+            if isinstance(number, NoConnection):
                 return None, None
-            connection = connections[step[1]]
+            connection = connections[number]
             if not connection.surplus():
-                return step[1], connection
-            pool.lost(step[1])
-            connections.pop(step[1]).reset()
+                return number, connection
+            pool.connection_lost(number)
+            connections.pop(number).reset()
 
     def unused(self, address: str) -> int:
         """Connections there that stand unused."""
@@ -148,7 +150,7 @@
         """Closes what has been idle too long, and all that stands to servers that are no longer there."""
         for address, pool in list(self._pools.items()):
             connections = self._connections[address]
-            ended = pool.expired(self._clock()) if address in live else pool.withdraw(self._clock())
+            ended = pool.expire_idle(self._clock()) if address in live else pool.withdraw(self._clock())
             for number in ended:
                 connections.pop(number).reset()
             if address in live:
--- a/kestrelplank/emulator/clients.py
+++ b/kestrelplank/emulator/clients.py
@@ -7,7 +7,7 @@
 
 from kestrelplank.emulator.part import Part
 from kestrelplank.emulator.relays import ClientOp, Relay
-from kestrelplank.load_balancing.attempts import ABORTED, ACKED, REJECTED, Op
+from kestrelplank.load_balancing.operations import Op, Verdict
 
 
 def lognormal(mean: float, spread: float) -> tuple[float, float]:
@@ -86,23 +86,23 @@
             self.relay_of[self._asked] = relay
             relay.when_awake(relay.ask, asked, self._asked)
 
-    def answered(self, asked: ClientOp, op: Op, verdict: str, why: str) -> None:
+    def answered(self, asked: ClientOp, op: Op, verdict: Verdict, why: str) -> None:
         """The client hears of its op; it may come again by itself, but not with what may have run and must not
         run again."""
         del self.relay_of[op.number]
         world, clients, now = self.world, self.world.script.clients, self.clock.now()
         world.score.ended(now - op.deadline)
         op_type = self._op_types[asked.op_type]
-        if verdict == ACKED:
+        if verdict is Verdict.ACKED:
             world.score.acked(now, asked.op_type, asked.begun, world.rules.runs(op.number))
             return
         owner = world.hub.owner[asked.table]
-        if verdict == ABORTED and owner is not None:
+        if verdict is Verdict.ABORTED and owner is not None:
             world.reports.op(owner, asked.table, asked.op_type).aborted += 1
         again = (
             asked.tries <= clients.retries
             and now + clients.wait - asked.begun < op_type.timeout
-            and (verdict == REJECTED or op_type.effect == "retryable")
+            and (verdict is Verdict.REJECTED or op_type.effect == "retryable")
         )
         if again:
             self.clock.at(now + clients.wait, lambda: self._ask(asked))
--- a/kestrelplank/emulator/network.py
+++ b/kestrelplank/emulator/network.py
@@ -6,7 +6,7 @@
 from kestrelplank.emulator.node import TAKEN
 from kestrelplank.emulator.part import Part
 from kestrelplank.emulator.relays import ClientOp, Relay
-from kestrelplank.load_balancing.attempts import FAILED, GOOD, NOT_STARTED, REFUSED, RESET, Op
+from kestrelplank.load_balancing.operations import AttemptOutcome, Op
 
 
 class Network(Part):
@@ -31,7 +31,7 @@
         """A relay sends an op to a node; each end of it is told through `relay.ended`."""
         world, now, owner = self.world, self.clock.now(), relay.tables.source(op.table)
         way = self.way_to(relay, node)
-        self.first += len(op.tried) == 1
+        self.first += len(op.attempted_nodes) == 1
         self.cross += relay.zone != world.zone_of(node)
         knowing = False
         stream = relay.streams.get(owner)
@@ -41,7 +41,7 @@
             knowing = world.rules.knowing(now, owner, node, relay.ordered_at[owner])
         self.reach(relay, op.number, asked, node, way, knowing)
 
-    def end(self, relay: Relay, number: int, node: int, outcome: str, after: int) -> None:
+    def end(self, relay: Relay, number: int, node: int, outcome: AttemptOutcome, after: int) -> None:
         """The relay hears after that time (ns) how a try has ended."""
         clock = self.clock
         clock.at(clock.now() + after, lambda: relay.when_awake(relay.ended, number, node, outcome))
@@ -51,9 +51,9 @@
         target, clock = self.world.nodes[node], self.clock
         known = relay.connected.get(node) == self.lives[node]
         if not known and target.silent:
-            self.end(relay, number, node, REFUSED, self.world.script.relays.dial)
+            self.end(relay, number, node, AttemptOutcome.REFUSED, self.world.script.relays.dial)
         elif target.down and not target.silent:
-            self.end(relay, number, node, REFUSED, 2 * way)
+            self.end(relay, number, node, AttemptOutcome.REFUSED, 2 * way)
         else:
             relay.connected[node] = self.lives[node]
             clock.at(clock.now() + way, lambda: self._offer(relay, number, asked, node, way, not known, knowing))
@@ -61,7 +61,7 @@
     def _offer(self, relay: Relay, number: int, asked: ClientOp, node: int, way: int, new: bool, knowing: bool) -> None:
         target, now = self.world.nodes[node], self.clock.now()
         if target.down and not target.silent:
-            self.end(relay, number, node, RESET, way)
+            self.end(relay, number, node, AttemptOutcome.RESET, way)
             return
         told = target.offer(now, number, asked.op_type, asked.work, asked.key, new, knowing)
         self.world.rules.pushed(node, target.worst_push)
@@ -70,7 +70,7 @@
         if told == TAKEN:
             self.look_at(node)
         else:
-            self.end(relay, number, node, NOT_STARTED if told == FULL else FAILED, way)
+            self.end(relay, number, node, AttemptOutcome.NOT_STARTED if told == FULL else AttemptOutcome.FAILED, way)
 
     def hang_up(self, relay: Relay, number: int, node: int) -> None:
         """The relay no longer wants that try."""
@@ -102,11 +102,11 @@
         """A node answers an op."""
         relay = self.world.clients.relay_of.get(number)
         if relay is not None:
-            self.end(relay, number, node, GOOD, self.way_to(relay, node))
+            self.end(relay, number, node, AttemptOutcome.SUCCEEDED, self.way_to(relay, node))
 
     def drop(self, node: int) -> None:
         """All connections to a node end, and so do the tries on them; whether it takes new ones is its own state."""
         self.lives[node] += 1
         for number, relay in list(self.world.clients.relay_of.items()):
             if number in relay.ops and relay.ops[number].op.node == node:
-                self.end(relay, number, node, RESET, self.way_to(relay, node))
+                self.end(relay, number, node, AttemptOutcome.RESET, self.way_to(relay, node))
--- a/kestrelplank/emulator/rehearsal.py
+++ b/kestrelplank/emulator/rehearsal.py
@@ -7,7 +7,7 @@
 from kestrelplank.emulator.oracle import OracleWorld
 from kestrelplank.emulator.script import MS, Script
 from kestrelplank.emulator.world import World
-from kestrelplank.load_balancing.attempts import PROOFS
+from kestrelplank.load_balancing.operations import PROOFS_NOT_EXECUTED, AttemptOutcome
 from kestrelplank.policy import Conductor as Policy
 
 FORM = 1  # of the report
@@ -18,7 +18,7 @@
     script: Script,
     seed: int,
     policy: Callable[..., Any] = Policy,
-    proofs: tuple[str, ...] = PROOFS,
+    proofs: tuple[AttemptOutcome, ...] = PROOFS_NOT_EXECUTED,
     progress: Callable[[float], None] = lambda done: None,
     knowing: bool = False,
 ) -> dict:
--- a/kestrelplank/emulator/relays.py
+++ b/kestrelplank/emulator/relays.py
@@ -6,7 +6,10 @@
 
 from kestrelplank.emulator.clock import chance
 from kestrelplank.emulator.part import Actor
-from kestrelplank.load_balancing.attempts import ABORTED, GOOD, Attempts, Avoidance, Op, Send, Step, Wait
+from kestrelplank.load_balancing.attempts import Attempts, AttemptSettings
+from kestrelplank.load_balancing.operations import AttemptOutcome, Op, Send, Step, Verdict, Wait
+from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
+from kestrelplank.load_balancing.selection import SelectionMethod
 from kestrelplank.sockets.loop import Timer
 from kestrelplank.state.tables import Tables
 
@@ -61,11 +64,13 @@
         self.attempts = Attempts(
             random,
             self.tables,
-            [op_type.timeout for op_type in script.op_types.values()],
-            script.relays.pick,
-            script.relays.hold,
-            Avoidance(random, script.relays.strikes, script.relays.avoid),
-            self.world.proofs,
+            AttemptSettings(
+                [op_type.timeout for op_type in script.op_types.values()],
+                SelectionMethod(script.relays.pick),
+                script.relays.hold,
+                self.world.proofs,
+            ),
+            OutlierEjection(random, script.relays.strikes, script.relays.avoid),
         )
 
     def when_awake(self, do: Callable, *arguments: Any) -> None:
@@ -79,19 +84,19 @@
         """A client's op comes in."""
         world, now = self.world, self.clock.now()
         within = world.op_types[asked.op_type].timeout - (now - asked.begun)
-        op, step = self.attempts.ask(now, number, asked.op_type, asked.table, within)
+        op, step = self.attempts.submit(now, number, asked.op_type, asked.table, within)
         timer = self.clock.at(op.deadline, lambda: self.when_awake(self._late, number))
         self.ops[number] = InHand(op, asked, timer)
         self._act(op, step)
 
-    def ended(self, number: int, node: int, outcome: str) -> None:
+    def ended(self, number: int, node: int, outcome: AttemptOutcome) -> None:
         """A try has ended; what belongs to an op that is over, or to its other try, is late and means nothing."""
         held = self.ops.get(number)
         if held is None or held.op.node != node:
             return
         now = self.clock.now()
-        self.world.tried(self, held.asked, node, outcome == GOOD, now - held.op.sent_at)
-        self._act(held.op, self.attempts.ended(now, held.op, outcome))
+        self.world.tried(self, held.asked, node, outcome is AttemptOutcome.SUCCEEDED, now - held.op.sent_at)
+        self._act(held.op, self.attempts.attempt_ended(now, held.op, outcome))
 
     def _act(self, op: Op, step: Step) -> None:
         world = self.world
@@ -102,7 +107,7 @@
         else:
             held = self.ops.pop(op.number)
             held.timer.cancel()
-            world.clients.answered(held.asked, op, step.verdict, step.why)
+            world.clients.answered(held.asked, op, step.verdict, step.reason)
 
     def _late(self, number: int) -> None:
         held = self.ops.get(number)
@@ -111,12 +116,12 @@
         if held.op.node is not None:
             self.world.tried(self, held.asked, held.op.node, False, 0)
             self.world.network.hang_up(self, number, held.op.node)
-        self._act(held.op, self.attempts.give_up(self.clock.now(), held.op))
+        self._act(held.op, self.attempts.abandon(self.clock.now(), held.op))
 
     def _expire(self, number: int) -> None:
         held = self.ops.get(number)
-        if held is not None and held.op.until is not None:
-            self._act(held.op, self.attempts.expire(self.clock.now(), held.op))
+        if held is not None and held.op.waits_until is not None:
+            self._act(held.op, self.attempts.wait_expired(held.op))
 
     def apply(self, conductor: int, stream: int, number: int, orders: list[tuple], ordered_at: int) -> None:
         """A message from a conductor's channel."""
@@ -136,7 +141,7 @@
         now, world = self.clock.now(), self.world
         for table in changed:
             world.rules.lines(now, self.number, table, bool(self.tables.open(table)), world.due)
-        for op, step in self.attempts.changed(now, changed):
+        for op, step in self.attempts.tables_changed(now, changed):
             self._act(op, step)
 
     def kill(self) -> None:
@@ -146,7 +151,7 @@
             held.timer.cancel()
             if held.op.node is not None:
                 self.world.network.hang_up(self, number, held.op.node)
-            self.world.clients.answered(held.asked, held.op, ABORTED, "relay lost")
+            self.world.clients.answered(held.asked, held.op, Verdict.ABORTED, "relay lost")
         self.streams.clear()
         self.connected.clear()
         self.world.rules.left(self.number, range(self.world.script.site.slices))
--- a/kestrelplank/emulator/world.py
+++ b/kestrelplank/emulator/world.py
@@ -21,7 +21,7 @@
 from kestrelplank.emulator.rules import Rules
 from kestrelplank.emulator.score import Score
 from kestrelplank.emulator.script import MS, Script, most_waiting
-from kestrelplank.load_balancing.attempts import PROOFS
+from kestrelplank.load_balancing.operations import PROOFS_NOT_EXECUTED, AttemptOutcome
 from kestrelplank.policy import Conductor as Policy
 
 SLACK = 300 * MS  # what the protocol's page grants time limits on sockets
@@ -37,7 +37,7 @@
         seed: int,
         clock: Any,
         policy: Callable[..., Any] = Policy,
-        proofs: tuple[str, ...] = PROOFS,
+        proofs: tuple[AttemptOutcome, ...] = PROOFS_NOT_EXECUTED,
         conductor: Callable[..., Any] = LocalConductor,
         network: Callable[..., Network] = Network,
     ) -> None:
--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from kestrelplank.load_balancing.attempts import Avoidance
+from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
 from kestrelplank.transport.server_list import READY, Entry
 
 S = 1_000_000_000
@@ -100,7 +100,7 @@
         self._random, self._zone = random, zone
         self.by_name: dict[str, Endpoint] = {}
         self.services: dict[str, list[Endpoint]] = {}
-        self._avoidance = Avoidance(random, STRIKES, SPELL)
+        self._ejection = OutlierEjection(random, STRIKES, SPELL)
         self._given = 0
 
     def listed(self, now: int, fetched_at: int, entries: Iterable[Entry]) -> None:
@@ -131,7 +131,7 @@
         ]
         if not open_:
             return None
-        sound = self._avoidance.sound(now, [(endpoint.number, 1.0) for endpoint in open_])
+        sound = self._ejection.without_ejected(now, [(endpoint.number, 1.0) for endpoint in open_])
         if len(sound) < len(open_):
             kept = {number for number, _ in sound}
             open_ = [endpoint for endpoint in open_ if endpoint.number in kept]
@@ -146,7 +146,7 @@
 
     def avoided(self, now: int, endpoint: Endpoint) -> bool:
         """Whether tries there have failed in a row just now."""
-        return not self._avoidance.sound(now, [(endpoint.number, 1.0), (0, 1.0)])[0][0] == endpoint.number
+        return not self._ejection.without_ejected(now, [(endpoint.number, 1.0), (0, 1.0)])[0][0] == endpoint.number
 
     def began(self, endpoint: Endpoint) -> None:
         endpoint.own += 1
@@ -163,7 +163,7 @@
         endpoint.own -= 1
         endpoint.failed += not good
         if endpoint.listed:
-            self._avoidance.ended(now, endpoint.number, good)
+            self._ejection.record_attempt(now, endpoint.number, good)
         if good:
             endpoint.took += 0.1 * (min(took / S, 2.0) - endpoint.took)
         if load is not None:
--- a/kestrelplank/load_balancing/__init__.py
+++ b/kestrelplank/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions beside those of `policy/`, without I/O: attempts and avoidance, and what later subsystems decide."""
+"""Load balancing without I/O: which node an op goes to, and what is retried, limited, queued or rejected."""
--- a/kestrelplank/load_balancing/attempts.py
+++ b/kestrelplank/load_balancing/attempts.py
@@ -1,6 +1,7 @@
-"""What a relay does with one op: let it in, pick a line, wait for one, try again once and only with proof that the
-first try never ran, give up. The relay acts on the steps returned here (`Send`, `Wait`, `End`); nothing here sends or
-waits. An op that has ended is answered at once: holding the answer back would only stop the caller from asking again.
+"""What a proxy does with one op: admit it, choose a node, wait for one, retry once and only with proof, or give up.
+
+The proxy acts on the steps returned here (`Send`, `Wait`, `End`); nothing here sends or waits. An op that has ended is
+answered at once: holding the answer back would only stop the caller from asking again.
 """
 
 from collections import Counter
@@ -8,310 +9,282 @@
 from dataclasses import dataclass
 from random import Random
 
-from kestrelplank.load_balancing.limits import Limits, Queue
-from kestrelplank.load_balancing.picks import WeightedRoundRobin, less_loaded, rendezvous, weighted
-from kestrelplank.load_balancing.zones import Preference
+from kestrelplank.load_balancing.concurrency_limits import ConcurrencyLimits
+from kestrelplank.load_balancing.operations import (
+    PROOFS_NOT_EXECUTED,
+    UNREACHABLE,
+    AttemptOutcome,
+    End,
+    EndReason,
+    Op,
+    Send,
+    Step,
+    Verdict,
+    Wait,
+)
+from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
+from kestrelplank.load_balancing.retry_budget import RetryBudget
+from kestrelplank.load_balancing.selection import (
+    SelectionMethod,
+    WeightedRoundRobin,
+    less_loaded_of_two,
+    rendezvous,
+    weighted_random,
+)
+from kestrelplank.load_balancing.waiting_queue import WaitingQueue
+from kestrelplank.load_balancing.weights import WeightedNodes
+from kestrelplank.load_balancing.zone_preference import ZonePreference
 from kestrelplank.state.tables import Tables
 
-ACKED, REJECTED, ABORTED = "acked", "rejected", "aborted"
-
-# How a try may end, as the relay saw it.
-GOOD = "acked"
-FAILED = "failed"  # the node answered with an error: it may have run
-NOT_STARTED = "not started"  # the node's own word
-REFUSED = "refused"  # no connection came up
-UNSENT = "unsent"  # reset before the first byte of the op was written
-RESET = "reset"  # after a byte was written
-CUT = "cut short"  # the answer broke off
-SILENT = "silent"  # nothing came in time
-
-# That a try never ran is proved by these alone. A time-out proves nothing: the node may be about to run it.
-PROOFS = (NOT_STARTED, REFUSED, UNSENT)
-NOBODY = (REFUSED, SILENT)  # a try that met nobody: of a zone that is lost, no other
-
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """Open a try at that node."""
+class AttemptSettings:
+    """How ops are attempted.
 
-    node: int
-
-
-@dataclass(frozen=True, slots=True)
-class Wait:
-    """No node can be picked: call `expire` at that time (ns), and `changed` when tables change."""
+    :param op_timeouts_ns: by op type.
+    :param max_wait_ns: the longest wait for a node of a table that has none; 0 rejects at once.
+    :param proofs: outcomes that prove that an attempt never ran. Only tests may widen this, to plant a fault.
+    """
 
-    until: int
+    op_timeouts_ns: Sequence[int]
+    selection: SelectionMethod
+    max_wait_ns: int
+    proofs: Sequence[AttemptOutcome] = PROOFS_NOT_EXECUTED
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """Answer the caller now: acked, rejected (nothing has run) or aborted (it may have)."""
-
-    verdict: str
-    why: str
-
-
-Step = Send | Wait | End
-
-
-class Avoidance:
-    """Keeps away from a node at which `strikes` of this relay's own tries in a row have failed, for a time drawn
-    from `spell` (ns, least and most). Guards against a node that fails before any conductor has heard of it. Also
-    catches a cut between this relay and the node. Harm: chance failures in a row at a sound node; so where all
-    lines are avoided none is, and with 0 strikes nothing ever is."""
-
-    def __init__(self, random: Random, strikes: int, spell: tuple[int, int]) -> None:
-        self._random, self._strikes, self._spell = random, strikes, spell
-        self._row: dict[int, int] = {}
-        self._until: dict[int, int] = {}
-
-    def ended(self, now: int, node: int, good: bool) -> None:
-        """A try at that node has ended."""
-        if good:
-            self._row.pop(node, None)
-            return
-        self._row[node] = self._row.get(node, 0) + 1
-        if self._strikes and self._row[node] >= self._strikes:
-            del self._row[node]
-            self._until[node] = now + self._random.randint(*self._spell)
-
-    def sound(self, now: int, lines: Sequence[tuple[int, float]]) -> Sequence[tuple[int, float]]:
-        """The lines not avoided now, or all where that leaves none."""
-        if not self._until:
-            return lines
-        for node in [node for node, until in self._until.items() if until <= now]:
-            del self._until[node]
-        return [line for line in lines if line[0] not in self._until] or lines
-
-
-class Budget:
-    """Second tries an op type may have: `share` of its first ones, and `most` saved up for a bad moment. Guards against
-    a bad day that is doubled by tries again, and all relays doing so at once. Harm: in a short, sharp loss some ops are
-    turned away that another node would have acked.
-
-    Source: the retry budgets of Finagle (Twitter, 2013) and of gRPC's proposal A6 (2017), here counted by op type."""
-
-    def __init__(self, op_types: int, share: float, most: float) -> None:
-        self._share, self._most = share, most
-        self._saved = [most] * op_types
-
-    def asked(self, op_type: int) -> None:
-        self._saved[op_type] = min(self._most, self._saved[op_type] + self._share)
-
-    def spend(self, op_type: int) -> bool:
-        """Whether there is one more, which then is spent."""
-        if self._saved[op_type] < 1:
-            return False
-        self._saved[op_type] -= 1
-        return True
-
+class OverloadControl:
+    """What bounds the work that is sent: retries, ops in flight at a node, ops that wait for capacity."""
 
-class Op:
-    """One op in hand. `node` is where its try is out, since `sent_at`; `tried` the nodes it was sent to."""
+    retry_budget: RetryBudget | None = None
+    limits: ConcurrencyLimits | None = None
+    queue: WaitingQueue | None = None
 
-    __slots__ = ("number", "op_type", "table", "deadline", "key", "node", "tried", "until", "sent_at")
 
-    def __init__(self, number: int, op_type: int, table: int, deadline: int, key: str) -> None:
-        self.number, self.op_type, self.table, self.deadline, self.key = number, op_type, table, deadline, key
-        self.node: int | None = None
-        self.sent_at = 0
-        self.tried: tuple[int, ...] = ()
-        self.until: int | None = None  # it waits for a line, so long
+class Attempts:
+    """The ops of one proxy.
 
+    Where there is a queue, call `take_settled` after each of the other calls: what one op does may settle others.
 
-class Attempts:
-    """The ops of one relay. `op_timeouts` by op type and `hold`, the longest wait for a line, are in ns; `pick` is
-    random, rotate, two or key. `proofs` may be widened only by tests, which plant a relay that repeats without proof.
+    Invariants: no op is sent after an attempt that may have run, nor twice to one node (test
+    `test_no_op_is_sent_after_an_attempt_that_may_have_run_nor_twice_to_one_node`); there is at most one retry (test
+    `test_there_is_no_third_attempt`).
 
-    A relay may also have a `budget` for second tries, `limits` on what is out at a node with a `queue` of those who
-    wait for room, `weigh(node)`, the share of its weight that a node is given as yet, and `zones`, which are preferred.
-    Where it has a queue, call `settled` after each of the calls below: what one op does may settle others."""
+    :param weight_factor: the share of its weight that a node is given as yet.
+    :param zones: the preference among zones, where there is one.
+    """
 
     def __init__(
         self,
         random: Random,
         tables: Tables,
-        op_timeouts: Sequence[int],
-        pick: str,
-        hold: int,
-        avoidance: Avoidance,
-        proofs: Sequence[str] = PROOFS,
-        budget: Budget | None = None,
-        limits: Limits | None = None,
-        queue: Queue | None = None,
-        weigh: Callable[[int], float] | None = None,
-        zones: Preference | None = None,
+        settings: AttemptSettings,
+        ejection: OutlierEjection,
+        overload: OverloadControl = OverloadControl(),  # noqa: B008 - it is frozen
+        weight_factor: Callable[[int], float] | None = None,
+        zones: ZonePreference | None = None,
     ) -> None:
-        self._random, self._tables, self._pick, self._hold = random, tables, pick, hold
-        self._op_timeouts, self._avoidance, self._proofs = op_timeouts, avoidance, proofs
-        self._budget, self._limits, self._queue, self._weigh, self._zones = budget, limits, queue, weigh, zones
-        self._queued: dict[int, Op] = {}
-        self._steps: list[tuple[Op, Step]] = []
-        self._rotations: dict[int, WeightedRoundRobin] = {}
-        self.own: Counter[int] = Counter()  # tries out, by node
-        self._waiting: dict[int, dict[int, Op]] = {}  # by table, in order of arrival
+        self._random, self._tables, self._settings, self._ejection = random, tables, settings, ejection
+        self._retry_budget, self._limits, self._queue = overload.retry_budget, overload.limits, overload.queue
+        self._weight_factor, self._zones = weight_factor, zones
+        self._queued: dict[int, Op] = {}  # those that wait for capacity, by number
+        self._waiting: dict[int, dict[int, Op]] = {}  # those that wait for a node, by table, in order of arrival
+        self._settled: list[tuple[Op, Step]] = []
+        self._round_robins: dict[int, WeightedRoundRobin] = {}  # by table
+        self.in_flight: Counter[int] = Counter()  # attempts, by node
         self.counts: Counter[str] = Counter()
 
-    def ask(
-        self, now: int, number: int, op_type: int, table: int, within: int | None = None, key: str = ""
+    # What happens to an op.
+
+    def submit(
+        self, now: int, number: int, op_type: int, table: int, caller_timeout_ns: int | None = None, key: str = ""
     ) -> tuple[Op, Step]:
-        """A new op, which its caller waits for so long (ns; its op timeout if that is less or nothing is said)."""
+        """Take a new op.
+
+        :param caller_timeout_ns: how long its caller waits, where that is less than its op timeout.
+        :param key: what its node is chosen by where nodes are chosen by key.
+        """
         self.counts["asked"] += 1
-        limit = self._op_timeouts[op_type]
-        op = Op(number, op_type, table, now + (limit if within is None else min(limit, within)), key)
-        if self._budget:
-            self._budget.asked(op_type)
-        share = self._tables.share(table, op_type)
-        if share < 1.0 and self._random.random() >= share:
-            return op, self._end(op, REJECTED, "level")
+        timeout_ns = self._settings.op_timeouts_ns[op_type]
+        if caller_timeout_ns is not None:
+            timeout_ns = min(timeout_ns, caller_timeout_ns)
+        op = Op(number, op_type, table, now + timeout_ns, key)
+        if self._retry_budget:
+            self._retry_budget.earn(op_type)
+        admitted_share = self._tables.share(table, op_type)
+        if admitted_share < 1.0 and self._random.random() >= admitted_share:
+            return op, self._end(Verdict.REJECTED, EndReason.ADMISSION_LEVEL)
         node = self._choose(now, op)
         if node is not None:
             return op, self._send(now, op, node)
         if self._limits is not None and self._tables.open(table):
             return op, self._enqueue(now, op)
-        if not self._hold:
-            return op, self._end(op, REJECTED, "no line")
-        op.until = min(now + self._hold, op.deadline)
-        self._waiting.setdefault(table, {})[number] = op
-        return op, Wait(op.until)
-
-    def ended(self, now: int, op: Op, outcome: str) -> Step:
-        """The try that was out has ended so."""
-        self._back(now, op, outcome)
-        if outcome == GOOD:
-            return self._end(op, ACKED, "")
-        if outcome not in self._proofs:
-            return self._end(op, ABORTED, outcome)
-        if len(op.tried) > 1 or not self._tables.again(op.table):
-            return self._end(op, REJECTED, outcome)
+        return op, self._wait_for_node(now, op)
+
+    def attempt_ended(self, now: int, op: Op, outcome: AttemptOutcome) -> Step:
+        """Take the outcome of the attempt that was in flight."""
+        self._record_end(now, op, outcome)
+        if outcome == AttemptOutcome.SUCCEEDED:
+            return self._end(Verdict.ACKED, EndReason.NONE)
+        if outcome not in self._settings.proofs:
+            return self._end(Verdict.ABORTED, outcome)
+        if len(op.attempted_nodes) > 1 or not self._tables.again(op.table):
+            return self._end(Verdict.REJECTED, outcome)
+        return self._retry(now, op)
+
+    def _retry(self, now: int, op: Op) -> Step:
         if now >= op.deadline:
-            return self._end(op, REJECTED, "op timeout")
+            return self._end(Verdict.REJECTED, EndReason.OP_TIMEOUT)
         node = self._choose(now, op)
         if node is None:
-            return self._end(op, REJECTED, "no other line")
-        if self._budget and not self._budget.spend(op.op_type):
-            return self._end(op, REJECTED, "budget")
+            return self._end(Verdict.REJECTED, EndReason.NO_OTHER_NODE)
+        if self._retry_budget and not self._retry_budget.spend(op.op_type):
+            return self._end(Verdict.REJECTED, EndReason.RETRY_BUDGET)
         self.counts["second_tries"] += 1
         return self._send(now, op, node)
 
-    def give_up(self, now: int, op: Op, why: str = "op timeout") -> End:
-        """Its time is over, or its caller has gone. A try that is out may yet run: the relay closes it, which is
-        no proof, and the op is never sent again."""
+    def abandon(self, now: int, op: Op, reason: EndReason | AttemptOutcome = EndReason.OP_TIMEOUT) -> End:
+        """End an op whose time is over, or whose caller has gone.
+
+        An attempt in flight may yet run: the proxy closes it, which is no proof, and the op is never sent again.
+        """
         if op.node is None:
-            self._forget(op)
-            return self._end(op, REJECTED, why)
-        self._back(now, op, SILENT)
-        return self._end(op, ABORTED, why)
-
-    def expire(self, now: int, op: Op) -> End:
-        """The wait for a line, or for room at a node, is over."""
-        queued = op.number in self._queued
-        self._forget(op)
-        return self._end(op, REJECTED, "no room in time" if queued else "no line")
-
-    def changed(self, now: int, tables: Iterable[int]) -> list[tuple[Op, Step]]:
-        """These tables may have other lines now: the ops that wait for one and get it, in order of arrival."""
-        steps = []
+            self._stop_waiting(op)
+            return self._end(Verdict.REJECTED, reason)
+        self._record_end(now, op, AttemptOutcome.TIMED_OUT)
+        return self._end(Verdict.ABORTED, reason)
+
+    def wait_expired(self, op: Op) -> End:
+        """End an op whose wait for a node, or for capacity at one, is over."""
+        reason = EndReason.QUEUE_TIMEOUT if op.number in self._queued else EndReason.NO_NODE
+        self._stop_waiting(op)
+        return self._end(Verdict.REJECTED, reason)
+
+    # What happens to others meanwhile.
+
+    def tables_changed(self, now: int, tables: Iterable[int]) -> list[tuple[Op, Step]]:
+        """Return what becomes of ops that wait for a node of these tables and now get one, in order of arrival."""
+        steps: list[tuple[Op, Step]] = []
         for table in tables if self._waiting else ():
             for op in list(self._waiting.get(table, {}).values()):
                 node = self._choose(now, op)
                 if node is not None:
-                    self._forget(op)
+                    self._stop_waiting(op)
                     steps.append((op, self._send(now, op, node)))
         return steps
 
-    def settled(self, now: int) -> list[tuple[Op, Step]]:
-        """What the last calls have settled of other ops: turned away for a dearer one, or sent as room was made."""
-        if self._queued:
-            self._queue.next(lambda number: self._dequeue(now, self._queued[number]))
-        steps, self._steps = self._steps, []
-        return steps
+    def take_settled(self, now: int) -> list[tuple[Op, Step]]:
+        """Return what the last calls have settled of queued ops: displaced, or sent as there is capacity now."""
+        if self._queued and self._queue is not None:
+            self._queue.release(lambda number: self._send_queued(now, self._queued[number]))
+        settled, self._settled = self._settled, []
+        return settled
 
-    def _dequeue(self, now: int, op: Op) -> bool:
-        """Sends an op that waits for room, if some node has it; whether one has."""
+    def _send_queued(self, now: int, op: Op) -> bool:
+        """Send an op that waits for capacity, if some node has it; return whether one has."""
         node = self._choose(now, op)
         if node is None:
             return False
         del self._queued[op.number]
-        op.until = None
-        self._steps.append((op, self._send(now, op, node)))
+        op.waits_until = None
+        self._settled.append((op, self._send(now, op, node)))
         return True
 
-    def waiting(self) -> int:
+    # Ops that wait.
+
+    def waiting_count(self) -> int:
+        """Return how many ops wait, for a node or for capacity."""
         return sum(map(len, self._waiting.values())) + len(self._queued)
 
+    def _wait_for_node(self, now: int, op: Op) -> Wait | End:
+        if not self._settings.max_wait_ns:
+            return self._end(Verdict.REJECTED, EndReason.NO_NODE)
+        op.waits_until = min(now + self._settings.max_wait_ns, op.deadline)
+        self._waiting.setdefault(op.table, {})[op.number] = op
+        return Wait(op.waits_until)
+
     def _enqueue(self, now: int, op: Op) -> Wait | End:
-        until, turned = None, []
+        until: int | None = None
+        displaced: list[int] = []
         if self._queue is not None:
-            until, turned = self._queue.put(now, op.number, op.op_type, op.deadline)
-        for number in turned:
+            until, displaced = self._queue.enqueue(now, op.number, op.op_type, op.deadline)
+        for number in displaced:
             other = self._queued.pop(number)
-            other.until = None
-            self._steps.append((other, self._end(other, REJECTED, "turned away")))
+            other.waits_until = None
+            self._settled.append((other, self._end(Verdict.REJECTED, EndReason.DISPLACED)))
         if until is None:
-            return self._end(op, REJECTED, "full")
-        op.until = until
+            return self._end(Verdict.REJECTED, EndReason.QUEUE_FULL)
+        op.waits_until = until
         self._queued[op.number] = op
         return Wait(until)
 
+    def _stop_waiting(self, op: Op) -> None:
+        op.waits_until = None
+        if self._queued.pop(op.number, None) is not None:
+            if self._queue is not None:
+                self._queue.remove(op.number)
+            return
+        waiting = self._waiting.get(op.table, {})
+        waiting.pop(op.number, None)
+        if not waiting:
+            self._waiting.pop(op.table, None)
+
+    # The choice of a node.
+
     def _choose(self, now: int, op: Op) -> int | None:
-        """The node for its next try; None where none may be had."""
-        lines = self._candidates(now, op)
-        if not lines:
+        """Return the node for the next attempt; None where there is none."""
+        candidates = self._candidates(now, op)
+        if not candidates:
             return None
-        if self._weigh and len(lines) > 1:
-            lines = [(node, weight * self._weigh(node)) for node, weight in lines]
-        if self._pick == "key":
-            return rendezvous(op.key, lines)
-        if self._pick == "two":
-            return less_loaded(self._random, lines, self.own)
-        if self._pick == "rotate":
-            return self._rotations.setdefault(op.table, WeightedRoundRobin()).pick(lines)
-        return weighted(self._random, lines)
-
-    def _candidates(self, now: int, op: Op) -> Sequence[tuple[int, float]]:
-        """Nodes with their weights that the op may go to now: not tried yet, with room, preferably sound ones."""
-        lines: Sequence[tuple[int, float]] = self._tables.open(op.table)
-        if op.tried:
-            lines = [line for line in lines if line[0] not in op.tried]
-        if self._zones is not None and lines:
-            lines = self._zones.narrow(now, lines)
+        if self._weight_factor and len(candidates) > 1:
+            candidates = [(node, weight * self._weight_factor(node)) for node, weight in candidates]
+        selection = self._settings.selection
+        if selection is SelectionMethod.KEY:
+            return rendezvous(op.key, candidates)
+        if selection is SelectionMethod.TWO_CHOICES:
+            return less_loaded_of_two(self._random, candidates, self.in_flight)
+        if selection is SelectionMethod.ROUND_ROBIN:
+            return self._round_robins.setdefault(op.table, WeightedRoundRobin()).select(candidates)
+        return weighted_random(self._random, candidates)
+
+    def _candidates(self, now: int, op: Op) -> WeightedNodes:
+        """Return the nodes that the op may go to now: not attempted yet, with capacity, preferably not ejected."""
+        candidates: WeightedNodes = self._tables.open(op.table)
+        if op.attempted_nodes:
+            candidates = [candidate for candidate in candidates if candidate[0] not in op.attempted_nodes]
+        if self._zones is not None and candidates:
+            candidates = self._zones.eligible(now, candidates)
         if self._limits:
-            lines = [line for line in lines if self._limits.room(line[0], op.op_type)]
-        return self._avoidance.sound(now, lines) if lines else lines
+            limits, op_type = self._limits, op.op_type
+            candidates = [candidate for candidate in candidates if limits.has_capacity(candidate[0], op_type)]
+        return self._ejection.without_ejected(now, candidates) if candidates else candidates
+
+    # Attempts in flight, and the end.
 
     def _send(self, now: int, op: Op, node: int) -> Send:
-        op.node, op.tried, op.sent_at = node, (*op.tried, node), now
-        self.own[node] += 1
+        op.node, op.attempted_nodes, op.sent_at = node, (*op.attempted_nodes, node), now
+        self.in_flight[node] += 1
         if self._limits:
-            self._limits.began(node, op.op_type)
+            self._limits.attempt_started(node, op.op_type)
         if self._zones is not None:
-            self._zones.began(node)
+            self._zones.attempt_started(node)
         return Send(node)
 
-    def _back(self, now: int, op: Op, outcome: str) -> None:
-        good = outcome == GOOD
+    def _record_end(self, now: int, op: Op, outcome: AttemptOutcome) -> None:
+        """Take note that the op's attempt is no longer in flight."""
+        node = op.node
+        assert node is not None, "an attempt has ended that was never sent"
+        succeeded = outcome == AttemptOutcome.SUCCEEDED
         if self._zones is not None:
-            self._zones.ended(now, op.node, outcome not in NOBODY)
+            self._zones.attempt_ended(now, node, outcome not in UNREACHABLE)
         if self._limits:
-            self._limits.ended(op.node, op.op_type, now - op.sent_at if good else None)
-        self.own[op.node] -= 1
-        if not self.own[op.node]:
-            del self.own[op.node]
-        self._avoidance.ended(now, op.node, good)
+            self._limits.attempt_ended(node, op.op_type, now - op.sent_at if succeeded else None)
+        self.in_flight[node] -= 1
+        if not self.in_flight[node]:
+            del self.in_flight[node]
+        self._ejection.record_attempt(now, node, succeeded)
         op.node = None
 
-    def _forget(self, op: Op) -> None:
-        op.until = None
-        if self._queued.pop(op.number, None) is not None:
-            self._queue.drop(op.number)
-            return
-        waiting = self._waiting.get(op.table, {})
-        waiting.pop(op.number, None)
-        if not waiting:
-            self._waiting.pop(op.table, None)
-
-    def _end(self, op: Op, verdict: str, why: str) -> End:
+    def _end(self, verdict: Verdict, reason: EndReason | AttemptOutcome) -> End:
         self.counts[verdict] += 1
-        return End(verdict, why)
+        return End(verdict, reason)
--- a/kestrelplank/reference_proxy/client.py
+++ b/kestrelplank/reference_proxy/client.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from kestrelplank.load_balancing.admission import REFUSE
+from kestrelplank.load_balancing.admission import CloseReason, ConnectionState
 from kestrelplank.reference_proxy.exchange import Exchange, Stage
 from kestrelplank.reference_proxy.message import own_answer
 from kestrelplank.reference_proxy.request import Refusal
@@ -41,7 +41,7 @@
         if self._reads_head():
             self._head_size += len(data)
         if not self.queue:
-            self._is("head")
+            self._is(ConnectionState.READING_HEAD)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -135,12 +135,12 @@
             if not exchange.keep or not exchange.request.whole or self.proxy.stopping:
                 self._close_when_written()
                 return
-            self._is("idle")
+            self._is(ConnectionState.IDLE)
             self._connection.read(len(self.queue) <= 1)
         self._next_from_loop()
 
-    def _is(self, state: str) -> None:
-        self.proxy.admission.state(self.proxy.loop.now(), self.number, state)
+    def _is(self, state: ConnectionState) -> None:
+        self.proxy.admission.enter_state(self.proxy.loop.now(), self.number, state)
 
     def _next_from_loop(self) -> None:
         """Not at once, as the parser may be feeding."""
@@ -149,7 +149,7 @@
     def _next(self) -> None:
         """The first request goes on its way, if it has not."""
         if self.queue and self.queue[0].stage is Stage.QUEUED and self._connection.open:
-            self._is("busy")
+            self._is(ConnectionState.BUSY)
             self.proxy.begin(self.queue[0])
         elif self._refusal is not None and not self.queue and self._connection.open:
             if self._answer_refusal:
@@ -181,11 +181,11 @@
         proxy = self._proxy
         self._given += 1
         number, client = self._given, sock.getpeername()[0] if sock.family == socket.AF_INET else ""
-        how, push = proxy.admission.came(proxy.loop.now(), number, client)
-        if push is not None:
+        decision = proxy.admission.connect(proxy.loop.now(), number, client)
+        if decision.evicted is not None:
             proxy.counters.add("clients_pushed_out")
-            self.connections[push].close("pushed out")
-        if how == REFUSE:
+            self.connections[decision.evicted].close("pushed out")
+        if not decision.admitted:
             proxy.counters.add("clients_refused")
             sock.close()
             return
@@ -198,17 +198,17 @@
     def gone(self, client: ClientConnection) -> None:
         """Its connection has ended."""
         self.connections.pop(client.number, None)
-        self._proxy.admission.gone(client.number)
+        self._proxy.admission.disconnect(client.number)
 
     def close_late(self) -> None:
         """Closes who sends no whole head in time, or nothing for too long."""
         proxy = self._proxy
-        for number, why in proxy.admission.late(proxy.loop.now(), proxy.stopping):
+        for number, why in proxy.admission.late_connections(proxy.loop.now(), stopping=proxy.stopping):
             client = self.connections.get(number)
             if client is None:
                 continue
             proxy.counters.add("clients_late")
-            if why != "idle":
+            if why is not CloseReason.IDLE:
                 client.write(own_answer(408, why, False))
             client.close(why)
 
--- a/kestrelplank/reference_proxy/exchange.py
+++ b/kestrelplank/reference_proxy/exchange.py
@@ -3,7 +3,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple
 
-from kestrelplank.load_balancing.attempts import CUT, FAILED, GOOD, NOT_STARTED, RESET, UNSENT, Op
+from kestrelplank.load_balancing.operations import AttemptOutcome, Op
 from kestrelplank.reference_proxy.message import LAST, NO_BODY, Header, chunk, head, one, passed_on
 from kestrelplank.reference_proxy.node import NodeConnection
 from kestrelplank.reference_proxy.request import Request
@@ -144,18 +144,21 @@
         if self._chunked_out and not self._not_started:
             self._write(LAST)
         self.flush()
-        outcome = NOT_STARTED if self._not_started else FAILED if self._status >= 500 else GOOD
+        if self._not_started:
+            outcome = AttemptOutcome.NOT_STARTED
+        else:
+            outcome = AttemptOutcome.FAILED if self._status >= 500 else AttemptOutcome.SUCCEEDED
         connection, self.connection = self.connection, None
         self.proxy.tried(self, connection, keep and self.request.whole, outcome)
 
     def on_lost(self, why: str) -> None:
         connection, self.connection = self.connection, None
         if not connection.written:
-            outcome = UNSENT
+            outcome = AttemptOutcome.UNSENT
         elif self.stage is Stage.ANSWERING or self._not_started:
-            outcome = CUT
+            outcome = AttemptOutcome.TRUNCATED
         else:
-            outcome = RESET
+            outcome = AttemptOutcome.RESET
         self._not_started = False
         self.proxy.tried(self, connection, False, outcome)
 
--- a/kestrelplank/reference_proxy/hub.py
+++ b/kestrelplank/reference_proxy/hub.py
@@ -16,7 +16,7 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, Malformed, count, flag, listed, mapping, parsed, text, whole
-from kestrelplank.load_balancing.attempts import ABORTED
+from kestrelplank.load_balancing.operations import Verdict
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL, Client, Stream
 from kestrelplank.sockets.loop import Loop
@@ -143,7 +143,7 @@
     def on_op(self, table: int, op_type: int, verdict: str) -> None:
         sums = self._heat.setdefault((table, op_type), OpSum())
         sums.count += 1
-        sums.aborted += verdict == ABORTED
+        sums.aborted += verdict == Verdict.ABORTED
 
     def _report(self) -> None:
         self._timer = self._loop.at(self._loop.now() + PERIOD, self._report)
--- a/kestrelplank/reference_proxy/keyed.py
+++ b/kestrelplank/reference_proxy/keyed.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.load_balancing.attempts import REJECTED
+from kestrelplank.load_balancing.operations import Verdict
 from kestrelplank.reference_proxy.exchange import Exchange
 from kestrelplank.reference_proxy.request import Refusal
 from kestrelplank.state.answers import BUSY, FULL, KNOWN, NEW, OTHER, Answers
@@ -59,7 +59,7 @@
         return {FULL: TOO_MANY, OTHER: OTHER_REQUEST}.get(told, MAY_HAVE_RUN)
 
     def settle(
-        self, exchange: Exchange, verdict: str, answer: list[bytes] | None
+        self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None
     ) -> tuple[list[int], Replay | Refusal]:
         """The first one's op has ended; `answer`: it had this one. Returns the numbers of those who wait for it, and
         what they get."""
@@ -67,7 +67,7 @@
         if answer:
             whole = b"".join(answer)
             return self._answers.done(key, whole), Replay(whole)
-        ran = verdict != REJECTED
+        ran = verdict is not Verdict.REJECTED
         return self._answers.failed(key, ran), MAY_HAVE_RUN if ran else FIRST_REJECTED
 
     def release(self, exchange: Exchange) -> None:
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -10,11 +10,17 @@
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.decode import Ids, Malformed, text
 from kestrelplank.file_discovery.whole import write_whole
-from kestrelplank.load_balancing import admission, limits, pools
-from kestrelplank.load_balancing.attempts import Attempts, Avoidance, Budget
-from kestrelplank.load_balancing.returning import Damping
-from kestrelplank.load_balancing.tiers import Distances
-from kestrelplank.load_balancing.zones import Preference, Terms
+from kestrelplank.load_balancing.admission import Admission, AdmissionSettings
+from kestrelplank.load_balancing.attempts import Attempts, AttemptSettings, OverloadControl
+from kestrelplank.load_balancing.concurrency_limits import ConcurrencyLimits, ConcurrencyLimitSettings
+from kestrelplank.load_balancing.connection_pool import PoolSettings
+from kestrelplank.load_balancing.flap_damping import FlapDampingSettings
+from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
+from kestrelplank.load_balancing.retry_budget import RetryBudget
+from kestrelplank.load_balancing.selection import SelectionMethod
+from kestrelplank.load_balancing.waiting_queue import WaitingQueue
+from kestrelplank.load_balancing.zone_distances import ZoneDistances
+from kestrelplank.load_balancing.zone_preference import ZonePreference, ZonePreferenceSettings
 from kestrelplank.reference_proxy.hub import PERIOD, HubClient
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.reference_proxy.request import Request
@@ -51,13 +57,13 @@
     )
 
 
-def client_terms(file: config.RelayFile) -> admission.Terms:
-    return admission.Terms(file.clients.most, file.clients.each, file.clients.head, file.clients.idle)
+def admission_settings(file: config.RelayFile) -> AdmissionSettings:
+    return AdmissionSettings(file.clients.most, file.clients.each, file.clients.head, file.clients.idle)
 
 
-def node_terms(file: config.RelayFile) -> pools.Terms:
+def pool_settings(file: config.RelayFile) -> PoolSettings:
     nodes = file.nodes
-    return pools.Terms(nodes.most, nodes.idle, nodes.uses, nodes.grace, nodes.warm_up, nodes.cold_from)
+    return PoolSettings(nodes.most, nodes.idle, nodes.uses, nodes.grace, nodes.warm_up, nodes.cold_from)
 
 
 class Relay:
@@ -71,10 +77,11 @@
         self.addresses: dict[int, str] = {}
         self._zone_of: dict[int, int] = {}
         self._dirty = False
-        held = limits.Limits(limits.Terms(file.tries.first, file.tries.least, file.tries.most, file.tries.tolerance))
-        self.zones = self._preference(held) if file.zones.prefer else None
-        self.distances = Distances()
-        self.attempts = self._made_attempts(held)
+        tries = file.tries
+        limits = ConcurrencyLimits(ConcurrencyLimitSettings(tries.first, tries.least, tries.most, tries.tolerance))
+        self.zones = self._preference(limits) if file.zones.prefer else None
+        self.distances = ZoneDistances()
+        self.attempts = self._made_attempts(limits)
         self._by = b"" if place.block_by == "path" else place.block_by.lower().encode()
         self.kept_at: float | None = self._restore()
         self.proxy = self._made_proxy(listening)
@@ -82,20 +89,20 @@
         self._looks = loop.at(loop.now() + PERIOD, self._look_at_distances)
         self._timer = loop.at(loop.now() + place.state_every, self._keep)
 
-    def _made_attempts(self, held: limits.Limits) -> Attempts:
+    def _made_attempts(self, limits: ConcurrencyLimits) -> Attempts:
         tries, ops, random = self.file.tries, list(self.file.op_types.values()), Random(self.file.place.seed)
         values, targets = [op.value for op in ops], [op.target for op in ops]
         return Attempts(
             random,
             self.tables,
-            [op.timeout for op in ops],
-            tries.pick,
-            tries.hold,
-            Avoidance(random, tries.strikes, tries.avoid),
-            budget=Budget(len(ops), tries.budget, tries.budget_saved),
-            limits=held if tries.limited else None,
-            queue=limits.Queue(tries.queue, targets, values, tries.queue_part),
-            weigh=self._weigh if self.file.nodes.warm_up else None,
+            AttemptSettings([op.timeout for op in ops], SelectionMethod(tries.pick), tries.hold),
+            OutlierEjection(random, tries.strikes, tries.avoid),
+            OverloadControl(
+                RetryBudget(len(ops), tries.budget, tries.budget_saved),
+                limits if tries.limited else None,
+                WaitingQueue(tries.queue, targets, values, tries.queue_part),
+            ),
+            weight_factor=self._weigh if self.file.nodes.warm_up else None,
             zones=self.zones,
         )
 
@@ -110,9 +117,9 @@
             bounds(file),
             self.tables,
             self.attempts,
-            admission.Admission(client_terms(file)),
+            Admission(admission_settings(file)),
             answers.Answers(answers.Terms(clients.answers, clients.answers_bytes, clients.answers_age)),
-            node_terms(file),
+            pool_settings(file),
             self.addresses,
             self._table_of,
             self._on_try,
@@ -136,31 +143,31 @@
             self._placed,
         )
 
-    def _preference(self, held: limits.Limits) -> Preference:
+    def _preference(self, limits: ConcurrencyLimits) -> ZonePreference:
         file, own = self.file.zones, self.ids.zone(self.file.place.zone)
-        terms = Terms(tuple(map(share, file.spill)), file.near, file.begins, file.ends, file.panic)
-        damping = Damping(file.window, file.free, file.first, file.longest, file.quiet)
+        settings = ZonePreferenceSettings(tuple(map(share, file.spill)), file.near, file.begins, file.ends, file.panic)
+        damping = FlapDampingSettings(file.window, file.free, file.first, file.longest, file.quiet)
         count = len(self.file.op_types)
-        return Preference(own, terms, damping, file.strikes, lambda node: held.room_of(node, count))
+        return ZonePreference(own, settings, damping, file.strikes, lambda node: limits.usage(node, count))
 
     def _placed(self, node: int, zone: int) -> None:
         self._zone_of[node] = zone
         if self.zones:
-            self.zones.placed(node, zone)
+            self.zones.set_node_zone(node, zone)
 
     def _look_at_distances(self) -> None:
         """What the last second's answers say of how far zones are."""
         self._looks = self.loop.at(self.loop.now() + PERIOD, self._look_at_distances)
-        self.distances.close()
+        self.distances.close_period()
         own = self.ids.zones.get(self.file.place.zone, 0)
         for zone in self.ids.zones.values():
             distance = self.distances.between(own, zone) if self.zones and zone != own else None
             if distance is not None:
-                self.zones.far(zone, distance)
+                self.zones.set_distance(zone, distance)
 
     def _weigh(self, node: int) -> float:
         pool = self.proxy.upstream.pools.get(node)
-        return 1.0 if pool is None else pool.share(self.loop.now())
+        return 1.0 if pool is None else pool.weight_share(self.loop.now())
 
     def _table_of(self, request: Request) -> int:
         """The slice of an op: by the header that the file names, or its path."""
@@ -171,7 +178,7 @@
         if self.hub:
             self.hub.on_try(table, node, op_type, good, time)
         if self.zones and good and node in self._zone_of:
-            self.distances.seen(self.ids.zone(self.file.place.zone), self._zone_of[node], 1, time)
+            self.distances.add(self.ids.zone(self.file.place.zone), self._zone_of[node], 1, time)
 
     def _on_op(self, *told: object) -> None:
         if self.hub:
@@ -231,7 +238,7 @@
             raise Unusable("op types can't be added, taken away or put in another order while the relay runs")
         self.file = file
         self.proxy.reconfigure(op_types(file), bounds(file))
-        self.proxy.admission.terms = client_terms(file)
+        self.proxy.admission.settings = admission_settings(file)
 
     def close(self) -> None:
         self._timer.cancel()
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -1,8 +1,9 @@
 """The proxy: clients on one side, nodes on the other, and between them one exchange an op.
 
-What is decided comes from the cores: `Admission` holds client connections, `Attempts` ops and their tries, a `Pool` a
-node its connections, `Answers` the answers of deduplicated ops. Here ops are led from their request to their answer;
-bytes are moved by `client`, `exchange` and `upstream`, bounded on both sides: who does not read holds up who writes.
+What is decided comes from the cores: `Admission` holds client connections, `Attempts` ops and their attempts, a
+`ConnectionPool` a node's connections, `Answers` the answers of deduplicated ops. Here ops are led from their request to
+their answer; bytes are moved by `client`, `exchange` and `upstream`, bounded on both sides: who does not read holds up
+who writes.
 """
 
 import socket
@@ -10,22 +11,11 @@
 from collections.abc import Callable
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.load_balancing import pools
 from kestrelplank.load_balancing.admission import Admission
-from kestrelplank.load_balancing.attempts import (
-    ABORTED,
-    ACKED,
-    FAILED,
-    GOOD,
-    REJECTED,
-    UNSENT,
-    Attempts,
-    Op,
-    Send,
-    Step,
-    Wait,
-)
-from kestrelplank.load_balancing.limits import comes_back
+from kestrelplank.load_balancing.attempts import Attempts
+from kestrelplank.load_balancing.connection_pool import PoolSettings
+from kestrelplank.load_balancing.operations import AttemptOutcome, EndReason, Op, Send, Step, Verdict, Wait
+from kestrelplank.load_balancing.waiting_queue import retry_after_s
 from kestrelplank.reference_proxy.client import ClientConnection, Clients
 from kestrelplank.reference_proxy.exchange import Bounds, Exchange, Stage
 from kestrelplank.reference_proxy.keyed import Forward, Found, KeyedRequests, Replay
@@ -40,7 +30,6 @@
 
 SWEEP = 100_000_000  # ns between looks for connections that are late
 MANY_WAITING = 1 << 10  # ops that wait, at which who is turned away is told to come again twice as late
-OP_TIMEOUT, CALLER_GONE = "op timeout", "caller gone"
 NO_OP_TYPE = Refusal(501, "no op type has this method and target")
 
 
@@ -61,7 +50,7 @@
         attempts: Attempts,
         admission: Admission,
         answers: Answers,
-        terms: pools.Terms,
+        pool_settings: PoolSettings,
         addresses: dict[int, str],
         table_of: Callable[[Request], int],
         on_try: Callable[..., None] = lambda *_: None,
@@ -75,7 +64,7 @@
         self.exchanges: dict[int, Exchange] = {}  # by number
         self._given = 0
         self._keyed = KeyedRequests(answers, counters)
-        self.upstream = Upstream(loop, buffers, counters, terms, addresses, bounds.dial, self._end_try)
+        self.upstream = Upstream(loop, buffers, counters, pool_settings, addresses, bounds.dial, self._end_try)
         self.reconfigure(op_types, bounds)
         self.clients = Clients(self, at)
         self.at = self.clients.listener.at
@@ -88,7 +77,7 @@
 
     def changed(self, tables: list[int]) -> None:
         """The relay's tables have changed: who waits may go, and nodes that no open line names get nothing more."""
-        for op, step in self.attempts.changed(self.loop.now(), tables):
+        for op, step in self.attempts.tables_changed(self.loop.now(), tables):
             self._act(self.exchanges[op.number], step)
         self._settle()
         named: dict[int, None] = {}
@@ -140,8 +129,8 @@
         """Nobody waits for it any more, or the rest of it will never come."""
         if exchange.op is not None:
             self.outcomes["gone"] += 1
-            self._abandon_try(exchange, CALLER_GONE)
-            end = self.attempts.give_up(self.loop.now(), exchange.op, CALLER_GONE)
+            self._abandon_try(exchange, EndReason.CALLER_GONE)
+            end = self.attempts.abandon(self.loop.now(), exchange.op, EndReason.CALLER_GONE)
             self._done(exchange, end.verdict, None)
             self._settle()
         else:
@@ -162,10 +151,10 @@
             return
         if exchange.op is None:
             self._leave(exchange)
-            self._answer(exchange, 504, OP_TIMEOUT)
+            self._answer(exchange, 504, EndReason.OP_TIMEOUT)
             return
-        self._abandon_try(exchange, OP_TIMEOUT)
-        self._act(exchange, self.attempts.give_up(self.loop.now(), exchange.op))
+        self._abandon_try(exchange, EndReason.OP_TIMEOUT)
+        self._act(exchange, self.attempts.abandon(self.loop.now(), exchange.op))
         self._settle()
 
     # Answers that are not a node's.
@@ -189,7 +178,7 @@
         exchange.keep = exchange.keep and exchange.request.whole and not self.stopping
         more = []
         if retry:
-            more.append((b"Retry-After", b"%d" % comes_back(0, self.attempts.waiting(), MANY_WAITING)))
+            more.append((b"Retry-After", b"%d" % retry_after_s(0, self.attempts.waiting_count(), MANY_WAITING)))
         self._leave(exchange)
         exchange.answer(own_answer(status, why, exchange.keep, more))
         exchange.client.finished(exchange)
@@ -205,7 +194,7 @@
 
     def _ask(self, exchange: Exchange) -> None:
         now, table = self.loop.now(), self._table_of(exchange.request)
-        exchange.op, step = self.attempts.ask(
+        exchange.op, step = self.attempts.submit(
             now, exchange.number, exchange.op_type, table, exchange.deadline - now, exchange.key
         )
         self._act(exchange, step)
@@ -217,32 +206,32 @@
         elif isinstance(step, Wait):
             self.loop.at(step.until, lambda: self._expire(exchange, step.until))
         else:
-            self._end(exchange, step.verdict, step.why)
+            self._end(exchange, step.verdict, step.reason)
 
     def _settle(self) -> None:
         """Acts on what the last calls of `attempts` have settled of other ops."""
-        for op, step in self.attempts.settled(self.loop.now()):
+        for op, step in self.attempts.take_settled(self.loop.now()):
             if op.number in self.exchanges:
                 self._act(self.exchanges[op.number], step)
 
     def _expire(self, exchange: Exchange, until: int) -> None:
-        if exchange.op is not None and exchange.op.until == until:
-            self._act(exchange, self.attempts.expire(self.loop.now(), exchange.op))
+        if exchange.op is not None and exchange.op.waits_until == until:
+            self._act(exchange, self.attempts.wait_expired(exchange.op))
 
-    def _end(self, exchange: Exchange, verdict: str, why: str) -> None:
+    def _end(self, exchange: Exchange, verdict: Verdict, reason: EndReason | AttemptOutcome) -> None:
         """The op has ended; unless its answer is on its way, the relay gives one."""
         self.outcomes[verdict] += 1
-        whole = exchange.stage is Stage.ANSWERING and (verdict == ACKED or why == FAILED)
+        whole = exchange.stage is Stage.ANSWERING and (verdict is Verdict.ACKED or reason is AttemptOutcome.FAILED)
         self._done(exchange, verdict, exchange.record if whole else None)
         if whole:
             exchange.client.finished(exchange)
         elif exchange.stage is Stage.ANSWERING:
             exchange.client.close("cut short")  # the one way to say that an answer is not whole
         else:
-            status = 504 if why == OP_TIMEOUT else 502 if verdict == ABORTED else 503
-            self._answer(exchange, status, f"{verdict}: {why}", verdict == REJECTED)
+            status = 504 if reason is EndReason.OP_TIMEOUT else 502 if verdict is Verdict.ABORTED else 503
+            self._answer(exchange, status, f"{verdict}: {reason}", verdict is Verdict.REJECTED)
 
-    def _done(self, exchange: Exchange, verdict: str, answer: list[bytes] | None) -> None:
+    def _done(self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None) -> None:
         """Nothing more comes of the op: its timer, its key and its place are given back. `answer`: it had this one,
         which whoever waits for the same key gets too."""
         self.exchanges.pop(exchange.number, None)
@@ -258,7 +247,7 @@
 
     # Tries.
 
-    def tried(self, exchange: Exchange, connection: NodeConnection, keep: bool, outcome: str) -> None:
+    def tried(self, exchange: Exchange, connection: NodeConnection, keep: bool, outcome: AttemptOutcome) -> None:
         """A try has ended by the node's doing."""
         self.upstream.release(exchange.node, connection, keep)
         self._end_try(exchange, outcome)
@@ -270,18 +259,18 @@
             self._report(exchange.op, False)
             connection.close(why)
 
-    def _end_try(self, exchange: Exchange, outcome: str) -> None:
+    def _end_try(self, exchange: Exchange, outcome: AttemptOutcome) -> None:
         op = exchange.op
         if op is None or op.node is None:
             return
         exchange.node = None
-        if outcome != UNSENT:
-            self._report(op, outcome == GOOD)
+        if outcome is not AttemptOutcome.UNSENT:
+            self._report(op, outcome is AttemptOutcome.SUCCEEDED)
         if exchange.stage is Stage.ANSWERING or exchange.repeatable():
             exchange.forget_try()
-            step = self.attempts.ended(self.loop.now(), op, outcome)
+            step = self.attempts.attempt_ended(self.loop.now(), op, outcome)
         else:  # proof or not, the request can't be sent again
-            step = self.attempts.give_up(self.loop.now(), op, outcome)
+            step = self.attempts.abandon(self.loop.now(), op, outcome)
         self._act(exchange, step)
         self._settle()
 
@@ -300,7 +289,7 @@
         """No new connection is taken; requests are answered, and each connection then closed."""
         if not self.stopping:
             self.stopping = True
-            self.clients.listener.close()  # connections at rest end by and by, see `Admission.late`
+            self.clients.listener.close()  # connections at rest end by and by, see `Admission.late_connections`
 
     def idle(self) -> bool:
         """Whether no client is connected."""
--- a/kestrelplank/reference_proxy/upstream.py
+++ b/kestrelplank/reference_proxy/upstream.py
@@ -1,11 +1,11 @@
-"""The proxy's connections to nodes, kept in one `Pool` a node, and the exchanges that wait for one of them."""
+"""The proxy's connections to nodes, in one `ConnectionPool` a node, and the exchanges that wait for one of them."""
 
 from collections import deque
 from collections.abc import Callable
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.load_balancing.attempts import REFUSED, UNSENT
-from kestrelplank.load_balancing.pools import DIAL, SHUT, USE, Pool, Terms
+from kestrelplank.load_balancing.connection_pool import ConnectionPool, NoConnection, PoolSettings
+from kestrelplank.load_balancing.operations import AttemptOutcome
 from kestrelplank.reference_proxy.exchange import Exchange
 from kestrelplank.reference_proxy.node import NodeConnection
 from kestrelplank.sockets.buffers import Pool as Buffers
@@ -21,16 +21,16 @@
         loop: Loop,
         buffers: Buffers,
         counters: Counters,
-        terms: Terms,
+        settings: PoolSettings,
         addresses: dict[int, str],
         dial_within: int,
-        on_failed: Callable[[Exchange, str], None],
+        on_failed: Callable[[Exchange, AttemptOutcome], None],
     ) -> None:
         self._loop, self._buffers, self._counters = loop, buffers, counters
-        self._terms, self._addresses, self.dial_within = terms, addresses, dial_within
+        self._settings, self._addresses, self.dial_within = settings, addresses, dial_within
         self._on_failed = on_failed
         self._given = 0
-        self.pools: dict[int, Pool] = {}  # by node
+        self.pools: dict[int, ConnectionPool] = {}  # by node
         self.connections: dict[int, NodeConnection] = {}  # those that are up, by number
         self.waiting: dict[int, deque[Exchange]] = {}  # for a connection, by node
 
@@ -40,16 +40,16 @@
         now = self._loop.now()
         pool = self.pools.get(node)
         if pool is None:
-            pool = self.pools[node] = Pool(now, self._terms)
-        how, *number = pool.take(now)
-        if how == USE:
-            exchange.send(self.connections[number[0]])
-        elif how == DIAL:
+            pool = self.pools[node] = ConnectionPool(now, self._settings)
+        connection = pool.acquire(now)
+        if connection is NoConnection.DIAL:
             self._dial(exchange, node, pool)
-        elif how == SHUT:
-            self._on_failed(exchange, UNSENT)
-        else:
+        elif connection is NoConnection.WAIT:
             self.waiting.setdefault(node, deque()).append(exchange)
+        elif connection is NoConnection.WITHDRAWN:
+            self._on_failed(exchange, AttemptOutcome.UNSENT)
+        else:
+            exchange.send(self.connections[connection])
 
     def release(self, node: int, connection: NodeConnection, keep: bool) -> None:
         """The try on it has ended; `keep`: the connection may be used again."""
@@ -79,13 +79,13 @@
                 for number in pool.withdraw(now):
                     self.connections[number].close("withdrawn")
                 for exchange in self.waiting.pop(node, ()):
-                    self._on_failed(exchange, UNSENT)
+                    self._on_failed(exchange, AttemptOutcome.UNSENT)
 
     def close_late(self) -> None:
         """Closes connections that have been idle too long, or whose ops outlive the grace of a withdrawn node."""
         now = self._loop.now()
         for pool in self.pools.values():
-            for number in pool.expired(now) + pool.overdue(now):
+            for number in pool.expire_idle(now) + pool.overdue(now):
                 if number in self.connections:
                     self.connections[number].close("idle, or past the grace")
 
@@ -93,10 +93,10 @@
         for connection in list(self.connections.values()):
             connection.close("we end")
 
-    def _dial(self, exchange: Exchange, node: int, pool: Pool) -> None:
+    def _dial(self, exchange: Exchange, node: int, pool: ConnectionPool) -> None:
         if node not in self._addresses:
-            pool.failed()
-            self._on_failed(exchange, REFUSED)
+            pool.dial_failed()
+            self._on_failed(exchange, AttemptOutcome.REFUSED)
             return
         self._given += 1
         try:
@@ -112,13 +112,13 @@
             connection.on_drained(lambda: self._drained(connection))
         except OSError as err:  # short of descriptors
             self._counters.trouble("dials_failed", err)
-            pool.failed()
-            self._on_failed(exchange, REFUSED)
+            pool.dial_failed()
+            self._on_failed(exchange, AttemptOutcome.REFUSED)
 
     def _up(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
         """A connection that was dialled for the exchange can be written to."""
         pool = self.pools[node]
-        pool.opened(connection.number)
+        pool.dial_succeeded(connection.number)
         self.connections[connection.number] = connection
         wanted = self._is_tried_at(exchange, node)
         if wanted and pool.withdrawn_at is None:
@@ -127,19 +127,19 @@
         # Given up meanwhile, or the node was withdrawn while it was dialled: nothing has been sent.
         self._give_back(node, connection, True)
         if self._is_tried_at(exchange, node):
-            self._on_failed(exchange, UNSENT)
+            self._on_failed(exchange, AttemptOutcome.UNSENT)
 
     def _ended(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
         """A connection has closed, or did not come up for the exchange that it was dialled for."""
         pool = self.pools[node]
         if connection.is_up:
             if self.connections.pop(connection.number, None) is not None:
-                pool.lost(connection.number)
+                pool.connection_lost(connection.number)
                 self._next_waiting(node)
             return
-        pool.failed()
+        pool.dial_failed()
         if self._is_tried_at(exchange, node):
-            self._on_failed(exchange, REFUSED)
+            self._on_failed(exchange, AttemptOutcome.REFUSED)
         self._next_waiting(node)
 
     def _drained(self, connection: NodeConnection) -> None:
@@ -149,7 +149,7 @@
                 connection.sink.client.hold(False)
 
     def _give_back(self, node: int, connection: NodeConnection, keep: bool) -> None:
-        if not self.pools[node].done(self._loop.now(), connection.number, keep):
+        if not self.pools[node].release(self._loop.now(), connection.number, keep):
             del self.connections[connection.number]
             connection.close("done with")
         self._next_waiting(node)
--- a/kestrelplank/rehearsal/live.py
+++ b/kestrelplank/rehearsal/live.py
@@ -12,7 +12,7 @@
 from kestrelplank.emulator.relays import ClientOp, Relay
 from kestrelplank.emulator.script import Script
 from kestrelplank.emulator.world import World
-from kestrelplank.load_balancing.attempts import CUT, FAILED, GOOD, NOT_STARTED, REFUSED, RESET, UNSENT
+from kestrelplank.load_balancing.operations import AttemptOutcome
 from kestrelplank.rehearsal.conductor_process import ConductorProcess
 from kestrelplank.rehearsal.node_server import NodeServer
 from kestrelplank.rehearsal.parties import MS, Kit
@@ -22,7 +22,11 @@
 MOST_ANSWER = 1 << 12
 TICK = 200 * MS  # between two calls of progress
 FOREVER = 3_600_000 * MS  # the relay's own core gives up, not the connection
-OUTCOMES = {200: GOOD, 503: NOT_STARTED, 500: FAILED}  # by status; any other is cut short
+OUTCOMES = {
+    200: AttemptOutcome.SUCCEEDED,
+    503: AttemptOutcome.NOT_STARTED,
+    500: AttemptOutcome.FAILED,
+}  # by status; any other is cut short
 
 
 class NodeClient:
@@ -47,14 +51,14 @@
     def on_answer(self, status: int, body: bytes) -> None:
         number = self._over()
         self._network.idle(self)
-        self._end(number, OUTCOMES.get(status, CUT))
+        self._end(number, OUTCOMES.get(status, AttemptOutcome.TRUNCATED))
 
     def on_broken(self, why: str) -> None:
         self._used = False
         if why in ("does not come up", "ECONNREFUSED"):
-            self._end(self._over(), REFUSED)
+            self._end(self._over(), AttemptOutcome.REFUSED)
         else:
-            self._end(self._over(), RESET if self._client.sent else UNSENT)
+            self._end(self._over(), AttemptOutcome.RESET if self._client.sent else AttemptOutcome.UNSENT)
 
     def _over(self) -> int:
         """Nothing more comes of its try, whose number is returned."""
@@ -62,7 +66,7 @@
         self._network.out.pop((self.relay.number, number), None)
         return number
 
-    def _end(self, number: int, outcome: str) -> None:
+    def _end(self, number: int, outcome: AttemptOutcome) -> None:
         way = self._network.way_to(self.relay, self.node)
         self._network.end(self.relay, number, self.node, outcome, way)
 
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -13,7 +13,7 @@
 from kestrelplank.emulator.score import Score
 from kestrelplank.emulator.script import script
 from kestrelplank.emulator.world import World
-from kestrelplank.load_balancing.attempts import PROOFS, RESET, SILENT
+from kestrelplank.load_balancing.operations import PROOFS_NOT_EXECUTED, AttemptOutcome
 from kestrelplank.policy import Conductor
 from kestrelplank.settings.ini import Ini, Unusable
 
@@ -166,7 +166,10 @@
     assert 0 < found["rules"]["drains"]["worst"] < 1.5 and found["broken"] == []
 
 
-@pytest.mark.parametrize("proofs, broken", [(PROOFS, False), ((*PROOFS, RESET, SILENT), True)])
+@pytest.mark.parametrize(
+    "proofs, broken",
+    [(PROOFS_NOT_EXECUTED, False), ((*PROOFS_NOT_EXECUTED, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT), True)],
+)
 def test_a_planted_relay_that_repeats_without_proof_is_caught(proofs, broken):
     """A node that dies may have run what it had; a relay that sends it again runs it twice."""
     made = read("kind = lost, who = nodes 45%, start = 4s, length = 2s", load="90%")
--- /dev/null
+++ b/tests/load_balancing/test_flap_damping.py
@@ -0,0 +1,27 @@
+from kestrelplank.load_balancing.flap_damping import FlapDamping, FlapDampingSettings
+from kestrelplank.time_units import SECOND as S
+
+
+def test_a_zone_that_flaps_three_times_in_a_minute_is_held_down_for_longer_each_time():
+    damping, usable_at = FlapDamping(FlapDampingSettings()), []
+    for at in (0, 20, 40, 55):
+        damping.lost(at * S)
+        damping.lost(at * S + 1)  # more of the same
+        usable_at.append(damping.recovered((at + 2) * S) // S)
+    assert usable_at == [2, 25, 50, 75] and not damping.is_usable(74 * S) and damping.is_usable(75 * S)
+
+
+def test_after_a_time_without_losses_all_is_forgotten_and_a_hold_has_a_limit():
+    damping = FlapDamping(FlapDampingSettings(max_hold_ns=8 * S))
+    for at in range(0, 50, 10):
+        damping.lost(at * S)
+        damping.recovered((at + 1) * S)
+    assert damping.held_until == 48 * S
+    damping.lost(300 * S)
+    assert damping.recovered(301 * S) == 301 * S
+
+
+def test_a_zone_that_is_lost_is_not_usable_however_long_its_hold_is_over():
+    damping = FlapDamping(FlapDampingSettings())
+    damping.lost(0)
+    assert not damping.is_usable(900 * S)
--- a/tests/load_balancing/test_placement.py
+++ b/tests/load_balancing/test_placement.py
@@ -4,10 +4,11 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.load_balancing.placement import Node, peak_of, place
+from kestrelplank.load_balancing.placement import place_blocks
+from kestrelplank.load_balancing.placement_search import Node, peak_load
 
 
-def every(loads, nodes, most, zone_share):
+def best_of_all(loads, nodes, most, zone_share):
     """The best (unplaced, peak) by trying all."""
     total, best = sum(loads), None
     for where in product((None, *range(len(nodes))), repeat=len(loads)):
@@ -18,8 +19,8 @@
                 blocks[node] += 1
                 zones[nodes[node].zone] = zones.get(nodes[node].zone, 0.0) + loads[block]
         if any(
-            node.blocks is not None
-            and count > node.blocks
+            node.max_blocks is not None
+            and count > node.max_blocks
             or load
             and not node.capacity
             or most is not None
@@ -33,7 +34,7 @@
             continue
         key = (
             round(sum(loads[block] for block, node in enumerate(where) if node is None), 9),
-            peak_of(loads, nodes, where),
+            peak_load(loads, nodes, where),
         )
         best = key if best is None or key < best else best
     return best
@@ -56,10 +57,16 @@
 @given(instances)
 def test_no_instance_is_answered_worse_than_by_trying_all(instance):
     loads, nodes, most, share = instance
-    found = place(loads, nodes, most, share)
-    unplaced, peak = every(loads, nodes, most, share)
-    assert found.exact and found.unplaced == pytest.approx(unplaced) and found.peak == pytest.approx(peak)
-    assert bool(found.why) == (found.unplaced > 0) and place(loads, nodes, most, share) == found
+    placement = place_blocks(loads, nodes, most, share)
+    unplaced, peak = best_of_all(loads, nodes, most, share)
+    assert (
+        placement.is_exact
+        and placement.unplaced_load == pytest.approx(unplaced)
+        and placement.peak == pytest.approx(peak)
+    )
+    assert (
+        bool(placement.unmet) == (placement.unplaced_load > 0) and place_blocks(loads, nodes, most, share) == placement
+    )
 
 
 @pytest.mark.parametrize(
@@ -74,8 +81,8 @@
     ],
 )
 def test_hand_worked_optima(loads, nodes, most, share, where, peak):
-    found = place(loads, nodes, most, share)
-    assert found.where == where and found.peak == pytest.approx(peak) and found.why == ""
+    placement = place_blocks(loads, nodes, most, share)
+    assert placement.nodes == where and placement.peak == pytest.approx(peak) and placement.unmet == ""
 
 
 @pytest.mark.parametrize(
@@ -89,12 +96,17 @@
     ],
 )
 def test_what_cannot_be_met_is_said(loads, nodes, most, share, unplaced, says):
-    found = place(loads, nodes, most, share)
-    assert found.unplaced == pytest.approx(unplaced) and says in found.why
+    placement = place_blocks(loads, nodes, most, share)
+    assert placement.unplaced_load == pytest.approx(unplaced) and says in placement.unmet
 
 
 def test_ties_go_to_the_lowest_nodes_each_time():
-    assert place([1, 1], [Node(5)] * 4).where == (0, 1) and place([2, 2, 2, 2], [Node(4)] * 2).where == (0, 0, 1, 1)
+    assert place_blocks([1, 1], [Node(5)] * 4).nodes == (0, 1) and place_blocks([2, 2, 2, 2], [Node(4)] * 2).nodes == (
+        0,
+        0,
+        1,
+        1,
+    )
 
 
 @given(
@@ -102,6 +114,6 @@
 )
 def test_large_instances_are_near_what_no_placement_can_beat(loads, capacities):
     nodes = [Node(capacity) for capacity in capacities]
-    found = place(loads, nodes)
+    placement = place_blocks(loads, nodes)
     least = max(sum(loads) / sum(capacities), max(loads) / max(capacities))
-    assert None not in found.where and not found.exact and found.peak <= 2 * least + 1e-9
+    assert None not in placement.nodes and not placement.is_exact and placement.peak <= 2 * least + 1e-9
--- a/tests/load_balancing/test_recorded_decisions.py
+++ b/tests/load_balancing/test_recorded_decisions.py
@@ -11,40 +11,30 @@
 
 import pytest
 
-from kestrelplank.load_balancing.admission import Admission
-from kestrelplank.load_balancing.admission import Terms as AdmissionTerms
-from kestrelplank.load_balancing.attempts import (
-    CUT,
-    FAILED,
-    GOOD,
-    NOT_STARTED,
-    REFUSED,
-    RESET,
-    SILENT,
-    UNSENT,
-    Attempts,
-    Avoidance,
-    Budget,
-    Send,
-    Wait,
-)
-from kestrelplank.load_balancing.gate import Gate, steps
-from kestrelplank.load_balancing.gate import Terms as GateTerms
-from kestrelplank.load_balancing.limits import Limits, Queue
-from kestrelplank.load_balancing.limits import Terms as LimitTerms
-from kestrelplank.load_balancing.placement import Node, place
-from kestrelplank.load_balancing.pools import DIAL, USE, Pool
-from kestrelplank.load_balancing.pools import Terms as PoolTerms
-from kestrelplank.load_balancing.returning import Damping, Flaps, Ramp, Warmth
-from kestrelplank.load_balancing.tiers import Distances, Switch, by_distance, shed, spread
-from kestrelplank.load_balancing.zones import Preference
-from kestrelplank.load_balancing.zones import Terms as ZoneTerms
+from kestrelplank.load_balancing.admission import Admission, AdmissionSettings, ConnectionState
+from kestrelplank.load_balancing.attempts import Attempts, AttemptSettings, OverloadControl
+from kestrelplank.load_balancing.canary_analysis import CanaryAnalysis, CanarySettings, rollout_stages
+from kestrelplank.load_balancing.concurrency_limits import ConcurrencyLimits, ConcurrencyLimitSettings
+from kestrelplank.load_balancing.connection_pool import ConnectionPool, NoConnection, PoolSettings
+from kestrelplank.load_balancing.flap_damping import FlapDamping, FlapDampingSettings
+from kestrelplank.load_balancing.operations import AttemptOutcome, Send, Wait
+from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
+from kestrelplank.load_balancing.placement import place_blocks
+from kestrelplank.load_balancing.placement_search import Node
+from kestrelplank.load_balancing.retry_budget import RetryBudget
+from kestrelplank.load_balancing.selection import SelectionMethod
+from kestrelplank.load_balancing.slow_start import SlowStart, WarmUpSettings
+from kestrelplank.load_balancing.spillover import SpilloverSwitch, plan_spillover, shed
+from kestrelplank.load_balancing.waiting_queue import WaitingQueue
+from kestrelplank.load_balancing.zone_distances import ZoneDistances, distance_tiers
+from kestrelplank.load_balancing.zone_preference import ZonePreference, ZonePreferenceSettings
 from kestrelplank.state.tables import Tables
+from kestrelplank.time_units import MILLISECOND as MS
+from kestrelplank.time_units import SECOND as S
 
 RECORDED = json.loads((Path(__file__).parent / "recorded_decisions.json").read_text())
-MS, S = 1_000_000, 1_000_000_000
 TABLES, NODES = 3, 9
-OUTCOMES = (GOOD, GOOD, GOOD, GOOD, FAILED, NOT_STARTED, REFUSED, UNSENT, RESET, CUT, SILENT)
+OUTCOMES = (*[AttemptOutcome.SUCCEEDED] * 3, *AttemptOutcome)
 
 
 def step_record(op, step):
@@ -52,7 +42,17 @@
         return ["send", op.number, step.node]
     if isinstance(step, Wait):
         return ["wait", op.number, step.until]
-    return ["end", op.number, str(step.verdict), str(step.why)]
+    return ["end", op.number, str(step.verdict), str(step.reason)]
+
+
+def zone_record(status):
+    return {
+        "zone": status.zone,
+        "tier": status.tier,
+        "state": status.state.value,
+        "out": status.in_flight,
+        "held_for": status.held_for_ns,
+    }
 
 
 def made_attempts(seed, pick, extras):
@@ -60,19 +60,21 @@
     tables.joined(0)
     for table in range(TABLES):
         tables.read(table, 0, {node: 0.5 + node % 4 for node in range(table, NODES)})
-    avoidance = Avoidance(random, 3, (1 * S, 2 * S))
+    settings = AttemptSettings((4 * S, 2 * S), SelectionMethod(pick), 0 if extras else S // 2)
+    ejection = OutlierEjection(random, 3, (1 * S, 2 * S))
     if not extras:
-        return Attempts(random, tables, (4 * S, 2 * S), pick, S // 2, avoidance), tables
-    limits = Limits(LimitTerms(first=4, least=2, most=12))
-    zones = Preference(0, ZoneTerms(), Damping(), 4, lambda node: limits.room_of(node, 2))
+        return Attempts(random, tables, settings, ejection), tables
+    limits = ConcurrencyLimits(ConcurrencyLimitSettings(initial=4, minimum=2, maximum=12))
+    zones = ZonePreference(0, ZonePreferenceSettings(), FlapDampingSettings(), 4, lambda node: limits.usage(node, 2))
     for node in range(NODES):
-        zones.placed(node, node % 3)
-    zones.far(1, 1 * MS)
-    zones.far(2, 9 * MS)
-    queue = Queue(6, (S, 700 * MS), (1.0, 5.0), 0.5)
-    weigh = lambda node: 0.3 if node == 4 else 1.0  # noqa: E731
-    more = dict(budget=Budget(2, 0.1, 5.0), limits=limits, queue=queue, weigh=weigh, zones=zones)
-    return Attempts(random, tables, (4 * S, 2 * S), pick, 0, avoidance, **more), tables
+        zones.set_node_zone(node, node % 3)
+    zones.set_distance(1, 1 * MS)
+    zones.set_distance(2, 9 * MS)
+    queue = WaitingQueue(6, (S, 700 * MS), (1.0, 5.0), 0.5)
+    overload = OverloadControl(RetryBudget(2, 0.1, 5.0), limits, queue)
+    weight_factor = {4: 0.3}
+    made = Attempts(random, tables, settings, ejection, overload, lambda node: weight_factor.get(node, 1.0), zones)
+    return made, tables
 
 
 class AttemptsPlay:
@@ -97,7 +99,7 @@
         order = ("line", table, node, float(self.random.randrange(3)))
         changed, _ = self.tables.apply(0, self.messages, [order])
         self.messages += 1
-        for op, step in self.made.changed(self.now, changed):
+        for op, step in self.made.tables_changed(self.now, changed):
             self.note(op, step)
 
     def turn(self):
@@ -106,20 +108,20 @@
         if chance < 0.45:
             self.number += 1
             self.note(
-                *self.made.ask(self.now, self.number, self.number % 2, self.number % TABLES, None, f"k{self.number}")
+                *self.made.submit(self.now, self.number, self.number % 2, self.number % TABLES, None, f"k{self.number}")
             )
         elif chance < 0.85 and self.out:
             op = self.out[min(self.out)]
-            self.note(op, self.made.ended(self.now, op, self.random.choice(OUTCOMES)))
+            self.note(op, self.made.attempt_ended(self.now, op, self.random.choice(OUTCOMES)))
         elif chance < 0.90 and self.out:
             op = self.out[max(self.out)]
-            self.note(op, self.made.give_up(self.now, op))
+            self.note(op, self.made.abandon(self.now, op))
         elif chance < 0.95 and self.waiting:
             op = self.waiting[min(self.waiting)]
-            self.note(op, self.made.expire(self.now, op))
+            self.note(op, self.made.wait_expired(op))
         else:
             self.change_tables()
-        for op, step in self.made.settled(self.now):
+        for op, step in self.made.take_settled(self.now):
             self.note(op, step)
 
 
@@ -131,63 +133,66 @@
             play.turn()
         found += play.found
         found.append(sorted(play.made.counts.items()))
-        found.append([play.made.waiting(), sorted(play.made.own.items())])
+        found.append([play.made.waiting_count(), sorted(play.made.in_flight.items())])
         if extras:
-            found.append(play.made._limits.shown())
-            found.append(play.made._zones.shown(play.now))
+            found.append(play.made._limits.snapshot())
+            found.append([zone_record(status) for status in play.made._zones.status(play.now)])
             found.append(sorted(play.made._zones.counts.items()))
     return found
 
 
 def play_admission():
-    random, admission, found, number, present = Random(5), Admission(AdmissionTerms(12, 5, 2 * S, 6 * S)), [], 0, []
+    random, admission, found, number, present = Random(5), Admission(AdmissionSettings(12, 5, 2 * S, 6 * S)), [], 0, []
     for turn in range(4000):
         now, chance = turn * 90 * MS, random.random()
         if chance < 0.4 or not present:
             number += 1
-            how, push = admission.came(now, number, random.choice("abcd"))
-            found.append([str(how), push])
-            present = [one for one in present if one != push] + ([number] if str(how) == "admit" else [])
+            decision = admission.connect(now, number, random.choice("abcd"))
+            found.append(["admit" if decision.admitted else "refuse", decision.evicted])
+            present = [other for other in present if other != decision.evicted] + [number] * decision.admitted
         elif chance < 0.7:
-            admission.state(now, random.choice(present), random.choice(("head", "busy", "idle")))
+            admission.enter_state(now, random.choice(present), ConnectionState(random.choice(("head", "busy", "idle"))))
         elif chance < 0.8:
-            admission.gone(present.pop(random.randrange(len(present))))
+            admission.disconnect(present.pop(random.randrange(len(present))))
         else:
-            late = admission.late(now, chance > 0.95)
+            late = admission.late_connections(now, stopping=chance > 0.95)
             found.append(late)
             for connection, _ in late:
-                admission.gone(connection)
+                admission.disconnect(connection)
                 present.remove(connection)
     return found
 
 
 def play_pool():
     random, found, number, busy, dialling = Random(6), [], 0, [], 0
-    pool = Pool(0, PoolTerms(most=5, idle=2 * S, uses=4, grace=1 * S, warm_up=10 * S))
+    settings = PoolSettings(5, idle_timeout_ns=2 * S, max_uses=4, withdrawal_grace_ns=1 * S, warm_up_ns=10 * S)
+    pool = ConnectionPool(0, settings)
     for turn in range(6000):
         now, chance = turn * 40 * MS, random.random()
         if chance < 0.4:
-            step = pool.take(now)
-            if step[0] == USE:
-                busy.append(step[1])
-            dialling += step[0] == DIAL
-            found.append(list(step))
+            connection = pool.acquire(now)
+            if isinstance(connection, NoConnection):
+                dialling += connection is NoConnection.DIAL
+                found.append([connection.value])
+            else:
+                busy.append(connection)
+                found.append(["use", connection])
         elif chance < 0.6 and dialling:
             dialling -= 1
             number += 1
             if chance < 0.57:
-                pool.opened(number)
+                pool.dial_succeeded(number)
                 busy.append(number)
             else:
-                pool.failed()
+                pool.dial_failed()
         elif chance < 0.9 and busy:
-            found.append(pool.done(now, busy.pop(random.randrange(len(busy))), chance < 0.85))
+            found.append(pool.release(now, busy.pop(random.randrange(len(busy))), chance < 0.85))
         elif chance < 0.91:
             found.append(sorted(pool.withdraw(now)))
         elif chance < 0.94:
             pool.restore(now)
         else:
-            found.append([pool.expired(now), pool.overdue(now), round(pool.share(now), 9)])
+            found.append([pool.expire_idle(now), pool.overdue(now), round(pool.weight_share(now), 9)])
         found.append(list(pool.counts()))
     return found
 
@@ -197,24 +202,24 @@
     for _ in range(400):
         zones = list(range(random.randrange(1, 6)))
         distances = {(a, b): random.random() * 10 for a in zones for b in zones if random.random() < 0.8}
-        tiers = {zone: by_distance(zone, zones, distances, 1.5) for zone in zones}
+        tiers = {zone: distance_tiers(zone, zones, distances, 1.5) for zone in zones}
         demand = {zone: random.random() * 100 for zone in zones if random.random() < 0.9}
         capacity = {zone: random.random() * 150 for zone in zones if random.random() < 0.9}
-        plan = spread(demand, capacity, tiers, [random.random() for _ in range(random.randrange(3))])
+        plan = plan_spillover(demand, capacity, tiers, [random.random() for _ in range(random.randrange(3))])
         found.append([tiers[zone] for zone in zones])
         found.append(
-            [sorted((list(pair), amount) for pair, amount in part.items()) for part in (plan.flows, plan.used)]
+            [sorted((list(pair), amount) for pair, amount in part.items()) for part in (plan.flows, plan.used_shares)]
         )
         found.append(sorted(plan.unserved.items()))
         types = [(number, random.random() * 40, float(random.randrange(3))) for number in range(4)]
         found.append(shed(random.random() * 100, types))
-    switch, distances = Switch(0.9, 0.7), Distances()
-    found.append([switch.look(random.random() * 120, 100.0) for _ in range(200)])
+    switch, distances = SpilloverSwitch(0.9, 0.7), ZoneDistances()
+    found.append([switch.update(random.random() * 120, 100.0) for _ in range(200)])
     for _ in range(60):
         for zone in range(3):
             for other in range(3):
-                distances.seen(zone, other, random.randrange(4), random.random() * 100 * MS)
-        distances.close()
+                distances.add(zone, other, random.randrange(4), random.random() * 100 * MS)
+        distances.close_period()
         found.append([distances.between(zone, other) for zone in range(3) for other in range(3)])
     return found
 
@@ -228,40 +233,58 @@
             Node(random.choice((0.0, 3.0, 8.0, 20.0)), random.randrange(3), random.choice((None, None, 2, 9)))
             for _ in range(7 if large else random.randrange(1, 4))
         ]
-        placed = place(loads, nodes, random.choice((None, 0.7, 1.0)), random.choice((1.0, 0.6)))
-        found.append([list(placed.where), placed.peak, placed.unplaced, placed.exact, placed.why])
+        placed = place_blocks(loads, nodes, random.choice((None, 0.7, 1.0)), random.choice((1.0, 0.6)))
+        found.append([list(placed.nodes), placed.peak, placed.unplaced_load, placed.is_exact, placed.unmet])
     return found
 
 
-def play_returning():
+def play_slow_start_and_flap_damping():
     random, found = Random(9), []
-    ramp, flaps = Ramp(Warmth(0.2, 10 * S, 3.0), 0, 0), Flaps(Damping())
+    slow_start, damping = SlowStart(WarmUpSettings(0.2, 10 * S, 3.0), 0, 0), FlapDamping(FlapDampingSettings())
     for turn in range(2000):
         now = turn * 300 * MS
         if turn % 60 == 0:
-            ramp = Ramp(Warmth(0.2, 10 * S, 3.0), now, now + S)
-        ramp.report(now, random.randrange(20), random.randrange(3), random.choice((None, 40.0, 90.0)), 40.0)
-        found.append([ramp.age(now), ramp.warmth(now), ramp.allowance(now, 60.0, 2), ramp.warm(now)])
+            slow_start = SlowStart(WarmUpSettings(0.2, 10 * S, 3.0), now, now + S)
+        slow_start.report(now, random.randrange(20), random.randrange(3), random.choice((None, 40.0, 90.0)), 40.0)
+        found.append(
+            [
+                slow_start.age_ns(now),
+                slow_start.capacity_share(now),
+                slow_start.allowance(now, 60.0, 2),
+                slow_start.is_warm(now),
+            ]
+        )
         if random.random() < 0.03:
-            flaps.lost(now)
+            damping.lost(now)
         elif random.random() < 0.1:
-            found.append(flaps.back(now))
-        found.append([flaps.feeds(now), flaps.held_until])
+            found.append(damping.recovered(now))
+        found.append([damping.is_usable(now), damping.held_until])
     return found
 
 
-def play_gate():
+def canary_record(status):
+    return {
+        "verdict": str(status.verdict),
+        "ops": status.ops,
+        "others": status.baseline_ops,
+        "near": status.progress,
+        "in_time": status.share_in_time,
+        "usual": status.baseline_share,
+    }
+
+
+def play_canary_analysis():
     random, found = Random(10), []
     for seed in range(40):
-        gate, chance = Gate(GateTerms(most=4000), 0.97), random.choice((0.97, 0.95, 0.8))
+        analysis, chance = CanaryAnalysis(CanarySettings(max_ops=4000), 0.97), random.choice((0.97, 0.95, 0.8))
         for _ in range(60):
             if seed % 2:
-                gate.without(50, sum(random.random() < 0.96 for _ in range(50)))
-            gate.with_it(50, sum(random.random() < chance for _ in range(50)))
-            found.append(
-                [{key: value if key != "verdict" else str(value) for key, value in gate.shown().items()}, gate.ops]
-            )
-    found.append([steps(list(range(9)), {relay: relay % 3 for relay in range(9)}, canary) for canary in range(10)])
+                analysis.add_baseline(50, sum(random.random() < 0.96 for _ in range(50)))
+            analysis.add_canary(50, sum(random.random() < chance for _ in range(50)))
+            found.append([canary_record(analysis.status()), analysis.ops])
+    found.append(
+        [rollout_stages(list(range(9)), {relay: relay % 3 for relay in range(9)}, canary) for canary in range(10)]
+    )
     return found
 
 
@@ -272,8 +295,8 @@
     "pool": play_pool,
     "zone planning": play_zone_planning,
     "placement": play_placement,
-    "returning": play_returning,
-    "gate": play_gate,
+    "returning": play_slow_start_and_flap_damping,
+    "gate": play_canary_analysis,
 }  # fmt: skip
 
 
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -8,10 +8,14 @@
 from hypothesis import strategies as some
 from parties import MS, Kit, until
 
-from kestrelplank.load_balancing import admission, pools
-from kestrelplank.load_balancing.attempts import Attempts, Avoidance, Budget
-from kestrelplank.load_balancing.limits import Limits, Queue
-from kestrelplank.load_balancing.limits import Terms as LimitTerms
+from kestrelplank.load_balancing.admission import STOPPING_IDLE_TIMEOUT_NS, Admission, AdmissionSettings
+from kestrelplank.load_balancing.attempts import Attempts, AttemptSettings, OverloadControl
+from kestrelplank.load_balancing.concurrency_limits import ConcurrencyLimits, ConcurrencyLimitSettings
+from kestrelplank.load_balancing.connection_pool import PoolSettings
+from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
+from kestrelplank.load_balancing.retry_budget import RetryBudget
+from kestrelplank.load_balancing.selection import SelectionMethod
+from kestrelplank.load_balancing.waiting_queue import WaitingQueue
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import READ
@@ -127,13 +131,13 @@
         self.attempts = Attempts(
             random,
             self.tables,
-            timeouts,
-            fields.get("pick", "random"),
-            fields.get("hold", 300 * MS),
-            Avoidance(random, fields.get("strikes", 0), (S, S)),
-            budget=fields.get("budget"),
-            limits=Limits(LimitTerms(*fields["limits"])) if "limits" in fields else None,
-            queue=Queue(4, (S, S, S), (1.0, 5.0, 2.0), 0.5),
+            AttemptSettings(timeouts, SelectionMethod(fields.get("pick", "random")), fields.get("hold", 300 * MS)),
+            OutlierEjection(random, fields.get("strikes", 0), (S, S)),
+            OverloadControl(
+                fields.get("budget"),
+                ConcurrencyLimits(ConcurrencyLimitSettings(*fields["limits"])) if "limits" in fields else None,
+                WaitingQueue(4, (S, S, S), (1.0, 5.0, 2.0), 0.5),
+            ),
         )
         self.addresses = {place: node.at for place, node in enumerate(self.nodes)}
         self.tries, self.ops = [], []
@@ -151,9 +155,9 @@
             fields.get("bounds", Bounds()),
             self.tables,
             self.attempts,
-            admission.Admission(fields.get("admission", admission.Terms())),
+            Admission(fields.get("admission", AdmissionSettings())),
             answers.Answers(answers.Terms()),
-            fields.get("pools", pools.Terms()),
+            fields.get("pools", PoolSettings()),
             self.addresses,
             fields.get("table_of", lambda request: 0),
             lambda *told: self.tries.append(told),
@@ -184,8 +188,8 @@
         for one in (*self.clients, *self.nodes):
             one.close()
         left = (
-            self.attempts.own,
-            self.attempts.waiting(),
+            self.attempts.in_flight,
+            self.attempts.waiting_count(),
             self.proxy.exchanges,
             self.proxy.clients.connections,
             self.kit.pool.out,
@@ -312,7 +316,7 @@
 
 
 def test_what_outlives_the_grace_at_a_withdrawn_node_is_closed(site):
-    here = site(None, lines={0: 1.0}, pools=pools.Terms(grace=50 * MS), timeouts=(9 * S, 9 * S, S))
+    here = site(None, lines={0: 1.0}, pools=PoolSettings(withdrawal_grace_ns=50 * MS), timeouts=(9 * S, 9 * S, S))
     client = here.client(post())
     here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data)
     here.order(("take_out", 0, True))
@@ -358,7 +362,7 @@
     here = site(None, lines={} if at == "waiting for a line" else None)
     client = here.client({"in its head": b"GET /lo", "in its body": post(body=b"x" * 99)[:-9]}.get(at, post()))
     if at == "waiting for a line":
-        here.wait(lambda: here.attempts.waiting())
+        here.wait(lambda: here.attempts.waiting_count())
     elif at != "in its head":
         here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data)
     else:
@@ -587,7 +591,7 @@
 def test_ops_that_wait_for_a_line_go_when_a_table_gets_one(site):
     here = site(answers_with(OK), lines={}, hold=S)
     client = here.client(GET)
-    here.wait(lambda: here.attempts.waiting())
+    here.wait(lambda: here.attempts.waiting_count())
     here.order(("line", 0, 0, 1.0))
     here.wait(lambda: client.data == OK)
 
@@ -595,7 +599,7 @@
 def test_a_full_node_has_ops_wait_and_the_dearest_goes_first(site):
     here = site(None, limits=(1, 1, 1), timeouts=(2 * S, 2 * S, 2 * S))
     first, cheap = here.client(GET), here.client(GET.replace(b"look", b"look2"))
-    here.wait(lambda: here.attempts.waiting() == 1 and here.nodes[0].peers and here.nodes[0].peers[0].data)
+    here.wait(lambda: here.attempts.waiting_count() == 1 and here.nodes[0].peers and here.nodes[0].peers[0].data)
     here.nodes[0].peers[0].write(OK)
     here.wait(lambda: first.data == OK and b"look2" in here.nodes[0].seen())
     here.nodes[0].peers[0].write(OK)
@@ -603,7 +607,7 @@
 
 
 def test_connections_to_a_node_are_bounded_and_who_waits_for_one_gets_it(site):
-    here = site(None, pools=pools.Terms(most=1))
+    here = site(None, pools=PoolSettings(max_connections=1))
     first, second = here.client(GET), here.client(GET)
     here.wait(lambda: here.proxy.upstream.waiting and here.nodes[0].peers and here.nodes[0].peers[0].data)
     here.nodes[0].peers[0].write(OK)
@@ -615,14 +619,14 @@
 
 @pytest.mark.parametrize("sent, says", [(b"", b"408"), (b"GET /lo", b"408")])
 def test_a_head_that_does_not_come_is_told_so_and_closed(site, sent, says):
-    here = site(answers_with(OK), admission=admission.Terms(head=150 * MS))
+    here = site(answers_with(OK), admission=AdmissionSettings(head_timeout_ns=150 * MS))
     client = here.client(sent)
     here.wait(lambda: client.ended)
     assert says in client.data
 
 
 def test_one_client_that_opens_too_many_gives_way(site):
-    here = site(answers_with(OK), admission=admission.Terms(most=4, each=4))
+    here = site(answers_with(OK), admission=AdmissionSettings(max_connections=4, max_per_client=4))
     many = [here.client() for _ in range(4)]
     here.wait(lambda: len(here.proxy.admission) == 4)
     fifth = here.client(GET)
@@ -637,7 +641,7 @@
     here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data and len(here.proxy.admission) == 2)
     here.proxy.stop()
     here.wait(lambda: idle.ended)
-    assert not here.proxy.idle() and here.kit.loop.now() - began >= admission.LINGER
+    assert not here.proxy.idle() and here.kit.loop.now() - began >= STOPPING_IDLE_TIMEOUT_NS
     here.nodes[0].peers[0].write(OK)
     here.wait(lambda: busy.ended and here.proxy.idle())
     assert b"Connection: close" in busy.data and busy.data.endswith(b"ok")
@@ -663,7 +667,7 @@
 
 
 def test_second_tries_are_bounded_by_their_budget_when_half_the_nodes_refuse_for_being_full(site):
-    here = site(answers_with(NOT_STARTED), answers_with(OK), budget=Budget(3, 0.1, 1.0))
+    here = site(answers_with(NOT_STARTED), answers_with(OK), budget=RetryBudget(3, 0.1, 1.0))
     client = here.client()
     for turn in range(1, 101):
         client.send(GET)
