--- a/kestrelplank/forwarding/retry_budget.py
+++ b/kestrelplank/forwarding/retry_budget.py
@@ -7,8 +7,8 @@
     All edges together stay within the operator's bound even when they hear nothing of each other, as each may save up
     only its part (`test_the_budget_keeps_all_members_together_within_the_operators_bound`).
 
-    Source: Finagle's and gRPC's retry budgets, see `load_balancing.retry_budget`; here the saved part shrinks as edges are
-    added.
+    Source: Finagle's and gRPC's retry budgets, see `load_balancing.retry_budget`; here the saved part shrinks as edges
+    are added.
 
     :param ratio: retries to requests, as in the operator's bound for all edges together.
     :param allowance: retries beyond the ratio, as in the same bound.
