--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -17,8 +17,8 @@
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, text
 from kestrelplank.file_discovery import nodelist
+from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.file_discovery.source import Source
-from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.rehearsal.parties import Kit
 from kestrelplank.settings.operator import MS, Nodes
@@ -113,7 +113,7 @@
             policy.round(kit.loop.now(), [], orders)  # a node let back is told a round after its lines are away
 
         path, quiet = str(Path(folder) / "a.ini"), 20 * MS
-        write_whole(path, whole.encode())
+        write_atomically(path, whole.encode())
         nodes = Nodes(files=(path,), quiet=quiet, poll=100 * MS, events=events, weight_step=0.0)
         source = Source(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
         took = []
@@ -122,7 +122,7 @@
             kit.loop.turn()
         heard.clear()
         for turn in range(number):
-            write_whole(path, (whole if turn % 2 else drained).encode())
+            write_atomically(path, (whole if turn % 2 else drained).encode())
             took.append(kit.loop.now())
             while len(heard) <= turn:
                 kit.loop.at(kit.loop.now() + MS, lambda: None)
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -58,8 +58,8 @@
 
 
 def operators_file() -> Any:
-    """What the operator's own file says, where one is named; Unusable says what can't be used. Without it nothing is
-    imported for it."""
+    """What the operator's own file says, where one is named; InvalidSettings says what can't be used. Without it
+    nothing is imported for it."""
     path = os.environ.get("KESTRELPLANK_INI")
     if not path:
         return None
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -5,7 +5,8 @@
 import click
 
 from kestrelplank.settings import operator, relay
-from kestrelplank.settings.ini import Ini, Unusable
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Ini
 
 
 def kind(ini: Ini) -> str:
@@ -41,7 +42,7 @@
             else:
                 operator.read(ini)
             click.echo(f"{path}: {what}, good")
-        except Unusable as err:
+        except InvalidSettings as err:
             bad = True
             click.echo(f"kestrelplank: {err}", err=True)
     if parts and not bad:
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -6,7 +6,8 @@
 import msgspec
 
 from kestrelplank.settings import operator
-from kestrelplank.settings.ini import UNITS, Ini, Unusable
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import UNITS, Ini
 
 
 def shown(value: object, field: str, section: str) -> str:
@@ -36,7 +37,7 @@
     try:
         ini = Ini.of(path) if path else Ini("no file", "")
         operator.read(ini)
-    except Unusable as err:
+    except InvalidSettings as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
     if as_json:
--- a/kestrelplank/cli/nodes.py
+++ b/kestrelplank/cli/nodes.py
@@ -10,7 +10,8 @@
 from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.source import bytes_of, load
 from kestrelplank.settings import operator
-from kestrelplank.settings.ini import Ini, Unusable
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Ini
 from kestrelplank.state.guards import ACCEPTED, Terms, judge
 from kestrelplank.state.nodeset import NodeSet, Part, Refused, assemble, difference
 
@@ -19,7 +20,7 @@
     """What the call returns; what can't be used ends the command with its line and exit code 2."""
     try:
         return call(*arguments)
-    except (Unusable, Refused) as err:
+    except (InvalidSettings, Refused) as err:
         for line in getattr(err, "conflicts", [err]):
             click.echo(f"kestrelplank: {line}", err=True)
         sys.exit(2)
@@ -30,7 +31,7 @@
 
 def settings(path: str | None) -> operator.Nodes:
     if not path:
-        raise Unusable(f"no operator's file: name one with --ini or {operator.VARIABLE}")
+        raise InvalidSettings(f"no operator's file: name one with --ini or {operator.VARIABLE}")
     return operator.read(Ini.of(path)).nodes
 
 
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -6,8 +6,9 @@
 import click
 import msgspec
 
-from kestrelplank.file_discovery.whole import write_whole
-from kestrelplank.settings.ini import Ini, Unusable
+from kestrelplank.file_discovery.atomic_write import write_atomically
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Ini
 
 
 def encoded(found: dict) -> bytes:
@@ -70,7 +71,7 @@
         raise click.UsageError("--live, --baseline and --knowing exclude each other")
     try:
         read = script(Ini.of(path))
-    except Unusable as err:
+    except InvalidSettings as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
     with click.progressbar(length=1000, label="rehearsing", file=sys.stderr, hidden=not sys.stderr.isatty()) as bar:
@@ -87,7 +88,7 @@
     click.echo("\n".join(table(found)))
     if to:
         try:
-            write_whole(to, encoded(found))
+            write_atomically(to, encoded(found))
         except OSError as err:
             click.echo(f"kestrelplank: {to} can't be written: {err.strerror}", err=True)
             sys.exit(2)
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -6,7 +6,8 @@
 import msgspec
 
 from kestrelplank.settings import operator
-from kestrelplank.settings.ini import Ini, Unusable
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Ini
 
 WITHIN = 3.0  # s
 
@@ -21,7 +22,7 @@
 
     try:
         at = at or (operator.read(Ini.of(path)).status.socket if path else "")
-    except Unusable as err:
+    except InvalidSettings as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
     if not at:
--- a/kestrelplank/configuration/plan.py
+++ b/kestrelplank/configuration/plan.py
@@ -14,7 +14,7 @@
 from returns.result import Failure, Result, Success
 from serde import deserialize, disabled
 
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettings
 from kestrelplank.settings.platform import checked, ns
 
 IDEMPOTENT, NON_IDEMPOTENT, UPLOAD = "idempotent", "non_idempotent", "upload"
@@ -228,7 +228,7 @@
         form = checked(Form, data)
     except msgspec.DecodeError as err:
         return Failure(f"not whole: {err}")
-    except (Unusable, RecursionError) as err:
+    except (InvalidSettings, RecursionError) as err:
         return Failure(str(err))
     wrong = faults(form)
     if wrong:
--- a/kestrelplank/emulator/discovery.py
+++ b/kestrelplank/emulator/discovery.py
@@ -5,7 +5,7 @@
 from kestrelplank.emulator.part import Part
 from kestrelplank.emulator.script import Fault
 from kestrelplank.file_discovery import nodelist
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettings
 from kestrelplank.state import guards, roster
 from kestrelplank.state.intake import SETTLED, Debounce, Intake
 from kestrelplank.state.nodeset import Listed, NodeSet
@@ -148,7 +148,7 @@
             return "nodes.ini: there is no such file"
         try:
             return nodelist.read("nodes.ini", self._text, 2 * len(self._nodes), True)
-        except Unusable as err:
+        except InvalidSettings as err:
             return str(err)
 
     def _advance(self) -> None:
--- a/kestrelplank/emulator/script.py
+++ b/kestrelplank/emulator/script.py
@@ -1,4 +1,4 @@
-"""A rehearsal's script: the site, its load over time, and faults, from an INI file. Whole and checked, or Unusable."""
+"""A rehearsal's script: the site, its load over time, and faults, from an INI file, checked."""
 
 import re
 from typing import Annotated, Literal
@@ -195,7 +195,7 @@
 
 
 def script(ini: Ini) -> Script:
-    """The script that a file holds; Unusable says what can't be used."""
+    """The script that a file holds; InvalidSettings says what can't be used."""
     site = ini.one("site", Site)
     here = ini.find("site")
     if not site.zones or len(set(site.zones)) < len(site.zones):
--- a/kestrelplank/file_discovery/whole.py
+++ b/kestrelplank/file_discovery/atomic_write.py
@@ -4,7 +4,7 @@
 import tempfile
 
 
-def write_whole(path: str, data: bytes) -> None:
+def write_atomically(path: str, data: bytes) -> None:
     """Replaces the file at `path`, or makes it: a temporary file in the same folder, fsync, rename, fsync of the
     folder, since a rename may be forgotten by a machine that loses its power. Keeps the mode of what it replaces.
     Raises OSError, and then the old file stands and nothing is left behind."""
@@ -20,7 +20,7 @@
     except OSError:
         os.unlink(temporary)
         raise
-    sync_folder(folder)
+    sync_directory(folder)
 
 
 def mode(path: str) -> int:
@@ -33,7 +33,7 @@
         return 0o666 & ~umask
 
 
-def sync_folder(folder: str) -> None:
+def sync_directory(folder: str) -> None:
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(fd)
--- a/kestrelplank/file_discovery/nodelist.py
+++ b/kestrelplank/file_discovery/nodelist.py
@@ -14,7 +14,8 @@
 
 from msgspec import Struct
 
-from kestrelplank.settings.ini import Ini, Section, Unusable, number, whole
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Ini, Section, number, whole
 from kestrelplank.sockets.connection import address
 from kestrelplank.state.nodeset import Line, Listed, NodeSet, Part
 
@@ -54,15 +55,15 @@
 
 
 def read(path: str, data: bytes, most_nodes: int, trailer: bool) -> Part:
-    """The part that a file's bytes make. Raises Unusable, naming file and line. `trailer`: the last line must be
+    """The part that a file's bytes make. Raises InvalidSettings, naming file and line. `trailer`: the last line must be
     `# end N nodes`, which proves that nothing is missing; where one stands it must be true in any case."""
     try:
         text = data.decode()
     except UnicodeDecodeError as err:
-        raise Unusable(f"{path}: not text: byte {err.start} is no UTF-8") from None
+        raise InvalidSettings(f"{path}: not text: byte {err.start} is no UTF-8") from None
     rows = text.rstrip().splitlines()
     if not rows:
-        raise Unusable(f"{path}: the file is empty")
+        raise InvalidSettings(f"{path}: the file is empty")
     ini, lines = Ini(path, text), []
     head = ini.one("list", Head)
     for section in ini.named("zone"):
@@ -74,9 +75,11 @@
     ini.finish()
     end = END.fullmatch(rows[-1])
     if trailer and not (end and text.endswith("\n")):
-        raise Unusable(f"{path}, line {len(rows)}: the last line is not `# end N nodes`: the file may be cut short")
+        raise InvalidSettings(
+            f"{path}, line {len(rows)}: the last line is not `# end N nodes`: the file may be cut short"
+        )
     if end and int(end[1]) != len(lines):
-        raise Unusable(f"{path}, line {len(rows)}: {end[1]} nodes are announced and {len(lines)} are listed")
+        raise InvalidSettings(f"{path}, line {len(rows)}: {end[1]} nodes are announced and {len(lines)} are listed")
     return Part(path, tuple(lines), head.confirm)
 
 
--- a/kestrelplank/file_discovery/source.py
+++ b/kestrelplank/file_discovery/source.py
@@ -11,9 +11,9 @@
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, Malformed
 from kestrelplank.file_discovery import nodelist
+from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.file_discovery.watch import Watch
-from kestrelplank.file_discovery.whole import write_whole
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettings
 from kestrelplank.settings.operator import Nodes
 from kestrelplank.sockets.loop import Loop, Timer
 from kestrelplank.state import guards, roster
@@ -24,26 +24,26 @@
 
 
 def bytes_of(path: str, most: int) -> bytes:
-    """A file's bytes; raises OSError, or Unusable where it is larger than `most` or no file."""
+    """A file's bytes; raises OSError, or InvalidSettings where it is larger than `most` or no file."""
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a pipe put there must not hold the loop up
     with open(fd, "rb") as file:
         data = file.read(most + 1) or b""
     if len(data) > most:
-        raise Unusable(f"{path}: over {most} bytes")
+        raise InvalidSettings(f"{path}: over {most} bytes")
     return data
 
 
 def load(path: str) -> tuple[NodeSet, int, tuple[tuple, ...]] | None:
-    """The state that a file keeps; None where there is none yet. Raises Unusable, naming the file."""
+    """The state that a file keeps; None where there is none yet. Raises InvalidSettings, naming the file."""
     try:
         with open(path, "rb") as file:
             return restored(file.read())
     except FileNotFoundError:
         return None
     except OSError as err:
-        raise Unusable(f"{path}: can't be read: {err.strerror}") from None
+        raise InvalidSettings(f"{path}: can't be read: {err.strerror}") from None
     except Malformed as err:
-        raise Unusable(f"{path}: {err}") from None
+        raise InvalidSettings(f"{path}: {err}") from None
 
 
 class Source:
@@ -93,7 +93,7 @@
         if self._nodes.state:
             try:
                 found = load(self._nodes.state)
-            except Unusable as err:  # what stood is lost; the files still say what shall
+            except InvalidSettings as err:  # what stood is lost; the files still say what shall
                 self._counters.trouble("files_state_refused", err)
             else:
                 if found:
@@ -112,7 +112,7 @@
             digest, problem = None, f"{path}: there is no such file"
         except OSError as err:
             digest, problem = f"!{err.errno}", f"{path}: can't be read: {err.strerror}"
-        except Unusable as err:
+        except InvalidSettings as err:
             digest, problem = "!size", str(err)
         step = self._debounce.see(now, path, digest)
         if step == SETTLED:
@@ -126,7 +126,7 @@
     def _parsed(self, path: str, data: bytes) -> Any:
         try:
             return nodelist.read(path, data, self._nodes.most_nodes, self._nodes.trailer)
-        except Unusable as err:
+        except InvalidSettings as err:
             return str(err)
 
     def _set(self, name: str, at: int, callback: Callable[[], None]) -> None:
@@ -155,7 +155,7 @@
     def _save(self) -> None:
         if self._nodes.state:
             try:
-                write_whole(self._nodes.state, self.intake.stored())
+                write_atomically(self._nodes.state, self.intake.stored())
             except OSError as err:  # the set holds all the same; a restart would know an older one
                 self._counters.trouble("files_state_not_saved", f"{self._nodes.state}: {err.strerror}")
 
--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -49,7 +49,7 @@
 if __name__ == "__main__":  # before all that loads pyserde or httpcore; who imports this module keeps what it has
     from kestrelplank.settings import lean  # noqa: F401
 from kestrelplank.settings import platform
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettings
 from kestrelplank.settings.logs import set_up
 
 if TYPE_CHECKING:
@@ -57,15 +57,15 @@
 
 
 def read_configuration(path: str) -> Any:
-    """The configuration in that file; Unusable, in one line, where it is none."""
+    """The configuration in that file; InvalidSettings, in one line, where it is none."""
     from kestrelplank.configuration.plan import read
 
     try:
         found = read(Path(path).read_bytes())
     except OSError as err:
-        raise Unusable(f"{path}: {err.strerror}") from err
+        raise InvalidSettings(f"{path}: {err.strerror}") from err
     if not found.value_or(None):
-        raise Unusable(f"{path}: {found.failure()}")
+        raise InvalidSettings(f"{path}: {found.failure()}")
     return found.unwrap()
 
 
@@ -99,7 +99,7 @@
     from kestrelplank.rehearsal.yard import play
 
     if not requests.isdecimal():
-        raise Unusable(f"--requests: {requests!r} is no whole number")
+        raise InvalidSettings(f"--requests: {requests!r} is no whole number")
     seen = play(int(requests), log=level)
     if as_json:
         print(json.dumps(seen))
@@ -159,7 +159,7 @@
     try:
         until = time.monotonic() + float(wait)
     except ValueError as err:
-        raise Unusable(f"--wait: {wait!r} is no number of seconds") from err
+        raise InvalidSettings(f"--wait: {wait!r} is no number of seconds") from err
 
     async def send() -> tuple[int, bytes, list[str]]:
         answered, body = await call(address, b"POST", b"/api/configuration/replace", configuration.text)
@@ -252,14 +252,14 @@
         set_up(settings.local_system.node_name, words["--level"].upper())
         if words["edge"]:
             if not words["--trace"].isdecimal():
-                raise Unusable(f"--trace: {words['--trace']!r} is no whole number")
+                raise InvalidSettings(f"--trace: {words['--trace']!r} is no whole number")
             from kestrelplank.edge.program import run as carry
 
             return asyncio.run(carry(settings, int(words["--trace"])))
         from kestrelplank.control.program import run
 
         return asyncio.run(run(settings))
-    except (Unusable, ValueError) as err:
+    except (InvalidSettings, ValueError) as err:
         print(f"kestrelplank: {err}", file=sys.stderr)
         return 2
     except (OSError, TimeoutError) as err:
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -9,7 +9,7 @@
 from kestrelplank.__main__ import Signals
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.decode import Ids, Malformed, text
-from kestrelplank.file_discovery.whole import write_whole
+from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.load_balancing import admission, limits, pools
 from kestrelplank.load_balancing.attempts import Attempts, Avoidance, Budget
 from kestrelplank.load_balancing.returning import Damping
@@ -20,7 +20,8 @@
 from kestrelplank.reference_proxy.request import Request
 from kestrelplank.reference_proxy.takeover import SuccessorListener, confirm_listening, receive_socket
 from kestrelplank.settings import relay as config
-from kestrelplank.settings.ini import Ini, Unusable, share
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Ini, share
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import Loop
@@ -216,7 +217,7 @@
             },
         )
         try:
-            write_whole(path, data)
+            write_atomically(path, data)
         except OSError as err:
             self.counters.trouble("tables_not_kept", f"{path}: {err.strerror}")
 
@@ -228,7 +229,7 @@
         """Terms of clients, bodies and op types hold from now on; no connection is dropped. Places, tables and the
         terms of limits wait for a restart, which a successor can be."""
         if list(file.op_types) != list(self.file.op_types):
-            raise Unusable("op types can't be added, taken away or put in another order while the relay runs")
+            raise InvalidSettings("op types can't be added, taken away or put in another order while the relay runs")
         self.file = file
         self.proxy.reconfigure(op_types(file), bounds(file))
         self.proxy.admission.terms = client_terms(file)
@@ -296,7 +297,7 @@
     def _reload(self) -> None:
         try:
             self._relay.reload(config.read(Ini.of(self._path)))
-        except Unusable as err:
+        except InvalidSettings as err:
             self._counters.trouble("reloads_refused", err)
             return
         self._counters.add("reloads")
@@ -317,7 +318,7 @@
     where the relay can't listen."""
     try:
         file = config.read(Ini.of(path))
-    except Unusable as err:
+    except InvalidSettings as err:
         print(f"kestrelplank: {err}", file=sys.stderr)
         return 2
     loop = Loop(lambda err: counters.defect(err))
--- a/kestrelplank/settings/ini.py
+++ b/kestrelplank/settings/ini.py
@@ -1,8 +1,8 @@
 """The one reader of INI files: sections and fields with units, defaults and checks.
 
 `Ini(path, text)` parses a file whole; `one` and `each` take its sections as msgspec structs whose fields are of the
-types below; `finish` refuses what nobody took. All that is wrong raises `Unusable`, whose text is one line naming
-file, line, section and field.
+types below; `finish` refuses what nobody took. All that is wrong raises `InvalidSettings`, whose text is one line
+naming file, line, section and field.
 """
 
 import configparser
@@ -17,6 +17,7 @@
 from msgspec import Meta
 
 from kestrelplank.decode import LARGEST
+from kestrelplank.settings.errors import InvalidSettings
 
 Struct = TypeVar("Struct", bound=msgspec.Struct)
 
@@ -108,10 +109,6 @@
     return kept
 
 
-class Unusable(ValueError):
-    """What a file says can't be used; the text names file, line, section and field, and says why."""
-
-
 class Section:
     """One section as it stands: its kind and name (`[fault first]`), line, and each field's text and line."""
 
@@ -133,13 +130,13 @@
 
     @classmethod
     def of(cls, path: str) -> "Ini":
-        """The file at `path`; one that can't be read is Unusable."""
+        """The file at `path`; one that can't be read is InvalidSettings."""
         try:
             return cls(path, Path(path).read_bytes().decode())
         except OSError as err:
-            raise Unusable(f"{path}: can't be read: {err.strerror}") from None
+            raise InvalidSettings(f"{path}: can't be read: {err.strerror}") from None
         except UnicodeDecodeError as err:
-            raise Unusable(f"{path}: not text: byte {err.start} is no UTF-8") from None
+            raise InvalidSettings(f"{path}: not text: byte {err.start} is no UTF-8") from None
 
     def _parse(self, text: str) -> list[Section]:
         """configparser reads the form, and says where it breaks; it keeps no lines, so these are found again."""
@@ -150,13 +147,13 @@
         try:
             parser.read_string(text)
         except configparser.MissingSectionHeaderError as err:
-            raise Unusable(f"{self.path}, line {err.lineno}: a field before the first section") from None
+            raise InvalidSettings(f"{self.path}, line {err.lineno}: a field before the first section") from None
         except (configparser.DuplicateSectionError, configparser.DuplicateOptionError) as err:
             what = f"field {err.option}" if isinstance(err, configparser.DuplicateOptionError) else "section"
-            raise Unusable(f"{self.path}, line {err.lineno}, [{err.section}]: the {what} stands twice") from None
+            raise InvalidSettings(f"{self.path}, line {err.lineno}, [{err.section}]: the {what} stands twice") from None
         except configparser.ParsingError as err:
             line, source = err.errors[0]
-            raise Unusable(f"{self.path}, line {line}: neither a section nor a field: {source[:60]}") from None
+            raise InvalidSettings(f"{self.path}, line {line}: neither a section nor a field: {source[:60]}") from None
         sections: list[Section] = []
         for place, raw in enumerate(text.splitlines(), 1):
             header = parser.SECTCRE.match(raw)
@@ -170,13 +167,13 @@
                 sections[-1].fields.setdefault(field, (parser[title][field], place))
         return sections
 
-    def fail(self, section: Section | None, field: str | None, why: str) -> Unusable:
+    def fail(self, section: Section | None, field: str | None, why: str) -> InvalidSettings:
         """What to raise where fields do not go together: names the field's line, or else the section's."""
         if section is None:
-            return Unusable(f"{self.path}: {why}")
+            return InvalidSettings(f"{self.path}: {why}")
         line = section.fields[field][1] if field in section.fields else section.line
         where = f", field {field}" if field else ""
-        return Unusable(f"{self.path}, line {line}, {section}{where}: {why}")
+        return InvalidSettings(f"{self.path}, line {line}, {section}{where}: {why}")
 
     def find(self, kind: str, name: str = "") -> Section | None:
         return next((section for section in self.sections if (section.kind, section.name) == (kind, name)), None)
@@ -201,9 +198,9 @@
         return found
 
     def finish(self) -> None:
-        """Raises Unusable where a section stands that nobody took."""
+        """Raises InvalidSettings where a section stands that nobody took."""
         for section in self._left.values():
-            raise Unusable(
+            raise InvalidSettings(
                 f"{self.path}, line {section.line}: no section is called {section}"
                 + nearest(f"{section.kind} NAME" if section.name else section.kind, self._kinds)
             )
--- a/kestrelplank/settings/operator.py
+++ b/kestrelplank/settings/operator.py
@@ -52,7 +52,7 @@
 
 
 def read(ini: Ini) -> Operator:
-    """What the operator's file says; Unusable where any of it can't be used."""
+    """What the operator's file says; InvalidSettings where any of it can't be used."""
     made = Operator(
         nodes=ini.one("nodes", Nodes), members=ini.one("members", Members), status=ini.one("status", Status)
     )
--- a/kestrelplank/settings/platform.py
+++ b/kestrelplank/settings/platform.py
@@ -14,7 +14,7 @@
 
 from serde import SerdeError, deserialize, disabled, from_dict
 
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettings
 
 VARIABLE = "KESTRELPLANK_SETTINGS"
 NS = 1_000_000_000
@@ -79,10 +79,10 @@
     fault_tolerance: FaultTolerance = FaultTolerance()
 
     def listen(self, name: str) -> tuple[str, int]:
-        """Where this process listens for what it serves; Unusable where the file does not say."""
+        """Where this process listens for what it serves; InvalidSettings where the file does not say."""
         address = self.network.listen_addresses.get(name)
         if address is None:
-            raise Unusable(f"network.listen_addresses.{name}: missing")
+            raise InvalidSettings(f"network.listen_addresses.{name}: missing")
         return endpoint(address, f"network.listen_addresses.{name}")
 
     def telegraph_port(self) -> int:
@@ -100,10 +100,10 @@
 
 
 def endpoint(address: str, where: str = "address") -> tuple[str, int]:
-    """`10.0.0.1:80` as host and port; Unusable where it is none."""
+    """`10.0.0.1:80` as host and port; InvalidSettings where it is none."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise Unusable(f"{where}: {address!r} is no address with a port")
+        raise InvalidSettings(f"{where}: {address!r} is no address with a port")
     return host, int(port)
 
 
@@ -178,35 +178,35 @@
 
 
 def checked(kind: type, data: Any, where: str = "") -> Any:
-    """`data` as the checked class `kind`; Unusable, naming the field, where it does not fit."""
+    """`data` as the checked class `kind`; InvalidSettings, naming the field, where it does not fit."""
     wrong = misfit(kind, data, where)
     if wrong:
-        raise Unusable(wrong)
+        raise InvalidSettings(wrong)
     try:
         return from_dict(kind, data)
     except SerdeError as err:
-        raise Unusable(f"{where or 'top'}: {str(err).splitlines()[0]}") from err
+        raise InvalidSettings(f"{where or 'top'}: {str(err).splitlines()[0]}") from err
 
 
 def read(path: str) -> Settings:
-    """The settings in that file; Unusable, in one line that names file and field, where they can't be used."""
+    """The settings in that file; InvalidSettings, in one line that names file and field, where they can't be used."""
     try:
         with open(path, "rb") as file:
             data = tomllib.load(file)
         found = Settings(*(checked(kind, table(data, path), path) for path, kind in TABLES))
         if not found.network.internal_port_range or not found.network.seed_nodes:
-            raise Unusable("network: internal_port_range and seed_nodes must not be empty")
+            raise InvalidSettings("network: internal_port_range and seed_nodes must not be empty")
         if found.fault_tolerance.machine_losses < 0:
-            raise Unusable(
+            raise InvalidSettings(
                 f"policy_terms.fault_tolerance.machine_losses: {found.fault_tolerance.machine_losses} is below 0"
             )
         for place, address in enumerate(found.network.seed_nodes):
             endpoint(address, f"network.seed_nodes[{place}]")
         endpoint(found.cloud.address, "platform.cloud_api.address")
     except OSError as err:
-        raise Unusable(f"{path}: {err.strerror}") from err
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError, Unusable) as err:
-        raise Unusable(f"{path}: {err}") from err
+        raise InvalidSettings(f"{path}: {err.strerror}") from err
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError, InvalidSettings) as err:
+        raise InvalidSettings(f"{path}: {err}") from err
     return found
 
 
@@ -214,5 +214,5 @@
     """The settings file that the platform names in the environment."""
     path = os.environ.get(VARIABLE)
     if not path:
-        raise Unusable(f"{VARIABLE}: not set")
+        raise InvalidSettings(f"{VARIABLE}: not set")
     return read(path)
--- a/kestrelplank/settings/relay.py
+++ b/kestrelplank/settings/relay.py
@@ -112,7 +112,7 @@
 
 
 def read(ini: Ini) -> RelayFile:
-    """What a relay's file says; Unusable where any of it can't be used."""
+    """What a relay's file says; InvalidSettings where any of it can't be used."""
     made = RelayFile(
         place=ini.one("relay", Place),
         tries=ini.one("tries", Tries),
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -43,7 +43,7 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import Entry, HardState, Snapshot
 from kestrelplank.decode import Malformed
-from kestrelplank.file_discovery.whole import sync_folder, write_whole
+from kestrelplank.file_discovery.atomic_write import sync_directory, write_atomically
 
 FORM = 1  # of the file
 NAME = "log"
@@ -173,7 +173,7 @@
         """Writes a configuration as a plain file for operators, and removes all but the newest copies. Best effort: a
         refusal is logged."""
         try:
-            write_whole(os.path.join(self.folder, copy_name(version)), text)
+            write_atomically(os.path.join(self.folder, copy_name(version)), text)
             for name in self._copies()[:-COPIES_KEPT]:
                 os.unlink(os.path.join(self.folder, name))
         except OSError as err:
@@ -207,7 +207,7 @@
         os.ftruncate(self._fd, last.end + 1)
         os.ftruncate(self._fd, last.end)
         os.fsync(self._fd)
-        sync_folder(self.folder)
+        sync_directory(self.folder)
 
     def _hold(self, loaded: Loaded, salt: bytes, end: int, frames: int) -> None:
         """Takes what the open file has as what is held."""
@@ -280,7 +280,7 @@
     def _finish_rename(self) -> None:
         """Until the folder is synced, a loss of power may bring the old file back under the name."""
         if self._name_due:
-            sync_folder(self.folder)
+            sync_directory(self.folder)
             self._name_due = False
 
     def _copies(self) -> list[str]:
@@ -442,4 +442,4 @@
     above = os.path.dirname(os.path.abspath(folder))
     make_folder(above)
     os.makedirs(folder, exist_ok=True)
-    sync_folder(above)
+    sync_directory(above)
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -15,7 +15,8 @@
 from kestrelplank.emulator.world import World
 from kestrelplank.load_balancing.attempts import PROOFS, RESET, SILENT
 from kestrelplank.policy import Conductor
-from kestrelplank.settings.ini import Ini, Unusable
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Ini
 
 SCRIPTS = Path(__file__).parents[2] / "rehearsals"
 SITE = """[site]
@@ -243,7 +244,7 @@
     ],
 )
 def test_a_fault_that_cannot_be_played_is_refused_with_its_line(fault, says):
-    with pytest.raises(Unusable) as found:
+    with pytest.raises(InvalidSettings) as found:
         read(fault)
     assert says in str(found.value) and str(found.value).startswith("s.ini")
 
@@ -267,7 +268,7 @@
     ],
 )
 def test_a_site_that_cannot_be_played_is_refused(old, new, says):
-    with pytest.raises(Unusable) as found:
+    with pytest.raises(InvalidSettings) as found:
         script(Ini("s.ini", SITE.replace(old, new, 1)))
     assert says in str(found.value)
 
@@ -281,7 +282,7 @@
 
 
 def test_an_edit_needs_node_files():
-    with pytest.raises(Unusable, match="there are no node files"):
+    with pytest.raises(InvalidSettings, match="there are no node files"):
         read("kind = edit, who = nodes, start = 3s, length = 3s")
 
 
--- a/tests/file_discovery/test_whole.py
+++ b/tests/file_discovery/test_atomic_write.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from kestrelplank.file_discovery.whole import write_whole
+from kestrelplank.file_discovery.atomic_write import write_atomically
 
 
 def test_a_file_is_replaced_whole_and_keeps_its_mode(tmp_path):
     path = tmp_path / "nodes.ini"
-    write_whole(str(path), b"one")
+    write_atomically(str(path), b"one")
     path.chmod(0o640)
     with open(path, "rb") as reader:  # who reads meanwhile goes on with the old text
-        write_whole(str(path), b"two")
+        write_atomically(str(path), b"two")
         assert reader.read() == b"one"
     assert path.read_bytes() == b"two" and path.stat().st_mode & 0o777 == 0o640
     assert os.listdir(tmp_path) == ["nodes.ini"]
@@ -26,5 +26,5 @@
 
     monkeypatch.setattr(os, fails, full)
     with pytest.raises(OSError, match="No space left"):
-        write_whole(str(path), b"two")
+        write_atomically(str(path), b"two")
     assert path.read_bytes() == b"one" and os.listdir(tmp_path) == ["nodes.ini"]
--- a/tests/file_discovery/test_nodelist.py
+++ b/tests/file_discovery/test_nodelist.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as some
 
 from kestrelplank.file_discovery.nodelist import read, written
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettings
 from kestrelplank.state.nodeset import Line, Listed, NodeSet, Refused, assemble
 
 TEXT = """# toronto and windsor
@@ -76,7 +76,7 @@
 )
 def test_what_cannot_be_used_names_its_line(old, new, says):
     assert old in TEXT
-    with pytest.raises(Unusable) as found:
+    with pytest.raises(InvalidSettings) as found:
         part(TEXT.replace(old, new, 1))
     assert says in str(found.value) and str(found.value).startswith("n.ini")
 
@@ -85,25 +85,25 @@
     "data, says", [("", "the file is empty"), (" \n\n", "the file is empty"), (b"\xff", "no UTF-8")]
 )
 def test_a_file_without_text_is_refused(data, says):
-    with pytest.raises(Unusable, match=says):
+    with pytest.raises(InvalidSettings, match=says):
         part(data)
 
 
 def test_too_many_nodes_are_refused():
-    with pytest.raises(Unusable, match="line 9, .zone windsor.: more than 2 nodes are listed"):
+    with pytest.raises(InvalidSettings, match="line 9, .zone windsor.: more than 2 nodes are listed"):
         part(most=2)
 
 
 def test_a_trailer_that_is_not_asked_for_must_be_true_all_the_same():
     assert len(part(TEXT.replace("# end 3 nodes\n", ""), trailer=False).lines) == 3
-    with pytest.raises(Unusable, match="4 nodes are announced"):
+    with pytest.raises(InvalidSettings, match="4 nodes are announced"):
         part(TEXT.replace("# end 3", "# end 4"), trailer=False)
 
 
 def test_a_write_cut_at_any_byte_is_refused_where_the_trailer_is_asked_for():
     data = TEXT.encode()
     for cut in range(len(data)):
-        with pytest.raises(Unusable):
+        with pytest.raises(InvalidSettings):
             part(data[:cut])
 
 
@@ -141,5 +141,5 @@
 def test_no_bytes_raise_anything_but_unusable(data):
     try:
         part(data, trailer=False)
-    except Unusable as err:
+    except InvalidSettings as err:
         assert "\n" not in str(err)
--- a/tests/file_discovery/test_source.py
+++ b/tests/file_discovery/test_source.py
@@ -18,7 +18,7 @@
 from kestrelplank.file_discovery.nodelist import read, written
 from kestrelplank.file_discovery.source import Source
 from kestrelplank.policy import Conductor as Policy
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettings
 from kestrelplank.settings.operator import Nodes
 from kestrelplank.state.nodeset import Listed, NodeSet
 from kestrelplank.state.tables import Tables
@@ -360,7 +360,7 @@
             data = data[:at] + random.choice("\x00=[]#\n") + data[at + 1 :]
             try:
                 names.update(line.name for line in read("a.ini", data.encode(), 99, True).lines)
-            except Unusable:
+            except InvalidSettings:
                 pass
         elif how == "twice":
             data = spoil_zone_twice(data)
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -11,7 +11,8 @@
 
 from kestrelplank.rehearsal.process import Process
 from kestrelplank.settings import relay as config
-from kestrelplank.settings.ini import Ini, Unusable
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Ini
 
 WORDS = ("-c", "from kestrelplank.cli import main; raise SystemExit(main())", "relay", "--config")
 FILE = """[relay]
@@ -202,7 +203,7 @@
     if not says:
         assert config.read(Ini("r.ini", text.replace(old, new))).place.hub == ""
         return
-    with pytest.raises(Unusable) as found:
+    with pytest.raises(InvalidSettings) as found:
         config.read(Ini("r.ini", text.replace(old, new)))
     assert says in str(found.value)
 
--- a/tests/settings/test_ini.py
+++ b/tests/settings/test_ini.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as some
 from msgspec import Meta, Struct
 
-from kestrelplank.settings.ini import Count, Flag, Ini, Number, Share, Span, Spans, Unusable, Words, share, span, spans
+from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.ini import Count, Flag, Ini, Number, Share, Span, Spans, Words, share, span, spans
 
 MS = 1_000_000
 
@@ -89,7 +90,7 @@
 )
 def test_what_cannot_be_used_is_one_line_with_its_place(old, new, says):
     assert old in GOOD
-    with pytest.raises(Unusable) as found:
+    with pytest.raises(InvalidSettings) as found:
         ini = Ini("k.ini", GOOD.replace(old, new, 1))
         ini.one("watch", Watch)
         ini.each("zone", Watch)
@@ -102,7 +103,7 @@
         every: Span = 5
 
     assert Ini("k.ini", "").one("easy", Easy) == Easy(5)
-    with pytest.raises(Unusable, match="k.ini: field folder of \\[watch\\]: missing, as is its section"):
+    with pytest.raises(InvalidSettings, match="k.ini: field folder of \\[watch\\]: missing, as is its section"):
         Ini("k.ini", "").one("watch", Watch)
 
 
@@ -111,7 +112,7 @@
     path = tmp_path / "k.ini"
     if data:
         path.write_bytes(data)
-    with pytest.raises(Unusable, match=says):
+    with pytest.raises(InvalidSettings, match=says):
         Ini.of(str(path))
 
 
@@ -135,5 +136,5 @@
         ini = Ini("k.ini", text)
         ini.one("a", Watch)
         ini.finish()
-    except Unusable as err:
+    except InvalidSettings as err:
         assert str(err).startswith("k.ini")
--- a/tests/settings/test_platform.py
+++ b/tests/settings/test_platform.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettings
 from kestrelplank.settings.platform import read
 
 ROOT = Path(__file__).parents[2]
@@ -37,7 +37,7 @@
     assert found.listen("frontend") == ("10.0.0.1", 8080) and found.telegraph_port() == 7540
     assert found.bounds.grace_s == 7 and found.bounds.retry_budget_ratio == 0.2
     assert found.fault_tolerance.machine_losses == 2 and found.local_system.quorum_member
-    with pytest.raises(Unusable, match="listen_addresses.readiness: missing"):
+    with pytest.raises(InvalidSettings, match="listen_addresses.readiness: missing"):
         found.listen("readiness")
 
 
@@ -57,7 +57,7 @@
 )
 def test_what_can_not_be_used_is_one_line_that_names_the_place(tmp_path, old, new, says):
     (tmp_path / "node.toml").write_text(GOOD.replace(old, new))
-    with pytest.raises(Unusable) as met:
+    with pytest.raises(InvalidSettings) as met:
         read(str(tmp_path / "node.toml"))
     assert says in str(met.value) and "node.toml" in str(met.value) and "\n" not in str(met.value)
 
--- a/tests/storage/test_log_file.py
+++ b/tests/storage/test_log_file.py
@@ -783,7 +783,7 @@
 def test_the_folder_and_those_above_it_are_made_durably(tmp_path, monkeypatch):
     folder, synced = str(tmp_path / "a" / "b" / "c"), []
     with monkeypatch.context() as patched:
-        patched.setattr(log_file, "sync_folder", synced.append)
+        patched.setattr(log_file, "sync_directory", synced.append)
         LogFile(folder)
     assert synced == [str(tmp_path), str(tmp_path / "a"), str(tmp_path / "a" / "b")]
     filled(folder, *BEFORE)
