--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -18,7 +18,7 @@
 
 from kestrelplank.consensus.messages import ServerListUpdate
 from kestrelplank.http.serve import listener
-from kestrelplank.settings import lean  # noqa: F401
+from kestrelplank.settings import skip_unused_libraries  # noqa: F401
 from kestrelplank.settings.platform import Bounds, CloudApi, LocalSystem, Network, PlatformSettings
 from kestrelplank.transport.messages import ConfigurationUpdate
 
--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -21,11 +21,12 @@
 from kestrelplank.file_discovery.source import Source
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.rehearsal.parties import Kit
-from kestrelplank.settings.operator import MS, Nodes
+from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.state.guards import Terms, judge
 from kestrelplank.state.nodeset import Listed, NodeSet, assemble
 from kestrelplank.state.roster import Roster
 from kestrelplank.state.roster import Terms as Pace
+from kestrelplank.time_units import MILLISECOND as MS
 
 
 class Quiet:
@@ -114,7 +115,9 @@
 
         path, quiet = str(Path(folder) / "a.ini"), 20 * MS
         write_atomically(path, whole.encode())
-        nodes = Nodes(files=(path,), quiet=quiet, poll=100 * MS, events=events, weight_step=0.0)
+        nodes = NodeFileSettings(
+            files=(path,), quiet_period_ns=quiet, poll_interval_ns=100 * MS, events=events, weight_step=0.0
+        )
         source = Source(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
         took = []
         while source.intake.force is None:
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -63,10 +63,10 @@
     path = os.environ.get("KESTRELPLANK_INI")
     if not path:
         return None
-    from kestrelplank.settings import operator
-    from kestrelplank.settings.ini import Ini
+    from kestrelplank.settings.ini import IniFile
+    from kestrelplank.settings.operator import read_operator_settings
 
-    return operator.read(Ini.of(path))
+    return read_operator_settings(IniFile.load(path))
 
 
 class Signals:
@@ -167,14 +167,14 @@
         files = Source(loop, counters, extras.nodes, found["grace"], ids, discovery.addresses, on_event)
         conductor.holders.append(files)
     members = status = None
-    if extras and (extras.members.on or extras.status.socket):
+    if extras and (extras.members.enabled or extras.status.path):
         from kestrelplank.assigner.extras import membership, shown
 
         members = membership(loop, counters, extras.members, found, policy, peers)
         try:
             status = shown(loop, extras.status, policy, ids, members)
         except OSError as err:
-            print(f"kestrelplank: can't listen at {extras.status.socket}: {err.strerror}", file=sys.stderr)
+            print(f"kestrelplank: can't listen at {extras.status.path}: {err.strerror}", file=sys.stderr)
             return 1
     discovery.start(config.get("known"))
     news = News(loop, pool, counters, config["hub"], ids, found["proxies"], found["slices"], orders, on_event)
--- a/kestrelplank/assigner/extras.py
+++ b/kestrelplank/assigner/extras.py
@@ -8,8 +8,7 @@
 from kestrelplank.assigner.status import Status
 from kestrelplank.decode import Ids
 from kestrelplank.policy import Conductor
-from kestrelplank.settings.operator import Members as MembersFile
-from kestrelplank.settings.operator import Status as StatusFile
+from kestrelplank.settings.operator import MembershipSettings, StatusSocketSettings
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.digest import Seen, zone_sums
 from kestrelplank.state.membership import Membership, Terms
@@ -31,23 +30,33 @@
 
 
 def membership(
-    loop: Loop, counters: Counters, file: MembersFile, settings: dict, policy: Conductor, peers: Peers | None
+    loop: Loop, counters: Counters, file: MembershipSettings, settings: dict, policy: Conductor, peers: Peers | None
 ) -> Members | None:
     """Membership, where the operator wants it and the platform's settings allow datagrams."""
-    if not file.on:
+    if not file.enabled:
         return None
     if peers is None:
         counters.trouble("members_off", "the settings allow no datagrams between conductors")
         return None
-    terms = Terms(file.every, file.suspect, file.dead, file.grace)
+    terms = Terms(file.heartbeat_interval_ns, file.suspect_phi, file.dead_phi, file.min_missed_heartbeats)
     life = int(time.time()) & 0xFFFFFFFF  # higher than in any former one, unless the clock has been set back past it
     core = Membership(loop.now(), settings["ordinal"], life, settings["conductors"], terms)
-    return Members(loop, counters, core, file.every, peers.tell, lambda: seen(policy, loop.now()), lambda: best(policy))
+    return Members(
+        loop,
+        counters,
+        core,
+        file.heartbeat_interval_ns,
+        peers.tell,
+        lambda: seen(policy, loop.now()),
+        lambda: best(policy),
+    )
 
 
-def shown(loop: Loop, file: StatusFile, policy: Conductor, ids: Ids, members: Members | None) -> Status | None:
+def shown(
+    loop: Loop, file: StatusSocketSettings, policy: Conductor, ids: Ids, members: Members | None
+) -> Status | None:
     """The status socket, where the operator names one. Raises OSError."""
-    if not file.socket:
+    if not file.path:
         return None
 
     def state() -> dict:
@@ -67,4 +76,4 @@
                     held[what] = held.get(what, 0) + is_so
         return {"slices": len(policy.slices), "zones": zones, "members": members.shown() if members else None}
 
-    return Status(loop, file.socket, state)
+    return Status(loop, file.path, state)
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -4,12 +4,12 @@
 
 import click
 
-from kestrelplank.settings import operator, relay
+from kestrelplank.settings import operator, reference_proxy
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Ini
+from kestrelplank.settings.ini import IniFile
 
 
-def kind(ini: Ini) -> str:
+def kind(ini: IniFile) -> str:
     """What a file is, by its sections."""
     kinds = {section.kind for section in ini.sections}
     if "relay" in kinds:
@@ -28,19 +28,19 @@
     bad, parts = False, []
     for path in paths:
         try:
-            ini = Ini.of(path)
+            ini = IniFile.load(path)
             what = kind(ini)
             if what == "script":
                 from kestrelplank.emulator.script import script
 
                 script(ini)
             elif what == "relay's file":
-                relay.read(ini)
+                reference_proxy.read_reference_proxy_settings(ini)
             elif what == "node list":
-                limits = operator.Nodes()
-                parts.append(nodelist.read(path, bytes_of(path, limits.most_bytes), limits.most_nodes, False))
+                limits = operator.NodeFileSettings()
+                parts.append(nodelist.read(path, bytes_of(path, limits.max_file_bytes), limits.max_nodes, False))
             else:
-                operator.read(ini)
+                operator.read_operator_settings(ini)
             click.echo(f"{path}: {what}, good")
         except InvalidSettings as err:
             bad = True
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -7,7 +7,8 @@
 
 from kestrelplank.settings import operator
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import UNITS, Ini
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.ini_fields import NS_PER_UNIT
 
 
 def shown(value: object, field: str, section: str) -> str:
@@ -16,8 +17,8 @@
     if isinstance(value, tuple):
         return ", ".join(map(str, value))
     if isinstance(value, int) and field in TIMES and section != "[members]" or field == "every":
-        unit = next((unit for unit, size in reversed(UNITS.items()) if value and not value % size), "s")
-        return f"{value // UNITS[unit]}{unit}"
+        unit = next((unit for unit, size in reversed(NS_PER_UNIT.items()) if value and not value % size), "s")
+        return f"{value // NS_PER_UNIT[unit]}{unit}"
     return "" if value is None else str(value)
 
 
@@ -30,13 +31,13 @@
 
 
 @command.command()
-@click.option("--ini", "path", envvar=operator.VARIABLE, type=click.Path(), help="The operator's file.")
+@click.option("--ini", "path", envvar=operator.INI_VARIABLE, type=click.Path(), help="The operator's file.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON, times in ns.")
 def show(path: str | None, as_json: bool) -> None:
     """Every field with its value, and the line or default that it came from."""
     try:
-        ini = Ini.of(path) if path else Ini("no file", "")
-        operator.read(ini)
+        ini = IniFile.load(path) if path else IniFile("no file", "")
+        operator.read_operator_settings(ini)
     except InvalidSettings as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
--- a/kestrelplank/cli/nodes.py
+++ b/kestrelplank/cli/nodes.py
@@ -11,7 +11,7 @@
 from kestrelplank.file_discovery.source import bytes_of, load
 from kestrelplank.settings import operator
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Ini
+from kestrelplank.settings.ini import IniFile
 from kestrelplank.state.guards import ACCEPTED, Terms, judge
 from kestrelplank.state.nodeset import NodeSet, Part, Refused, assemble, difference
 
@@ -29,17 +29,20 @@
         sys.exit(2)
 
 
-def settings(path: str | None) -> operator.Nodes:
+def settings(path: str | None) -> operator.NodeFileSettings:
     if not path:
-        raise InvalidSettings(f"no operator's file: name one with --ini or {operator.VARIABLE}")
-    return operator.read(Ini.of(path)).nodes
+        raise InvalidSettings(f"no operator's file: name one with --ini or {operator.INI_VARIABLE}")
+    return operator.read_operator_settings(IniFile.load(path)).nodes
 
 
-def parts(paths: list[str] | tuple[str, ...], nodes: operator.Nodes) -> list[Part]:
-    return [nodelist.read(path, bytes_of(path, nodes.most_bytes), nodes.most_nodes, nodes.trailer) for path in paths]
+def parts(paths: list[str] | tuple[str, ...], nodes: operator.NodeFileSettings) -> list[Part]:
+    return [
+        nodelist.read(path, bytes_of(path, nodes.max_file_bytes), nodes.max_nodes, nodes.trailer_required)
+        for path in paths
+    ]
 
 
-def files(nodes: operator.Nodes) -> list[str]:
+def files(nodes: operator.NodeFileSettings) -> list[str]:
     """The files that the operator's patterns name; a path without a pattern must be there."""
     found: dict[str, None] = {}
     for pattern in nodes.files:
@@ -56,7 +59,7 @@
     """Node lists in files, and the set in force."""
 
 
-INI = click.option("--ini", "path", envvar=operator.VARIABLE, type=click.Path(), help="The operator's file.")
+INI = click.option("--ini", "path", envvar=operator.INI_VARIABLE, type=click.Path(), help="The operator's file.")
 JSON = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
 
@@ -68,7 +71,7 @@
     """Every node, as the files have it or as it is in force."""
     nodes = guarded(settings, path)
     if in_force:
-        kept = guarded(load, nodes.state) if nodes.state else None
+        kept = guarded(load, nodes.state_path) if nodes.state_path else None
         if kept is None:
             click.echo("kestrelplank: no state is kept", err=True)
             sys.exit(1)
@@ -93,10 +96,14 @@
     nodes = guarded(settings, path)
     found = guarded(parts, files(nodes), nodes)
     made = guarded(assemble, found)
-    kept = guarded(load, nodes.state) if nodes.state else None
+    kept = guarded(load, nodes.state_path) if nodes.state_path else None
     confirms = tuple(part.confirms for part in found if part.confirms)
     verdict = judge(
-        kept[0] if kept else None, made, confirms, 0, Terms(nodes.most_closed, nodes.stand, nodes.zone_may_empty)
+        kept[0] if kept else None,
+        made,
+        confirms,
+        0,
+        Terms(nodes.max_closed_fraction, nodes.confirmation_period_ns, nodes.zone_may_empty),
     )
     click.echo(f"{verdict.how}: {verdict.why}")
     sys.exit(0 if verdict.how == ACCEPTED else 1)
@@ -108,7 +115,7 @@
 @JSON
 def diff(old: str, new: str, as_json: bool) -> None:
     """What one node list changes of another. Exit 1: something."""
-    limits = operator.Nodes()
+    limits = operator.NodeFileSettings()
     before, after = (guarded(assemble, guarded(parts, [path], limits)) for path in (old, new))
     found = difference(before, after)
     if as_json:
@@ -127,7 +134,7 @@
 def history(path: str | None, as_json: bool) -> None:
     """The versions that were in force, the last of them now."""
     nodes = guarded(settings, path)
-    kept = guarded(load, nodes.state) if nodes.state else None
+    kept = guarded(load, nodes.state_path) if nodes.state_path else None
     entries = kept[2] if kept else ()
     if as_json:
         click.echo(msgspec.json.encode([dict(zip(("version", "hash", "what"), entry)) for entry in entries]))
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -8,7 +8,7 @@
 
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Ini
+from kestrelplank.settings.ini import IniFile
 
 
 def encoded(found: dict) -> bytes:
@@ -70,7 +70,7 @@
     if live + baseline + knowing > 1:
         raise click.UsageError("--live, --baseline and --knowing exclude each other")
     try:
-        read = script(Ini.of(path))
+        read = script(IniFile.load(path))
     except InvalidSettings as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -7,13 +7,13 @@
 
 from kestrelplank.settings import operator
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Ini
+from kestrelplank.settings.ini import IniFile
 
 WITHIN = 3.0  # s
 
 
 @click.command()
-@click.option("--ini", "path", envvar=operator.VARIABLE, type=click.Path(), help="The operator's file.")
+@click.option("--ini", "path", envvar=operator.INI_VARIABLE, type=click.Path(), help="The operator's file.")
 @click.option("--socket", "at", type=click.Path(), help="The status socket, where no file names it.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def command(path: str | None, at: str | None, as_json: bool) -> None:
@@ -21,7 +21,7 @@
     from kestrelplank.assigner.status import asked
 
     try:
-        at = at or (operator.read(Ini.of(path)).status.socket if path else "")
+        at = at or (operator.read_operator_settings(IniFile.load(path)).status.path if path else "")
     except InvalidSettings as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
--- a/kestrelplank/emulator/node.py
+++ b/kestrelplank/emulator/node.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from kestrelplank.settings.ini import Count, Number, Share, Span
+from kestrelplank.settings.ini_fields import Count, Duration, Fraction, Number
 
 GLIDE = 50_000_000  # a cold node's pace grows: it is looked at anew so often
 SLACK = 1.1  # of what pushes a cold node over, for chance
@@ -26,15 +26,15 @@
     slots: Count = 6  # ops that run at once
     room: Count = 36  # ops that wait; one more is told that it is not started
     speed: Number = 1.0
-    warm_up: Span = 10_000_000_000
-    warm_work: Span = 0  # above 0: warm by so much work done instead of by time
-    cold_from: Share = 0.3
+    warm_up: Duration = 10_000_000_000
+    warm_work: Duration = 0  # above 0: warm by so much work done instead of by time
+    cold_from: Fraction = 0.3
     fall_multiple: Number = 3.0  # sent more than so many times its present capacity
-    tip_after: Span = 3_000_000_000  # over so long, a cold node falls and stays down
-    connection: Span = 2_500_000  # work that a new connection costs
+    tip_after: Duration = 3_000_000_000  # over so long, a cold node falls and stays down
+    connection: Duration = 2_500_000  # work that a new connection costs
     keys: Count = 600  # remembered
-    key_for: Span = 16_000_000_000
-    key_gain: Share = 0.5  # less work for a key it remembers
+    key_for: Duration = 16_000_000_000
+    key_gain: Fraction = 0.5  # less work for a key it remembers
     cancel: str = "waiting"  # what an op's cancel ends: waiting, all or none
 
 
--- a/kestrelplank/emulator/script.py
+++ b/kestrelplank/emulator/script.py
@@ -6,7 +6,9 @@
 from msgspec import Meta, Struct
 
 from kestrelplank.emulator.node import Kind
-from kestrelplank.settings.ini import Count, Flag, Ini, Number, Section, Share, Span, Spans, Words
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.ini_fields import Count, Duration, DurationRange, Flag, Fraction, Number, Words
+from kestrelplank.settings.ini_syntax import Section
 
 MS = 1_000_000
 Some = Annotated[Count, Meta(ge=1)]
@@ -18,24 +20,24 @@
     slices: Some = 180
     relays: Some = 60
     conductors: Annotated[Count, Meta(ge=1, le=40)] = 2
-    length: Span = 60_000 * MS
-    settle: Span = 6_000 * MS  # ops before that are played and not counted
-    load: Share = 0.45  # work asked for over what all nodes can do
+    length: Duration = 60_000 * MS
+    settle: Duration = 6_000 * MS  # ops before that are played and not counted
+    load: Fraction = 0.45  # work asked for over what all nodes can do
 
 
 class OpType(Struct, frozen=True, kw_only=True):
-    share: Share
-    work: Span
+    share: Fraction
+    work: Duration
     spread: Number = 0.6  # deviation over mean; drawn lognormal
-    target: Span
-    timeout: Span
+    target: Duration
+    timeout: Duration
     value: Number = 1.0
     effect: Literal["retryable", "deduplicated", "once-only"] = "once-only"
 
 
 class Clients(Struct, frozen=True, kw_only=True):
     retries: Annotated[Count, Meta(le=7)] = 1  # by themselves, of what was rejected, or may run again
-    wait: Span = 100 * MS
+    wait: Duration = 100 * MS
     slice_spread: Number = 0.7
     keys: Some = 40  # of a slice; the first are the most asked for
 
@@ -43,72 +45,75 @@
 class Relays(Struct, frozen=True, kw_only=True):
     pick: Literal["random", "rotate", "two"] = "random"
     strikes: Count = 5
-    avoid: Spans = (4_000 * MS, 7_000 * MS)
-    hold: Span = 500 * MS
-    dial: Span = 250 * MS
-    redial: Spans = (200 * MS, 2_300 * MS)
-    notice: Spans = (370 * MS, 1_900 * MS)  # until a conductor's or relay's end is known where nothing was reset
-    apply_line: Span = 25_000
+    avoid: DurationRange = (4_000 * MS, 7_000 * MS)
+    hold: Duration = 500 * MS
+    dial: Duration = 250 * MS
+    redial: DurationRange = (200 * MS, 2_300 * MS)
+    notice: DurationRange = (
+        370 * MS,
+        1_900 * MS,
+    )  # until a conductor's or relay's end is known where nothing was reset
+    apply_line: Duration = 25_000
 
 
 class Channel(Struct, frozen=True, kw_only=True):
     lines_per_s: Number = 7500.0
     envelope: Count = 16
-    backlog: Span = 1_500 * MS  # of lines at that pace may wait
-    transit: Spans = (85 * MS, 330 * MS)
+    backlog: Duration = 1_500 * MS  # of lines at that pace may wait
+    transit: DurationRange = (85 * MS, 330 * MS)
 
 
 class Reports(Struct, frozen=True, kw_only=True):
-    every: Annotated[Span, Meta(ge=10 * MS)] = 1_000 * MS
-    late: Spans = (530 * MS, 1_200 * MS)
+    every: Annotated[Duration, Meta(ge=10 * MS)] = 1_000 * MS
+    late: DurationRange = (530 * MS, 1_200 * MS)
     intake_per_s: Some = 500
-    noise: Share = 0.1
+    noise: Fraction = 0.1
 
 
 class Discovery(Struct, frozen=True, kw_only=True):
-    notice: Spans = (1_600 * MS, 4_400 * MS)  # that a process has ended
-    silent: Spans = (4_600 * MS, 11_000 * MS)  # that a machine is out of reach
-    add: Spans = (1_200 * MS, 2_500 * MS)
-    spread: Spans = (40 * MS, 390 * MS)  # among conductors
+    notice: DurationRange = (1_600 * MS, 4_400 * MS)  # that a process has ended
+    silent: DurationRange = (4_600 * MS, 11_000 * MS)  # that a machine is out of reach
+    add: DurationRange = (1_200 * MS, 2_500 * MS)
+    spread: DurationRange = (40 * MS, 390 * MS)  # among conductors
 
 
 class Network(Struct, frozen=True, kw_only=True):
-    same: Spans = (100_000, 320_000)
-    cross: Spans = (1_400_000, 2_600_000)
+    same: DurationRange = (100_000, 320_000)
+    cross: DurationRange = (1_400_000, 2_600_000)
 
 
 class Rules(Struct, frozen=True, kw_only=True):
-    grace: Span = 1_500 * MS
-    bare: Span = 2_500 * MS
-    takeover: Spans = (1_000 * MS, 3_000 * MS)
-    rehome: Spans = (3_000 * MS, 12_000 * MS)
-    tick: Span = 4 * MS
+    grace: Duration = 1_500 * MS
+    bare: Duration = 2_500 * MS
+    takeover: DurationRange = (1_000 * MS, 3_000 * MS)
+    rehome: DurationRange = (3_000 * MS, 12_000 * MS)
+    tick: Duration = 4 * MS
 
 
 class Files(Struct, frozen=True, kw_only=True):
     """[files]: node lists in files in place of discovery, with the operator's terms."""
 
-    quiet: Span = 200 * MS
-    most_closed: Share = 0.25
-    stand: Span = 60_000 * MS
-    weight_step: Share = 0.1
+    quiet: Duration = 200 * MS
+    most_closed: Fraction = 0.25
+    stand: Duration = 60_000 * MS
+    weight_step: Fraction = 0.1
 
 
 class Load(Struct, frozen=True, kw_only=True):
-    at: Span
-    load: Share
+    at: Duration
+    load: Fraction
 
 
 class Fault(Struct, frozen=True, kw_only=True):
     kind: Literal["stall", "slow", "silent", "fail", "mute", "lost", "drain", "edit"]
     who: Words
-    start: Span
-    length: Span | None = None
-    end: Span | None = None
+    start: Duration
+    length: Duration | None = None
+    end: Duration | None = None
     strength: Number | None = None  # slow: times slower; fail, mute: a share; edit: times the weight
     how: Literal["torn", "twice", "gone", "empty", "remove", "drain", "weight"] = "torn"  # edit: what is saved
-    pause: Span = 300 * MS  # stall: stands still for so long,
-    every: Span = 2_000 * MS  # so often
+    pause: Duration = 300 * MS  # stall: stands still for so long,
+    every: Duration = 2_000 * MS  # so often
     keeps_queue: Flag = False  # silent: what waited is still there when it comes back
 
 
@@ -165,79 +170,79 @@
     raise ValueError(f"no zone is called {which!r}; there are {', '.join(site.zones)}")
 
 
-def fault(ini: Ini, section: Section, read: Fault, site: Site) -> tuple[str, Fault, int, tuple[Selector, ...]]:
+def fault(ini: IniFile, section: Section, read: Fault, site: Site) -> tuple[str, Fault, int, tuple[Selector, ...]]:
     if (read.length is None) == (read.end is None):
-        raise ini.fail(section, None, "give either length or end")
+        raise ini.error(section, None, "give either length or end")
     end = read.end if read.end is not None else read.start + read.length
     if end <= read.start:
-        raise ini.fail(section, "end" if read.end is not None else "length", "the fault ends before it begins")
+        raise ini.error(section, "end" if read.end is not None else "length", "the fault ends before it begins")
     if read.start >= site.length:
-        raise ini.fail(section, "start", "the rehearsal is over by then")
+        raise ini.error(section, "start", "the rehearsal is over by then")
     try:
         whom = tuple(selector(word, site) for word in read.who)
     except ValueError as err:
-        raise ini.fail(section, "who", str(err)) from None
+        raise ini.error(section, "who", str(err)) from None
     if not whom:
-        raise ini.fail(section, "who", "names nobody")
+        raise ini.error(section, "who", "names nobody")
     if any(one.kind != "node" for one in whom) and read.kind not in ("stall", "lost"):
-        raise ini.fail(section, "who", f"{read.kind} is for nodes alone")
+        raise ini.error(section, "who", f"{read.kind} is for nodes alone")
     if read.kind in ("fail", "mute") and not 0 < (read.strength or 0) <= 1:
-        raise ini.fail(section, "strength", "expected a share over 0 and up to 1")
-    if read.kind == "edit" and ini.find("files") is None:
-        raise ini.fail(section, "kind", "there are no node files: the script has no section [files]")
+        raise ini.error(section, "strength", "expected a share over 0 and up to 1")
+    if read.kind == "edit" and ini.find_section("files") is None:
+        raise ini.error(section, "kind", "there are no node files: the script has no section [files]")
     if read.kind == "edit" and read.how == "weight" and not read.strength:
-        raise ini.fail(section, "strength", "expected by how much weights are multiplied")
+        raise ini.error(section, "strength", "expected by how much weights are multiplied")
     if read.kind == "slow" and not (read.strength or 0) > 1:
-        raise ini.fail(section, "strength", "expected how many times slower, over 1")
+        raise ini.error(section, "strength", "expected how many times slower, over 1")
     if read.kind == "stall" and not 0 < read.pause < read.every:
-        raise ini.fail(section, "pause", "a pause is shorter than the time from one to the next")
+        raise ini.error(section, "pause", "a pause is shorter than the time from one to the next")
     return section.name, read, end, whom
 
 
-def script(ini: Ini) -> Script:
+def script(ini: IniFile) -> Script:
     """The script that a file holds; InvalidSettings says what can't be used."""
-    site = ini.one("site", Site)
-    here = ini.find("site")
+    site = ini.read_section("site", Site)
+    here = ini.find_section("site")
     if not site.zones or len(set(site.zones)) < len(site.zones):
-        raise ini.fail(here, "zones", "expected names of zones, each once")
+        raise ini.error(here, "zones", "expected names of zones, each once")
     if site.settle >= site.length:
-        raise ini.fail(here, "settle", "nothing is left of the rehearsal to be counted")
-    op_types = ini.each("op", OpType)
+        raise ini.error(here, "settle", "nothing is left of the rehearsal to be counted")
+    op_types = ini.read_named_sections("op", OpType)
     if not op_types:
-        raise ini.fail(None, None, "no section [op NAME]")
+        raise ini.error(None, None, "no section [op NAME]")
     if abs(sum(op.share for _, op in op_types) - 1) > 1e-6:
-        raise ini.fail(op_types[-1][0], "share", "the shares of all op types do not sum to 100%")
+        raise ini.error(op_types[-1][0], "share", "the shares of all op types do not sum to 100%")
     for section, op in op_types:
         if not 0 < op.target <= op.timeout:
-            raise ini.fail(section, "target", "expected above 0 and within the op timeout")
+            raise ini.error(section, "target", "expected above 0 and within the op timeout")
         if not op.work:
-            raise ini.fail(section, "work", "expected some")
+            raise ini.error(section, "work", "expected some")
     loads = [(0, site.load)]
-    for section, load in ini.each("load", Load):
+    for section, load in ini.read_named_sections("load", Load):
         if load.at < loads[-1][0]:
-            raise ini.fail(section, "at", "loads stand in the order of time")
+            raise ini.error(section, "at", "loads stand in the order of time")
         loads.append((load.at, load.load))
-    kind = ini.one("nodes", Kind)
+    kind = ini.read_section("nodes", Kind)
     if kind.cancel not in ("waiting", "all", "none"):
-        raise ini.fail(ini.find("nodes"), "cancel", f"expected waiting, all or none, got {kind.cancel!r}")
+        raise ini.error(ini.find_section("nodes"), "cancel", f"expected waiting, all or none, got {kind.cancel!r}")
     if not (kind.cores and kind.slots and kind.speed):
-        raise ini.fail(ini.find("nodes"), None, "cores, slots and speed are above 0")
+        raise ini.error(ini.find_section("nodes"), None, "cores, slots and speed are above 0")
     made = Script(
         site=site,
         kind=kind,
         op_types={section.name: op for section, op in op_types},
-        clients=ini.one("clients", Clients),
-        relays=ini.one("relays", Relays),
-        channel=ini.one("channel", Channel),
-        reports=ini.one("reports", Reports),
-        discovery=ini.one("discovery", Discovery),
-        network=ini.one("network", Network),
-        rules=ini.one("rules", Rules),
+        clients=ini.read_section("clients", Clients),
+        relays=ini.read_section("relays", Relays),
+        channel=ini.read_section("channel", Channel),
+        reports=ini.read_section("reports", Reports),
+        discovery=ini.read_section("discovery", Discovery),
+        network=ini.read_section("network", Network),
+        rules=ini.read_section("rules", Rules),
         loads=tuple(loads),
-        files=ini.one("files", Files) if ini.find("files") else None,
-        faults=tuple(fault(ini, section, read, site) for section, read in ini.each("fault", Fault)),
+        files=ini.read_section("files", Files) if ini.find_section("files") else None,
+        faults=tuple(fault(ini, section, read, site) for section, read in ini.read_named_sections("fault", Fault)),
     )
-    ini.finish()
+    ini.reject_unread_sections()
     return made
 
 
--- a/kestrelplank/file_discovery/nodelist.py
+++ b/kestrelplank/file_discovery/nodelist.py
@@ -15,7 +15,9 @@
 from msgspec import Struct
 
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Ini, Section, number, whole
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.ini_fields import parse_count, parse_number
+from kestrelplank.settings.ini_syntax import Section
 from kestrelplank.sockets.connection import address
 from kestrelplank.state.nodeset import Line, Listed, NodeSet, Part
 
@@ -28,7 +30,7 @@
     confirm: str = ""
 
 
-def node(ini: Ini, section: Section, name: str) -> Line:
+def node(ini: IniFile, section: Section, name: str) -> Line:
     """One line of a zone: address, and after it `weight W`, `cell N` and `draining` in any order."""
     text, line = section.fields[name]
     try:
@@ -44,13 +46,13 @@
             if word == "draining":
                 found[word] = True
             elif word in ("weight", "cell") and words:
-                found[word] = (number if word == "weight" else whole)(words.pop(0))
+                found[word] = (parse_number if word == "weight" else parse_count)(words.pop(0))
             else:
                 raise ValueError(f"expected weight W, cell N or draining, got {word!r}")
         if found.get("weight", 0.0) > LARGEST_WEIGHT:
             raise ValueError(f"a weight is at most {LARGEST_WEIGHT:g}")
     except ValueError as err:
-        raise ini.fail(section, name, str(err) if text.strip() else "an address is missing") from None
+        raise ini.error(section, name, str(err) if text.strip() else "an address is missing") from None
     return Line(name, Listed(section.name, at, **found), line)
 
 
@@ -64,15 +66,15 @@
     rows = text.rstrip().splitlines()
     if not rows:
         raise InvalidSettings(f"{path}: the file is empty")
-    ini, lines = Ini(path, text), []
-    head = ini.one("list", Head)
-    for section in ini.named("zone"):
+    ini, lines = IniFile(path, text), []
+    head = ini.read_section("list", Head)
+    for section in ini.named_sections("zone"):
         if not NAME.fullmatch(section.name):
-            raise ini.fail(section, None, f"{section.name[:60]!r} is no name for a zone")
+            raise ini.error(section, None, f"{section.name[:60]!r} is no name for a zone")
         lines += [node(ini, section, name) for name in section.fields]
         if len(lines) > most_nodes:
-            raise ini.fail(section, None, f"more than {most_nodes} nodes are listed")
-    ini.finish()
+            raise ini.error(section, None, f"more than {most_nodes} nodes are listed")
+    ini.reject_unread_sections()
     end = END.fullmatch(rows[-1])
     if trailer and not (end and text.endswith("\n")):
         raise InvalidSettings(
--- a/kestrelplank/file_discovery/source.py
+++ b/kestrelplank/file_discovery/source.py
@@ -1,4 +1,4 @@
-"""Nodes from watched files: reads them, hands what they say to the cores in `state/`, and tells the module.
+"""NodeFileSettings from watched files: reads them, hands what they say to the cores in `state/`, and tells the module.
 
 It decides nothing: `Debounce` says when a reading counts, `Intake` whether the set it makes may hold, `Roster` what
 that comes to over time, `Blend` how it goes together with discovery.
@@ -14,7 +14,7 @@
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.file_discovery.watch import Watch
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.operator import Nodes
+from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.sockets.loop import Loop, Timer
 from kestrelplank.state import guards, roster
 from kestrelplank.state.intake import ACCEPTED, REFUSED, SAME, SETTLED, Debounce, Intake, restored
@@ -54,7 +54,7 @@
         self,
         loop: Loop,
         counters: Counters,
-        nodes: Nodes,
+        nodes: NodeFileSettings,
         grace: int,
         ids: Ids,
         addresses: dict[int, str],
@@ -62,7 +62,7 @@
     ) -> None:
         self._loop, self._counters, self._nodes, self._ids = loop, counters, nodes, ids
         self._addresses, self._on_event = addresses, on_event
-        self._debounce = Debounce(nodes.quiet)
+        self._debounce = Debounce(nodes.quiet_period_ns)
         self._roster = roster.Roster(self._pace(nodes, grace))
         self._blend = Blend(nodes.authority)
         self._timers: dict[str, Timer] = {}  # of files to be read again; and of what is due by itself
@@ -73,26 +73,28 @@
             self._accepted()
         self._watch = self._watching()
 
-    def _pace(self, nodes: Nodes, grace: int) -> roster.Terms:
-        return roster.Terms(grace if nodes.grace is None else nodes.grace, nodes.weight_step)
+    def _pace(self, nodes: NodeFileSettings, grace: int) -> roster.Terms:
+        return roster.Terms(grace if nodes.grace_ns is None else nodes.grace_ns, nodes.weight_step)
 
     def _terms(self) -> guards.Terms:
-        return guards.Terms(self._nodes.most_closed, self._nodes.stand, self._nodes.zone_may_empty)
+        return guards.Terms(
+            self._nodes.max_closed_fraction, self._nodes.confirmation_period_ns, self._nodes.zone_may_empty
+        )
 
     def _watching(self) -> Watch:
         return Watch(
             self._loop,
             self._nodes.files,
-            self._nodes.poll,
+            self._nodes.poll_interval_ns,
             self._nodes.events,
             self._read,
             lambda why: self._counters.trouble("files_watch_troubles", why),
         )
 
     def _restored(self) -> Intake:
-        if self._nodes.state:
+        if self._nodes.state_path:
             try:
-                found = load(self._nodes.state)
+                found = load(self._nodes.state_path)
             except InvalidSettings as err:  # what stood is lost; the files still say what shall
                 self._counters.trouble("files_state_refused", err)
             else:
@@ -106,7 +108,7 @@
     def _read(self, path: str) -> None:
         now, problem, data = self._loop.now(), "", b""
         try:
-            data = bytes_of(path, self._nodes.most_bytes)
+            data = bytes_of(path, self._nodes.max_file_bytes)
             digest: str | None = digest_of(data)
         except FileNotFoundError:
             digest, problem = None, f"{path}: there is no such file"
@@ -125,7 +127,7 @@
 
     def _parsed(self, path: str, data: bytes) -> Any:
         try:
-            return nodelist.read(path, data, self._nodes.most_nodes, self._nodes.trailer)
+            return nodelist.read(path, data, self._nodes.max_nodes, self._nodes.trailer_required)
         except InvalidSettings as err:
             return str(err)
 
@@ -153,11 +155,11 @@
             self._counters.trouble(name, outcome.why, in_force=outcome.version, hash=outcome.short)
 
     def _save(self) -> None:
-        if self._nodes.state:
+        if self._nodes.state_path:
             try:
-                write_atomically(self._nodes.state, self.intake.stored())
+                write_atomically(self._nodes.state_path, self.intake.stored())
             except OSError as err:  # the set holds all the same; a restart would know an older one
-                self._counters.trouble("files_state_not_saved", f"{self._nodes.state}: {err.strerror}")
+                self._counters.trouble("files_state_not_saved", f"{self._nodes.state_path}: {err.strerror}")
 
     def _accepted(self) -> None:
         self._roster.accept(self._loop.now(), self.intake.force)
@@ -198,7 +200,7 @@
     def forget(self, node: int) -> None:
         self._blend.forget(node)
 
-    def reload(self, nodes: Nodes) -> None:
+    def reload(self, nodes: NodeFileSettings) -> None:
         """The operator's file was read anew: its terms hold from now on, and files that are gone are no longer
         waited for."""
         self._nodes = nodes
--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -47,10 +47,10 @@
 from docopt import DocoptExit, docopt
 
 if __name__ == "__main__":  # before all that loads pyserde or httpcore; who imports this module keeps what it has
-    from kestrelplank.settings import lean  # noqa: F401
+    from kestrelplank.settings import skip_unused_libraries  # noqa: F401
 from kestrelplank.settings import platform
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.logs import set_up
+from kestrelplank.settings.json_logging import configure_json_logging
 
 if TYPE_CHECKING:
     from kestrelplank.control.status import MemberStatus, ServiceStatus
@@ -249,7 +249,7 @@
         if words["check"]:
             print(f"{words['--settings']}: {settings.local_system.node_name}")
             return 0
-        set_up(settings.local_system.node_name, words["--level"].upper())
+        configure_json_logging(settings.local_system.node_name, words["--level"].upper())
         if words["edge"]:
             if not words["--trace"].isdecimal():
                 raise InvalidSettings(f"--trace: {words['--trace']!r} is no whole number")
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -19,9 +19,10 @@
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.reference_proxy.request import Request
 from kestrelplank.reference_proxy.takeover import SuccessorListener, confirm_listening, receive_socket
-from kestrelplank.settings import relay as config
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Ini, share
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.ini_fields import parse_fraction
+from kestrelplank.settings.reference_proxy import ReferenceProxySettings, read_reference_proxy_settings
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import Loop
@@ -34,69 +35,88 @@
 IDLE_LOOK = 20_000_000  # ns between looks whether all clients are gone, while it stops
 
 
-def op_types(file: config.RelayFile) -> list[OpType]:
+def op_types(file: ReferenceProxySettings) -> list[OpType]:
     return [
-        OpType(name, op.method.upper().encode(), op.prefix.encode(), op.effect == "deduplicated", op.timeout)
+        OpType(name, op.method.upper().encode(), op.path_prefix.encode(), op.effect == "deduplicated", op.timeout_ns)
         for name, op in file.op_types.items()
     ]
 
 
-def bounds(file: config.RelayFile) -> Bounds:
+def bounds(file: ReferenceProxySettings) -> Bounds:
     clients = file.clients
     return Bounds(
-        head=clients.head_bytes,
-        kept=clients.kept_bytes,
-        body=clients.body_bytes,
-        dial=file.tries.dial,
-        key=clients.key.lower().encode(),
+        head=clients.max_header_bytes,
+        kept=clients.kept_body_bytes,
+        body=clients.max_body_bytes,
+        dial=file.attempts.connect_timeout_ns,
+        key=clients.idempotency_header.lower().encode(),
     )
 
 
-def client_terms(file: config.RelayFile) -> admission.Terms:
-    return admission.Terms(file.clients.most, file.clients.each, file.clients.head, file.clients.idle)
+def client_terms(file: ReferenceProxySettings) -> admission.Terms:
+    return admission.Terms(
+        file.clients.max_connections,
+        file.clients.max_connections_per_client,
+        file.clients.header_timeout_ns,
+        file.clients.idle_timeout_ns,
+    )
 
 
-def node_terms(file: config.RelayFile) -> pools.Terms:
+def node_terms(file: ReferenceProxySettings) -> pools.Terms:
     nodes = file.nodes
-    return pools.Terms(nodes.most, nodes.idle, nodes.uses, nodes.grace, nodes.warm_up, nodes.cold_from)
+    return pools.Terms(
+        nodes.max_connections,
+        nodes.idle_timeout_ns,
+        nodes.max_requests_per_connection,
+        nodes.grace_ns,
+        nodes.slow_start_ns,
+        nodes.slow_start_from,
+    )
 
 
 class Relay:
     """All parts of one relay. `listening`: a predecessor's socket, or the address of the file."""
 
-    def __init__(self, loop: Loop, counters: Counters, file: config.RelayFile, listening: object) -> None:
+    def __init__(self, loop: Loop, counters: Counters, file: ReferenceProxySettings, listening: object) -> None:
         self.loop, self.counters, self.file = loop, counters, file
-        place, ops = file.place, list(file.op_types.values())
+        process, ops = file.process, list(file.op_types.values())
         self.pool, self.ids = Pool(BUFFER, BUFFERS), Ids(text)
-        self.tables = Tables(place.slices, len(ops), int(file.tries.again))
+        self.tables = Tables(process.slices, len(ops), int(file.attempts.retry))
         self.addresses: dict[int, str] = {}
         self._zone_of: dict[int, int] = {}
         self._dirty = False
-        held = limits.Limits(limits.Terms(file.tries.first, file.tries.least, file.tries.most, file.tries.tolerance))
-        self.zones = self._preference(held) if file.zones.prefer else None
+        held = limits.Limits(
+            limits.Terms(
+                file.attempts.first_limit,
+                file.attempts.least_limit,
+                file.attempts.greatest_limit,
+                file.attempts.latency_tolerance,
+            )
+        )
+        self.zones = self._preference(held) if file.zones.prefer_near else None
         self.distances = Distances()
         self.attempts = self._made_attempts(held)
-        self._by = b"" if place.block_by == "path" else place.block_by.lower().encode()
+        self._by = b"" if process.slice_key == "path" else process.slice_key.lower().encode()
         self.kept_at: float | None = self._restore()
         self.proxy = self._made_proxy(listening)
-        self.hub = self._made_hub_client() if place.hub else None
+        self.hub = self._made_hub_client() if process.update_source_address else None
         self._looks = loop.at(loop.now() + PERIOD, self._look_at_distances)
-        self._timer = loop.at(loop.now() + place.state_every, self._keep)
+        self._timer = loop.at(loop.now() + process.state_interval_ns, self._keep)
 
     def _made_attempts(self, held: limits.Limits) -> Attempts:
-        tries, ops, random = self.file.tries, list(self.file.op_types.values()), Random(self.file.place.seed)
-        values, targets = [op.value for op in ops], [op.target for op in ops]
+        tries, ops, random = self.file.attempts, list(self.file.op_types.values()), Random(self.file.process.seed)
+        values, targets = [op.value for op in ops], [op.target_latency_ns for op in ops]
         return Attempts(
             random,
             self.tables,
-            [op.timeout for op in ops],
+            [op.timeout_ns for op in ops],
             tries.pick,
-            tries.hold,
-            Avoidance(random, tries.strikes, tries.avoid),
-            budget=Budget(len(ops), tries.budget, tries.budget_saved),
+            tries.hold_ns,
+            Avoidance(random, tries.failures_to_avoid, tries.avoidance_ns),
+            budget=Budget(len(ops), tries.retry_budget, tries.saved_retries),
             limits=held if tries.limited else None,
-            queue=limits.Queue(tries.queue, targets, values, tries.queue_part),
-            weigh=self._weigh if self.file.nodes.warm_up else None,
+            queue=limits.Queue(tries.queue_length, targets, values, tries.queue_wait_fraction),
+            weigh=self._weigh if self.file.nodes.slow_start_ns else None,
             zones=self.zones,
         )
 
@@ -112,7 +132,9 @@
             self.tables,
             self.attempts,
             admission.Admission(client_terms(file)),
-            answers.Answers(answers.Terms(clients.answers, clients.answers_bytes, clients.answers_age)),
+            answers.Answers(
+                answers.Terms(clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns)
+            ),
             node_terms(file),
             self.addresses,
             self._table_of,
@@ -121,14 +143,14 @@
         )
 
     def _made_hub_client(self) -> HubClient:
-        place = self.file.place
+        process = self.file.process
         return HubClient(
             self.loop,
             self.pool,
             self.counters,
-            place.hub,
-            place.number,
-            place.zone,
+            process.update_source_address,
+            process.number,
+            process.zone,
             self.ids,
             self.tables,
             list(self.file.op_types),
@@ -138,11 +160,19 @@
         )
 
     def _preference(self, held: limits.Limits) -> Preference:
-        file, own = self.file.zones, self.ids.zone(self.file.place.zone)
-        terms = Terms(tuple(map(share, file.spill)), file.near, file.begins, file.ends, file.panic)
-        damping = Damping(file.window, file.free, file.first, file.longest, file.quiet)
+        file, own = self.file.zones, self.ids.zone(self.file.process.zone)
+        terms = Terms(
+            tuple(map(parse_fraction, file.spill_fractions)),
+            file.tier_width_ns,
+            file.spill_begins_at,
+            file.spill_ends_at,
+            file.panic_threshold,
+        )
+        damping = Damping(
+            file.loss_window_ns, file.free_losses, file.first_hold_ns, file.longest_hold_ns, file.forget_after_ns
+        )
         count = len(self.file.op_types)
-        return Preference(own, terms, damping, file.strikes, lambda node: held.room_of(node, count))
+        return Preference(own, terms, damping, file.failures_to_lose_zone, lambda node: held.room_of(node, count))
 
     def _placed(self, node: int, zone: int) -> None:
         self._zone_of[node] = zone
@@ -153,7 +183,7 @@
         """What the last second's answers say of how far zones are."""
         self._looks = self.loop.at(self.loop.now() + PERIOD, self._look_at_distances)
         self.distances.close()
-        own = self.ids.zones.get(self.file.place.zone, 0)
+        own = self.ids.zones.get(self.file.process.zone, 0)
         for zone in self.ids.zones.values():
             distance = self.distances.between(own, zone) if self.zones and zone != own else None
             if distance is not None:
@@ -172,7 +202,7 @@
         if self.hub:
             self.hub.on_try(table, node, op_type, good, time)
         if self.zones and good and node in self._zone_of:
-            self.distances.seen(self.ids.zone(self.file.place.zone), self._zone_of[node], 1, time)
+            self.distances.seen(self.ids.zone(self.file.process.zone), self._zone_of[node], 1, time)
 
     def _on_op(self, *told: object) -> None:
         if self.hub:
@@ -185,7 +215,7 @@
     # Tables that survive.
 
     def _restore(self) -> float | None:
-        path = self.file.place.state
+        path = self.file.process.state_path
         if not path:
             return None
         try:
@@ -203,7 +233,7 @@
 
     def keep(self) -> None:
         """Writes the tables that hold, if any have changed since."""
-        path = self.file.place.state
+        path = self.file.process.state_path
         if not (self._dirty and path):
             return
         self._dirty = False
@@ -223,9 +253,9 @@
 
     def _keep(self) -> None:
         self.keep()
-        self._timer = self.loop.at(self.loop.now() + self.file.place.state_every, self._keep)
+        self._timer = self.loop.at(self.loop.now() + self.file.process.state_interval_ns, self._keep)
 
-    def reload(self, file: config.RelayFile) -> None:
+    def reload(self, file: ReferenceProxySettings) -> None:
         """Terms of clients, bodies and op types hold from now on; no connection is dropped. Places, tables and the
         terms of limits wait for a restart, which a successor can be."""
         if list(file.op_types) != list(self.file.op_types):
@@ -247,11 +277,11 @@
     """A relay as a process: it takes signals, may take over a predecessor's socket, and hands its own to a successor.
     Raises OSError where it can't listen."""
 
-    def __init__(self, loop: Loop, counters: Counters, path: str, file: config.RelayFile) -> None:
+    def __init__(self, loop: Loop, counters: Counters, path: str, file: ReferenceProxySettings) -> None:
         self._loop, self._counters, self._path = loop, counters, path
-        at, self._stop_within = file.place.successor, file.place.stop_within
+        at, self._stop_within = file.process.successor_socket_path, file.process.stop_timeout_ns
         self._taken = receive_socket(at) if at else None
-        listening = self._taken[0] if self._taken else address(file.place.listen)
+        listening = self._taken[0] if self._taken else address(file.process.listen_address)
         self._relay = Relay(loop, counters, file, listening)
         descriptor = self._relay.proxy.descriptor
         self._successor = SuccessorListener(loop, at, descriptor, lambda: self.stop("successor")) if at else None
@@ -296,7 +326,7 @@
 
     def _reload(self) -> None:
         try:
-            self._relay.reload(config.read(Ini.of(self._path)))
+            self._relay.reload(read_reference_proxy_settings(IniFile.load(self._path)))
         except InvalidSettings as err:
             self._counters.trouble("reloads_refused", err)
             return
@@ -317,12 +347,12 @@
     """Runs until SIGTERM, or until a successor has taken over. Returns the exit code: 2 where the file can't be used, 1
     where the relay can't listen."""
     try:
-        file = config.read(Ini.of(path))
+        file = read_reference_proxy_settings(IniFile.load(path))
     except InvalidSettings as err:
         print(f"kestrelplank: {err}", file=sys.stderr)
         return 2
     loop = Loop(lambda err: counters.defect(err))
-    counters = Counters(logger(f"relay-{file.place.number}"), loop.now)
+    counters = Counters(logger(f"relay-{file.process.number}"), loop.now)
     try:
         program = Program(loop, counters, path, file)
     except OSError as err:
--- a/kestrelplank/settings/__init__.py
+++ b/kestrelplank/settings/__init__.py
@@ -1,1 +1,4 @@
-"""INI files of the operators: fields, units, defaults, checks; messages name file, section, field and line."""
+"""Settings of a process: the platform's TOML file, and INI files of the operators, with units, defaults and checks.
+
+All that cannot be used raises `errors.InvalidSettings`, whose text is one line that names file, line and field.
+"""
--- a/kestrelplank/settings/operator.py
+++ b/kestrelplank/settings/operator.py
@@ -1,62 +1,91 @@
-"""The operator's own file: what this installation adds to the platform's configuration. Off where no file is named."""
+"""The operator's own file: what this installation adds to the platform's configuration. Without a file all is off.
+
+Fields have the program's names; `name=` gives the key of the file where it is another.
+"""
 
 from typing import Annotated, Literal
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
-from kestrelplank.settings.ini import Count, Flag, Ini, Number, Share, Span, Words
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.ini_fields import Count, Duration, Flag, Fraction, Number, Words
+from kestrelplank.time_units import MILLISECOND
 
-MS = 1_000_000
-VARIABLE = "KESTRELPLANK_INI"  # names the file where no option does
+INI_VARIABLE = "KESTRELPLANK_INI"  # names the file where no option does
 
 
-class Nodes(Struct, frozen=True, kw_only=True):
+class NodeFileSettings(Struct, frozen=True, kw_only=True):
     """[nodes]: node lists in watched files. Without `files` there are none."""
 
-    files: Words = ()  # paths, or patterns in the last part
-    authority: Literal["files", "discovery"] = "files"  # who says which nodes there are; the other only takes away
-    quiet: Annotated[Span, Meta(ge=1 * MS, le=60_000 * MS)] = 200 * MS  # for so long a file must not change
-    poll: Annotated[Span, Meta(ge=10 * MS)] = 2_000 * MS  # files are looked at so often, events or not
-    events: Flag = True  # inotify, where it is to be had
-    trailer: Flag = False  # the last line must count the nodes
-    most_bytes: Annotated[Count, Meta(ge=1)] = 1 << 22  # of one file
-    most_nodes: Annotated[Count, Meta(ge=1)] = 10_000  # of one file
-    most_closed: Share = 0.25  # of the ready nodes that one change may close without a second word
-    stand: Span = 60_000 * MS  # the same content for so long is a second word; 0: it is none
+    # Paths, or patterns in the last part.
+    files: Words = ()
+    # Who says which nodes there are; the other only takes away.
+    authority: Literal["files", "discovery"] = "files"
+    # For so long a file must not change before it is read.
+    quiet_period_ns: Annotated[Duration, Meta(ge=1 * MILLISECOND, le=60_000 * MILLISECOND)] = field(
+        default=200 * MILLISECOND, name="quiet"
+    )
+    # Files are looked at so often, with or without events.
+    poll_interval_ns: Annotated[Duration, Meta(ge=10 * MILLISECOND)] = field(default=2_000 * MILLISECOND, name="poll")
+    # Whether inotify is used where it is to be had.
+    events: Flag = True
+    # Whether the last line must count the nodes.
+    trailer_required: Flag = field(default=False, name="trailer")
+    # Of one file.
+    max_file_bytes: Annotated[Count, Meta(ge=1)] = field(default=1 << 22, name="most_bytes")
+    max_nodes: Annotated[Count, Meta(ge=1)] = field(default=10_000, name="most_nodes")
+    # Of the ready nodes, what one change may close without a confirmation.
+    max_closed_fraction: Fraction = field(default=0.25, name="most_closed")
+    # The same content for so long is a confirmation; 0: it is none.
+    confirmation_period_ns: Duration = field(default=60_000 * MILLISECOND, name="stand")
     zone_may_empty: Flag = False
-    weight_step: Share = 0.1  # of itself that a weight may move in a second; 0: at once
-    grace: Span | None = None  # of a node that has vanished from the files; default: that of the settings
-    state: str = ""  # a file that keeps what stood over a restart; none: nothing is kept
+    # Of itself that a weight may move in a second; 0: at once.
+    weight_step: Fraction = 0.1
+    # Of a node that has vanished from the files; None: that of the platform's settings.
+    grace_ns: Duration | None = field(default=None, name="grace")
+    # Keeps the set in force over a restart; empty: nothing is kept.
+    state_path: str = field(default="", name="state")
+
 
+class MembershipSettings(Struct, frozen=True, kw_only=True):
+    """[members]: what assigners know of each other, over datagrams, where the platform's settings allow them."""
+
+    enabled: Flag = field(default=False, name="on")
+    heartbeat_interval_ns: Annotated[Duration, Meta(ge=20 * MILLISECOND)] = field(
+        default=200 * MILLISECOND, name="every"
+    )
+    # Values of phi (Hayashibara et al. 2004) from which a member is suspected, and from which it is dead.
+    suspect_phi: Annotated[Number, Meta(ge=0.5)] = field(default=3.0, name="suspect")
+    dead_phi: Annotated[Number, Meta(ge=0.5)] = field(default=8.0, name="dead")
+    # Heartbeats missed before which nobody is dead.
+    min_missed_heartbeats: Annotated[Count, Meta(ge=1)] = field(default=5, name="grace")
 
-class Members(Struct, frozen=True, kw_only=True):
-    """[members]: what conductors know of each other, over datagrams, where the platform's settings allow them."""
 
-    on: Flag = False
-    every: Annotated[Span, Meta(ge=20 * MS)] = 200 * MS
-    suspect: Annotated[Number, Meta(ge=0.5)] = 3.0  # phi from which a member is suspected
-    dead: Annotated[Number, Meta(ge=0.5)] = 8.0
-    grace: Annotated[Count, Meta(ge=1)] = 5  # beats missed before which nobody is dead
+class StatusSocketSettings(Struct, frozen=True, kw_only=True):
+    """[status]: a Unix socket that shows a running assigner's state to its owner; none where the path is empty."""
 
+    path: str = field(default="", name="socket")
 
-class Status(Struct, frozen=True, kw_only=True):
-    """[status]: a Unix socket that shows a running conductor's state to its owner."""
 
-    socket: str = ""
+class OperatorSettings(Struct, frozen=True, kw_only=True):
+    """The sections of the operator's file."""
 
+    nodes: NodeFileSettings
+    members: MembershipSettings
+    status: StatusSocketSettings
 
-class Operator(Struct, frozen=True, kw_only=True):
-    nodes: Nodes
-    members: Members
-    status: Status
 
+def read_operator_settings(ini: IniFile) -> OperatorSettings:
+    """Return what the operator's file says.
 
-def read(ini: Ini) -> Operator:
-    """What the operator's file says; InvalidSettings where any of it can't be used."""
-    made = Operator(
-        nodes=ini.one("nodes", Nodes), members=ini.one("members", Members), status=ini.one("status", Status)
+    :raises InvalidSettings: some of it cannot be used.
+    """
+    settings = OperatorSettings(
+        nodes=ini.read_section("nodes", NodeFileSettings),
+        members=ini.read_section("members", MembershipSettings),
+        status=ini.read_section("status", StatusSocketSettings),
     )
-    if made.members.suspect > made.members.dead:
-        raise ini.fail(ini.find("members"), "suspect", "nobody is dead before being suspected")
-    ini.finish()
-    return made
+    if settings.members.suspect_phi > settings.members.dead_phi:
+        raise ini.error(ini.find_section("members"), "suspect", "nobody is dead before being suspected")
+    ini.reject_unread_sections()
+    return settings
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -16,7 +16,7 @@
 from kestrelplank.load_balancing.attempts import PROOFS, RESET, SILENT
 from kestrelplank.policy import Conductor
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Ini
+from kestrelplank.settings.ini import IniFile
 
 SCRIPTS = Path(__file__).parents[2] / "rehearsals"
 SITE = """[site]
@@ -53,7 +53,7 @@
         lines = [line for line in site.splitlines() if line.startswith(f"{old} =")]
         site = site.replace(lines[0], f"{old} = {new}", 1)
     return script(
-        Ini(
+        IniFile(
             "s.ini",
             site
             + "\n"
@@ -100,12 +100,12 @@
 
 @pytest.mark.parametrize("name", sorted(path.name for path in SCRIPTS.glob("*.ini")))
 def test_every_script_of_the_repository_can_be_used(name):
-    made = script(Ini.of(str(SCRIPTS / name)))
+    made = script(IniFile.load(str(SCRIPTS / name)))
     World(made, 1, Clock(10**12)).start()
 
 
 def test_a_zone_lost_with_its_relays_and_a_conductor_keeps_the_rules_and_beats_standing_still():
-    made, services = script(Ini.of(str(SCRIPTS / "windsor-lost.ini"))), {Conductor: [], Standing: []}
+    made, services = script(IniFile.load(str(SCRIPTS / "windsor-lost.ini"))), {Conductor: [], Standing: []}
     for policy, found in services.items():
         for seed in range(4):
             played = play(made, seed, policy)
@@ -269,12 +269,12 @@
 )
 def test_a_site_that_cannot_be_played_is_refused(old, new, says):
     with pytest.raises(InvalidSettings) as found:
-        script(Ini("s.ini", SITE.replace(old, new, 1)))
+        script(IniFile("s.ini", SITE.replace(old, new, 1)))
     assert says in str(found.value)
 
 
 def test_a_midnight_edit_never_empties_a_key_block_and_each_refusal_names_its_line():
-    found = play(script(Ini.of(str(SCRIPTS / "midnight-edit.ini"))), 3)
+    found = play(script(IniFile.load(str(SCRIPTS / "midnight-edit.ini"))), 3)
     said = [what for _, what, _ in found["events"] if what.startswith("list")]
     assert [what.split(":")[0] for what in said] == ["list refused"] * 4 + ["list waiting"] + ["list accepted"] * 4
     assert "stands in zone" in said[1] and all("nodes.ini" in what for what in said[:4])
@@ -296,7 +296,7 @@
 
 
 def test_load_follows_the_script_over_time():
-    made = script(Ini("s.ini", SITE + "\n[load more]\nat = 5s\nload = 100%\n[load none]\nat = 10s\nload = 0\n"))
+    made = script(IniFile("s.ini", SITE + "\n[load more]\nat = 5s\nload = 100%\n[load none]\nat = 10s\nload = 0\n"))
     world = World(made, 1, Clock(10**12))
     rates = [world.clients.rate(10**12 + at * 10**9) for at in (0, 5, 10)]
     assert rates[1] == pytest.approx(2 * rates[0]) and rates[2] == 0
--- a/tests/file_discovery/test_source.py
+++ b/tests/file_discovery/test_source.py
@@ -19,7 +19,7 @@
 from kestrelplank.file_discovery.source import Source
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.operator import Nodes
+from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.state.nodeset import Listed, NodeSet
 from kestrelplank.state.tables import Tables
 
@@ -68,14 +68,14 @@
         probes = Probes(kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event)
         self.policy = Policy(kit.loop.now(), 5, found)
         self.conductor = Conductor(kit.loop, kit.counters, self.policy, found["tick"], orders, discovery, probes, None)
-        nodes = Nodes(
+        nodes = NodeFileSettings(
             **{
                 "files": (str(folder / "*.ini"),),
-                "quiet": 4 * MS,
-                "poll": 20 * MS,
+                "quiet_period_ns": 4 * MS,
+                "poll_interval_ns": 20 * MS,
                 "weight_step": 0.0,
-                "stand": 0,
-                "state": str(folder / "state"),
+                "confirmation_period_ns": 0,
+                "state_path": str(folder / "state"),
                 **fields,
             }
         )
@@ -198,7 +198,7 @@
     ],
 )
 def test_what_cannot_be_used_changes_nothing_and_is_said_with_its_place(site, capfd, spoil, says):
-    here = site(text_of(range(1, 9)), trailer=True)
+    here = site(text_of(range(1, 9)), trailer_required=True)
     here.wait(lambda: len(here.in_force()) == 8)
     before, calls = here.in_force(), len(here.calls)
     here.write("a.ini", spoil(text_of(range(1, 9))))
@@ -230,7 +230,7 @@
 
 
 def test_a_file_gone_for_less_than_the_quiet_time_is_not_noticed(site):
-    here = site(text_of(range(1, 9)), quiet=150 * MS)
+    here = site(text_of(range(1, 9)), quiet_period_ns=150 * MS)
     here.wait(lambda: len(here.in_force()) == 8)
     (here.folder / "a.ini").unlink()
     end = here.kit.loop.now() + 30 * MS
@@ -262,7 +262,7 @@
         (tmp_path / f"v{number}").mkdir()
         (tmp_path / f"v{number}" / "nodes.ini").write_text(text_of(nodes))
     (tmp_path / "data").symlink_to("v0")
-    here = site(text_of(range(1, 9)), files=(str(tmp_path / "data" / "nodes.ini"),), poll=60_000 * MS)
+    here = site(text_of(range(1, 9)), files=(str(tmp_path / "data" / "nodes.ini"),), poll_interval_ns=60_000 * MS)
     here.wait(lambda: len(here.in_force()) == 8)
     (tmp_path / "data.new").symlink_to("v1")
     os.replace(tmp_path / "data.new", tmp_path / "data")
@@ -271,7 +271,7 @@
 
 
 def test_two_files_changed_together_are_taken_together(site):
-    here = site(text_of(range(1, 9)), quiet=60 * MS)
+    here = site(text_of(range(1, 9)), quiet_period_ns=60 * MS)
     here.write("b.ini", text_of(range(11, 15)))
     here.wait(lambda: len(here.in_force()) == 12)
     here.write("a.ini", text_of([*range(1, 9), 11, 21]))  # node 11 goes over from one to the other
@@ -291,7 +291,7 @@
 
 
 def test_a_set_that_stands_is_taken_though_no_file_changes_any_more(site):
-    here = site(text_of(range(1, 9)), stand=120 * MS)
+    here = site(text_of(range(1, 9)), confirmation_period_ns=120 * MS)
     here.wait(lambda: len(here.in_force()) == 8)
     here.write("a.ini", text_of(range(1, 5)))
     here.wait(lambda: len(here.in_force()) == 4)
@@ -383,7 +383,9 @@
 
 @pytest.mark.parametrize("seed, events", [(1, True), (2, False)])
 def test_relays_only_see_whole_valid_tables_over_a_thousand_rewrites(site, seed, events):
-    here = site(text_of(range(1, 17)), trailer=True, events=events, quiet=2 * MS, poll=3 * MS)
+    here = site(
+        text_of(range(1, 17)), trailer_required=True, events=events, quiet_period_ns=2 * MS, poll_interval_ns=3 * MS
+    )
     here.wait(lambda: len(here.in_force()) == 16 and len(here.policy.slices) == SLICES)
     nodes = rewrites(here, Random(seed), int(os.environ.get("REWRITES", 500)))
     last = text_of(range(1, 17))
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -10,9 +10,9 @@
 from test_proxy import GET, OK, Client, Node, answers_with
 
 from kestrelplank.rehearsal.process import Process
-from kestrelplank.settings import relay as config
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Ini
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.reference_proxy import read_reference_proxy_settings
 
 WORDS = ("-c", "from kestrelplank.cli import main; raise SystemExit(main())", "relay", "--config")
 FILE = """[relay]
@@ -201,10 +201,12 @@
     text = FILE % ("127.0.0.1:1", "x", "x")
     assert old in text
     if not says:
-        assert config.read(Ini("r.ini", text.replace(old, new))).place.hub == ""
+        assert (
+            read_reference_proxy_settings(IniFile("r.ini", text.replace(old, new))).process.update_source_address == ""
+        )
         return
     with pytest.raises(InvalidSettings) as found:
-        config.read(Ini("r.ini", text.replace(old, new)))
+        read_reference_proxy_settings(IniFile("r.ini", text.replace(old, new)))
     assert says in str(found.value)
 
 
--- a/tests/settings/test_ini.py
+++ b/tests/settings/test_ini.py
@@ -6,22 +6,34 @@
 from msgspec import Meta, Struct
 
 from kestrelplank.settings.errors import InvalidSettings
-from kestrelplank.settings.ini import Count, Flag, Ini, Number, Share, Span, Spans, Words, share, span, spans
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.ini_fields import (
+    Count,
+    Duration,
+    DurationRange,
+    Flag,
+    Fraction,
+    Number,
+    Words,
+    parse_duration,
+    parse_duration_range,
+    parse_fraction,
+)
 
 MS = 1_000_000
 
 
 class Watch(Struct):
     folder: str
-    every: Span = 200 * MS
-    step: Share = 0.1
+    every: Duration = 200 * MS
+    step: Fraction = 0.1
     weight: Number = 1.0
     most: Annotated[Count, Meta(ge=1, le=9)] = 3
     twice: Flag = False
     zones: Words = ()
-    wait: Spans = (MS, 2 * MS)
+    wait: DurationRange = (MS, 2 * MS)
     how: Literal["whole", "part"] = "whole"
-    after: Span | None = None
+    after: Duration | None = None
 
 
 GOOD = """# an operator's file
@@ -44,13 +56,13 @@
 
 
 def test_a_file_is_read_with_its_units_and_each_value_knows_its_line():
-    ini = Ini("k.ini", GOOD)
-    watch = ini.one("watch", Watch)
+    ini = IniFile("k.ini", GOOD)
+    watch = ini.read_section("watch", Watch)
     assert watch == Watch(
         "/etc/nodes", 1500 * MS, 0.025, 300.0, 9, True, ("niagara", "windsor"), (4000 * MS, 7000 * MS), "part", 0
     )
-    [(section, zone)] = ini.each("zone", Watch)
-    ini.finish()
+    [(section, zone)] = ini.read_named_sections("zone", Watch)
+    ini.reject_unread_sections()
     assert (section.name, section.line, zone) == ("windsor", 15, Watch("w"))
     assert ("[watch]", "most", 9, "line 8") in ini.origins and ("[zone windsor]", "most", 3, "default") in ini.origins
 
@@ -88,42 +100,45 @@
         ("most = 9", "most", "line 8: neither a section nor a field"),
     ],
 )
-def test_what_cannot_be_used_is_one_line_with_its_place(old, new, says):
+def test_an_invalid_file_is_refused_in_one_line_that_names_line_and_field(old, new, says):
     assert old in GOOD
-    with pytest.raises(InvalidSettings) as found:
-        ini = Ini("k.ini", GOOD.replace(old, new, 1))
-        ini.one("watch", Watch)
-        ini.each("zone", Watch)
-        ini.finish()
-    assert says in str(found.value) and str(found.value).startswith("k.ini") and "\n" not in str(found.value)
+    with pytest.raises(InvalidSettings) as raised:
+        ini = IniFile("k.ini", GOOD.replace(old, new, 1))
+        ini.read_section("watch", Watch)
+        ini.read_named_sections("zone", Watch)
+        ini.reject_unread_sections()
+    assert says in str(raised.value) and str(raised.value).startswith("k.ini") and "\n" not in str(raised.value)
 
 
-def test_a_section_that_is_not_there_has_its_defaults_or_is_missed():
+def test_a_section_that_is_missing_has_its_defaults_or_is_refused():
     class Easy(Struct):
-        every: Span = 5
+        every: Duration = 5
 
-    assert Ini("k.ini", "").one("easy", Easy) == Easy(5)
+    assert IniFile("k.ini", "").read_section("easy", Easy) == Easy(5)
     with pytest.raises(InvalidSettings, match="k.ini: field folder of \\[watch\\]: missing, as is its section"):
-        Ini("k.ini", "").one("watch", Watch)
+        IniFile("k.ini", "").read_section("watch", Watch)
 
 
 @pytest.mark.parametrize("data, says", [(None, "can't be read: No such file"), (b"\xff", "byte 0 is no UTF-8")])
-def test_a_file_that_cannot_be_read_says_so(tmp_path, data, says):
+def test_a_file_that_cannot_be_read_is_refused_with_the_reason(tmp_path, data, says):
     path = tmp_path / "k.ini"
     if data:
         path.write_bytes(data)
     with pytest.raises(InvalidSettings, match=says):
-        Ini.of(str(path))
+        IniFile.load(str(path))
 
 
 @given(some.integers(0, 10**15))
 def test_a_time_written_in_ns_is_read_as_it_was(value):
-    assert span(f"{value}ns") == value and spans(f"{value}ns..{value + 1}ns") == (value, value + 1)
+    assert parse_duration(f"{value}ns") == value and parse_duration_range(f"{value}ns..{value + 1}ns") == (
+        value,
+        value + 1,
+    )
 
 
 @given(some.text(max_size=12))
 def test_no_text_of_a_field_raises_anything_but_what_is_said(text):
-    for reader in (span, spans, share):
+    for reader in (parse_duration, parse_duration_range, parse_fraction):
         try:
             assert reader(text) is not None
         except ValueError as err:
@@ -131,10 +146,10 @@
 
 
 @given(some.text(alphabet="[]=#a1 \n\t;", max_size=60))
-def test_no_text_of_a_file_raises_anything_but_unusable(text):
+def test_no_text_of_a_file_raises_anything_but_invalid_settings(text):
     try:
-        ini = Ini("k.ini", text)
-        ini.one("a", Watch)
-        ini.finish()
+        ini = IniFile("k.ini", text)
+        ini.read_section("a", Watch)
+        ini.reject_unread_sections()
     except InvalidSettings as err:
         assert str(err).startswith("k.ini")
