--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -5,7 +5,7 @@
 import click
 
 from kestrelplank.settings import operator, reference_proxy
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 
 
@@ -42,7 +42,7 @@
             else:
                 operator.read_operator_settings(ini)
             click.echo(f"{path}: {what}, good")
-        except InvalidSettings as err:
+        except InvalidSettingsError as err:
             bad = True
             click.echo(f"kestrelplank: {err}", err=True)
     if parts and not bad:
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from kestrelplank.settings import operator
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.ini_fields import NS_PER_UNIT
 
@@ -38,7 +38,7 @@
     try:
         ini = IniFile.load(path) if path else IniFile("no file", "")
         operator.read_operator_settings(ini)
-    except InvalidSettings as err:
+    except InvalidSettingsError as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
     if as_json:
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from kestrelplank.file_discovery.atomic_write import write_atomically
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 
 
@@ -71,7 +71,7 @@
         raise click.UsageError("--live, --baseline and --knowing exclude each other")
     try:
         read = script(IniFile.load(path))
-    except InvalidSettings as err:
+    except InvalidSettingsError as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
     with click.progressbar(length=1000, label="rehearsing", file=sys.stderr, hidden=not sys.stderr.isatty()) as bar:
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from kestrelplank.settings import operator
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 
 WITHIN = 3.0  # s
@@ -22,7 +22,7 @@
 
     try:
         at = at or (operator.read_operator_settings(IniFile.load(path)).status.path if path else "")
-    except InvalidSettings as err:
+    except InvalidSettingsError as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
     if not at:
--- a/kestrelplank/configuration/errors.py
+++ b/kestrelplank/configuration/errors.py
@@ -1,15 +1,15 @@
 """Why a configuration is refused. The text of each is one line for the operator."""
 
 
-class InvalidConfiguration(ValueError):  # noqa: N818 - named after what is wrong, as all refusals here
+class ConfigurationError(ValueError):
     """A configuration cannot be used."""
 
 
-class MalformedDocument(InvalidConfiguration):
+class MalformedDocumentError(ConfigurationError):
     """The bytes are no JSON, or are nested too deeply to be read."""
 
 
-class InvalidField(InvalidConfiguration):
+class InvalidFieldError(ConfigurationError):
     """A field of the document does not hold what it must.
 
     :param field: the path of the field, as `virtual_hosts[0].host_routes[2].timeout_s`.
--- a/kestrelplank/emulator/script.py
+++ b/kestrelplank/emulator/script.py
@@ -200,7 +200,7 @@
 
 
 def script(ini: IniFile) -> Script:
-    """The script that a file holds; InvalidSettings says what can't be used."""
+    """The script that a file holds; InvalidSettingsError says what can't be used."""
     site = ini.read_section("site", Site)
     here = ini.find_section("site")
     if not site.zones or len(set(site.zones)) < len(site.zones):
--- a/kestrelplank/file_discovery/nodelist.py
+++ b/kestrelplank/file_discovery/nodelist.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.ini_fields import parse_count, parse_number
 from kestrelplank.settings.ini_syntax import Section
@@ -57,15 +57,15 @@
 
 
 def read(path: str, data: bytes, most_nodes: int, trailer: bool) -> Part:
-    """The part that a file's bytes make. Raises InvalidSettings, naming file and line. `trailer`: the last line must be
-    `# end N nodes`, which proves that nothing is missing; where one stands it must be true in any case."""
+    """The part that a file's bytes make. Raises InvalidSettingsError, naming file and line. `trailer`: the last line
+    must be `# end N nodes`, which proves that nothing is missing; where one stands it must be true in any case."""
     try:
         text = data.decode()
     except UnicodeDecodeError as err:
-        raise InvalidSettings(f"{path}: not text: byte {err.start} is no UTF-8") from None
+        raise InvalidSettingsError(f"{path}: not text: byte {err.start} is no UTF-8") from None
     rows = text.rstrip().splitlines()
     if not rows:
-        raise InvalidSettings(f"{path}: the file is empty")
+        raise InvalidSettingsError(f"{path}: the file is empty")
     ini, lines = IniFile(path, text), []
     head = ini.read_section("list", Head)
     for section in ini.named_sections("zone"):
@@ -77,11 +77,13 @@
     ini.reject_unread_sections()
     end = END.fullmatch(rows[-1])
     if trailer and not (end and text.endswith("\n")):
-        raise InvalidSettings(
+        raise InvalidSettingsError(
             f"{path}, line {len(rows)}: the last line is not `# end N nodes`: the file may be cut short"
         )
     if end and int(end[1]) != len(lines):
-        raise InvalidSettings(f"{path}, line {len(rows)}: {end[1]} nodes are announced and {len(lines)} are listed")
+        raise InvalidSettingsError(
+            f"{path}, line {len(rows)}: {end[1]} nodes are announced and {len(lines)} are listed"
+        )
     return Part(path, tuple(lines), head.confirm)
 
 
--- a/kestrelplank/file_discovery/source.py
+++ b/kestrelplank/file_discovery/source.py
@@ -13,7 +13,7 @@
 from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.file_discovery.watch import Watch
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.sockets.loop import Loop, Timer
 from kestrelplank.state import guards, roster
@@ -24,26 +24,26 @@
 
 
 def bytes_of(path: str, most: int) -> bytes:
-    """A file's bytes; raises OSError, or InvalidSettings where it is larger than `most` or no file."""
+    """A file's bytes; raises OSError, or InvalidSettingsError where it is larger than `most` or no file."""
     fd = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a pipe put there must not hold the loop up
     with open(fd, "rb") as file:
         data = file.read(most + 1) or b""
     if len(data) > most:
-        raise InvalidSettings(f"{path}: over {most} bytes")
+        raise InvalidSettingsError(f"{path}: over {most} bytes")
     return data
 
 
 def load(path: str) -> tuple[NodeSet, int, tuple[tuple, ...]] | None:
-    """The state that a file keeps; None where there is none yet. Raises InvalidSettings, naming the file."""
+    """The state that a file keeps; None where there is none yet. Raises InvalidSettingsError, naming the file."""
     try:
         with open(path, "rb") as file:
             return restored(file.read())
     except FileNotFoundError:
         return None
     except OSError as err:
-        raise InvalidSettings(f"{path}: can't be read: {err.strerror}") from None
+        raise InvalidSettingsError(f"{path}: can't be read: {err.strerror}") from None
     except Malformed as err:
-        raise InvalidSettings(f"{path}: {err}") from None
+        raise InvalidSettingsError(f"{path}: {err}") from None
 
 
 class Source:
@@ -95,7 +95,7 @@
         if self._nodes.state_path:
             try:
                 found = load(self._nodes.state_path)
-            except InvalidSettings as err:  # what stood is lost; the files still say what shall
+            except InvalidSettingsError as err:  # what stood is lost; the files still say what shall
                 self._counters.trouble("files_state_refused", err)
             else:
                 if found:
@@ -114,7 +114,7 @@
             digest, problem = None, f"{path}: there is no such file"
         except OSError as err:
             digest, problem = f"!{err.errno}", f"{path}: can't be read: {err.strerror}"
-        except InvalidSettings as err:
+        except InvalidSettingsError as err:
             digest, problem = "!size", str(err)
         step = self._debounce.see(now, path, digest)
         if step == SETTLED:
@@ -128,7 +128,7 @@
     def _parsed(self, path: str, data: bytes) -> Any:
         try:
             return nodelist.read(path, data, self._nodes.max_nodes, self._nodes.trailer_required)
-        except InvalidSettings as err:
+        except InvalidSettingsError as err:
             return str(err)
 
     def _set(self, name: str, at: int, callback: Callable[[], None]) -> None:
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -19,7 +19,7 @@
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.reference_proxy.request import Request
 from kestrelplank.reference_proxy.takeover import SuccessorListener, confirm_listening, receive_socket
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.ini_fields import parse_fraction
 from kestrelplank.settings.reference_proxy import ReferenceProxySettings, read_reference_proxy_settings
@@ -259,7 +259,9 @@
         """Terms of clients, bodies and op types hold from now on; no connection is dropped. Places, tables and the
         terms of limits wait for a restart, which a successor can be."""
         if list(file.op_types) != list(self.file.op_types):
-            raise InvalidSettings("op types can't be added, taken away or put in another order while the relay runs")
+            raise InvalidSettingsError(
+                "op types can't be added, taken away or put in another order while the relay runs"
+            )
         self.file = file
         self.proxy.reconfigure(op_types(file), bounds(file))
         self.proxy.admission.terms = client_terms(file)
@@ -327,7 +329,7 @@
     def _reload(self) -> None:
         try:
             self._relay.reload(read_reference_proxy_settings(IniFile.load(self._path)))
-        except InvalidSettings as err:
+        except InvalidSettingsError as err:
             self._counters.trouble("reloads_refused", err)
             return
         self._counters.add("reloads")
@@ -348,7 +350,7 @@
     where the relay can't listen."""
     try:
         file = read_reference_proxy_settings(IniFile.load(path))
-    except InvalidSettings as err:
+    except InvalidSettingsError as err:
         print(f"kestrelplank: {err}", file=sys.stderr)
         return 2
     loop = Loop(lambda err: counters.defect(err))
--- a/kestrelplank/settings/checked_dataclasses.py
+++ b/kestrelplank/settings/checked_dataclasses.py
@@ -12,7 +12,7 @@
 
 from serde import SerdeError, deserialize, disabled, from_dict
 
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 
 Checked = TypeVar("Checked")
 SCALAR_TYPES = (str, int, float, bool, type(None))
@@ -39,17 +39,17 @@
     """Return `data` as an instance of the `checked_dataclass` `target`.
 
     :param path: the dotted path of `data` in its document, for messages.
-    :raises InvalidSettings: `data` does not fit; the field is named.
+    :raises InvalidSettingsError: `data` does not fit; the field is named.
     """
     _check(target, data, path)
     try:
         return from_dict(target, data)
     except SerdeError as err:
-        raise InvalidSettings(str(err).splitlines()[0], field=path or TOP) from err
+        raise InvalidSettingsError(str(err).splitlines()[0], field=path or TOP) from err
 
 
 def _check(expected: object, value: object, path: str) -> None:
-    """Raise InvalidSettings where `value` is not of the type `expected`."""
+    """Raise InvalidSettingsError where `value` is not of the type `expected`."""
     if type(value) is expected:
         return
     fields = _fields_of(expected)
@@ -59,7 +59,7 @@
     origin, arguments = typing.get_origin(expected), typing.get_args(expected)
     if origin in (types.UnionType, typing.Union):
         if not any(_fits(member, value, path) for member in arguments):
-            raise InvalidSettings(f"{value!r} does not fit", field=path)
+            raise InvalidSettingsError(f"{value!r} does not fit", field=path)
     elif origin in (list, dict):
         _check_collection(origin, arguments[-1], value, path)
     elif isinstance(expected, type):
@@ -70,7 +70,7 @@
     """Whether `value` is of the type `expected`."""
     try:
         _check(expected, value, path)
-    except InvalidSettings:
+    except InvalidSettingsError:
         return False
     return True
 
@@ -78,11 +78,11 @@
 def _check_table(fields: tuple[_Field, ...], value: object, path: str) -> None:
     """Check each field of a table; those that are not known are passed over."""
     if not isinstance(value, dict):
-        raise InvalidSettings(f"expected a table, got {type(value).__name__}", field=path or TOP)
+        raise InvalidSettingsError(f"expected a table, got {type(value).__name__}", field=path or TOP)
     for field in fields:
         if field.name not in value:
             if field.required:
-                raise InvalidSettings("missing", field=f"{path}.{field.name}".lstrip("."))
+                raise InvalidSettingsError("missing", field=f"{path}.{field.name}".lstrip("."))
         elif type(value[field.name]) not in field.scalar_types:
             _check(field.hint, value[field.name], f"{path}.{field.name}" if path else field.name)
 
@@ -91,7 +91,7 @@
     """Check each item of a list, or each value of a table whose names are free."""
     if not isinstance(value, origin):
         kind = "list" if origin is list else "table"
-        raise InvalidSettings(f"expected a {kind}, got {type(value).__name__}", field=path)
+        raise InvalidSettingsError(f"expected a {kind}, got {type(value).__name__}", field=path)
     items = value.items() if isinstance(value, dict) else enumerate(typing.cast("list[object]", value))
     for index, item in items:
         _check(item_type, item, f"{path}[{index}]")
@@ -100,7 +100,7 @@
 def _check_scalar(expected: type, value: object, path: str) -> None:
     """Check a text, number or truth value; a truth value is no number."""
     if not isinstance(value, expected) or isinstance(value, bool) and expected is not bool:
-        raise InvalidSettings(f"{value!r} is no {expected.__name__}", field=path)
+        raise InvalidSettingsError(f"{value!r} is no {expected.__name__}", field=path)
 
 
 @cache
--- a/kestrelplank/settings/ini.py
+++ b/kestrelplank/settings/ini.py
@@ -1,7 +1,7 @@
 """The one reader of INI files: sections as msgspec structs, whose fields are of the types of `ini_fields`.
 
 `IniFile(path, text)` parses a file; `read_section` and `read_named_sections` take its sections;
-`reject_unread_sections` refuses what nobody asked for. All that is wrong raises InvalidSettings.
+`reject_unread_sections` refuses what nobody asked for. All that is wrong raises InvalidSettingsError.
 """
 
 import difflib
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini_fields import reader_of
 from kestrelplank.settings.ini_syntax import Section, parse_sections
 
@@ -32,7 +32,7 @@
     """An INI file, and which of its sections have been read.
 
     :param path: the file's path, for messages.
-    :raises InvalidSettings: the text is no INI file.
+    :raises InvalidSettingsError: the text is no INI file.
     """
 
     def __init__(self, path: str, text: str) -> None:
@@ -46,21 +46,21 @@
     def load(cls, path: str) -> "IniFile":
         """Read the file at `path`.
 
-        :raises InvalidSettings: it cannot be read, or is no INI file.
+        :raises InvalidSettingsError: it cannot be read, or is no INI file.
         """
         try:
             return cls(path, Path(path).read_bytes().decode())
         except OSError as err:
-            raise InvalidSettings(f"can't be read: {err.strerror}", file=path) from None
+            raise InvalidSettingsError(f"can't be read: {err.strerror}", file=path) from None
         except UnicodeDecodeError as err:
-            raise InvalidSettings(f"not text: byte {err.start} is no UTF-8", file=path) from None
+            raise InvalidSettingsError(f"not text: byte {err.start} is no UTF-8", file=path) from None
 
-    def error(self, section: Section | None, field: str | None, reason: str) -> InvalidSettings:
+    def error(self, section: Section | None, field: str | None, reason: str) -> InvalidSettingsError:
         """Return what to raise where fields do not go together; it names the field's line, or else the section's."""
         if section is None:
-            return InvalidSettings(reason, file=self.path)
+            return InvalidSettingsError(reason, file=self.path)
         line = section.fields[field].line if field in section.fields else section.line
-        return InvalidSettings(reason, file=self.path, line=line, section=str(section), field=field or "")
+        return InvalidSettingsError(reason, file=self.path, line=line, section=str(section), field=field or "")
 
     def find_section(self, kind: str, name: str = "") -> Section | None:
         """Return the section of that kind and name, if there is one."""
@@ -69,7 +69,7 @@
     def read_section(self, kind: str, struct: type[Struct]) -> Struct:
         """Return the section of that kind, which has no name; its defaults where there is none.
 
-        :raises InvalidSettings: a field cannot be used, or is missing.
+        :raises InvalidSettingsError: a field cannot be used, or is missing.
         """
         self._known_titles[kind] = None
         section = self.find_section(kind)
@@ -81,7 +81,7 @@
     def read_named_sections(self, kind: str, struct: type[Struct]) -> list[tuple[Section, Struct]]:
         """Return all sections of that kind, each with a name of its own, in the order of the file.
 
-        :raises InvalidSettings: a field cannot be used, or is missing.
+        :raises InvalidSettingsError: a field cannot be used, or is missing.
         """
         return [(section, self._read(section, struct)) for section in self.named_sections(kind)]
 
@@ -96,12 +96,12 @@
     def reject_unread_sections(self) -> None:
         """Refuse a file with sections that nobody asked for.
 
-        :raises InvalidSettings: there is one; the first is named.
+        :raises InvalidSettingsError: there is one; the first is named.
         """
         for section in self._unread:
             title = f"{section.kind} NAME" if section.name else section.kind
             reason = f"no section is called {section}{proposal(title, self._known_titles)}"
-            raise InvalidSettings(reason, file=self.path, line=section.line)
+            raise InvalidSettingsError(reason, file=self.path, line=section.line)
 
     def _mark_read(self, section: Section) -> None:
         """Note that somebody asked for that section."""
@@ -125,7 +125,7 @@
             self.origins.append(FieldOrigin(str(section), name, values.get(field.name, field.default), origin))
         return struct(**values)
 
-    def _missing(self, section: Section, name: str) -> InvalidSettings:
+    def _missing(self, section: Section, name: str) -> InvalidSettingsError:
         """Return what to raise where a field without a default is not given; a section of line 0 is not there."""
         if section.line:
             return self.error(section, None, f"field {name} of {section}: missing")
--- a/kestrelplank/settings/ini_syntax.py
+++ b/kestrelplank/settings/ini_syntax.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 
 LONGEST_QUOTED_TEXT = 60  # characters of a wrong line that a message repeats
 
@@ -33,7 +33,7 @@
     """Return the sections of an INI file in their order.
 
     :param path: the file's path, for messages.
-    :raises InvalidSettings: the text is no INI file, or a section or field stands twice.
+    :raises InvalidSettingsError: the text is no INI file, or a section or field stands twice.
     """
     parser = _parsed(path, text)
     sections: list[Section] = []
@@ -56,17 +56,17 @@
     try:
         parser.read_string(text)
     except configparser.MissingSectionHeaderError as err:
-        raise InvalidSettings("a field before the first section", file=path, line=err.lineno) from None
+        raise InvalidSettingsError("a field before the first section", file=path, line=err.lineno) from None
     except configparser.DuplicateOptionError as err:
         reason = f"the field {err.option} stands twice"
-        raise InvalidSettings(reason, file=path, line=err.lineno, section=f"[{err.section}]") from None
+        raise InvalidSettingsError(reason, file=path, line=err.lineno, section=f"[{err.section}]") from None
     except configparser.DuplicateSectionError as err:
         reason = "the section stands twice"
-        raise InvalidSettings(reason, file=path, line=err.lineno, section=f"[{err.section}]") from None
+        raise InvalidSettingsError(reason, file=path, line=err.lineno, section=f"[{err.section}]") from None
     except configparser.ParsingError as err:
         line, source = err.errors[0]
         reason = f"neither a section nor a field: {source[:LONGEST_QUOTED_TEXT]}"
-        raise InvalidSettings(reason, file=path, line=line) from None
+        raise InvalidSettingsError(reason, file=path, line=line) from None
     return parser
 
 
--- a/kestrelplank/settings/operator.py
+++ b/kestrelplank/settings/operator.py
@@ -78,7 +78,7 @@
 def read_operator_settings(ini: IniFile) -> OperatorSettings:
     """Return what the operator's file says.
 
-    :raises InvalidSettings: some of it cannot be used.
+    :raises InvalidSettingsError: some of it cannot be used.
     """
     settings = OperatorSettings(
         nodes=ini.read_section("nodes", NodeFileSettings),
--- a/kestrelplank/settings/platform.py
+++ b/kestrelplank/settings/platform.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from kestrelplank.settings.checked_dataclasses import checked_dataclass, decode_checked
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 
 SETTINGS_VARIABLE = "KESTRELPLANK_SETTINGS"
 LARGEST_PORT = 65535
@@ -82,11 +82,11 @@
     def listen_address(self, name: str) -> tuple[str, int]:
         """Return the host and port at which this process listens for `name`.
 
-        :raises InvalidSettings: the file does not say, or not with a port.
+        :raises InvalidSettingsError: the file does not say, or not with a port.
         """
         address = self.network.listen_addresses.get(name)
         if address is None:
-            raise InvalidSettings("missing", field=f"network.listen_addresses.{name}")
+            raise InvalidSettingsError("missing", field=f"network.listen_addresses.{name}")
         return parse_address(address, f"network.listen_addresses.{name}")
 
     def internal_port(self) -> int:
@@ -97,29 +97,29 @@
 def load_from_environment() -> PlatformSettings:
     """Read the settings file that the platform names in the environment.
 
-    :raises InvalidSettings: none is named, or it cannot be used.
+    :raises InvalidSettingsError: none is named, or it cannot be used.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise InvalidSettings("not set", field=SETTINGS_VARIABLE)
+        raise InvalidSettingsError("not set", field=SETTINGS_VARIABLE)
     return load(path)
 
 
 def load(path: str) -> PlatformSettings:
     """Read the settings file at `path`.
 
-    :raises InvalidSettings: it cannot be used; the one line names file and field.
+    :raises InvalidSettingsError: it cannot be used; the one line names file and field.
     """
     try:
         with Path(path).open("rb") as file:
             settings = _decode(tomllib.load(file))
         _check_values(settings)
     except OSError as err:
-        raise InvalidSettings(err.strerror or str(err), file=path) from err
+        raise InvalidSettingsError(err.strerror or str(err), file=path) from err
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as err:
-        raise InvalidSettings(str(err), file=path) from err
-    except InvalidSettings as err:
-        raise InvalidSettings(err.reason, file=path, field=err.field) from err
+        raise InvalidSettingsError(str(err), file=path) from err
+    except InvalidSettingsError as err:
+        raise InvalidSettingsError(err.reason, file=path, field=err.field) from err
     return settings
 
 
@@ -144,12 +144,12 @@
 
 
 def _check_values(settings: PlatformSettings) -> None:
-    """Raise InvalidSettings where a field of the right type holds what it must not."""
+    """Raise InvalidSettingsError where a field of the right type holds what it must not."""
     if not settings.network.internal_port_range or not settings.network.seed_nodes:
-        raise InvalidSettings("internal_port_range and seed_nodes must not be empty", field="network")
+        raise InvalidSettingsError("internal_port_range and seed_nodes must not be empty", field="network")
     losses = settings.fault_tolerance.machine_losses
     if losses < 0:
-        raise InvalidSettings(f"{losses} is below 0", field="policy_terms.fault_tolerance.machine_losses")
+        raise InvalidSettingsError(f"{losses} is below 0", field="policy_terms.fault_tolerance.machine_losses")
     for index, address in enumerate(settings.network.seed_nodes):
         parse_address(address, f"network.seed_nodes[{index}]")
     parse_address(settings.cloud_api.address, "platform.cloud_api.address")
@@ -159,9 +159,9 @@
     """Return `10.0.0.1:80` as host and port.
 
     :param field: how the address is called in a message.
-    :raises InvalidSettings: it is no address with a port.
+    :raises InvalidSettingsError: it is no address with a port.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= LARGEST_PORT:
-        raise InvalidSettings(f"{address!r} is no address with a port", field=field)
+        raise InvalidSettingsError(f"{address!r} is no address with a port", field=field)
     return host, int(port)
--- a/kestrelplank/settings/reference_proxy.py
+++ b/kestrelplank/settings/reference_proxy.py
@@ -154,7 +154,7 @@
 def read_reference_proxy_settings(ini: IniFile) -> ReferenceProxySettings:
     """Return what a reference proxy's file says.
 
-    :raises InvalidSettings: some of it cannot be used.
+    :raises InvalidSettingsError: some of it cannot be used.
     """
     settings = ReferenceProxySettings(
         process=ini.read_section("relay", ProcessSettings),
@@ -172,7 +172,7 @@
 
 
 def _check_process(ini: IniFile, process: ProcessSettings) -> None:
-    """Raise InvalidSettings where an address is none, or there is nothing to serve from."""
+    """Raise InvalidSettingsError where an address is none, or there is nothing to serve from."""
     section = ini.find_section("relay")
     addresses = [("listen", process.listen_address)]
     if process.update_source_address:
@@ -187,7 +187,7 @@
 
 
 def _check_zones(ini: IniFile, settings: ReferenceProxySettings) -> None:
-    """Raise InvalidSettings where the terms of spill do not go together."""
+    """Raise InvalidSettingsError where the terms of spill do not go together."""
     section, zones = ini.find_section("zones"), settings.zones
     try:
         for fraction in zones.spill_fractions:
@@ -202,7 +202,7 @@
 
 
 def _check_op_types(ini: IniFile, op_types: dict[str, OpTypeSettings]) -> None:
-    """Raise InvalidSettings where there is no op type, or one whose target cannot be met."""
+    """Raise InvalidSettingsError where there is no op type, or one whose target cannot be met."""
     if not op_types:
         raise ini.error(None, None, "no section [op NAME]")
     for section in ini.sections:
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -10,7 +10,7 @@
 from test_proxy import GET, OK, Client, Node, answers_with
 
 from kestrelplank.rehearsal.process import Process
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.reference_proxy import read_reference_proxy_settings
 
@@ -205,7 +205,7 @@
             read_reference_proxy_settings(IniFile("r.ini", text.replace(old, new))).process.update_source_address == ""
         )
         return
-    with pytest.raises(InvalidSettings) as found:
+    with pytest.raises(InvalidSettingsError) as found:
         read_reference_proxy_settings(IniFile("r.ini", text.replace(old, new)))
     assert says in str(found.value)
 
--- a/tests/settings/test_ini.py
+++ b/tests/settings/test_ini.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as some
 from msgspec import Meta, Struct
 
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.ini_fields import (
     Count,
@@ -102,7 +102,7 @@
 )
 def test_an_invalid_file_is_refused_in_one_line_that_names_line_and_field(old, new, says):
     assert old in GOOD
-    with pytest.raises(InvalidSettings) as raised:
+    with pytest.raises(InvalidSettingsError) as raised:
         ini = IniFile("k.ini", GOOD.replace(old, new, 1))
         ini.read_section("watch", Watch)
         ini.read_named_sections("zone", Watch)
@@ -115,7 +115,7 @@
         every: Duration = 5
 
     assert IniFile("k.ini", "").read_section("easy", Easy) == Easy(5)
-    with pytest.raises(InvalidSettings, match="k.ini: field folder of \\[watch\\]: missing, as is its section"):
+    with pytest.raises(InvalidSettingsError, match="k.ini: field folder of \\[watch\\]: missing, as is its section"):
         IniFile("k.ini", "").read_section("watch", Watch)
 
 
@@ -124,7 +124,7 @@
     path = tmp_path / "k.ini"
     if data:
         path.write_bytes(data)
-    with pytest.raises(InvalidSettings, match=says):
+    with pytest.raises(InvalidSettingsError, match=says):
         IniFile.load(str(path))
 
 
@@ -151,5 +151,5 @@
         ini = IniFile("k.ini", text)
         ini.read_section("a", Watch)
         ini.reject_unread_sections()
-    except InvalidSettings as err:
+    except InvalidSettingsError as err:
         assert str(err).startswith("k.ini")
--- a/tests/settings/test_platform.py
+++ b/tests/settings/test_platform.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from kestrelplank.settings.errors import InvalidSettings
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.platform import load
 
 ROOT = Path(__file__).parents[2]
@@ -37,7 +37,7 @@
     assert settings.listen_address("frontend") == ("10.0.0.1", 8080) and settings.internal_port() == 7540
     assert settings.bounds.grace_s == 7 and settings.bounds.retry_budget_ratio == 0.2
     assert settings.fault_tolerance.machine_losses == 2 and settings.local_system.quorum_member
-    with pytest.raises(InvalidSettings, match="listen_addresses.readiness: missing"):
+    with pytest.raises(InvalidSettingsError, match="listen_addresses.readiness: missing"):
         settings.listen_address("readiness")
 
 
@@ -57,7 +57,7 @@
 )
 def test_an_invalid_file_is_refused_in_one_line_that_names_file_and_field(tmp_path, old, new, says):
     (tmp_path / "node.toml").write_text(GOOD.replace(old, new))
-    with pytest.raises(InvalidSettings) as raised:
+    with pytest.raises(InvalidSettingsError) as raised:
         load(str(tmp_path / "node.toml"))
     assert says in str(raised.value) and "node.toml" in str(raised.value) and "\n" not in str(raised.value)
 
