--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -13,7 +13,7 @@
 
 from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.configuration.route_table import Configuration
-from kestrelplank.consensus.messages import Entry, PutConfiguration, PutRecord
+from kestrelplank.consensus.log_entries import Entry, PutConfiguration, PutRecord
 from kestrelplank.decode import Malformed
 
 FORM = 1  # of a snapshot
--- a/kestrelplank/storage/records.py
+++ b/kestrelplank/storage/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from kestrelplank.consensus.messages import Entry, HardState, Snapshot
+from kestrelplank.consensus.log_entries import Entry, HardState, Snapshot
 from kestrelplank.storage.errors import LogFormatError
 from kestrelplank.storage.frames import Frame
 
--- a/tests/storage/test_log_refusals.py
+++ b/tests/storage/test_log_refusals.py
@@ -9,9 +9,7 @@
 from storage.scenario import BEFORE, BIG, COMPACTED, COMPACTION, HELD, WRITES, Scenario, refuse_each_call
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import (
-    HardState,
-)
+from kestrelplank.consensus.log_entries import HardState
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.storage.records import LoadedLog
 
