--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -10,7 +10,7 @@
 
 from kestrelplank.consensus.identity import address_of
 from kestrelplank.consensus.member_messages import Message
-from kestrelplank.settings.platform import endpoint
+from kestrelplank.settings.platform import parse_address
 from kestrelplank.transport.messages import Envelope, decode_at_member
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import FrameConnection
@@ -85,7 +85,7 @@
 
     async def _keep(self, address: str) -> None:
         """A connection to that address, dialled anew whenever it has ended."""
-        host = endpoint(address)[0]
+        host = parse_address(address)[0]
         loop = asyncio.get_running_loop()
         while True:
             ended = asyncio.Event()
--- a/kestrelplank/forwarding/request.py
+++ b/kestrelplank/forwarding/request.py
@@ -2,7 +2,7 @@
 
 from enum import Enum
 
-from kestrelplank.configuration.plan import Route
+from kestrelplank.configuration.route_table import Route
 from kestrelplank.forwarding.endpoint import Endpoint
 from kestrelplank.forwarding.retry_policy import CallKind, CallOutcome, Execution, Verdict
 
@@ -86,7 +86,7 @@
     @property
     def call_kind(self) -> CallKind:
         """Its kind in the table of retries."""
-        return CallKind.IDEMPOTENT_REQUEST if self.route.repeatable else CallKind.NON_IDEMPOTENT_REQUEST
+        return CallKind.IDEMPOTENT_REQUEST if self.route.idempotent else CallKind.NON_IDEMPOTENT_REQUEST
 
     # Transitions.
 
--- a/kestrelplank/storage/readable_copies.py
+++ b/kestrelplank/storage/readable_copies.py
@@ -3,7 +3,7 @@
 import logging
 from pathlib import Path
 
-from kestrelplank.file_discovery.whole import write_whole
+from kestrelplank.file_discovery.atomic_write import write_atomically
 
 PREFIX, SUFFIX = "configuration-", ".json"
 TEMPORARY_PREFIX = f".{PREFIX}"  # of the names of copies that are being made
@@ -14,7 +14,7 @@
 def write_readable_copy(folder: Path, version: int, text: bytes) -> None:
     """Write a configuration as a plain file, and remove all but the newest copies; a refusal is only logged."""
     try:
-        write_whole(str(folder / copy_name(version)), text)
+        write_atomically(str(folder / copy_name(version)), text)
         for path in readable_copies(folder)[:-COPIES_KEPT]:
             path.unlink()
     except OSError as err:
