--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -22,7 +22,7 @@
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.consensus_messages import ConsensusMessage, SnapshotChunk
 from kestrelplank.consensus.effects import Applied, Effect, Persist, Restored, Send
-from kestrelplank.consensus.log import ReplicatedLog, entry_size
+from kestrelplank.consensus.log import ReplicatedLog, entry_size_bytes
 from kestrelplank.consensus.log_entries import Entry, HardState, PutConfiguration
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
@@ -65,7 +65,7 @@
         self.messages += 1
         entries = getattr(message, "entries", ())
         self.entries += len(entries)
-        self.content += sum(map(entry_size, entries))
+        self.content += sum(map(entry_size_bytes, entries))
         if isinstance(message, SnapshotChunk):
             self.pieces += 1
             self.content += len(message.data)
@@ -138,13 +138,13 @@
 
 def logged(log: ReplicatedLog) -> int:
     """Bytes of a log on disk: the snapshot and the entries after it."""
-    return snapshot_size(log) + sum(map(entry_size, log.after_snapshot()))
+    return snapshot_size(log) + sum(map(entry_size_bytes, log.entries_after_snapshot()))
 
 
 def held(log: ReplicatedLog) -> int:
     """Bytes of a log in memory: the snapshot, the entries after it and those kept for followers that lag."""
     entries = (log.entry(index) for index in range(log.base_index + 1, log.last_index + 1))
-    return snapshot_size(log) + sum(map(entry_size, entries))
+    return snapshot_size(log) + sum(map(entry_size_bytes, entries))
 
 
 def snapshot_size(log: ReplicatedLog) -> int:
--- a/kestrelplank/consensus/effects.py
+++ b/kestrelplank/consensus/effects.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send `message` to that member; lost where no session stands."""
+    """Send `message` to the member with the identity `to`; it is lost where no session to that member is open."""
 
     to: str
     message: ConsensusMessage
@@ -16,11 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Make all of this durable together, or none of it, after every `Persist` before it; then call
-    `ConsensusNode.persisted(now, number)`. A disk that refuses is asked again with the same, in the same order.
+    """Make all of this durable together, or none of it, and only after every `Persist` before it.
 
-    Any of: a new hard state; a snapshot, which replaces the whole log; entries, which replace those from the first
-    one's index on."""
+    Then call `ConsensusNode.persisted(now, number)`. A write that fails is retried unchanged and in the same order.
+
+    :param number: grows by one with each write of a process.
+    :param hard_state: replaces the one on disk; None: that one stays.
+    :param snapshot: replaces the complete log on disk; None: the log stays.
+    :param entries: replace those on disk from the first one's index on.
+    """
 
     number: int
     hard_state: HardState | None = None
@@ -30,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """This entry is committed: apply it. Each index comes once, in order."""
+    """Apply this entry, which is committed. Each index comes once, in order."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """The replicated state is this snapshot's from now on; what was applied before is part of it, or overtaken."""
+    """Replace the replicated state by this snapshot's; what was applied before is part of it, or overtaken."""
 
     snapshot: Snapshot
 
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deposed:
-    """This member leads no longer."""
+    """This member leads no longer. It comes once after each `Elected`."""
 
 
 Effect = Send | Persist | Applied | Restored | Elected | Deposed
--- a/kestrelplank/consensus/log.py
+++ b/kestrelplank/consensus/log.py
@@ -1,47 +1,81 @@
-"""The replicated log as one member has it in memory: a snapshot, the entries since, and some before it that others may
-still lack. Which membership counts is part of it."""
+"""The replicated log as one member holds it in memory."""
 
-from kestrelplank.consensus.log_entries import ChangeMembership, Entry, Snapshot
+from typing import NamedTuple
+
+from kestrelplank.consensus.log_entries import ChangeMembership, Entry, PutConfiguration, PutRecord, Snapshot
 from kestrelplank.consensus.membership import Membership
 
-KEPT_ENTRIES = 64  # entries that a snapshot covers and that are kept all the same, for followers that lag a little
+ENTRIES_KEPT_BEFORE_SNAPSHOT = 64  # for followers that lag a little and then need no snapshot
+ENTRY_OVERHEAD_BYTES = 64  # of an entry on the wire, beside what its command carries
+
+
+class LoggedMembership(NamedTuple):
+    """A membership and the log index from which on it counts."""
+
+    index: int
+    membership: Membership
 
 
 class ReplicatedLog:
-    """Entries from `base_index + 1` to `last_index`. `snapshot`: what a restart begins from, None where nothing was
-    ever cut off. `initial`: the membership before any entry, None for a member that was told none."""
+    """A snapshot, the entries since, some entries before it, and which membership counts.
+
+    The entries from `base_index + 1` to `last_index` are in memory. Invariants: their indexes follow one another; the
+    snapshot's index lies between `base_index` and `last_index`; the memberships are those of the entries in memory, and
+    the newest one before them. Held by `tests/consensus/test_log_properties.py`.
+
+    :param initial: the membership before any entry; None for a member that learns it from the log.
+    :param snapshot: what a restart begins with; None where the log was never compacted.
+    :param entries: what the disk has; those that the snapshot covers are left out.
+    """
 
     def __init__(self, initial: Membership | None, snapshot: Snapshot | None, entries: tuple[Entry, ...]) -> None:
+        self._begin(initial, snapshot, entries)
+
+    def _begin(self, initial: Membership | None, snapshot: Snapshot | None, entries: tuple[Entry, ...]) -> None:
         self.snapshot = snapshot
         self.base_index = snapshot.index if snapshot else 0
         self.base_term = snapshot.term if snapshot else 0
         self._entries: list[Entry] = []
-        self._memberships: list[tuple[int, Membership]] = []
+        self._memberships: list[LoggedMembership] = []
         first = snapshot.membership if snapshot else initial
         if first is not None:
-            self._memberships.append((self.base_index, first))
+            self._memberships.append(LoggedMembership(self.base_index, first))
         self.append(tuple(entry for entry in entries if entry.index > self.base_index))
 
     @property
     def last_index(self) -> int:
+        """Log index of the last entry; 0 for an empty log."""
         return self.base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
+        """Term of the last entry; 0 for an empty log."""
         return self._entries[-1].term if self._entries else self.base_term
 
+    @property
+    def snapshot_index(self) -> int:
+        """Log index of the last entry that the snapshot covers; 0 without one."""
+        return self.snapshot.index if self.snapshot else 0
+
     @property
     def membership(self) -> Membership | None:
         """The newest membership in the log, committed or not."""
-        return self._memberships[-1][1] if self._memberships else None
+        return self._memberships[-1].membership if self._memberships else None
 
     @property
     def membership_index(self) -> int:
-        """Where the newest membership stands in the log."""
-        return self._memberships[-1][0] if self._memberships else 0
+        """Log index of the newest membership."""
+        return self._memberships[-1].index if self._memberships else 0
+
+    def membership_at(self, index: int) -> Membership | None:
+        """Return the newest membership at or before `index`."""
+        for logged in reversed(self._memberships):
+            if logged.index <= index:
+                return logged.membership
+        return None
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at `index`; None where it is not known here."""
+        """Return the term of the entry at `index`; None where it is not known here."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -49,72 +83,77 @@
         return self._entries[index - self.base_index - 1].term
 
     def entry(self, index: int) -> Entry:
+        """Return the entry at `index`, which is in memory."""
         return self._entries[index - self.base_index - 1]
 
-    def slice(self, first: int, most: int, most_bytes: int) -> tuple[Entry, ...]:
-        """Entries from `first` on, at most so many and so large together, but at least one where there is one."""
-        found: list[Entry] = []
-        size = 0
-        for index in range(first, min(self.last_index, first + most - 1) + 1):
+    def entries_from(self, first: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Return entries from index `first` on, within both bounds, but at least one where there is one."""
+        entries: list[Entry] = []
+        size_bytes = 0
+        for index in range(first, min(self.last_index, first + max_entries - 1) + 1):
             entry = self.entry(index)
-            size += entry_size(entry)
-            if found and size > most_bytes:
+            size_bytes += entry_size_bytes(entry)
+            if entries and size_bytes > max_bytes:
                 break
-            found.append(entry)
-        return tuple(found)
+            entries.append(entry)
+        return tuple(entries)
+
+    def entries_after_snapshot(self) -> tuple[Entry, ...]:
+        """Return the entries that a restart needs beside the snapshot."""
+        first = self.snapshot.index + 1 if self.snapshot else self.base_index + 1
+        return tuple(self._entries[first - self.base_index - 1 :])
 
     def append(self, entries: tuple[Entry, ...]) -> None:
-        """Adds entries that follow the last one."""
+        """Add entries after the last one.
+
+        :raises ValueError: an entry does not follow the one before it.
+        """
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
             self._entries.append(entry)
             if isinstance(entry.command, ChangeMembership):
-                self._memberships.append((entry.index, entry.command.membership))
+                self._memberships.append(LoggedMembership(entry.index, entry.command.membership))
 
     def truncate(self, first: int) -> None:
-        """Removes the entries from `first` on, and the memberships in them."""
+        """Remove the entries from index `first` on, and the memberships in them."""
         del self._entries[first - self.base_index - 1 :]
-        while self._memberships and self._memberships[-1][0] >= first:
+        while self._memberships and self._memberships[-1].index >= first:
             self._memberships.pop()
 
-    def membership_at(self, index: int) -> Membership | None:
-        """The newest membership at or before `index`."""
-        found = [membership for at, membership in self._memberships if at <= index]
-        return found[-1] if found else None
-
     def compact(self, index: int, state: bytes) -> Snapshot | None:
-        """Makes a snapshot of the state after `index`, and lets go of entries long before it. None where the membership
-        at that point is not known."""
+        """Make a snapshot of `state`, the replicated state after `index`, and drop entries long before it.
+
+        Return None, and change nothing, where the membership at that index is not known.
+        """
         membership, term = self.membership_at(index), self.term_at(index)
         if membership is None or term is None:
             return None
         self.snapshot = Snapshot(index, term, membership, state)
-        keep_from = max(self.base_index + 1, index + 1 - KEPT_ENTRIES)
-        if keep_from > self.base_index + 1:
-            term_before = self.term_at(keep_from - 1)
-            del self._entries[: keep_from - 1 - self.base_index]
-            self.base_index, self.base_term = keep_from - 1, term_before or 0
-        before = [(at, found) for at, found in self._memberships if at <= self.base_index]
-        after = [(at, found) for at, found in self._memberships if at > self.base_index]
-        self._memberships = before[-1:] + after
+        self._drop_entries_before(index + 1 - ENTRIES_KEPT_BEFORE_SNAPSHOT)
         return self.snapshot
 
-    def after_snapshot(self) -> tuple[Entry, ...]:
-        """The entries that a restart needs beside the snapshot."""
-        first = self.snapshot.index + 1 if self.snapshot else self.base_index + 1
-        return tuple(self._entries[first - self.base_index - 1 :])
+    def _drop_entries_before(self, first: int) -> None:
+        if first > self.base_index + 1:
+            term_before = self.term_at(first - 1)
+            del self._entries[: first - 1 - self.base_index]
+            self.base_index, self.base_term = first - 1, term_before or 0
+        before = [logged for logged in self._memberships if logged.index <= self.base_index]
+        after = [logged for logged in self._memberships if logged.index > self.base_index]
+        self._memberships = before[-1:] + after
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replaces everything by a snapshot; entries that follow it alike stay."""
+        """Replace everything by a snapshot, except entries after it if the log matches it."""
         kept: tuple[Entry, ...] = ()
         if self.term_at(snapshot.index) == snapshot.term:
             kept = tuple(self._entries[snapshot.index - self.base_index :])
-        self.__init__(None, snapshot, kept)  # type: ignore[misc]
+        self._begin(None, snapshot, kept)
 
 
-def entry_size(entry: Entry) -> int:
-    """About how many bytes an entry takes on the wire."""
-    command = entry.command
-    content = getattr(command, "text", None) or getattr(command, "record", b"")
-    return 64 + len(content)
+def entry_size_bytes(entry: Entry) -> int:
+    """Return about how many bytes an entry takes on the wire."""
+    match entry.command:
+        case PutConfiguration(text=content) | PutRecord(record=content):
+            return ENTRY_OVERHEAD_BYTES + len(content)
+        case _:
+            return ENTRY_OVERHEAD_BYTES
--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -226,7 +226,7 @@
 
     def _transfer(self, now: int) -> None:
         heirs = [
-            (self.peers[voter].match, voter)
+            (self.peers[voter].match_index, voter)
             for voter in self.membership.voters
             if voter in self.peers and now - self.peers[voter].heard_at < 2 * HEARTBEAT
         ]
@@ -241,7 +241,7 @@
         if self.applied > (self.log.snapshot.index if self.log.snapshot else 0):
             snapshot = self.log.compact(self.applied, state)
             if snapshot is not None:
-                self._persist(snapshot=snapshot, entries=self.log.after_snapshot())
+                self._persist(snapshot=snapshot, entries=self.log.entries_after_snapshot())
         return self._take_effects()
 
     def add_learner(self, identity: str) -> None:
@@ -442,7 +442,7 @@
             self._keep_peers()
         self._persist(entries=(entry,))
         for name, peer in self.peers.items():
-            if peer.alike:
+            if peer.log_matches:
                 self._send_entries(now, name, peer)
         return entry.index
 
@@ -468,24 +468,26 @@
             return
         self._effects.append(Send(name, self._append_message(now, peer, 0, 0, ())))
         if peer.silent(now):
-            peer.forget_snapshot()
-        elif peer.snapshot is None or peer.piece_due(now):
+            peer.drop_snapshot()
+        elif peer.outgoing_snapshot is None or peer.chunk_overdue(now):
             self._send_snapshot(now, name, peer)
 
     def _needs_snapshot(self, peer: Progress) -> bool:
-        return peer.snapshot is not None or self.log.term_at(peer.next - 1) is None
+        return peer.outgoing_snapshot is not None or self.log.term_at(peer.next_index - 1) is None
 
     def _send_entries(self, now: int, name: str, peer: Progress) -> None:
         """Sends what the follower lacks, as far as it may be under way at once."""
         if self._needs_snapshot(peer):
-            if peer.snapshot is None:
+            if peer.outgoing_snapshot is None:
                 self._send_snapshot(now, name, peer)
             return
         last = self._last_for(name)
         while peer.may_send(last):
-            entries = self.log.slice(peer.next, min(ENTRIES_AT_ONCE, last - peer.next + 1), BYTES_AT_ONCE)
+            entries = self.log.entries_from(
+                peer.next_index, min(ENTRIES_AT_ONCE, last - peer.next_index + 1), BYTES_AT_ONCE
+            )
             self._send_append(now, name, peer, entries)
-            peer.sent(now, entries)
+            peer.entries_sent(now, entries)
 
     def _last_for(self, name: str) -> int:
         """The last entry that a member may be sent. One that does not count is told only what is committed: a log that
@@ -493,7 +495,7 @@
         return self.log.last_index if name in self.membership.all_voters() else self.commit
 
     def _send_append(self, now: int, name: str, peer: Progress, entries: tuple[Entry, ...]) -> None:
-        previous = peer.next - 1
+        previous = peer.next_index - 1
         term = self.log.term_at(previous) or 0
         self._effects.append(Send(name, self._append_message(now, peer, previous, term, entries)))
 
@@ -505,29 +507,29 @@
 
     def _send_snapshot(self, now: int, name: str, peer: Progress) -> None:
         """Sends the piece of a snapshot that comes next, of the newest one where none is under way."""
-        if peer.snapshot is None:
+        if peer.outgoing_snapshot is None:
             if self.log.snapshot is None:
                 return
-            peer.snapshot = OutgoingSnapshot(self.log.snapshot)
-        peer.piece_sent(now)
-        self._effects.append(Send(name, peer.snapshot.piece(self.term, self.epoch, self._round)))
+            peer.outgoing_snapshot = OutgoingSnapshot(self.log.snapshot)
+        peer.chunk_sent(now)
+        self._effects.append(Send(name, peer.outgoing_snapshot.next_chunk(self.term, self.epoch, self._round)))
 
     def _on_append_reply(self, now: int, sender: str, reply: AppendReply) -> None:
         peer = self._heard_from(now, sender, reply.term, reply.heartbeat_round)
         if peer is None:
             return
-        asked_from = peer.next
-        peer.appended(now, reply)
+        asked_from = peer.next_index
+        peer.update(now, reply)
         if reply.success or self._needs_snapshot(peer):
             self._send_entries(now, sender, peer)
-        elif peer.next < asked_from:
+        elif peer.next_index < asked_from:
             self._send_append(now, sender, peer, ())
         self._renew_lease(now)
         self._advance_commit(now)
 
     def _on_piece_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
         peer = self._heard_from(now, sender, reply.term, reply.heartbeat_round)
-        if peer is not None and peer.piece_taken(reply):
+        if peer is not None and peer.confirm_chunk(reply):
             self._send_snapshot(now, sender, peer)
 
     def _heard_from(self, now: int, sender: str, term: int, round_number: int) -> Progress | None:
@@ -564,7 +566,7 @@
         def match(voter: str) -> int:
             if voter == self.identity:
                 return self.durable
-            return self.peers[voter].match if voter in self.peers else 0
+            return self.peers[voter].match_index if voter in self.peers else 0
 
         if self.role != LEADER:
             return
@@ -575,7 +577,7 @@
         self._apply()
         self._confirm_election(now)
         for name, peer in self.peers.items():
-            if peer.alike:
+            if peer.log_matches:
                 self._send_entries(now, name, peer)
         self._heartbeat_at = min(self._heartbeat_at, now)  # the others learn what is committed with the next tick
         self._finish_change(now)
@@ -702,7 +704,7 @@
         if self.incoming is None or self.incoming.digest != piece.digest:
             self.incoming = IncomingSnapshot(piece.digest, piece.size_bytes)
         incoming = self.incoming
-        incoming.take(piece)
+        incoming.add(piece)
         if not incoming.complete:
             reply = SnapshotReply(self.term, self.epoch, piece.digest, len(incoming.data), piece.heartbeat_round)
             self._send_when_durable(sender, reply)
@@ -718,7 +720,7 @@
         self.commit = self.applied = snapshot.index
         self.durable = min(self.durable, alike_until)
         then: list[Effect] = [Send(sender, AppendReply(self.term, self.epoch, True, snapshot.index, 0))]
-        self._persist(snapshot=snapshot, entries=self.log.after_snapshot(), then=then, alike_until=alike_until)
+        self._persist(snapshot=snapshot, entries=self.log.entries_after_snapshot(), then=then, alike_until=alike_until)
         self._effects.append(Restored(snapshot))
         self._plan_campaign(now)
 
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -1,121 +1,147 @@
-"""What a leader knows of another member: how far its log goes, when it was heard, and which heartbeats it answered."""
+"""What a leader knows of another member: how far its log goes, when it was heard, what it is being sent."""
 
 from collections import deque
 from typing import NamedTuple
 
 from kestrelplank.consensus.consensus_messages import AppendReply, SnapshotReply
-from kestrelplank.consensus.log import entry_size
+from kestrelplank.consensus.log import entry_size_bytes
 from kestrelplank.consensus.log_entries import Entry
 from kestrelplank.consensus.snapshots import OutgoingSnapshot
+from kestrelplank.time_units import MILLISECOND, SECOND
 
-S = 1_000_000_000
-MOST_AHEAD = 256  # entries that are sent before the follower has said that it has them
-LEAST_WINDOW, MOST_WINDOW = 64 << 10, 1 << 20  # bounds of the same in bytes; the last entry may go beyond
-FAST, SLOW = 400_000_000, 600_000_000  # ns from sending to confirmation: below the window grows, above it shrinks
-SILENT = S  # a follower that has not replied for so long (ns) is sent no snapshot
-REPEAT_PIECE = S  # after so long (ns) without progress a piece is sent again; doubled each time
-MOST_REPEAT = 8 * S
-CAUGHT_UP = 8  # entries that a follower may lack and yet count as caught up
+MAX_UNCONFIRMED_ENTRIES = 256
+MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 64 << 10, 1 << 20  # of entries in flight; the last entry may exceed the window
+FAST_CONFIRMATION_NS = 400 * MILLISECOND  # an entry confirmed sooner widens the window
+SLOW_CONFIRMATION_NS = 600 * MILLISECOND  # an entry confirmed later narrows it
+SILENCE_TIMEOUT_NS = 1 * SECOND  # a follower that has not replied for longer is sent no snapshot
+CHUNK_RETRY_INTERVAL_NS = 1 * SECOND  # without progress; doubled with each retry
+MAX_CHUNK_RETRY_INTERVAL_NS = 8 * SECOND
+CAUGHT_UP_LAG_ENTRIES = 8  # that a follower may lack and yet count as caught up
 
 
 class EntryInFlight(NamedTuple):
-    """An entry that was sent and is not confirmed. `size`: bytes; `sent_at`: ns."""
+    """An entry that was sent and is not confirmed."""
 
     index: int
-    size: int
+    size_bytes: int
     sent_at: int
 
 
 class Progress:
-    """One follower, as the leader of the current term sees it. `match`: what is durable there and alike; `next`: the
-    entry to send next; `heard_at` (ns): when it last replied, 0 for never in this term; `answered_at` (ns): when the
-    newest heartbeat round was begun that it answered. `alike`: its log is known to be ours up to `next - 1`; until then
-    it is sent no entries, only asked."""
+    """One other member, as the leader of the current term sees it.
+
+    - `match_index`: up to there its log matches ours, durably.
+    - `next_index`: log index of the entry to send next.
+    - `log_matches`: whether its log is known to match ours up to `next_index - 1`. Until then it is sent no entries,
+      only asked for an index to go on from.
+    - `heard_at`: when it last replied; 0: never in this term.
+    - `answered_at`: when the newest heartbeat round was begun that it has answered; 0: none.
+    - `probe`: its newest one, to be echoed.
+    - `outgoing_snapshot`: the snapshot that it is being sent, if any.
+
+    :param next_index: log index of the leader's next entry.
+    """
 
     def __init__(self, next_index: int) -> None:
-        self.match = 0
-        self.next = next_index
+        self.match_index = 0
+        self.next_index = next_index
+        self.log_matches = False
         self.heard_at = 0
         self.answered_at = 0
         self.probe = 0
-        self.snapshot: OutgoingSnapshot | None = None
-        self.alike = False
+        self.outgoing_snapshot: OutgoingSnapshot | None = None
         self._in_flight: deque[EntryInFlight] = deque()
         self._bytes_in_flight = 0
-        self._window = LEAST_WINDOW  # heartbeats queue behind what is under way, so it must not take long
-        self._piece_due = 0
-        self._repeat_after = REPEAT_PIECE
+        self._window_bytes = MIN_WINDOW_BYTES  # heartbeats queue behind what is in flight, so it must not take long
+        self._chunk_retry_at = 0
+        self._chunk_retry_ns = CHUNK_RETRY_INTERVAL_NS
 
     def heard(self, now: int, round_begun_at: int | None) -> None:
-        """A reply has come; `round_begun_at`: when the heartbeat that it answers was begun, if it answers one."""
+        """Take in that a reply has come.
+
+        :param round_begun_at: when the heartbeat round was begun that it answers; None: it answers none that is known.
+        """
         self.heard_at = now
         if round_begun_at is not None:
             self.answered_at = max(self.answered_at, round_begun_at)
 
-    def appended(self, now: int, reply: AppendReply) -> None:
-        """Moves on by what the follower says of its log."""
+    def silent(self, now: int) -> bool:
+        """Whether it has not replied for a while, or never."""
+        return now - self.heard_at > SILENCE_TIMEOUT_NS or self.heard_at == 0
+
+    def caught_up(self, commit_index: int) -> bool:
+        """Whether it has all that is committed but for a little that may be in flight."""
+        return self.match_index > 0 and self.match_index + CAUGHT_UP_LAG_ENTRIES >= commit_index
+
+    def update(self, now: int, reply: AppendReply) -> None:
+        """Take in what a reply says of the follower's log."""
         self.probe = reply.probe or self.probe
-        if not reply.success:
-            self.alike = False
-            self.next = max(self.match, reply.match_index) + 1
-            self._in_flight.clear()
-            self._bytes_in_flight = 0
-            return
-        self.match = max(self.match, reply.match_index)
-        self.next = max(self.next, self.match + 1)
-        if self.snapshot is not None and self.match >= self.snapshot.index:
-            self.snapshot = None
-        self.alike = self.snapshot is None
-        while self._in_flight and self._in_flight[0].index <= self.match:
+        if reply.success:
+            self._confirm(now, reply.match_index)
+        else:
+            self._refuse(reply.match_index)
+
+    def _refuse(self, likely_match_index: int) -> None:
+        """Go back: what is known to match stays, as a refusal may be late."""
+        self.log_matches = False
+        self.next_index = max(self.match_index, likely_match_index) + 1
+        self._in_flight.clear()
+        self._bytes_in_flight = 0
+
+    def _confirm(self, now: int, match_index: int) -> None:
+        self.match_index = max(self.match_index, match_index)
+        self.next_index = max(self.next_index, self.match_index + 1)
+        if self.outgoing_snapshot is not None and self.match_index >= self.outgoing_snapshot.index:
+            self.outgoing_snapshot = None
+        self.log_matches = self.outgoing_snapshot is None
+        while self._in_flight and self._in_flight[0].index <= self.match_index:
             confirmed = self._in_flight.popleft()
-            self._bytes_in_flight -= confirmed.size
+            self._bytes_in_flight -= confirmed.size_bytes
             self._adapt_window(now - confirmed.sent_at)
 
-    def _adapt_window(self, took: int) -> None:
-        if took < FAST:
-            self._window = min(2 * self._window, MOST_WINDOW)
-        elif took > SLOW:
-            self._window = max(self._window // 2, LEAST_WINDOW)
-
-    def sent(self, now: int, entries: tuple[Entry, ...]) -> None:
-        """These entries, the next ones, are on their way."""
-        for entry in entries:
-            size = entry_size(entry)
-            self._in_flight.append(EntryInFlight(entry.index, size, now))
-            self._bytes_in_flight += size
-        self.next += len(entries)
+    def _adapt_window(self, confirmed_after_ns: int) -> None:
+        if confirmed_after_ns < FAST_CONFIRMATION_NS:
+            self._window_bytes = min(2 * self._window_bytes, MAX_WINDOW_BYTES)
+        elif confirmed_after_ns > SLOW_CONFIRMATION_NS:
+            self._window_bytes = max(self._window_bytes // 2, MIN_WINDOW_BYTES)
 
     def may_send(self, last_index: int) -> bool:
-        """Whether there are entries that the follower has not been sent and may be sent now."""
-        if not self.alike or self.next > last_index or self.next > self.match + MOST_AHEAD:
+        """Whether there are entries up to `last_index` that the follower has not been sent and may be sent now."""
+        if not self.log_matches or self.next_index > last_index:
             return False
-        return self._bytes_in_flight < self._window
-
-    def silent(self, now: int) -> bool:
-        """Whether it has not replied for a while, or never."""
-        return now - self.heard_at > SILENT or self.heard_at == 0
+        if self.next_index > self.match_index + MAX_UNCONFIRMED_ENTRIES:
+            return False
+        return self._bytes_in_flight < self._window_bytes
 
-    def piece_taken(self, reply: SnapshotReply) -> bool:
-        """Returns whether the next piece is to be sent at once."""
-        if self.snapshot is None or not self.snapshot.confirmed(reply.digest, reply.offset):
+    def entries_sent(self, now: int, entries: tuple[Entry, ...]) -> None:
+        """Take in that these entries, the next ones, are in flight."""
+        for entry in entries:
+            size_bytes = entry_size_bytes(entry)
+            self._in_flight.append(EntryInFlight(entry.index, size_bytes, now))
+            self._bytes_in_flight += size_bytes
+        self.next_index += len(entries)
+
+    def chunk_sent(self, now: int) -> None:
+        """Take in that a chunk is in flight: its retry interval grows, as the link may be slow."""
+        self._chunk_retry_at = now + self._chunk_retry_ns
+        self._chunk_retry_ns = min(2 * self._chunk_retry_ns, MAX_CHUNK_RETRY_INTERVAL_NS)
+
+    def chunk_overdue(self, now: int) -> bool:
+        """Whether the chunk in flight counts as lost."""
+        return now >= self._chunk_retry_at
+
+    def confirm_chunk(self, reply: SnapshotReply) -> bool:
+        """Take in a reply to a chunk; return whether the next chunk is to be sent at once."""
+        snapshot = self.outgoing_snapshot
+        if snapshot is None or not snapshot.confirm(reply.digest, reply.offset):
             return False
-        self._repeat_after = REPEAT_PIECE
+        self._chunk_retry_ns = CHUNK_RETRY_INTERVAL_NS
         return True
 
-    def piece_due(self, now: int) -> bool:
-        """Whether the piece that is on its way has to be counted as lost."""
-        return now >= self._piece_due
-
-    def piece_sent(self, now: int) -> None:
-        """A piece is on its way: it is repeated only after a time, which grows, as the link may be slow."""
-        self._piece_due = now + self._repeat_after
-        self._repeat_after = min(2 * self._repeat_after, MOST_REPEAT)
-
-    def forget_snapshot(self) -> None:
-        """It may need a newer one when it is back; it keeps what it has of this one."""
-        self.snapshot = None
-        self._piece_due, self._repeat_after = 0, REPEAT_PIECE
+    def drop_snapshot(self) -> None:
+        """Forget the snapshot in flight: once the follower is back it may need a newer one.
 
-    def caught_up(self, commit: int) -> bool:
-        """Whether it has all that is committed but for a little that is on its way."""
-        return self.match > 0 and self.match + CAUGHT_UP >= commit
+        The follower keeps what it has, so the same snapshot goes on where it broke off.
+        """
+        self.outgoing_snapshot = None
+        self._chunk_retry_at, self._chunk_retry_ns = 0, CHUNK_RETRY_INTERVAL_NS
--- a/kestrelplank/consensus/quorum.py
+++ b/kestrelplank/consensus/quorum.py
@@ -1,4 +1,7 @@
-"""Majorities of a membership. While a change is under way a majority of both its sides is needed."""
+"""Majorities of a membership. While a change is under way a majority of both its sides is needed.
+
+Source: D. Ongaro and J. Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014), section 6.
+"""
 
 from collections.abc import Callable, Iterable
 
@@ -6,32 +9,35 @@
 
 
 def majority(count: int) -> int:
-    """The least number of `count` members that meets every other such number."""
+    """Return the least number of `count` voters that meets every other such number."""
     return count // 2 + 1
 
 
-def has_majority(voters: tuple[str, ...], yes: Iterable[str]) -> bool:
-    """Whether more than half of `voters` are among `yes`."""
-    agreed = frozenset(yes)
+def has_majority(voters: tuple[str, ...], agreeing: Iterable[str]) -> bool:
+    """Whether more than half of `voters` are among `agreeing`."""
+    agreed = frozenset(agreeing)
     return sum(voter in agreed for voter in voters) >= majority(len(voters))
 
 
-def is_quorum(membership: Membership, yes: Iterable[str]) -> bool:
-    """Whether `yes` may decide for this membership."""
-    agreed = frozenset(yes)
+def is_quorum(membership: Membership, agreeing: Iterable[str]) -> bool:
+    """Whether the members `agreeing` may decide under this membership."""
+    agreed = frozenset(agreeing)
     if not has_majority(membership.voters, agreed):
         return False
     return not membership.joint or has_majority(membership.outgoing, agreed)
 
 
-def reached_by_quorum(membership: Membership, value: Callable[[str], int]) -> int:
-    """The highest number that a quorum has reached, where `value` tells what each member has reached."""
-    reached = _reached_by_majority(membership.voters, value)
+def reached_by_quorum(membership: Membership, reached_by: Callable[[str], int]) -> int:
+    """Return the highest number that a quorum has reached.
+
+    :param reached_by: the number that a member has reached, by identity.
+    """
+    reached = _reached_by_majority(membership.voters, reached_by)
     if membership.joint:
-        reached = min(reached, _reached_by_majority(membership.outgoing, value))
+        reached = min(reached, _reached_by_majority(membership.outgoing, reached_by))
     return reached
 
 
-def _reached_by_majority(voters: tuple[str, ...], value: Callable[[str], int]) -> int:
-    ordered = sorted((value(voter) for voter in voters), reverse=True)
-    return ordered[majority(len(voters)) - 1]
+def _reached_by_majority(voters: tuple[str, ...], reached_by: Callable[[str], int]) -> int:
+    descending = sorted((reached_by(voter) for voter in voters), reverse=True)
+    return descending[majority(len(voters)) - 1]
--- a/kestrelplank/consensus/snapshots.py
+++ b/kestrelplank/consensus/snapshots.py
@@ -1,6 +1,6 @@
-"""Snapshots on their way from the leader to a follower: in pieces, with a checksum of the whole, never half applied.
+"""Snapshots on their way from the leader to a follower: in chunks, with a checksum of the whole, never half applied.
 
-A follower keeps what it has of a snapshot while the checksum stays the same, so a transfer goes on where it broke off,
+A follower keeps what it has of a snapshot while the checksum stays the same. So a transfer goes on where it broke off,
 also from another leader that has made the same snapshot.
 """
 
@@ -12,31 +12,36 @@
 from kestrelplank.consensus.log_entries import Snapshot
 
 CHUNK_BYTES = 32 << 10
-encoder = msgspec.msgpack.Encoder()
-decoder = msgspec.msgpack.Decoder(Snapshot)
+DIGEST_BYTES = 16
+
+_encoder = msgspec.msgpack.Encoder()
+_decoder = msgspec.msgpack.Decoder(Snapshot)
 
 
 def checksum(data: bytes) -> bytes:
-    """What tells one snapshot's bytes from another's; 16 bytes."""
-    return hashlib.blake2b(data, digest_size=16).digest()
+    """Return what tells one snapshot's bytes from another's."""
+    return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
 class OutgoingSnapshot:
-    """A snapshot that is sent to one follower. `offset`: all bytes before it are there."""
+    """A snapshot that the leader sends to one follower, which has all its bytes before `offset`."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self.index = snapshot.index
-        self.data = encoder.encode(snapshot)
+        self.data = _encoder.encode(snapshot)
         self.digest = checksum(self.data)
         self.offset = 0
 
-    def piece(self, term: int, epoch: int, round_number: int) -> SnapshotChunk:
-        """The next piece that the follower lacks."""
+    def next_chunk(self, term: int, epoch: int, heartbeat_round: int) -> SnapshotChunk:
+        """Return the next chunk that the follower lacks."""
         data = self.data[self.offset : self.offset + CHUNK_BYTES]
-        return SnapshotChunk(term, epoch, self.index, len(self.data), self.digest, self.offset, data, round_number)
+        return SnapshotChunk(term, epoch, self.index, len(self.data), self.digest, self.offset, data, heartbeat_round)
+
+    def confirm(self, digest: bytes, offset: int) -> bool:
+        """Take in that the follower has all bytes before `offset` of the snapshot with that digest.
 
-    def confirmed(self, digest: bytes, offset: int) -> bool:
-        """The follower has all before `offset`. Returns whether that is news and something is left to send."""
+        Return whether the follower has advanced and lacks more.
+        """
         if digest != self.digest or offset == self.offset or offset > len(self.data):
             return False
         self.offset = offset
@@ -44,27 +49,32 @@
 
 
 class IncomingSnapshot:
-    """What a follower has of a snapshot."""
+    """What a follower has of a snapshot.
+
+    :param digest: checksum of the complete encoded snapshot.
+    :param size_bytes: of the complete encoded snapshot.
+    """
 
-    def __init__(self, digest: bytes, size: int) -> None:
-        self.digest, self.size = digest, size
+    def __init__(self, digest: bytes, size_bytes: int) -> None:
+        self.digest, self.size_bytes = digest, size_bytes
         self.data = bytearray()
 
-    def take(self, piece: SnapshotChunk) -> None:
-        """Adds a piece if it is the next one; others change nothing."""
-        if piece.offset == len(self.data):
-            self.data += piece.data
+    def add(self, chunk: SnapshotChunk) -> None:
+        """Add a chunk if it is the next one; others change nothing."""
+        if chunk.offset == len(self.data):
+            self.data += chunk.data
 
     @property
     def complete(self) -> bool:
-        return len(self.data) >= self.size
+        """Whether all bytes are here; whether they are the right ones is for `decode`."""
+        return len(self.data) >= self.size_bytes
 
     def decode(self) -> Snapshot | None:
-        """The snapshot; None where the bytes are not what the checksum says."""
+        """Return the snapshot; None where the bytes do not fit the checksum."""
         data = bytes(self.data)
-        if len(data) != self.size or checksum(data) != self.digest:
+        if len(data) != self.size_bytes or checksum(data) != self.digest:
             return None
         try:
-            return decoder.decode(data)
+            return _decoder.decode(data)
         except msgspec.DecodeError:
             return None
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -76,7 +76,7 @@
 def peer_status(now: int, peer: Progress, commit: int) -> PeerStatus:
     """Another member, of whose log the leader knows this; `commit`: the last entry that is committed."""
     heard_s = round((now - peer.heard_at) / S, 3) if peer.heard_at else None
-    return PeerStatus(peer.match, heard_s, peer.caught_up(commit))
+    return PeerStatus(peer.match_index, heard_s, peer.caught_up(commit))
 
 
 def service_status(now: int, decider: ShardAssigner | None, record: Record) -> ServiceStatus:
--- a/tests/consensus/test_log_properties.py
+++ b/tests/consensus/test_log_properties.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
-from kestrelplank.consensus.log import KEPT_ENTRIES, ReplicatedLog, entry_size
+from kestrelplank.consensus.log import ENTRIES_KEPT_BEFORE_SNAPSHOT, ReplicatedLog, entry_size_bytes
 from kestrelplank.consensus.log_entries import (
     ChangeMembership,
     Entry,
@@ -89,7 +89,7 @@
             return
         assert snapshot == Snapshot(index, self.all[index - 1].term, self.memberships(index), b"%d" % index)
         self.snapshot_index = index
-        self.known_from = max(self.known_from, index + 1 - KEPT_ENTRIES)
+        self.known_from = max(self.known_from, index + 1 - ENTRIES_KEPT_BEFORE_SNAPSHOT)
         self.compare()
 
     @rule(data=st.data(), ahead=st.integers(1, 50), alike=st.booleans())
@@ -118,7 +118,7 @@
     @rule()
     def restart(self):
         """From what a disk has: the snapshot and the entries after it."""
-        self.log = ReplicatedLog(self.first, self.log.snapshot, self.log.after_snapshot())
+        self.log = ReplicatedLog(self.first, self.log.snapshot, self.log.entries_after_snapshot())
         if self.snapshot_index:
             self.committed, self.known_from = max(self.committed, self.snapshot_index), self.snapshot_index + 1
         self.compare()
@@ -126,10 +126,10 @@
     @rule(first=st.integers(0, 200), most=st.integers(1, 70), most_bytes=st.integers(1, 2000))
     def slices(self, first, most, most_bytes):
         first = min(self.known_from + first, len(self.all) + 1)
-        found = self.log.slice(first, most, most_bytes)
+        found = self.log.entries_from(first, most, most_bytes)
         expected = []
         for entry in self.all[first - 1 : first - 1 + most]:
-            if expected and sum(map(entry_size, expected)) + entry_size(entry) > most_bytes:
+            if expected and sum(map(entry_size_bytes, expected)) + entry_size_bytes(entry) > most_bytes:
                 break
             expected.append(entry)
         assert list(found) == expected
@@ -145,7 +145,7 @@
         assert log.term_at(base) == (self.all[base - 1].term if base else 0)
         assert log.term_at(len(self.all) + 1) is None and (base == 0 or log.term_at(base - 1) is None)
         assert log.last_term == (self.all[-1].term if self.all else 0)
-        assert list(log.after_snapshot()) == self.all[self.snapshot_index :]
+        assert list(log.entries_after_snapshot()) == self.all[self.snapshot_index :]
         if log.membership is not None and log.membership_index > base:
             assert self.all[log.membership_index - 1].command.membership == log.membership
 
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -76,7 +76,7 @@
     term 2 that the leader of term 3 sends it."""
     follower = member(B, HardState(1, A, A), [order(index, 1) for index in range(1, 31)], first_start=False)
     snapshot = Snapshot(20, 2, ABC, b"state")
-    return follower, OutgoingSnapshot(snapshot).piece(3, 1, 1)
+    return follower, OutgoingSnapshot(snapshot).next_chunk(3, 1, 1)
 
 
 def highest_match(sent):
@@ -246,9 +246,9 @@
 
 def test_a_late_refusal_does_not_take_back_what_is_known_to_be_durable():
     peer = Progress(11)
-    peer.appended(START, AppendReply(1, 1, True, 10, 1))
-    peer.appended(START, AppendReply(1, 1, False, 3, 1))
-    assert peer.match == 10 and peer.next == 11 and not peer.alike
+    peer.update(START, AppendReply(1, 1, True, 10, 1))
+    peer.update(START, AppendReply(1, 1, False, 3, 1))
+    assert peer.match_index == 10 and peer.next_index == 11 and not peer.log_matches
 
 
 @pytest.mark.parametrize("appends, is_current", [(KEPT_PROBES, True), (KEPT_PROBES + 1, False)])
