--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -112,7 +112,7 @@
         if index is None:
             raise SystemExit("catch_up: the leader does not lead")
         self._carry_out(LEADER, effects)
-        self.until(lambda: self.nodes[LEADER].applied >= index)
+        self.until(lambda: self.nodes[LEADER].applied_index >= index)
         for name in (LEADER, OTHER):
             self._compact(name)
 
--- /dev/null
+++ b/kestrelplank/consensus/election.py
@@ -0,0 +1,185 @@
+"""Votes: whom a member promises what, when it campaigns, and how it is elected.
+
+Source: D. Ongaro, *Consensus: Bridging Theory and Practice* (2014), sections 3.4 (elections), 3.10 (leadership
+transfer), 9.6 (pre-vote). Departures: `Election`.
+"""
+
+from random import Random
+
+from kestrelplank.consensus.consensus_messages import TransferLeadership, VoteReply, VoteRequest
+from kestrelplank.consensus.member_state import MemberState
+from kestrelplank.consensus.quorum import is_quorum
+from kestrelplank.consensus.roles import Role, RoleTransitions
+from kestrelplank.consensus.timing import CAMPAIGN_RETRY_INTERVAL_NS, CAMPAIGN_STAGGER_NS, LEASE_NS
+
+
+class Election:
+    """One member's votes and campaigns.
+
+    - A member that has answered a leader votes for nobody else for `LEASE_NS`; after a restart for as long again, as it
+      may have answered just before. The one exception: it may vote at once for the leader that it followed last, which
+      surely leads no longer if it asks.
+    - A candidate first asks whether votes would be granted (pre-vote): a member that is cut off raises no term.
+    - A candidate that is no voter of the newest membership that a voter knows to be committed is denied, unless the
+      candidate knows a newer one.
+    - A vote, also one for oneself, counts only once it is durable.
+
+    `may_campaign`: False for a member that is about to stop.
+
+    :param first_start: the system has never run before, so no promise of a former process need be waited for.
+    """
+
+    def __init__(
+        self, now: int, random: Random, state: MemberState, transitions: RoleTransitions, *, first_start: bool
+    ) -> None:
+        self.may_campaign = True
+        self._random = random
+        self._state = state
+        self._transitions = transitions
+        self._promised_to = state.hard_state.leader or state.hard_state.voted_for
+        self._promised_until = now if first_start else now + LEASE_NS
+        self._campaign_at = now
+        self._pre_vote = False
+        self._votes: set[str] = set()
+
+    # Promises.
+
+    def promise(self, now: int, leader: str) -> None:
+        """Promise a leader that was just heard to vote for nobody else while its lease may run."""
+        self._promised_to, self._promised_until = leader, now + LEASE_NS
+        self.schedule_campaign(now)
+
+    def promise_to_itself(self) -> None:
+        """Take in that this member leads: it need not wait for its own promise later."""
+        self._promised_to = self._state.identity
+
+    # Campaigns.
+
+    def schedule_campaign(self, now: int) -> None:
+        """Set when this member campaigns if it hears no leader until then: voters one after the other."""
+        state = self._state
+        was_leader = self._promised_to == state.identity
+        free_at = now if was_leader else max(now, self._promised_until)
+        voters = state.all_voters
+        position = voters.index(state.identity) if state.identity in voters else len(voters)
+        if was_leader:
+            position = 0
+        self._campaign_at = free_at + position * CAMPAIGN_STAGGER_NS + self._random.randrange(CAMPAIGN_STAGGER_NS)
+
+    def postpone_campaign(self, until: int) -> None:
+        """Leave the next campaign to others: this member has just handed over."""
+        self._campaign_at = until
+
+    def tick(self, now: int) -> None:
+        """Campaign if it is due; not of a leader."""
+        if now >= self._campaign_at:
+            self._begin_pre_vote(now)
+
+    def handle_transfer_leadership(self, now: int, sender: str, message: TransferLeadership) -> None:
+        """Campaign at once, as the leader of this term has asked for it."""
+        state = self._state
+        from_leader = message.term == state.term and sender in (state.leader, state.hard_state.leader)
+        if from_leader and state.role is Role.FOLLOWER and self._may_be_elected():
+            self._begin_election(now, transfer=True)
+
+    def _may_be_elected(self) -> bool:
+        return self.may_campaign and self._state.is_voter
+
+    def _begin_pre_vote(self, now: int) -> None:
+        """Ask whether votes would be granted: a term is begun only if they would."""
+        state = self._state
+        self._schedule_retry(now)
+        if not self._may_be_elected():
+            state.role = Role.FOLLOWER
+            return
+        state.role = Role.CANDIDATE
+        self._pre_vote, self._votes = True, {state.identity}
+        request = self._vote_request(state.term + 1, transfer=False)
+        for voter in self._other_voters():
+            state.writes.send(voter, request)
+        self._count_votes(now)
+
+    def _begin_election(self, now: int, *, transfer: bool) -> None:
+        """Begin a term and ask for votes in it."""
+        state = self._state
+        state.role, state.leader = Role.CANDIDATE, ""
+        self._pre_vote, self._votes = False, set()
+        self._schedule_retry(now)
+        state.remember(state.term + 1, state.identity, "")
+        # Our own vote is asked for by nobody, and counts like any other: `ConsensusNode` hands it back once durable.
+        own_vote = VoteReply(state.term, state.epoch, granted=True)
+        state.writes.send_when_durable(state.identity, own_vote)
+        request = self._vote_request(state.term, transfer=transfer)
+        for voter in self._other_voters():
+            state.writes.send_when_durable(voter, request)
+
+    def _schedule_retry(self, now: int) -> None:
+        self._campaign_at = now + CAMPAIGN_RETRY_INTERVAL_NS + self._random.randrange(CAMPAIGN_STAGGER_NS)
+
+    def _vote_request(self, term: int, *, transfer: bool) -> VoteRequest:
+        log = self._state.log
+        return VoteRequest(term, self._state.epoch, log.last_index, log.last_term, self._pre_vote, transfer)
+
+    def _other_voters(self) -> list[str]:
+        return [voter for voter in self._state.all_voters if voter != self._state.identity]
+
+    def handle_vote_reply(self, now: int, sender: str, reply: VoteReply) -> None:
+        """Count a vote, or take in that a newer term is known."""
+        state = self._state
+        if state.role is not Role.CANDIDATE or reply.pre_vote != self._pre_vote:
+            return
+        requested_term = state.term + 1 if self._pre_vote else state.term
+        if reply.granted and reply.term == requested_term:
+            self._votes.add(sender)
+            self._count_votes(now)
+        elif not reply.granted and reply.term > state.term:
+            self._transitions.adopt_term(now, reply.term)
+
+    def _count_votes(self, now: int) -> None:
+        if not is_quorum(self._state.membership, self._votes):
+            return
+        if self._pre_vote:
+            self._begin_election(now, transfer=False)
+        else:
+            self._transitions.become_leader(now)
+
+    # Votes for others.
+
+    def handle_vote_request(self, now: int, sender: str, request: VoteRequest) -> None:
+        """Answer a candidate, and vote for it where nothing stands against it."""
+        state = self._state
+        granted = self._would_vote(now, sender, request)
+        if request.pre_vote:
+            reply = VoteReply(request.term if granted else state.term, state.epoch, granted, pre_vote=True)
+            state.writes.send(sender, reply)
+            return
+        if request.term > state.term and (granted or self._free_to_vote(now, sender, request)):
+            self._transitions.adopt_term(now, request.term, sender if granted else "")
+        elif granted:
+            state.remember(state.term, sender, state.hard_state.leader)
+        if granted:
+            self.schedule_campaign(now)
+            self._campaign_at = max(self._campaign_at, now + CAMPAIGN_RETRY_INTERVAL_NS)
+        state.writes.send_when_durable(sender, VoteReply(state.term, state.epoch, granted))
+
+    def _would_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
+        state = self._state
+        if request.term < state.term or not self._free_to_vote(now, sender, request):
+            return False
+        if request.term == state.term:
+            voted_for_another = state.hard_state.voted_for not in ("", sender)
+            if request.pre_vote or voted_for_another or state.role is Role.LEADER:
+                return False
+        return (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
+
+    def _free_to_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
+        """Whether no promise stands against a vote for that member, and it is a voter as far as is known here."""
+        state = self._state
+        committed = state.log.membership_at(state.commit_index)
+        if committed is not None and sender not in committed.all_voters() and request.epoch <= committed.epoch:
+            return False
+        if state.lease is not None and not state.lease.expired(now):
+            return False
+        if request.transfer and request.term == state.term + 1:
+            return True
+        return now >= self._promised_until or sender == self._promised_to
--- /dev/null
+++ b/kestrelplank/consensus/leadership.py
@@ -0,0 +1,163 @@
+"""One term of a leader: heartbeat rounds, its lease, what is committed, changes of membership.
+
+Source: D. Ongaro and J. Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014), sections 5.3, 5.4
+(replication, commitment) and 6 (joint changes of membership).
+"""
+
+from kestrelplank.consensus.consensus_messages import AppendReply, SnapshotReply
+from kestrelplank.consensus.effects import Elected
+from kestrelplank.consensus.lease import LeaderLease
+from kestrelplank.consensus.log_entries import ChangeMembership, Command, Entry, Noop
+from kestrelplank.consensus.member_state import MemberState
+from kestrelplank.consensus.membership import Membership
+from kestrelplank.consensus.progress import Progress
+from kestrelplank.consensus.quorum import reached_by_quorum
+from kestrelplank.consensus.replication import Replication
+from kestrelplank.consensus.roles import RoleTransitions
+from kestrelplank.consensus.timing import HEARTBEAT_INTERVAL_NS
+
+
+class Leadership:
+    """What a member knows and does while it leads one term; made when it is voted for, dropped when it steps down.
+
+    It counts as elected only once the first entry of its term is committed while its lease runs: then it knows all that
+    was ever committed, and nobody else can have been elected since.
+    """
+
+    def __init__(self, now: int, state: MemberState, lease: LeaderLease, transitions: RoleTransitions) -> None:
+        self.replication = Replication(state, lease)
+        self._state = state
+        self._lease = lease
+        self._transitions = transitions
+        self._heartbeat_at = now
+        self._first_index = state.log.last_index + 1
+
+    def begin(self, now: int) -> None:
+        """Append the first entry of the term, and ask for the first answers."""
+        self._append(now, Noop())
+        self.tick(now)
+
+    def tick(self, now: int) -> None:
+        """Step down without a lease; begin a heartbeat round when it is due."""
+        self._renew_lease(now)
+        if self._lease.expired(now):
+            self._transitions.step_down(now, "")
+            return
+        if now < self._heartbeat_at:
+            return
+        self._heartbeat_at = now + HEARTBEAT_INTERVAL_NS
+        self._lease.begin_round(now)
+        self.replication.send_heartbeats(now)
+
+    def propose(self, now: int, command: Command) -> int | None:
+        """Append a command; return its log index, or None for a change of membership that may not begin now."""
+        if isinstance(command, ChangeMembership) and not self._may_begin(command.membership):
+            return None
+        return self._append(now, command)
+
+    def handle_append_reply(self, now: int, sender: str, reply: AppendReply) -> None:
+        """Take in how far a follower's log goes, and that it has answered a heartbeat."""
+        if self._heard(now, sender, reply.heartbeat_round):
+            self.replication.handle_append_reply(now, sender, reply)
+            self._renew_lease(now)
+            self.advance_commit(now)
+
+    def handle_snapshot_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
+        """Take in how much a follower has of a snapshot, and that it has answered a heartbeat."""
+        if self._heard(now, sender, reply.heartbeat_round):
+            self.replication.handle_snapshot_reply(now, sender, reply)
+
+    def advance_commit(self, now: int) -> None:
+        """Commit what a quorum has on disk, up to an entry of this term."""
+        state = self._state
+        reached = reached_by_quorum(state.membership, self._durable_index_of)
+        if reached <= state.commit_index or state.log.term_at(reached) != state.term:
+            return
+        state.commit(reached)
+        self._confirm_election(now)
+        self.replication.send_new_entries(now)
+        self._heartbeat_at = min(self._heartbeat_at, now)  # the others learn the commit index with the next tick
+        self._finish_change(now)
+
+    def best_successor(self, now: int) -> str | None:
+        """Return the voter that has most of the log, of those that answered lately."""
+        answering = [
+            (peer.match_index, voter)
+            for voter, peer in self._peers_of(self._state.membership.voters)
+            if now - peer.heard_at < 2 * HEARTBEAT_INTERVAL_NS
+        ]
+        return max(answering)[1] if answering else None
+
+    def _peers_of(self, voters: tuple[str, ...]) -> list[tuple[str, Progress]]:
+        peers = self.replication.peers
+        return [(voter, peers[voter]) for voter in voters if voter in peers]
+
+    def _heard(self, now: int, sender: str, heartbeat_round: int) -> bool:
+        """Take in that a member has replied; return whether it is one that is sent the log."""
+        peer = self.replication.peers.get(sender)
+        if peer is None:
+            return False
+        peer.heard(now, self._lease.round_begun_at(heartbeat_round))
+        return True
+
+    def _append(self, now: int, command: Command) -> int:
+        state = self._state
+        entry = Entry(state.log.last_index + 1, state.term, command)
+        state.log.append((entry,))
+        if isinstance(command, ChangeMembership):
+            self.replication.follow_membership()
+        state.writes.persist_entries((entry,))
+        self.replication.send_new_entries(now)
+        return entry.index
+
+    # The lease.
+
+    def _renew_lease(self, now: int) -> None:
+        def answered_at(voter: str) -> int:
+            if voter == self._state.identity:
+                return now
+            peer = self.replication.peers.get(voter)
+            return peer.answered_at if peer else 0
+
+        self._lease.extend(reached_by_quorum(self._state.membership, answered_at))
+        self._confirm_election(now)
+
+    def _confirm_election(self, now: int) -> None:
+        lease = self._lease
+        if not lease.elected and self._state.commit_index >= self._first_index and now < lease.until:
+            lease.elected = True
+            self._state.writes.emit(Elected(self._state.term))
+
+    def _durable_index_of(self, voter: str) -> int:
+        if voter == self._state.identity:
+            return self._state.writes.durable_index
+        peer = self.replication.peers.get(voter)
+        return peer.match_index if peer else 0
+
+    # Changes of membership.
+
+    def _may_begin(self, proposed: Membership) -> bool:
+        """Whether no change is under way, and this one begins with all who vote, at the next epoch."""
+        state = self._state
+        membership = state.membership
+        if state.log.membership_index > state.commit_index or membership.joint:
+            return False
+        follows = proposed.outgoing == membership.voters and proposed.epoch == membership.epoch + 1
+        return follows and bool(proposed.voters)
+
+    def _finish_change(self, now: int) -> None:
+        """Append the new membership alone once the joint one is committed.
+
+        A leader outside of it hands over first: were that last entry in its log alone, it could neither be elected nor
+        vote for those that lack it.
+        """
+        state = self._state
+        membership = state.membership
+        if state.log.membership_index > state.commit_index:
+            return
+        if state.identity not in membership.voters:
+            self._transitions.hand_over(now)
+        elif membership.joint:
+            final = Membership(membership.epoch + 1, membership.voters, (), membership.zones)
+            self._append(now, ChangeMembership(final))
+            self.advance_commit(now)
--- /dev/null
+++ b/kestrelplank/consensus/lease.py
@@ -0,0 +1,109 @@
+"""Who may act as the leader, and which follower is current: leases, counted on each member's own steady clock.
+
+Source: C. Gray and D. Cheriton, *Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency*
+(1989). A lease is counted from before the question was sent, so no delay or freeze can lengthen it.
+"""
+
+from random import Random
+
+from kestrelplank.consensus.consensus_messages import Append
+from kestrelplank.consensus.timing import CURRENT_TIMEOUT_NS, LEASE_MARGIN_NS, LEASE_NS
+
+MAX_PENDING_PROBES = 1_024
+PROBE_PREFIX_BITS, PROBE_NUMBER_BITS = 40, 20  # probes of two processes differ in the prefix, which is drawn
+
+
+class LeaderLease:
+    """The lease of the leader of one term.
+
+    It runs until `LEASE_NS - LEASE_MARGIN_NS` after the start of the newest heartbeat round that a quorum has answered.
+    `elected`: the first entry of the term was committed while the lease ran, so the leader knows all that was ever
+    committed.
+
+    :param now: when this member was voted for.
+    """
+
+    def __init__(self, now: int) -> None:
+        self.until = 0
+        self.elected = False
+        self.round = 0
+        self._since = now
+        self._rounds_begun_at: dict[int, int] = {}
+
+    def begin_round(self, now: int) -> None:
+        """Begin the next heartbeat round, and forget those whose answers can't extend the lease any more."""
+        self.round += 1
+        self._rounds_begun_at[self.round] = now
+        too_old = [number for number, begun_at in self._rounds_begun_at.items() if now - begun_at > LEASE_NS]
+        for number in too_old:
+            del self._rounds_begun_at[number]
+
+    def round_begun_at(self, number: int) -> int | None:
+        """Return when that heartbeat round was begun; None for one that is not known any more."""
+        return self._rounds_begun_at.get(number)
+
+    def extend(self, answered_at: int) -> None:
+        """Take in that a quorum has answered rounds begun at `answered_at` or later; 0: none."""
+        if answered_at:
+            self.until = max(self.until, answered_at + LEASE_NS - LEASE_MARGIN_NS)
+
+    def leads(self, now: int) -> bool:
+        """Whether its holder may act as the leader."""
+        return self.elected and now < self.until
+
+    def expired(self, now: int) -> bool:
+        """Whether its holder must step down. Before the first answers it has `LEASE_NS` to get them."""
+        return now >= max(self.until, self._since + LEASE_NS)
+
+    def left_ns(self, now: int) -> int:
+        """Return for how long its holder may still act as the leader."""
+        return max(0, self.until - now) if self.elected else 0
+
+
+class LeaderContact:
+    """What a follower knows of the freshness of what its leader says.
+
+    Each reply of a follower carries a new probe, which the leader echoes. An echo shows that the message that has it
+    was sent after the probe was: it counts from then, whatever has held it up.
+
+    - `heard_at`: when the leader was heard; 0: never.
+    - `commit_index`: the highest that the leader of this term has named.
+    """
+
+    def __init__(self, random: Random) -> None:
+        self.heard_at = 0
+        self.commit_index = 0
+        self._vouched_until = 0
+        self._probe = random.getrandbits(PROBE_PREFIX_BITS) << PROBE_NUMBER_BITS
+        self._probes_sent_at: dict[int, int] = {}
+
+    def next_probe(self, now: int) -> int:
+        """Return a new probe, for a reply that is sent now."""
+        self._probe += 1
+        self._probes_sent_at[self._probe] = now
+        while len(self._probes_sent_at) > MAX_PENDING_PROBES:
+            del self._probes_sent_at[next(iter(self._probes_sent_at))]
+        return self._probe
+
+    def take(self, message: Append) -> None:
+        """Take in what a message of the leader says of its commit index and its lease."""
+        self.commit_index = max(self.commit_index, message.commit_index)
+        sent_at = self._probes_sent_at.get(message.probe)
+        if sent_at is not None and message.lease_ns > 0:
+            self._vouched_until = max(self._vouched_until, sent_at + min(CURRENT_TIMEOUT_NS, message.lease_ns))
+
+    def begin_term(self, commit_index: int) -> None:
+        """Forget what the leader of a former term has said.
+
+        :param commit_index: this member's own.
+        """
+        self._vouched_until, self.commit_index = 0, commit_index
+        self._probes_sent_at.clear()
+
+    def has_all(self, applied_index: int) -> bool:
+        """Whether a follower that has applied so much has all that the leader said is committed."""
+        return applied_index >= self.commit_index
+
+    def current(self, now: int, applied_index: int) -> bool:
+        """Whether a follower that has applied so much may say that it is current."""
+        return now < self._vouched_until and self.has_all(applied_index)
--- a/kestrelplank/consensus/log.py
+++ b/kestrelplank/consensus/log.py
@@ -10,9 +10,9 @@
 
 
 class LoggedMembership(NamedTuple):
-    """A membership and the log index from which on it counts."""
+    """A membership, and the index of the entry from which on it counts."""
 
-    index: int
+    log_index: int
     membership: Membership
 
 
@@ -65,12 +65,12 @@
     @property
     def membership_index(self) -> int:
         """Log index of the newest membership."""
-        return self._memberships[-1].index if self._memberships else 0
+        return self._memberships[-1].log_index if self._memberships else 0
 
     def membership_at(self, index: int) -> Membership | None:
         """Return the newest membership at or before `index`."""
         for logged in reversed(self._memberships):
-            if logged.index <= index:
+            if logged.log_index <= index:
                 return logged.membership
         return None
 
@@ -118,7 +118,7 @@
     def truncate(self, first: int) -> None:
         """Remove the entries from index `first` on, and the memberships in them."""
         del self._entries[first - self.base_index - 1 :]
-        while self._memberships and self._memberships[-1].index >= first:
+        while self._memberships and self._memberships[-1].log_index >= first:
             self._memberships.pop()
 
     def compact(self, index: int, state: bytes) -> Snapshot | None:
@@ -138,8 +138,8 @@
             term_before = self.term_at(first - 1)
             del self._entries[: first - 1 - self.base_index]
             self.base_index, self.base_term = first - 1, term_before or 0
-        before = [logged for logged in self._memberships if logged.index <= self.base_index]
-        after = [logged for logged in self._memberships if logged.index > self.base_index]
+        before = [logged for logged in self._memberships if logged.log_index <= self.base_index]
+        after = [logged for logged in self._memberships if logged.log_index > self.base_index]
         self._memberships = before[-1:] + after
 
     def install(self, snapshot: Snapshot) -> None:
--- /dev/null
+++ b/kestrelplank/consensus/member_state.py
@@ -0,0 +1,87 @@
+"""What all parts of one member share."""
+
+from kestrelplank.consensus.effects import Applied
+from kestrelplank.consensus.lease import LeaderLease
+from kestrelplank.consensus.log import ReplicatedLog
+from kestrelplank.consensus.log_entries import Entry, HardState, Snapshot
+from kestrelplank.consensus.membership import Membership
+from kestrelplank.consensus.pending_writes import PendingWrites
+from kestrelplank.consensus.roles import Role
+
+
+class MemberState:
+    """Identity, log, term and role of one member, and its effects.
+
+    - `leader`: identity of the leader of the current term as far as known; "": nobody.
+    - `lease`: of a leader, None in any other role.
+    - `commit_index`, `applied_index`: the entries up to there are committed, and handed out as `Applied`.
+
+    :param membership: who votes before any entry; None for a member that learns it from the log.
+    """
+
+    def __init__(
+        self,
+        identity: str,
+        membership: Membership | None,
+        hard_state: HardState,
+        entries: tuple[Entry, ...],
+        snapshot: Snapshot | None,
+    ) -> None:
+        self.identity = identity
+        self.log = ReplicatedLog(membership, snapshot, entries)
+        self.hard_state = hard_state
+        self.writes = PendingWrites(durable_index=self.log.last_index)
+        self.commit_index = self.applied_index = self.log.snapshot_index
+        self.role = Role.FOLLOWER
+        self.leader = ""
+        self.lease: LeaderLease | None = None
+
+    @property
+    def term(self) -> int:
+        """The newest term known."""
+        return self.hard_state.term
+
+    @property
+    def epoch(self) -> int:
+        """Epoch of the newest membership known; -1 where none is."""
+        membership = self.log.membership
+        return membership.epoch if membership else -1
+
+    @property
+    def membership(self) -> Membership:
+        """The newest membership, of a member that asks for votes or leads and so knows one."""
+        membership = self.log.membership
+        assert membership is not None
+        return membership
+
+    @property
+    def all_voters(self) -> tuple[str, ...]:
+        """All who vote by the newest membership known, on either side of a change."""
+        membership = self.log.membership
+        return membership.all_voters() if membership else ()
+
+    @property
+    def is_voter(self) -> bool:
+        """Whether this member is one of them."""
+        return self.identity in self.all_voters
+
+    def remember(self, term: int, voted_for: str, leader: str) -> None:
+        """Make term, vote and leader durable where they differ from what is remembered."""
+        hard_state = HardState(term, voted_for, leader)
+        if hard_state != self.hard_state:
+            self.hard_state = hard_state
+            self.writes.persist_hard_state(hard_state)
+
+    def commit(self, index: int) -> None:
+        """Take in that the entries up to `index` are committed, and hand out those that are new."""
+        if index <= self.commit_index:
+            return
+        self.commit_index = index
+        while self.applied_index < index:
+            self.applied_index += 1
+            self.writes.emit(Applied(self.log.entry(self.applied_index)))
+
+    def restore(self, snapshot: Snapshot) -> None:
+        """Begin anew at a snapshot, which covers more than is committed here."""
+        self.log.install(snapshot)
+        self.commit_index = self.applied_index = snapshot.index
--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -1,21 +1,12 @@
-"""One member's part in the replicated log: votes, leading, following. No I/O: each call returns effects, which an
-adapter carries out in order.
+"""One member's part in the replicated log. No I/O: each call returns effects, which an adapter carries out in order.
 
 Sources: D. Ongaro and J. Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014); D. Ongaro,
-*Consensus: Bridging Theory and Practice* (2014) for trial votes, transfer of leadership and joint changes of
-membership; C. Gray and D. Cheriton (1989) for leases. Departures:
-
-- A lease: who answers a leader votes for nobody else for `LEASE`, and after a restart as long again, except for the
-  one it last followed: if that one asks for votes it surely leads no longer. So leader and vote are durable before any
-  reply.
-- Replies carry a probe that the leader echoes, so a follower knows how old the leader's word is at most, whatever a cut
-  or a freeze has held up.
-- A candidate that is no voter of the newest membership that a voter knows to be committed is denied, unless it knows a
-  newer one.
+*Consensus: Bridging Theory and Practice* (2014); C. Gray and D. Cheriton, *Leases* (1989). Where this departs from
+them, and why: `election`, `lease`, `replication`, and docs/consensus.md.
 """
 
 from random import Random
-from typing import NamedTuple
+from typing import assert_never
 
 from kestrelplank.consensus.consensus_messages import (
     Append,
@@ -27,56 +18,54 @@
     VoteReply,
     VoteRequest,
 )
-from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
+from kestrelplank.consensus.effects import Deposed, Effect
+from kestrelplank.consensus.election import Election
+from kestrelplank.consensus.follower import Follower
+from kestrelplank.consensus.leadership import Leadership
+from kestrelplank.consensus.lease import LeaderLease
 from kestrelplank.consensus.log import ReplicatedLog
-from kestrelplank.consensus.log_entries import (
-    ChangeMembership,
-    Command,
-    Entry,
-    HardState,
-    Noop,
-    Snapshot,
-)
+from kestrelplank.consensus.log_entries import Command, Entry, HardState, Snapshot
+from kestrelplank.consensus.member_state import MemberState
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.progress import Progress
-from kestrelplank.consensus.quorum import is_quorum, reached_by_quorum
-from kestrelplank.consensus.snapshots import IncomingSnapshot, OutgoingSnapshot
-
-MS = 1_000_000
-HEARTBEAT = 200 * MS
-LEASE = 1500 * MS
-SLACK = 100 * MS  # the leader lets go so much before its voters do
-CURRENT = 1000 * MS  # how old the leader's word may be for a follower to be current
-STAGGER = 150 * MS  # between the first candidacies of members, by their place in the membership
-CANDIDACY = 400 * MS  # after which votes that did not suffice are asked for again
-ENTRIES_AT_ONCE = 64
-BYTES_AT_ONCE = 64 << 10
-KEPT_PROBES = 1024
-FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"
-EMPTY, BEHIND, RECEIVING_SNAPSHOT, FOLLOWING, CURRENT_STATE = (
-    "empty",
-    "behind",
-    "receiving snapshot",
-    "following",
-    "current",
-)
-
-
-class PendingWrite(NamedTuple):
-    """A `Persist` that is not durable yet. `first` and `last`: entries in it (last: also a snapshot's index)."""
-
-    number: int
-    first: int
-    last: int
-    hard_state: bool
-    then: list[Effect]
+from kestrelplank.consensus.roles import CatchUpState, Role
+from kestrelplank.consensus.snapshots import IncomingSnapshot
+from kestrelplank.consensus.timing import LEASE_NS
 
 
 class ConsensusNode:
-    """One member, known to the others as `identity`. `membership`: who counts at the very first start, None for a
-    member that is told by others. `hard_state`, `entries` and `snapshot` are what its disk has. `first_start`: the
-    system has never run before, so no promise of a former life need be waited for. Times are whole ns of the steady
-    clock."""
+    """One member: its election, its leadership while it has one, its follower's side, over one shared state.
+
+    Invariants, each with the test in `tests/consensus/` that holds it:
+
+    - Of a term there is one leader, and no committed entry is ever replaced, in any order of events (of a small model):
+      `test_no_order_of_steps_breaks_an_invariant`; of this code, under faults: `test_random_history_of_three`.
+    - Term and commit index never decrease while a process runs; at most one member `leads` at a time, and it knows all
+      that was ever acknowledged: `test_random_history_of_five`.
+    - A vote is sent only once it is durable:
+      `test_a_vote_is_sent_only_once_it_is_durable_and_not_twice_after_a_restart`.
+    - An entry is acknowledged only once it, and nothing else, is on disk at its index:
+      `test_entries_that_a_snapshot_replaces_are_not_acknowledged_before_the_snapshot_is_durable`.
+    - Who has answered a leader votes for no other while the lease may run, also over a restart:
+      `test_the_member_last_followed_is_voted_for_at_once_after_a_restart_and_others_after_the_lease`.
+    - Answers to heartbeats from before a freeze make nobody leader:
+      `test_a_leader_frozen_before_it_heard_of_its_first_entry_is_not_elected_by_old_answers`.
+    - Messages that were held up make no follower current:
+      `test_a_member_frozen_with_the_leaders_message_in_its_queue_is_not_current_by_it`.
+    - One change of membership at a time, which begins with all who vote:
+      `test_a_change_of_membership_that_does_not_begin_with_all_voters_is_refused`.
+    - Who is no voter is sent only what is committed: `test_a_member_that_is_no_voter_any_more_is_sent_only_what_is_committed`.
+    - A leader that a change removes leaves the change's last entry to its successor:
+      `test_a_leader_that_is_removed_leaves_the_last_entry_to_its_successor`.
+    - A snapshot is installed complete or not at all:
+      `test_a_receiver_killed_at_each_chunk_begins_anew_and_never_has_half_of_it`.
+
+    :param now: whole ns of the steady clock, as in all calls.
+    :param identity: what the others know this member as.
+    :param membership: who votes at the very first start; None for a member that learns it from the log.
+    :param hard_state: with `entries` and `snapshot`: what its disk has.
+    :param first_start: the system has never run before, so no promise of a former process need be waited for.
+    """
 
     def __init__(
         self,
@@ -89,649 +78,269 @@
         snapshot: Snapshot | None,
         first_start: bool,
     ) -> None:
-        self.identity = identity
-        self.log = ReplicatedLog(membership, snapshot, entries)
-        self.hard_state = hard_state
-        self.commit = self.applied = snapshot.index if snapshot else 0
-        self.durable = self.log.last_index
-        self.role = FOLLOWER
-        self.leader = ""  # of the current term, as far as known
-        self.may_campaign = True
-        self.learners: dict[str, None] = {}
-        self.peers: dict[str, Progress] = {}
-        self.incoming: IncomingSnapshot | None = None
-        self.lease_until = 0
-        self._random = random
-        self._effects: list[Effect] = []
-        self._writes: list[PendingWrite] = []
-        self._number = 0
-        # The promise to a leader, and to whom it was made.
-        self._promised_to = hard_state.leader or hard_state.voted_for
-        self._promised_until = now if first_start else now + LEASE
-        self._campaign_at = now
-        self._votes: dict[str, bool] = {}
-        self._trial = False
-        self._transferred = False
-        # Leading.
-        self._elected = False
-        self._first_index = 0
-        self._lead_since = 0
-        self._round = 0
-        self._rounds: dict[int, int] = {}
-        self._heartbeat_at = 0
-        # Following.
-        self._probe = random.getrandbits(40) << 20
-        self._probes: dict[int, int] = {}
-        self._vouched_until = 0
-        self._leader_commit = 0
-        self.heard_leader_at = 0
-        self._plan_campaign(now)
+        self._state = MemberState(identity, membership, hard_state, entries, snapshot)
+        self._election = Election(now, random, self._state, self, first_start=first_start)
+        self._follower = Follower(random, self._state, self._election, self)
+        self._leadership: Leadership | None = None
+        self._election.schedule_campaign(now)
 
     # What can be asked.
 
+    @property
+    def identity(self) -> str:
+        """What the others know this member as."""
+        return self._state.identity
+
+    @property
+    def log(self) -> ReplicatedLog:
+        """The replicated log, as far as it is in memory."""
+        return self._state.log
+
+    @property
+    def hard_state(self) -> HardState:
+        """Term, vote and leader, durable or on their way to the disk."""
+        return self._state.hard_state
+
     @property
     def term(self) -> int:
-        return self.hard_state.term
+        """The newest term known."""
+        return self._state.term
 
     @property
     def membership(self) -> Membership | None:
-        return self.log.membership
+        """The newest membership known, committed or not."""
+        return self._state.log.membership
 
     @property
     def epoch(self) -> int:
-        """Of the newest membership known; -1 where none is."""
-        return self.membership.epoch if self.membership else -1
+        """Epoch of the newest membership known; -1 where none is."""
+        return self._state.epoch
 
     @property
     def is_voter(self) -> bool:
-        return self.membership is not None and self.identity in self.membership.all_voters()
+        """Whether this member votes by the newest membership known, committed or not."""
+        return self._state.is_voter
+
+    @property
+    def role(self) -> Role:
+        """What this member is in its term."""
+        return self._state.role
+
+    @property
+    def leader(self) -> str:
+        """Identity of the leader of this term as far as known; "": nobody."""
+        return self._state.leader
+
+    @property
+    def heard_leader_at(self) -> int:
+        """When a leader was heard last; 0: never."""
+        return self._follower.contact.heard_at
+
+    @property
+    def commit_index(self) -> int:
+        """Log index up to which entries are committed, as far as known."""
+        return self._state.commit_index
+
+    @property
+    def applied_index(self) -> int:
+        """Log index up to which entries were handed out as `Applied` or in `Restored`."""
+        return self._state.applied_index
+
+    @property
+    def durable_index(self) -> int:
+        """Log index up to which the log is on disk."""
+        return self._state.writes.durable_index
+
+    @property
+    def lease_until(self) -> int:
+        """Until when the lease of a leader runs; 0: it has none."""
+        lease = self._state.lease
+        return lease.until if lease else 0
+
+    @property
+    def peers(self) -> dict[str, Progress]:
+        """The progress of each other member that a leader sends the log to, by identity."""
+        return self._leadership.replication.peers if self._leadership else {}
+
+    @property
+    def learners(self) -> dict[str, None]:
+        """Those of `peers` that do not vote."""
+        return self._leadership.replication.learners if self._leadership else {}
+
+    @property
+    def incoming_snapshot(self) -> IncomingSnapshot | None:
+        """What has come of a snapshot, if one is under way."""
+        return self._follower.incoming_snapshot
 
     def leads(self, now: int) -> bool:
-        """Whether this member may confirm, answer reads and decide at this very moment: it leads, it knows all that was
-        ever committed, and nobody else can have been elected yet."""
-        return self.role == LEADER and self._elected and now < self.lease_until
+        """Whether this member may acknowledge, answer reads and decide at this very moment.
+
+        It was elected, so it knows all that was ever committed, and its lease runs, so nobody else can have been since.
+        """
+        lease = self._state.lease
+        return lease is not None and lease.leads(now)
 
     def current(self, now: int) -> bool:
-        """Whether this member leads, or has lately heard who does and has all that the leader called committed."""
-        if self.role == LEADER:
+        """Whether this member leads, or has lately heard the leader and has all that it said is committed."""
+        if self._state.role is Role.LEADER:
             return self.leads(now)
-        return now < self._vouched_until and self.applied >= self._leader_commit
+        return self._follower.contact.current(now, self._state.applied_index)
 
-    def catching_up(self, now: int) -> str:
-        """How far this member has what is agreed."""
+    def catch_up_state(self, now: int) -> CatchUpState:
+        """Return how far this member has what is agreed."""
         if self.current(now):
-            return CURRENT_STATE
-        if self.incoming is not None:
-            return RECEIVING_SNAPSHOT
-        if self.log.last_index == 0:
-            return EMPTY
-        return FOLLOWING if self.applied >= self._leader_commit else BEHIND
+            return CatchUpState.CURRENT
+        if self._follower.incoming_snapshot is not None:
+            return CatchUpState.RECEIVING_SNAPSHOT
+        if self._state.log.last_index == 0:
+            return CatchUpState.EMPTY
+        has_all = self._follower.contact.has_all(self._state.applied_index)
+        return CatchUpState.FOLLOWING if has_all else CatchUpState.BEHIND
 
     # What comes in.
 
     def receive(self, now: int, sender: str, message: ConsensusMessage) -> list[Effect]:
-        """A message of another member."""
-        if isinstance(message, VoteRequest):
-            self._on_vote_request(now, sender, message)
-        elif isinstance(message, VoteReply):
-            self._on_vote_reply(now, sender, message)
-        elif isinstance(message, Append):
-            self._on_append(now, sender, message)
-        elif isinstance(message, AppendReply):
-            self._on_append_reply(now, sender, message)
-        elif isinstance(message, SnapshotChunk):
-            self._on_piece(now, sender, message)
-        elif isinstance(message, SnapshotReply):
-            self._on_piece_reply(now, sender, message)
-        elif isinstance(message, TransferLeadership):
-            self._on_transfer(now, sender, message)
-        return self._take_effects()
+        """Take in a message of another member."""
+        self._dispatch(now, sender, message)
+        return self._state.writes.take_effects()
 
     def tick(self, now: int) -> list[Effect]:
-        """Heartbeats, candidacies, the end of a lease. At least every 50 ms."""
-        if self.role == LEADER:
-            self._tick_leader(now)
-        elif now >= self._campaign_at:
-            self._campaign(now)
-        return self._take_effects()
+        """Do what is due: heartbeats, campaigns, the end of a lease. To be called at least every 50 ms."""
+        if self._leadership is not None:
+            self._leadership.tick(now)
+        else:
+            self._election.tick(now)
+        return self._state.writes.take_effects()
 
     def propose(self, now: int, command: Command) -> tuple[int | None, list[Effect]]:
-        """Puts a command at the end of the log. Returns its index; None where this member does not lead, or where the
-        command is a change of membership and another is under way."""
+        """Append a command to the log, and return its log index.
+
+        The index is None where this member does not lead, or where the command is a change of membership that may not
+        begin now.
+        """
         index = None
-        if self.leads(now) and not self._refuses(command):
-            index = self._append_own(now, command)
-        return index, self._take_effects()
+        if self._leadership is not None and self.leads(now):
+            index = self._leadership.propose(now, command)
+        return index, self._state.writes.take_effects()
 
     def persisted(self, now: int, number: int) -> list[Effect]:
-        """The `Persist` with that number is durable, and all before it."""
-        while self._writes and self._writes[0].number <= number:
-            write = self._writes.pop(0)
-            if write.last:
-                self._count_durable(write)
-            for effect in write.then:
-                if isinstance(effect, Send) and effect.to == self.identity:
-                    self._on_vote_reply(now, self.identity, effect.message)  # our own vote, which counts from now on
-                else:
-                    self._effects.append(effect)
-        if self.role == LEADER:
-            self._advance_commit(now)
-        return self._take_effects()
-
-    def transfer(self, now: int) -> list[Effect]:
-        """Gives up leading in order: the lease ends, then the voter that has most of the log may stand at once."""
-        if self.role == LEADER:
-            self._transfer(now)
-        return self._take_effects()
-
-    def _transfer(self, now: int) -> None:
-        heirs = [
-            (self.peers[voter].match_index, voter)
-            for voter in self.membership.voters
-            if voter in self.peers and now - self.peers[voter].heard_at < 2 * HEARTBEAT
-        ]
-        term = self.term
-        self._step_down(now, "")
-        self._campaign_at = now + LEASE
-        if heirs:
-            self._effects.append(Send(max(heirs)[1], TransferLeadership(term, self.epoch)))
+        """Take in that the `Persist` with that number is durable, and all before it."""
+        for held in self._state.writes.complete(number):
+            if held.to == self._state.identity:
+                self._dispatch(now, held.to, held.message)  # our own vote, which counts from now on
+            else:
+                self._state.writes.emit(held)
+        if self._leadership is not None:
+            self._leadership.advance_commit(now)
+        return self._state.writes.take_effects()
 
     def compact(self, state: bytes) -> list[Effect]:
-        """Replaces what has been applied by `state`, the replicated state after it."""
-        if self.applied > (self.log.snapshot.index if self.log.snapshot else 0):
-            snapshot = self.log.compact(self.applied, state)
+        """Replace what has been applied by a snapshot.
+
+        :param state: the replicated state after `applied_index`.
+        """
+        log, applied_index = self._state.log, self._state.applied_index
+        if applied_index > log.snapshot_index:
+            snapshot = log.compact(applied_index, state)
             if snapshot is not None:
-                self._persist(snapshot=snapshot, entries=self.log.entries_after_snapshot())
-        return self._take_effects()
+                entries, hard_state = log.entries_after_snapshot(), self._state.hard_state
+                self._state.writes.persist_snapshot(snapshot, entries, hard_state, matching_until=snapshot.index)
+        return self._state.writes.take_effects()
 
     def add_learner(self, identity: str) -> None:
-        """From now on that member, which is no voter, is sent the log too while we lead."""
-        if self.role == LEADER and identity != self.identity:
-            self.learners[identity] = None
-            self.peers.setdefault(identity, Progress(self.log.last_index + 1))
+        """Send the log to that member too, which is no voter, as long as this one leads."""
+        if self._leadership is not None:
+            self._leadership.replication.add_learner(identity)
 
     def remove_learner(self, identity: str) -> None:
-        self.learners.pop(identity, None)
-        self._keep_peers()
-
-    # Durability.
-
-    def _take_effects(self) -> list[Effect]:
-        effects, self._effects = self._effects, []
-        return effects
-
-    def _persist(
-        self,
-        hard_state: HardState | None = None,
-        snapshot: Snapshot | None = None,
-        entries: tuple[Entry, ...] = (),
-        then: list[Effect] | None = None,
-        alike_until: int | None = None,
-    ) -> None:
-        """`alike_until`: a snapshot replaces what is on disk from the entry after this one; by default it replaces
-        nothing but what it covers."""
-        self._number += 1
-        first = entries[0].index if entries else 0
-        last = entries[-1].index if entries else 0
-        if snapshot is not None:
-            first = (snapshot.index if alike_until is None else alike_until) + 1
-            last = max(last, snapshot.index)
-        self._writes.append(PendingWrite(self._number, first, last, hard_state is not None, then or []))
-        if snapshot is not None:
-            hard_state = self.hard_state  # the snapshot replaces the whole log, and what was durable must stay so
-        self._effects.append(Persist(self._number, hard_state, snapshot, entries))
-
-    def _count_durable(self, write: PendingWrite) -> None:
-        """Entries up to the write's last are on disk; those that a later write replaces do not count."""
-        replaced = [later.first - 1 for later in self._writes if later.last and later.first <= write.last]
-        self.durable = min([write.last, *replaced])
-
-    def _send_when_durable(self, to: str, message: ConsensusMessage) -> None:
-        """Sends a reply once term, vote and leader are on disk: a restart must not forget what the reply promises."""
-        for write in reversed(self._writes):
-            if write.hard_state:
-                write.then.append(Send(to, message))
-                return
-        self._effects.append(Send(to, message))
-
-    def _remember(self, term: int, voted_for: str, leader: str) -> None:
-        found = HardState(term, voted_for, leader)
-        if found != self.hard_state:
-            self.hard_state = found
-            self._persist(hard_state=found)
-
-    # Votes.
-
-    def _plan_campaign(self, now: int) -> None:
-        """Sets when this member stands for election if it hears no leader till then."""
-        free_at = now if self._promised_to == self.identity else max(now, self._promised_until)
-        voters = self.membership.all_voters() if self.membership else ()
-        place = voters.index(self.identity) if self.identity in voters else len(voters)
-        if self._promised_to == self.identity:
-            place = 0
-        self._campaign_at = free_at + place * STAGGER + self._random.randrange(STAGGER)
-
-    def _campaign(self, now: int) -> None:
-        """Asks whether votes would be given: a term is begun only if they would."""
-        self._campaign_at = now + CANDIDACY + self._random.randrange(STAGGER)
-        if not self.is_voter or not self.may_campaign:
-            self.role = FOLLOWER
-            return
-        self.role, self._trial, self._votes = CANDIDATE, True, {self.identity: True}
-        self._ask_for_votes(transfer=False)
-        self._count_votes(now)
-
-    def _stand(self, now: int, transfer: bool) -> None:
-        """Begins a term and asks for votes in it."""
-        self.role, self._trial, self._votes, self.leader = CANDIDATE, False, {}, ""
-        self._campaign_at = now + CANDIDACY + self._random.randrange(STAGGER)
-        self._remember(self.term + 1, self.identity, "")
-        # Our own vote counts once it is durable, as if it were asked for by a message.
-        own = VoteReply(self.term, self.epoch, granted=True)
-        self._send_when_durable(self.identity, own)
-        self._ask_for_votes(transfer)
-
-    def _ask_for_votes(self, transfer: bool) -> None:
-        term = self.term + 1 if self._trial else self.term
-        request = VoteRequest(term, self.epoch, self.log.last_index, self.log.last_term, self._trial, transfer)
-        for voter in self.membership.all_voters():
-            if voter == self.identity:
-                continue
-            if self._trial:
-                self._effects.append(Send(voter, request))
-            else:
-                self._send_when_durable(voter, request)
-
-    def _on_vote_request(self, now: int, sender: str, request: VoteRequest) -> None:
-        grants = self._would_vote(now, sender, request)
-        if request.pre_vote:
-            reply = VoteReply(request.term if grants else self.term, self.epoch, grants, pre_vote=True)
-            self._effects.append(Send(sender, reply))
-            return
-        if request.term > self.term and (grants or self._free_for(now, sender, request)):
-            self._step_down(now, "")
-            self._remember(request.term, sender if grants else "", "")
-        elif grants:
-            self._remember(self.term, sender, self.hard_state.leader)
-        if grants:
-            self._plan_campaign(now)
-            self._campaign_at = max(self._campaign_at, now + CANDIDACY)
-        self._send_when_durable(sender, VoteReply(self.term, self.epoch, grants))
-
-    def _would_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
-        if request.term < self.term or not self._free_for(now, sender, request):
-            return False
-        if request.term == self.term and (request.pre_vote or self.hard_state.voted_for not in ("", sender)):
-            return False
-        if self.role == LEADER and request.term == self.term:
-            return False
-        return (request.last_term, request.last_index) >= (self.log.last_term, self.log.last_index)
-
-    def _free_for(self, now: int, sender: str, request: VoteRequest) -> bool:
-        """Whether no promise stands in the way of a vote for that member, and it counts as far as is known here."""
-        counted = self.log.membership_at(self.commit)
-        if counted is not None and sender not in counted.all_voters() and request.epoch <= counted.epoch:
-            return False
-        if self.role == LEADER and now < max(self.lease_until, self._lead_since + LEASE):
-            return False
-        if request.transfer and request.term == self.term + 1:
-            return True
-        return now >= self._promised_until or sender == self._promised_to
-
-    def _on_vote_reply(self, now: int, sender: str, reply: VoteReply) -> None:
-        if self.role != CANDIDATE or reply.pre_vote != self._trial:
-            return
-        asked = self.term + 1 if self._trial else self.term
-        if reply.granted and reply.term == asked:
-            self._votes[sender] = True
-            self._count_votes(now)
-        elif not reply.granted and reply.term > self.term:
-            self._step_down(now, "")
-            self._remember(reply.term, "", "")
-
-    def _count_votes(self, now: int) -> None:
-        if not is_quorum(self.membership, self._votes):
-            return
-        if self._trial:
-            self._stand(now, transfer=False)
-        else:
-            self._become_leader(now)
-
-    def _on_transfer(self, now: int, sender: str, message: TransferLeadership) -> None:
-        asked_by_leader = message.term == self.term and sender in (self.leader, self.hard_state.leader)
-        if asked_by_leader and self.role == FOLLOWER and self.is_voter and self.may_campaign:
-            self._stand(now, transfer=True)
-
-    # Leading.
-
-    def _become_leader(self, now: int) -> None:
-        self.role, self.leader, self._elected = LEADER, self.identity, False
-        self.lease_until, self._lead_since = 0, now
-        self.incoming = None
-        self.learners, self.peers = {}, {}
-        self._promised_to = self.identity
-        self._remember(self.term, self.identity, self.identity)
-        self._keep_peers()
-        self._round, self._rounds, self._heartbeat_at = 0, {}, now
-        self._first_index = self._append_own(now, Noop())
-        self._tick_leader(now)
-
-    def _keep_peers(self) -> None:
-        """One progress for each member that is sent the log."""
-        if self.role != LEADER:
-            return
-        wanted = dict.fromkeys((*self.membership.all_voters(), *self.learners))
-        wanted.pop(self.identity, None)
-        self.peers = {name: self.peers.get(name) or Progress(self.log.last_index + 1) for name in wanted}
-
-    def _refuses(self, command: Command) -> bool:
-        """A change of membership waits until the one before is committed, and begins at the next epoch."""
-        if not isinstance(command, ChangeMembership):
-            return False
-        wanted, counted = command.membership, self.membership
-        if self.log.membership_index > self.commit or counted.joint:
-            return True
-        return not wanted.voters or wanted.outgoing != counted.voters or wanted.epoch != counted.epoch + 1
-
-    def _append_own(self, now: int, command: Command) -> int:
-        entry = Entry(self.log.last_index + 1, self.term, command)
-        self.log.append((entry,))
-        if isinstance(command, ChangeMembership):
-            for voter in command.membership.all_voters():
-                self.learners.pop(voter, None)
-            self._keep_peers()
-        self._persist(entries=(entry,))
-        for name, peer in self.peers.items():
-            if peer.log_matches:
-                self._send_entries(now, name, peer)
-        return entry.index
-
-    def _tick_leader(self, now: int) -> None:
-        self._renew_lease(now)
-        if now >= max(self.lease_until, self._lead_since + LEASE):
-            self._step_down(now, "")
-            return
-        if now < self._heartbeat_at:
-            return
-        self._heartbeat_at = now + HEARTBEAT
-        self._round += 1
-        self._rounds[self._round] = now
-        for old in [number for number, begun_at in self._rounds.items() if now - begun_at > LEASE]:
-            del self._rounds[old]
-        for name, peer in self.peers.items():
-            self._heartbeat(now, name, peer)
-
-    def _heartbeat(self, now: int, name: str, peer: Progress) -> None:
-        """Asks the follower to answer. Where entries were lost on the way it says so, as they end before ours."""
-        if not self._needs_snapshot(peer):
-            self._send_append(now, name, peer, ())
-            return
-        self._effects.append(Send(name, self._append_message(now, peer, 0, 0, ())))
-        if peer.silent(now):
-            peer.drop_snapshot()
-        elif peer.outgoing_snapshot is None or peer.chunk_overdue(now):
-            self._send_snapshot(now, name, peer)
-
-    def _needs_snapshot(self, peer: Progress) -> bool:
-        return peer.outgoing_snapshot is not None or self.log.term_at(peer.next_index - 1) is None
-
-    def _send_entries(self, now: int, name: str, peer: Progress) -> None:
-        """Sends what the follower lacks, as far as it may be under way at once."""
-        if self._needs_snapshot(peer):
-            if peer.outgoing_snapshot is None:
-                self._send_snapshot(now, name, peer)
-            return
-        last = self._last_for(name)
-        while peer.may_send(last):
-            entries = self.log.entries_from(
-                peer.next_index, min(ENTRIES_AT_ONCE, last - peer.next_index + 1), BYTES_AT_ONCE
-            )
-            self._send_append(now, name, peer, entries)
-            peer.entries_sent(now, entries)
-
-    def _last_for(self, name: str) -> int:
-        """The last entry that a member may be sent. One that does not count is told only what is committed: a log that
-        is newer than those of all that may lead would keep it from voting for them."""
-        return self.log.last_index if name in self.membership.all_voters() else self.commit
-
-    def _send_append(self, now: int, name: str, peer: Progress, entries: tuple[Entry, ...]) -> None:
-        previous = peer.next_index - 1
-        term = self.log.term_at(previous) or 0
-        self._effects.append(Send(name, self._append_message(now, peer, previous, term, entries)))
-
-    def _append_message(self, now: int, peer: Progress, previous: int, term: int, entries: tuple[Entry, ...]) -> Append:
-        lease = max(0, self.lease_until - now) if self._elected else 0
-        return Append(
-            self.term, self.epoch, previous, term, entries, self.commit, self._round, probe=peer.probe, lease_ns=lease
-        )
-
-    def _send_snapshot(self, now: int, name: str, peer: Progress) -> None:
-        """Sends the piece of a snapshot that comes next, of the newest one where none is under way."""
-        if peer.outgoing_snapshot is None:
-            if self.log.snapshot is None:
-                return
-            peer.outgoing_snapshot = OutgoingSnapshot(self.log.snapshot)
-        peer.chunk_sent(now)
-        self._effects.append(Send(name, peer.outgoing_snapshot.next_chunk(self.term, self.epoch, self._round)))
-
-    def _on_append_reply(self, now: int, sender: str, reply: AppendReply) -> None:
-        peer = self._heard_from(now, sender, reply.term, reply.heartbeat_round)
-        if peer is None:
-            return
-        asked_from = peer.next_index
-        peer.update(now, reply)
-        if reply.success or self._needs_snapshot(peer):
-            self._send_entries(now, sender, peer)
-        elif peer.next_index < asked_from:
-            self._send_append(now, sender, peer, ())
-        self._renew_lease(now)
-        self._advance_commit(now)
-
-    def _on_piece_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
-        peer = self._heard_from(now, sender, reply.term, reply.heartbeat_round)
-        if peer is not None and peer.confirm_chunk(reply):
-            self._send_snapshot(now, sender, peer)
-
-    def _heard_from(self, now: int, sender: str, term: int, round_number: int) -> Progress | None:
-        """The progress of a member that replied to us as the leader of this term; None where it did not."""
-        if term > self.term:
-            self._step_down(now, "")
-            self._remember(term, "", "")
-            return None
-        peer = self.peers.get(sender)
-        if self.role != LEADER or term != self.term or peer is None:
-            return None
-        peer.heard(now, self._rounds.get(round_number))
-        return peer
-
-    def _renew_lease(self, now: int) -> None:
-        def answered_at(voter: str) -> int:
-            if voter == self.identity:
-                return now
-            return self.peers[voter].answered_at if voter in self.peers else 0
-
-        reached = reached_by_quorum(self.membership, answered_at)
-        if reached:
-            self.lease_until = max(self.lease_until, reached + LEASE - SLACK)
-        self._confirm_election(now)
-
-    def _confirm_election(self, now: int) -> None:
-        """With its first entry committed and the lease running, the leader knows all that was ever committed, and
-        nobody else can have been elected since."""
-        if self.role == LEADER and not self._elected and self.commit >= self._first_index and now < self.lease_until:
-            self._elected = True
-            self._effects.append(Elected(self.term))
-
-    def _advance_commit(self, now: int) -> None:
-        def match(voter: str) -> int:
-            if voter == self.identity:
-                return self.durable
-            return self.peers[voter].match_index if voter in self.peers else 0
-
-        if self.role != LEADER:
-            return
-        reached = reached_by_quorum(self.membership, match)
-        if reached <= self.commit or self.log.term_at(reached) != self.term:
-            return
-        self.commit = reached
-        self._apply()
-        self._confirm_election(now)
-        for name, peer in self.peers.items():
-            if peer.log_matches:
-                self._send_entries(now, name, peer)
-        self._heartbeat_at = min(self._heartbeat_at, now)  # the others learn what is committed with the next tick
-        self._finish_change(now)
-
-    def _finish_change(self, now: int) -> None:
-        """A joint membership that is committed is followed by the new one alone. A leader outside of it lets go first:
-        were that last entry in its log alone, it could neither stand nor vote for those that have it not."""
-        membership = self.membership
-        if self.log.membership_index > self.commit:
-            return
-        if self.identity not in membership.voters:
-            self._transfer(now)
-        elif membership.joint:
-            final = Membership(membership.epoch + 1, membership.voters, (), membership.zones)
-            self._append_own(now, ChangeMembership(final))
-            self._advance_commit(now)
-
-    def _step_down(self, now: int, leader: str) -> None:
-        """Follows from now on."""
-        if self.role == LEADER and self._elected:
-            self._effects.append(Deposed())
-        self.role, self.leader = FOLLOWER, leader
-        self._elected, self.lease_until = False, 0
-        self.learners, self.peers = {}, {}
-        self._plan_campaign(now)
-
-    # Following.
-
-    def _on_append(self, now: int, sender: str, message: Append) -> None:
-        if not self._follow(now, sender, message.term):
-            reply = AppendReply(self.term, self.epoch, False, self.durable, 0)
-            self._send_when_durable(sender, reply)
-            return
-        self._take_vouching(now, message)
-        if message.previous_index == 0 and not message.entries and self.log.base_index > 0:
-            self._reply(now, sender, True, 0, message.heartbeat_round)
-            return
-        previous, entries = self._after_base(message)
-        if self.log.term_at(previous) != (
-            message.previous_term if previous == message.previous_index else self.log.base_term
-        ):
-            self._reply(now, sender, False, self._likely_alike(previous), message.heartbeat_round)
-            return
-        last = previous + len(entries)
-        fresh = self._differing(entries)
-        if fresh:
-            self._take_entries(now, sender, fresh)
-        self._commit_to(min(message.commit_index, last))
-        self._reply(now, sender, True, min(last, self.durable), message.heartbeat_round)
-
-    def _follow(self, now: int, sender: str, term: int) -> bool:
-        """Follows the leader of that term, if it is not a former one, and promises it to vote for nobody else."""
-        if term < self.term or (term == self.term and self.role == LEADER):
-            return False
-        if term > self.term or self.role != FOLLOWER or self.leader != sender:
-            self._step_down(now, sender)
-            if term > self.term:
-                self._vouched_until, self._leader_commit = 0, self.commit
-                self._probes.clear()
-            voted_for = self.hard_state.voted_for if term == self.term else ""
-            self._remember(term, voted_for, sender)
-        self._promised_to, self._promised_until = sender, now + LEASE
-        self.heard_leader_at = now
-        self._plan_campaign(now)
-        return True
-
-    def _take_vouching(self, now: int, message: Append) -> None:
-        """The leader answered our probe after we had sent it: its word is no older than that."""
-        self._leader_commit = max(self._leader_commit, message.commit_index)
-        asked_at = self._probes.get(message.probe)
-        if asked_at is not None and message.lease_ns > 0:
-            self._vouched_until = max(self._vouched_until, asked_at + min(CURRENT, message.lease_ns))
-
-    def _after_base(self, message: Append) -> tuple[int, tuple[Entry, ...]]:
-        """Without the entries that are covered by our snapshot and no longer here: they are committed, so alike."""
-        if message.previous_index >= self.log.base_index:
-            return message.previous_index, message.entries
-        return self.log.base_index, tuple(entry for entry in message.entries if entry.index > self.log.base_index)
-
-    def _likely_alike(self, previous: int) -> int:
-        """An index up to which our log may be alike with the leader's, below `previous`."""
-        if previous > self.log.last_index:
-            return self.log.last_index
-        term = self.log.term_at(previous)
-        index = previous - 1
-        while index > self.commit and self.log.term_at(index) == term:
-            index -= 1
-        return max(index, self.commit)
-
-    def _differing(self, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-        """The entries from the first on that is not in our log."""
-        for place, entry in enumerate(entries):
-            if self.log.term_at(entry.index) != entry.term:
-                return entries[place:]
-        return ()
-
-    def _take_entries(self, now: int, sender: str, entries: tuple[Entry, ...]) -> None:
-        first = entries[0].index
-        if first <= self.commit:
-            raise ValueError(f"entry {first} differs, and {self.commit} is committed")
-        if first <= self.log.last_index:
-            self.log.truncate(first)
-            self.durable = min(self.durable, first - 1)
-        self.log.append(entries)
-        durable_reply = AppendReply(self.term, self.epoch, True, entries[-1].index, 0)
-        self._persist(entries=entries, then=[Send(sender, durable_reply)])
-        self._plan_campaign(now)
-
-    def _reply(self, now: int, to: str, success: bool, match: int, round_number: int) -> None:
-        self._probe += 1
-        self._probes[self._probe] = now
-        while len(self._probes) > KEPT_PROBES:
-            del self._probes[next(iter(self._probes))]
-        reply = AppendReply(self.term, self.epoch, success, match, round_number, probe=self._probe)
-        self._send_when_durable(to, reply)
-
-    def _on_piece(self, now: int, sender: str, piece: SnapshotChunk) -> None:
-        if not self._follow(now, sender, piece.term):
-            self._send_when_durable(sender, AppendReply(self.term, self.epoch, False, self.durable, 0))
-            return
-        if piece.index <= self.commit:
-            self._reply(now, sender, True, min(piece.index, self.durable), piece.heartbeat_round)
-            return
-        if self.incoming is None or self.incoming.digest != piece.digest:
-            self.incoming = IncomingSnapshot(piece.digest, piece.size_bytes)
-        incoming = self.incoming
-        incoming.add(piece)
-        if not incoming.complete:
-            reply = SnapshotReply(self.term, self.epoch, piece.digest, len(incoming.data), piece.heartbeat_round)
-            self._send_when_durable(sender, reply)
+        """Send the log to that member only if it is a voter."""
+        if self._leadership is not None:
+            self._leadership.replication.remove_learner(identity)
+
+    def transfer_leadership(self, now: int) -> list[Effect]:
+        """Give up leading, and ask the voter that has most of the log to campaign at once."""
+        self.hand_over(now)
+        return self._state.writes.take_effects()
+
+    def stop_campaigning(self) -> None:
+        """Take in that this member is about to stop: it is no candidate any more."""
+        self._election.may_campaign = False
+
+    # Messages.
+
+    def _dispatch(self, now: int, sender: str, message: ConsensusMessage) -> None:
+        match message:
+            case Append():
+                self._follower.handle_append(now, sender, message)
+            case AppendReply():
+                self._handle_append_reply(now, sender, message)
+            case VoteRequest():
+                self._election.handle_vote_request(now, sender, message)
+            case VoteReply():
+                self._election.handle_vote_reply(now, sender, message)
+            case SnapshotChunk():
+                self._follower.handle_snapshot_chunk(now, sender, message)
+            case SnapshotReply():
+                self._handle_snapshot_reply(now, sender, message)
+            case TransferLeadership():
+                self._election.handle_transfer_leadership(now, sender, message)
+            case _:
+                assert_never(message)
+
+    def _handle_append_reply(self, now: int, sender: str, reply: AppendReply) -> None:
+        leadership = self._leadership_of(now, reply.term)
+        if leadership is not None:
+            leadership.handle_append_reply(now, sender, reply)
+
+    def _handle_snapshot_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
+        leadership = self._leadership_of(now, reply.term)
+        if leadership is not None:
+            leadership.handle_snapshot_reply(now, sender, reply)
+
+    def _leadership_of(self, now: int, term: int) -> Leadership | None:
+        """Return the leadership that a reply of that term is for; None where this member does not lead that term."""
+        if term > self._state.term:
+            self.adopt_term(now, term)
+        return self._leadership if term == self._state.term else None
+
+    # Changes of role (`RoleTransitions`).
+
+    def become_leader(self, now: int) -> None:
+        """Lead the current term, for which a quorum has voted."""
+        state = self._state
+        state.role, state.leader = Role.LEADER, state.identity
+        state.lease = LeaderLease(now)
+        self._follower.incoming_snapshot = None
+        self._election.promise_to_itself()
+        state.remember(state.term, state.identity, state.identity)
+        self._leadership = Leadership(now, state, state.lease, self)
+        self._leadership.begin(now)
+
+    def step_down(self, now: int, leader: str) -> None:
+        """Follow from now on.
+
+        :param leader: whom; "": not known yet.
+        """
+        state = self._state
+        if state.lease is not None and state.lease.elected:
+            state.writes.emit(Deposed())
+        state.role, state.leader = Role.FOLLOWER, leader
+        state.lease = None
+        self._leadership = None
+        self._election.schedule_campaign(now)
+
+    def adopt_term(self, now: int, term: int, voted_for: str = "") -> None:
+        """Step down into a newer term, whose leader is not known yet, and remember the vote that was given in it."""
+        self.step_down(now, "")
+        self._state.remember(term, voted_for, "")
+
+    def hand_over(self, now: int) -> None:
+        """Give up leading, and ask the voter that has most of the log to campaign at once."""
+        state = self._state
+        if self._leadership is None:
             return
-        self.incoming = None
-        snapshot = incoming.decode()
-        if snapshot is not None:
-            self._install(now, sender, snapshot)
-
-    def _install(self, now: int, sender: str, snapshot: Snapshot) -> None:
-        alike_until = snapshot.index if self.log.term_at(snapshot.index) == snapshot.term else self.commit
-        self.log.install(snapshot)
-        self.commit = self.applied = snapshot.index
-        self.durable = min(self.durable, alike_until)
-        then: list[Effect] = [Send(sender, AppendReply(self.term, self.epoch, True, snapshot.index, 0))]
-        self._persist(snapshot=snapshot, entries=self.log.entries_after_snapshot(), then=then, alike_until=alike_until)
-        self._effects.append(Restored(snapshot))
-        self._plan_campaign(now)
-
-    # Applying.
-
-    def _commit_to(self, index: int) -> None:
-        if index > self.commit:
-            self.commit = index
-            self._apply()
-
-    def _apply(self) -> None:
-        while self.applied < self.commit:
-            self.applied += 1
-            self._effects.append(Applied(self.log.entry(self.applied)))
+        successor = self._leadership.best_successor(now)
+        self.step_down(now, "")
+        self._election.postpone_campaign(now + LEASE_NS)
+        if successor is not None:
+            state.writes.send(successor, TransferLeadership(state.term, state.epoch))
--- /dev/null
+++ b/kestrelplank/consensus/pending_writes.py
@@ -0,0 +1,117 @@
+"""What a member wants done, in order, and what it may send only once a write is durable."""
+
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from kestrelplank.consensus.consensus_messages import ConsensusMessage
+from kestrelplank.consensus.effects import Effect, Persist, Send
+from kestrelplank.consensus.log_entries import Entry, HardState, Snapshot
+
+
+@dataclass(slots=True)
+class PendingWrite:
+    """A `Persist` that is not durable yet.
+
+    :param first_index: log index of the first entry on disk that it replaces or adds; 0: it has no entries.
+    :param last_index: log index of the last entry that is on disk after it; 0: it has no entries.
+    :param has_hard_state: whether it brings a new hard state.
+    :param messages: to be sent once it is durable.
+    """
+
+    number: int
+    first_index: int = 0
+    last_index: int = 0
+    has_hard_state: bool = False
+    messages: list[Send] = field(default_factory=list)
+
+
+class PendingWrites:
+    """The effects of the call under way, and the writes that are not durable yet.
+
+    `durable_index`: log index up to which the log in memory is on disk. Entries that a later write replaces do not
+    count, even if they are on disk.
+    """
+
+    def __init__(self, durable_index: int) -> None:
+        self.durable_index = durable_index
+        self._effects: list[Effect] = []
+        self._writes: deque[PendingWrite] = deque()
+        self._last_number = 0
+
+    def emit(self, effect: Effect) -> None:
+        """Add an effect after those of this call."""
+        self._effects.append(effect)
+
+    def take_effects(self) -> list[Effect]:
+        """Return the effects of the call under way, which ends."""
+        effects, self._effects = self._effects, []
+        return effects
+
+    def send(self, to: str, message: ConsensusMessage) -> None:
+        """Send at once; only for what promises nothing."""
+        self._effects.append(Send(to, message))
+
+    def send_when_durable(self, to: str, message: ConsensusMessage) -> None:
+        """Send once term, vote and leader are on disk: a restart must not forget what the message promises."""
+        for write in reversed(self._writes):
+            if write.has_hard_state:
+                write.messages.append(Send(to, message))
+                return
+        self._effects.append(Send(to, message))
+
+    def persist_hard_state(self, hard_state: HardState) -> None:
+        """Write the hard state."""
+        write = self._begin(PendingWrite(self._next_number(), has_hard_state=True))
+        self._effects.append(Persist(write.number, hard_state))
+
+    def persist_entries(self, entries: tuple[Entry, ...], then: Send | None = None) -> None:
+        """Write entries, which replace those on disk from the first one's index on; once durable, send `then`."""
+        messages = [] if then is None else [then]
+        first_index, last_index = entries[0].index, entries[-1].index
+        write = self._begin(PendingWrite(self._next_number(), first_index, last_index, messages=messages))
+        self._effects.append(Persist(write.number, entries=entries))
+
+    def persist_snapshot(
+        self,
+        snapshot: Snapshot,
+        entries: tuple[Entry, ...],
+        hard_state: HardState,
+        matching_until: int,
+        then: Send | None = None,
+    ) -> None:
+        """Write a snapshot and the entries after it, which replace the complete log on disk.
+
+        :param hard_state: the present one: it is written again, as what is durable of it must stay so.
+        :param matching_until: log index up to which the log on disk matches the new one.
+        :param then: sent once the write is durable.
+        """
+        messages = [] if then is None else [then]
+        last_index = max(entries[-1].index if entries else 0, snapshot.index)
+        write = self._begin(PendingWrite(self._next_number(), matching_until + 1, last_index, messages=messages))
+        self._effects.append(Persist(write.number, hard_state, snapshot, entries))
+
+    def truncate(self, first_index: int) -> None:
+        """Take in that the log in memory changes from `first_index` on: what is on disk from there does not count."""
+        self.durable_index = min(self.durable_index, first_index - 1)
+
+    def complete(self, number: int) -> Iterator[Send]:
+        """Take in, write by write, that all up to `number` are durable; yield what each of them held back."""
+        while self._writes and self._writes[0].number <= number:
+            write = self._writes.popleft()
+            if write.last_index:
+                self._count_durable(write)
+            yield from write.messages
+
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
+
+    def _begin(self, write: PendingWrite) -> PendingWrite:
+        self._writes.append(write)
+        return write
+
+    def _count_durable(self, write: PendingWrite) -> None:
+        with_entries = [later for later in self._writes if later.last_index]
+        replaced_from = [later.first_index for later in with_entries if later.first_index <= write.last_index]
+        self.durable_index = min([write.last_index, *(first_index - 1 for first_index in replaced_from)])
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -22,7 +22,7 @@
 class EntryInFlight(NamedTuple):
     """An entry that was sent and is not confirmed."""
 
-    index: int
+    log_index: int
     size_bytes: int
     sent_at: int
 
@@ -94,7 +94,7 @@
         if self.outgoing_snapshot is not None and self.match_index >= self.outgoing_snapshot.index:
             self.outgoing_snapshot = None
         self.log_matches = self.outgoing_snapshot is None
-        while self._in_flight and self._in_flight[0].index <= self.match_index:
+        while self._in_flight and self._in_flight[0].log_index <= self.match_index:
             confirmed = self._in_flight.popleft()
             self._bytes_in_flight -= confirmed.size_bytes
             self._adapt_window(now - confirmed.sent_at)
--- /dev/null
+++ b/kestrelplank/consensus/replication.py
@@ -0,0 +1,146 @@
+"""The leader's messages to the others: heartbeats, entries and snapshots, to each as far as its log goes."""
+
+from kestrelplank.consensus.consensus_messages import Append, AppendReply, SnapshotReply
+from kestrelplank.consensus.lease import LeaderLease
+from kestrelplank.consensus.log_entries import Entry
+from kestrelplank.consensus.member_state import MemberState
+from kestrelplank.consensus.progress import Progress
+from kestrelplank.consensus.snapshots import OutgoingSnapshot
+
+MAX_APPEND_ENTRIES = 64
+MAX_APPEND_BYTES = 64 << 10
+
+
+class Replication:
+    """The replication of the leader's log in one term.
+
+    - `peers`: the progress of each other member that is sent the log, by identity.
+    - `learners`: those of them that do not vote, in order; the values are None.
+
+    A learner is sent only what is committed: a log that is newer than those of all who may lead would keep it from
+    voting for them once it is a voter.
+    """
+
+    def __init__(self, state: MemberState, lease: LeaderLease) -> None:
+        self.peers: dict[str, Progress] = {}
+        self.learners: dict[str, None] = {}
+        self._state = state
+        self._lease = lease
+        self._update_peers()
+
+    # Who is sent the log.
+
+    def add_learner(self, identity: str) -> None:
+        """Send the log to that member too, which is no voter."""
+        if identity != self._state.identity:
+            self.learners[identity] = None
+            self.peers.setdefault(identity, Progress(self._state.log.last_index + 1))
+
+    def remove_learner(self, identity: str) -> None:
+        """Send the log to that member only if it is a voter."""
+        self.learners.pop(identity, None)
+        self._update_peers()
+
+    def follow_membership(self) -> None:
+        """Take in that the membership has changed: learners that have become voters are learners no longer."""
+        for voter in self._state.all_voters:
+            self.learners.pop(voter, None)
+        self._update_peers()
+
+    def _update_peers(self) -> None:
+        identities = dict.fromkeys((*self._state.all_voters, *self.learners))
+        identities.pop(self._state.identity, None)
+        next_index = self._state.log.last_index + 1
+        self.peers = {identity: self.peers.get(identity) or Progress(next_index) for identity in identities}
+
+    # What is sent.
+
+    def send_heartbeats(self, now: int) -> None:
+        """Ask each for an answer in the heartbeat round that was begun."""
+        for identity, peer in self.peers.items():
+            self._send_heartbeat(now, identity, peer)
+
+    def send_new_entries(self, now: int) -> None:
+        """Send entries to each that may be sent more."""
+        for identity, peer in self.peers.items():
+            if peer.log_matches:
+                self._send_entries(now, identity, peer)
+
+    def handle_append_reply(self, now: int, sender: str, reply: AppendReply) -> None:
+        """Send what the follower is to have next."""
+        peer = self.peers[sender]
+        next_index_before = peer.next_index
+        peer.update(now, reply)
+        if reply.success or self._needs_snapshot(peer):
+            self._send_entries(now, sender, peer)
+        elif peer.next_index < next_index_before:
+            self._send_append(now, sender, peer, ())
+
+    def handle_snapshot_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
+        """Send the next chunk."""
+        peer = self.peers[sender]
+        if peer.confirm_chunk(reply):
+            self._send_chunk(now, sender, peer)
+
+    def _send_heartbeat(self, now: int, identity: str, peer: Progress) -> None:
+        """Ask the follower to answer; if entries were lost on the way, it refuses, as its log ends before ours."""
+        if not self._needs_snapshot(peer):
+            self._send_append(now, identity, peer, ())
+            return
+        self._state.writes.send(identity, self._append(now, peer, 0, 0, ()))
+        if peer.silent(now):
+            peer.drop_snapshot()
+        elif peer.outgoing_snapshot is None or peer.chunk_overdue(now):
+            self._send_chunk(now, identity, peer)
+
+    def _needs_snapshot(self, peer: Progress) -> bool:
+        return peer.outgoing_snapshot is not None or self._state.log.term_at(peer.next_index - 1) is None
+
+    def _send_entries(self, now: int, identity: str, peer: Progress) -> None:
+        """Send what the follower lacks, as far as it may be in flight at once."""
+        if self._needs_snapshot(peer):
+            if peer.outgoing_snapshot is None:
+                self._send_chunk(now, identity, peer)
+            return
+        last_index = self._last_index_for(identity)
+        while peer.may_send(last_index):
+            max_entries = min(MAX_APPEND_ENTRIES, last_index - peer.next_index + 1)
+            entries = self._state.log.entries_from(peer.next_index, max_entries, MAX_APPEND_BYTES)
+            self._send_append(now, identity, peer, entries)
+            peer.entries_sent(now, entries)
+
+    def _last_index_for(self, identity: str) -> int:
+        state = self._state
+        return state.log.last_index if identity in state.all_voters else state.commit_index
+
+    def _send_append(self, now: int, identity: str, peer: Progress, entries: tuple[Entry, ...]) -> None:
+        previous_index = peer.next_index - 1
+        previous_term = self._state.log.term_at(previous_index) or 0
+        self._state.writes.send(identity, self._append(now, peer, previous_index, previous_term, entries))
+
+    def _append(
+        self, now: int, peer: Progress, previous_index: int, previous_term: int, entries: tuple[Entry, ...]
+    ) -> Append:
+        state, lease = self._state, self._lease
+        return Append(
+            state.term,
+            state.epoch,
+            previous_index,
+            previous_term,
+            entries,
+            state.commit_index,
+            lease.round,
+            probe=peer.probe,
+            lease_ns=lease.left_ns(now),
+        )
+
+    def _send_chunk(self, now: int, identity: str, peer: Progress) -> None:
+        """Send the next chunk of the snapshot in flight, or the first one of the newest where none is."""
+        state = self._state
+        if peer.outgoing_snapshot is None:
+            if state.log.snapshot is None:
+                return
+            peer.outgoing_snapshot = OutgoingSnapshot(state.log.snapshot)
+        peer.chunk_sent(now)
+        chunk = peer.outgoing_snapshot.next_chunk(state.term, state.epoch, self._lease.round)
+        state.writes.send(identity, chunk)
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -297,7 +297,7 @@
         age = self.servers.age(now)
         return MemberStatus(
             member=self.identity,
-            state=node.catching_up(now),
+            state=node.catch_up_state(now),
             term=node.term,
             leader=node.leader,
             leads=node.leads(now),
@@ -306,11 +306,11 @@
             voters=list(voters),
             standbys=[one for one in self.directory.running(now) if one not in voters],
             stopping=self.lifecycle.stopping,
-            commit=node.commit,
-            applied=node.applied,
+            commit=node.commit_index,
+            applied=node.applied_index,
             last=node.log.last_index,
             in_force=f"{force.version:08x}" if force else None,
-            peers={name: peer_status(now, peer, node.commit) for name, peer in sorted(node.peers.items())},
+            peers={name: peer_status(now, peer, node.commit_index) for name, peer in sorted(node.peers.items())},
             servers=len(self.servers.entries),
             list_age_s=None if age is None else round(age / S, 3),
             services={
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -125,8 +125,8 @@
         if self.stopping:
             return
         self._stop_at = self._ask_at = now
-        self._node.may_campaign = False
-        self._replica.add(self._node.transfer(now))
+        self._node.stop_campaigning()
+        self._replica.add(self._node.transfer_leadership(now))
 
     def may_stop(self, now: int) -> bool:
         """Whether nothing more can be done for what this member holds: it does not count any more, or the others have
@@ -137,7 +137,7 @@
             return True
         if now < self._stop_at + STOP_CALM or self._directory.others_run(now):
             return False
-        return self._node.commit == self._node.log.last_index and self._node.current(now)
+        return self._node.commit_index == self._node.log.last_index and self._node.current(now)
 
 
 def newer(one: Membership | None, other: Membership | None) -> Membership | None:
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -34,7 +34,7 @@
                 self._replica.log(f"proposes epoch {plan.epoch}: {new} instead of {old}")
         elif successor(now, membership, candidates, self._node.identity) is not None:
             self._replica.log("hands leadership over")
-            self._replica.add(self._node.transfer(now))
+            self._replica.add(self._node.transfer_leadership(now))
 
     def candidates(self, now: int, stopping: bool) -> list[Candidate]:
         """What the leader knows of each member that runs or counts, itself first."""
@@ -49,7 +49,7 @@
         heard_at = peer.heard_at if peer is not None else 0
         if identity in self._replica.voters():
             heard_at = max(heard_at, self._elected_at)
-        caught_up = peer is not None and peer.caught_up(self._node.commit)
+        caught_up = peer is not None and peer.caught_up(self._node.commit_index)
         if standby is None:
             return Candidate(identity, "", True, False, heard_at, caught_up)
         request = standby.request
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -49,7 +49,7 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """`state`: how far it has what is agreed (`ConsensusNode.catching_up`). `last`, `commit`, `applied`: of its log.
+    """`state`: how far it has what is agreed (`ConsensusNode.catch_up_state`). `last`, `commit`, `applied`: of its log.
     `peers`: of the leader only."""
 
     member: str
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -38,7 +38,8 @@
     SubmitOrder,
 )
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.consensus.node import CURRENT, ConsensusNode
+from kestrelplank.consensus.node import ConsensusNode
+from kestrelplank.consensus.timing import CURRENT_TIMEOUT_NS
 
 US = 1_000
 MS = 1_000_000
@@ -47,7 +48,7 @@
 TICK = 20 * MS  # between two calls of `tick`
 DISCOVERY = 200 * MS  # between two looks of a member for others
 COMPACT_AFTER = 64  # applied entries after which the log is cut short
-MOST_AGE = int(CURRENT * 1.01)  # of what a current member has, in true time
+MOST_AGE = int(CURRENT_TIMEOUT_NS * 1.01)  # of what a current member has, in true time
 MOST_DRIFT = 0.01  # by which a steady clock is fast or slow: two differ by 2% at most
 TRACE = 60  # last steps that a failure shows
 
@@ -226,10 +227,10 @@
             node = machine.node
             if node is None:
                 continue
-            now = (node.term, node.commit)
+            now = (node.term, node.commit_index)
             term, commit = machine.least
             self.checks.need(
-                node.term >= term and node.commit >= commit, machine.identity, "goes back to", now, machine.least
+                node.term >= term and node.commit_index >= commit, machine.identity, "goes back to", now, machine.least
             )
             machine.least = now
             if node.leads(machine.clock(self.time)):
@@ -333,7 +334,7 @@
     def transfer(self, machine: Machine) -> None:
         """The member gives up leading in order."""
         self.note("transfer", machine.identity)
-        self._do(machine, lambda node, now: node.transfer(now))
+        self._do(machine, lambda node, now: node.transfer_leadership(now))
 
     def hang(self, name: str, hanging: bool = True) -> None:
         """The disk at `name` completes nothing, until it is let go."""
@@ -379,7 +380,7 @@
                 continue
             node.add_learner(other.identity)
             lost = [voter for voter in voters if address_of(voter) == other.address]
-            if lost and other.identity in node.peers and node.peers[other.identity].caught_up(node.commit):
+            if lost and other.identity in node.peers and node.peers[other.identity].caught_up(node.commit_index):
                 following = tuple(other.identity if voter == lost[0] else voter for voter in voters)
                 change = ChangeMembership(Membership(node.epoch + 1, following, voters))
                 self.note("proposes", machine.identity, change)
--- a/tests/consensus/replacing.py
+++ b/tests/consensus/replacing.py
@@ -87,7 +87,7 @@
         if successor(now, node.membership, candidates, machine.identity) is not None:
             self.transfer(machine)
             return
-        if node.log.membership_index > node.commit:
+        if node.log.membership_index > node.commit_index:
             return
         planned = plan_membership(now, node.membership, candidates, machine.identity, self.target)
         if planned is not None:
@@ -121,7 +121,7 @@
             heard_at = peer.heard_at
             if identity in node.membership.all_voters():
                 heard_at = max(heard_at, self._heard_before_election(machine, identity))
-            found.append(self._candidate(identity, heard_at, peer.caught_up(node.commit)))
+            found.append(self._candidate(identity, heard_at, peer.caught_up(node.commit_index)))
         return found
 
     def _heard_before_election(self, machine: Machine, voter: str) -> int:
--- a/tests/consensus/test_cases.py
+++ b/tests/consensus/test_cases.py
@@ -6,8 +6,9 @@
 import pytest
 
 from consensus.cluster import IN_FORCE, MS, OVERTAKEN, UNKNOWN, Cluster, Conditions, S
-from kestrelplank.consensus.node import LEADER, LEASE, SLACK
+from kestrelplank.consensus.roles import Role
 from kestrelplank.consensus.snapshots import CHUNK_BYTES
+from kestrelplank.consensus.timing import LEASE_MARGIN_NS, LEASE_NS
 
 SOON = 10 * S  # by which a cluster without trouble has a leader and all are current
 LARGE = b"x" * (4 * CHUNK_BYTES + 17)  # a configuration whose snapshot takes five pieces
@@ -180,13 +181,13 @@
     cluster.isolate(leader, inward=inward, outward=outward, keep=keep)
     cut_at = cluster.time
     silent = []  # moments at which nobody leads
-    while cluster.time < cut_at + 3 * LEASE:
+    while cluster.time < cut_at + 3 * LEASE_NS:
         cluster.step()
         if cluster.leader() is None:
             silent.append(cluster.time)
     assert silent and not leads(cluster, leader) and cluster.leader().address in others
     # An answer may have been on its way as the cut began.
-    assert silent[0] <= cut_at + 1.01 * (LEASE - SLACK) + 10 * MS
+    assert silent[0] <= cut_at + 1.01 * (LEASE_NS - LEASE_MARGIN_NS) + 10 * MS
     there = cluster.order(leader, 9, b"at the leader that is cut off")
     assert cluster.put(6, b"during", at=others[0]) == IN_FORCE
     cluster.run(20 * S - (cluster.time - cut_at))
@@ -289,7 +290,7 @@
     assert texts(cluster) == {b"9"}
 
 
-def test_a_member_frozen_with_the_leaders_word_in_its_queue_is_not_current_by_it():
+def test_a_member_frozen_with_the_leaders_message_in_its_queue_is_not_current_by_it():
     cluster, leader, others = started()
     settled(cluster, [5])
     cluster.run(100 * MS)
@@ -311,8 +312,8 @@
     cluster, leader, others = started(seed=seed)
     settled(cluster, [5])
     cluster.kill(leader)
-    cluster.until(lambda: any(machine.node.role == LEADER for machine in cluster.running()))
-    frozen = next(machine.address for machine in cluster.running() if machine.node.role == LEADER)
+    cluster.until(lambda: any(machine.node.role == Role.LEADER for machine in cluster.running()))
+    frozen = next(machine.address for machine in cluster.running() if machine.node.role == Role.LEADER)
     assert not leads(cluster, frozen)
     cluster.freeze(frozen)  # the answers to its first entry and heartbeat wait for it
     cluster.run(500 * MS)
@@ -377,7 +378,7 @@
 
 def pieces_taken(cluster, name, count):
     """Whether the member has that many bytes of a snapshot that it still receives."""
-    incoming = cluster.machines[name].node.incoming
+    incoming = cluster.machines[name].node.incoming_snapshot
     return incoming is not None and len(incoming.data) >= count * CHUNK_BYTES
 
 
@@ -444,7 +445,7 @@
 
 
 @pytest.mark.parametrize("piece", range(1, PIECES + 1))
-def test_a_receiver_killed_at_each_piece_begins_anew_and_never_has_half_of_it(piece):
+def test_a_receiver_killed_at_each_chunk_begins_anew_and_never_has_half_of_it(piece):
     cluster, leader, away = behind_by_a_large_snapshot()
     cluster.start(away)
     cluster.until(lambda: pieces_taken(cluster, away, piece) or cluster.machines[away].replica.text == LARGE)
--- a/tests/consensus/test_consensus_node.py
+++ b/tests/consensus/test_consensus_node.py
@@ -5,7 +5,8 @@
 from kestrelplank.consensus.effects import Applied, Deposed, Elected, Persist, Restored, Send
 from kestrelplank.consensus.log_entries import ChangeMembership, HardState, PutConfiguration
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.consensus.node import LEASE, ConsensusNode
+from kestrelplank.consensus.node import ConsensusNode
+from kestrelplank.consensus.timing import LEASE_NS
 
 MS, S = 1_000_000, 1_000_000_000
 NAMES = ("10.0.0.1:80/first", "10.0.0.2:80/first", "10.0.0.3:80/first")
@@ -108,7 +109,7 @@
     others = [name for name in NAMES if name != lost]
     group.cut = {frozenset((lost, other)) for other in others}
     group.propose(order(9))
-    group.turn(LEASE / S + 1)
+    group.turn(LEASE_NS / S + 1)
     assert not group.nodes[lost].leads(group.now) and not group.nodes[lost].current(group.now)
     assert group.leader() in others
     group.propose(order(5))
@@ -163,14 +164,14 @@
     group.start(fresh)
     group.nodes[leader].add_learner(fresh)
     group.turn(0.5)
-    assert group.nodes[leader].peers[fresh].caught_up(group.nodes[leader].commit)
+    assert group.nodes[leader].peers[fresh].caught_up(group.nodes[leader].commit_index)
     voters = tuple(fresh if name == dead else name for name in NAMES)
     assert group.propose(ChangeMembership(Membership(1, voters, NAMES))) is not None
     assert group.propose(ChangeMembership(Membership(2, NAMES, voters))) is None
     group.turn(0.5)
     assert group.nodes[fresh].membership == Membership(2, voters)
     del group.nodes[leader]
-    group.turn(LEASE / S + 1)
+    group.turn(LEASE_NS / S + 1)
     assert group.leader() in voters
 
 
@@ -178,6 +179,6 @@
     group = Group()
     group.turn(1)
     former = group.leader()
-    group.run(former, group.nodes[former].transfer(group.now))
+    group.run(former, group.nodes[former].transfer_leadership(group.now))
     group.turn(0.1)
     assert group.leader() not in (None, former)
--- a/tests/consensus/test_effects_recorded.py
+++ b/tests/consensus/test_effects_recorded.py
@@ -74,8 +74,8 @@
             self.cluster.step()
             for machine in self.cluster.running():
                 node, now = machine.node, machine.clock(self.cluster.time)
-                shown = str(node.catching_up(now))
-                durable = (node.term, node.epoch, node.commit, node.applied, node.durable)
+                shown = str(node.catch_up_state(now))
+                durable = (node.term, node.epoch, node.commit_index, node.applied_index, node.durable_index)
                 self._add(
                     machine.identity, str(node.role), node.leader, node.leads(now), node.current(now), shown, durable
                 )
--- a/tests/consensus/test_replacement.py
+++ b/tests/consensus/test_replacement.py
@@ -25,7 +25,8 @@
 from kestrelplank.consensus.identity import FIRST_INCARNATION, identity_of
 from kestrelplank.consensus.log_entries import ChangeMembership, Entry, HardState, Noop
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.consensus.node import LEADER, LEASE
+from kestrelplank.consensus.roles import Role
+from kestrelplank.consensus.timing import LEASE_NS
 
 
 def seeded(**settings):
@@ -266,7 +267,7 @@
     cluster.isolate(leader, keep=keep)
     old = cluster.machines[leader]
     stale = [cluster.order(leader, 2, b"stale")]
-    cluster.run(LEASE)
+    cluster.run(LEASE_NS)
     members = "".join(sorted([*others, "d"]))
     cluster.until(lambda: cluster.voters() == members, SOON)
     for version in (2, 3):
@@ -319,7 +320,7 @@
     return machine.node.epoch > 1 and not machine.node.membership.joint
 
 
-def test_one_that_does_not_count_any_more_is_told_only_what_is_committed():
+def test_a_member_that_is_no_voter_any_more_is_sent_only_what_is_committed():
     """c leaves for d. The leader has the last entry of the change and reaches only c with it, then is lost. If c took it,
     c's log were newer than that of b, which needs the vote of c, and c could not stand: nobody could be elected."""
     cluster, leader, _ = started()
@@ -337,7 +338,7 @@
 
 
 @pytest.mark.parametrize("power_lost", [False, True])
-def test_a_leader_that_goes_leaves_the_last_entry_to_its_successor(power_lost):
+def test_a_leader_that_is_removed_leaves_the_last_entry_to_its_successor(power_lost):
     """The one member that counts leaves for d and is cut off from it once both have the joint membership. Were the last
     entry in its log alone, it could not stand any more, nor vote for d, whose log were older."""
     cluster, _, _ = started(counted=1, losses=0, spare=3)
@@ -345,7 +346,7 @@
     cluster.run(S)
     cluster.terminate("a", grace=60 * S)
     old = cluster.machines["a"]
-    cluster.until(lambda: has_final(old) or old.node.role != LEADER, 2 * S)
+    cluster.until(lambda: has_final(old) or old.node.role != Role.LEADER, 2 * S)
     cluster.cut_off("a", "d")
     cluster.run(500 * MS)
     if power_lost:
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -4,10 +4,11 @@
 
 import pytest
 
-from consensus.cluster import IN_FORCE, Cluster, S
+from consensus.cluster import IN_FORCE, MS, Cluster, S
 from kestrelplank.consensus.consensus_messages import Append, AppendReply, VoteReply, VoteRequest
 from kestrelplank.consensus.effects import Persist, Send
 from kestrelplank.consensus.identity import FIRST_INCARNATION, identity_of
+from kestrelplank.consensus.lease import MAX_PENDING_PROBES
 from kestrelplank.consensus.log_entries import (
     ChangeMembership,
     Entry,
@@ -16,9 +17,11 @@
     Snapshot,
 )
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.consensus.node import HEARTBEAT, KEPT_PROBES, LEADER, LEASE, MS, ConsensusNode
+from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.consensus.progress import Progress
+from kestrelplank.consensus.roles import Role
 from kestrelplank.consensus.snapshots import OutgoingSnapshot
+from kestrelplank.consensus.timing import HEARTBEAT_INTERVAL_NS, LEASE_NS
 
 A, B, C, D = (identity_of(name, FIRST_INCARNATION) for name in "abcd")
 ABC = Membership(1, (A, B, C))
@@ -48,12 +51,12 @@
     for _ in range(100):
         now += 50 * MS
         sent = written(node, now, node.tick(now))
-        while sent and node.role != LEADER:
+        while sent and node.role != Role.LEADER:
             one = sent.pop(0)
             if isinstance(one.message, VoteRequest) and one.to == answering:
                 reply = VoteReply(one.message.term, 1, granted=True, pre_vote=one.message.pre_vote)
                 sent += written(node, now, node.receive(now, answering, reply))
-        if node.role == LEADER:
+        if node.role == Role.LEADER:
             return now
     raise AssertionError(f"{node.identity} is not elected")
 
@@ -61,7 +64,7 @@
 def leader():
     """A leads term 1 by the vote of B, and both have its first entry."""
     node = member(A)
-    now = elected(node, START, B) + HEARTBEAT
+    now = elected(node, START, B) + HEARTBEAT_INTERVAL_NS
     written(node, now, node.tick(now))
     written(node, now, node.receive(now, B, AppendReply(1, 1, True, 1, 2)))
     assert node.leads(now)
@@ -118,7 +121,7 @@
         for reply in written(follower, START + leader_now, follower.receive(START + leader_now, C, message)):
             answer = chief.receive(leader_now, B, reply.message)
             messages += [sent.message for sent in written(chief, leader_now, answer) if sent.to == B]
-        written(chief, leader_now, chief.receive(leader_now, A, AppendReply(3, 1, True, 21, chief._round)))
+        written(chief, leader_now, chief.receive(leader_now, A, AppendReply(3, 1, True, 21, chief._state.lease.round)))
         if follower.log.last_term == 3:
             return
     raise AssertionError(f"the follower's log still ends with {follower.log.last_index} of {follower.log.last_term}")
@@ -155,7 +158,7 @@
     cluster.run(300 * MS)
     cluster.conditions.double = 1.0
     cluster.join()
-    cluster.until(lambda: former.node.commit > 7)
+    cluster.until(lambda: former.node.commit_index > 7)
     cluster.hang(name)
     cluster.run(30 * MS)
     cluster.kill(name)
@@ -179,7 +182,7 @@
         Membership(2, (), (A, B, C)),  # nobody is left
     ],
 )
-def test_a_change_of_membership_that_does_not_begin_with_all_who_count_is_refused(following):
+def test_a_change_of_membership_that_does_not_begin_with_all_voters_is_refused(following):
     node, now = leader()
     index, _ = node.propose(now, ChangeMembership(following))
     assert index is None and node.membership == ABC
@@ -202,19 +205,20 @@
         early = [s.message.granted for s in written(node, START, node.receive(START, candidate, request))]
         assert early == [not waits]
         late = [
-            s.message.granted for s in written(node, START + LEASE, node.receive(START + LEASE, candidate, request))
+            s.message.granted
+            for s in written(node, START + LEASE_NS, node.receive(START + LEASE_NS, candidate, request))
         ]
         assert late == [True]
 
 
-def test_a_vote_is_told_only_once_it_is_durable_and_not_twice_after_a_restart():
+def test_a_vote_is_sent_only_once_it_is_durable_and_not_twice_after_a_restart():
     node = member(B)
     effects = node.receive(START, A, VoteRequest(1, 1, 0, 0))
     assert [effect for effect in effects if isinstance(effect, Send)] == []
     persist = next(effect for effect in effects if isinstance(effect, Persist))
     assert persist.hard_state == HardState(1, A, "")
     again = member(B, persist.hard_state, first_start=False)
-    later = START + 2 * LEASE
+    later = START + 2 * LEASE_NS
     refused = written(again, later, again.receive(later, C, VoteRequest(1, 1, 9, 1)))
     assert [sent.message.granted for sent in refused] == [False]
 
@@ -231,12 +235,12 @@
 
 def test_the_former_sides_lease_ends_before_the_new_side_alone_can_elect():
     """A newcomer that has acknowledged the joint membership votes for nobody else for a whole lease."""
-    newcomer = ConsensusNode(START - 2 * LEASE, Random(2), D, None, HardState(), (), None, False)
+    newcomer = ConsensusNode(START - 2 * LEASE_NS, Random(2), D, None, HardState(), (), None, False)
     joint = Entry(1, 1, ChangeMembership(Membership(2, (B, C, D), (A, B, C))))
     replies = written(newcomer, START, newcomer.receive(START, A, Append(1, 2, 0, 0, (joint,), 0, 1)))
     assert highest_match(replies) == 1
     request = VoteRequest(2, 3, 2, 1)
-    for when, grants in ((START + LEASE - 1, False), (START + LEASE, True)):
+    for when, grants in ((START + LEASE_NS - 1, False), (START + LEASE_NS, True)):
         found = [s.message.granted for s in written(newcomer, when, newcomer.receive(when, C, request))]
         assert found == [grants]
 
@@ -251,7 +255,7 @@
     assert peer.match_index == 10 and peer.next_index == 11 and not peer.log_matches
 
 
-@pytest.mark.parametrize("appends, is_current", [(KEPT_PROBES, True), (KEPT_PROBES + 1, False)])
+@pytest.mark.parametrize("appends, is_current", [(MAX_PENDING_PROBES, True), (MAX_PENDING_PROBES + 1, False)])
 def test_a_follower_is_current_by_its_oldest_probe_that_is_kept(appends, is_current):
     """More answers under way than are kept leave it not current: the bound on appends during one way there and back."""
     node = member(B)
@@ -261,5 +265,5 @@
         (reply,) = written(node, START + place, node.receive(START + place, A, heartbeat))
         probe = probe or reply.message.probe
     now = START + 50 * MS
-    written(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, probe=probe, lease_ns=LEASE)))
+    written(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, probe=probe, lease_ns=LEASE_NS)))
     assert node.current(now) is is_current
--- a/tests/control/test_member.py
+++ b/tests/control/test_member.py
@@ -311,7 +311,7 @@
         state = ControlState()
         state.restore(member.state.snapshot())
         state._records["views"] = msgspec.msgpack.encode(former)
-        snapshot = Snapshot(member.node.applied, member.node.term, member.committed, state.snapshot())
+        snapshot = Snapshot(member.node.applied_index, member.node.term, member.committed, state.snapshot())
         hard_state = member.node.hard_state
         system.kill(name)
         system.disks[name] = MemoryLog()
--- a/tests/control/test_orders.py
+++ b/tests/control/test_orders.py
@@ -312,7 +312,7 @@
     log = node.log
     found = [index for index in range(log.base_index + 1, log.last_index + 1)]
     return any(
-        getattr(log.entry(index).command, "version", None) == version and node.durable >= index for index in found
+        getattr(log.entry(index).command, "version", None) == version and node.durable_index >= index for index in found
     )
 
 
