--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -54,7 +54,8 @@
       `test_a_member_frozen_with_the_leaders_message_in_its_queue_is_not_current_by_it`.
     - One change of membership at a time, which begins with all who vote:
       `test_a_change_of_membership_that_does_not_begin_with_all_voters_is_refused`.
-    - Who is no voter is sent only what is committed: `test_a_member_that_is_no_voter_any_more_is_sent_only_what_is_committed`.
+    - Who is no voter is sent only what is committed:
+      `test_a_member_that_is_no_voter_any_more_is_sent_only_what_is_committed`.
     - A leader that a change removes leaves the change's last entry to its successor:
       `test_a_leader_that_is_removed_leaves_the_last_entry_to_its_successor`.
     - A snapshot is installed complete or not at all:
--- a/kestrelplank/consensus/snapshots.py
+++ b/kestrelplank/consensus/snapshots.py
@@ -14,8 +14,8 @@
 CHUNK_BYTES = 32 << 10
 DIGEST_BYTES = 16
 
-_encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Snapshot)
+encoder = msgspec.msgpack.Encoder()
+decoder = msgspec.msgpack.Decoder(Snapshot)
 
 
 def checksum(data: bytes) -> bytes:
@@ -28,7 +28,7 @@
 
     def __init__(self, snapshot: Snapshot) -> None:
         self.index = snapshot.index
-        self.data = _encoder.encode(snapshot)
+        self.data = encoder.encode(snapshot)
         self.digest = checksum(self.data)
         self.offset = 0
 
@@ -75,6 +75,6 @@
         if len(data) != self.size_bytes or checksum(data) != self.digest:
             return None
         try:
-            return _decoder.decode(data)
+            return decoder.decode(data)
         except msgspec.DecodeError:
             return None
