--- a/tests/storage/histories.py
+++ b/tests/storage/histories.py
@@ -6,13 +6,7 @@
 from storage.memory import MemoryLog
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.log_entries import (
-    Entry,
-    HardState,
-    PutConfiguration,
-    PutRecord,
-    Snapshot,
-)
+from kestrelplank.consensus.log_entries import Entry, HardState, PutConfiguration, PutRecord, Snapshot
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.storage.log_file import LogFile
 
