--- a/kestrelplank/consensus/election.py
+++ b/kestrelplank/consensus/election.py
@@ -167,7 +167,8 @@
         if request.term < state.term or not self._free_to_vote(now, sender, request):
             return False
         if request.term == state.term:
-            voted_for_another = state.hard_state.voted_for not in ("", sender)
+            voted_for = state.hard_state.voted_for
+            voted_for_another = bool(voted_for) and voted_for != sender
             if request.pre_vote or voted_for_another or state.role is Role.LEADER:
                 return False
         return (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
--- a/kestrelplank/consensus/membership_planning.py
+++ b/kestrelplank/consensus/membership_planning.py
@@ -1,15 +1,16 @@
-"""Who should count next: the policy by which a leader changes the membership of the control members.
+"""Which membership a leader should propose: the policy for replacing, adding and dropping voters.
 
-Pure: the leader's node tells what it knows of each member, `plan_membership` answers the joint membership to propose,
-or None. Once the joint one is committed the node proposes `finish` of it; once that is committed the change is over.
-The node asks for a plan only while the newest membership in its log is committed.
+Pure: the leader's side says what it knows of each member, `plan_membership` returns the joint membership to propose, or
+None. Once the joint one is committed, the new voters alone are the membership, and the change is over. The policy is
+asked only while the newest membership in the leader's log is committed.
 
-A leader never takes itself out while another voter can lead. `successor` tells whom it should transfer leadership to
-first; the new leader then gives the old one's place away.
+A leader never takes itself out while another voter can lead. `successor` says whom it should transfer leadership to
+first; the new leader then replaces the old one.
 
-Why it is done so, with what is borne at each moment: docs/membership.md.
+Why it is done so, and what losses are tolerated at each moment: docs/membership.md.
 """
 
+from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass
 from enum import IntEnum
@@ -17,22 +18,25 @@
 from kestrelplank.consensus.identity import address_of
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.quorum import has_majority
+from kestrelplank.time_units import SECOND
 
-SECOND = 1_000_000_000
-REPLACE_AFTER = 2 * SECOND
-"""A voter that answered nothing for so long is replaced, if somebody can take its place."""
-NEWCOMER_HEARD_WITHIN = SECOND
-"""A member becomes a voter only if it answered within this time: one that has just died must not be counted in."""
+VOTER_TIMEOUT_NS = 2 * SECOND
+"""A voter that has answered nothing for so long is replaced, if there is a standby."""
+STANDBY_TIMEOUT_NS = 1 * SECOND
+"""A member becomes a voter only if it has answered within this time: one that has just died must not become one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
     """What the leader knows of one running member, voter or not, itself included.
 
-    `identity`: address and incarnation. `zone`: "" if unknown. `eligible`: the platform counts its machine's loss.
-    `leaving`: it said that it is about to stop. `heard_at`: ns on the leader's steady clock of its last reply; for a
-    voter that has not replied since the election, when it was last heard before, or else when the leader was elected.
-    `caught_up`: it holds the leader's log up to the newest entry, or nearly.
+    :param identity: address and incarnation.
+    :param zone: failure domain; "": unknown.
+    :param eligible: whether it may vote, as the platform counts the loss of its machine.
+    :param leaving: whether it said that it is about to stop.
+    :param heard_at: on the leader's steady clock, when it last replied; for a voter that has not replied since the
+        election, when it was last heard before, or else when the leader was elected.
+    :param caught_up: whether it has the leader's log up to the newest entry, or nearly.
     """
 
     identity: str
@@ -44,7 +48,7 @@
 
 
 class Condition(IntEnum):
-    """Why a voter should give up its place, least urgent first."""
+    """Why a voter should be replaced, least urgent first."""
 
     SOUND = 0
     INELIGIBLE = 1
@@ -56,27 +60,33 @@
 def plan_membership(
     now: int, membership: Membership, candidates: Iterable[Candidate], leader: str, target_voters: int
 ) -> Membership | None:
-    """The joint membership that `leader` should propose at `now` (ns) on top of `membership`, which is committed.
+    """Return the joint membership that the leader should propose.
 
-    `target_voters`: how many voters bear the losses that the platform demands, 2 * losses + 1. None: nothing is to be
-    changed, a change is under way, or too few voters are in touch to carry one.
+    None: nothing is to be changed, a change is under way, or too few voters are in touch to complete one.
+
+    :param membership: the present one, which is committed.
+    :param leader: identity of the leader, which asks.
+    :param target_voters: how many voters tolerate the losses that the platform demands, 2 * losses + 1.
     """
     if membership.joint or leader not in membership.voters:
         return None
-    view = _View(now, membership, candidates, leader)
-    voters = _without_surplus(membership.voters, view, target_voters)
-    voters, standbys = _replaced(voters, view)
-    voters = _grown(voters, standbys, view, target_voters)
+    members = _Members(now, membership, candidates, leader)
+    voters = _without_surplus(membership.voters, members, target_voters)
+    voters, standbys = _with_replacements(voters, members)
+    voters = _with_additions(voters, standbys, members, target_voters)
     if set(voters) == set(membership.voters):
         return None
-    in_touch = view.in_touch()
+    in_touch = members.in_touch()
     if not has_majority(membership.voters, in_touch) or not has_majority(tuple(voters), in_touch):
         return None
-    return _joint(membership, voters, view)
+    return _joint(membership, voters, members)
 
 
 def finish(membership: Membership) -> Membership:
-    """The membership that ends the change `membership`, to be proposed once that one is committed."""
+    """Return the membership that ends a change, to be proposed once the joint one is committed.
+
+    :raises ValueError: `membership` is not joint.
+    """
     if not membership.joint:
         raise ValueError(f"membership of epoch {membership.epoch} is not joint")
     return Membership(
@@ -87,20 +97,20 @@
 
 
 def successor(now: int, membership: Membership, candidates: Iterable[Candidate], leader: str) -> str | None:
-    """Whom the leader should transfer leadership to now, or None if it should go on leading.
+    """Return whom the leader should transfer leadership to now, or None if it should go on leading.
 
     It hands over when it is leaving; when a change that it is no voter of awaits its end; and when it is not eligible
-    while another could have its place. The successor is a voter that stays, has answered lately and is caught up.
+    while a standby could replace it. The successor is a voter that stays, has answered lately and is caught up.
     """
-    view = _View(now, membership, candidates, leader)
-    if not view.leader_should_go():
+    members = _Members(now, membership, candidates, leader)
+    if not members.leader_should_hand_over():
         return None
-    able = [voter for voter in membership.voters if voter != leader and view.may_lead(voter)]
-    return min(able, key=view.order, default=None)
+    able = [voter for voter in membership.voters if voter != leader and members.may_lead(voter)]
+    return min(able, key=members.order, default=None)
 
 
-class _View:
-    """What the leader knows at one moment, by identity."""
+class _Members:
+    """What the leader knows of all members at one moment, by identity."""
 
     def __init__(self, now: int, membership: Membership, candidates: Iterable[Candidate], leader: str) -> None:
         self._now = now
@@ -110,7 +120,7 @@
         self._running = self._last_heard_by_address()
 
     def _last_heard_by_address(self) -> dict[str, str]:
-        """Which identity runs at each address: the last one heard there, as a former one can't return."""
+        """Return which identity runs at each address: the last one heard there, as a former one can't return."""
         running: dict[str, str] = {}
         for identity in sorted(self._known):
             address = address_of(identity)
@@ -130,11 +140,11 @@
         return self._membership.zones.get(identity, "")
 
     def order(self, identity: str) -> tuple[str, str]:
-        """The order in which members are taken where nothing else decides."""
+        """Return the sort key by which members are taken where nothing else decides."""
         return self.zone(identity), identity
 
     def condition(self, voter: str) -> Condition:
-        """Why `voter` should give up its place. The leader is sound; `successor` looks after it."""
+        """Return why `voter` should be replaced. The leader is sound; `successor` looks after it."""
         if voter == self._leader:
             return Condition.SOUND
         if self._running.get(address_of(voter), voter) != voter:
@@ -142,7 +152,7 @@
         candidate = self._known.get(voter)
         if candidate is None:
             return Condition.SOUND
-        if self._now - candidate.heard_at >= REPLACE_AFTER:
+        if self._now - candidate.heard_at >= VOTER_TIMEOUT_NS:
             return Condition.SILENT
         if candidate.leaving:
             return Condition.LEAVING
@@ -150,8 +160,17 @@
             return Condition.INELIGIBLE
         return Condition.SOUND
 
+    def should_be_replaced(self, voter: str) -> bool:
+        if self.is_leader(voter):
+            return self._leaves_no_voter_to_lead()
+        return self.condition(voter) is not Condition.SOUND
+
+    def _leaves_no_voter_to_lead(self) -> bool:
+        """Whether the leader is to hand over and is the one voter, so that nobody could take over."""
+        return self._membership.voters == (self._leader,) and self.leader_should_hand_over()
+
     def in_touch(self) -> frozenset[str]:
-        """The leader, and all that run and were heard since `REPLACE_AFTER`."""
+        """Return the leader and all running members that are not silent."""
         heard = [
             identity
             for identity in self._known
@@ -159,7 +178,7 @@
         ]
         return frozenset([self._leader, *heard])
 
-    def may_count(self, identity: str) -> bool:
+    def may_vote(self, identity: str) -> bool:
         """Whether this member may be made a voter."""
         candidate = self._known[identity]
         return (
@@ -167,22 +186,19 @@
             and candidate.eligible
             and candidate.caught_up
             and not candidate.leaving
-            and self._now - candidate.heard_at < NEWCOMER_HEARD_WITHIN
+            and self._now - candidate.heard_at < STANDBY_TIMEOUT_NS
         )
 
     def may_lead(self, voter: str) -> bool:
-        return voter in self._known and self.may_count(voter)
+        return voter in self._known and self.may_vote(voter)
 
     def standbys(self) -> list[str]:
-        """Who could become a voter now, in order."""
+        """Return who could become a voter now, in order."""
         voters = self._membership.voters
-        return sorted((one for one in self._known if one not in voters and self.may_count(one)), key=self.order)
+        able = [identity for identity in self._known if identity not in voters and self.may_vote(identity)]
+        return sorted(able, key=self.order)
 
-    def heir(self, voter: str, standbys: list[str]) -> str | None:
-        """The standby at the address of a voter whose disk was lost."""
-        return next((one for one in standbys if address_of(one) == address_of(voter)), None)
-
-    def leader_should_go(self) -> bool:
+    def leader_should_hand_over(self) -> bool:
         if self._leader not in self._membership.voters:
             return True
         candidate = self._known.get(self._leader)
@@ -190,92 +206,93 @@
             return False
         return candidate.leaving or (not candidate.eligible and bool(self.standbys()))
 
-    def sole_leader_leaves(self) -> bool:
-        """Nobody could take over leadership, as the leader is the one voter, and it is about to stop."""
-        return self._membership.voters == (self._leader,) and self.leader_should_go()
 
+def _without_surplus(voters: tuple[str, ...], members: _Members, target_voters: int) -> list[str]:
+    """Return `voters` without those beyond `target_voters`; the leader stays.
 
-def _without_surplus(voters: tuple[str, ...], view: _View, target_voters: int) -> list[str]:
-    """`voters` without those beyond `target_voters`: whoever should give up its place first, then from the zones with
-    most voters. The leader stays."""
+    Dropped first is whoever should be replaced most urgently, then one from the zone with most voters.
+    """
     kept = list(voters)
     while len(kept) > max(1, target_voters):
-        places = _places(kept, view)
-        droppable = [voter for voter in kept if not view.is_leader(voter)]
-        kept.remove(max(droppable, key=lambda one: (view.condition(one), places[view.zone(one)], view.order(one))))
+        in_zone = _voters_by_zone(kept, members)
+        droppable = [voter for voter in kept if not members.is_leader(voter)]
+        surplus = max(
+            droppable,
+            key=lambda voter: (members.condition(voter), in_zone[members.zone(voter)], members.order(voter)),
+        )
+        kept.remove(surplus)
     return kept
 
 
-def _replaced(voters: list[str], view: _View) -> tuple[list[str], list[str]]:
-    """`voters` with standbys in the places of those that should give them up, most urgent first, and the standbys that
-    are left. A machine that lost its disk takes its own former place before any other gets it."""
-    voters, standbys = list(voters), view.standbys()
-    unsound = [voter for voter in sorted(voters, key=view.order) if _should_go(voter, view)]
-    unsound.sort(key=view.condition, reverse=True)
+def _with_replacements(voters: list[str], members: _Members) -> tuple[list[str], list[str]]:
+    """Return `voters` with standbys instead of those that should be replaced, and the standbys that are left.
+
+    The most urgent are replaced first. A machine that lost its disk replaces its own former identity before any other
+    member does.
+    """
+    voters, standbys = list(voters), members.standbys()
+    unsound = [voter for voter in sorted(voters, key=members.order) if members.should_be_replaced(voter)]
+    unsound.sort(key=members.condition, reverse=True)
     for voter in list(unsound):
-        heir = view.heir(voter, standbys)
-        if heir is not None:
-            _give_place(voters, standbys, voter, heir)
+        replacement = _at_same_address(voter, standbys)
+        if replacement is not None:
+            _replace(voters, standbys, voter, replacement)
             unsound.remove(voter)
     for voter in unsound:
         if not standbys:
             break
-        _give_place(voters, standbys, voter, _best_standby(voters, standbys, voter, view))
+        _replace(voters, standbys, voter, _best_replacement(voters, standbys, voter, members))
     return voters, standbys
 
 
-def _should_go(voter: str, view: _View) -> bool:
-    if view.is_leader(voter):
-        return view.sole_leader_leaves()
-    return view.condition(voter) is not Condition.SOUND
+def _at_same_address(voter: str, standbys: list[str]) -> str | None:
+    """Return the standby at the address of a voter whose disk was lost."""
+    return next((standby for standby in standbys if address_of(standby) == address_of(voter)), None)
 
 
-def _give_place(voters: list[str], standbys: list[str], voter: str, newcomer: str) -> None:
-    voters[voters.index(voter)] = newcomer
-    standbys.remove(newcomer)
+def _replace(voters: list[str], standbys: list[str], voter: str, replacement: str) -> None:
+    voters[voters.index(voter)] = replacement
+    standbys.remove(replacement)
 
 
-def _best_standby(voters: list[str], standbys: list[str], voter: str, view: _View) -> str:
-    """Who takes the place of `voter`: one of its zone, else one of the zone with fewest voters."""
-    same_zone = [one for one in standbys if view.zone(one) == view.zone(voter)]
+def _best_replacement(voters: list[str], standbys: list[str], voter: str, members: _Members) -> str:
+    """Return who replaces `voter`: one of its zone, else one of the zone with fewest voters."""
+    same_zone = [standby for standby in standbys if members.zone(standby) == members.zone(voter)]
     if same_zone:
         return same_zone[0]
-    return _most_apart([one for one in voters if one != voter], standbys, view)
+    return _of_zone_with_fewest([other for other in voters if other != voter], standbys, members)
 
 
-def _grown(voters: list[str], standbys: list[str], view: _View, target_voters: int) -> list[str]:
-    """`voters` with as many standbys as raise the number of losses that are borne, up to `target_voters`."""
-    size = min(target_voters, len(voters) + len(standbys))
-    size -= 1 - size % 2  # an even number bears no more losses than the odd one below
+def _with_additions(voters: list[str], standbys: list[str], members: _Members, target_voters: int) -> list[str]:
+    """Return `voters` with as many standbys as raise the number of tolerated losses, up to `target_voters`."""
+    count = min(target_voters, len(voters) + len(standbys))
+    count -= 1 - count % 2  # an even number tolerates no more losses than the odd one below
     voters, standbys = list(voters), list(standbys)
-    while len(voters) < size:
-        newcomer = _most_apart(voters, standbys, view)
-        voters.append(newcomer)
-        standbys.remove(newcomer)
+    while len(voters) < count:
+        addition = _of_zone_with_fewest(voters, standbys, members)
+        voters.append(addition)
+        standbys.remove(addition)
     return voters
 
 
-def _most_apart(voters: list[str], standbys: list[str], view: _View) -> str:
-    """The standby of the zone with fewest voters."""
-    places = _places(voters, view)
-    return min(standbys, key=lambda one: (places.get(view.zone(one), 0), view.order(one)))
+def _of_zone_with_fewest(voters: list[str], standbys: list[str], members: _Members) -> str:
+    """Return the standby of the zone with fewest voters."""
+    in_zone = _voters_by_zone(voters, members)
+    return min(standbys, key=lambda standby: (in_zone[members.zone(standby)], members.order(standby)))
 
 
-def _places(voters: list[str], view: _View) -> dict[str, int]:
-    """How many of `voters` are in each zone."""
-    places: dict[str, int] = {}
-    for voter in voters:
-        places[view.zone(voter)] = places.get(view.zone(voter), 0) + 1
-    return places
+def _voters_by_zone(voters: list[str], members: _Members) -> Counter[str]:
+    """Return how many of `voters` are in each zone."""
+    return Counter(members.zone(voter) for voter in voters)
 
 
-def _joint(membership: Membership, voters: list[str], view: _View) -> Membership:
-    """The change from `membership` to `voters`, under way."""
-    ordered = tuple(sorted(voters, key=view.order))
+def _joint(membership: Membership, voters: list[str], members: _Members) -> Membership:
+    """Return the change from `membership` to `voters`, under way."""
+    ordered = tuple(sorted(voters, key=members.order))
     all_voters = dict.fromkeys((*ordered, *membership.voters))
     return Membership(
         epoch=membership.epoch + 1,
         voters=ordered,
         outgoing=membership.voters,
-        zones={one: view.zone(one) for one in all_voters if view.zone(one)},
+        zones={voter: members.zone(voter) for voter in all_voters if members.zone(voter)},
     )
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -13,7 +13,7 @@
 MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 64 << 10, 1 << 20  # of entries in flight; the last entry may exceed the window
 FAST_CONFIRMATION_NS = 400 * MILLISECOND  # an entry confirmed sooner widens the window
 SLOW_CONFIRMATION_NS = 600 * MILLISECOND  # an entry confirmed later narrows it
-SILENCE_TIMEOUT_NS = 1 * SECOND  # a follower that has not replied for longer is sent no snapshot
+FOLLOWER_TIMEOUT_NS = 1 * SECOND  # a follower that has not replied for longer is sent no snapshot
 CHUNK_RETRY_INTERVAL_NS = 1 * SECOND  # without progress; doubled with each retry
 MAX_CHUNK_RETRY_INTERVAL_NS = 8 * SECOND
 CAUGHT_UP_LAG_ENTRIES = 8  # that a follower may lack and yet count as caught up
@@ -67,7 +67,7 @@
 
     def silent(self, now: int) -> bool:
         """Whether it has not replied for a while, or never."""
-        return now - self.heard_at > SILENCE_TIMEOUT_NS or self.heard_at == 0
+        return now - self.heard_at > FOLLOWER_TIMEOUT_NS or self.heard_at == 0
 
     def caught_up(self, commit_index: int) -> bool:
         """Whether it has all that is committed but for a little that may be in flight."""
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership_planning.py
@@ -12,18 +12,18 @@
 from kestrelplank.consensus.identity import identity_of
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.membership_planning import (
-    NEWCOMER_HEARD_WITHIN,
-    REPLACE_AFTER,
-    SECOND,
+    STANDBY_TIMEOUT_NS,
+    VOTER_TIMEOUT_NS,
     Candidate,
     finish,
     plan_membership,
     successor,
 )
+from kestrelplank.time_units import SECOND
 
 NOW = 100 * SECOND
 RECENTLY = 50_000_000  # ns since a member in touch was heard
-HEARD_BEFORE = {"silent": REPLACE_AFTER, "fading": NEWCOMER_HEARD_WITHIN}
+HEARD_BEFORE = {"silent": VOTER_TIMEOUT_NS, "fading": STANDBY_TIMEOUT_NS}
 
 
 def identity(name):
@@ -199,15 +199,15 @@
 
 def test_a_newcomer_counts_up_to_a_second_after_it_was_heard():
     a, b, c, d = candidates("a b c:silent d")
-    fresh = Candidate(d.identity, "", True, False, NOW - NEWCOMER_HEARD_WITHIN + 1, True)
-    stale = Candidate(d.identity, "", True, False, NOW - NEWCOMER_HEARD_WITHIN, True)
+    fresh = Candidate(d.identity, "", True, False, NOW - STANDBY_TIMEOUT_NS + 1, True)
+    stale = Candidate(d.identity, "", True, False, NOW - STANDBY_TIMEOUT_NS, True)
     assert plan_membership(NOW, group("a b c"), [a, b, c, fresh], identity("a"), 3) is not None
     assert plan_membership(NOW, group("a b c"), [a, b, c, stale], identity("a"), 3) is None
 
 
 def test_a_voter_is_silent_from_two_seconds_on():
     a, b, c, d = candidates("a b c d")
-    for silence, expected in ((REPLACE_AFTER - 1, None), (REPLACE_AFTER, "a b d")):
+    for silence, expected in ((VOTER_TIMEOUT_NS - 1, None), (VOTER_TIMEOUT_NS, "a b d")):
         quiet = Candidate(c.identity, "", True, False, NOW - silence, True)
         planned = plan_membership(NOW, group("a b c"), [a, b, quiet, d], identity("a"), 3)
         assert (planned and names(planned.voters)) == expected
