--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -12,7 +12,7 @@
 from kestrelplank.forwarding.forwarder import Forwarder
 from kestrelplank.forwarding.resend import Seen
 from kestrelplank.forwarding.steps import Send
-from kestrelplank.sharding.key_ranges import KEYS
+from kestrelplank.sharding.key_range import KEY_COUNT
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
@@ -70,7 +70,7 @@
         for _ in range(REQUESTS):
             self.now += S // PER_S
             service = self.random.choice(self.services)
-            key = str(self.random.randrange(KEYS))
+            key = str(self.random.randrange(KEY_COUNT))
             found, step = self.forwarder.begin(self.now, "shop.example", f"/{service}/x", key, S)
             assert isinstance(step, Send), step
             self.forwarder.ended(self.now + 100 * MS, found, Seen.ANSWERED, (1, 0, 2))
@@ -94,8 +94,8 @@
     count = RANGES * len(listed)
     lines = [
         RangeHolder(
-            KEYS * at // count,
-            KEYS * (at + 1) // count - 1,
+            KEY_COUNT * at // count,
+            KEY_COUNT * (at + 1) // count - 1,
             listed[at % len(listed)][0],
             listed[at % len(listed)][2],
         )
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -11,7 +11,7 @@
 from kestrelplank.control.bootstrap import started
 from kestrelplank.control.effects import CallServer
 from kestrelplank.control.member_profile import MemberProfile
-from kestrelplank.sharding.key_ranges import KEYS
+from kestrelplank.sharding.key_range import KEY_COUNT
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import LoadReport, decode_at_edge, decode_at_member
 from kestrelplank.transport.server_list import Entry
@@ -85,7 +85,7 @@
                 for answer in answers:
                     view.receive(now, ME, answer)
             if not (step + number) * S // 20 % REPORT:
-                keys = [random.randrange(KEYS) for _ in range(round(PER_S * REPORT / S / edges + random.random()))]
+                keys = [random.randrange(KEY_COUNT) for _ in range(round(PER_S * REPORT / S / edges + random.random()))]
                 servers_met = {f"i-{random.randrange(servers)}": (1, 0, 1.0, 1, 0.0, 0) for _ in keys}
                 report = over(LoadReport("views", keys, servers_met), decode_at_member, into)
                 began = time.process_time()
--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -4,11 +4,9 @@
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import Message
-from kestrelplank.sharding.key_ranges import KeyRange
+from kestrelplank.sharding.effects import ServerRequest
 from kestrelplank.transport.messages import ToEdge
 
-GRANT, RELEASE = "grant", "release"
-
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
@@ -35,15 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallServer:
-    """Call `server` at `address`: GRANT or RELEASE the keys of `line`; then `ControlMember.called`. A grant is not sent
-    any more at `until` (ns), when this member's lease runs out."""
+    """Grant or release keys at a server; then `ControlMember.handle_server_call_ended`.
+
+    A grant is not sent any more at `lease_until` (ns), when this member's lease runs out.
+    """
 
-    action: str
     service: str
-    server: str
-    address: str
-    line: KeyRange
-    until: int
+    request: ServerRequest
+    lease_until: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -28,17 +28,18 @@
     address_of,
 )
 from kestrelplank.consensus.node import ConsensusNode
-from kestrelplank.control.effects import Effect, KeepCopy, PushToEdges
+from kestrelplank.control.effects import CallServer, Effect, KeepCopy, PushToEdges
 from kestrelplank.control.member_lifecycle import MemberLifecycle
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.membership_reconciler import MembershipReconciler
 from kestrelplank.control.operator_calls import OperatorCalls
 from kestrelplank.control.peer_directory import PeerDirectory
 from kestrelplank.control.replica import Replica
+from kestrelplank.control.shard_assigner import ShardAssigner
 from kestrelplank.control.shard_assigners import ShardAssigners
-from kestrelplank.control.shard_assignment import ShardAssigner, key_ranges_update
+from kestrelplank.control.shard_record import key_ranges_update
 from kestrelplank.control.status import MemberStatus, peer_status, service_status
-from kestrelplank.sharding.key_ranges import KeyRange
+from kestrelplank.sharding.effects import CallOutcome
 from kestrelplank.state.control_state import ApplyResult, ControlState
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
@@ -144,16 +145,14 @@
             self.replica.emit(PushToEdges(news))
         return self._done(now)
 
-    def called(
-        self, now: int, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
-    ) -> list[Effect]:
-        """A grant or release has ended. `sent`: something of it left us; `status`: the answer's, None without one."""
-        self._keys.called(now, service, action, line, sent, status, handover)
+    def handle_server_call_ended(self, now: int, call: CallServer, outcome: CallOutcome) -> list[Effect]:
+        """A grant or release has ended."""
+        self._keys.handle_call_ended(now, call, outcome)
         return self._done(now)
 
     def load_report(self, now: int, report: LoadReport) -> None:
         """What an edge machine has seen of servers and keys."""
-        self._keys.load_report(now, report)
+        self._keys.handle_load_report(now, report)
 
     def tick(self, now: int, log_size: int = 0) -> list[Effect]:
         """What is due, at least every 50 ms. `log_size`: bytes of the log on disk."""
@@ -206,7 +205,7 @@
                 self._voters.elected(now)
             else:
                 self.replica.log("leads no longer")
-                self._keys.keep_only([])
+                self._keys.stop_leading()
                 self._calls.deposed()
 
     def _applied(self, now: int, entry: Entry) -> None:
@@ -217,7 +216,7 @@
         if result.in_force is not None:
             self._in_force(now, result)
         if isinstance(command, PutRecord):
-            self._keys.recorded(now, entry, command)
+            self._keys.handle_record_committed(now, entry, command)
         self._calls.applied(entry, result.in_force is not None)
 
     def _in_force(self, now: int, result: ApplyResult) -> None:
@@ -252,7 +251,7 @@
     def _listed(self, now: int, age: int, entries: list[tuple]) -> bool:
         changed = self.servers.take(now, age, entries)
         if changed:
-            self._keys.listed(now)
+            self._keys.handle_server_list(now)
         return changed
 
     # What edge machines are told.
@@ -265,10 +264,10 @@
         if force is not None and (beat.version is None or beat.version < force.version):
             answers.append(ConfigurationUpdate(force.version, force.text))
         for service in self.replica.sharded():
-            decider, record = self._keys.decider(now, service), self.replica.record(service)
-            place = decider.place if decider else record.place
+            assigner, record = self._keys.leading_assigner(now, service), self.replica.record(service)
+            place = assigner.version if assigner else record.version
             if beat.lines.get(service, KeyRangesVersion()) < place:
-                answers.append(decider.news() if decider else key_ranges_update(service, record))
+                answers.append(assigner.update() if assigner else key_ranges_update(service, record))
         if self.servers.fetched_at is not None and beat.servers != self.servers.digest():
             answers.append(self.servers.news(now))
         return answers
@@ -312,7 +311,7 @@
             servers=len(self.servers.entries),
             list_age_s=None if age is None else round(age / S, 3),
             services={
-                service: service_status(now, self._keys.decider(now, service), self.replica.record(service))
+                service: service_status(now, self._keys.leading_assigner(now, service), self.replica.record(service))
                 for service in self.replica.sharded()
             },
         )
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -34,7 +34,7 @@
 from kestrelplank.control.status import EdgeStatus, MemberStatus
 from kestrelplank.http.serve import Duties, listener, server
 from kestrelplank.settings.platform import Settings, ns
-from kestrelplank.sharding.key_ranges import KeyRange
+from kestrelplank.sharding.effects import CallOutcome
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, LoadReport, decode_at_member
 from kestrelplank.transport.sessions import Sessions
@@ -110,22 +110,19 @@
             wire.send(data)
 
     def _call_server(self, effect: CallServer) -> None:
-        calls = self.servers.get(effect.address)
+        address = effect.request.address
+        calls = self.servers.get(address)
         if calls is None:
-            calls = self.servers[effect.address] = ServerCalls(self.called, effect.address)
-        calls.queue.put_nowait(
-            ("call", effect.action, effect.service, effect.server, effect.address, effect.line, effect.until)
-        )
+            calls = self.servers[address] = ServerCalls(self.server_call_ended, address)
+        calls.put(effect)
 
     def persisted(self, number: int) -> None:
         """A write is durable."""
         self.carry_out(self.member.persisted(time.monotonic_ns(), number))
 
-    def called(
-        self, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
-    ) -> None:
+    def server_call_ended(self, call: CallServer, outcome: CallOutcome) -> None:
         """A grant or release has ended."""
-        self.carry_out(self.member.called(time.monotonic_ns(), service, action, line, sent, status, handover))
+        self.carry_out(self.member.handle_server_call_ended(time.monotonic_ns(), call, outcome))
 
     # Calls of the operator.
 
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -8,7 +8,7 @@
 from kestrelplank.consensus.messages import Command, Membership, Message
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.effects import Effect, LogLine, SendMessage
-from kestrelplank.control.shard_assignment import NOTHING, Record, read_record
+from kestrelplank.control.shard_record import NO_RECORD, ShardRecord, read_record
 from kestrelplank.state.control_state import ControlState
 
 COMPACT_FROM = 256 << 10  # bytes of the log on disk, besides twice the state, from which it is cut short
@@ -22,7 +22,7 @@
         self.node, self.state, self.committed = node, state, committed
         self.events: deque[consensus.Effect] = deque()
         self._effects: list[Effect] = []
-        self._records: dict[str, tuple[bytes, Record]] = {}  # decoded, by service
+        self._records: dict[str, tuple[bytes, ShardRecord]] = {}  # decoded, by service
         self._compacting: int | None = None  # the number of the write that cuts the log short
 
     # The log.
@@ -73,11 +73,11 @@
         force = self.state.parsed
         return [service.name for service in force.services.values() if service.sharded] if force else []
 
-    def record(self, service: str) -> Record:
+    def record(self, service: str) -> ShardRecord:
         """The newest record of a service."""
         data = self.state.records.get(service)
         if data is None:
-            return NOTHING
+            return NO_RECORD
         known = self._records.get(service)
         if known is None or known[0] is not data:
             known = self._records[service] = (data, read_record(data))
--- /dev/null
+++ b/kestrelplank/control/shard_assigner.py
@@ -0,0 +1,186 @@
+"""One sharded service as the leader decides for it.
+
+That is: which server holds which keys, what of that is recorded in the log, and what edge machines are sent. No I/O.
+
+Key ranges are recorded in the log (`CommitRecord`), then granted. Edge machines are sent a record once it is
+committed, and ranges that leave their server at once.
+"""
+
+from dataclasses import dataclass
+from typing import assert_never
+
+from kestrelplank.control.shard_record import ShardRecord, encode_record, range_holders
+from kestrelplank.sharding.effects import (
+    CallOutcome,
+    GrantKeyRange,
+    KeyRangeReleasing,
+    KeyRangeStalled,
+    KeyRangeUnownedFor,
+    RecordKeyRanges,
+    ReleaseKeyRange,
+    ServerRequest,
+)
+from kestrelplank.sharding.key_range import KEY_COUNT, KeyRange, KeyRangeState, RecordedKeyRange
+from kestrelplank.sharding.key_ranges import KeyRanges
+from kestrelplank.sharding.placement import Placement
+from kestrelplank.sharding.shard_server import ShardServer
+from kestrelplank.time_units import MILLISECOND, SECOND
+from kestrelplank.transport.edge_view import KeyRangeTable
+from kestrelplank.transport.messages import KeyRangesDelta, KeyRangesUpdate, KeyRangesVersion, RangeHolder
+
+FIRST_RANGES_PER_SERVER = 4
+LIST_SETTLING_NS = 1600 * MILLISECOND  # unchanged for so long, the first list is taken as complete: it fills slowly
+
+
+@dataclass(frozen=True, slots=True)
+class CommitRecord:
+    """Have this record committed in the log, then call `ShardAssigner.handle_record_committed`."""
+
+    record: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class PushKeyRanges:
+    """Send `message` to every edge machine."""
+
+    message: KeyRangesUpdate | KeyRangesDelta
+
+
+ShardAssignerEffect = CommitRecord | PushKeyRanges | ServerRequest | KeyRangeUnownedFor | KeyRangeStalled
+
+
+class ShardAssigner:
+    """Decides for one service as long as this member leads.
+
+    :param term: the leader's term in the log.
+    :param record: the newest record in the log.
+    :param latency_target_ns: within which the service's requests should be answered.
+    :param seed: of the placement's random draws.
+    """
+
+    def __init__(
+        self,
+        now: int,
+        service: str,
+        term: int,
+        record: ShardRecord,
+        servers: list[ShardServer],
+        latency_target_ns: int,
+        seed: int,
+    ) -> None:
+        self.service = service
+        self.key_ranges = KeyRanges(now, term, record.ranges)
+        self.key_ranges.handle_server_list(now, servers)
+        self.placement = Placement(now, seed, self.key_ranges, latency_target_ns, record.learned_speeds)
+        self._term = term
+        self._record_number = 0
+        self._committed = record
+        self._proposed: ShardRecord | None = None
+        self._version = record.version
+
+    @property
+    def version(self) -> KeyRangesVersion:
+        """What an edge machine has that was sent everything."""
+        return self._version
+
+    def unowned_s(self) -> float:
+        """Return the seconds that keys had no holder since this member leads, times their share of all keys."""
+        return self.key_ranges.unowned_key_ns / KEY_COUNT / SECOND
+
+    # What has happened.
+
+    def handle_server_list(self, now: int, servers: list[ShardServer]) -> None:
+        """Take the platform's list, as it has changed."""
+        self.key_ranges.handle_server_list(now, servers)
+        self.placement.handle_server_list()
+
+    def handle_call_ended(self, now: int, request: ServerRequest, outcome: CallOutcome) -> bool:
+        """Take the end of a grant or release.
+
+        Returns whether to call `tick` at once: the answer to a renewal changes nothing that can't wait.
+        """
+        if request.key_range not in self.key_ranges.ranges:
+            return False
+        self.key_ranges.handle_call_ended(now, request, outcome)
+        return request.key_range.state is not KeyRangeState.HELD
+
+    def handle_record_committed(self, now: int) -> PushKeyRanges:
+        """Go on with the record that was proposed last, as it is committed."""
+        assert self._proposed is not None
+        record, self._proposed = self._proposed, None
+        self.key_ranges.handle_recorded(now)
+        changes = self._changes(record)
+        since, self._committed, self._version = self._version, record, record.version
+        return PushKeyRanges(KeyRangesDelta(self.service, since, self._version, changes))
+
+    def _changes(self, record: ShardRecord) -> list[RangeHolder]:
+        """Return what `record` changes for edge machines.
+
+        Ranges are compared by their tokens, as one may have left its server and come back to it.
+        """
+        known = {(old.first, old.last, old.fencing_token) for old in self._committed.ranges}
+        holders = {
+            key_range.first: key_range.server if key_range.state is KeyRangeState.HELD else ""
+            for key_range in self.key_ranges.ranges
+        }
+        changes = []
+        for new in record.ranges:
+            if (new.first, new.last, new.fencing_token) in known:
+                continue
+            if holders.get(new.first, new.server) == new.server:
+                changes.append(RangeHolder(new.first, new.last, new.server, new.address))
+            else:  # it has been taken from that server since the record was proposed
+                changes.append(without_holder(new))
+        return changes
+
+    # What follows.
+
+    def tick(self, now: int, list_changed_at: int) -> list[ShardAssignerEffect]:
+        """Return what is due. Only while this member leads."""
+        if not self.key_ranges.ranges:
+            if not self.key_ranges.servers or now - list_changed_at < LIST_SETTLING_NS:
+                return []
+            self.key_ranges.divide(FIRST_RANGES_PER_SERVER * len(self.key_ranges.servers))
+        self.placement.tick(now)
+        effects: list[ShardAssignerEffect] = []
+        releasing: list[KeyRange] = []
+        for effect in self.key_ranges.tick(now):
+            match effect:
+                case RecordKeyRanges(ranges):
+                    effects.append(self._propose(ranges))
+                case KeyRangeReleasing(key_range):
+                    releasing.append(key_range)
+                case GrantKeyRange() | ReleaseKeyRange() | KeyRangeUnownedFor():
+                    effects.append(effect)
+                case _:
+                    assert_never(effect)
+        effects += self.key_ranges.newly_stalled(now)
+        # Edge machines hear first of what leaves its server, as requests for these keys had better wait.
+        return [self._push_releasing(releasing), *effects] if releasing else effects
+
+    def _propose(self, ranges: list[RecordedKeyRange]) -> CommitRecord:
+        self._record_number += 1
+        self._proposed = ShardRecord(self._term, self._record_number, ranges, self.placement.learned_speeds())
+        return CommitRecord(encode_record(self._proposed))
+
+    def _push_releasing(self, releasing: list[KeyRange]) -> PushKeyRanges:
+        since = self._version
+        self._version = KeyRangesVersion(since.term, since.record, since.notice + 1)
+        in_order = sorted(releasing, key=lambda key_range: key_range.first)
+        changes = [without_holder(key_range) for key_range in in_order]
+        return PushKeyRanges(KeyRangesDelta(self.service, since, self._version, changes))
+
+    def update(self) -> KeyRangesUpdate:
+        """Return all ranges for an edge machine that lacks some: as recorded, and what left its server since."""
+        recorded = KeyRangeTable(self._version, range_holders(self._committed.ranges))
+        releasing = []
+        for key_range in self.key_ranges.ranges:
+            holder = recorded.of(key_range.first)
+            if holder is not None and (key_range.state is not KeyRangeState.HELD or key_range.server != holder.server):
+                releasing.append(without_holder(key_range))
+        return KeyRangesUpdate(self.service, self._version, recorded.lines, releasing)
+
+
+def without_holder(key_range: KeyRange | RecordedKeyRange) -> RangeHolder:
+    """Return these keys, for edge machines, as held by no server."""
+    return RangeHolder(key_range.first, key_range.last, "", "")
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -2,133 +2,167 @@
 
 from dataclasses import dataclass
 from random import Random
+from typing import assert_never
 
 from kestrelplank.consensus.messages import Entry, PutRecord
-from kestrelplank.control import shard_assignment
 from kestrelplank.control.effects import CallServer, PushToEdges
 from kestrelplank.control.replica import Replica
-from kestrelplank.control.shard_assignment import ShardAssigner
-from kestrelplank.sharding.key_ranges import KeyRange, Server
+from kestrelplank.control.shard_assigner import CommitRecord, PushKeyRanges, ShardAssigner, ShardAssignerEffect
+from kestrelplank.sharding.effects import (
+    CallOutcome,
+    GrantKeyRange,
+    KeyRangeStalled,
+    KeyRangeUnownedFor,
+    ReleaseKeyRange,
+)
+from kestrelplank.sharding.shard_server import ShardServer
+from kestrelplank.time_units import SECOND
 from kestrelplank.transport.messages import LoadReport
 from kestrelplank.transport.server_list import READY, ServerList
 
-S = 1_000_000_000
+DEFAULT_LATENCY_TARGET_NS = SECOND  # of a service that no route leads to
 
 
 @dataclass(frozen=True, slots=True)
-class Laying:
-    """A record of a service that is on its way into the log."""
+class PendingRecord:
+    """A service's record that is on its way into the log: where it stands there."""
 
     index: int
     term: int
 
 
 class ShardAssigners:
-    """`servers`: the platform's list."""
+    """The assigners of all sharded services that this member has decided for since it leads.
+
+    :param servers: the platform's list.
+    """
 
     def __init__(self, random: Random, replica: Replica, servers: ServerList) -> None:
-        self._random, self._replica, self._servers = random, replica, servers
+        self._random = random
+        self._replica = replica
+        self._servers = servers
         self.by_service: dict[str, ShardAssigner] = {}
-        self._laying: dict[str, Laying] = {}
+        self._pending_records: dict[str, PendingRecord] = {}
 
-    def decider(self, now: int, service: str) -> ShardAssigner | None:
-        """Who decides for that service here, while this member leads."""
+    def leading_assigner(self, now: int, service: str) -> ShardAssigner | None:
+        """Return the service's assigner here, while this member leads."""
         return self.by_service.get(service) if self._replica.node.leads(now) else None
 
+    def stop_leading(self) -> None:
+        """Give up all services, as this member no longer leads."""
+        for service in list(self.by_service):
+            self._give_up(service, "this member no longer leads")
+
+    def keep_only(self, services: list[str]) -> None:
+        """Give up all other services, as the configuration in force divides only these by key."""
+        for service in [service for service in self.by_service if service not in services]:
+            self._give_up(service, "the configuration in force does not divide it by key")
+
+    def _give_up(self, service: str, reason: str) -> None:
+        del self.by_service[service]
+        self._pending_records.pop(service, None)
+        self._replica.log(f"{service}: no longer assigning its key ranges, as {reason}")
+
+    # What has happened.
+
     def tick(self, now: int) -> None:
-        """What a leader does in each tick; begins with services that it has not decided for yet."""
+        """Do what a leader does in each tick; begin with services that it has not decided for yet."""
         if self._servers.fetched_at is None:
             return
         for service in self._replica.sharded():
-            decider = self.by_service.get(service)
-            if decider is None:
-                decider = self._begin(now, service)
-            self._work(now, decider)
-
-    def called(
-        self, now: int, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
-    ) -> None:
-        """A grant or release has ended."""
-        decider = self.by_service.get(service)
-        if decider is not None and decider.called(now, action, line, sent, status, handover):
-            self._work(now, decider)
-
-    def recorded(self, now: int, entry: Entry, command: PutRecord) -> None:
-        """A record is committed; if it is the one that we proposed last, grants may follow."""
+            assigner = self.by_service.get(service)
+            if assigner is None:
+                assigner = self._begin(now, service)
+            self._tick(now, assigner)
+
+    def handle_call_ended(self, now: int, call: CallServer, outcome: CallOutcome) -> None:
+        """Take the end of a grant or release."""
+        assigner = self.by_service.get(call.service)
+        if assigner is not None and assigner.handle_call_ended(now, call.request, outcome):
+            self._tick(now, assigner)
+
+    def handle_record_committed(self, now: int, entry: Entry, command: PutRecord) -> None:
+        """Take a record that is committed; if it is the one that we proposed last, grants may follow."""
         service = command.service
-        laying, decider = self._laying.get(service), self.by_service.get(service)
-        if laying is None or decider is None or (laying.index, laying.term) != (entry.index, entry.term):
+        pending, assigner = self._pending_records.get(service), self.by_service.get(service)
+        if pending is None or assigner is None or (pending.index, pending.term) != (entry.index, entry.term):
             return
-        del self._laying[service]
-        told = decider.recorded(now)
+        del self._pending_records[service]
+        push = assigner.handle_record_committed(now)
         if self._replica.node.leads(now):
-            self._replica.emit(PushToEdges(told.news))
-            self._work(now, decider)
+            self._replica.emit(PushToEdges(push.message))
+            self._tick(now, assigner)
 
-    def listed(self, now: int) -> None:
-        """The platform's list says something new."""
-        for service, decider in self.by_service.items():
-            decider.listed(now, self._servers_of(service))
+    def handle_server_list(self, now: int) -> None:
+        """Take the platform's list, as it has changed."""
+        for service, assigner in self.by_service.items():
+            assigner.handle_server_list(now, self._servers_of(service))
 
-    def load_report(self, now: int, report: LoadReport) -> None:
-        """What an edge machine has seen of servers and keys."""
-        decider = self.by_service.get(report.service)
-        if decider is not None:
-            decider.placement.report(now, report.keys, report.servers)
+    def handle_load_report(self, now: int, report: LoadReport) -> None:
+        """Take an edge machine's report of keys and servers."""
+        assigner = self.by_service.get(report.service)
+        if assigner is not None:
+            assigner.placement.handle_load_report(now, report.keys, report.servers)
 
-    def keep_only(self, services: list[str]) -> None:
-        """Lets go of all others."""
-        for service in [service for service in self.by_service if service not in services]:
-            del self.by_service[service]
-            self._laying.pop(service, None)
-            self._replica.log(f"no longer deciding for {service}")
+    # What follows.
 
     def _begin(self, now: int, service: str) -> ShardAssigner:
         term = self._replica.node.term
-        decider = self.by_service[service] = ShardAssigner(
+        assigner = self.by_service[service] = ShardAssigner(
             now,
             service,
             term,
             self._replica.record(service),
             self._servers_of(service),
-            self._target(service),
+            self._latency_target_ns(service),
             self._random.getrandbits(32),
         )
-        self._replica.log(f"deciding for {service}, term {term}")
-        self._replica.emit(PushToEdges(decider.news()))
-        return decider
+        self._replica.log(f"{service}: assigning its key ranges, as this member leads term {term}")
+        self._replica.emit(PushToEdges(assigner.update()))
+        return assigner
 
-    def _work(self, now: int, decider: ShardAssigner) -> None:
-        """Does what is due for a service's lines."""
+    def _tick(self, now: int, assigner: ShardAssigner) -> None:
+        """Do what is due for a service's key ranges."""
         if not self._replica.node.leads(now):
             return
-        for step in decider.work(now, self._servers.changed_at):
-            self._do(now, decider.service, step)
-
-    def _do(self, now: int, service: str, step: shard_assignment.Step) -> None:
-        if isinstance(step, shard_assignment.Lay):
-            index = self._replica.propose(now, PutRecord(service, step.record))
-            if index is not None:
-                self._laying[service] = Laying(index, self._replica.node.term)
-        elif isinstance(step, shard_assignment.Tell):
-            self._replica.emit(PushToEdges(step.news))
-        elif isinstance(step, shard_assignment.Call):
-            until = self._replica.node.lease_until
-            self._replica.emit(CallServer(step.action, service, step.server, step.address, step.line, until))
-        else:
-            self._replica.log(f"{service}: {step.told()}")
-
-    def _servers_of(self, service: str) -> list[Server]:
+        for effect in assigner.tick(now, self._servers.changed_at):
+            self._carry_out(now, assigner.service, effect)
+
+    def _carry_out(self, now: int, service: str, effect: ShardAssignerEffect) -> None:
+        match effect:
+            case CommitRecord(record):
+                index = self._replica.propose(now, PutRecord(service, record))
+                if index is not None:
+                    self._pending_records[service] = PendingRecord(index, self._replica.node.term)
+            case PushKeyRanges(message):
+                self._replica.emit(PushToEdges(message))
+            case GrantKeyRange() | ReleaseKeyRange():
+                self._replica.emit(CallServer(service, effect, self._replica.node.lease_until))
+            case KeyRangeUnownedFor(keys, duration_ns):
+                duration_s = duration_ns / SECOND
+                self._replica.log(f"{service}: keys {keys.first}-{keys.last} had no holder for {duration_s:.3f} s")
+            case KeyRangeStalled(keys):
+                last_holder = keys.server or "nobody"
+                self._replica.log(
+                    f"{service}: keys {keys.first}-{keys.last} still have no holder, last was {last_holder}"
+                )
+            case _:
+                assert_never(effect)
+
+    def _servers_of(self, service: str) -> list[ShardServer]:
         fetched_at = self._servers.fetched_at or 0
         return [
-            Server(entry.server, entry.address, entry.zone, entry.slots, entry.state == READY, fetched_at + entry.warm)
+            ShardServer(
+                entry.server, entry.address, entry.zone, entry.slots, entry.state == READY, fetched_at + entry.warm
+            )
             for entry in self._servers.entries.values()
             if entry.service == service
         ]
 
-    def _target(self, service: str) -> int:
-        """Within which time (ns) the requests of a service should be answered."""
-        hosts = self._replica.state.parsed.hosts
-        routes = [route for places in hosts.values() for route in places.values()]
-        aims = [route.aim for route in routes if any(name == service for name, _ in route.split)]
-        return min(aims, default=S)
+    def _latency_target_ns(self, service: str) -> int:
+        """Return the shortest latency target of the routes that lead to the service."""
+        configuration = self._replica.state.parsed
+        assert configuration is not None, "it names the service"
+        routes = [route for paths in configuration.hosts.values() for route in paths.values()]
+        targets = [route.aim for route in routes if any(name == service for name, _ in route.split)]
+        return min(targets, default=DEFAULT_LATENCY_TARGET_NS)
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -3,8 +3,9 @@
 import msgspec
 
 from kestrelplank.consensus.progress import Progress
-from kestrelplank.control.shard_assignment import Record, ShardAssigner
-from kestrelplank.sharding.key_ranges import KeyRange
+from kestrelplank.control.shard_assigner import ShardAssigner
+from kestrelplank.control.shard_record import ShardRecord
+from kestrelplank.sharding.key_range import KeyRange
 
 S = 1_000_000_000
 
@@ -79,19 +80,19 @@
     return PeerStatus(peer.match, heard_s, peer.caught_up(commit))
 
 
-def service_status(now: int, decider: ShardAssigner | None, record: Record) -> ServiceStatus:
-    """A service, of which `record` is the newest in the log; `decider`: where this member decides for it."""
+def service_status(now: int, assigner: ShardAssigner | None, record: ShardRecord) -> ServiceStatus:
+    """A service, of which `record` is the newest in the log; `assigner`: where this member decides for it."""
     return ServiceStatus(
-        decides=decider is not None,
+        decides=assigner is not None,
         term=record.term,
         record=record.number,
-        bare_s=round(decider.bare(), 3) if decider else None,
-        lines=[line_status(now, line) for line in decider.lines.lines] if decider else [],
-        learnt=decider.placement.learnt() if decider else record.learnt,
+        bare_s=round(assigner.unowned_s(), 3) if assigner else None,
+        lines=[key_range_status(now, key_range) for key_range in assigner.key_ranges.ranges] if assigner else [],
+        learnt=assigner.placement.learned_speeds() if assigner else record.learned_speeds,
     )
 
 
-def line_status(now: int, line: KeyRange) -> LineStatus:
-    """A line of the decider's."""
-    runs_out_s = round((line.until - now) / S, 3)
-    return LineStatus(line.first, line.last, line.server, line.fence, line.state, runs_out_s)
+def key_range_status(now: int, keys: KeyRange) -> LineStatus:
+    """A key range of the assigner's."""
+    runs_out_s = round((keys.held_until - now) / S, 3)
+    return LineStatus(keys.first, keys.last, keys.server, keys.fencing_token, keys.state.value, runs_out_s)
--- /dev/null
+++ b/kestrelplank/emulator/sharded_service.py
@@ -0,0 +1,172 @@
+"""A sharded service on a clock of its own: servers with queues, a stream of requests, and who decides where keys are.
+
+No sockets. The stream and the work are drawn; waits, moves and late answers follow. Times are in seconds, but for those
+of the code under test.
+"""
+
+import math
+from bisect import bisect
+from collections.abc import Mapping, Sequence
+from itertools import accumulate
+from random import Random
+
+from kestrelplank.emulator.queueing_server import QueueingServer
+from kestrelplank.sharding.effects import CallOutcome, GrantKeyRange, RecordKeyRanges, ReleaseKeyRange
+from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState, RecordedKeyRange
+from kestrelplank.sharding.key_ranges import KeyRanges
+from kestrelplank.sharding.placement import Placement
+from kestrelplank.sharding.shard_server import ShardServer
+from kestrelplank.time_units import SECOND
+
+WORK_SPREAD = 0.8  # standard deviation of the logarithm of a request's work
+MOST_WORK = 6  # times the mean
+REPORT_PERIOD_S, TICKS_PER_REPORT = 0.5, 10
+TICK_S = REPORT_PERIOD_S / TICKS_PER_REPORT
+STARTED_AT = 100 * SECOND  # by the clock of the code under test
+
+
+class ShardedService:
+    """All servers of one service, `KeyRanges` and `Placement` over them, and a stream of requests.
+
+    Which keys they ask for follows a Zipf law over keys that lie side by side.
+    `hot_key`: a key that takes a share of all requests (key, share). `came`, `late`, `requests_by_server`: since the
+    last `run` began.
+
+    :param speeds: of the servers, as multiples of the usual.
+    :param mean_work_s: of a request, at the usual speed.
+    :param latency_target_s: beyond which an answer is late.
+    :param moves_keys: False where keys stay at the server that gets them first.
+    :param skew: exponent of the Zipf law.
+    :param popular_keys: number of keys that are asked for.
+    """
+
+    def __init__(
+        self,
+        seed: int,
+        speeds: Sequence[float],
+        requests_per_s: float,
+        mean_work_s: float,
+        latency_target_s: float,
+        *,
+        moves_keys: bool = True,
+        skew: float = 0.64,
+        popular_keys: int = 60_000,
+    ) -> None:
+        self.random = Random(seed)
+        self.servers = {f"s{number}": QueueingServer(2, speed) for number, speed in enumerate(speeds)}
+        self.first_popular_key = self.random.randrange(KEY_COUNT)
+        self.hot_key = (0, 0.0)
+        self.came = self.late = 0
+        self.requests_by_server = dict.fromkeys(self.servers, 0)
+        self._requests_per_s = requests_per_s
+        self._mean_work_s = mean_work_s
+        self._latency_target_s = latency_target_s
+        self._moves_keys = moves_keys
+        self._popularity = list(accumulate(1 / (rank + 1) ** skew for rank in range(popular_keys)))
+        self._time_s = 0.0
+        self._next_request_at = 0.0
+        self._waiting: list[tuple[float, int]] = []  # requests for keys that nobody holds: when they came, and the key
+        self._releases: list[tuple[float, ReleaseKeyRange]] = []  # when each is answered
+        self.begin_term(1, None, None)
+        self.key_ranges.divide(4 * len(speeds))
+
+    def begin_term(
+        self,
+        term: int,
+        recorded: Sequence[RecordedKeyRange] | None,
+        learned_speeds: Mapping[str, Sequence[float]] | None,
+    ) -> None:
+        """Another leader begins, with what the former one left."""
+        listed = [
+            ShardServer(name, f"{name}:80", "abc"[number % 3], 2, True, 0) for number, name in enumerate(self.servers)
+        ]
+        self.key_ranges = KeyRanges(self._now(), term, recorded)
+        self.key_ranges.handle_server_list(self._now(), listed)
+        latency_target_ns = round(self._latency_target_s * SECOND)
+        self.placement = Placement(self._now(), term, self.key_ranges, latency_target_ns, learned_speeds)
+
+    def run(self, seconds: float) -> float:
+        """Go on for so long. Return the share of requests that were late."""
+        self.came = self.late = 0
+        for name in self.requests_by_server:
+            self.requests_by_server[name] = 0
+        for _ in range(round(seconds / REPORT_PERIOD_S)):
+            self._run_report_period()
+        return self.late / max(1, self.came)
+
+    def busiest(self) -> float:
+        """Return the busiest server's requests over the mean, since the last `run` began."""
+        return max(self.requests_by_server.values()) * len(self.servers) / max(1, self.came)
+
+    def holder(self, firsts: list[int], key: int) -> str:
+        """Return the server that holds this key, "" while none does.
+
+        :param firsts: the first keys of all ranges.
+        """
+        key_range = self.key_ranges.ranges[bisect(firsts, key) - 1]
+        return key_range.server if key_range.state is KeyRangeState.HELD and key_range.recorded else ""
+
+    def _now(self) -> int:
+        return STARTED_AT + round(self._time_s * SECOND)
+
+    def _run_report_period(self) -> None:
+        keys: list[int] = []
+        for _ in range(TICKS_PER_REPORT):
+            self._time_s += TICK_S
+            keys += self._send_requests()
+            if self._moves_keys or not self.key_ranges.ranges[0].server:
+                self.placement.tick(self._now())
+            self._carry_out_effects()
+        for server in self.servers.values():
+            server.finish_until(self._time_s)
+        reports = {name: server.report() for name, server in self.servers.items() if server.attempts or server.answers}
+        self.placement.handle_load_report(self._now(), keys, reports)
+        for server in self.servers.values():
+            server.begin_report()
+
+    def _send_requests(self) -> list[int]:
+        """Send what waits for a holder, and what comes in this tick; return the keys of the latter."""
+        firsts = [key_range.first for key_range in self.key_ranges.ranges]
+        keys: list[int] = []
+        waiting, self._waiting = self._waiting, []
+        for came_at, key in waiting:
+            self._send(firsts, self._time_s - TICK_S, came_at, key)
+        while self._next_request_at < self._time_s:
+            keys.append(self._draw_key())
+            self._send(firsts, self._next_request_at, self._next_request_at, keys[-1])
+            self.came += 1
+            self._next_request_at += self.random.expovariate(self._requests_per_s)
+        return keys
+
+    def _draw_key(self) -> int:
+        if self.random.random() < self.hot_key[1]:
+            return self.hot_key[0]
+        rank = bisect(self._popularity, self.random.random() * self._popularity[-1])
+        return (self.first_popular_key + rank) % KEY_COUNT
+
+    def _send(self, firsts: list[int], at: float, came_at: float, key: int) -> None:
+        """Send a request to the server that holds its key, or have it wait for one."""
+        name = self.holder(firsts, key)
+        if not name:
+            self._waiting.append((came_at, key))
+            return
+        log_mean = math.log(self._mean_work_s) - WORK_SPREAD**2 / 2
+        work = min(self.random.lognormvariate(log_mean, WORK_SPREAD), MOST_WORK * self._mean_work_s)
+        self.late += self.servers[name].serve(at, work, key) - came_at > self._latency_target_s
+        self.requests_by_server[name] += 1
+
+    def _carry_out_effects(self) -> None:
+        """Commit records and answer grants at once, and releases when what runs on their keys has ended."""
+        now = self._now()
+        for release in [release for release in self._releases if release[0] <= self._time_s]:
+            self._releases.remove(release)
+            self.key_ranges.handle_call_ended(now, release[1], CallOutcome(True, 200, "h"))
+        for effect in self.key_ranges.tick(now):
+            if isinstance(effect, RecordKeyRanges):
+                self.key_ranges.handle_recorded(now)
+            elif isinstance(effect, GrantKeyRange):
+                self.key_ranges.handle_call_ended(now, effect, CallOutcome(True, 200))
+            elif isinstance(effect, ReleaseKeyRange):
+                keys = effect.key_range
+                free_at = self.servers[keys.server].free_of(keys.first, keys.last)
+                self._releases.append((free_at, effect))
--- /dev/null
+++ b/kestrelplank/sharding/effects.py
@@ -0,0 +1,66 @@
+"""What the leader's key ranges want done, and how a call to a server ended."""
+
+import msgspec
+
+from kestrelplank.sharding.key_range import KeyRange, RecordedKeyRange
+
+
+class GrantKeyRange(msgspec.Struct, frozen=True):
+    """Grant the keys to this server, or renew its lease; then `KeyRanges.handle_call_ended`.
+
+    The server is named here too, as the range may pass to another one while the call is out.
+    """
+
+    server: str
+    address: str
+    key_range: KeyRange
+
+
+class ReleaseKeyRange(msgspec.Struct, frozen=True):
+    """Have this server give the keys up; then `KeyRanges.handle_call_ended`."""
+
+    server: str
+    address: str
+    key_range: KeyRange
+
+
+class RecordKeyRanges(msgspec.Struct, frozen=True):
+    """Have the log commit where all keys are; then `KeyRanges.handle_recorded`."""
+
+    ranges: list[RecordedKeyRange]
+
+
+class KeyRangeReleasing(msgspec.Struct, frozen=True):
+    """The range was just taken from its server: whoever sends it requests should know."""
+
+    key_range: KeyRange
+
+
+class KeyRangeUnownedFor(msgspec.Struct, frozen=True):
+    """The keys had no holder for `duration_ns`, and have one now."""
+
+    key_range: KeyRange
+    duration_ns: int
+
+
+class KeyRangeStalled(msgspec.Struct, frozen=True):
+    """The keys have had no holder for `STALLED_AFTER_NS`, and still have none."""
+
+    key_range: KeyRange
+
+
+ServerRequest = GrantKeyRange | ReleaseKeyRange
+KeyRangesEffect = ServerRequest | RecordKeyRanges | KeyRangeReleasing | KeyRangeUnownedFor
+
+
+class CallOutcome(msgspec.Struct, frozen=True):
+    """How a grant or release ended.
+
+    :param sent: something of it left us.
+    :param status: the answer's; None if no complete answer came.
+    :param handover: what the answer carried for the next holder.
+    """
+
+    sent: bool
+    status: int | None = None
+    handover: str | None = None
--- /dev/null
+++ b/kestrelplank/sharding/greedy_pass.py
@@ -0,0 +1,168 @@
+"""The decision module's greedy pass (`policy.Conductor`) over one service's key ranges.
+
+It is told of them in its own words: ranges are its slices, servers its nodes, the leader its only conductor. What
+happened is gathered as its events; `run` hands them over, and calls back for each range that it wants elsewhere.
+"""
+
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any
+
+from kestrelplank.policy import Conductor
+from kestrelplank.sharding.key_range import KeyRange, KeyRangeState
+from kestrelplank.sharding.request_window import REPORT_PERIOD_NS, WINDOW_NS
+from kestrelplank.sharding.shard_server import ShardServer
+from kestrelplank.time_units import MILLISECOND, SECOND
+
+IDLE_INTERVAL_NS = 100 * MILLISECOND  # how often the pass looks at what is due, where nothing has happened
+WARM_UP_NS = 3 * SECOND  # a server that has just started is slow for so long
+COLD_SHARE = 0.5  # of its weight, that it begins with
+
+
+class PlacementOrders:
+    """What the pass orders, gathered: the node that each slice is to be at. All else has no meaning here."""
+
+    def __init__(self) -> None:
+        self.nodes: dict[int, int] = {}
+
+    def line(self, table: int, node: int, weight: float) -> None:
+        """Put a slice at a node; a weight of 0 takes it from there, which its next node says as well."""
+        if weight:
+            self.nodes[table] = node
+
+    def ignore(self, *order: Any) -> None:
+        """Do nothing: edge machines get the ranges' record, and ask for what they lack."""
+
+    clear = take_out = level = mark = bind = probe = tell = share = watch = fetch = timer = forget = note = ignore
+
+
+class GreedyPass:
+    """One service's pass.
+
+    `numbers`: the slice's number of each range that the pass decides on.
+
+    :param latency_target_ns: within which the service's requests should be answered.
+    """
+
+    def __init__(self, seed: int, latency_target_ns: int) -> None:
+        self.numbers: dict[KeyRange, int] = {}
+        self._seed = seed
+        self._latency_target_ns = latency_target_ns
+        self._conductor: Conductor | None = None
+        self._orders = PlacementOrders()
+        self._events: list[tuple[Any, ...]] = []
+        self._last_number = 0
+        self._ranges: dict[int, KeyRange] = {}
+        self._nodes: dict[str, int] = {}
+        self._servers: dict[int, str] = {}
+        self._zones: dict[str, int] = {}
+        self._run_at = 0
+
+    @property
+    def started(self) -> bool:
+        """Whether `start` was called."""
+        return self._conductor is not None
+
+    def start(self, now: int) -> None:
+        """Begin: the pass's periods count from now on."""
+        self._conductor = Conductor(now, self._seed, conductor_settings(self._latency_target_ns))
+
+    # What happened since the last run.
+
+    def set_servers(self, now: int, servers: Mapping[str, ShardServer], slot_weights: Mapping[str, float]) -> None:
+        """Take all servers as listed, weighed by what is known of their speed."""
+        warming = sum(server.warming_until > now for server in servers.values())
+        # Where most are warming up the service itself has just started: then they are what there is.
+        heed_warming = 2 * warming < len(servers)
+        entries = []
+        for server in servers.values():
+            zone = self._zones.setdefault(server.zone, len(self._zones))
+            started_at = server.warming_until - WARM_UP_NS if heed_warming and server.warming_until > now else None
+            weight = server.slots * slot_weights.get(server.name, 1.0)
+            condition = "up" if server.ready else "draining"
+            entries.append((self._node(server.name), condition, zone, None, weight, started_at))
+        self._events.append(("roster", "full", entries))
+
+    def add_new_ranges(self, ranges: Iterable[KeyRange], excluded: Mapping[KeyRange, KeyRange]) -> None:
+        """Have the pass decide on those of `ranges` that it does not know yet, but for `excluded`."""
+        for key_range in ranges:
+            if key_range not in self.numbers and key_range not in excluded:
+                number = self._number(key_range)
+                self._events.append(("tenure", number, True))
+                if key_range.server and key_range.state is KeyRangeState.HELD:
+                    self._events.append(("line", number, self._node(key_range.server), 1.0))
+
+    def split_range(self, lower: KeyRange, upper: KeyRange, upper_share: float) -> None:
+        """Note that `upper` was split off from `lower`, with that share of its requests."""
+        number = self._number(upper)
+        self._events.append(("cut", self.numbers[lower], number, upper_share))
+
+    def remove_range(self, key_range: KeyRange) -> None:
+        """Have the pass decide on this range no more."""
+        number = self.numbers.pop(key_range)
+        del self._ranges[number]
+        self._events.append(("tenure", number, False))
+
+    def add_requests(self, key_range: KeyRange, requests: float) -> None:
+        """Count so many requests for the range's keys in this report period."""
+        if key_range in self.numbers:
+            self._events.append(("heat", self.numbers[key_range], 0, requests, 0, REPORT_PERIOD_NS))
+
+    def add_attempts(self, server: ShardServer, attempts: float, failures: float) -> None:
+        """Count so many attempts at the server in this report period."""
+        zone = self._zones.get(server.zone)
+        self._events.append(("tries", self._node(server.name), zone, attempts, failures, 0, REPORT_PERIOD_NS, {}))
+
+    # What follows.
+
+    def run(self, now: int, move: Callable[[int, KeyRange, str], None]) -> None:
+        """Call `move` for each range that is to go to another server, by what happened and what is due."""
+        assert self._conductor is not None
+        if not self._events and now < self._run_at:
+            return
+        self._run_at = now + IDLE_INTERVAL_NS
+        events, self._events = self._events, []
+        self._conductor.round(now, events, self._orders)
+        for number, node in self._orders.nodes.items():
+            move(now, self._ranges[number], self._servers[node])
+            self._run_at = now  # the pass moves a range in two steps: the next one is due at once
+        self._orders.nodes.clear()
+
+    def _number(self, key_range: KeyRange) -> int:
+        self._last_number += 1
+        self.numbers[key_range] = self._last_number
+        self._ranges[self._last_number] = key_range
+        return self._last_number
+
+    def _node(self, server: str) -> int:
+        if server not in self._nodes:
+            self._nodes[server] = len(self._nodes)
+            self._servers[self._nodes[server]] = server
+        return self._nodes[server]
+
+
+def conductor_settings(latency_target_ns: int) -> dict[str, Any]:
+    """Return what the pass is made with: slices have one owner, no channel is to be kept short, no level to be set."""
+    return {
+        "envelope": 0,
+        "most_waiting": 1e9,
+        "most_messages": 0,
+        "messages_span": SECOND,
+        "lines_per_s": 1e9,
+        "subscribe": False,
+        "report_every": REPORT_PERIOD_NS,
+        "evidence": WINDOW_NS,
+        "fall_multiple": 4.0,
+        "only_draining_binds": False,
+        "cold_from": COLD_SHARE,
+        "warm_up": WARM_UP_NS,
+        "exclusive": True,
+        "usual_again": 1,
+        "pick": "random",
+        "levels": "",
+        "op_types": [{"target_latency": latency_target_ns, "value": 1.0}],
+        "grace": 3 * SECOND,
+        "write_life": 0,
+        "lease": 0,
+        "may_tell": False,
+        "conductors": 1,
+    }
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -1,296 +1,277 @@
-"""The keys of one sharded service, as its decider handles them: who holds which range, renewals, moves, and what nobody
-holds. No I/O: each call returns effects; the adapter checks the claim once more right before it sends a grant.
+"""All key ranges of one sharded service while this member leads.
 
-    ("grant", server, address, line)      call the server; then `called`
-    ("release", server, address, line)    the same
-    ("lay", record)                       have a majority know the record, then call `laid`
-    ("leaving", line)                     it was just taken from its server: who sends it requests may know
-    ("bare", line, ns)                    these keys had no holder for so long, and have one now
-
-What keeps two servers from holding a key at once:
-
-- A line names the only server that may have been granted its keys. It is laid down before the first grant goes out.
-- Another server gets them after the old one answered the release, or after all holds have surely run out: counted from
-  when the last renewal can have arrived, at the servers' slowest clock. A call without an answer may have arrived
-- Fences grow with the ballot of the claim: a server that has seen our call refuses what a former one still sends.
+No I/O: `tick` returns effects, and the adapter checks the leader's lease once more right before it sends a grant.
 """
 
-from collections.abc import Iterable
-from typing import Any, NamedTuple
+from collections.abc import Iterable, Sequence
 
 from kestrelplank.forwarding.resend import Call, Ran, Seen, verdict
-
-S = 1_000_000_000
-KEYS = 65536
-HOLD = 4 * S  # what a grant is for: it outlives a decider that is lost, by much more than a claim runs
-RENEW = S
-CALL = 800_000_000  # a grant that has no answer by then is reset
-AGAIN = S // 5  # until a call that did not do it is made again
-SETTLE = 300_000_000  # after a reset, bytes that had left may still arrive
-SLOW = 102, 100  # a server's clock may measure a hold so much longer
-MARGIN = 100_000_000
-RELEASE = 2 * S  # a release is answered when running work has ended; after that only time helps
-BALLOT_FENCES = 1_000_000
-LEAPS = 24  # refusals, each answered with a higher fence, before a line is given to another server
-HELD, LEAVING, FREE = "held", "leaving", "free"
-STILL = 10 * S  # without a holder for so long, a line stands still: that is worth a line of the log
-GRANTED, FENCED = 200, 409  # a server's answers
-Effect = tuple[Any, ...]
-
-
-def seen_of(call: Call, sent: bool, status: int | None, handover: str | None) -> Seen:
-    """What the end of a grant or a release shows. A release is answered with a handover: a 200 without one is not its
-    answer, but may be an older grant's."""
-    if status is None:
-        return Seen.SILENT if sent else Seen.UNSENT
-    if status == GRANTED:
-        return Seen.UNREADABLE if call is Call.RELEASE and handover is None else Seen.ANSWERED
-    return Seen.NOT_RUN if 400 <= status < 500 else Seen.FAILED
-
-
-def runs_out(arrived: int) -> int:
-    """When a hold that was granted at that time at the latest has surely ended (ns)."""
-    return arrived + HOLD * SLOW[0] // SLOW[1] + MARGIN
-
-
-class Server(NamedTuple):
-    """A server of the service as the platform lists it."""
-
-    name: str
-    address: str
-    zone: str
-    slots: int
-    ready: bool
-    warm_at: int
-
-
-class KeyRange:
-    """Keys `first` to `last` (both included). `server` may hold them, `until` at the latest; `flying`: calls that have
-    not ended; `void`: the answer of the one that is out will be that of a server that is gone, and counts for nothing.
-    `fence` is the grant's, `handover` what it carries. LEAVING: taken from `server`, for `heir` if one is known. FREE:
-    `server` surely holds nothing. `bare_at`: since when nobody serves its keys, as far as is known; `still`: that it
-    stands still has been told."""
-
-    __slots__ = (
-        "first",
-        "last",
-        "server",
-        "address",
-        "fence",
-        "handover",
-        "state",
-        "until",
-        "flying",
-        "due",
-        "heir",
-        "laid",
-        "refused",
-        "bare_at",
-        "void",
-        "still",
-    )
-
-    def __init__(
-        self, first: int, last: int, server: str, address: str, fence: int, handover: str | None = None
-    ) -> None:
-        self.first, self.last, self.server, self.address = first, last, server, address
-        self.fence, self.handover = fence, handover
-        self.state, self.until, self.flying, self.due, self.refused = HELD, 0, 0, 0, 0
-        self.heir: str | None = None
-        self.bare_at: int | None = None
-        self.laid, self.void, self.still = True, False, False
-
-    def record(self) -> list[Any]:
-        return [self.first, self.last, self.server, self.address, self.fence, self.handover]
-
-    def cut(self, at: int) -> "KeyRange":
-        """Gives away the keys from `at` on, as a line of their own with all that holds of this one."""
-        other = KeyRange(at, self.last, self.server, self.address, self.fence, self.handover)
-        other.state, other.until, other.due, other.heir = self.state, self.until, self.due, self.heir
-        other.laid, other.bare_at = self.laid, self.bare_at
-        self.last = at - 1
-        return other
+from kestrelplank.sharding.effects import (
+    CallOutcome,
+    GrantKeyRange,
+    KeyRangeReleasing,
+    KeyRangesEffect,
+    KeyRangeStalled,
+    KeyRangeUnownedFor,
+    RecordKeyRanges,
+    ReleaseKeyRange,
+    ServerRequest,
+)
+from kestrelplank.sharding.key_range import KEY_COUNT, KeyRange, KeyRangeState, RecordedKeyRange
+from kestrelplank.sharding.shard_server import ShardServer
+from kestrelplank.sharding.timing import (
+    GRANT_TIMEOUT_NS,
+    LATE_DELIVERY_NS,
+    RELEASE_INTERVAL_NS,
+    RENEWAL_INTERVAL_NS,
+    RETRY_INTERVAL_NS,
+    STALLED_AFTER_NS,
+    latest_lease_end,
+)
+
+FENCING_TOKENS_PER_TERM = 1_000_000
+MAX_REFUSALS = 24  # grants refused in a row, each followed by a higher fencing token, before another server is tried
+GRANTED, FENCED = 200, 409  # statuses of a server's answers
+CLIENT_ERROR = 4  # first digit of a status by which the server says that it did nothing
+
+# As module names, since `tick` compares them for every range 20 times a second.
+HELD, RELEASING, UNOWNED = KeyRangeState.HELD, KeyRangeState.RELEASING, KeyRangeState.UNOWNED
 
 
 class KeyRanges:
-    """All lines of one service while we decide for it. `found`: what was laid down last, or None."""
-
-    def __init__(self, now: int, ballot: int, found: Any) -> None:
-        # Above all that former deciders laid down, though they had to leap over what servers had seen.
-        self.fence = max(ballot, *(parts[4] // BALLOT_FENCES + 1 for parts in found or ()), 0) * BALLOT_FENCES
-        self.lines: list[KeyRange] = []
-        for parts in found or ():
-            line = KeyRange(*parts)
-            line.until = runs_out(now + CALL + SETTLE)
-            self.lines.append(line)
-        self._laying: list[KeyRange] | None = None
-        self.servers: dict[str, Server] = {}
-        self.gone: dict[str, int] = {}  # server that the platform no longer lists, since when
-        self.moved = 0  # keys that changed hands
-        self.bare = 0  # ns that keys had no holder, times keys
-        self._news: list[Effect] = []
+    """All key ranges of one service, in the order of their keys.
+
+    What keeps two servers from holding a key at once:
+
+    - A recorded range names the only server that may have been granted its keys. It is committed in the log before the
+      first grant goes out (`test_neighbours_of_one_server_become_one_range_under_a_token_above_both`,
+      `test_each_safeguard_left_out_is_found_with_a_shortest_trace`, defect "no record").
+    - Another server gets the keys only after the old one answered the release
+      (`test_only_its_own_answer_ends_a_release`), or after every lease has surely ended
+      (`test_a_release_that_is_never_answered_is_waited_for_and_no_longer_than_the_lease`). A call without an answer may
+      have arrived, as late as `LATE_DELIVERY_NS` after it was reset
+      (`test_a_grant_that_may_have_arrived_may_hold_the_keys`).
+    - Fencing tokens grow with the leader's term and with each change, so a server that has heard from us refuses what a
+      former leader, or a former call of ours, still sends it
+      (`test_fencing_tokens_after_everything_was_lost_but_the_servers_live`).
+    - An answer to a call counts only for the server that it went to
+      (`test_the_answer_of_a_server_that_is_gone_counts_for_nothing`).
+
+    :param term: the leader's term in the log.
+    :param recorded: the ranges that were recorded last; None or empty if none ever were.
+    """
+
+    def __init__(self, now: int, term: int, recorded: Sequence[RecordedKeyRange] | None) -> None:
+        recorded = recorded or ()
+        # Above all that former leaders recorded, even if they had to exceed what servers had seen by far.
+        term = max(term, *(known.fencing_token // FENCING_TOKENS_PER_TERM + 1 for known in recorded), 0)
+        self.highest_token = term * FENCING_TOKENS_PER_TERM
+        self.ranges = [KeyRange(*known) for known in recorded]
+        for key_range in self.ranges:  # the former leader may have renewed each until just now
+            key_range.held_until = latest_lease_end(now + GRANT_TIMEOUT_NS + LATE_DELIVERY_NS)
+        self.servers: dict[str, ShardServer] = {}
+        self.moved_keys = 0  # keys that changed server
+        self.unowned_key_ns = 0  # sum over keys of the time that they had no holder
+        self._being_recorded: list[KeyRange] | None = None
+        self._pending_effects: list[KeyRangesEffect] = []
 
     # What is asked for.
 
-    def divide(self, pieces: int) -> None:
-        """Nothing was ever laid down: all keys are free, in so many lines of equal length."""
-        for piece in range(pieces):
-            line = KeyRange(KEYS * piece // pieces, KEYS * (piece + 1) // pieces - 1, "", "", 0)
-            line.state = FREE
-            self.lines.append(line)
-
-    def listed(self, now: int, servers: Iterable[Server]) -> None:
-        """The platform's list of this service's servers."""
+    def divide(self, count: int) -> None:
+        """Make `count` unowned ranges of equal length, as nothing was ever recorded."""
+        for number in range(count):
+            key_range = KeyRange(KEY_COUNT * number // count, KEY_COUNT * (number + 1) // count - 1, "", "", 0)
+            key_range.state = UNOWNED
+            self.ranges.append(key_range)
+
+    def split(self, key_range: KeyRange, at: int) -> KeyRange:
+        """Make the keys from `at` on a range of their own, and return it. Not while a call is in flight."""
+        upper = key_range.split(at)
+        self.ranges.insert(self.ranges.index(key_range) + 1, upper)
+        return upper
+
+    def can_merge(self, lower: KeyRange, upper: KeyRange) -> bool:
+        """Whether `upper`, the range behind `lower`, can become part of it: one server holds both, undisturbed."""
+        return lower.server == upper.server and lower.can_merge() and upper.can_merge()
+
+    def merge(self, lower: KeyRange, upper: KeyRange) -> None:
+        """Make `upper` part of `lower`, under a fencing token above both, which is recorded before it is used."""
+        lower.last = upper.last
+        lower.fencing_token = self._next_token()
+        lower.recorded = False
+        lower.handover = None
+        lower.held_until = max(lower.held_until, upper.held_until)
+        self.ranges.remove(upper)
+
+    def assignable(self) -> list[KeyRange]:
+        """Return the ranges that nobody holds and that are not being recorded for a server."""
+        return [key_range for key_range in self.ranges if key_range.state is UNOWNED and key_range.recorded]
+
+    def assign(self, key_range: KeyRange, server: ShardServer) -> None:
+        """Give an unowned range to `server`, which gets grants once that is recorded."""
+        if key_range.server != server.name:
+            self.moved_keys += key_range.key_count
+        key_range.assign(server.name, server.address, self._next_token())
+
+    def start_release(self, now: int, key_range: KeyRange, successor: str | None) -> None:
+        """Take a held range from its server, for `successor` if one is known."""
+        if key_range.state is HELD:
+            key_range.start_release(now, successor)
+            self._pending_effects.append(KeyRangeReleasing(key_range))
+
+    def record(self) -> list[RecordedKeyRange]:
+        """Return what the log is to keep of all ranges."""
+        return [key_range.record() for key_range in self.ranges]
+
+    # What has happened.
+
+    def handle_server_list(self, now: int, servers: Iterable[ShardServer]) -> None:
+        """Take the platform's list of this service's servers."""
         self.servers = {server.name: server for server in servers}
-        lives = {server.address: server.name for server in self.servers.values()}
-        for line in self.lines:
-            if line.state == FREE:
+        by_address = {server.address: server.name for server in self.servers.values()}
+        for key_range in self.ranges:
+            if key_range.state is UNOWNED:
                 continue
-            server = self.servers.get(line.server)
-            if server is None and lives.get(line.address, line.server) != line.server:
-                self._ended(now, line)  # another life answers at its address: this one holds nothing any more
-            elif line.state == HELD and (server is None or not server.ready):
-                self.leave(now, line, None)
+            server = self.servers.get(key_range.server)
+            if server is None and by_address.get(key_range.address, key_range.server) != key_range.server:
+                self._handle_server_replaced(now, key_range)
+            elif key_range.state is HELD and (server is None or not server.ready):
+                self.start_release(now, key_range, None)
                 if server is None:
-                    self._bared(now, line)
+                    key_range.mark_unowned(now)
+
+    def _handle_server_replaced(self, now: int, key_range: KeyRange) -> None:
+        """Take the range from its server, which has ended: another one answers at its address."""
+        key_range.lose_holder(now)
+        key_range.held_until = 0
+        key_range.answer_is_stale = key_range.call_in_flight
+
+    def handle_recorded(self, now: int) -> None:
+        """Let grants go out by the record that was asked for last, as it is committed."""
+        for key_range in self._being_recorded or ():
+            key_range.recorded = True
+            key_range.next_call_at = now
+        self._being_recorded = None
+
+    def handle_call_ended(self, now: int, request: ServerRequest, outcome: CallOutcome) -> None:
+        """Take the end of a grant or release, unless it was that of a server that has ended."""
+        key_range = request.key_range
+        key_range.call_in_flight = False
+        if key_range.answer_is_stale:
+            key_range.answer_is_stale = False
+            key_range.next_call_at = now
+        elif isinstance(request, GrantKeyRange):
+            self._handle_grant_ended(now, key_range, outcome)
+        elif key_range.state is RELEASING:
+            self._handle_release_ended(now, key_range, outcome)
+
+    def _handle_grant_ended(self, now: int, key_range: KeyRange, outcome: CallOutcome) -> None:
+        seen = seen_of_grant(outcome)
+        if seen is Seen.ANSWERED:
+            key_range.held_until = max(key_range.held_until, latest_lease_end(now))
+            key_range.handover = None
+            key_range.refusals = 0
+            self._handle_served(now, key_range)
+            return
+        if verdict(Call.GRANT, seen).ran is not Ran.NO:
+            key_range.held_until = max(key_range.held_until, latest_lease_end(now + LATE_DELIVERY_NS))
+        if outcome.status == FENCED:
+            self._handle_fenced(now, key_range)
+        else:
+            key_range.next_call_at = now + RETRY_INTERVAL_NS
 
-    def _ended(self, now: int, line: KeyRange) -> None:
-        line.state, line.until, line.handover = FREE, 0, None
-        line.void = line.flying > 0
-        self._bared(now, line)
+    def _handle_release_ended(self, now: int, key_range: KeyRange, outcome: CallOutcome) -> None:
+        """Only the release's own answer proves that the work on these keys has ended."""
+        if verdict(Call.RELEASE, seen_of_release(outcome)).ran is Ran.YES:
+            key_range.lose_holder(now, outcome.handover)
+            key_range.held_until = 0
+        else:
+            key_range.next_call_at = now + RETRY_INTERVAL_NS
 
-    @staticmethod
-    def _bared(now: int, line: KeyRange) -> None:
-        line.bare_at = now if line.bare_at is None else line.bare_at
-
-    def leave(self, now: int, line: KeyRange, heir: str | None) -> None:
-        """The line's keys shall go to another server."""
-        if line.state == HELD:
-            line.state, line.heir, line.due = LEAVING, heir, now
-            self._news.append(("leaving", line))
-
-    def cut(self, line: KeyRange, at: int) -> KeyRange:
-        """Cuts a line in two, the keys from `at` on being the other's. Not while a call is out."""
-        other = line.cut(at)
-        self.lines.insert(self.lines.index(line) + 1, other)
-        return other
-
-    def joinable(self, line: KeyRange, other: KeyRange) -> bool:
-        """Whether `other`, the one behind `line`, can be made a part of it: one server holds both, and nothing is
-        under way."""
-        return line.server == other.server and all(
-            one.state == HELD and one.laid and not one.flying and one.bare_at is None for one in (line, other)
-        )
-
-    def join(self, line: KeyRange, other: KeyRange) -> None:
-        """Makes two lines of one server one again, under a fence above both, which is laid down first."""
-        self.fence += 1
-        line.last, line.fence, line.laid, line.handover = other.last, self.fence, False, None
-        line.until = max(line.until, other.until)
-        self.lines.remove(other)
-
-    def free(self) -> list[KeyRange]:
-        """Lines that nobody holds and that are not being laid down for anybody."""
-        return [line for line in self.lines if line.state == FREE and line.laid]
-
-    def give(self, line: KeyRange, server: Server) -> None:
-        """The line goes to this server, once that is laid down; grants follow."""
-        if line.server != server.name:
-            self.moved += line.last - line.first + 1
-        self.fence += 1
-        line.server, line.address, line.fence = server.name, server.address, self.fence
-        line.state, line.laid, line.until, line.due, line.refused = HELD, False, 0, 0, 0
-
-    def record(self) -> list[list[Any]]:
-        return [line.record() for line in self.lines]
+    def _handle_served(self, now: int, key_range: KeyRange) -> None:
+        """Note that the range's server holds its keys."""
+        key_range.stall_reported = False
+        if key_range.unowned_since is None or key_range.state is not HELD:
+            return
+        duration_ns = now - key_range.unowned_since
+        key_range.unowned_since = None
+        self.unowned_key_ns += duration_ns * key_range.key_count
+        self._pending_effects.append(KeyRangeUnownedFor(key_range, duration_ns))
+
+    def _handle_fenced(self, now: int, key_range: KeyRange) -> None:
+        """Take a higher fencing token than the server can have seen; it is recorded before it is used."""
+        key_range.refusals += 1
+        if key_range.refusals > MAX_REFUSALS and key_range.state is HELD:
+            self.start_release(now, key_range, None)
+            return
+        # In growing steps, as it may have seen the tokens of a system whose disks are all lost.
+        self.highest_token += 1 if key_range.refusals == 1 else FENCING_TOKENS_PER_TERM << key_range.refusals
+        key_range.fencing_token = self.highest_token
+        key_range.recorded = False
 
     # What follows.
 
-    def tick(self, now: int) -> list[Effect]:
-        """Renewals, releases and what must be laid down, as far as due."""
-        effects, self._news = self._news, []
-        for line in self.lines:
-            if line.state == LEAVING and not line.flying and now >= line.until:
-                line.state, line.handover = FREE, None
-                self._bared(now, line)
-            if line.flying or not line.laid or now < line.due:
+    def tick(self, now: int) -> list[KeyRangesEffect]:
+        """Return the grants, releases and records that are due, after what happened since the last tick."""
+        effects, self._pending_effects = self._pending_effects, []
+        for key_range in self.ranges:
+            if key_range.state is RELEASING and not key_range.call_in_flight and now >= key_range.held_until:
+                key_range.lose_holder(now)
+            if key_range.call_in_flight or not key_range.recorded or now < key_range.next_call_at:
                 continue
-            if line.state == HELD:
-                line.flying, line.due = 1, now + RENEW
-                effects.append(("grant", line.server, line.address, line))
-            elif line.state == LEAVING:
-                line.flying, line.due = 1, now + S
-                self.fence += 1
-                line.fence = self.fence  # a grant that is late on its way meets a higher one
-                effects.append(("release", line.server, line.address, line))
-        fresh = [line for line in self.lines if not line.laid]
-        if fresh and self._laying is None:
-            self._laying = fresh
-            effects.append(("lay", self.record()))
+            if key_range.state is HELD:
+                effects.append(self._grant(now, key_range))
+            elif key_range.state is RELEASING:
+                effects.append(self._release(now, key_range))
+        changed = [key_range for key_range in self.ranges if not key_range.recorded]
+        if changed and self._being_recorded is None:
+            self._being_recorded = changed
+            effects.append(RecordKeyRanges(self.record()))
         return effects
 
-    def laid(self, now: int) -> None:
-        """A majority knows the last record."""
-        for line in self._laying or ():
-            line.laid, line.due = True, now
-        self._laying = None
-
-    def called(self, now: int, word: str, line: KeyRange, sent: bool, status: int | None, handover: str | None) -> None:
-        """A call has ended now: `sent`: something of it left us; `status`: the answer's, None where none came."""
-        line.flying = 0
-        if line.void:
-            line.void, line.due = False, now
-            return
-        call = Call.GRANT if word == "grant" else Call.RELEASE
-        seen = seen_of(call, sent, status, handover)
-        if call is Call.GRANT:
-            self._granted(now, line, seen, status)
-        elif line.state == LEAVING:
-            self._released(now, line, seen, handover)
-
-    def _granted(self, now: int, line: KeyRange, seen: Seen, status: int | None) -> None:
-        """A grant has ended. Where it may have arrived, the hold may run from when it can have at the latest."""
-        if seen is Seen.ANSWERED:
-            line.until, line.handover, line.refused = max(line.until, runs_out(now)), None, 0
-            self._served(now, line)
-            return
-        if verdict(Call.GRANT, seen).ran is not Ran.NO:
-            line.until = max(line.until, runs_out(now + SETTLE))
-        if status == FENCED:  # a higher fence was seen there: ours must be higher yet
-            self._fenced(now, line)
-        else:
-            line.due = now + AGAIN
+    @staticmethod
+    def _grant(now: int, key_range: KeyRange) -> GrantKeyRange:
+        key_range.call_in_flight = True
+        key_range.next_call_at = now + RENEWAL_INTERVAL_NS
+        return GrantKeyRange(key_range.server, key_range.address, key_range)
+
+    def _release(self, now: int, key_range: KeyRange) -> ReleaseKeyRange:
+        key_range.call_in_flight = True
+        key_range.next_call_at = now + RELEASE_INTERVAL_NS
+        key_range.fencing_token = self._next_token()  # a grant that arrives after it meets a higher token
+        return ReleaseKeyRange(key_range.server, key_range.address, key_range)
+
+    def _next_token(self) -> int:
+        self.highest_token += 1
+        return self.highest_token
+
+    def newly_stalled(self, now: int) -> list[KeyRangeStalled]:
+        """Return the ranges that have had no holder for long, each once until it has one again."""
+        stalled = [
+            key_range
+            for key_range in self.ranges
+            if not key_range.stall_reported
+            and key_range.unowned_since is not None
+            and now - key_range.unowned_since >= STALLED_AFTER_NS
+        ]
+        for key_range in stalled:
+            key_range.stall_reported = True
+        return [KeyRangeStalled(key_range) for key_range in stalled]
 
-    def _released(self, now: int, line: KeyRange, seen: Seen, handover: str | None) -> None:
-        """A release has ended. Only its own answer shows that the work on these keys has."""
-        if verdict(Call.RELEASE, seen).ran is Ran.YES:
-            line.state, line.until, line.handover = FREE, 0, handover
-            self._bared(now, line)
-        else:
-            line.due = now + AGAIN
 
-    def _served(self, now: int, line: KeyRange) -> None:
-        """Its keys have a holder."""
-        line.still = False
-        if line.bare_at is None or line.state != HELD:
-            return
-        spell, line.bare_at = now - line.bare_at, None
-        self.bare += spell * (line.last - line.first + 1)
-        self._news.append(("bare", line, spell))
-
-    def _fenced(self, now: int, line: KeyRange) -> None:
-        line.refused += 1
-        if line.refused > LEAPS and line.state == HELD:
-            self.leave(now, line, None)
-        else:  # by leaps: it may have seen the fences of a system whose disks are all lost
-            self.fence += 1 if line.refused == 1 else BALLOT_FENCES << line.refused
-            line.fence, line.laid = self.fence, False
-
-    def standing_still(self, now: int) -> list[KeyRange]:
-        """Lines that have had no holder for long, each told once until it has one again."""
-        found = [
-            line for line in self.lines if not line.still and line.bare_at is not None and now - line.bare_at >= STILL
-        ]
-        for line in found:
-            line.still = True
-        return found
+def seen_of_grant(outcome: CallOutcome) -> Seen:
+    """Return what the end of a grant shows, in the terms of `forwarding.resend`."""
+    if outcome.status is None:
+        return Seen.SILENT if outcome.sent else Seen.UNSENT
+    if outcome.status == GRANTED:
+        return Seen.ANSWERED
+    return Seen.NOT_RUN if outcome.status // 100 == CLIENT_ERROR else Seen.FAILED
+
+
+def seen_of_release(outcome: CallOutcome) -> Seen:
+    """Return what the end of a release shows.
+
+    A release is answered with a handover: a 200 without one is not its answer, but may be an older grant's.
+    """
+    seen = seen_of_grant(outcome)
+    return Seen.UNREADABLE if seen is Seen.ANSWERED and outcome.handover is None else seen
--- /dev/null
+++ b/kestrelplank/sharding/timing.py
@@ -0,0 +1,23 @@
+"""How long leases on keys last, and how long the calls that grant and release them may take.
+
+A server counts its lease by its own clock from when the grant arrives; we count it by ours, and never too short: from
+when the grant can have arrived at the latest, at the slowest clock that a server may have.
+"""
+
+from kestrelplank.time_units import MILLISECOND, SECOND
+
+LEASE_DURATION_NS = 4 * SECOND  # outlives the loss of a leader, whose own lease is much shorter
+RENEWAL_INTERVAL_NS = SECOND
+GRANT_TIMEOUT_NS = 800 * MILLISECOND  # then the connection is reset
+RELEASE_TIMEOUT_NS = 2 * SECOND  # a release is answered when running work has ended; after that only time helps
+RELEASE_INTERVAL_NS = SECOND
+RETRY_INTERVAL_NS = 200 * MILLISECOND
+LATE_DELIVERY_NS = 300 * MILLISECOND  # after a reset, bytes that had left us may still arrive for so long
+SLOWEST_CLOCK_PERCENT = 102  # a server's clock may measure a lease this long, in percent of ours
+LEASE_END_MARGIN_NS = 100 * MILLISECOND
+STALLED_AFTER_NS = 10 * SECOND  # without a holder for so long, a range is worth a line in the log
+
+
+def latest_lease_end(arrived_at: int) -> int:
+    """Return when a lease has surely ended whose grant arrived at `arrived_at` at the latest."""
+    return arrived_at + LEASE_DURATION_NS * SLOWEST_CLOCK_PERCENT // 100 + LEASE_END_MARGIN_NS
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -14,8 +14,6 @@
 from kestrelplank.consensus.messages import address_of
 from kestrelplank.control.bootstrap import started
 from kestrelplank.control.effects import (
-    GRANT,
-    RELEASE,
     AnswerOrder,
     AnswerRead,
     CallServer,
@@ -26,7 +24,9 @@
     SendToAddress,
 )
 from kestrelplank.control.member_profile import MemberProfile
-from kestrelplank.sharding.key_ranges import HELD, HOLD, KEYS
+from kestrelplank.sharding.effects import CallOutcome, GrantKeyRange, ReleaseKeyRange
+from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState
+from kestrelplank.sharding.timing import LEASE_DURATION_NS
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import ConfigurationUpdate, LoadReport
 from kestrelplank.transport.server_list import Entry
@@ -35,7 +35,7 @@
 FOURTH, FIFTH = "10.0.0.4:80", "10.0.0.5:80"
 EDGE = "edge"
 MS, S = 1_000_000, 1_000_000_000
-PROBES = range(0, KEYS, 1024)  # keys that are watched
+PROBES = range(0, KEY_COUNT, 1024)  # keys that are watched
 BEAT, REPORT = 400 * MS, 500 * MS  # of the edge machine
 
 
@@ -45,13 +45,13 @@
     def __init__(self):
         self.fences, self.until, self.up = dict.fromkeys(PROBES, -1), dict.fromkeys(PROBES, 0), True
 
-    def take(self, now, action, body):
+    def take(self, now, request, body):
         keys = [key for key in PROBES if body["first"] <= key <= body["last"]]
-        if action == GRANT:
+        if isinstance(request, GrantKeyRange):
             if any(self.fences[key] > body["fence"] for key in keys):
                 return 409
             for key in keys:
-                self.fences[key], self.until[key] = body["fence"], now + HOLD * 102 // 100
+                self.fences[key], self.until[key] = body["fence"], now + LEASE_DURATION_NS * 102 // 100
         else:
             for key in keys:
                 self.fences[key], self.until[key] = max(self.fences[key], body["fence"]), 0
@@ -148,7 +148,8 @@
                 self.waiting[name].append(effect)
                 self.write(name, life)
             elif isinstance(effect, CallServer):
-                body = {"first": effect.line.first, "last": effect.line.last, "fence": effect.line.fence}
+                keys = effect.request.key_range
+                body = {"first": keys.first, "last": keys.last, "fence": keys.fencing_token}
                 self.later(self.random.choice((1, 3)) * MS, self.called, name, life, effect, body)
             elif isinstance(effect, PushToEdges):
                 self.push(name, effect.message)
@@ -199,7 +200,9 @@
         """The edge machine's report: 40 requests, most of them for the keys from `hot` on."""
         for name in self.edge_sessions():
             keys = [
-                self.hot + self.random.randrange(300) if self.random.random() < 0.8 else self.random.randrange(KEYS)
+                self.hot + self.random.randrange(300)
+                if self.random.random() < 0.8
+                else self.random.randrange(KEY_COUNT)
                 for _ in range(40)
             ]
             self.members[name].load_report(self.now, LoadReport("views", keys, {}))
@@ -257,20 +260,21 @@
         if name in self.frozen:  # it looks at its lease when it is thawed, as the adapter does
             self.later(10 * MS, self.called, name, life, call, body)
             return
-        holding = self.servers[call.server]
-        sent = (call.action == RELEASE or self.now < call.until) and holding.up  # one that is down answers no dial
+        holding = self.servers[call.request.server]
+        releases = isinstance(call.request, ReleaseKeyRange)
+        sent = (releases or self.now < call.lease_until) and holding.up  # one that is down answers no dial
         status = None
-        if sent and frozenset((name, call.server)) not in self.cut:
-            status = holding.take(self.now, call.action, body)
+        if sent and frozenset((name, call.request.server)) not in self.cut:
+            status = holding.take(self.now, call.request, body)
             if self.random.random() < 0.05:
                 status = None  # it arrived, and its answer is lost
-        handover = "h" if status == 200 and call.action == RELEASE else None
+        handover = "h" if status == 200 and releases else None
         self.later((5 if status else 800) * MS, self.call_ended, name, life, call, sent, status, handover)
 
     def call_ended(self, name, life, call, sent, status, handover):
         if self.lives[name] == life and name in self.members:
-            effects = self.members[name].called(self.now, call.service, call.action, call.line, sent, status, handover)
-            self.run(name, effects)
+            outcome = CallOutcome(sent, status, handover)
+            self.run(name, self.members[name].handle_server_call_ended(self.now, call, outcome))
 
     def listed(self):
         return [
@@ -386,16 +390,16 @@
         return [address_of(one) for one in self.members[self.leader()].committed.all_voters()]
 
     def decided(self):
-        """The lines of whoever decides."""
+        """The key ranges of whoever decides."""
         name = self.decider()
-        return self.members[name].shard_assigners["views"].lines.lines if name else []
+        return self.members[name].shard_assigners["views"].key_ranges.ranges if name else []
 
     def lines(self):
         return [(line.first, line.last, line.server) for line in self.decided()]
 
     def moving(self):
         """Whether some line is on its way from one server to another."""
-        return any(line.state != HELD for line in self.decided())
+        return any(line.state is not KeyRangeState.HELD for line in self.decided())
 
     def all_held(self):
         return all(
--- a/tests/control/test_changes_of_members.py
+++ b/tests/control/test_changes_of_members.py
@@ -3,7 +3,7 @@
 import pytest
 from control.simulation import FIFTH, FOURTH, MS, NAMES, S, Simulation
 
-from kestrelplank.sharding.key_ranges import HOLD
+from kestrelplank.sharding.timing import LEASE_DURATION_NS
 
 SYNC = 4  # s within which the platform wants a newcomer to count for the next loss
 GRACE = 6  # s between SIGTERM and SIGKILL
@@ -291,7 +291,7 @@
     system.turn(1)
     going = system.decider()
     system.stop(going)
-    system.turn(HOLD / S + 2)
+    system.turn(LEASE_DURATION_NS / S + 2)
     assert going not in system.members and system.decider() and system.bare == 0 and system.all_held()
 
 
--- a/tests/control/test_member.py
+++ b/tests/control/test_member.py
@@ -13,9 +13,10 @@
 import kestrelplank
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.messages import Snapshot
-from kestrelplank.control.effects import GRANT
-from kestrelplank.control.shard_assignment import read_record
-from kestrelplank.sharding.key_ranges import HOLD, KEYS
+from kestrelplank.control.shard_record import read_record
+from kestrelplank.sharding.effects import GrantKeyRange
+from kestrelplank.sharding.key_range import KEY_COUNT
+from kestrelplank.sharding.timing import LEASE_DURATION_NS
 from kestrelplank.state.control_state import ControlState
 
 
@@ -54,7 +55,7 @@
     del system.state["i-1"]
     system.turn(0.6)
     assert not system.all_held()
-    system.turn(HOLD / S + 1.5)
+    system.turn(LEASE_DURATION_NS / S + 1.5)
     assert system.all_held()
 
 
@@ -71,7 +72,7 @@
     system.begin()
     system.cut = {frozenset((name, "i-1")) for name in NAMES}
     system.state["i-1"] = "draining"
-    system.turn(HOLD / S + 2)
+    system.turn(LEASE_DURATION_NS / S + 2)
     system.cut = set()
     system.turn(2)
     assert system.all_held()
@@ -94,7 +95,7 @@
 
     def in_hand():
         calls = [given[2] for _, _, what, given in system.events if what == system.called and given[0] == lost]
-        return any(call.action == GRANT and call.server == "i-1" for call in calls)
+        return any(isinstance(call.request, GrantKeyRange) and call.request.server == "i-1" for call in calls)
 
     while not in_hand():
         system.step()
@@ -214,7 +215,9 @@
         lines = system.lines()
         most = max(most, len(lines))
         assert len([line for line in lines if hot <= line[1] and line[0] < hot + 300]) >= 4
-        assert [line[0] for line in lines] == [0, *(line[1] + 1 for line in lines[:-1])] and lines[-1][1] == KEYS - 1
+        assert [line[0] for line in lines] == [0, *(line[1] + 1 for line in lines[:-1])] and lines[-1][
+            1
+        ] == KEY_COUNT - 1
     cool = [line for line in system.lines() if line[1] < 31_000]
     assert most > began and len(cool) < len(system.lines()) / 2 and most <= 6 * len(system.servers)
     for key in PROBES:
@@ -239,7 +242,7 @@
     assert system.moving() and system.decider() == leader
     assert not any(system.edge.holders["views"].of(first) for first, _, _ in ranges)
     system.edge_loses_news = False
-    system.turn(HOLD / S + 2)  # and it follows what changes afterwards
+    system.turn(LEASE_DURATION_NS / S + 2)  # and it follows what changes afterwards
     assert all(system.edge.holders["views"].of(first) for first, _, _ in ranges)
 
 
@@ -292,7 +295,7 @@
     system.cut, system.frozen, system.refuses = set(), {}, 0.0
     for name in back:
         system.start(name)
-    system.turn(HOLD / S + 8)
+    system.turn(LEASE_DURATION_NS / S + 8)
     assert len(system.versions()) == 1 and min(system.versions()) >= system.acknowledged
     assert system.all_count() and system.all_current()
     assert system.all_held() and system.edge.configuration.key.version >= system.acknowledged
@@ -307,7 +310,7 @@
     for name in NAMES:
         member = system.members[name]
         record = read_record(member.state.records["views"])
-        former = record.lines if lines_alone else [record.lines, record.learnt]
+        former = record.ranges if lines_alone else [record.ranges, record.learned_speeds]
         state = ControlState()
         state.restore(member.state.snapshot())
         state._records["views"] = msgspec.msgpack.encode(former)
--- a/tests/control/test_server_calls.py
+++ b/tests/control/test_server_calls.py
@@ -1,4 +1,4 @@
-"""Grants and releases on the wire: each goes out once, and its end is told once. On loopback, servers are scripts."""
+"""Grants and releases on the wire: each goes out once, and its end is reported once. On loopback; servers are scripts."""
 
 import asyncio
 import json
@@ -7,10 +7,11 @@
 import pytest
 from edge.stage import IP, ScriptedServer
 
-from kestrelplank.control.server_calls import GRANTS, RELEASES, ServerCalls
-from kestrelplank.sharding.key_ranges import KeyRange
-
-S = 1_000_000_000
+from kestrelplank.control.effects import CallServer
+from kestrelplank.control.server_calls import MAX_CONCURRENT_GRANTS, MAX_CONCURRENT_RELEASES, ServerCalls
+from kestrelplank.sharding.effects import CallOutcome, GrantKeyRange, ReleaseKeyRange
+from kestrelplank.sharding.key_range import KeyRange
+from kestrelplank.time_units import SECOND
 
 
 def answered(status=200, more=""):
@@ -21,24 +22,29 @@
 
 
 class Calls:
-    """The calls to one scripted server. `ended`: how each ended, by the first key of its line."""
+    """The calls to one scripted server. `ended`: the type of each request and how it ended, by its first key."""
 
     def __init__(self, server):
         self.server, self.ended, self.more = server, {}, asyncio.Event()
-        self.calls = ServerCalls(self.called, f"{IP}:{server.port}")
+        self.calls = ServerCalls(self.call_ended, f"{IP}:{server.port}")
 
-    def called(self, service, action, line, sent, status, handover):
-        assert line.first not in self.ended
-        self.ended[line.first] = (action, sent, status, handover)
+    def call_ended(self, call, outcome):
+        first = call.request.key_range.first
+        assert first not in self.ended and call.service == "views"
+        self.ended[first] = (type(call.request), outcome)
         self.more.set()
 
-    def put(self, action, first, until=None):
-        line = KeyRange(first, first, "s", "a", 7, "old" if action == "grant" else None)
-        until = time.monotonic_ns() + 9 * S if until is None else until
-        self.calls.queue.put_nowait(("call", action, "views", "s", "a", line, until))
-        return line
+    def grant(self, first, lease_until=None):
+        self.put(GrantKeyRange("s", "a", KeyRange(first, first, "s", "a", 7, "old")), lease_until)
+
+    def release(self, first):
+        self.put(ReleaseKeyRange("s", "a", KeyRange(first, first, "s", "a", 7)))
+
+    def put(self, request, lease_until=None):
+        lease_until = time.monotonic_ns() + 9 * SECOND if lease_until is None else lease_until
+        self.calls.put(CallServer("views", request, lease_until))
 
-    async def ends(self, count):
+    async def until_ended(self, count):
         while len(self.ended) < count:
             self.more.clear()
             await self.more.wait()
@@ -87,19 +93,23 @@
 
     async def play(calls):
         calls.server.more = asyncio.Event()
-        for first in range(RELEASES + 3):
-            calls.put("release", first)
-        while getattr(calls.server, "waiting", 0) < RELEASES:
+        for first in range(MAX_CONCURRENT_RELEASES + 3):
+            calls.release(first)
+        while getattr(calls.server, "waiting", 0) < MAX_CONCURRENT_RELEASES:
             calls.server.more.clear()
             await calls.server.more.wait()
-        for first in range(100, 100 + 3 * GRANTS):
-            calls.put("grant", first)
-        await calls.ends(3 * GRANTS)
-        assert calls.server.waiting == RELEASES and set(calls.ended.values()) == {("grant", True, 200, None)}
+        for first in range(100, 100 + 3 * MAX_CONCURRENT_GRANTS):
+            calls.grant(first)
+        await calls.until_ended(3 * MAX_CONCURRENT_GRANTS)
+        assert calls.server.waiting == MAX_CONCURRENT_RELEASES and set(calls.ended.values()) == {
+            (GrantKeyRange, CallOutcome(True, 200))
+        }
         let.set()
-        await calls.ends(RELEASES + 3 + 3 * GRANTS)
-        assert [calls.ended[first] for first in range(RELEASES + 3)] == [("release", True, 200, "h")] * (RELEASES + 3)
-        assert len(calls.server.connections) <= RELEASES + 3 + GRANTS
+        await calls.until_ended(MAX_CONCURRENT_RELEASES + 3 + 3 * MAX_CONCURRENT_GRANTS)
+        assert [calls.ended[first] for first in range(MAX_CONCURRENT_RELEASES + 3)] == [
+            (ReleaseKeyRange, CallOutcome(True, 200, "h"))
+        ] * (MAX_CONCURRENT_RELEASES + 3)
+        assert len(calls.server.connections) <= MAX_CONCURRENT_RELEASES + 3 + MAX_CONCURRENT_GRANTS
 
     played(play, script)
 
@@ -113,9 +123,9 @@
             connection.reset()
 
     async def play(calls):
-        calls.put("grant", 1)
-        await calls.ends(1)
-        assert calls.ended[1] == ("grant", True, None, None)
+        calls.grant(1)
+        await calls.until_ended(1)
+        assert calls.ended[1] == (GrantKeyRange, CallOutcome(True))
         assert len(calls.server.connections) == 1 and len(asked(calls.server.connections[0].received)) == 1
 
     played(play, script)
@@ -125,9 +135,9 @@
     async def play(calls):
         calls.server.listening.close()
         await calls.server.listening.wait_closed()
-        calls.put("grant", 1)
-        await calls.ends(1)
-        assert calls.ended[1] == ("grant", False, None, None)
+        calls.grant(1)
+        await calls.until_ended(1)
+        assert calls.ended[1] == (GrantKeyRange, CallOutcome(False))
 
     async def script(server, connection):
         pass
@@ -142,9 +152,9 @@
         await connection.reader.read()
 
     async def play(calls):
-        calls.put("grant", 1, until=time.monotonic_ns())
-        await calls.ends(1)
-        assert calls.ended[1] == ("grant", False, None, None)
+        calls.grant(1, lease_until=time.monotonic_ns())
+        await calls.until_ended(1)
+        assert calls.ended[1] == (GrantKeyRange, CallOutcome(False))
         assert all(not connection.received for connection in calls.server.connections)
 
     played(play, script)
@@ -165,11 +175,11 @@
         await asyncio.Event().wait()  # work still runs on these keys
 
     async def play(calls):
-        calls.put("release", 1)
-        await calls.ends(1)
-        calls.put("release", 2)
+        calls.release(1)
+        await calls.until_ended(1)
+        calls.release(2)
         await sent.wait()
-        calls.put("grant", 3)
+        calls.grant(3)
         await asyncio.sleep(0)
         assert 2 not in calls.ended and len(calls.server.connections) == 2
 
@@ -184,9 +194,9 @@
 
     async def play(calls):
         for first in (1, 2):
-            calls.put("grant", first)
-            await calls.ends(first)
-        assert [calls.ended[first][2] for first in (1, 2)] == [200, 200] and len(calls.server.connections) == 2
+            calls.grant(first)
+            await calls.until_ended(first)
+        assert [calls.ended[first][1].status for first in (1, 2)] == [200, 200] and len(calls.server.connections) == 2
 
     played(play, script)
 
@@ -199,8 +209,8 @@
 
     async def play(calls):
         for first in (1, 2):
-            calls.put("grant", first)
-            await calls.ends(first)
+            calls.grant(first)
+            await calls.until_ended(first)
         assert len(calls.server.connections) == 1
         wanted = {"target_version": 1, "fence": 7, "hold_s": 4.0, "handover": "old"}
         assert asked(calls.server.connections[0].received) == [
--- a/tests/sharding/recorded_run.py
+++ b/tests/sharding/recorded_run.py
@@ -30,7 +30,7 @@
         self.servers = {f"s{number}": self.server(number, speed) for number, speed in enumerate(SPEEDS)}
         self.next_server = len(SPEEDS)
         self.hottest = self.random.randrange(KEY_COUNT)
-        self.calls = []  # ends at, a number that keeps ties apart, action, key range, sent, status, handover
+        self.calls = []  # ends at, a number that keeps ties apart, request, sent, status, handover
         self.call_count = 0
         self.committed, self.commit_at = None, None
         self.proposed = None
@@ -118,13 +118,13 @@
                 self.proposed, self.commit_at = fields[0], self.now + self.random.randrange(3) * TICK_NS
                 self.note(kind, fields[0])
             elif kind in ("grant", "release"):
-                server, address, key_range, grant = fields
-                self.note(kind, server, address, grant)
-                self.call(kind, key_range)
+                server, address, keys, request = fields
+                self.note(kind, server, address, keys)
+                self.call(kind, request)
             else:
                 self.note(kind, *fields)
 
-    def call(self, action, key_range):
+    def call(self, action, request):
         if action == "grant":
             (sent, status), handover = self.random.choice(GRANT_ENDS), None
             delay = self.random.randrange(2) if status else 16
@@ -132,13 +132,13 @@
             sent, (status, handover) = True, self.random.choice(RELEASE_ENDS)
             delay = self.random.randrange(8) if status else 40
         self.call_count += 1
-        self.calls.append((self.now + delay * TICK_NS, self.call_count, action, key_range, sent, status, handover))
+        self.calls.append((self.now + delay * TICK_NS, self.call_count, request, sent, status, handover))
 
     def end_calls(self):
         ended = sorted((call for call in self.calls if call[0] <= self.now), key=lambda call: call[:2])
         self.calls = [call for call in self.calls if call[0] > self.now]
-        for _, _, action, key_range, sent, status, handover in ended:
-            self.note("at once", self.subject.called(self.now, action, key_range, sent, status, handover))
+        for _, _, request, sent, status, handover in ended:
+            self.note("at once", self.subject.called(self.now, request, sent, status, handover))
 
 
 def recorded():
--- /dev/null
+++ b/tests/sharding/test_key_ranges.py
@@ -0,0 +1,205 @@
+"""Key ranges by themselves: fencing tokens that servers have seen, merged ranges, what is reported of unowned keys."""
+
+import pytest
+
+from kestrelplank.sharding.effects import (
+    CallOutcome,
+    GrantKeyRange,
+    KeyRangeReleasing,
+    KeyRangeStalled,
+    KeyRangeUnownedFor,
+    RecordKeyRanges,
+    ReleaseKeyRange,
+)
+from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState
+from kestrelplank.sharding.key_ranges import KeyRanges
+from kestrelplank.sharding.placement import Placement
+from kestrelplank.sharding.shard_server import ShardServer
+from kestrelplank.sharding.timing import LATE_DELIVERY_NS, LEASE_DURATION_NS, latest_lease_end
+from kestrelplank.time_units import SECOND
+
+NOW = 100 * SECOND
+GRANTED, RELEASED = CallOutcome(True, 200), CallOutcome(True, 200, "h")
+
+
+def server(name, **changes):
+    return ShardServer(
+        **{"name": name, "address": f"{name}:80", "zone": "z", "slots": 2, "ready": True, "warming_until": 0, **changes}
+    )
+
+
+def key_ranges_over(names=("s", "t"), count=2, recorded=None, term=1):
+    """Key ranges of listed servers; `count` unowned ones if nothing is `recorded`."""
+    key_ranges = KeyRanges(NOW, term, recorded)
+    if recorded is None:
+        key_ranges.divide(count)
+    key_ranges.handle_server_list(NOW, [server(name) for name in names])
+    return key_ranges
+
+
+def succeed(request):
+    """How a call ends at a server that takes it."""
+    return RELEASED if isinstance(request, ReleaseKeyRange) else GRANTED
+
+
+def settle(key_ranges, now, outcome_of=succeed, most=99):
+    """Carry out what follows, with calls that end at once, until nothing does. Return the effects."""
+    carried_out = []
+    for _ in range(most):
+        effects = key_ranges.tick(now)
+        if not effects:
+            return carried_out
+        for effect in effects:
+            carried_out.append(effect)
+            match effect:
+                case RecordKeyRanges():
+                    key_ranges.handle_recorded(now)
+                case GrantKeyRange() | ReleaseKeyRange():
+                    key_ranges.handle_call_ended(now, effect, outcome_of(effect))
+    return carried_out
+
+
+def held_by(*names, servers=("s", "t")):
+    """Key ranges that these servers hold, one each."""
+    key_ranges = key_ranges_over(servers, len(names))
+    for key_range, name in zip(key_ranges.ranges, names):
+        key_ranges.assign(key_range, key_ranges.servers[name])
+    settle(key_ranges, NOW)
+    return key_ranges
+
+
+def kinds(effects):
+    return [type(effect) for effect in effects]
+
+
+@pytest.mark.parametrize("seen", [1, 5_000_000, 77_000_000_000])
+def test_fencing_tokens_after_everything_was_lost_but_the_servers_live(seen):
+    key_ranges, seen_tokens = key_ranges_over(), {"s": seen, "t": seen}
+
+    def fenced_by_what_was_seen(request):
+        token = request.key_range.fencing_token
+        if token < seen_tokens[request.server]:
+            return CallOutcome(True, 409)
+        seen_tokens[request.server] = token
+        return GRANTED
+
+    for key_range, name in zip(key_ranges.ranges, ("s", "t")):
+        key_ranges.assign(key_range, key_ranges.servers[name])
+    settle(key_ranges, NOW, fenced_by_what_was_seen)
+    assert [(keys.server, keys.state, keys.held_until) for keys in key_ranges.ranges] == [
+        (name, KeyRangeState.HELD, latest_lease_end(NOW)) for name in ("s", "t")
+    ]
+    # The next leader's tokens are higher yet, though its term is low.
+    assert key_ranges_over(recorded=key_ranges.record(), term=2).highest_token > max(seen_tokens.values())
+
+
+def test_neighbours_of_one_server_become_one_range_under_a_token_above_both():
+    key_ranges = key_ranges_over(names=("s",))
+    for key_range in key_ranges.ranges:
+        key_ranges.assign(key_range, key_ranges.servers["s"])
+    assert not key_ranges.can_merge(*key_ranges.ranges)  # not recorded yet
+    settle(key_ranges, NOW)
+    lower, upper = key_ranges.ranges
+    highest = max(lower.fencing_token, upper.fencing_token)
+    key_ranges.merge(lower, upper)
+    effects = settle(key_ranges, NOW)
+    assert kinds(effects) == [RecordKeyRanges, GrantKeyRange]  # not renewed before a majority knows it
+    assert key_ranges.record() == [(0, KEY_COUNT - 1, "s", "s:80", highest + 1, None)]
+
+
+def test_a_releasing_range_is_reported_before_its_release_and_the_time_without_holder_after_its_grant():
+    key_ranges = held_by("s", "s")
+    key_range = key_ranges.ranges[0]
+    key_ranges.start_release(NOW, key_range, "t")
+    assert kinds(settle(key_ranges, NOW)) == [KeyRangeReleasing, ReleaseKeyRange]
+    assert key_range.state is KeyRangeState.UNOWNED
+    key_ranges.assign(key_range, key_ranges.servers["t"])
+    effects = settle(key_ranges, NOW + SECOND // 4)
+    assert [effect for effect in effects if isinstance(effect, KeyRangeUnownedFor)] == [
+        KeyRangeUnownedFor(key_range, SECOND // 4)
+    ]
+    assert key_ranges.unowned_key_ns == SECOND // 4 * KEY_COUNT // 2 and key_range.unowned_since is None
+
+
+def test_a_release_that_is_never_answered_is_waited_for_and_no_longer_than_the_lease():
+    key_ranges = held_by("s")
+    key_range = key_ranges.ranges[0]
+    key_ranges.start_release(NOW, key_range, "t")
+    now = NOW
+    while key_range.state is KeyRangeState.RELEASING:
+        for effect in key_ranges.tick(now):
+            if isinstance(effect, ReleaseKeyRange):
+                key_ranges.handle_call_ended(now, effect, CallOutcome(True))
+        now += SECOND // 20
+    assert LEASE_DURATION_NS * 1.02 <= now - NOW <= LEASE_DURATION_NS * 1.02 + SECOND // 5
+
+
+def test_keys_that_nobody_knows_anything_of_are_spread_evenly_neighbours_apart():
+    key_ranges = key_ranges_over(names=(), count=24)
+    key_ranges.handle_server_list(NOW, [server("s"), server("t", slots=4), server("gone", ready=False)])
+    Placement(NOW, 1, key_ranges, SECOND).tick(NOW)
+    names = [key_range.server for key_range in key_ranges.ranges]
+    assert names.count("s") == 8 and names.count("t") == 16 and "s s" not in " ".join(names)
+
+
+def test_the_answer_of_a_server_that_is_gone_counts_for_nothing():
+    """Guards against a grant that is out when another server answers at the address: its answer would have been taken
+    for that of the server that gets the keys next."""
+    key_ranges = key_ranges_over(count=1)
+    key_range = key_ranges.ranges[0]
+    key_ranges.assign(key_range, key_ranges.servers["s"])
+    effects = key_ranges.tick(NOW)
+    key_ranges.handle_recorded(NOW)
+    effects += key_ranges.tick(NOW)
+    assert kinds(effects) == [RecordKeyRanges, GrantKeyRange]
+    key_ranges.handle_server_list(NOW, [server("u", address="s:80"), server("t")])
+    assert key_range.state is KeyRangeState.UNOWNED
+    key_ranges.assign(key_range, key_ranges.servers["t"])
+    key_ranges.tick(NOW)
+    key_ranges.handle_recorded(NOW)
+    assert GrantKeyRange not in kinds(key_ranges.tick(NOW))  # one call at a time
+    key_ranges.handle_call_ended(NOW + SECOND, effects[1], GRANTED)
+    assert key_range.held_until == 0 and key_range.unowned_since == NOW
+    grants = [effect for effect in key_ranges.tick(NOW + SECOND) if isinstance(effect, GrantKeyRange)]
+    assert [grant.server for grant in grants] == ["t"]
+    key_ranges.handle_call_ended(NOW + SECOND, grants[0], GRANTED)
+    assert key_range.held_until == latest_lease_end(NOW + SECOND) and key_range.unowned_since is None
+
+
+@pytest.mark.parametrize("status, handover", [(200, None), (500, "h"), (409, "h"), (None, None)])
+def test_only_its_own_answer_ends_a_release(status, handover):
+    """Every release is answered with a handover: a 200 without one is an older grant's, come late."""
+    key_ranges = held_by("s")
+    key_range = key_ranges.ranges[0]
+    key_ranges.start_release(NOW, key_range, "t")
+    effects = key_ranges.tick(NOW)
+    assert kinds(effects) == [KeyRangeReleasing, ReleaseKeyRange]
+    key_ranges.handle_call_ended(NOW + SECOND, effects[1], CallOutcome(True, status, handover))
+    assert key_range.state is KeyRangeState.RELEASING and key_range.next_call_at > NOW
+    effects = key_ranges.tick(key_range.next_call_at)
+    assert kinds(effects) == [ReleaseKeyRange]
+    key_ranges.handle_call_ended(key_range.next_call_at, effects[0], RELEASED)
+    assert key_range.state is KeyRangeState.UNOWNED and key_range.handover == "h"
+
+
+@pytest.mark.parametrize(
+    "sent, status, may_hold", [(True, None, True), (True, 500, True), (False, None, False), (True, 421, False)]
+)
+def test_a_grant_that_may_have_arrived_may_hold_the_keys(sent, status, may_hold):
+    key_ranges = key_ranges_over(count=1)
+    key_range = key_ranges.ranges[0]
+    key_ranges.assign(key_range, key_ranges.servers["s"])
+    key_ranges.tick(NOW)
+    key_ranges.handle_recorded(NOW)
+    (grant,) = key_ranges.tick(NOW)
+    key_ranges.handle_call_ended(NOW, grant, CallOutcome(sent, status))
+    assert key_range.held_until == (latest_lease_end(NOW + LATE_DELIVERY_NS) if may_hold else 0)
+
+
+def test_a_stalled_range_is_reported_once():
+    key_ranges = held_by("s")
+    key_range = key_ranges.ranges[0]
+    key_ranges.handle_server_list(NOW, [server("t")])  # its server is gone, and may hold its keys yet
+    assert key_ranges.newly_stalled(NOW + 9 * SECOND) == []
+    assert key_ranges.newly_stalled(NOW + 11 * SECOND) == [KeyRangeStalled(key_range)]
+    assert key_ranges.newly_stalled(NOW + 12 * SECOND) == []
--- a/tests/sharding/test_recorded_run.py
+++ b/tests/sharding/test_recorded_run.py
@@ -4,53 +4,67 @@
 import pytest
 from sharding.recorded_run import RecordedRun, recorded
 
-from kestrelplank.control import shard_assignment
-from kestrelplank.control.shard_assignment import ShardAssigner, read_record
-from kestrelplank.sharding.key_ranges import Server
-
-SECOND = 1_000_000_000
+from kestrelplank.control.shard_assigner import CommitRecord, PushKeyRanges, ShardAssigner
+from kestrelplank.control.shard_record import read_record
+from kestrelplank.sharding.effects import (
+    CallOutcome,
+    GrantKeyRange,
+    KeyRangeStalled,
+    KeyRangeUnownedFor,
+    ReleaseKeyRange,
+)
+from kestrelplank.sharding.shard_server import ShardServer
+from kestrelplank.time_units import MILLISECOND
 
 
 class Subject:
     """The code under test, by neutral names."""
 
     def __init__(self, now, term, record, servers, seed):
-        self.assigner = ShardAssigner(now, "views", term, read_record(record), self.listing(servers), SECOND // 2, seed)
+        self.assigner = ShardAssigner(
+            now, "views", term, read_record(record), self.listing(servers), 500 * MILLISECOND, seed
+        )
 
     def listing(self, servers):
-        return [Server(name, *fields[:5]) for name, fields in servers.items()]
+        return [ShardServer(name, *fields[:5]) for name, fields in servers.items()]
 
     def listed(self, now, servers):
-        self.assigner.listed(now, self.listing(servers))
+        self.assigner.handle_server_list(now, self.listing(servers))
 
     def report(self, now, keys, met):
-        self.assigner.placement.report(now, keys, met)
+        self.assigner.placement.handle_load_report(now, keys, met)
 
-    def called(self, now, action, key_range, sent, status, handover):
-        return self.assigner.called(now, action, key_range, sent, status, handover)
+    def called(self, now, request, sent, status, handover):
+        return self.assigner.handle_call_ended(now, request, CallOutcome(sent, status, handover))
 
     def recorded(self, now):
-        return msgspec.msgpack.encode(self.assigner.recorded(now).news)
+        return msgspec.msgpack.encode(self.assigner.handle_record_committed(now).message)
 
     def update(self):
-        return msgspec.msgpack.encode(self.assigner.news())
+        return msgspec.msgpack.encode(self.assigner.update())
 
     def counters(self):
-        return self.assigner.lines.moved, self.assigner.bare(), self.assigner.placement.learnt()
+        return (
+            self.assigner.key_ranges.moved_keys,
+            self.assigner.unowned_s(),
+            self.assigner.placement.learned_speeds(),
+        )
 
     def work(self, now):
-        for step in self.assigner.work(now, 0):
-            if isinstance(step, shard_assignment.Lay):
-                yield "record", step.record
-            elif isinstance(step, shard_assignment.Call):
-                line = step.line
-                yield step.action, step.server, step.address, line, (line.first, line.last, line.fence, line.handover)
-            elif isinstance(step, shard_assignment.Tell):
-                yield "push", msgspec.msgpack.encode(step.news)
-            elif isinstance(step, shard_assignment.Bare):
-                yield "unowned", step.line.first, step.line.last, step.spell
-            else:
-                yield "stalled", step.line.first, step.line.last
+        for effect in self.assigner.tick(now, 0):
+            match effect:
+                case CommitRecord(record):
+                    yield "record", record
+                case GrantKeyRange(server, address, keys):
+                    yield "grant", server, address, (keys.first, keys.last, keys.fencing_token, keys.handover), effect
+                case ReleaseKeyRange(server, address, keys):
+                    yield "release", server, address, (keys.first, keys.last, keys.fencing_token, keys.handover), effect
+                case PushKeyRanges(message):
+                    yield "push", msgspec.msgpack.encode(message)
+                case KeyRangeUnownedFor(keys, duration_ns):
+                    yield "unowned", keys.first, keys.last, duration_ns
+                case KeyRangeStalled(keys):
+                    yield "stalled", keys.first, keys.last
 
 
 @pytest.mark.parametrize("seed", [1, 2])
