--- a/benchmarks/key_ranges.py
+++ b/benchmarks/key_ranges.py
@@ -13,7 +13,7 @@
 
 from kestrelplank.consensus.messages import PutRecord
 from kestrelplank.control.shard_record import ShardRecord, range_holders
-from kestrelplank.sharding.effects import CallOutcome, GrantKeyRange, RecordKeyRanges, ReleaseKeyRange
+from kestrelplank.sharding.effects import GrantKeyRange, RecordKeyRanges, ReleaseKeyRange, ServerCallResult
 from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState
 from kestrelplank.sharding.key_ranges import KeyRanges
 from kestrelplank.sharding.placement import Placement
@@ -28,7 +28,7 @@
 PER_SERVER = 6.0  # requests a second
 RANGES_PER_SERVER = 4  # at first
 WARM_UP_S = 10  # are played before anything counts
-GRANTED = CallOutcome(True, 200)
+GRANTED = ServerCallResult(True, 200)
 COSTS = ("reports", "pass", "renewals", "records")
 
 
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -39,7 +39,7 @@
 from kestrelplank.control.shard_assigners import ShardAssigners
 from kestrelplank.control.shard_record import key_ranges_update
 from kestrelplank.control.status import MemberStatus, peer_status, service_status
-from kestrelplank.sharding.effects import CallOutcome
+from kestrelplank.sharding.effects import ServerCallResult
 from kestrelplank.state.control_state import ApplyResult, ControlState
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
@@ -145,9 +145,9 @@
             self.replica.emit(PushToEdges(news))
         return self._done(now)
 
-    def handle_server_call_ended(self, now: int, call: CallServer, outcome: CallOutcome) -> list[Effect]:
+    def handle_server_call_ended(self, now: int, call: CallServer, result: ServerCallResult) -> list[Effect]:
         """A grant or release has ended."""
-        self._keys.handle_call_ended(now, call, outcome)
+        self._keys.handle_call_ended(now, call, result)
         return self._done(now)
 
     def load_report(self, now: int, report: LoadReport) -> None:
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -34,7 +34,7 @@
 from kestrelplank.control.status import EdgeStatus, MemberStatus
 from kestrelplank.http.serve import Duties, listener, server
 from kestrelplank.settings.platform import Settings, ns
-from kestrelplank.sharding.effects import CallOutcome
+from kestrelplank.sharding.effects import ServerCallResult
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, LoadReport, decode_at_member
 from kestrelplank.transport.sessions import Sessions
@@ -120,9 +120,9 @@
         """A write is durable."""
         self.carry_out(self.member.persisted(time.monotonic_ns(), number))
 
-    def server_call_ended(self, call: CallServer, outcome: CallOutcome) -> None:
+    def server_call_ended(self, call: CallServer, result: ServerCallResult) -> None:
         """A grant or release has ended."""
-        self.carry_out(self.member.handle_server_call_ended(time.monotonic_ns(), call, outcome))
+        self.carry_out(self.member.handle_server_call_ended(time.monotonic_ns(), call, result))
 
     # Calls of the operator.
 
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -18,14 +18,14 @@
 from kestrelplank.control.effects import CallServer
 from kestrelplank.http.call import Answer, Connection, dial
 from kestrelplank.settings.platform import endpoint
-from kestrelplank.sharding.effects import CallOutcome, GrantKeyRange, ReleaseKeyRange, ServerRequest
+from kestrelplank.sharding.effects import GrantKeyRange, ReleaseKeyRange, ServerCallResult, ServerRequest
 from kestrelplank.sharding.timing import GRANT_TIMEOUT_NS, LEASE_DURATION_NS, RELEASE_TIMEOUT_NS
 from kestrelplank.time_units import SECOND
 
 CONNECT_TIMEOUT_S = 0.6
 MAX_CONCURRENT_GRANTS, MAX_CONCURRENT_RELEASES = 2, 4  # to one server
 CALL_ERRORS = (OSError, TimeoutError)
-CallEnded = Callable[[CallServer, CallOutcome], None]
+CallEnded = Callable[[CallServer, ServerCallResult], None]
 
 
 class ReleaseBody(msgspec.Struct):
@@ -98,7 +98,7 @@
         handover = answer.fields.get(b"x-handover") if answer else None
         self._call_ended(
             call,
-            CallOutcome(
+            ServerCallResult(
                 sent,
                 answer.status if answer else None,
                 handover.decode("latin-1") if handover else None,
--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -11,13 +11,13 @@
 
 from kestrelplank.control.shard_record import ShardRecord, encode_record, range_holders
 from kestrelplank.sharding.effects import (
-    CallOutcome,
     GrantKeyRange,
     KeyRangeReleasing,
     KeyRangeStalled,
     KeyRangeUnownedFor,
     RecordKeyRanges,
     ReleaseKeyRange,
+    ServerCallResult,
     ServerRequest,
 )
 from kestrelplank.sharding.key_range import KEY_COUNT, KeyRange, KeyRangeState, RecordedKeyRange
@@ -94,14 +94,14 @@
         self.key_ranges.handle_server_list(now, servers)
         self.placement.handle_server_list()
 
-    def handle_call_ended(self, now: int, request: ServerRequest, outcome: CallOutcome) -> bool:
+    def handle_call_ended(self, now: int, request: ServerRequest, result: ServerCallResult) -> bool:
         """Take the end of a grant or release.
 
         Returns whether to call `tick` at once: the answer to a renewal changes nothing that can't wait.
         """
         if request.key_range not in self.key_ranges.ranges:
             return False
-        self.key_ranges.handle_call_ended(now, request, outcome)
+        self.key_ranges.handle_call_ended(now, request, result)
         return request.key_range.state is not KeyRangeState.HELD
 
     def handle_record_committed(self, now: int) -> PushKeyRanges:
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -9,11 +9,11 @@
 from kestrelplank.control.replica import Replica
 from kestrelplank.control.shard_assigner import CommitRecord, PushKeyRanges, ShardAssigner, ShardAssignerEffect
 from kestrelplank.sharding.effects import (
-    CallOutcome,
     GrantKeyRange,
     KeyRangeStalled,
     KeyRangeUnownedFor,
     ReleaseKeyRange,
+    ServerCallResult,
 )
 from kestrelplank.sharding.shard_server import ShardServer
 from kestrelplank.time_units import SECOND
@@ -75,10 +75,10 @@
                 assigner = self._begin(now, service)
             self._tick(now, assigner)
 
-    def handle_call_ended(self, now: int, call: CallServer, outcome: CallOutcome) -> None:
+    def handle_call_ended(self, now: int, call: CallServer, result: ServerCallResult) -> None:
         """Take the end of a grant or release."""
         assigner = self.by_service.get(call.service)
-        if assigner is not None and assigner.handle_call_ended(now, call.request, outcome):
+        if assigner is not None and assigner.handle_call_ended(now, call.request, result):
             self._tick(now, assigner)
 
     def handle_record_committed(self, now: int, entry: Entry, command: PutRecord) -> None:
--- a/kestrelplank/emulator/sharded_service.py
+++ b/kestrelplank/emulator/sharded_service.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from kestrelplank.emulator.queueing_server import QueueingServer
-from kestrelplank.sharding.effects import CallOutcome, GrantKeyRange, RecordKeyRanges, ReleaseKeyRange
+from kestrelplank.sharding.effects import GrantKeyRange, RecordKeyRanges, ReleaseKeyRange, ServerCallResult
 from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState, RecordedKeyRange
 from kestrelplank.sharding.key_ranges import KeyRanges
 from kestrelplank.sharding.placement import Placement
@@ -160,12 +160,12 @@
         now = self._now()
         for release in [release for release in self._releases if release[0] <= self._time_s]:
             self._releases.remove(release)
-            self.key_ranges.handle_call_ended(now, release[1], CallOutcome(True, 200, "h"))
+            self.key_ranges.handle_call_ended(now, release[1], ServerCallResult(True, 200, "h"))
         for effect in self.key_ranges.tick(now):
             if isinstance(effect, RecordKeyRanges):
                 self.key_ranges.handle_recorded(now)
             elif isinstance(effect, GrantKeyRange):
-                self.key_ranges.handle_call_ended(now, effect, CallOutcome(True, 200))
+                self.key_ranges.handle_call_ended(now, effect, ServerCallResult(True, 200))
             elif isinstance(effect, ReleaseKeyRange):
                 keys = effect.key_range
                 free_at = self.servers[keys.server].free_of(keys.first, keys.last)
--- a/kestrelplank/sharding/effects.py
+++ b/kestrelplank/sharding/effects.py
@@ -53,7 +53,7 @@
 KeyRangesEffect = ServerRequest | RecordKeyRanges | KeyRangeReleasing | KeyRangeUnownedFor
 
 
-class CallOutcome(msgspec.Struct, frozen=True):
+class ServerCallResult(msgspec.Struct, frozen=True):
     """How a grant or release ended.
 
     :param sent: something of it left us.
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -5,9 +5,8 @@
 
 from collections.abc import Iterable, Sequence
 
-from kestrelplank.forwarding.resend import Call, Ran, Seen, verdict
+from kestrelplank.forwarding.retry_policy import CallKind, CallOutcome, Execution, verdict
 from kestrelplank.sharding.effects import (
-    CallOutcome,
     GrantKeyRange,
     KeyRangeReleasing,
     KeyRangesEffect,
@@ -15,6 +14,7 @@
     KeyRangeUnownedFor,
     RecordKeyRanges,
     ReleaseKeyRange,
+    ServerCallResult,
     ServerRequest,
 )
 from kestrelplank.sharding.key_range import KEY_COUNT, KeyRange, KeyRangeState, RecordedKeyRange
@@ -153,7 +153,7 @@
             key_range.next_call_at = now
         self._being_recorded = None
 
-    def handle_call_ended(self, now: int, request: ServerRequest, outcome: CallOutcome) -> None:
+    def handle_call_ended(self, now: int, request: ServerRequest, result: ServerCallResult) -> None:
         """Take the end of a grant or release, unless it was that of a server that has ended."""
         key_range = request.key_range
         key_range.call_in_flight = False
@@ -161,29 +161,29 @@
             key_range.answer_is_stale = False
             key_range.next_call_at = now
         elif isinstance(request, GrantKeyRange):
-            self._handle_grant_ended(now, key_range, outcome)
+            self._handle_grant_ended(now, key_range, result)
         elif key_range.state is RELEASING:
-            self._handle_release_ended(now, key_range, outcome)
+            self._handle_release_ended(now, key_range, result)
 
-    def _handle_grant_ended(self, now: int, key_range: KeyRange, outcome: CallOutcome) -> None:
-        seen = seen_of_grant(outcome)
-        if seen is Seen.ANSWERED:
+    def _handle_grant_ended(self, now: int, key_range: KeyRange, result: ServerCallResult) -> None:
+        outcome = outcome_of_grant(result)
+        if outcome is CallOutcome.ANSWERED:
             key_range.held_until = max(key_range.held_until, latest_lease_end(now))
             key_range.handover = None
             key_range.refusals = 0
             self._handle_served(now, key_range)
             return
-        if verdict(Call.GRANT, seen).ran is not Ran.NO:
+        if verdict(CallKind.GRANT, outcome).execution is not Execution.NOT_EXECUTED:
             key_range.held_until = max(key_range.held_until, latest_lease_end(now + LATE_DELIVERY_NS))
-        if outcome.status == FENCED:
+        if result.status == FENCED:
             self._handle_fenced(now, key_range)
         else:
             key_range.next_call_at = now + RETRY_INTERVAL_NS
 
-    def _handle_release_ended(self, now: int, key_range: KeyRange, outcome: CallOutcome) -> None:
+    def _handle_release_ended(self, now: int, key_range: KeyRange, result: ServerCallResult) -> None:
         """Only the release's own answer proves that the work on these keys has ended."""
-        if verdict(Call.RELEASE, seen_of_release(outcome)).ran is Ran.YES:
-            key_range.lose_holder(now, outcome.handover)
+        if verdict(CallKind.RELEASE, outcome_of_release(result)).execution is Execution.EXECUTED:
+            key_range.lose_holder(now, result.handover)
             key_range.held_until = 0
         else:
             key_range.next_call_at = now + RETRY_INTERVAL_NS
@@ -259,19 +259,19 @@
         return [KeyRangeStalled(key_range) for key_range in stalled]
 
 
-def seen_of_grant(outcome: CallOutcome) -> Seen:
-    """Return what the end of a grant shows, in the terms of `forwarding.resend`."""
-    if outcome.status is None:
-        return Seen.SILENT if outcome.sent else Seen.UNSENT
-    if outcome.status == GRANTED:
-        return Seen.ANSWERED
-    return Seen.NOT_RUN if outcome.status // 100 == CLIENT_ERROR else Seen.FAILED
+def outcome_of_grant(result: ServerCallResult) -> CallOutcome:
+    """Return what the end of a grant shows, in the terms of `forwarding.retry_policy`."""
+    if result.status is None:
+        return CallOutcome.TIMEOUT if result.sent else CallOutcome.CONNECT_FAIL
+    if result.status == GRANTED:
+        return CallOutcome.ANSWERED
+    return CallOutcome.NOT_EXECUTED if result.status // 100 == CLIENT_ERROR else CallOutcome.SERVER_ERROR
 
 
-def seen_of_release(outcome: CallOutcome) -> Seen:
+def outcome_of_release(result: ServerCallResult) -> CallOutcome:
     """Return what the end of a release shows.
 
     A release is answered with a handover: a 200 without one is not its answer, but may be an older grant's.
     """
-    seen = seen_of_grant(outcome)
-    return Seen.UNREADABLE if seen is Seen.ANSWERED and outcome.handover is None else seen
+    outcome = outcome_of_grant(result)
+    return CallOutcome.MALFORMED if outcome is CallOutcome.ANSWERED and result.handover is None else outcome
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -24,7 +24,7 @@
     SendToAddress,
 )
 from kestrelplank.control.member_profile import MemberProfile
-from kestrelplank.sharding.effects import CallOutcome, GrantKeyRange, ReleaseKeyRange
+from kestrelplank.sharding.effects import GrantKeyRange, ReleaseKeyRange, ServerCallResult
 from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState
 from kestrelplank.sharding.timing import LEASE_DURATION_NS
 from kestrelplank.transport.edge_view import EdgeView
@@ -273,8 +273,8 @@
 
     def call_ended(self, name, life, call, sent, status, handover):
         if self.lives[name] == life and name in self.members:
-            outcome = CallOutcome(sent, status, handover)
-            self.run(name, self.members[name].handle_server_call_ended(self.now, call, outcome))
+            result = ServerCallResult(sent, status, handover)
+            self.run(name, self.members[name].handle_server_call_ended(self.now, call, result))
 
     def listed(self):
         return [
@@ -307,7 +307,7 @@
 
     def tick(self, name):
         member = self.members[name]
-        self.run(name, member.tick(self.now, self.disks[name].size))
+        self.run(name, member.tick(self.now, self.disks[name].size_bytes))
         if member.list_due(self.now) == 0:
             self.run(name, member.fetched(self.now, self.listed()))
         if name in self.stopping and member.may_stop(self.now):
--- a/tests/control/test_server_calls.py
+++ b/tests/control/test_server_calls.py
@@ -9,7 +9,7 @@
 
 from kestrelplank.control.effects import CallServer
 from kestrelplank.control.server_calls import MAX_CONCURRENT_GRANTS, MAX_CONCURRENT_RELEASES, ServerCalls
-from kestrelplank.sharding.effects import CallOutcome, GrantKeyRange, ReleaseKeyRange
+from kestrelplank.sharding.effects import GrantKeyRange, ReleaseKeyRange, ServerCallResult
 from kestrelplank.sharding.key_range import KeyRange
 from kestrelplank.time_units import SECOND
 
@@ -28,10 +28,10 @@
         self.server, self.ended, self.more = server, {}, asyncio.Event()
         self.calls = ServerCalls(self.call_ended, f"{IP}:{server.port}")
 
-    def call_ended(self, call, outcome):
+    def call_ended(self, call, result):
         first = call.request.key_range.first
         assert first not in self.ended and call.service == "views"
-        self.ended[first] = (type(call.request), outcome)
+        self.ended[first] = (type(call.request), result)
         self.more.set()
 
     def grant(self, first, lease_until=None):
@@ -102,12 +102,12 @@
             calls.grant(first)
         await calls.until_ended(3 * MAX_CONCURRENT_GRANTS)
         assert calls.server.waiting == MAX_CONCURRENT_RELEASES and set(calls.ended.values()) == {
-            (GrantKeyRange, CallOutcome(True, 200))
+            (GrantKeyRange, ServerCallResult(True, 200))
         }
         let.set()
         await calls.until_ended(MAX_CONCURRENT_RELEASES + 3 + 3 * MAX_CONCURRENT_GRANTS)
         assert [calls.ended[first] for first in range(MAX_CONCURRENT_RELEASES + 3)] == [
-            (ReleaseKeyRange, CallOutcome(True, 200, "h"))
+            (ReleaseKeyRange, ServerCallResult(True, 200, "h"))
         ] * (MAX_CONCURRENT_RELEASES + 3)
         assert len(calls.server.connections) <= MAX_CONCURRENT_RELEASES + 3 + MAX_CONCURRENT_GRANTS
 
@@ -125,7 +125,7 @@
     async def play(calls):
         calls.grant(1)
         await calls.until_ended(1)
-        assert calls.ended[1] == (GrantKeyRange, CallOutcome(True))
+        assert calls.ended[1] == (GrantKeyRange, ServerCallResult(True))
         assert len(calls.server.connections) == 1 and len(asked(calls.server.connections[0].received)) == 1
 
     played(play, script)
@@ -137,7 +137,7 @@
         await calls.server.listening.wait_closed()
         calls.grant(1)
         await calls.until_ended(1)
-        assert calls.ended[1] == (GrantKeyRange, CallOutcome(False))
+        assert calls.ended[1] == (GrantKeyRange, ServerCallResult(False))
 
     async def script(server, connection):
         pass
@@ -154,7 +154,7 @@
     async def play(calls):
         calls.grant(1, lease_until=time.monotonic_ns())
         await calls.until_ended(1)
-        assert calls.ended[1] == (GrantKeyRange, CallOutcome(False))
+        assert calls.ended[1] == (GrantKeyRange, ServerCallResult(False))
         assert all(not connection.received for connection in calls.server.connections)
 
     played(play, script)
--- a/tests/sharding/test_key_ranges.py
+++ b/tests/sharding/test_key_ranges.py
@@ -3,13 +3,13 @@
 import pytest
 
 from kestrelplank.sharding.effects import (
-    CallOutcome,
     GrantKeyRange,
     KeyRangeReleasing,
     KeyRangeStalled,
     KeyRangeUnownedFor,
     RecordKeyRanges,
     ReleaseKeyRange,
+    ServerCallResult,
 )
 from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState
 from kestrelplank.sharding.key_ranges import KeyRanges
@@ -19,7 +19,7 @@
 from kestrelplank.time_units import SECOND
 
 NOW = 100 * SECOND
-GRANTED, RELEASED = CallOutcome(True, 200), CallOutcome(True, 200, "h")
+GRANTED, RELEASED = ServerCallResult(True, 200), ServerCallResult(True, 200, "h")
 
 
 def server(name, **changes):
@@ -42,7 +42,7 @@
     return RELEASED if isinstance(request, ReleaseKeyRange) else GRANTED
 
 
-def settle(key_ranges, now, outcome_of=succeed, most=99):
+def settle(key_ranges, now, result_of=succeed, most=99):
     """Carry out what follows, with calls that end at once, until nothing does. Return the effects."""
     carried_out = []
     for _ in range(most):
@@ -55,7 +55,7 @@
                 case RecordKeyRanges():
                     key_ranges.handle_recorded(now)
                 case GrantKeyRange() | ReleaseKeyRange():
-                    key_ranges.handle_call_ended(now, effect, outcome_of(effect))
+                    key_ranges.handle_call_ended(now, effect, result_of(effect))
     return carried_out
 
 
@@ -79,7 +79,7 @@
     def fenced_by_what_was_seen(request):
         token = request.key_range.fencing_token
         if token < seen_tokens[request.server]:
-            return CallOutcome(True, 409)
+            return ServerCallResult(True, 409)
         seen_tokens[request.server] = token
         return GRANTED
 
@@ -129,7 +129,7 @@
     while key_range.state is KeyRangeState.RELEASING:
         for effect in key_ranges.tick(now):
             if isinstance(effect, ReleaseKeyRange):
-                key_ranges.handle_call_ended(now, effect, CallOutcome(True))
+                key_ranges.handle_call_ended(now, effect, ServerCallResult(True))
         now += SECOND // 20
     assert LEASE_DURATION_NS * 1.02 <= now - NOW <= LEASE_DURATION_NS * 1.02 + SECOND // 5
 
@@ -174,7 +174,7 @@
     key_ranges.start_release(NOW, key_range, "t")
     effects = key_ranges.tick(NOW)
     assert kinds(effects) == [KeyRangeReleasing, ReleaseKeyRange]
-    key_ranges.handle_call_ended(NOW + SECOND, effects[1], CallOutcome(True, status, handover))
+    key_ranges.handle_call_ended(NOW + SECOND, effects[1], ServerCallResult(True, status, handover))
     assert key_range.state is KeyRangeState.RELEASING and key_range.next_call_at > NOW
     effects = key_ranges.tick(key_range.next_call_at)
     assert kinds(effects) == [ReleaseKeyRange]
@@ -192,7 +192,7 @@
     key_ranges.tick(NOW)
     key_ranges.handle_recorded(NOW)
     (grant,) = key_ranges.tick(NOW)
-    key_ranges.handle_call_ended(NOW, grant, CallOutcome(sent, status))
+    key_ranges.handle_call_ended(NOW, grant, ServerCallResult(sent, status))
     assert key_range.held_until == (latest_lease_end(NOW + LATE_DELIVERY_NS) if may_hold else 0)
 
 
--- a/tests/sharding/test_recorded_run.py
+++ b/tests/sharding/test_recorded_run.py
@@ -7,11 +7,11 @@
 from kestrelplank.control.shard_assigner import CommitRecord, PushKeyRanges, ShardAssigner
 from kestrelplank.control.shard_record import read_record
 from kestrelplank.sharding.effects import (
-    CallOutcome,
     GrantKeyRange,
     KeyRangeStalled,
     KeyRangeUnownedFor,
     ReleaseKeyRange,
+    ServerCallResult,
 )
 from kestrelplank.sharding.shard_server import ShardServer
 from kestrelplank.time_units import MILLISECOND
@@ -35,7 +35,7 @@
         self.assigner.placement.handle_load_report(now, keys, met)
 
     def called(self, now, request, sent, status, handover):
-        return self.assigner.handle_call_ended(now, request, CallOutcome(sent, status, handover))
+        return self.assigner.handle_call_ended(now, request, ServerCallResult(sent, status, handover))
 
     def recorded(self, now):
         return msgspec.msgpack.encode(self.assigner.handle_record_committed(now).message)
