--- a/benchmarks/key_ranges.py
+++ b/benchmarks/key_ranges.py
@@ -11,7 +11,7 @@
 import msgspec
 from slopes import held, number, spent, table
 
-from kestrelplank.consensus.messages import PutRecord
+from kestrelplank.consensus.log_entries import PutRecord
 from kestrelplank.control.shard_record import ShardRecord, range_holders
 from kestrelplank.sharding.effects import GrantKeyRange, RecordKeyRanges, ReleaseKeyRange, ServerCallResult
 from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import assert_never
 
-from kestrelplank.consensus.messages import Entry, PutRecord
+from kestrelplank.consensus.log_entries import Entry, PutRecord
 from kestrelplank.control.effects import CallServer, PushToEdges
 from kestrelplank.control.replica import Replica
 from kestrelplank.control.shard_assigner import CommitRecord, PushKeyRanges, ShardAssigner, ShardAssignerEffect
--- a/tests/control/test_member.py
+++ b/tests/control/test_member.py
@@ -12,7 +12,7 @@
 
 import kestrelplank
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Snapshot
+from kestrelplank.consensus.log_entries import Snapshot
 from kestrelplank.control.shard_record import read_record
 from kestrelplank.sharding.effects import GrantKeyRange
 from kestrelplank.sharding.key_range import KEY_COUNT
--- a/tests/storage/test_log_damage.py
+++ b/tests/storage/test_log_damage.py
@@ -7,9 +7,7 @@
 from storage.memory import MemoryLog
 from storage.power_loss import fill
 
-from kestrelplank.consensus.messages import (
-    PutRecord,
-)
+from kestrelplank.consensus.log_entries import PutRecord
 from kestrelplank.storage import frames, records
 from kestrelplank.storage.errors import LogFormatError
 from kestrelplank.storage.records import LoadedLog
