--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -13,7 +13,7 @@
 from kestrelplank.consensus import snapshots
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.log_entries import Command, Entry, HardState, Snapshot
-from kestrelplank.control.shard_assignment import read_record
+from kestrelplank.control.shard_record import read_record
 from kestrelplank.decode import Malformed
 from kestrelplank.state import journal
 from kestrelplank.state.control_state import ControlState
