--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -6,7 +6,7 @@
 import time
 from random import Random
 
-from kestrelplank.load_balancing.picks import rendezvous
+from kestrelplank.load_balancing.selection import rendezvous
 
 from kestrelplank.emulator.sharded_service import ShardedService
 from kestrelplank.sharding.key_range import KEY_COUNT
