--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -17,7 +17,7 @@
 from statistics import quantiles
 
 from kestrelplank.consensus.messages import ServerListUpdate
-from kestrelplank.http.serve import listener
+from kestrelplank.http.socket_options import listening_socket
 from kestrelplank.settings import lean  # noqa: F401
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.messages import ConfigurationUpdate
@@ -81,7 +81,7 @@
 async def edge(port, behind, servers, seconds, profile, told):
     from kestrelplank.edge.program import EdgeProgram
 
-    found = EdgeProgram(
+    program = EdgeProgram(
         Settings(
             Local("edge-1", IP, "hall"),
             Network([port + 2], [f"{IP}:{port + 3}"], {"frontend": f"{IP}:{port}", "readiness": f"{IP}:{port + 1}"}),
@@ -89,10 +89,9 @@
             Bounds(),
         )
     )
-    found.listen()
-    wire = type("FrameConnection", (), {"peer": "m"})()
-    found.on_message(wire, ConfigurationUpdate(7, CONFIGURATION))
-    found.on_message(wire, ServerListUpdate(0, listed(servers, behind)))
+    program.listen()
+    program.receive("member", ConfigurationUpdate(7, CONFIGURATION))
+    program.receive("member", ServerListUpdate(0, listed(servers, behind)))
     await asyncio.sleep(1)
     profiler, spent = cProfile.Profile(), time.process_time()
     if profile:
@@ -160,7 +159,7 @@
         first = random.randrange(20_000, 30_000)
         try:
             for port in (first, first + 1, first + 9):
-                listener(IP, port).close()
+                listening_socket(IP, port).close()
         except OSError:
             continue
         return first
--- a/kestrelplank/control/platform_list.py
+++ b/kestrelplank/control/platform_list.py
@@ -6,7 +6,7 @@
 import httpcore
 import msgspec
 
-from kestrelplank.http.call import Connection, dial
+from kestrelplank.http.connection import Connection, dial
 from kestrelplank.settings.platform import endpoint, ns
 from kestrelplank.transport.server_list import Entry
 
@@ -68,7 +68,7 @@
 
     async def _page(self, token: str | None) -> Page | None:
         connection = self._connection
-        if connection is None or connection.surplus() or not connection.keep:
+        if connection is None or connection.has_surplus() or not connection.reusable:
             connection = self._connection = await dial(self._address, DIAL)
         target = "/instances" + (f"?page_token={token}" if token else "")
         answer = await connection.ask(b"GET", target.encode(), [(b"Host", b"platform")], b"")
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -32,7 +32,9 @@
 from kestrelplank.control.platform_list import PlatformList
 from kestrelplank.control.server_calls import ServerCalls
 from kestrelplank.control.status import EdgeStatus, MemberStatus
-from kestrelplank.http.serve import Duties, listener, server
+from kestrelplank.http.critical_tasks import CriticalTasks
+from kestrelplank.http.server import create_server
+from kestrelplank.http.socket_options import listening_socket
 from kestrelplank.settings.platform import Settings, ns
 from kestrelplank.sharding.key_ranges import KeyRange
 from kestrelplank.storage.log_file import LogFile
@@ -241,23 +243,23 @@
             self.settings.local_system.ip_address,
             self.settings.telegraph_port(),
         )
-        front = server(application(self), IDLE, ANSWERING)
-        serving = asyncio.create_task(front.serve([listener(*self.settings.listen("control_plane"))]))
+        front = create_server(application(self), IDLE, ANSWERING)
+        serving = asyncio.create_task(front.serve([listening_socket(*self.settings.listen("control_plane"))]))
         log.info("Control: member %s", self.member.identity)
-        duties = Duties("Control", stop)
+        critical_tasks = CriticalTasks("Control", stop)
         for duty in (self.writer.run(), self.ticking(), self.fetching()):
-            duties.add(duty)
+            critical_tasks.add(duty)
         await stop.wait()
-        if not duties.failed:
+        if not critical_tasks.failed:
             log.info("Control: stopping")
             await self.leaving()
         front.should_exit = True
         await serving
         peers.close()
-        duties.cancel()
+        critical_tasks.cancel()
         self.members.close()
         log.info("Control: stopped")
-        return 1 if duties.failed else 0
+        return 1 if critical_tasks.failed else 0
 
     async def _started(self) -> ControlMember:
         """The member as its disk has it; a disk that refuses is asked again."""
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -15,7 +15,8 @@
 
 import msgspec
 
-from kestrelplank.http.call import Answer, Connection, dial
+from kestrelplank.http.answer import Answer
+from kestrelplank.http.connection import Connection, dial
 from kestrelplank.settings.platform import endpoint
 from kestrelplank.sharding.key_ranges import CALL, HOLD, RELEASE, KeyRange
 
@@ -102,7 +103,7 @@
         try:
             async with asyncio.timeout((CALL if call.action == GRANT else RELEASE) / S):
                 kept = self._take(call) or KeptConnection(await dial(self.address, DIAL))
-                kept.connection.stream.begin()
+                kept.connection.stream.begin_call()
                 if call.action == GRANT and time.monotonic_ns() >= call.until:
                     return False, None
                 kept.released |= call.action != GRANT
@@ -111,7 +112,7 @@
             pass
         finally:
             self._give_back(kept, answer)
-        return kept is not None and kept.connection.stream.sent > 0, answer
+        return kept is not None and kept.connection.stream.sent_bytes > 0, answer
 
     async def _send(self, connection: Connection, call: ServerCall) -> Answer:
         body = call.body()
@@ -127,7 +128,7 @@
         """An idle connection for this call, the one used last first."""
         now = time.monotonic_ns()
         for kept in reversed(self._idle):
-            if now >= kept.rests_until or kept.connection.surplus():
+            if now >= kept.rests_until or kept.connection.has_surplus():
                 self._idle.remove(kept)
                 kept.connection.reset()
             elif call.action == GRANT or not kept.released:
@@ -139,10 +140,10 @@
         """Keeps the connection for another call only after a whole answer with nothing behind it."""
         if kept is None:
             return
-        if answer is None or not kept.connection.keep:
+        if answer is None or not kept.connection.reusable:
             kept.connection.reset()
             return
-        kept.rests_until = time.monotonic_ns() + answer.kept_for()
+        kept.rests_until = time.monotonic_ns() + answer.max_idle_ns()
         self._idle.append(kept)
 
     def close(self) -> None:
--- /dev/null
+++ b/kestrelplank/edge/client_exchange.py
@@ -0,0 +1,305 @@
+"""One request of a client, from its first byte to the last of its answer.
+
+It is read in full, then what `forwarding.forwarder` decides is carried out step by step. The answer goes to the client
+whose connection the request came on, in the order of that connection; what a server answered is matched to its request
+in `edge.server_connections`.
+"""
+
+import asyncio
+import logging
+import time
+from typing import TYPE_CHECKING, TypedDict, assert_never
+from zlib import crc32
+
+from kestrelplank.edge.counters import UPSTREAM_RQ_PENDING, UPSTREAM_RQ_RETRY
+from kestrelplank.edge.request_head import (
+    ATTEMPT_ID,
+    HOP_BY_HOP_HEADERS,
+    SHARD_KEY,
+    attempt_headers,
+    client_timeout_ns,
+    is_ambiguous,
+    server_headers,
+)
+from kestrelplank.edge.server_connections import AttemptResult, ServerRequest
+from kestrelplank.forwarding.errors import (
+    BadRequestError,
+    BodyMemoryError,
+    BodyTimeoutError,
+    BodyTooLargeError,
+    GatewayDefectError,
+    OutcomeUnknownError,
+    RequestError,
+    ShuttingDownError,
+)
+from kestrelplank.forwarding.request import ForwardedRequest
+from kestrelplank.forwarding.retry_policy import CallOutcome
+from kestrelplank.forwarding.steps import ForwardAnswer, Refuse, Send, Step, Wait
+from kestrelplank.http.answer import Answer
+from kestrelplank.http.asgi import Headers, Receive, Scope
+from kestrelplank.http.asgi import Send as AsgiSend
+from kestrelplank.time_units import MILLISECOND, SECOND
+
+if TYPE_CHECKING:
+    from kestrelplank.edge.client_application import ClientApplication
+
+RETRY_AFTER_NS = SECOND // 2  # what a refusal says where the body could not be taken, or we stop
+BODILESS_STATUSES = (204, 304)
+log = logging.getLogger("edge")
+
+
+class AttemptTrace(TypedDict):
+    """One attempt, as a traced request has it in the log."""
+
+    server: str
+    outcome: str
+    status: int  # 0: no complete answer
+    ms: int
+
+
+class ClientExchange:
+    """One request of a client and its answer.
+
+    Invariants: the client gets one answer, whatever happens, unless it has gone
+    (`test_whatever_happens_on_both_wires_each_client_gets_its_own_answer_and_nothing_runs_twice`); the memory of its
+    body is given back (`test_bodies_are_held_within_a_bound_and_given_back`); an attempt is broken off only where
+    another run would do no harm (`test_a_client_that_gives_up_does_not_break_off_what_can_not_be_repeated`).
+    """
+
+    def __init__(self, application: "ClientApplication", scope: Scope, receive: Receive, send: AsgiSend) -> None:
+        self._application, self._scope, self._receive, self._send = application, scope, receive, send
+        self._headers: Headers = scope["headers"]
+        self._fields = dict(self._headers)
+        self._received_at = time.monotonic_ns()
+        self._body_memory = 0  # bytes that its body takes of the application's
+        self._request: ForwardedRequest | None = None  # once it is admitted
+        self._last_result: AttemptResult | None = None
+        self._attempts: list[AttemptTrace] = []
+        self._answered = False
+
+    async def run(self) -> None:
+        """Read the request, forward it and answer it, whatever happens."""
+        try:
+            await self._run()
+        except asyncio.CancelledError:  # the time to finish is over
+            await self._break_off(ShuttingDownError(RETRY_AFTER_NS))
+        except Exception:  # noqa: BLE001 - else the client got an answer that says nothing of what ran
+            log.exception("Edge: refusing a request because of a defect of the gateway")
+            await self._break_off(GatewayDefectError(RETRY_AFTER_NS))
+        finally:
+            self._application.body_memory -= self._body_memory
+
+    async def _run(self) -> None:
+        try:
+            body = await self._read()
+            if body is None:
+                return
+            now = time.monotonic_ns()
+            request = self._request = self._admit(now, body)
+        except RequestError as error:
+            await self._refuse(error)
+            return
+        step = self._application.forwarder.next_step(now, request)
+        client_gone = asyncio.ensure_future(self._wait_until_client_has_gone())
+        try:
+            await self._carry_out(request, step, self._server_request(body), client_gone)
+        finally:
+            client_gone.cancel()
+            self._trace(request)
+
+    async def _break_off(self, error: RequestError) -> None:
+        """Answer at once, with what is certain of the request."""
+        request = self._request
+        if request is not None and request.endpoint is not None:
+            self._application.forwarder.attempt_ended(time.monotonic_ns(), request, CallOutcome.ABANDONED)
+        if request is not None and request.may_have_run:
+            error = OutcomeUnknownError()
+        if not self._answered:
+            await self._refuse(error)
+
+    # 1. What the client sends.
+
+    async def _read(self) -> bytes | None:
+        """Return the body in full, None where the client has gone.
+
+        :raises RequestError: the request is ambiguous, or its body can't be taken.
+        """
+        if is_ambiguous(self._headers, self._fields):
+            raise BadRequestError
+        try:
+            async with asyncio.timeout(client_timeout_ns(self._fields) / SECOND):
+                return await self._read_body(self._application.max_body_bytes())
+        except TimeoutError as err:
+            raise BodyTimeoutError(RETRY_AFTER_NS) from err
+
+    async def _read_body(self, max_bytes: int) -> bytes | None:
+        application, chunks = self._application, []
+        while True:
+            message = await self._receive()
+            if message["type"] != "http.request":
+                return None
+            chunk = message["body"]
+            chunks.append(chunk)
+            self._body_memory += len(chunk)
+            application.body_memory += len(chunk)
+            if self._body_memory > max_bytes:
+                raise BodyTooLargeError
+            if application.body_memory > application.max_body_memory:
+                raise BodyMemoryError(RETRY_AFTER_NS)
+            if not message.get("more_body"):
+                return b"".join(chunks)
+
+    def _admit(self, now: int, body: bytes) -> ForwardedRequest:
+        fields = self._fields
+        return self._application.forwarder.admit(
+            now,
+            host=fields.get(b"host", b"").decode("latin-1"),
+            path=self._scope["path"],
+            shard_key=fields.get(SHARD_KEY, b"").decode("latin-1") or None,
+            client_timeout_ns=client_timeout_ns(fields) - (now - self._received_at),
+            body_bytes=len(body),
+        )
+
+    def _server_request(self, body: bytes) -> ServerRequest:
+        """Return the request as it goes to servers, but for what differs from attempt to attempt."""
+        query = self._scope["query_string"]
+        return ServerRequest(
+            self._scope["method"].encode(),
+            self._scope["raw_path"] + (b"?" + query if query else b""),
+            server_headers(self._headers, self._fields, body),
+            body,
+            self._fields[ATTEMPT_ID],
+        )
+
+    async def _wait_until_client_has_gone(self) -> None:
+        while (await self._receive())["type"] != "http.disconnect":
+            pass
+
+    # 2. What the forwarder decides.
+
+    async def _carry_out(
+        self, request: ForwardedRequest, step: Step, server_request: ServerRequest, client_gone: asyncio.Future[None]
+    ) -> None:
+        """Do what the forwarder says until the request has its answer, or nobody waits for one."""
+        while not client_gone.done():
+            if isinstance(step, Send):
+                step = await self._attempt(request, step, server_request, client_gone)
+            elif isinstance(step, Wait):
+                await self._wait(step, client_gone)
+                if not client_gone.done():
+                    step = self._application.forwarder.next_step(time.monotonic_ns(), request)
+            elif isinstance(step, ForwardAnswer):
+                await self._forward_answer()
+                return
+            elif isinstance(step, Refuse):
+                await self._refuse(step.error)
+                return
+            else:
+                assert_never(step)
+
+    async def _attempt(
+        self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
+    ) -> Step:
+        """Make one attempt, and return what follows of it."""
+        application, endpoint = self._application, step.endpoint
+        if request.last_outcome is not None:
+            application.counters.add(UPSTREAM_RQ_RETRY)
+        result = self._last_result = await self._send_attempt(request, step, server_request, client_gone)
+        now = time.monotonic_ns()
+        self._note_attempt(endpoint.server, result, now - request.sent_at)
+        following = application.forwarder.attempt_ended(now, request, result.outcome, result.load())
+        endpoint.idle_connections = application.connections.idle(endpoint.address)
+        application.wake_pending()
+        return following
+
+    async def _send_attempt(
+        self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
+    ) -> AttemptResult:
+        """Send to a server. Where the client goes meanwhile, an attempt that must not be repeated isn't broken off."""
+        forwarder, endpoint = self._application.forwarder, step.endpoint
+        sending = asyncio.ensure_future(
+            self._application.connections.send(
+                endpoint.address,
+                server_request.with_headers(attempt_headers(endpoint.server, step.timeout_ns)),
+                step.timeout_ns,
+                forwarder.max_connections(request),
+            )
+        )
+        try:
+            await asyncio.wait((sending, client_gone), return_when=asyncio.FIRST_COMPLETED)
+            if not sending.done() and forwarder.may_abandon(request):
+                return AttemptResult(CallOutcome.ABANDONED)
+            return await sending
+        finally:
+            sending.cancel()
+
+    def _note_attempt(self, server: str, result: AttemptResult, duration_ns: int) -> None:
+        self._application.counters.attempt_ended(result.outcome)
+        self._attempts.append(
+            {
+                "server": server,
+                "outcome": result.outcome.value,
+                "status": result.answer.status if result.answer else 0,
+                "ms": duration_ns // MILLISECOND,
+            }
+        )
+
+    async def _wait(self, step: Wait, client_gone: asyncio.Future[None]) -> None:
+        """Wait until the step's time, a change that may let the request go on, or the client's going."""
+        self._application.counters.add(UPSTREAM_RQ_PENDING)
+        timeout_s = max(0, step.until - time.monotonic_ns()) / SECOND
+        changed = asyncio.ensure_future(self._application.changed.wait())
+        try:
+            await asyncio.wait((changed, client_gone), timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+        finally:
+            changed.cancel()
+
+    # 3. The answer.
+
+    async def _forward_answer(self) -> None:
+        """Pass on a server's answer, as it came."""
+        assert self._last_result is not None and self._last_result.answer is not None  # the step says so
+        answer: Answer = self._last_result.answer
+        headers = [(name.lower(), value) for name, value in answer.headers if name.lower() not in HOP_BY_HOP_HEADERS]
+        length = answer.fields.get(b"content-length") if self._scope["method"] == "HEAD" else None
+        await self.answer(answer.status, headers, answer.body, length)
+
+    async def _refuse(self, error: RequestError) -> None:
+        """Send an answer of our own, as the error says."""
+        self._application.counters.refused(error)
+        headers = []
+        if error.retry_after_ns:
+            headers.append((b"retry-after", f"{error.retry_after_ns / SECOND:.3f}".encode()))
+        if isinstance(error, BodyTimeoutError):
+            headers.append((b"connection", b"close"))  # the rest of its body may come yet
+        await self.answer(error.status, headers, error.reason.encode())
+
+    async def answer(self, status: int, headers: Headers, body: bytes, length: bytes | None = None) -> None:
+        """Answer the client, once.
+
+        :param length: of a body that is not sent, as the request is a HEAD.
+        """
+        self._answered = True
+        if status not in BODILESS_STATUSES:
+            headers.append((b"content-length", length or str(len(body)).encode()))
+        if self._application.readiness.draining and self._scope["connection"].ends_with_this_answer():
+            headers.append((b"connection", b"close"))
+        await self._send({"type": "http.response.start", "status": status, "headers": headers})
+        await self._send({"type": "http.response.body", "body": body})
+
+    def _trace(self, request: ForwardedRequest) -> None:
+        """Write one line to the log, if this request is one of those that are traced."""
+        attempt_id, trace = self._fields[ATTEMPT_ID], self._application.trace
+        if not trace or crc32(attempt_id) % trace:
+            return
+        log.info(
+            "Edge: request",
+            extra={
+                "attempt": attempt_id.decode("latin-1"),
+                "path": self._scope["path"],
+                "service": request.service,
+                "key": request.key,
+                "attempts": self._attempts,
+                "ms": (time.monotonic_ns() - self._received_at) // MILLISECOND,
+            },
+        )
--- /dev/null
+++ b/kestrelplank/edge/control_sessions.py
@@ -0,0 +1,113 @@
+"""Sessions of an edge with control members: one with each that counts, begun anew when it has ended or is silent."""
+
+import asyncio
+import time
+from collections.abc import Callable
+from random import Random
+
+from kestrelplank.settings.platform import endpoint
+from kestrelplank.time_units import MILLISECOND
+from kestrelplank.transport.edge_view import SILENT, EdgeView
+from kestrelplank.transport.messages import LoadReport, ToEdge, decode_at_edge
+from kestrelplank.transport.wire import FrameConnection
+
+CONNECT_TIMEOUT_S = 0.6
+RECONNECT_INTERVAL_S = 0.25
+HEARTBEAT_INTERVAL_S = 0.4
+
+
+class ControlSessions:
+    """All sessions of one edge.
+
+    :param port: at which control members take sessions.
+    :param on_message: takes the address of the member, and what it sent.
+    """
+
+    def __init__(self, view: EdgeView, port: int, random: Random, on_message: Callable[[str, ToEdge], None]) -> None:
+        self._view, self._port, self._random, self._on_message = view, port, random, on_message
+        self._tasks: dict[str, asyncio.Task[None]] = {}  # by the member's address, as all below
+        self._connections: dict[str, FrameConnection] = {}
+        self._heard_at: dict[FrameConnection, int] = {}
+
+    # Whom a session is wanted with.
+
+    async def keep_up(self) -> None:
+        """Look now and then whom a session is wanted with: seeds are asked again when all members are silent."""
+        while True:
+            await asyncio.sleep(RECONNECT_INTERVAL_S)
+            self.reconcile()
+
+    def reconcile(self) -> None:
+        """Have sessions with all members that count, or with those that may say who does, and with nobody else."""
+        wanted = self._view.addresses_to_dial(time.monotonic_ns())
+        for member in wanted:
+            if member not in self._tasks:
+                self._tasks[member] = asyncio.create_task(self._session(member))
+        for member in [member for member in self._tasks if member not in wanted]:
+            self._tasks.pop(member).cancel()
+
+    def close(self) -> None:
+        """End all sessions."""
+        for task in self._tasks.values():
+            task.cancel()
+
+    # One session.
+
+    async def _session(self, member: str) -> None:
+        while True:
+            connection = None
+            try:
+                connection = await self._connect(member)
+                await self._send_heartbeats(connection)
+            except (OSError, TimeoutError):
+                pass  # it is tried again
+            finally:
+                if connection is not None:
+                    self._forget(member, connection)
+            await asyncio.sleep(RECONNECT_INTERVAL_S * (1 + self._random.random()))
+
+    async def _connect(self, member: str) -> FrameConnection:
+        host = endpoint(member)[0]
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            _, connection = await asyncio.get_running_loop().create_connection(
+                lambda: FrameConnection(decode_at_edge, self._received, _on_end), host, self._port
+            )
+        connection.peer, self._connections[member] = member, connection
+        self._heard_at[connection] = time.monotonic_ns()
+        return connection
+
+    async def _send_heartbeats(self, connection: FrameConnection) -> None:
+        """Say where we stand until the session has ended or is silent."""
+        while connection.open and time.monotonic_ns() - self._heard_at[connection] < SILENT:
+            connection.send(self._view.heartbeat(time.monotonic_ns()))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+
+    def _received(self, connection: FrameConnection, message: ToEdge) -> None:
+        self._heard_at[connection] = time.monotonic_ns()
+        self._on_message(connection.peer, message)
+
+    def _forget(self, member: str, connection: FrameConnection) -> None:
+        connection.reset()
+        self._heard_at.pop(connection, None)
+        if self._connections.get(member) is connection:
+            del self._connections[member]
+
+    # What the program uses them for.
+
+    def send_report(self, member: str | None, report: LoadReport) -> None:
+        """Send a report to that member; it is lost where there is no session with it."""
+        connection = self._connections.get(member or "")
+        if connection is not None:
+            connection.send(report)
+
+    def silent_ms(self) -> dict[str, int]:
+        """Return for how long each member has said nothing."""
+        now = time.monotonic_ns()
+        return {
+            member: (now - self._heard_at.get(connection, now)) // MILLISECOND
+            for member, connection in self._connections.items()
+        }
+
+
+def _on_end(connection: FrameConnection) -> None:
+    """Do nothing: the task of the session sees that its connection has ended."""
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -1,4 +1,7 @@
-"""The edge program on sockets, round `forwarding` and `transport.edge_view`: it translates and sends, no more."""
+"""The edge program: it composes the parts, starts and stops them, and applies what control members send.
+
+Its decisions are in `forwarding.forwarder`, what it knows of the rest in `transport.edge_view`.
+"""
 
 import asyncio
 import logging
@@ -7,200 +10,171 @@
 from random import Random, SystemRandom
 
 from kestrelplank.configuration.plan import Configuration
-from kestrelplank.edge.client_requests import ClientRequests
+from kestrelplank.edge.client_application import ClientApplication
+from kestrelplank.edge.control_sessions import ControlSessions
+from kestrelplank.edge.readiness import Readiness
 from kestrelplank.edge.server_connections import ServerConnections
 from kestrelplank.forwarding.forwarder import Forwarder
-from kestrelplank.http.serve import Duties, listener
-from kestrelplank.http.serve import server as http_server
-from kestrelplank.settings.platform import Settings, endpoint, ns
-from kestrelplank.transport.edge_view import SILENT, Change, EdgeView
-from kestrelplank.transport.messages import LoadReport, ToEdge, decode_at_edge
-from kestrelplank.transport.wire import FrameConnection
-
-S = 1_000_000_000
-DIAL = 0.6  # s for a session to come up
-AGAIN = 0.25  # s between dials
-BEAT = 0.4  # s between our words to each member
-REPORT = 0.5  # s between reports of load
-LEAVE = 2.3  # s after SIGTERM in which the platform learns that we take nothing new
-LAST_WORDS = 0.5  # s before the platform kills us in which what is still in hand is answered
-BODIES = 0.25  # of this machine's memory may be bodies that are on their way
+from kestrelplank.http.critical_tasks import CriticalTasks
+from kestrelplank.http.server import Server, create_server
+from kestrelplank.http.socket_options import listening_socket
+from kestrelplank.settings.platform import Settings, ns
+from kestrelplank.time_units import SECOND
+from kestrelplank.transport.edge_view import Change, EdgeView
+from kestrelplank.transport.messages import LoadReport, ToEdge
+
+REPORT_INTERVAL_S = 0.5  # between reports of load, and between looks at idle connections
+DRAIN_DELAY_S = 2.3  # after SIGTERM, in which the platform learns that we are not ready
+FINAL_ANSWERS_S = 0.5  # before the platform kills us, in which what is still in hand is answered
+BODY_MEMORY_FRACTION = 0.25  # of this machine's memory, for bodies in hand
+BYTES_PER_MB = 1 << 20
 log = logging.getLogger("edge")
 
 
 class EdgeProgram:
-    """The program: one loop, one application for clients and for the platform's question."""
+    """One edge: one event loop, one application for clients and for the platform's question.
+
+    :param trace: one request in so many is logged, 0 for none.
+    """
 
     def __init__(self, settings: Settings, trace: int = 0) -> None:
         self.settings = settings
         local, bounds = settings.local_system, settings.bounds
-        self.random = Random(SystemRandom().getrandbits(64))
+        random = Random(SystemRandom().getrandbits(64))
         self.view = EdgeView(local.node_name, tuple(settings.network.seed_nodes))
         self.forwarder = Forwarder(
-            self.random, self.view, local.zone, bounds.retry_budget_ratio, bounds.retry_allowance, ns(bounds.drain_s)
+            random, self.view, local.zone, bounds.retry_budget_ratio, bounds.retry_allowance, ns(bounds.drain_s)
         )
         self.connections = ServerConnections(time.monotonic_ns)
-        self.requests = ClientRequests(
+        self.readiness = Readiness(self.view)
+        self.application = ClientApplication(
             self.forwarder,
             self.connections,
+            self.readiness,
             settings.listen("readiness")[1],
-            int(local.limits.memory_mb * (1 << 20) * BODIES),
+            int(local.limits.memory_mb * BYTES_PER_MB * BODY_MEMORY_FRACTION),
             trace,
         )
-        self.sessions: dict[str, asyncio.Task[None]] = {}
-        self.wires: dict[str, FrameConnection] = {}
-        self.heard: dict[FrameConnection, int] = {}
+        self.sessions = ControlSessions(self.view, settings.telegraph_port(), random, self.receive)
+        self.server: Server = create_server(self.application, None, bounds.grace_s - DRAIN_DELAY_S - FINAL_ANSWERS_S)
 
-    def set_limits(self, configuration: Configuration) -> None:
-        """What the configuration allows clients holds from now on, on all connections."""
-        limits = self.front.limits
-        limits.header_bytes = configuration.max_header
-        limits.header_s = configuration.header_wait / S
-        limits.idle_s = configuration.idle / S
+    # Start and stop.
 
-    def tell(self) -> None:
-        """What this member has counted and sees, as one line of the log."""
-        now = time.monotonic_ns()
-        log.info(
-            "Edge: counts",
-            extra={
-                "counts": self.requests.counts,
-                "held": self.requests.held,
-                "ready": self.view.ready(),
-                "sessions": {
-                    member: (now - self.heard.get(wire, now)) // 1_000_000 for member, wire in self.wires.items()
-                },
-                "busy": {
-                    name: round(endpoint.load(now), 1)
-                    for name, endpoint in self.forwarder.endpoints.by_name.items()
-                    if endpoint.load(now) >= 1
-                },
-            },
-        )
+    async def run(self) -> int:
+        """Run until SIGTERM, or until a critical task fails. Return the exit code."""
+        stop = asyncio.Event()
+        self.watch_signals(stop)
+        self.listen()
+        self.sessions.reconcile()
+        critical_tasks = CriticalTasks("Edge", stop)
+        critical_tasks.add(self._report_and_close_idle())
+        critical_tasks.add(self.sessions.keep_up())
+        log.info("Edge: started")
+        await stop.wait()
+        log.info("Edge: stopping, not ready from now on")
+        await self.drain(DRAIN_DELAY_S)
+        critical_tasks.cancel()
+        self.sessions.close()
+        log.info("Edge: stopped", extra={"counters": self.application.counters.values})
+        return 1 if critical_tasks.failed else 0
+
+    def watch_signals(self, stop: asyncio.Event) -> None:
+        """SIGTERM and SIGINT set `stop`, SIGHUP changes nothing, SIGUSR1 logs the counters."""
+        loop = asyncio.get_running_loop()
+        for number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(number, stop.set)
+        loop.add_signal_handler(signal.SIGHUP, lambda: None)
+        loop.add_signal_handler(signal.SIGUSR1, self.log_counters)
+
+    def listen(self) -> None:
+        """Take connections from now on."""
+        sockets = [listening_socket(*self.settings.listen(name)) for name in ("frontend", "readiness")]
+        self._serving = asyncio.create_task(self.server.serve(sockets))
+
+    async def drain(self, delay_s: float) -> None:
+        """Stop in order, so that no request is lost.
+
+        At first we say that we are not ready, and each answer ends its connection; then nothing new is taken, and what
+        is in hand is finished.
+
+        :param delay_s: between the two.
+        """
+        self.readiness.begin_drain()
+        await asyncio.sleep(delay_s)
+        await self.close()
+        await self.server.wait_until_answered(FINAL_ANSWERS_S / 2)
 
-    # Sessions.
+    async def close(self) -> None:
+        """Take nothing new, and finish what is in hand within the grace time."""
+        self.server.should_exit = True
+        await self._serving
 
-    def on_message(self, wire: FrameConnection, message: ToEdge) -> None:
-        """A message of the member at the address `wire.peer`."""
+    # What control members send.
+
+    def receive(self, member: str, message: ToEdge) -> None:
+        """Apply a message of the member at that address."""
         now = time.monotonic_ns()
-        self.heard[wire] = now
-        change = self.view.receive(now, wire.peer, message)
+        change = self.view.receive(now, member, message)
         if change is None:
             return
-        if change is Change.CONFIGURATION:
-            configuration = self.view.configuration
-            self.set_limits(configuration)
-            log.info("Edge: configuration %08x", configuration.key.version)
-        elif change is Change.SERVERS:
+        if change is Change.CONFIGURATION and self.view.configuration is not None:
+            self.set_limits(self.view.configuration)
+            log.info("Edge: configuration %08x is in force", self.view.configuration.key.version)
+        elif change is Change.SERVERS and self.view.servers.fetched_at is not None:
             self.forwarder.endpoints.update(self.view.servers.fetched_at, self.view.servers.entries.values())
         elif change is Change.MEMBERS:
-            self.meet()
+            self.sessions.reconcile()
         self.forwarder.retry_budget.edges = self.view.edges
-        self.requests.wake()
+        self.application.wake_pending()
 
-    async def meeting(self) -> None:
-        """Looks now and then whom a session is wanted with: seeds are asked again when all members are silent."""
-        while True:
-            await asyncio.sleep(AGAIN)
-            self.meet()
-
-    def meet(self) -> None:
-        """Sessions with all members that count, or with those that may say who does, and with nobody else."""
-        wanted = self.view.addresses_to_dial(time.monotonic_ns())
-        for member in wanted:
-            if member not in self.sessions:
-                self.sessions[member] = asyncio.create_task(self.session(member))
-        for member in [member for member in self.sessions if member not in wanted]:
-            self.sessions.pop(member).cancel()
-
-    async def session(self, member: str) -> None:
-        """A session with that member, begun anew whenever it has ended or stands silent."""
-        host = endpoint(member)[0]
-        loop = asyncio.get_running_loop()
-        while True:
-            wire = None
-            try:
-                async with asyncio.timeout(DIAL):
-                    _, wire = await loop.create_connection(
-                        lambda: FrameConnection(decode_at_edge, self.on_message, self.on_end),
-                        host,
-                        self.settings.telegraph_port(),
-                    )
-                wire.peer, self.wires[member] = member, wire
-                self.heard[wire] = time.monotonic_ns()
-                while wire.open and time.monotonic_ns() - self.heard[wire] < SILENT:
-                    wire.send(self.view.heartbeat(time.monotonic_ns()))
-                    await asyncio.sleep(BEAT)
-            except (OSError, TimeoutError):
-                pass
-            finally:
-                if wire is not None:
-                    wire.reset()
-                    self.heard.pop(wire, None)
-                    if self.wires.get(member) is wire:
-                        del self.wires[member]
-            await asyncio.sleep(AGAIN * (1 + self.random.random()))
-
-    def on_end(self, wire: FrameConnection) -> None:
-        """The session's own task sees that it has ended."""
-
-    async def reporting(self) -> None:
-        """Tells deciders what was seen, and closes what has been idle too long."""
-        while True:
-            await asyncio.sleep(REPORT)
-            for service, (keys, servers) in self.forwarder.take_load_reports().items():
-                wire = self.wires.get(self.view.decider(service) or "")
-                if wire is not None and (keys or servers):
-                    wire.send(LoadReport(service, keys, servers))
-            endpoints = self.forwarder.endpoints.by_name.values()
-            for server in endpoints:
-                server.idle_connections = self.connections.unused(server.address)
-            self.connections.tidy({server.address for server in endpoints if server.ready})
-
-    # The whole.
-
-    def listen(self) -> None:
-        """Takes connections from now on."""
-        sockets = [listener(*self.settings.listen(name)) for name in ("frontend", "readiness")]
-        self.front = http_server(self.requests.app, None, self.settings.bounds.grace_s - LEAVE - LAST_WORDS)
-        self.serving = asyncio.create_task(self.front.serve(sockets))
-
-    async def leave(self, within: float) -> None:
-        """Stops in order: for so many seconds we say that we are not ready, and each answer that its connection ends;
-        then nothing new is taken, and what is in hand is finished."""
-        self.requests.stopping = True
-        await asyncio.sleep(within)
-        self.front.should_exit = True
-        await self.serving
-        await self.front.answered(LAST_WORDS / 2)
+    def set_limits(self, configuration: Configuration) -> None:
+        """Bound clients as the configuration says from now on, on all connections."""
+        limits = self.server.limits
+        limits.header_bytes = configuration.max_header
+        limits.header_timeout_s = configuration.header_wait / SECOND
+        limits.idle_timeout_s = configuration.idle / SECOND
 
-    def watch_signals(self, stop: asyncio.Event) -> None:
-        """SIGTERM and SIGINT set `stop`, SIGHUP changes nothing, SIGUSR1 prints what this member has counted."""
-        loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
-        loop.add_signal_handler(signal.SIGHUP, lambda: None)
-        loop.add_signal_handler(signal.SIGUSR1, self.tell)
+    # What is sent to control members, and logged.
 
-    async def run(self) -> int:
-        stop = asyncio.Event()
-        self.watch_signals(stop)
-        self.listen()
-        self.meet()
-        duties = Duties("Edge", stop)
-        duties.add(self.reporting())
-        duties.add(self.meeting())
-        log.info("Edge: started")
-        await stop.wait()
-        log.info("Edge: stopping")
-        await self.leave(LEAVE)
-        duties.cancel()
-        for task in self.sessions.values():
-            task.cancel()
-        log.info("Edge: stopped", extra={"counts": self.requests.counts})
-        return 1 if duties.failed else 0
+    async def _report_and_close_idle(self) -> None:
+        """Report now and then what was met of servers, and close connections that are not used."""
+        while True:
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            self._report_load()
+            self._close_idle_connections()
+
+    def _report_load(self) -> None:
+        """Tell the member that assigns each sharded service's keys what was met there."""
+        for service, (keys, servers) in self.forwarder.take_load_reports().items():
+            if keys or servers:
+                self.sessions.send_report(self.view.decider(service), LoadReport(service, keys, servers))
+
+    def _close_idle_connections(self) -> None:
+        endpoints = self.forwarder.endpoints.by_name.values()
+        for endpoint in endpoints:
+            endpoint.idle_connections = self.connections.idle(endpoint.address)
+        self.connections.close_unused({endpoint.address for endpoint in endpoints if endpoint.ready})
+
+    def log_counters(self) -> None:
+        """Log what this edge has counted and sees now, as one line."""
+        now, endpoints = time.monotonic_ns(), self.forwarder.endpoints
+        loads = {name: endpoint.load(now) for name, endpoint in endpoints.by_name.items()}
+        log.info(
+            "Edge: counters",
+            extra={
+                "counters": self.application.counters.values,
+                "readiness": self.readiness.state.value,
+                "downstream_rq_body_bytes": self.application.body_memory,
+                "upstream_rq_active": {name: round(load, 1) for name, load in loads.items() if load >= 1},
+                "outlier_ejected": endpoints.ejected(now),
+                "control_session_silent_ms": self.sessions.silent_ms(),
+            },
+        )
 
 
 async def run(settings: Settings, trace: int = 0) -> int:
-    """Runs the program until SIGTERM; `trace`: one in so many requests is logged, 0 for none. Returns the exit code."""
+    """Run an edge until SIGTERM, and return the exit code.
+
+    :param trace: one request in so many is logged, 0 for none.
+    """
     return await EdgeProgram(settings, trace).run()
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -1,104 +1,150 @@
-"""Connections to servers, kept by address: one request at a time on each, closed in one place.
+"""Attempts at servers, over connections kept by address: one request at a time on each.
 
-An answer belongs to a request if it came whole on the connection that the request went out on and bears the request's
-`X-Attempt-Id`. What was seen of a try is reported (`Seen`); whether it may be sent again is not known here.
+An answer belongs to a request if it came complete on the connection that the request went out on and bears the
+request's `X-Attempt-Id`. How an attempt ended is reported (`CallOutcome`); whether the request may be sent again is not
+known here.
 """
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from kestrelplank.forwarding.endpoint import ServerLoad
 from kestrelplank.forwarding.retry_policy import CallOutcome
-from kestrelplank.http.call import IDLE, Answer, Connection, NoAnswer, dial
+from kestrelplank.http.answer import DEFAULT_IDLE_NS, Answer
+from kestrelplank.http.asgi import Headers
+from kestrelplank.http.connection import Connection, dial
+from kestrelplank.http.errors import (
+    AnswerMalformedError,
+    AnswerTruncatedError,
+    ConnectionClosedWithoutAnswerError,
+    ConnectionResetWithoutAnswerError,
+    NoAnswerError,
+    RequestNotSentError,
+    RequestUnsendableError,
+)
 from kestrelplank.load_balancing.pools import DIAL, USE, Pool, Terms
-
-NS = 1_000_000_000
-DIAL_WITHIN = 0.35  # s for a connection to come up
-HOP = {
-    b"connection",
-    b"keep-alive",
-    b"proxy-connection",
-    b"proxy-authenticate",
-    b"proxy-authorization",
-    b"te",
-    b"trailer",
-    b"transfer-encoding",
-    b"upgrade",
-    b"expect",
-    b"content-length",
+from kestrelplank.time_units import SECOND
+
+CONNECT_TIMEOUT_S = 0.35
+MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: here, another incarnation of the server is at this address
+SUCCESS, SERVER_ERROR = 2, 5  # classes of status codes
+OUTCOMES_WITHOUT_ANSWER: dict[type[NoAnswerError], CallOutcome] = {
+    RequestUnsendableError: CallOutcome.UNSENDABLE,
+    RequestNotSentError: CallOutcome.CONNECT_FAIL,
+    ConnectionResetWithoutAnswerError: CallOutcome.RESET,
+    ConnectionClosedWithoutAnswerError: CallOutcome.CLOSED,
+    AnswerTruncatedError: CallOutcome.TRUNCATED,
+    AnswerMalformedError: CallOutcome.MALFORMED,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRequest:
-    """A client's request as it goes to a server. `attempt`: its `X-Attempt-Id`."""
+    """A client's request as it goes to a server.
+
+    :param attempt_id: its `X-Attempt-Id`.
+    """
 
     method: bytes
     target: bytes
-    headers: list[tuple[bytes, bytes]]
+    headers: Headers
     body: bytes
-    attempt: bytes
+    attempt_id: bytes
+
+    def with_headers(self, headers: Headers) -> "ServerRequest":
+        """Return the same request with further headers."""
+        return ServerRequest(self.method, self.target, [*self.headers, *headers], self.body, self.attempt_id)
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """How a try ended; `answer` where one came whole that is this request's."""
+class AttemptResult:
+    """How an attempt ended.
 
-    seen: CallOutcome
+    :param answer: where one came complete that is this request's.
+    """
+
+    outcome: CallOutcome
     answer: Answer | None = None
 
-    def load(self) -> tuple[int, int, int] | None:
-        """Running, waiting and slots, as the server told."""
-        told = self.answer.fields.get(b"x-server-load") if self.answer else None
+    def load(self) -> ServerLoad | None:
+        """Return what the server reported of its load, None: nothing that can be read."""
+        text = self.answer.fields.get(b"x-server-load") if self.answer else None
+        if not text:
+            return None
         try:
-            parts = tuple(map(int, told.split(b","))) if told else ()
+            running, waiting, slots = map(int, text.split(b","))
         except ValueError:
             return None
-        return parts if len(parts) == 3 else None  # type: ignore[return-value]
+        return running, waiting, slots
 
 
 class ServerConnections:
-    """All connections to servers. `clock` in ns."""
+    """All connections to servers. What is taken from a pool is given back in one place, `send`.
+
+    :param clock: steady, in ns.
+    """
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self._clock = clock
         self._pools: dict[str, Pool] = {}
         self._connections: dict[str, dict[int, Connection]] = {}
-        self._number = 0
+        self._last_number = 0
 
-    async def send(self, address: str, request: ServerRequest, within: int, most: int) -> Outcome:
-        """One try at that server, within so many ns, over one of at most so many connections. Never raises but when
-        cancelled."""
-        pool = self._pools.get(address)
-        if pool is None:
-            pool = self._pools[address] = Pool(self._clock(), Terms(most=most, idle=IDLE))
-            self._connections[address] = {}
-        pool.bound(most)
+    async def send(self, address: str, request: ServerRequest, timeout_ns: int, max_connections: int) -> AttemptResult:
+        """Make one attempt at that server. Raises only where it is cancelled.
+
+        :param max_connections: that there may be to that server.
+        """
+        pool = self._pool(address, max_connections)
         connections = self._connections[address]
-        number, connection = self._kept(pool, connections)
+        number, connection = self._take(pool, connections)
         if number is None:
-            return Outcome(CallOutcome.NO_CONNECTION_FREE)
-        until = asyncio.get_running_loop().time() + within / NS
+            return AttemptResult(CallOutcome.NO_CONNECTION_FREE)
+        until_s = asyncio.get_running_loop().time() + timeout_ns / SECOND
         if connection is None:
-            connection = await self._dial(pool, address, min(DIAL_WITHIN, within / NS))
+            connection = await self._dial(pool, address, min(CONNECT_TIMEOUT_S, timeout_ns / SECOND))
             if connection is None:
-                return Outcome(CallOutcome.CONNECT_FAIL)
+                return AttemptResult(CallOutcome.CONNECT_FAIL)
             connections[number] = connection
             pool.opened(number)
-        kept = False
+        reusable = False
         try:
-            outcome, kept = await self._exchange(pool, connection, request, until)
-            return outcome
+            result, reusable = await self._exchange(pool, connection, request, until_s)
+            return result
         finally:
-            if not pool.done(self._clock(), number, kept):
+            if not pool.done(self._clock(), number, reusable):
                 connections.pop(number, None)
                 connection.reset()
 
+    def _pool(self, address: str, max_connections: int) -> Pool:
+        pool = self._pools.get(address)
+        if pool is None:
+            pool = self._pools[address] = Pool(self._clock(), Terms(most=max_connections, idle=DEFAULT_IDLE_NS))
+            self._connections[address] = {}
+        pool.bound(max_connections)
+        return pool
+
+    def _take(self, pool: Pool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
+        """Return a connection that can be used at once, or the number for a new one, or neither where all are busy."""
+        while True:
+            step = pool.take(self._clock())
+            if step[0] == DIAL:
+                self._last_number += 1
+                return self._last_number, None
+            if step[0] != USE:
+                return None, None
+            connection = connections[step[1]]
+            if not connection.has_surplus():
+                return step[1], connection
+            pool.lost(step[1])
+            connections.pop(step[1]).reset()
+
     @staticmethod
-    async def _dial(pool: Pool, address: str, within: float) -> Connection | None:
+    async def _dial(pool: Pool, address: str, timeout_s: float) -> Connection | None:
         host, _, port = address.rpartition(":")
         try:
-            return await dial((host, int(port)), within)
+            return await dial((host, int(port)), timeout_s)
         except (OSError, TimeoutError):
             pool.failed()
             return None
@@ -108,44 +154,36 @@
 
     @staticmethod
     async def _exchange(
-        pool: Pool, connection: Connection, request: ServerRequest, until: float
-    ) -> tuple[Outcome, bool]:
-        """The request on that connection, until so late by the loop's clock (s); and whether the connection is kept."""
-        connection.stream.begin()
+        pool: Pool, connection: Connection, request: ServerRequest, until_s: float
+    ) -> tuple[AttemptResult, bool]:
+        """Send the request on that connection, and return the result and whether the connection can be kept.
+
+        :param until_s: by the loop's clock.
+        """
+        connection.stream.begin_call()
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(until_s):
                 answer = await connection.ask(request.method, request.target, request.headers, request.body)
-                while not belongs(answer, request.attempt):  # to an older request, or to none: ours is still to come
+                while not belongs(answer, request.attempt_id):  # but to an older request: ours is still to come
                     answer = await connection.next_answer(request.method, request.target)
-            pool.keep_for(answer.kept_for())
-            return Outcome(judge(answer), answer), connection.keep
-        except NoAnswer as err:
-            return Outcome(err.seen), False
+            pool.keep_for(answer.max_idle_ns())
+            return AttemptResult(outcome_of(answer), answer), connection.reusable
+        except NoAnswerError as err:
+            return AttemptResult(OUTCOMES_WITHOUT_ANSWER[type(err)]), False
         except TimeoutError:
-            return Outcome(CallOutcome.TIMEOUT if connection.stream.sent else CallOutcome.CONNECT_FAIL), False
-
-    def _kept(self, pool: Pool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
-        """A connection that can be used at once, or the number for a new one, or neither where all are busy."""
-        while True:
-            step = pool.take(self._clock())
-            if step[0] == DIAL:
-                self._number += 1
-                return self._number, None
-            if step[0] != USE:
-                return None, None
-            connection = connections[step[1]]
-            if not connection.surplus():
-                return step[1], connection
-            pool.lost(step[1])
-            connections.pop(step[1]).reset()
+            sent = connection.stream.sent_bytes > 0
+            return AttemptResult(CallOutcome.TIMEOUT if sent else CallOutcome.CONNECT_FAIL), False
 
-    def unused(self, address: str) -> int:
-        """Connections there that stand unused."""
+    def idle(self, address: str) -> int:
+        """Return how many connections to that server are unused."""
         pool = self._pools.get(address)
         return pool.counts()[1] if pool is not None else 0
 
-    def tidy(self, live: set[str]) -> None:
-        """Closes what has been idle too long, and all that stands to servers that are no longer there."""
+    def close_unused(self, live: set[str]) -> None:
+        """Close what has been idle too long, and all that is idle to servers that are no longer there.
+
+        :param live: addresses of the servers that may be used.
+        """
         for address, pool in list(self._pools.items()):
             connections = self._connections[address]
             ended = pool.expired(self._clock()) if address in live else pool.withdraw(self._clock())
@@ -157,15 +195,16 @@
                 del self._pools[address], self._connections[address]
 
 
-def belongs(answer: Answer, attempt: bytes) -> bool:
+def belongs(answer: Answer, attempt_id: bytes) -> bool:
     """Whether it is the answer to the request with that id."""
-    return answer.only(b"x-attempt-id") == attempt
+    return answer.single_value(b"x-attempt-id") == attempt_id
 
 
-def judge(answer: Answer) -> CallOutcome:
-    """What a whole answer to our request tells of it."""
-    if b"x-not-executed" in answer.fields or answer.status == 421:
+def outcome_of(answer: Answer) -> CallOutcome:
+    """Return what a complete answer to our request says of it."""
+    if b"x-not-executed" in answer.fields or answer.status == MISDIRECTED_REQUEST:
         return CallOutcome.NOT_EXECUTED
-    if answer.status < 200 or answer.status < 300 and b"x-server-seal" not in answer.fields:
+    status_class = answer.status // 100
+    if status_class < SUCCESS or status_class == SUCCESS and b"x-server-seal" not in answer.fields:
         return CallOutcome.MALFORMED
-    return CallOutcome.SERVER_ERROR if answer.status >= 500 else CallOutcome.ANSWERED
+    return CallOutcome.SERVER_ERROR if status_class >= SERVER_ERROR else CallOutcome.ANSWERED
--- a/kestrelplank/forwarding/endpoint.py
+++ b/kestrelplank/forwarding/endpoint.py
@@ -20,7 +20,7 @@
 DRAIN_SEND_FRACTION = 0.36  # of the drain time: for so long a draining server may still be sent requests
 
 ServerLoad = tuple[int, int, int]  # running, waiting, slots
-EndpointStats = tuple[int, int, float, int, float, int]
+EndpointStats = tuple[float, ...]  # as a load report has it
 
 
 class Endpoint:
--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -92,6 +92,10 @@
         healthy = self._ejection.sound(now, [(endpoint.number, 1.0), (UNUSED_NUMBER, 1.0)])
         return healthy[0][0] != endpoint.number
 
+    def ejected(self, now: int) -> list[str]:
+        """Return the names of the servers that are ejected now."""
+        return [name for name, endpoint in self.by_name.items() if self.is_ejected(now, endpoint)]
+
     def attempt_ended(
         self, now: int, endpoint: Endpoint, succeeded: bool, duration_ns: int, load: ServerLoad | None
     ) -> None:
--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -114,7 +114,7 @@
 
 async def call(address: str, method: bytes, path: bytes, body: bytes = b"") -> tuple[int, bytes]:
     """One call to a control member: status and body. Raises OSError or TimeoutError where it does not answer."""
-    from kestrelplank.http.call import dial
+    from kestrelplank.http.connection import dial
 
     headers = [
         (b"Host", b"control"),
--- /dev/null
+++ b/kestrelplank/http/asgi.py
@@ -0,0 +1,12 @@
+"""The types of the ASGI specification, version 3: https://asgi.readthedocs.io/en/latest/specs/main.html."""
+
+from collections.abc import Awaitable, Callable, MutableMapping
+from typing import Any
+
+Scope = MutableMapping[str, Any]  # values differ by key, as the specification has it
+Message = MutableMapping[str, Any]
+Receive = Callable[[], Awaitable[Message]]
+Send = Callable[[Message], Awaitable[None]]
+Application = Callable[[Scope, Receive, Send], Awaitable[None]]
+
+Headers = list[tuple[bytes, bytes]]
--- a/kestrelplank/http/client_protocol.py
+++ b/kestrelplank/http/client_protocol.py
@@ -1,189 +1,197 @@
 """Connections of clients: uvicorn's protocol, bound by the operator's limits and ended only where no request is lost.
 
 - A head that is too large is answered with 431, one that takes too long with 408, unless an earlier request of the same
-  connection is in hand: then the connection ends after that one's answer.
-- A connection rests for as long as the limit in force says, and longer where the limit was longer when it began to
-  rest. Without a configuration no limit is known, and none ends a connection.
-- A connection is never ended while bytes of a request have been read or lie in the kernel.
-- What can't be read behind a request in hand is not answered: its answer would be taken for that request's.
+  connection is in progress: then the connection ends after that one's answer.
+- A connection may be idle for as long as the limit in force says, and longer where the limit was longer when it began
+  to be idle. Without a configuration no limit is known, and none ends a connection.
+- A connection is never ended while bytes of a request have been read or are in the kernel.
+- What can't be read behind a request in progress is not answered: its answer would be taken for that request's.
+
+`tests/edge/test_client_limits.py` has a test for each of these.
 """
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
 from uvicorn.protocols.http.httptools_impl import STATUS_LINE, HttpToolsProtocol
+from uvicorn.server import ServerState
 
-from kestrelplank.http.stream import readable
-
-LOOK = 5.0  # s until a connection that rests without a limit is looked at again
-SOON = 0.05  # s in which the loop has read what lies in the kernel
-LINGER = 1.0  # s for which who is refused may go on sending: a close with unread bytes would destroy the answer
-TOO_LARGE, TOO_SLOW = 431, 408
-
-
-@dataclass(slots=True)
-class ClientLimits:
-    """What clients may send and how long they may take; None where no limit is known. `header_bytes`: of a request's
-    first line and headers; `header_s`: until they are there; `idle_s`: between requests."""
+from kestrelplank.http.asgi import Application, Receive, Scope, Send
+from kestrelplank.http.client_limits import ServerConfig
+from kestrelplank.http.socket_options import has_unread_bytes
 
-    header_bytes: int | None = None
-    header_s: float | None = None
-    idle_s: float | None = None
+NO_LIMIT_POLL_INTERVAL_S = 5.0  # an idle connection without a limit is looked at again
+UNREAD_POLL_INTERVAL_S = 0.05  # in which the loop has read what is in the kernel
+LINGER_S = 1.0  # for which a refused client may go on sending: a close with unread bytes would destroy the answer
+HEADERS_TOO_LARGE, REQUEST_TIMEOUT = 431, 408
 
 
 class ClientProtocol(HttpToolsProtocol):
     """One connection of a client. Its limits are those of `config.client_limits`, as they are at each moment."""
 
-    def __init__(self, *given: Any, **named: Any) -> None:
-        super().__init__(*given, **named)
-        self._limits: ClientLimits = self.config.client_limits  # type: ignore[attr-defined]
-        self._in_head = False  # a request has begun, and its head is not whole
+    def __init__(
+        self,
+        config: ServerConfig,
+        server_state: ServerState,
+        app_state: dict[str, Any],  # as uvicorn has it
+        _loop: asyncio.AbstractEventLoop | None = None,
+    ) -> None:
+        super().__init__(config, server_state, app_state, _loop)
+        self._limits = config.client_limits
+        self._reading_head = False  # a request has begun, and its head is not complete
         self._head_bytes = 0
-        self._begun = 0  # requests so far
-        self._deaf = False  # it has its last answer, and what it still sends is thrown away
-        self._last = False  # the next answer ends the connection
+        self._requests_begun = 0
+        self._refused = False  # it has its last answer, and what it still sends is thrown away
+        self._stopping = False  # the next answer ends the connection
         self._timer: asyncio.TimerHandle | None = None
-        self._rest_began = 0.0
-        self._rest_limit = 0.0
+        self._idle_since_s = 0.0
+        self._idle_timeout_s = 0.0  # the limit when it began to be idle
 
     # States.
 
     @property
-    def _in_hand(self) -> bool:
+    def _request_in_progress(self) -> bool:
         return self.cycle is not None and not self.cycle.response_complete
 
     def ends_with_this_answer(self) -> bool:
-        """Whether nothing has been read behind the request in hand, so that its answer may be the last one."""
-        return not self.pipeline and not self._in_head
+        """Whether nothing has been read behind the request in progress, so that its answer may be the last one."""
+        return not self.pipeline and not self._reading_head
 
-    def _arm(self, at: float, due: Callable[[], None]) -> None:
-        self._disarm()
-        self._timer = self.loop.call_at(at, due)
+    def _set_timer(self, due_at_s: float, due: Callable[[], None]) -> None:
+        self._clear_timer()
+        self._timer = self.loop.call_at(due_at_s, due)
 
-    def _disarm(self) -> None:
+    def _clear_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    # The loop's side.
+    # asyncio.Protocol: what the loop calls.
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
+        """Take a connection; it may be idle at first."""
         super().connection_made(transport)
-        self._rest()
+        self._begin_idle()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._disarm()
+        """End: no timer is left."""
+        self._clear_timer()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        if self._deaf:
+        """Read bytes of requests, and refuse a head that grows too large."""
+        if self._refused:
             return
-        begun = self._begun
+        requests_begun = self._requests_begun
         super().data_received(data)
         if self.transport.is_closing():
             return
-        if self._in_head:
-            if begun == self._begun:  # else what came before it in these bytes is another's
+        if self._reading_head:
+            if requests_begun == self._requests_begun:  # else these bytes are in part an earlier request's
                 self._head_bytes += len(data)
-            if self._over(self._head_bytes):
-                self._refuse_head(TOO_LARGE)
-        elif not self._in_hand:
-            self._rest()
+            if self._is_too_large(self._head_bytes):
+                self._refuse_head(HEADERS_TOO_LARGE)
+        elif not self._request_in_progress:
+            self._begin_idle()
 
     def shutdown(self) -> None:
-        """The server stops: what has begun is answered, and that answer is the last."""
-        self._last = True
-        if self._in_hand:
+        """Answer what has begun, as the server stops, and let that answer be the last."""
+        self._stopping = True
+        if self._request_in_progress:
             self.cycle.keep_alive = False
-        elif self._deaf or not self._in_head and not readable(self.transport):
+        elif self._refused or not self._reading_head and not has_unread_bytes(self.transport):
             self.transport.close()
 
-    # The parser's side.
+    # httptools and uvicorn: what the parser and the cycle of a request call.
 
     def on_message_begin(self) -> None:
+        """Begin a request: its head has a time-out."""
         super().on_message_begin()
         self.scope["connection"] = self  # type: ignore[typeddict-unknown-key]
-        self._in_head, self._head_bytes = True, 0
-        self._begun += 1
-        if self._limits.header_s is not None:
-            self._arm(self.loop.time() + self._limits.header_s, self._head_is_late)
+        self._reading_head, self._head_bytes = True, 0
+        self._requests_begun += 1
+        if self._limits.header_timeout_s is not None:
+            self._set_timer(self.loop.time() + self._limits.header_timeout_s, self._head_timer_due)
 
     def on_headers_complete(self) -> None:
-        self._in_head = False
-        self._disarm()
+        """Hand the request to the application, or refuse it where its head is too large."""
+        self._reading_head = False
+        self._clear_timer()
         size = len(self.url) + sum(len(name) + len(value) for name, value in self.headers)
         app = self.app
-        if self._over(size):
-            self.app = refusing(TOO_LARGE)
+        if self._is_too_large(size):
+            self.app = answer_only(HEADERS_TOO_LARGE)
         try:
             super().on_headers_complete()
         finally:
             self.app = app
-        if self._last:
+        if self._stopping:
             self.cycle.keep_alive = False
 
     def send_400_response(self, msg: str) -> None:
-        """Bytes have come that can't be read as a request."""
-        body_is_broken = self._in_hand and self.cycle.more_body and not self.cycle.response_started
-        if not self._in_hand or body_is_broken and not self.pipeline:
+        """Refuse bytes that can't be read as a request, unless the answer would be taken for another request's."""
+        body_is_broken = self._request_in_progress and self.cycle.more_body and not self.cycle.response_started
+        if not self._request_in_progress or body_is_broken and not self.pipeline:
             super().send_400_response(msg)
         else:
             self.cycle.keep_alive = False
 
     def on_response_complete(self) -> None:
+        """Go on with the next request, or be idle."""
         super().on_response_complete()
         self._unset_keepalive_if_required()  # uvicorn's own timer: its time is fixed when the connection is made
-        if not self.transport.is_closing() and not self._in_hand and not self._in_head:
-            self._rest()
+        if not self.transport.is_closing() and not self._request_in_progress and not self._reading_head:
+            self._begin_idle()
 
     # Limits.
 
-    def _over(self, size: int) -> bool:
+    def _is_too_large(self, size: int) -> bool:
         return self._limits.header_bytes is not None and size > self._limits.header_bytes
 
-    def _head_is_late(self) -> None:
-        if self._in_hand:
+    def _head_timer_due(self) -> None:
+        if self._request_in_progress:
             self.cycle.keep_alive = False
-        elif readable(self.transport):
-            self._arm(self.loop.time() + SOON, self._head_is_late)
+        elif has_unread_bytes(self.transport):
+            self._set_timer(self.loop.time() + UNREAD_POLL_INTERVAL_S, self._head_timer_due)
         else:
-            self._refuse_head(TOO_SLOW)
+            self._refuse_head(REQUEST_TIMEOUT)
 
     def _refuse_head(self, status: int) -> None:
-        """Answers a request whose head is not whole, and ends the connection."""
-        self._disarm()
-        if self._in_hand:
+        """Answer a request whose head is not complete, and end the connection."""
+        self._clear_timer()
+        if self._request_in_progress:
             self.cycle.keep_alive = False
             self.flow.pause_reading()
             return
         self.transport.write(STATUS_LINE[status] + b"content-length: 0\r\nconnection: close\r\n\r\n")
-        self._deaf = True
+        self._refused = True
         self.transport.write_eof()
-        self._arm(self.loop.time() + LINGER, self.transport.close)
-
-    def _rest(self) -> None:
-        """Nothing of a request is here."""
-        self._rest_began, self._rest_limit = self.loop.time(), self._limits.idle_s or 0.0
-        self._arm(self._rest_began + (self._limits.idle_s or LOOK), self._rested)
-
-    def _rested(self) -> None:
-        now, limit = self.loop.time(), self._limits.idle_s
-        if limit is None:
-            self._arm(now + LOOK, self._rested)
-        elif now < self._rest_began + max(limit, self._rest_limit):
-            self._arm(self._rest_began + max(limit, self._rest_limit), self._rested)
-        elif readable(self.transport):
-            self._arm(now + SOON, self._rested)
+        self._set_timer(self.loop.time() + LINGER_S, self.transport.close)
+
+    def _begin_idle(self) -> None:
+        """Begin to be idle, as nothing of a request is here."""
+        self._idle_since_s, self._idle_timeout_s = self.loop.time(), self._limits.idle_timeout_s or 0.0
+        self._set_timer(
+            self._idle_since_s + (self._limits.idle_timeout_s or NO_LIMIT_POLL_INTERVAL_S), self._idle_timer_due
+        )
+
+    def _idle_timer_due(self) -> None:
+        now_s, limit_s = self.loop.time(), self._limits.idle_timeout_s
+        if limit_s is None:
+            self._set_timer(now_s + NO_LIMIT_POLL_INTERVAL_S, self._idle_timer_due)
+        elif now_s < self._idle_since_s + max(limit_s, self._idle_timeout_s):
+            self._set_timer(self._idle_since_s + max(limit_s, self._idle_timeout_s), self._idle_timer_due)
+        elif has_unread_bytes(self.transport):
+            self._set_timer(now_s + UNREAD_POLL_INTERVAL_S, self._idle_timer_due)
         else:
             self.transport.close()
 
 
-def refusing(status: int) -> Any:
-    """An application that answers with that status alone, and ends the connection."""
+def answer_only(status: int) -> Application:
+    """Return an application that answers with that status alone, and ends the connection."""
 
-    async def app(scope: Any, receive: Any, send: Any) -> None:
+    async def app(scope: Scope, receive: Receive, send: Send) -> None:  # noqa: ARG001 - an ASGI application's
         headers = [(b"content-length", b"0"), (b"connection", b"close")]
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": b""})
--- /dev/null
+++ b/kestrelplank/http/connection.py
@@ -0,0 +1,112 @@
+"""One request at a time on one connection, and its complete answer: for our own calls and for those of clients."""
+
+import httpcore
+
+from kestrelplank.http.answer import Answer
+from kestrelplank.http.asgi import Headers
+from kestrelplank.http.errors import (
+    AnswerMalformedError,
+    AnswerTruncatedError,
+    ConnectionClosedWithoutAnswerError,
+    ConnectionResetWithoutAnswerError,
+    NoAnswerError,
+    RequestNotSentError,
+    RequestUnsendableError,
+)
+from kestrelplank.http.stream import Stream, connect
+
+MAX_ANSWER_BYTES = 16 << 20
+
+
+class Connection:
+    """A kept connection to one address, one request at a time.
+
+    Nothing is ever sent on it twice: httpcore's connections, unlike its pool, neither repeat a request nor open another
+    connection (`tests/edge/test_every_byte.py`). `reusable`: it may be used for another request.
+    """
+
+    def __init__(self, address: tuple[str, int], stream: Stream) -> None:
+        self.address, self.stream, self.reusable = address, stream, True
+        self._origin = httpcore.Origin(b"http", address[0].encode(), address[1])
+        self._http = httpcore.AsyncHTTP11Connection(self._origin, stream)
+
+    async def ask(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> Answer:
+        """Send a request and return its complete answer.
+
+        :raises NoAnswerError: there is none, and the connection is of no more use.
+        """
+        self.stream.begin_call()
+        return await self._exchange(method, target, headers, body)
+
+    async def next_answer(self, method: bytes, target: bytes) -> Answer:
+        """Return the next answer on this connection without sending anything.
+
+        For an answer that came in the place of ours. The connection is not used again.
+
+        :raises NoAnswerError: there is none.
+        """
+        unread, _ = self._http._h11_state.trailing_data
+        self.stream.buffer[:0] = unread
+        self.stream.discards_writes = True
+        self._http = httpcore.AsyncHTTP11Connection(self._origin, self.stream)
+        try:
+            return await self._exchange(method, target, [(b"Host", b"x")], b"")
+        finally:
+            self.stream.discards_writes, self.reusable = False, False
+
+    async def _exchange(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> Answer:
+        url = httpcore.URL(scheme=b"http", host=self._origin.host, port=self._origin.port, target=target)
+        request = httpcore.Request(method, url, headers=headers, content=body)
+        try:
+            return await self._read(await self._http.handle_async_request(request))
+        except NoAnswerError:
+            raise
+        except httpcore.LocalProtocolError as err:
+            self.reusable = False
+            raise (AnswerTruncatedError if self.stream.sent_bytes else RequestUnsendableError)(str(err)) from err
+        except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.ConnectionNotAvailable, OSError) as err:
+            self.reusable = False
+            raise self._what_went_wrong()(str(err)) from err
+
+    async def _read(self, response: httpcore.Response) -> Answer:
+        chunks, size = [], 0
+        async for chunk in response.stream:  # type: ignore[union-attr]
+            size += len(chunk)
+            if size > MAX_ANSWER_BYTES:
+                self.reusable = False
+                raise AnswerMalformedError(f"over {MAX_ANSWER_BYTES} bytes")
+            chunks.append(chunk)
+        await response.stream.aclose()  # type: ignore[union-attr]
+        fields = {name.lower(): value for name, value in response.headers}
+        if self.has_surplus() or not self._http.is_idle() or b"close" in fields.get(b"connection", b"").lower():
+            self.reusable = False
+        return Answer(response.status, response.headers, fields, b"".join(chunks))
+
+    def _what_went_wrong(self) -> type[NoAnswerError]:
+        """Return what was seen of a call that has no complete answer."""
+        stream = self.stream
+        if not stream.sent_bytes:
+            return RequestNotSentError
+        if stream.received_bytes:
+            return AnswerTruncatedError if stream.ended else AnswerMalformedError
+        return ConnectionClosedWithoutAnswerError if stream.error is None else ConnectionResetWithoutAnswerError
+
+    def has_surplus(self) -> bool:
+        """Whether bytes are here that belong to no request, it has ended, or part of our request has not been sent."""
+        return (
+            not self.stream.is_quiet() or self.stream.has_unsent_bytes() or bool(self._http._h11_state.trailing_data[0])
+        )
+
+    def reset(self) -> None:
+        """End it at once: what comes on it later can't be taken for an answer to anything else."""
+        self.reusable = False
+        self.stream.reset()
+
+
+async def dial(address: tuple[str, int], timeout_s: float) -> Connection:
+    """Return a new connection to that address.
+
+    :raises OSError: none comes up.
+    :raises TimeoutError: none comes up in time.
+    """
+    return Connection(address, await connect(*address, timeout_s))
--- /dev/null
+++ b/kestrelplank/http/critical_tasks.py
@@ -0,0 +1,42 @@
+"""Tasks that a program can't do without."""
+
+import asyncio
+import logging
+from collections.abc import Coroutine
+
+log = logging.getLogger("http")
+
+
+class CriticalTasks:
+    """Tasks without which a program must not go on.
+
+    Guards against one that ends by a defect of ours while the process lives on without it, unseen: then the program
+    stops, and the platform starts it anew with what is on its disk
+    (`test_a_critical_task_that_fails_stops_the_program_and_is_logged`).
+
+    :param program: its name in the log.
+    :param stop: set where a task has failed.
+    """
+
+    def __init__(self, program: str, stop: asyncio.Event) -> None:
+        self._program, self._stop = program, stop
+        self._tasks: list[asyncio.Task[None]] = []
+        self.failed = False
+
+    def add(self, work: Coroutine[object, object, None]) -> None:
+        """Start a task."""
+        task = asyncio.create_task(work)
+        self._tasks.append(task)
+        task.add_done_callback(self._ended)
+
+    def _ended(self, task: asyncio.Task[None]) -> None:
+        if task.cancelled() or task.exception() is None:
+            return
+        log.critical("%s: stopping because a critical task failed", self._program, exc_info=task.exception())
+        self.failed = True
+        self._stop.set()
+
+    def cancel(self) -> None:
+        """End all tasks: the program has stopped."""
+        for task in self._tasks:
+            task.cancel()
--- /dev/null
+++ b/kestrelplank/http/server.py
@@ -0,0 +1,65 @@
+"""uvicorn as our programs run it: on sockets of ours, without its signals, headers and access log."""
+
+import asyncio
+import contextlib
+from collections.abc import Iterator
+
+import uvicorn
+
+from kestrelplank.http.asgi import Application
+from kestrelplank.http.client_limits import ClientLimits, ServerConfig
+from kestrelplank.http.client_protocol import ClientProtocol
+
+LISTEN_BACKLOG = 512
+DRAIN_POLL_INTERVAL_S = 0.02
+
+
+class Server(uvicorn.Server):
+    """A server whose signals are for its program to take.
+
+    :param limits: what clients may do; may be changed at any time.
+    """
+
+    def __init__(self, config: ServerConfig, limits: ClientLimits) -> None:
+        super().__init__(config)
+        self.limits = limits
+
+    @contextlib.contextmanager
+    def capture_signals(self) -> Iterator[None]:
+        """Take no signals."""
+        yield
+
+    async def wait_until_answered(self, timeout_s: float) -> None:
+        """Wait until requests that were cut off by the end of the grace time have been answered too."""
+        until_s = asyncio.get_running_loop().time() + timeout_s
+        while self.server_state.connections or self.server_state.tasks:
+            left_s = until_s - asyncio.get_running_loop().time()
+            if left_s <= 0:
+                return
+            await asyncio.sleep(min(left_s, DRAIN_POLL_INTERVAL_S))
+
+
+def create_server(app: Application, idle_timeout_s: float | None, grace_s: float) -> Server:
+    """Return a server for that application.
+
+    :param idle_timeout_s: for which a kept connection may be idle between requests, None while that is not known.
+    :param grace_s: that requests in hand have once the server is to stop.
+    """
+    config = ServerConfig(
+        app,
+        interface="asgi3",
+        http=ClientProtocol,
+        ws="none",
+        lifespan="off",
+        loop="asyncio",
+        access_log=False,
+        log_config=None,
+        server_header=False,
+        date_header=False,
+        proxy_headers=False,
+        backlog=LISTEN_BACKLOG,
+        timeout_graceful_shutdown=grace_s,  # type: ignore[arg-type] # it is only waited for, so a float will do
+    )
+    limits = ClientLimits(idle_timeout_s=idle_timeout_s)
+    config.client_limits = limits
+    return Server(config, limits)
--- a/kestrelplank/rehearsal/yard.py
+++ b/kestrelplank/rehearsal/yard.py
@@ -18,8 +18,9 @@
 import msgspec
 
 from kestrelplank.control.status import MemberStatus
-from kestrelplank.http.call import dial
-from kestrelplank.http.serve import Server, listener, server
+from kestrelplank.http.connection import dial
+from kestrelplank.http.server import Server, create_server
+from kestrelplank.http.socket_options import listening_socket
 
 S = 1_000_000_000
 HOST = "shop.example"
@@ -104,8 +105,8 @@
         )
 
     async def start(self) -> None:
-        self.front = server(self.app, 10, 1)
-        sock = listener(*self.address)
+        self.front = create_server(self.app, 10, 1)
+        sock = listening_socket(*self.address)
         self.task = asyncio.create_task(self.front.serve([sock]))
 
     async def stop(self) -> None:
@@ -397,8 +398,8 @@
 
     async def run(self, requests: int, per_s: float) -> dict[str, Any]:
         """Plays the script. Returns what was seen."""
-        front = server(Platform(self.servers).app, 10, 1)
-        serving = asyncio.create_task(front.serve([listener(*self.cloud)]))
+        front = create_server(Platform(self.servers).app, 10, 1)
+        serving = asyncio.create_task(front.serve([listening_socket(*self.cloud)]))
         try:
             for one in self.servers:
                 await one.start()
--- a/kestrelplank/transport/wire.py
+++ b/kestrelplank/transport/wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from kestrelplank.http.stream import harden, resetting
+from kestrelplank.http.socket_options import harden, reset_on_close
 from kestrelplank.transport.messages import encode
 
 MOST_FRAME = 32 << 20
@@ -95,5 +95,5 @@
     def reset(self) -> None:
         """Ends it at once; bytes that a cut holds up are lost."""
         if self.transport is not None:
-            resetting(self.transport.get_extra_info("socket"))
+            reset_on_close(self.transport.get_extra_info("socket"))
             self.transport.abort()
--- a/tests/control/test_operator_wire.py
+++ b/tests/control/test_operator_wire.py
@@ -7,8 +7,8 @@
 
 from kestrelplank.control.calls import application
 from kestrelplank.control.effects import AnswerOrder
-from kestrelplank.http.serve import listener, server
-from kestrelplank.http.stream import resetting
+from kestrelplank.http.server import create_server
+from kestrelplank.http.socket_options import listening_socket, reset_on_close
 
 IP = "127.0.0.1"
 
@@ -36,8 +36,8 @@
 
 def played(play):
     async def whole():
-        member, sock = Member(), listener(IP, 0)
-        front = server(application(member), 15, 1)
+        member, sock = Member(), listening_socket(IP, 0)
+        front = create_server(application(member), 15, 1)
         serving = asyncio.create_task(front.serve([sock]))
         while not front.started:
             await asyncio.sleep(0)
@@ -53,7 +53,7 @@
 
 
 async def reset(writer):
-    resetting(writer.get_extra_info("socket"))
+    reset_on_close(writer.get_extra_info("socket"))
     writer.transport.abort()
 
 
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -10,7 +10,7 @@
 
 from kestrelplank.configuration.plan import read
 from kestrelplank.edge.program import EdgeProgram
-from kestrelplank.http.stream import resetting
+from kestrelplank.http.socket_options import reset_on_close
 from kestrelplank.rehearsal.yard import free_port
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.server_list import Entry
@@ -58,7 +58,7 @@
         self.writer.write(data)
 
     def reset(self):
-        resetting(self.writer.get_extra_info("socket"))
+        reset_on_close(self.writer.get_extra_info("socket"))
         self.writer.transport.abort()
 
     def close(self):
@@ -135,7 +135,7 @@
         entries = [Entry(one.name, "views", f"{IP}:{one.port}", "hall", 4, "ready", 0) for one in servers]
         now = time.monotonic_ns()
         self.program.forwarder.endpoints.update(now, entries)
-        self.program.requests.wake()
+        self.program.application.wake_pending()
 
     async def client(self):
         client = Client(*await asyncio.open_connection(IP, self.port))
@@ -175,7 +175,7 @@
             return True
 
     def reset(self):
-        resetting(self.writer.get_extra_info("socket"))
+        reset_on_close(self.writer.get_extra_info("socket"))
         self.writer.transport.abort()
 
     def close(self):
@@ -206,7 +206,7 @@
         )
     )
     program.listen()
-    while not program.front.started:
+    while not program.server.started:
         await asyncio.sleep(0)
     stage = Stage(program, ports[0], servers)
     if configured:
@@ -217,9 +217,8 @@
     finally:
         for client in stage.opened:
             client.close()
-        program.connections.tidy(set())
-        program.front.should_exit = True
-        await program.serving
+        program.connections.close_unused(set())
+        await program.close()
         for server in servers:
             await server.stop()
 
--- a/tests/edge/test_client_limits.py
+++ b/tests/edge/test_client_limits.py
@@ -13,7 +13,7 @@
     """A kept connection that has served a request and rests."""
     client.send(SAFE)
     assert (await client.answer())[0] == 200
-    return next(iter(stage.program.front.server_state.connections))
+    return next(iter(stage.program.server.server_state.connections))
 
 
 def test_before_a_configuration_no_connection_is_ended():
@@ -23,12 +23,12 @@
         client = await stage.client()
         client.send(SAFE)
         assert (await client.answer())[0] == 503
-        protocol = next(iter(stage.program.front.server_state.connections))
-        protocol._rest_began -= LONG_AGO
-        protocol._rested()
+        protocol = next(iter(stage.program.server.server_state.connections))
+        protocol._idle_since_s -= LONG_AGO
+        protocol._idle_timer_due()
         assert not protocol.transport.is_closing() and protocol._timer is not None
         stage.configure()
-        protocol._rested()
+        protocol._idle_timer_due()
         assert protocol.transport.is_closing()
 
     played(play, serving, configured=False)
@@ -40,8 +40,8 @@
         stage.configure(limits={**LIMITS, "idle_timeout_s": before})
         protocol = await rested(stage, await stage.client())
         stage.configure("00000009", limits={**LIMITS, "idle_timeout_s": after})
-        protocol._rest_began -= rests
-        protocol._rested()
+        protocol._idle_since_s -= rests
+        protocol._idle_timer_due()
         assert protocol.transport.is_closing() == ends
 
     played(play, serving)
@@ -50,16 +50,16 @@
 def test_a_connection_that_never_sends_anything_or_only_empty_lines_rests_too():
     async def play(stage):
         client = await stage.client()
-        while not stage.program.front.server_state.connections:
+        while not stage.program.server.server_state.connections:
             await asyncio.sleep(0)
-        protocol = next(iter(stage.program.front.server_state.connections))
+        protocol = next(iter(stage.program.server.server_state.connections))
         assert protocol._timer is not None
         client.writer.write(b"\r\n")
         timer = protocol._timer
         while protocol._timer is timer:
             await asyncio.sleep(0)
-        protocol._rest_began -= LONG_AGO
-        protocol._rested()
+        protocol._idle_since_s -= LONG_AGO
+        protocol._idle_timer_due()
         assert await client.ended()
 
     played(play, serving)
@@ -109,11 +109,11 @@
         second.send("/once/x")
         await arrived.wait()
         second.writer.write(request_head(SAFE, 0)[:-2])
-        protocols = list(stage.program.front.server_state.connections)
-        while not all(protocol._in_head for protocol in protocols):
+        protocols = list(stage.program.server.server_state.connections)
+        while not all(protocol._reading_head for protocol in protocols):
             await asyncio.sleep(0)
         for protocol in protocols:
-            protocol._head_is_late()
+            protocol._head_timer_due()
         assert (await first.answer())[0] == 408 and await first.ended()
         let.set()
         assert (await second.answer())[0] == 200 and await second.ended()
@@ -127,7 +127,7 @@
         client.writer.write(request_head("/up/x", 9, "me", 50) + b"half")
         status, fields, _ = await client.answer()
         assert (status, fields["connection"]) == (408, "close") and await client.ended()
-        assert not stage.servers[0].connections and stage.program.requests.held == 0
+        assert not stage.servers[0].connections and stage.program.application.body_memory == 0
 
     played(play, serving)
 
--- /dev/null
+++ b/tests/edge/test_counters.py
@@ -0,0 +1,43 @@
+"""The names that an edge counts by, and the page that explains them."""
+
+import pathlib
+import re
+
+import pytest
+
+from kestrelplank.edge.counters import (
+    DOWNSTREAM_RQ_REFUSED,
+    UPSTREAM_RQ_ENDED,
+    UPSTREAM_RQ_PENDING,
+    UPSTREAM_RQ_RETRY,
+    Counters,
+)
+from kestrelplank.forwarding.errors import ERRORS, NoServerError, OperatorCallError
+from kestrelplank.forwarding.retry_policy import CallOutcome
+
+ALL = [UPSTREAM_RQ_RETRY, UPSTREAM_RQ_PENDING, *UPSTREAM_RQ_ENDED.values(), *DOWNSTREAM_RQ_REFUSED.values()]
+PAGE = pathlib.Path(__file__).parents[2] / "docs" / "oncall.md"
+
+
+def test_each_outcome_and_each_answer_of_our_own_to_a_client_has_a_name_of_its_own():
+    assert set(UPSTREAM_RQ_ENDED) == set(CallOutcome)
+    assert set(DOWNSTREAM_RQ_REFUSED) == {error for error in ERRORS if not issubclass(error, OperatorCallError)}
+    assert len(ALL) == len(set(ALL)) and all(re.fullmatch(r"(up|down)stream_rq_[a-z0-9_]+", name) for name in ALL)
+
+
+def test_the_on_call_page_explains_each_name_and_no_other():
+    explained = re.findall(r"^\| `((?:up|down)stream_rq_\w+)` \|", PAGE.read_text(), re.MULTILINE)
+    gauges = ["downstream_rq_body_bytes", "upstream_rq_active"]
+    assert sorted(explained) == sorted([*ALL, *gauges])
+
+
+@pytest.mark.parametrize("times", [1, 3])
+def test_what_is_counted_stands_under_its_name(times):
+    counters = Counters()
+    for _ in range(times):
+        counters.add(UPSTREAM_RQ_RETRY)
+        counters.attempt_ended(CallOutcome.SERVER_ERROR)
+        counters.refused(NoServerError())
+    assert counters.values == dict.fromkeys(
+        ["upstream_rq_retry", "upstream_rq_5xx", "downstream_rq_refused_no_server"], times
+    )
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -44,18 +44,17 @@
     await behind.start()
     found = EdgeProgram(settings)
     found.listen()
-    wire = type("Connection", (), {"peer": "m"})()
-    found.on_message(wire, ConfigurationUpdate(7, encoded(limits=LIMITS)))
+    found.receive("member", ConfigurationUpdate(7, encoded(limits=LIMITS)))
     entry = ("orders-0", "orders", f"{IP}:{behind.address[1]}", "hall", 4, "ready", 0)
-    found.on_message(wire, ServerListUpdate(0, [entry]))
-    while not found.front.started:
+    found.receive("member", ServerListUpdate(0, [entry]))
+    while not found.server.started:
         await asyncio.sleep(0)
     try:
         yield found, behind, ports[0]
     finally:
         behind.let.set()
-        found.connections.tidy(set())
-        await found.leave(0)
+        found.connections.close_unused(set())
+        await found.drain(0)
         await behind.stop()
 
 
@@ -137,9 +136,9 @@
     async def play(found, behind, port):
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/a/b/x", "Content-Length: 5") + b"wh")
-        while not found.front.server_state.tasks:
+        while not found.server.server_state.tasks:
             await asyncio.sleep(0)
-        leaving = asyncio.create_task(found.leave(0))
+        leaving = asyncio.create_task(found.drain(0))
         writer.write(b"ole")
         await behind.arrived.wait()
         behind.let.set()
@@ -155,13 +154,13 @@
 def test_while_stopping_we_are_not_ready_and_each_answer_ends_its_connection():
     async def play(found, behind, port):
         behind.let.set()
-        found.requests.stopping = True
+        found.readiness.begin_drain()
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/nowhere", "Content-Length: 0"))
         status, fields, _ = await answer(reader)
         assert status == 404 and fields["connection"] == "close"
         writer.close()
-        reader, writer = await asyncio.open_connection(IP, found.requests.readiness_port)
+        reader, writer = await asyncio.open_connection(IP, found.application.readiness_port)
         writer.write(b"GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
         assert (await answer(reader))[0] == 503
         writer.close()
@@ -178,7 +177,7 @@
         writer.close()
         await writer.wait_closed()
         behind.let.set()
-        while not behind.tally.runs or found.front.server_state.tasks:
+        while not behind.tally.runs or found.server.server_state.tasks:
             await asyncio.sleep(0)
         assert behind.tally.runs == {"me": runs}
         assert [endpoint.in_flight for endpoint in found.forwarder.endpoints.by_name.values()] == [0]
@@ -189,7 +188,7 @@
 def test_bodies_are_held_within_a_bound_and_given_back():
     async def play():
         async with edge() as (found, behind, port):
-            found.requests.most_held = 50_000
+            found.application.max_body_memory = 50_000
             first = await asyncio.open_connection(IP, port)
             first[1].write(head("/a/b/x", "Content-Length: 40000") + bytes(40_000))
             await behind.arrived.wait()
@@ -198,7 +197,7 @@
             refused = await second[0].readuntil(b"\r\n\r\n")
             behind.let.set()
             served = await first[0].readuntil(b"\r\n\r\n")
-            while found.requests.held:
+            while found.application.body_memory:
                 await asyncio.sleep(0)
             for _, writer in (first, second):
                 writer.close()
@@ -212,21 +211,23 @@
 def test_one_request_is_traced_by_its_id(caplog):
     async def play():
         async with edge() as (found, behind, port):
-            found.requests.trace = 1
+            found.application.trace = 1
             behind.let.set()
             reader, writer = await asyncio.open_connection(IP, port)
             writer.write(head("/a/b/x", "Content-Length: 0"))
             await reader.readuntil(b"\r\n\r\n")
             while not caplog.records:
                 await asyncio.sleep(0)
-            found.tell()
+            found.log_counters()
             writer.close()
 
     with caplog.at_level("INFO", "edge"):
         asyncio.run(play())
     traced = next(record for record in caplog.records if record.message == "Edge: request")
-    assert traced.attempt == "me" and [one["server"] for one in traced.tries] == ["orders-0"]
-    assert next(record for record in caplog.records if record.message == "Edge: counts").counts["try answered"] == 1
+    assert traced.attempt == "me" and [attempt["server"] for attempt in traced.attempts] == ["orders-0"]
+    assert next(record for record in caplog.records if record.message == "Edge: counters").counters == {
+        "upstream_rq_answered": 1
+    }
 
 
 PIECES = [
@@ -290,7 +291,7 @@
                     writer.write(head("/a/b/x", "Content-Length: 4") + b"body")
                     served += (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
                     writer.close()
-            return served, met, found.requests.held
+            return served, met, found.application.body_memory
 
     served, met, held = asyncio.run(play())
     assert served == 30 and held == 0 and len(met) > 60
--- a/tests/edge/test_every_byte.py
+++ b/tests/edge/test_every_byte.py
@@ -7,6 +7,8 @@
 import pytest
 from edge.stage import answer, played, request_head, serving
 
+from kestrelplank.edge.counters import UPSTREAM_RQ_ENDED
+
 ONCE, SAFE = "/once/x", "/safe/x"
 ANSWER = len(answer({"x-attempt-id": "a-000"}))
 REQUEST = request_head(ONCE, 5, "cut") + b"whole"
@@ -41,11 +43,10 @@
             assert (status, body) == ((200, b"whole") if place == ANSWER else (502, b"unknown outcome")), place
             assert "retry-after" not in fields
             opened += 1
-        counts = stage.program.requests.counts
-        dialled_again = counts.get(
-            "try connect_fail", 0
-        )  # on a busy machine a dial may end before its connection is up
-        assert sum(count for what, count in counts.items() if what.startswith("try ")) == opened + dialled_again
+        counts = stage.program.application.counters.values
+        # On a busy machine a dial may end before its connection is up.
+        dialled_again = counts.get("upstream_rq_connect_fail", 0)
+        assert sum(counts.get(name, 0) for name in UPSTREAM_RQ_ENDED.values()) == opened + dialled_again
         assert len(server.sent()) == opened == ANSWER + 1 and len(server.connections) <= opened + dialled_again
         assert len([one for one in server.connections if one.received]) == opened
         assert len(set(sizes)) == 1  # each once, to the byte
@@ -86,7 +87,7 @@
                 if end == "reset":
                     client.reset()
                 client.close()
-        while stage.program.front.server_state.connections or stage.program.requests.held:
+        while stage.program.server.server_state.connections or stage.program.application.body_memory:
             await asyncio.sleep(0)
         assert not stage.servers[0].connections
         assert (await stage.ask(ONCE, b"whole", "whole"))[0] == 200  # and others are served
@@ -124,6 +125,6 @@
             stage.listed(stage.servers[0])
             status, _, body = await stage.ask(ONCE, b"pay", "me", 120)
         assert (status, body) in ((503, b"too late to begin"), (503, b"no server"))
-        assert stage.program.requests.counts["try connect_fail"] >= 1
+        assert stage.program.application.counters.values["upstream_rq_connect_fail"] >= 1
 
     played(play, serving)
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -179,7 +179,7 @@
         stage.program.watch_signals(stop)
         client = await stage.client()
         client.writer.write(request_head("/up/x", 6) + b"abc")
-        while not stage.program.requests.held:
+        while not stage.program.application.body_memory:
             await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGHUP)
         stage.configure("00000009", limits={"idle_timeout_s": 5})
@@ -269,12 +269,12 @@
         client = await stage.client()
         client.send(SAFE)
         assert (await client.answer())[0] == 200
-        protocol = next(iter(stage.program.front.server_state.connections))
-        protocol._rest_began -= 100  # it has rested too long
+        protocol = next(iter(stage.program.server.server_state.connections))
+        protocol._idle_since_s -= 100  # it has rested too long
         protocol.transport.pause_reading()  # as if the loop had not come to it yet
         client.send(SAFE, b"", "two")
         await client.writer.drain()
-        protocol._rested()
+        protocol._idle_timer_due()
         assert not protocol.transport.is_closing()
         protocol.transport.resume_reading()
         status, fields, _ = await client.answer()
@@ -294,17 +294,17 @@
         client = await stage.client()
         client.send(SAFE)
         assert (await client.answer())[0] == 200
-        protocol = next(iter(stage.program.front.server_state.connections))
+        protocol = next(iter(stage.program.server.server_state.connections))
         if begun:
             client.writer.write(begun)
-            while not protocol._in_head and not protocol._in_hand:
+            while not protocol._reading_head and not protocol._request_in_progress:
                 await asyncio.sleep(0)
-            leaving = asyncio.create_task(stage.program.leave(0))
+            leaving = asyncio.create_task(stage.program.drain(0))
         else:
             protocol.transport.pause_reading()
-            leaving = asyncio.create_task(stage.program.leave(0))
+            leaving = asyncio.create_task(stage.program.drain(0))
             client.writer.write(whole)
-        while not stage.program.front.should_exit or stage.program.front.servers[0].is_serving():
+        while not stage.program.server.should_exit or stage.program.server.servers[0].is_serving():
             await asyncio.sleep(0)
         if begun:
             client.writer.write(whole[len(begun) :])
@@ -325,16 +325,19 @@
         await asyncio.Event().wait()
 
     async def play(stage):
-        stage.program.front.config.timeout_graceful_shutdown = 0.05
+        stage.program.server.config.timeout_graceful_shutdown = 0.05
         out = [asyncio.create_task(stage.ask(ONCE, b"", f"out-{number}", 9000)) for number in range(8)]
         while len(stage.servers[0].sent()) < 8:
             await asyncio.sleep(0)
         waits = asyncio.create_task(stage.ask(ONCE, b"", "waits", 9000))
         half = await stage.client()
         half.writer.write(request_head(ONCE, 5, "half") + b"ab")
-        while not stage.program.requests.counts.get("wait") or not stage.program.requests.held:
+        while (
+            not stage.program.application.counters.values.get("upstream_rq_pending")
+            or not stage.program.application.body_memory
+        ):
             await asyncio.sleep(0)
-        await stage.program.leave(0)
+        await stage.program.drain(0)
         assert [(await one)[0] for one in out] == [502] * 8
         for status, fields, _ in (await waits, await half.answer()):
             assert status == 503 and "retry-after" in fields
@@ -358,7 +361,7 @@
         client.send(ONCE, b"pay")
         await arrived.wait()
         client.writer.write(b"\x00\x01 no request\r\n\r\n")
-        protocol = next(iter(stage.program.front.server_state.connections))
+        protocol = next(iter(stage.program.server.server_state.connections))
         while protocol.cycle.keep_alive:
             await asyncio.sleep(0)
         let.set()
@@ -371,10 +374,10 @@
     async def play(stage):
         client = await stage.client()
         client.writer.write(request_head("/up/x", 100) + b"half")
-        while not stage.program.requests.held:
+        while not stage.program.application.body_memory:
             await asyncio.sleep(0)
         client.close()
-        while stage.program.requests.held or stage.program.front.server_state.connections:
+        while stage.program.application.body_memory or stage.program.server.server_state.connections:
             await asyncio.sleep(0)
         assert not stage.servers[0].sent()
 
--- a/tests/edge/test_server_connections.py
+++ b/tests/edge/test_server_connections.py
@@ -7,8 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from kestrelplank.edge.server_connections import ServerConnections, ServerRequest
+from kestrelplank.edge.server_connections import OUTCOMES_WITHOUT_ANSWER, ServerConnections, ServerRequest
 from kestrelplank.forwarding.retry_policy import CallOutcome
+from kestrelplank.http.errors import NoAnswerError
 
 OURS = b"X-Attempt-Id: me\r\n"
 REQUEST = ServerRequest(b"GET", b"/a/b?c=%20d", [(b"host", b"h")], b"", b"me")
@@ -54,7 +55,7 @@
         for _ in range(len(scripts)):
             ended.append(await connections.send(address, REQUEST, int(within * 1e9), 24))
             await asyncio.sleep(wait)
-        connections.tidy(set())
+        connections.close_unused(set())
         server.close()
         return ended, len(came)
 
@@ -63,12 +64,12 @@
 
 def kinds(*scripts, **more):
     ended, _ = played(*scripts, **more)
-    return [one.seen for one in ended]
+    return [one.outcome for one in ended]
 
 
 def test_whole_answers_come_on_one_connection():
     ended, connections = played(answer(), answer(500, body=b"failed"), answer(404))
-    assert [one.seen for one in ended] == [
+    assert [one.outcome for one in ended] == [
         CallOutcome.ANSWERED,
         CallOutcome.SERVER_ERROR,
         CallOutcome.ANSWERED,
@@ -101,7 +102,7 @@
 def test_an_answer_to_an_older_request_is_not_ours_and_ours_is_read_behind_it():
     other = answer(head=b"X-Attempt-Id: other\r\nX-Server-Seal: o\r\n", body=b"not yours")
     ended, _ = played(other + answer(body=b"mine"))
-    assert ended[0].seen == CallOutcome.ANSWERED and ended[0].answer.body == b"mine"
+    assert ended[0].outcome == CallOutcome.ANSWERED and ended[0].answer.body == b"mine"
     assert kinds((other, answer(body=b"mine")), "close", within=0.3)[0] == CallOutcome.ANSWERED
     assert kinds(other, within=0.2) == [CallOutcome.TIMEOUT]
 
@@ -114,7 +115,7 @@
 
 def test_a_connection_that_says_it_closes_is_not_used_again():
     ended, connections = played(answer(head=OURS + b"X-Server-Seal: s\r\nConnection: close\r\n"), answer())
-    assert [one.seen for one in ended] == [CallOutcome.ANSWERED, CallOutcome.ANSWERED] and connections == 2
+    assert [one.outcome for one in ended] == [CallOutcome.ANSWERED, CallOutcome.ANSWERED] and connections == 2
 
 
 @pytest.mark.parametrize(
@@ -123,7 +124,11 @@
 def test_a_connection_is_kept_for_less_than_its_server_says(told, connections):
     keeps = answer(head=OURS + b"X-Server-Seal: s\r\nKeep-Alive: %s\r\n" % told)
     ended, came = played(keeps, keeps)
-    assert [one.seen for one in ended] == [CallOutcome.ANSWERED] * 2 and came == connections
+    assert [one.outcome for one in ended] == [CallOutcome.ANSWERED] * 2 and came == connections
+
+
+def test_every_kind_of_call_without_answer_has_its_outcome():
+    assert set(OUTCOMES_WITHOUT_ANSWER) == set(NoAnswerError.__subclasses__())
 
 
 def test_nobody_there_is_proof_that_nothing_ran():
@@ -134,7 +139,7 @@
         await server.wait_closed()
         return await ServerConnections(time.monotonic_ns).send(address, REQUEST, 10**9, 24)
 
-    assert asyncio.run(play()).seen == CallOutcome.CONNECT_FAIL
+    assert asyncio.run(play()).outcome == CallOutcome.CONNECT_FAIL
 
 
 def test_more_requests_than_connections_are_not_sent():
@@ -152,7 +157,7 @@
         server.close()
         for writer in came:
             writer.close()
-        return sorted(one.seen.value for one in ended), len(came)
+        return sorted(one.outcome.value for one in ended), len(came)
 
     assert asyncio.run(play()) == ([CallOutcome.NO_CONNECTION_FREE.value] * 3 + [CallOutcome.TIMEOUT.value] * 2, 2)
 
@@ -185,10 +190,10 @@
     """Of 150 mixtures of an answer's parts; most end as broken."""
     data = b"".join(pieces)
     one = played(data + b"cut", within=0.5)[0][0]
-    if one.seen == CallOutcome.ANSWERED:
+    if one.outcome == CallOutcome.ANSWERED:
         assert one.answer.fields[b"x-attempt-id"] == b"me"
         assert one.answer.status >= 300 or b"x-server-seal" in one.answer.fields
         length = one.answer.fields.get(b"content-length")
         assert length is None or len(one.answer.body) == int(length)
-    if one.seen == CallOutcome.NOT_EXECUTED:
+    if one.outcome == CallOutcome.NOT_EXECUTED:
         assert b"X-Not-Executed" in data and b"HTTP/1.1" in data
--- /dev/null
+++ b/tests/http/test_critical_tasks.py
@@ -0,0 +1,29 @@
+"""What a program can't do without."""
+
+import asyncio
+
+import pytest
+
+from kestrelplank.http.critical_tasks import CriticalTasks
+
+
+@pytest.mark.parametrize("how, stops", [("fails", True), ("ends", False), ("is cancelled", False)])
+def test_a_critical_task_that_fails_stops_the_program_and_is_logged(how, stops, caplog):
+    """Guards against a member that lives on without its ticks: no heartbeats, no claims, no renewals, and nobody notified."""
+
+    async def work():
+        if how == "fails":
+            raise KeyError("of ours")
+
+    async def program():
+        stop = asyncio.Event()
+        critical_tasks = CriticalTasks("Control", stop)
+        critical_tasks.add(work())
+        if how == "is cancelled":
+            critical_tasks.cancel()
+        await asyncio.sleep(0)
+        await asyncio.sleep(0)
+        return stop.is_set(), critical_tasks.failed
+
+    assert asyncio.run(program()) == (stops, stops)
+    assert ("Control: stopping because a critical task failed" in caplog.text and "of ours" in caplog.text) == stops
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -10,7 +10,8 @@
 from kestrelplank.control.effects import AnswerOrder
 from kestrelplank.control.status import EdgeStatus, LineStatus, MemberStatus, PeerStatus, ServiceStatus
 from kestrelplank.gateway import main
-from kestrelplank.http.serve import listener, server
+from kestrelplank.http.server import create_server
+from kestrelplank.http.socket_options import listening_socket
 
 
 class Member:
@@ -70,9 +71,9 @@
     """The command's exit code against that member; ADDRESS stands for its address."""
 
     async def play():
-        sock = listener("127.0.0.1", 0)
+        sock = listening_socket("127.0.0.1", 0)
         address = "127.0.0.1:%d" % sock.getsockname()[1]
-        front = server(application(member), 5, 1)
+        front = create_server(application(member), 5, 1)
         serving = asyncio.create_task(front.serve([sock]))
         while not front.started:
             await asyncio.sleep(0)
@@ -128,7 +129,7 @@
 
 
 def test_nobody_at_the_address_is_one_line_and_exit_code_1(file, capsys):
-    sock = listener("127.0.0.1", 0)  # bound, and nobody listens
+    sock = listening_socket("127.0.0.1", 0)  # bound, and nobody listens
     assert main(["status", "127.0.0.1:%d" % sock.getsockname()[1]]) == 1
     assert capsys.readouterr().err.count("\n") == 1
 
