--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -8,10 +8,11 @@
 import asyncio
 import logging
 import time
-from typing import TYPE_CHECKING, TypedDict, assert_never
+from typing import TypedDict, assert_never
 from zlib import crc32
 
 from kestrelplank.edge.counters import UPSTREAM_RQ_PENDING, UPSTREAM_RQ_RETRY
+from kestrelplank.edge.exchange_context import ExchangeContext
 from kestrelplank.edge.request_head import (
     ATTEMPT_ID,
     HOP_BY_HOP_HEADERS,
@@ -40,9 +41,6 @@
 from kestrelplank.http.asgi import Send as AsgiSend
 from kestrelplank.time_units import MILLISECOND, SECOND
 
-if TYPE_CHECKING:
-    from kestrelplank.edge.client_application import ClientApplication
-
 RETRY_AFTER_NS = SECOND // 2  # what a refusal says where the body could not be taken, or we stop
 BODILESS_STATUSES = (204, 304)
 log = logging.getLogger("edge")
@@ -66,12 +64,12 @@
     another run would do no harm (`test_a_client_that_gives_up_does_not_break_off_what_can_not_be_repeated`).
     """
 
-    def __init__(self, application: "ClientApplication", scope: Scope, receive: Receive, send: AsgiSend) -> None:
-        self._application, self._scope, self._receive, self._send = application, scope, receive, send
+    def __init__(self, context: ExchangeContext, scope: Scope, receive: Receive, send: AsgiSend) -> None:
+        self._context, self._scope, self._receive, self._send = context, scope, receive, send
         self._headers: Headers = scope["headers"]
         self._fields = dict(self._headers)
         self._received_at = time.monotonic_ns()
-        self._body_memory = 0  # bytes that its body takes of the application's
+        self._body_memory = 0  # bytes that its body takes of all bodies'
         self._request: ForwardedRequest | None = None  # once it is admitted
         self._last_result: AttemptResult | None = None
         self._attempts: list[AttemptTrace] = []
@@ -87,7 +85,7 @@
             log.exception("Edge: refusing a request because of a defect of the gateway")
             await self._break_off(GatewayDefectError(RETRY_AFTER_NS))
         finally:
-            self._application.body_memory -= self._body_memory
+            self._context.body_memory -= self._body_memory
 
     async def _run(self) -> None:
         try:
@@ -99,7 +97,7 @@
         except RequestError as error:
             await self._refuse(error)
             return
-        step = self._application.forwarder.next_step(now, request)
+        step = self._context.forwarder.next_step(now, request)
         client_gone = asyncio.ensure_future(self._wait_until_client_has_gone())
         try:
             await self._carry_out(request, step, self._server_request(body), client_gone)
@@ -111,7 +109,7 @@
         """Answer at once, with what is certain of the request."""
         request = self._request
         if request is not None and request.endpoint is not None:
-            self._application.forwarder.attempt_ended(time.monotonic_ns(), request, CallOutcome.ABANDONED)
+            self._context.forwarder.attempt_ended(time.monotonic_ns(), request, CallOutcome.ABANDONED)
         if request is not None and request.may_have_run:
             error = OutcomeUnknownError()
         if not self._answered:
@@ -128,12 +126,12 @@
             raise BadRequestError
         try:
             async with asyncio.timeout(client_timeout_ns(self._fields) / SECOND):
-                return await self._read_body(self._application.max_body_bytes())
+                return await self._read_body(self._context.max_body_bytes())
         except TimeoutError as err:
             raise BodyTimeoutError(RETRY_AFTER_NS) from err
 
     async def _read_body(self, max_bytes: int) -> bytes | None:
-        application, chunks = self._application, []
+        context, chunks = self._context, []
         while True:
             message = await self._receive()
             if message["type"] != "http.request":
@@ -141,17 +139,17 @@
             chunk = message["body"]
             chunks.append(chunk)
             self._body_memory += len(chunk)
-            application.body_memory += len(chunk)
+            context.body_memory += len(chunk)
             if self._body_memory > max_bytes:
                 raise BodyTooLargeError
-            if application.body_memory > application.max_body_memory:
+            if context.body_memory > context.max_body_memory:
                 raise BodyMemoryError(RETRY_AFTER_NS)
             if not message.get("more_body"):
                 return b"".join(chunks)
 
     def _admit(self, now: int, body: bytes) -> ForwardedRequest:
         fields = self._fields
-        return self._application.forwarder.admit(
+        return self._context.forwarder.admit(
             now,
             host=fields.get(b"host", b"").decode("latin-1"),
             path=self._scope["path"],
@@ -187,7 +185,7 @@
             elif isinstance(step, Wait):
                 await self._wait(step, client_gone)
                 if not client_gone.done():
-                    step = self._application.forwarder.next_step(time.monotonic_ns(), request)
+                    step = self._context.forwarder.next_step(time.monotonic_ns(), request)
             elif isinstance(step, ForwardAnswer):
                 await self._forward_answer()
                 return
@@ -201,24 +199,24 @@
         self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
     ) -> Step:
         """Make one attempt, and return what follows of it."""
-        application, endpoint = self._application, step.endpoint
+        context, endpoint = self._context, step.endpoint
         if request.last_outcome is not None:
-            application.counters.add(UPSTREAM_RQ_RETRY)
+            context.counters.add(UPSTREAM_RQ_RETRY)
         result = self._last_result = await self._send_attempt(request, step, server_request, client_gone)
         now = time.monotonic_ns()
         self._note_attempt(endpoint.server, result, now - request.sent_at)
-        following = application.forwarder.attempt_ended(now, request, result.outcome, result.load())
-        endpoint.idle_connections = application.connections.idle(endpoint.address)
-        application.wake_pending()
+        following = context.forwarder.attempt_ended(now, request, result.outcome, result.load())
+        endpoint.idle_connections = context.connections.idle(endpoint.address)
+        context.wake_pending()
         return following
 
     async def _send_attempt(
         self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
     ) -> AttemptResult:
         """Send to a server. Where the client goes meanwhile, an attempt that must not be repeated isn't broken off."""
-        forwarder, endpoint = self._application.forwarder, step.endpoint
+        forwarder, endpoint = self._context.forwarder, step.endpoint
         sending = asyncio.ensure_future(
-            self._application.connections.send(
+            self._context.connections.send(
                 endpoint.address,
                 server_request.with_headers(attempt_headers(endpoint.server, step.timeout_ns)),
                 step.timeout_ns,
@@ -234,7 +232,7 @@
             sending.cancel()
 
     def _note_attempt(self, server: str, result: AttemptResult, duration_ns: int) -> None:
-        self._application.counters.attempt_ended(result.outcome)
+        self._context.counters.attempt_ended(result.outcome)
         self._attempts.append(
             {
                 "server": server,
@@ -246,9 +244,9 @@
 
     async def _wait(self, step: Wait, client_gone: asyncio.Future[None]) -> None:
         """Wait until the step's time, a change that may let the request go on, or the client's going."""
-        self._application.counters.add(UPSTREAM_RQ_PENDING)
+        self._context.counters.add(UPSTREAM_RQ_PENDING)
         timeout_s = max(0, step.until - time.monotonic_ns()) / SECOND
-        changed = asyncio.ensure_future(self._application.changed.wait())
+        changed = asyncio.ensure_future(self._context.changed.wait())
         try:
             await asyncio.wait((changed, client_gone), timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -266,7 +264,7 @@
 
     async def _refuse(self, error: RequestError) -> None:
         """Send an answer of our own, as the error says."""
-        self._application.counters.refused(error)
+        self._context.counters.refused(error)
         headers = []
         if error.retry_after_ns:
             headers.append((b"retry-after", f"{error.retry_after_ns / SECOND:.3f}".encode()))
@@ -282,14 +280,14 @@
         self._answered = True
         if status not in BODILESS_STATUSES:
             headers.append((b"content-length", length or str(len(body)).encode()))
-        if self._application.readiness.draining and self._scope["connection"].ends_with_this_answer():
+        if self._context.readiness.draining and self._scope["connection"].ends_with_this_answer():
             headers.append((b"connection", b"close"))
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
         await self._send({"type": "http.response.body", "body": body})
 
     def _trace(self, request: ForwardedRequest) -> None:
         """Write one line to the log, if this request is one of those that are traced."""
-        attempt_id, trace = self._fields[ATTEMPT_ID], self._application.trace
+        attempt_id, trace = self._fields[ATTEMPT_ID], self._context.trace
         if not trace or crc32(attempt_id) % trace:
             return
         log.info(
--- /dev/null
+++ b/kestrelplank/edge/exchange_context.py
@@ -0,0 +1,42 @@
+"""What all requests of clients at one edge share."""
+
+import asyncio
+
+from kestrelplank.edge.counters import Counters
+from kestrelplank.edge.readiness import Readiness
+from kestrelplank.edge.server_connections import ServerConnections
+from kestrelplank.forwarding.forwarder import Forwarder
+
+MAX_BODY_BYTES_BEFORE_CONFIGURATION = 1 << 20
+
+
+class ExchangeContext:
+    """The parts of an edge that its exchanges with clients use.
+
+    :param max_body_memory: bytes of bodies that may be in hand at once.
+    :param trace: one request in so many is logged, 0 for none.
+    """
+
+    def __init__(
+        self,
+        forwarder: Forwarder,
+        connections: ServerConnections,
+        readiness: Readiness,
+        max_body_memory: int,
+        trace: int = 0,
+    ) -> None:
+        self.forwarder, self.connections, self.readiness = forwarder, connections, readiness
+        self.max_body_memory, self.trace = max_body_memory, trace
+        self.body_memory = 0  # bytes of bodies in hand
+        self.counters = Counters()
+        self.changed = asyncio.Event()  # key ranges, servers or their load
+
+    def wake_pending(self) -> None:
+        """Let requests that wait look again whether a server can be used."""
+        self.changed.set()
+        self.changed.clear()
+
+    def max_body_bytes(self) -> int:
+        """Return how many bytes one body may have."""
+        configuration = self.forwarder.view.configuration
+        return configuration.max_body if configuration else MAX_BODY_BYTES_BEFORE_CONFIGURATION
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -10,8 +10,9 @@
 from random import Random, SystemRandom
 
 from kestrelplank.configuration.plan import Configuration
-from kestrelplank.edge.client_application import ClientApplication
+from kestrelplank.edge.client_application import client_application
 from kestrelplank.edge.control_sessions import ControlSessions
+from kestrelplank.edge.exchange_context import ExchangeContext
 from kestrelplank.edge.readiness import Readiness
 from kestrelplank.edge.server_connections import ServerConnections
 from kestrelplank.forwarding.forwarder import Forwarder
@@ -32,7 +33,7 @@
 
 
 class EdgeProgram:
-    """One edge: one event loop, one application for clients and for the platform's question.
+    """One edge: one event loop, one server for clients and for the platform's question.
 
     :param trace: one request in so many is logged, 0 for none.
     """
@@ -47,16 +48,19 @@
         )
         self.connections = ServerConnections(time.monotonic_ns)
         self.readiness = Readiness(self.view)
-        self.application = ClientApplication(
+        self.context = ExchangeContext(
             self.forwarder,
             self.connections,
             self.readiness,
-            settings.listen("readiness")[1],
             int(local.limits.memory_mb * BYTES_PER_MB * BODY_MEMORY_FRACTION),
             trace,
         )
         self.sessions = ControlSessions(self.view, settings.telegraph_port(), random, self.receive)
-        self.server: Server = create_server(self.application, None, bounds.grace_s - DRAIN_DELAY_S - FINAL_ANSWERS_S)
+        self.server: Server = create_server(
+            client_application(self.context, settings.listen("readiness")[1]),
+            idle_timeout_s=None,  # until a configuration has come
+            grace_s=bounds.grace_s - DRAIN_DELAY_S - FINAL_ANSWERS_S,
+        )
 
     # Start and stop.
 
@@ -75,7 +79,7 @@
         await self.drain(DRAIN_DELAY_S)
         critical_tasks.cancel()
         self.sessions.close()
-        log.info("Edge: stopped", extra={"counters": self.application.counters.values})
+        log.info("Edge: stopped", extra={"counters": self.context.counters.values})
         return 1 if critical_tasks.failed else 0
 
     def watch_signals(self, stop: asyncio.Event) -> None:
@@ -125,7 +129,7 @@
         elif change is Change.MEMBERS:
             self.sessions.reconcile()
         self.forwarder.retry_budget.edges = self.view.edges
-        self.application.wake_pending()
+        self.context.wake_pending()
 
     def set_limits(self, configuration: Configuration) -> None:
         """Bound clients as the configuration says from now on, on all connections."""
@@ -162,9 +166,9 @@
         log.info(
             "Edge: counters",
             extra={
-                "counters": self.application.counters.values,
+                "counters": self.context.counters.values,
                 "readiness": self.readiness.state.value,
-                "downstream_rq_body_bytes": self.application.body_memory,
+                "downstream_rq_body_bytes": self.context.body_memory,
                 "upstream_rq_active": {name: round(load, 1) for name, load in loads.items() if load >= 1},
                 "outlier_ejected": endpoints.ejected(now),
                 "control_session_silent_ms": self.sessions.silent_ms(),
--- a/kestrelplank/forwarding/retry_policy.py
+++ b/kestrelplank/forwarding/retry_policy.py
@@ -110,6 +110,11 @@
     }
 
 
+def _row_of_failures(failed: Verdict) -> dict[CallOutcome, Verdict]:
+    """Return the row of a kind of call for which all that was sent and has no answer is alike."""
+    return _row(answered=SUCCEEDED, server_error=failed, not_executed=failed, unproven=failed, abandoned=failed)
+
+
 RETRY_TABLE: dict[CallKind, dict[CallOutcome, Verdict]] = {
     CallKind.IDEMPOTENT_REQUEST: _row(
         answered=SUCCEEDED,
@@ -134,28 +139,13 @@
         unproven=UNKNOWN_BUT_IDEMPOTENT,
         abandoned=UNKNOWN_BUT_IDEMPOTENT,
     ),
-    **{
-        kind: _row(
-            answered=SUCCEEDED,
-            server_error=UNKNOWN_BUT_IDEMPOTENT,
-            not_executed=UNKNOWN_BUT_IDEMPOTENT,
-            unproven=UNKNOWN_BUT_IDEMPOTENT,
-            abandoned=UNKNOWN_BUT_IDEMPOTENT,
-        )
-        for kind in (CallKind.RELEASE, CallKind.SERVER_LIST, CallKind.STATE_UPDATE)
-    },
+    CallKind.RELEASE: _row_of_failures(UNKNOWN_BUT_IDEMPOTENT),
+    CallKind.SERVER_LIST: _row_of_failures(UNKNOWN_BUT_IDEMPOTENT),
+    CallKind.STATE_UPDATE: _row_of_failures(UNKNOWN_BUT_IDEMPOTENT),
     # The operator sends a call again by itself, to any member, and the log's order makes that harmless; a member that
     # did so as well would only double it.
-    **{
-        kind: _row(
-            answered=SUCCEEDED,
-            server_error=UNKNOWN_NO_RETRY,
-            not_executed=UNKNOWN_NO_RETRY,
-            unproven=UNKNOWN_NO_RETRY,
-            abandoned=UNKNOWN_NO_RETRY,
-        )
-        for kind in (CallKind.OPERATOR_CHANGE, CallKind.OPERATOR_READ)
-    },
+    CallKind.OPERATOR_CHANGE: _row_of_failures(UNKNOWN_NO_RETRY),
+    CallKind.OPERATOR_READ: _row_of_failures(UNKNOWN_NO_RETRY),
 }
 
 
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -135,7 +135,7 @@
         entries = [Entry(one.name, "views", f"{IP}:{one.port}", "hall", 4, "ready", 0) for one in servers]
         now = time.monotonic_ns()
         self.program.forwarder.endpoints.update(now, entries)
-        self.program.application.wake_pending()
+        self.program.context.wake_pending()
 
     async def client(self):
         client = Client(*await asyncio.open_connection(IP, self.port))
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -160,7 +160,7 @@
         status, fields, _ = await answer(reader)
         assert status == 404 and fields["connection"] == "close"
         writer.close()
-        reader, writer = await asyncio.open_connection(IP, found.application.readiness_port)
+        reader, writer = await asyncio.open_connection(IP, found.settings.listen("readiness")[1])
         writer.write(b"GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
         assert (await answer(reader))[0] == 503
         writer.close()
@@ -188,7 +188,7 @@
 def test_bodies_are_held_within_a_bound_and_given_back():
     async def play():
         async with edge() as (found, behind, port):
-            found.application.max_body_memory = 50_000
+            found.context.max_body_memory = 50_000
             first = await asyncio.open_connection(IP, port)
             first[1].write(head("/a/b/x", "Content-Length: 40000") + bytes(40_000))
             await behind.arrived.wait()
@@ -197,7 +197,7 @@
             refused = await second[0].readuntil(b"\r\n\r\n")
             behind.let.set()
             served = await first[0].readuntil(b"\r\n\r\n")
-            while found.application.body_memory:
+            while found.context.body_memory:
                 await asyncio.sleep(0)
             for _, writer in (first, second):
                 writer.close()
@@ -211,7 +211,7 @@
 def test_one_request_is_traced_by_its_id(caplog):
     async def play():
         async with edge() as (found, behind, port):
-            found.application.trace = 1
+            found.context.trace = 1
             behind.let.set()
             reader, writer = await asyncio.open_connection(IP, port)
             writer.write(head("/a/b/x", "Content-Length: 0"))
@@ -291,7 +291,7 @@
                     writer.write(head("/a/b/x", "Content-Length: 4") + b"body")
                     served += (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
                     writer.close()
-            return served, met, found.application.body_memory
+            return served, met, found.context.body_memory
 
     served, met, held = asyncio.run(play())
     assert served == 30 and held == 0 and len(met) > 60
--- a/tests/edge/test_every_byte.py
+++ b/tests/edge/test_every_byte.py
@@ -43,7 +43,7 @@
             assert (status, body) == ((200, b"whole") if place == ANSWER else (502, b"unknown outcome")), place
             assert "retry-after" not in fields
             opened += 1
-        counts = stage.program.application.counters.values
+        counts = stage.program.context.counters.values
         # On a busy machine a dial may end before its connection is up.
         dialled_again = counts.get("upstream_rq_connect_fail", 0)
         assert sum(counts.get(name, 0) for name in UPSTREAM_RQ_ENDED.values()) == opened + dialled_again
@@ -87,7 +87,7 @@
                 if end == "reset":
                     client.reset()
                 client.close()
-        while stage.program.server.server_state.connections or stage.program.application.body_memory:
+        while stage.program.server.server_state.connections or stage.program.context.body_memory:
             await asyncio.sleep(0)
         assert not stage.servers[0].connections
         assert (await stage.ask(ONCE, b"whole", "whole"))[0] == 200  # and others are served
@@ -125,6 +125,6 @@
             stage.listed(stage.servers[0])
             status, _, body = await stage.ask(ONCE, b"pay", "me", 120)
         assert (status, body) in ((503, b"too late to begin"), (503, b"no server"))
-        assert stage.program.application.counters.values["upstream_rq_connect_fail"] >= 1
+        assert stage.program.context.counters.values["upstream_rq_connect_fail"] >= 1
 
     played(play, serving)
