--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -23,7 +23,7 @@
     RequestNotSentError,
     RequestUnsendableError,
 )
-from kestrelplank.load_balancing.pools import DIAL, USE, Pool, Terms
+from kestrelplank.load_balancing.connection_pool import ConnectionPool, NoConnection, PoolSettings
 from kestrelplank.time_units import SECOND
 
 CONNECT_TIMEOUT_S = 0.35
@@ -87,7 +87,7 @@
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self._clock = clock
-        self._pools: dict[str, Pool] = {}
+        self._pools: dict[str, ConnectionPool] = {}
         self._connections: dict[str, dict[int, Connection]] = {}
         self._last_number = 0
 
@@ -107,54 +107,56 @@
             if connection is None:
                 return AttemptResult(CallOutcome.CONNECT_FAIL)
             connections[number] = connection
-            pool.opened(number)
+            pool.dial_succeeded(number)
         reusable = False
         try:
             result, reusable = await self._exchange(pool, connection, request, until_s)
             return result
         finally:
-            if not pool.done(self._clock(), number, reusable):
+            if not pool.release(self._clock(), number, reusable):
                 connections.pop(number, None)
                 connection.reset()
 
-    def _pool(self, address: str, max_connections: int) -> Pool:
+    def _pool(self, address: str, max_connections: int) -> ConnectionPool:
         pool = self._pools.get(address)
         if pool is None:
-            pool = self._pools[address] = Pool(self._clock(), Terms(most=max_connections, idle=DEFAULT_IDLE_NS))
+            pool = self._pools[address] = ConnectionPool(
+                self._clock(), PoolSettings(max_connections=max_connections, idle_timeout_ns=DEFAULT_IDLE_NS)
+            )
             self._connections[address] = {}
-        pool.bound(max_connections)
+        pool.limit_connections(max_connections)
         return pool
 
-    def _take(self, pool: Pool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
+    def _take(self, pool: ConnectionPool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
         """Return a connection that can be used at once, or the number for a new one, or neither where all are busy."""
         while True:
-            step = pool.take(self._clock())
-            if step[0] == DIAL:
+            number = pool.acquire(self._clock())
+            if number is NoConnection.DIAL:
                 self._last_number += 1
                 return self._last_number, None
-            if step[0] != USE:
+            if isinstance(number, NoConnection):
                 return None, None
-            connection = connections[step[1]]
+            connection = connections[number]
             if not connection.has_surplus():
-                return step[1], connection
-            pool.lost(step[1])
-            connections.pop(step[1]).reset()
+                return number, connection
+            pool.connection_lost(number)
+            connections.pop(number).reset()
 
     @staticmethod
-    async def _dial(pool: Pool, address: str, timeout_s: float) -> Connection | None:
+    async def _dial(pool: ConnectionPool, address: str, timeout_s: float) -> Connection | None:
         host, _, port = address.rpartition(":")
         try:
             return await dial((host, int(port)), timeout_s)
         except (OSError, TimeoutError):
-            pool.failed()
+            pool.dial_failed()
             return None
         except BaseException:
-            pool.failed()
+            pool.dial_failed()
             raise
 
     @staticmethod
     async def _exchange(
-        pool: Pool, connection: Connection, request: ServerRequest, until_s: float
+        pool: ConnectionPool, connection: Connection, request: ServerRequest, until_s: float
     ) -> tuple[AttemptResult, bool]:
         """Send the request on that connection, and return the result and whether the connection can be kept.
 
@@ -166,7 +168,7 @@
                 answer = await connection.ask(request.method, request.target, request.headers, request.body)
                 while not belongs(answer, request.attempt_id):  # but to an older request: ours is still to come
                     answer = await connection.next_answer(request.method, request.target)
-            pool.keep_for(answer.max_idle_ns())
+            pool.limit_idle_time(answer.max_idle_ns())
             return AttemptResult(outcome_of(answer), answer), connection.reusable
         except NoAnswerError as err:
             return AttemptResult(OUTCOMES_WITHOUT_ANSWER[type(err)]), False
@@ -186,7 +188,7 @@
         """
         for address, pool in list(self._pools.items()):
             connections = self._connections[address]
-            ended = pool.expired(self._clock()) if address in live else pool.withdraw(self._clock())
+            ended = pool.expire_idle(self._clock()) if address in live else pool.withdraw(self._clock())
             for number in ended:
                 connections.pop(number).reset()
             if address in live:
