--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,7 @@
 	.venv-dev/bin/python -m pytest -q
 
 lint: .venv-dev/built-from
-	.venv-dev/bin/ruff check . && .venv-dev/bin/ruff format --check . && .venv-dev/bin/mypy
+	.venv-dev/bin/ruff check . && .venv-dev/bin/ruff format --check . && .venv-dev/bin/mypy && .venv-dev/bin/lint-imports
 
 run: build
 	NODE_CONFIG=$(CONFIG) exec .venv/bin/python -m kestrelplank
