--- a/kestrelplank/consensus/__init__.py
+++ b/kestrelplank/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""ConsensusMessage between control members: terms, membership, and one replicated log. No I/O."""
+"""Consensus between control members: terms, membership, and one replicated log. No I/O. Design: docs/consensus.md."""
--- a/kestrelplank/consensus/lease.py
+++ b/kestrelplank/consensus/lease.py
@@ -106,4 +106,4 @@
 
     def current(self, now: int, applied_index: int) -> bool:
         """Whether a follower that has applied so much may say that it is current."""
-        return now < self._vouched_until and self.has_all(applied_index)
+        return now < self._vouched_until and applied_index >= self.commit_index
