--- a/tests/consensus/checks.py
+++ b/tests/consensus/invariants.py
@@ -1,8 +1,10 @@
-"""What must hold after every step of a simulated cluster (see `cluster`): told by what members do, not by what they think.
+"""What must hold after every step of a simulated cluster (see `simulated_cluster`), by what members do, not by what they think.
 
-A `Checks` object hears of each entry applied, each snapshot taken over, each message sent, each write made durable and
+An `Invariants` object is notified of each entry applied, each snapshot taken over, each message sent, each write made durable and
 each answer given, and raises `Broken` at the first that contradicts the ones before it."""
 
+from collections.abc import Callable
+
 from kestrelplank.consensus.consensus_messages import AppendReply, VoteReply
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.log_entries import (
@@ -48,31 +50,31 @@
         self.records = dict(records)
 
 
-class Checks:
+class Invariants:
     """All that has ever happened in one cluster, as far as an invariant needs it."""
 
-    def __init__(self, tell) -> None:
-        self._tell = tell  # gives the text of the last steps
+    def __init__(self, trace_text: Callable[[], str]) -> None:
+        self._trace_text = trace_text  # gives the text of the last steps
         self.entries: dict[int, Entry] = {}  # committed, by index
         self.states: list[bytes] = [Replica().state()]  # the state after each committed index
         self._applied_at: list[int] = [0]  # when each index was first applied anywhere
         self.reference = Replica()
         self.texts: dict[int, bytes] = {}  # by version, as ever in force at any member
-        self.acknowledged: dict[int, bytes] = {}  # by version, as told to operators
+        self.acknowledged: dict[int, bytes] = {}  # by version, as answered to operators
         self.newest_acknowledged = 0
         self._commands: dict[tuple[int, int], object] = {}  # (index, term) -> command, as ever durable
         self._votes: dict[tuple[str, int], str] = {}  # (voter, term) -> candidate
         self._leaders: dict[int, str] = {}  # term -> identity
 
-    def need(self, holds: bool, *told) -> None:
+    def need(self, holds: bool, *reason: object) -> None:
         """Raise `Broken` unless `holds`."""
         if not holds:
-            raise Broken(" ".join(str(part) for part in told) + "\n" + self._tell())
+            raise Broken(" ".join(str(part) for part in reason) + "\n" + self._trace_text())
 
     def membership(self, first: Membership) -> Membership:
         """The newest that is committed; `first` where no change ever was."""
         changes = [entry.command for entry in self.entries.values() if isinstance(entry.command, ChangeMembership)]
-        return max((change.membership for change in changes), key=lambda one: one.epoch, default=first)
+        return max((change.membership for change in changes), key=lambda membership: membership.epoch, default=first)
 
     @property
     def last_index(self) -> int:
@@ -91,7 +93,7 @@
         self.need(entry.index <= self.last_index, who, "applies", entry.index, "before its leader does")
 
     def restored(self, who: str, replica: Replica, snapshot: Snapshot) -> None:
-        """`who` puts a snapshot in the place of `replica`."""
+        """`who` replaces `replica` by a snapshot."""
         self.need(snapshot.index >= replica.index, who, "goes back from", replica.index, "to", snapshot.index)
         self.need(snapshot.index <= self.last_index, who, "has a snapshot at", snapshot.index, "that nobody committed")
         self.need(snapshot.state == self.states[snapshot.index], who, "has another state at", snapshot.index)
@@ -99,13 +101,13 @@
             self.need(snapshot.term == self.entries[snapshot.index].term, who, "has another term at", snapshot.index)
 
     def in_force(self, who: str, replica: Replica) -> None:
-        """This is what `who` has in force, and may tell."""
+        """This is what `who` has in force, and may answer."""
         if replica.text is not None:
             known = self.texts.setdefault(replica.version, replica.text)
             self.need(known == replica.text, who, "has", replica.text, "under", replica.version, "elsewhere", known)
 
     def order_acknowledged(self, who: str, order: PutConfiguration, replica: Replica) -> None:
-        """`who` leads and tells an operator that `order` is in force."""
+        """`who` leads and answers an operator that `order` is in force."""
         self.need(
             replica.version == order.version and replica.text == order.text, who, "acknowledges", order, "without it"
         )
--- a/tests/consensus/replacing.py
+++ b/tests/consensus/replacing_cluster.py
@@ -5,15 +5,16 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from consensus.cluster import IN_FORCE, Cluster, Machine, S
+from consensus.simulated_cluster import IN_FORCE, Cluster, Machine
 from kestrelplank.consensus.identity import address_of
 from kestrelplank.consensus.log_entries import ChangeMembership
 from kestrelplank.consensus.membership_planning import Candidate, plan_membership, successor
+from kestrelplank.time_units import SECOND
 
-SYNC = 4 * S  # after which a newcomer has taken its place
-GRACE = 6 * S  # between SIGTERM and the end of a process
-SOON = 10 * S
-NEVER = 10**12
+SYNC_TIMEOUT_NS = 4 * SECOND  # after which a newcomer has taken its place
+GRACE_PERIOD_NS = 6 * SECOND  # between SIGTERM and the end of a process
+RECOVERY_TIMEOUT_NS = 10 * SECOND
+NO_POINT = 10**12
 
 
 class ReplacingCluster(Cluster):
@@ -40,11 +41,11 @@
         self._led_since: dict[str, tuple[int, int]] = {}  # identity -> (term, when it began to lead, on its clock)
         self._followed: dict[str, tuple[str, int]] = {}  # identity -> (its last leader, when it heard that one)
         self.points = 0  # since `watch`
-        self._strike_at, self._strike = NEVER, None
+        self._strike_at, self._strike = NO_POINT, None
 
     # Points.
 
-    def watch(self, strike_at: int = NEVER, strike: Callable[[], None] | None = None) -> None:
+    def watch(self, strike_at: int = NO_POINT, strike: Callable[[], None] | None = None) -> None:
         """From now on count points; just before the one with that number, call `strike`."""
         self.points, self._strike_at, self._strike = 0, strike_at, strike
 
@@ -69,12 +70,12 @@
         self.leaving.pop(name, None)
         super().start(name, first)
 
-    def terminate(self, name: str, grace: int = GRACE) -> None:
+    def terminate(self, name: str, grace: int = GRACE_PERIOD_NS) -> None:
         """SIGTERM: the member says that it is leaving, and ends after `grace`."""
         self.note("leaves", name)
         self.leaving[name] = None
-        life = self.machines[name].life
-        self.at(grace, lambda: self.machines[name].life == life and self.kill(name))
+        process = self.machines[name].process
+        self.at(grace, lambda: self.machines[name].process == process and self.kill(name))
 
     def discover(self, machine: Machine) -> None:
         node, now = machine.node, machine.clock(self.time)
@@ -96,7 +97,7 @@
     def _propose(self, machine: Machine, change: ChangeMembership) -> None:
         self.note("proposes", machine.identity, change)
         index, effects = machine.node.propose(machine.clock(self.time), change)
-        self.checks.need(index is not None, machine.identity, "may not propose", change)
+        self.invariants.need(index is not None, machine.identity, "may not propose", change)
         self.changes.append(change)
         self.carry_out(machine, effects)
 
@@ -138,35 +139,35 @@
 
     def voters(self) -> str:
         """Addresses of the voters by the newest committed membership, in order, as one word."""
-        membership = self.checks.membership(self.first)
+        membership = self.invariants.membership(self.first)
         return "".join(sorted(address_of(voter) for voter in membership.voters))
 
-    def counts(self, voters: str) -> bool:
+    def has_voters(self, voters: str) -> bool:
         """Whether exactly these count and run, no change is under way, and all have applied all."""
-        membership = self.checks.membership(self.first)
+        membership = self.invariants.membership(self.first)
         if membership.joint or self.voters() != voters or not self.caught_up():
             return False
         return all(self.machines[address_of(one)].identity == one for one in membership.voters)
 
     def has_replaced(self, newcomer: str) -> bool:
         """Whether a change that took `newcomer` in is over."""
-        return newcomer in self.voters() and self.counts(self.voters())
+        return newcomer in self.voters() and self.has_voters(self.voters())
 
-    def until_counts(self, voters: str, within: int = SOON) -> None:
-        self.until(lambda: self.counts(voters), within)
+    def until_voters(self, voters: str, within: int = RECOVERY_TIMEOUT_NS) -> None:
+        self.until(lambda: self.has_voters(voters), within)
 
-    def until_replaced(self, newcomer: str, within: int = SOON) -> None:
+    def until_replaced(self, newcomer: str, within: int = RECOVERY_TIMEOUT_NS) -> None:
         self.until(lambda: self.has_replaced(newcomer), within)
 
-    def serves(self, version: int, within: int = SOON) -> None:
+    def serves(self, version: int, within: int = RECOVERY_TIMEOUT_NS) -> None:
         """An order is taken within that time, and whoever leads then has it in force."""
         assert self.put(version, b"%d" % version, within=within) == IN_FORCE
         assert self.elect().replica.version == version
 
-    def cut_off(self, name: str, others: str) -> None:
+    def partition_off(self, name: str, others: str) -> None:
         """Nothing that is on its way between `name` and `others` arrives, nor what is sent from now on."""
         for other in others:
-            self.cut(name, other)
+            self.partition(name, other)
             self.reset(name, other)
 
 
@@ -189,7 +190,7 @@
     name: str
     begin: Callable[[ReplacingCluster, str], None]
     end: Callable[[ReplacingCluster, str], None]
-    lasts: int = 3 * S
+    lasts: int = 3 * SECOND
 
 
 def _come_back(cluster: ReplacingCluster, name: str) -> None:
@@ -199,17 +200,17 @@
 
 def _all_lose_power(cluster: ReplacingCluster, name: str) -> None:
     for machine in cluster.running():
-        cluster.restart(machine.address, after=cluster.random.randrange(S))
+        cluster.restart(machine.address, after=cluster.random.randrange(SECOND))
 
 
 KILLED = Loss("killed", ReplacingCluster.kill, _come_back)
-GONE = Loss("gone", ReplacingCluster.kill, _come_back, lasts=60 * S)
+GONE = Loss("gone", ReplacingCluster.kill, _come_back, lasts=60 * SECOND)
 WIPED = Loss("wiped", ReplacingCluster.wipe, _come_back)
 FROZEN = Loss("frozen", ReplacingCluster.freeze, ReplacingCluster.thaw)
 ISOLATED = Loss(
-    "isolated", lambda cluster, name: cluster.isolate(name, keep=True), lambda cluster, name: cluster.join()
+    "isolated", lambda cluster, name: cluster.isolate(name, keep=True), lambda cluster, name: cluster.heal()
 )
-POWER_LOST = Loss("power lost", _all_lose_power, lambda cluster, name: None, lasts=S)
+POWER_LOST = Loss("power lost", _all_lose_power, lambda cluster, name: None, lasts=SECOND)
 LOSSES = (KILLED, GONE, WIPED, FROZEN, ISOLATED)
 
 
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/simulated_cluster.py
@@ -2,12 +2,12 @@
 clock and one seeded `Random`.
 
     Disk       what `Persist` made durable, with latency; it may hang, or refuse and be asked again
-    Machine    an address with a disk, a steady clock of its own rate, and at most one running life of a member
-    Network    in order within a session; late, lost, doubled, cut one way or both, reset; what is late may outlive its
+    Machine    an address with a disk, a steady clock of its own rate, and at most one running process of a member
+    Network    in order within a session; late, lost, doubled, partitioned one way or both, reset; what is late may outlive its
                session
-    Operator   orders and reads sent to any member, passed on to the leader, answers that may be lost
+    Operator   orders and reads sent to any member, forwarded to the leader, answers that may be lost
 
-After every step `Checks` holds all invariants against all that has ever happened. `Cluster.run` plays time,
+After every step `Invariants` holds all invariants against all that has ever happened. `Cluster.run` plays time,
 `Cluster.until` plays until something holds; a test may act at any event in between.
 """
 
@@ -17,7 +17,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from consensus.checks import Checks, Replica
+from consensus.invariants import Invariants, Replica
 from kestrelplank.consensus.consensus_messages import Append, SnapshotChunk
 from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
 from kestrelplank.consensus.identity import FIRST_INCARNATION, address_of, identity_of
@@ -40,17 +40,16 @@
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.consensus.timing import CURRENT_TIMEOUT_NS
+from kestrelplank.time_units import MILLISECOND, SECOND
 
-US = 1_000
-MS = 1_000_000
-S = 1_000_000_000
+MICROSECOND = MILLISECOND // 1_000
 
-TICK = 20 * MS  # between two calls of `tick`
-DISCOVERY = 200 * MS  # between two looks of a member for others
-COMPACT_AFTER = 64  # applied entries after which the log is cut short
-MOST_AGE = int(CURRENT_TIMEOUT_NS * 1.01)  # of what a current member has, in true time
-MOST_DRIFT = 0.01  # by which a steady clock is fast or slow: two differ by 2% at most
-TRACE = 60  # last steps that a failure shows
+TICK_INTERVAL_NS = 20 * MILLISECOND  # between two calls of `tick`
+DISCOVERY_INTERVAL_NS = 200 * MILLISECOND  # between two looks of a member for others
+COMPACT_AFTER_ENTRIES = 64  # applied entries after which the log is compacted
+MAX_STALENESS_NS = int(CURRENT_TIMEOUT_NS * 1.01)  # of what a current member has, in true time
+MAX_CLOCK_DRIFT = 0.01  # by which a steady clock is fast or slow: two differ by 2% at most
+TRACE_STEPS = 60  # last steps that a failure shows
 
 # What an operator's attempt came to.
 IN_FORCE = "in force"  # this very text is, or was put, in force under its number
@@ -62,13 +61,13 @@
 class Conditions:
     """What the surroundings are like now; times in ns, chances from 0 to 1."""
 
-    delay: tuple[int, int] = (200 * US, 2 * MS)
+    delay: tuple[int, int] = (200 * MICROSECOND, 2 * MILLISECOND)
     loss: float = 0.0
     double: float = 0.0
     stray: float = 0.0  # of a message on its way at a reset: it still arrives, late
     bytes_per_s: int = 0  # of each direction of a link; 0: as much as comes
     answer_loss: float = 0.0  # of an operator's answer
-    write: tuple[int, int] = (1 * MS, 6 * MS)
+    write: tuple[int, int] = (1 * MILLISECOND, 6 * MILLISECOND)
     refusal: float = 0.0  # of a write: it is asked again
 
 
@@ -82,7 +81,7 @@
 
 
 class Disk:
-    """What one machine has made durable. A write is whole or not there at all."""
+    """What one machine has made durable. A write is complete or not there at all."""
 
     def __init__(self) -> None:
         self.incarnation = ""
@@ -116,13 +115,13 @@
 @dataclass
 class Attempt:
     """One call of an operator. `result`: what the leader came to, as soon as it did; `answer`: what the operator has
-    been told, None as long as nothing came."""
+    been answered, None as long as nothing came."""
 
     version: int
     text: bytes | None  # None: a read
     result: str | None = None
     answer: str | None = None
-    found: tuple[int, bytes | None] | None = None  # of a read
+    read_value: tuple[int, bytes | None] | None = None  # (version, text), of a read
 
 
 @dataclass
@@ -135,17 +134,17 @@
     offset: int
     disk: Disk = field(default_factory=Disk)
     node: ConsensusNode | None = None
-    life: int = 0
+    process: int = 0
     frozen: bool = False
     wiped: bool = False  # since the last start
-    held: list[Callable[[], None]] = field(default_factory=list)  # what waits for a frozen process
+    deferred: list[Callable[[], None]] = field(default_factory=list)  # what waits for a frozen process
     writes: deque[Persist] = field(default_factory=deque)
     writing: bool = False
     replica: Replica = field(default_factory=Replica)
     calls: dict[int, tuple[int, CallId, Attempt]] = field(default_factory=dict)  # index -> (term, call, attempt)
-    least: tuple[int, int] = (0, 0)  # term and commit, which don't go back in a life
+    newest_seen: tuple[int, int] = (0, 0)  # term and commit, which don't go back in a process
     elections: int = 0
-    compact_after: int = COMPACT_AFTER
+    compact_after: int = COMPACT_AFTER_ENTRIES
     compacted: int = 0
 
     @property
@@ -164,33 +163,35 @@
 class Cluster:
     """`count` machines at addresses `a`, `b`, ... that are started together with empty disks; `spare` more wait."""
 
-    def __init__(self, count: int = 3, seed: int = 0, *, spare: int = 0, drift: float = MOST_DRIFT, start: bool = True):
+    def __init__(
+        self, count: int = 3, seed: int = 0, *, spare: int = 0, drift: float = MAX_CLOCK_DRIFT, start: bool = True
+    ):
         self.random = Random(seed)
         self.time = 0
         self.conditions = Conditions()
-        self.checks = Checks(self.told)
+        self.invariants = Invariants(self.trace_text)
         self.attempts: list[Attempt] = []
         self.steps = 0
-        self.pieces_sent = 0
+        self.chunks_sent = 0
         self.bytes_sent = 0  # of entries and pieces, about
         self._queue: list[tuple[int, int, Callable[[], None]]] = []
         self._order = 0
-        self._trace: deque[tuple] = deque(maxlen=TRACE)
+        self._trace: deque[tuple] = deque(maxlen=TRACE_STEPS)
         self._arrival: dict[tuple[str, str], int] = {}  # when the last message of a direction arrives
         self._session: dict[frozenset[str], int] = {}  # counts resets
-        self._cut: dict[tuple[str, str], bool] = {}  # direction -> whether messages are kept until it is joined
-        self._kept: dict[tuple[str, str], list[Callable[[], None]]] = {}
+        self._partitions: dict[tuple[str, str], bool] = {}  # direction -> whether messages are kept until it is healed
+        self._held_back: dict[tuple[str, str], list[Callable[[], None]]] = {}
         self._calls = 0
         self.machines: dict[str, Machine] = {}
         names = [chr(ord("a") + place) for place in range(count + spare)]
         for name in names:
             rate = 1 + self.random.uniform(-drift, drift)
-            offset = self.random.randrange(1000 * S)
+            offset = self.random.randrange(1000 * SECOND)
             self.machines[name] = Machine(name, Random(self.random.random()), rate, offset)
         self.first = Membership(1, tuple(identity_of(name, FIRST_INCARNATION) for name in names[:count]))
         if start:
             for name in names[:count]:
-                self.at(self.random.randrange(300 * MS), lambda name=name: self.start(name, first=True))
+                self.at(self.random.randrange(300 * MILLISECOND), lambda name=name: self.start(name, first=True))
 
     # Time.
 
@@ -214,11 +215,13 @@
         self.time = end
         self.check()
 
-    def until(self, holds: Callable[[], object], within: int = 20 * S) -> None:
+    def until(self, holds: Callable[[], object], within: int = 20 * SECOND) -> None:
         """Play until `holds()`; a failure unless that comes within `within` ns."""
         end = self.time + within
         while not holds():
-            self.checks.need(bool(self._queue) and self._queue[0][0] <= end, "did not come within", within / S, "s")
+            self.invariants.need(
+                bool(self._queue) and self._queue[0][0] <= end, "did not come within", within / SECOND, "s"
+            )
             self.step()
 
     def check(self) -> None:
@@ -228,27 +231,31 @@
             if node is None:
                 continue
             now = (node.term, node.commit_index)
-            term, commit = machine.least
-            self.checks.need(
-                node.term >= term and node.commit_index >= commit, machine.identity, "goes back to", now, machine.least
+            term, commit = machine.newest_seen
+            self.invariants.need(
+                node.term >= term and node.commit_index >= commit,
+                machine.identity,
+                "goes back to",
+                now,
+                machine.newest_seen,
             )
-            machine.least = now
+            machine.newest_seen = now
             if node.leads(machine.clock(self.time)):
                 leaders.append(machine)
-        self.checks.need(len(leaders) <= 1, "lead at once:", [machine.identity for machine in leaders])
+        self.invariants.need(len(leaders) <= 1, "lead at once:", [machine.identity for machine in leaders])
         for machine in leaders:
-            self.checks.leads(machine.identity, machine.replica)
+            self.invariants.leads(machine.identity, machine.replica)
         for machine in self.running():
             if machine.node.current(machine.clock(self.time)):
-                self.checks.current(machine.identity, machine.replica, self.time - MOST_AGE)
+                self.invariants.current(machine.identity, machine.replica, self.time - MAX_STALENESS_NS)
 
     def note(self, *what: object) -> None:
         self._trace.append((self.time, *what))
 
-    def told(self) -> str:
+    def trace_text(self) -> str:
         """The last steps, as text."""
         return "\n".join(
-            f"{step[0] / MS:12.3f} ms  " + " ".join(str(part) for part in step[1:]) for step in self._trace
+            f"{step[0] / MILLISECOND:12.3f} ms  " + " ".join(str(value) for value in step[1:]) for step in self._trace
         )
 
     # Machines.
@@ -261,11 +268,11 @@
         if not disk.incarnation:
             disk.incarnation = FIRST_INCARNATION if first else f"{self.random.getrandbits(32):08x}"
             disk.membership = self.first if first else None
-        machine.life += 1
+        machine.process += 1
         machine.wiped = False
-        machine.offset = self.random.randrange(1000 * S)
+        machine.offset = self.random.randrange(1000 * SECOND)
         machine.replica = Replica()
-        machine.least = (disk.hard_state.term, 0)
+        machine.newest_seen = (disk.hard_state.term, 0)
         self.note("start", machine.identity)
         machine.node = ConsensusNode(
             now=machine.clock(self.time),
@@ -280,9 +287,9 @@
         if disk.snapshot is not None:
             self.restore(machine, disk.snapshot)
         machine.compacted = machine.replica.index
-        life = machine.life
-        self.at(self.random.randrange(TICK), lambda: self._tick(machine, life))
-        self.at(self.random.randrange(DISCOVERY), lambda: self._discover(machine, life))
+        process = machine.process
+        self.at(self.random.randrange(TICK_INTERVAL_NS), lambda: self._tick(machine, process))
+        self.at(self.random.randrange(DISCOVERY_INTERVAL_NS), lambda: self._discover(machine, process))
 
     def kill(self, name: str) -> None:
         """The process ends, its memory is lost; of the writes under way the first may be durable."""
@@ -294,7 +301,7 @@
             self._durable(machine, machine.writes[0])
         machine.node = None
         machine.frozen = machine.writing = False
-        machine.held.clear()
+        machine.deferred.clear()
         machine.writes.clear()
         machine.calls.clear()
 
@@ -326,8 +333,8 @@
             tick_first = self.random.random() < 0.5
         if tick_first:
             self._do(machine, lambda node, now: node.tick(now))
-        held, machine.held = machine.held, []
-        for act in held:
+        deferred, machine.deferred = machine.deferred, []
+        for act in deferred:
             act()
             self.check()
 
@@ -343,31 +350,31 @@
         machine.disk.hanging = hanging
         self._write(machine)
 
-    def _awake(self, machine: Machine, life: int, act: Callable[[], None]) -> None:
-        """Do `act` if that life still runs, as soon as it is not frozen."""
-        if machine.life != life or machine.node is None:
+    def _awake(self, machine: Machine, process: int, act: Callable[[], None]) -> None:
+        """Do `act` if that process still runs, as soon as it is not frozen."""
+        if machine.process != process or machine.node is None:
             return
         if machine.frozen:
-            machine.held.append(lambda: self._awake(machine, life, act))
+            machine.deferred.append(lambda: self._awake(machine, process, act))
             return
         act()
 
-    def _tick(self, machine: Machine, life: int) -> None:
+    def _tick(self, machine: Machine, process: int) -> None:
         def tick() -> None:
             self._do(machine, lambda node, now: node.tick(now))
 
-        if machine.life != life or machine.node is None:
+        if machine.process != process or machine.node is None:
             return
         if not machine.frozen:
             tick()
-        self.at(TICK, lambda: self._tick(machine, life))
+        self.at(TICK_INTERVAL_NS, lambda: self._tick(machine, process))
 
-    def _discover(self, machine: Machine, life: int) -> None:
-        if machine.life != life or machine.node is None:
+    def _discover(self, machine: Machine, process: int) -> None:
+        if machine.process != process or machine.node is None:
             return
         if not machine.frozen:
             self.discover(machine)
-        self.at(DISCOVERY, lambda: self._discover(machine, life))
+        self.at(DISCOVERY_INTERVAL_NS, lambda: self._discover(machine, process))
 
     def discover(self, machine: Machine) -> None:
         """A leader takes in whoever runs at the address of a voter whose disk is lost, as soon as it has caught up."""
@@ -391,7 +398,7 @@
     def reach(self, one: Machine, other: Machine) -> bool:
         """Whether messages pass between two, both ways."""
         pairs = ((one.address, other.address), (other.address, one.address))
-        return one is not other and not any(pair in self._cut for pair in pairs)
+        return one is not other and not any(pair in self._partitions for pair in pairs)
 
     def _do(self, machine: Machine, call: Callable[[ConsensusNode, int], list[Effect] | None]) -> None:
         """Call the core, then carry out what it wants."""
@@ -419,7 +426,7 @@
             elif isinstance(effect, Elected):
                 self.note("elected", machine.identity, "term", effect.term)
                 machine.elections += 1
-                self.checks.elected(machine.identity, effect.term, machine.replica)
+                self.invariants.elected(machine.identity, effect.term, machine.replica)
             elif isinstance(effect, Deposed):
                 self.note("deposed", machine.identity)
                 self._give_up(machine)
@@ -427,20 +434,20 @@
                 raise TypeError(f"no effect: {effect!r}")
 
     def _apply(self, machine: Machine, entry: Entry) -> None:
-        self.checks.applied(self.time, machine.identity, machine.replica, entry)
+        self.invariants.applied(self.time, machine.identity, machine.replica, entry)
         machine.replica.apply(entry)
-        self.checks.in_force(machine.identity, machine.replica)
+        self.invariants.in_force(machine.identity, machine.replica)
         if entry.index in machine.calls:
             term, call, attempt = machine.calls.pop(entry.index)
-            self._settle(machine, call, attempt, entry.term == term and entry.command)
+            self._decide(machine, call, attempt, entry.term == term and entry.command)
 
     def restore(self, machine: Machine, snapshot: Snapshot) -> None:
         """The replicated state at `machine` is the snapshot's from now on."""
         self.note("restores", machine.identity, "at", snapshot.index)
-        self.checks.restored(machine.identity, machine.replica, snapshot)
+        self.invariants.restored(machine.identity, machine.replica, snapshot)
         machine.replica.restore(snapshot)
         machine.compacted = max(machine.compacted, snapshot.index)
-        self.checks.in_force(machine.identity, machine.replica)
+        self.invariants.in_force(machine.identity, machine.replica)
         self._give_up(machine)
 
     # Disks.
@@ -450,11 +457,11 @@
         if machine.writing or not machine.writes or machine.disk.hanging or machine.node is None:
             return
         machine.writing = True
-        life, disk = machine.life, machine.disk
-        self.at(self.random.randint(*self.conditions.write), lambda: self._written(machine, life, disk))
+        process, disk = machine.process, machine.disk
+        self.at(self.random.randint(*self.conditions.write), lambda: self._written(machine, process, disk))
 
-    def _written(self, machine: Machine, life: int, disk: Disk) -> None:
-        if machine.life != life or machine.disk is not disk or machine.node is None:
+    def _written(self, machine: Machine, process: int, disk: Disk) -> None:
+        if machine.process != process or machine.disk is not disk or machine.node is None:
             return
         machine.writing = False
         if disk.hanging:
@@ -465,38 +472,38 @@
             return
         persist = machine.writes.popleft()
         self._durable(machine, persist)
-        self._awake(machine, life, lambda: self._do(machine, lambda node, now: node.persisted(now, persist.number)))
+        self._awake(machine, process, lambda: self._do(machine, lambda node, now: node.persisted(now, persist.number)))
         self._write(machine)
 
     def _durable(self, machine: Machine, persist: Persist) -> None:
         self.note("durable", machine.identity, persist)
-        self.checks.persisted(machine.identity, persist)
+        self.invariants.persisted(machine.identity, persist)
         machine.disk.write(persist)
 
     # Network.
 
-    def cut(self, one: str, other: str, *, both: bool = True, keep: bool = False) -> None:
-        """Nothing passes from `one` to `other` (nor back, if `both`); `keep`: it arrives once they are joined again."""
-        self.note("cut", one, "--" if both else "->", other, "kept" if keep else "")
-        self._cut[one, other] = keep
+    def partition(self, one: str, other: str, *, both: bool = True, keep: bool = False) -> None:
+        """Nothing passes from `one` to `other` (nor back, if `both`); `keep`: it arrives once it is healed."""
+        self.note("partition", one, "--" if both else "->", other, "kept" if keep else "")
+        self._partitions[one, other] = keep
         if both:
-            self._cut[other, one] = keep
+            self._partitions[other, one] = keep
 
     def isolate(self, name: str, *, inward: bool = True, outward: bool = True, keep: bool = False) -> None:
-        """Cut `name` off from all others, in either or both directions."""
+        """Partition `name` from all others, in either or both directions."""
         for other in self.machines:
             if other != name and inward:
-                self.cut(other, name, both=False, keep=keep)
+                self.partition(other, name, both=False, keep=keep)
             if other != name and outward:
-                self.cut(name, other, both=False, keep=keep)
+                self.partition(name, other, both=False, keep=keep)
 
-    def join(self, one: str | None = None, other: str | None = None) -> None:
-        """End the cuts between two, or all of them."""
-        self.note("join", one or "all", other or "")
-        pairs = list(self._cut) if one is None else [(one, other), (other, one)]
+    def heal(self, one: str | None = None, other: str | None = None) -> None:
+        """End the partitions between two, or all of them."""
+        self.note("heal", one or "all", other or "")
+        pairs = list(self._partitions) if one is None else [(one, other), (other, one)]
         for pair in pairs:
-            self._cut.pop(pair, None)
-            for arrive in self._kept.pop(pair, []):
+            self._partitions.pop(pair, None)
+            for arrive in self._held_back.pop(pair, []):
                 self._travel(pair, arrive)
 
     def reset(self, one: str, other: str) -> None:
@@ -506,12 +513,12 @@
         self._session[pair] = self._session.get(pair, 0) + 1
         for direction in ((one, other), (other, one)):
             self._arrival.pop(direction, None)
-            self._kept.pop(direction, None)
+            self._held_back.pop(direction, None)
 
     def _send_from_core(self, machine: Machine, effect: Send) -> None:
         disk = machine.disk
-        self.pieces_sent += isinstance(effect.message, SnapshotChunk)
-        self.checks.sent(machine.identity, effect.to, effect.message, disk.hard_state, disk.last_index)
+        self.chunks_sent += isinstance(effect.message, SnapshotChunk)
+        self.invariants.sent(machine.identity, effect.to, effect.message, disk.hard_state, disk.last_index)
         self.send(machine, effect.to, effect.message)
 
     def send(self, machine: Machine, to: str, message: Message) -> None:
@@ -522,14 +529,14 @@
         target = self.machines.get(address_of(to))
         if target is None or target is machine or not target.runs or target.identity != to:
             return
-        sender, life = machine.identity, target.life
+        sender, process = machine.identity, target.process
         pair = frozenset((machine.address, target.address))
         session = self._session.get(pair, 0)
 
         def arrive() -> None:
             if self._session.get(pair, 0) != session and self.random.random() >= self.conditions.stray:
                 return
-            self._awake(target, life, lambda: self._receive(target, sender, message))
+            self._awake(target, process, lambda: self._receive(target, sender, message))
 
         direction = (machine.address, target.address)
         copies = 2 if self.conditions.double and self.random.random() < self.conditions.double else 1
@@ -538,20 +545,20 @@
 
     def _travel(self, direction: tuple[str, str], arrive: Callable[[], None], size: int = 0) -> None:
         self.bytes_sent += size
-        if direction in self._cut:
-            if self._cut[direction]:
-                self._kept.setdefault(direction, []).append(arrive)
+        if direction in self._partitions:
+            if self._partitions[direction]:
+                self._held_back.setdefault(direction, []).append(arrive)
             return
         when = max(self._arrival.get(direction, 0), self.time + self.random.randint(*self.conditions.delay))
         if self.conditions.bytes_per_s:
-            when += size * S // self.conditions.bytes_per_s
+            when += size * SECOND // self.conditions.bytes_per_s
         self._arrival[direction] = when
         self.at(when - self.time, arrive)
 
     def _receive(self, machine: Machine, sender: str, message: Message) -> None:
         self.note(sender, "->", machine.identity, message)
         if isinstance(message, SubmitOrder):
-            self._submitted(machine, message.call, message.order)
+            self._take_order(machine, message.call, message.order)
         elif isinstance(message, ReadConfiguration):
             self._read(machine, message.call)
         elif isinstance(message, OrderResult | ReadResult):
@@ -576,33 +583,33 @@
     def _call(self, name: str, attempt: Attempt, order: PutConfiguration | None) -> None:
         self.attempts.append(attempt)
         machine = self.machines[name]
-        call = CallId(machine.identity, machine.life, len(self.attempts) - 1)
+        call = CallId(machine.identity, machine.process, len(self.attempts) - 1)
         self.note("operator asks", name, order or "for what is in force")
         if machine.node is None:
             attempt.answer = UNKNOWN
             return
-        life = machine.life
+        process = machine.process
 
         def ask() -> None:
             if order is None:
                 self._read(machine, call)
             else:
-                self._submitted(machine, call, order)
+                self._take_order(machine, call, order)
 
-        self._awake(machine, life, ask)
+        self._awake(machine, process, ask)
 
-    def _submitted(self, machine: Machine, call: CallId, order: PutConfiguration) -> None:
-        """A member has an order, from an operator or passed on: the leader proposes it, others pass it on once."""
+    def _take_order(self, machine: Machine, call: CallId, order: PutConfiguration) -> None:
+        """A member has an order, from an operator or forwarded: the leader proposes it, others forward it once."""
         node, now, attempt = machine.node, machine.clock(self.time), self.attempts[call.number]
         if not node.leads(now):
-            passed_on = call.member != machine.identity
-            if passed_on or not node.leader or node.leader == machine.identity:
+            forwarded = call.member != machine.identity
+            if forwarded or not node.leader or node.leader == machine.identity:
                 self._end(machine, call, attempt, UNKNOWN)
             else:
                 self.send(machine, node.leader, SubmitOrder(call, order))
             return
         if order.version <= machine.replica.version:
-            self._settle(machine, call, attempt, order)
+            self._decide(machine, call, attempt, order)
             return
         index, effects = node.propose(now, order)
         if index is None:
@@ -616,23 +623,23 @@
         """The leader puts a record in its log, as it does for the key ranges of a service."""
         self._do(machine, lambda node, now: node.propose(now, PutRecord("service", record))[1])
 
-    def _settle(self, machine: Machine, call: CallId, attempt: Attempt, order: PutConfiguration | bool) -> None:
+    def _decide(self, machine: Machine, call: CallId, attempt: Attempt, order: PutConfiguration | bool) -> None:
         """The leader knows what became of an order; `order` is False where another entry took its place."""
         if order is False:
             self._end(machine, call, attempt, UNKNOWN)
             return
         replica = machine.replica
         if replica.version == order.version and replica.text == order.text:
-            self.checks.order_acknowledged(machine.identity, order, replica)
+            self.invariants.order_acknowledged(machine.identity, order, replica)
             self._end(machine, call, attempt, IN_FORCE)
         else:
-            self.checks.need(replica.version >= order.version, machine.identity, "did not take", order)
+            self.invariants.need(replica.version >= order.version, machine.identity, "did not take", order)
             self._end(machine, call, attempt, OVERTAKEN)
 
     def _read(self, machine: Machine, call: CallId) -> None:
         node, now, attempt = machine.node, machine.clock(self.time), self.attempts[call.number]
         if node.leads(now):
-            attempt.found = (machine.replica.version, machine.replica.text)
+            attempt.read_value = (machine.replica.version, machine.replica.text)
             self._end(machine, call, attempt, IN_FORCE)
         elif call.member == machine.identity and node.leader and node.leader != machine.identity:
             self.send(machine, node.leader, ReadConfiguration(call))
@@ -670,39 +677,39 @@
                 return machine
         return None
 
-    def elect(self, within: int = 20 * S) -> Machine:
+    def elect(self, within: int = 20 * SECOND) -> Machine:
         """Play until somebody leads; who it is."""
         self.until(self.leader, within)
         return self.leader()
 
-    def put(self, version: int, text: bytes, at: str | None = None, within: int = 20 * S) -> str:
+    def put(self, version: int, text: bytes, at: str | None = None, within: int = 20 * SECOND) -> str:
         """Send an order again and again, every 200 ms, until an answer comes; what it was."""
         end = self.time + within
         while True:
             names = [at] if at else [machine.address for machine in self.running()]
             attempt = self.order(self.random.choice(names), version, text)
-            again = self.time + S
+            again = self.time + SECOND
             while attempt.answer is None and self.time < again and self._queue:
                 self.step()
             if attempt.answer in (IN_FORCE, OVERTAKEN):
                 return attempt.answer
-            self.checks.need(self.time < end, "no answer to", version, text)
-            self.run(200 * MS)
+            self.invariants.need(self.time < end, "no answer to", version, text)
+            self.run(200 * MILLISECOND)
 
     def caught_up(self) -> bool:
         """Whether somebody leads and all running members have applied the same."""
         if self.leader() is None:
             return False
-        return all(machine.replica.index == self.checks.last_index for machine in self.running())
+        return all(machine.replica.index == self.invariants.last_index for machine in self.running())
 
-    def calm(self, within: int = 30 * S) -> None:
-        """End all troubles, start what is down, and play until all_voters has caught up."""
+    def calm(self, within: int = 30 * SECOND) -> None:
+        """End all faults, start what is down, and play until everybody has caught up."""
         self.conditions = Conditions()
-        self.join()
+        self.heal()
         for name, machine in self.machines.items():
             if machine.disk.hanging:
                 self.hang(name, False)
             self.thaw(name)
-            if not machine.runs and (machine.life or machine.disk.incarnation):
+            if not machine.runs and (machine.process or machine.disk.incarnation):
                 self.start(name)
         self.until(self.caught_up, within)
--- a/tests/consensus/test_consensus_node.py
+++ b/tests/consensus/test_consensus_node.py
@@ -7,8 +7,8 @@
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.consensus.timing import LEASE_NS
+from kestrelplank.time_units import MILLISECOND, SECOND
 
-MS, S = 1_000_000, 1_000_000_000
 NAMES = ("10.0.0.1:80/first", "10.0.0.2:80/first", "10.0.0.3:80/first")
 
 
@@ -20,7 +20,7 @@
     """Members whose messages arrive after a millisecond and whose writes last after three."""
 
     def __init__(self, names=NAMES):
-        self.now, self.random = 1000 * S, Random(1)
+        self.now, self.random = 1000 * SECOND, Random(1)
         self.nodes, self.events, self.count = {}, [], 0
         self.disks = {name: [HardState(), None, ()] for name in names}
         self.cut, self.applied, self.leading = set(), {name: [] for name in names}, {}
@@ -39,9 +39,9 @@
         for effect in effects:
             self.count += 1
             if isinstance(effect, Send):
-                self.events.append((self.now + MS, self.count, self.arrive, (name, effect.to, effect.message)))
+                self.events.append((self.now + MILLISECOND, self.count, self.arrive, (name, effect.to, effect.message)))
             elif isinstance(effect, Persist):
-                self.events.append((self.now + 3 * MS, self.count, self.written, (name, node, effect)))
+                self.events.append((self.now + 3 * MILLISECOND, self.count, self.written, (name, node, effect)))
             elif isinstance(effect, Applied):
                 self.applied[name].append(effect.entry)
             elif isinstance(effect, Restored):
@@ -67,14 +67,14 @@
         self.run(name, node.persisted(self.now, persist.number))
 
     def turn(self, seconds):
-        until = self.now + round(seconds * S)
+        until = self.now + round(seconds * SECOND)
         while self.now < until:
-            self.now += MS
+            self.now += MILLISECOND
             while self.events and min(self.events)[0] <= self.now:
                 event = min(self.events, key=lambda found: found[:2])
                 self.events.remove(event)
                 event[2](*event[3])
-            if self.now % (50 * MS) == 0:
+            if self.now % (50 * MILLISECOND) == 0:
                 for name in list(self.nodes):
                     self.run(name, self.nodes[name].tick(self.now))
             assert sum(node.leads(self.now) for node in self.nodes.values()) <= 1
@@ -109,7 +109,7 @@
     others = [name for name in NAMES if name != lost]
     group.cut = {frozenset((lost, other)) for other in others}
     group.propose(order(9))
-    group.turn(LEASE_NS / S + 1)
+    group.turn(LEASE_NS / SECOND + 1)
     assert not group.nodes[lost].leads(group.now) and not group.nodes[lost].current(group.now)
     assert group.leader() in others
     group.propose(order(5))
@@ -171,7 +171,7 @@
     group.turn(0.5)
     assert group.nodes[fresh].membership == Membership(2, voters)
     del group.nodes[leader]
-    group.turn(LEASE_NS / S + 1)
+    group.turn(LEASE_NS / SECOND + 1)
     assert group.leader() in voters
 
 
--- a/tests/consensus/test_effects_recorded.py
+++ b/tests/consensus/test_effects_recorded.py
@@ -13,13 +13,13 @@
 import msgspec
 import pytest
 
-from consensus.cluster import Cluster
-from consensus.replacing import ReplacingCluster
+from consensus.replacing_cluster import ReplacingCluster
+from consensus.simulated_cluster import Cluster
 from consensus.test_histories import History
 from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
+from kestrelplank.time_units import SECOND
 
 STEPS = 20_000  # played of each history
-SECOND_NS = 1_000_000_000
 
 RECORDED = {
     "three members, seed 1": "56e4dfff044483a5070596e4a8cccbf7",
@@ -87,7 +87,7 @@
     played = History(seed, count)
     recorder = Recorder(played.cluster)
     played.cluster.at(0, played.operate)
-    played.cluster.at(2 * SECOND_NS, played.trouble)
+    played.cluster.at(2 * SECOND, played.inject_fault)
     return recorder
 
 
@@ -104,15 +104,15 @@
             cluster.terminate(leader.address)
             down = [name for name, machine in cluster.machines.items() if not machine.runs]
             cluster.start(cluster.random.choice(down))
-        cluster.at(7 * SECOND_NS, leave)
+        cluster.at(7 * SECOND, leave)
 
     def operate(version: int) -> None:
         running = [machine.address for machine in cluster.running()]
         cluster.order(cluster.random.choice(running), version, (b"%d" % version).ljust(text_bytes))
-        cluster.at(SECOND_NS // 10, lambda: operate(version + 1))
+        cluster.at(SECOND // 10, lambda: operate(version + 1))
 
-    cluster.at(2 * SECOND_NS, leave)
-    cluster.at(SECOND_NS, lambda: operate(1))
+    cluster.at(2 * SECOND, leave)
+    cluster.at(SECOND, lambda: operate(1))
     return recorder
 
 
--- a/tests/consensus/test_histories.py
+++ b/tests/consensus/test_histories.py
@@ -1,18 +1,19 @@
-"""Random histories of a whole cluster under all troubles that are borne, each from one seed. Whatever happens, the
-invariants of `checks` hold after every step; after the troubles all_voters catches up, and orders are taken again."""
+"""Random histories of a whole cluster under all faults that are borne, each from one seed. Whatever happens, the
+invariants of `invariants` hold after every step; after the faults everybody catches up, and orders are taken again."""
 
 from random import Random
 
 import pytest
 
-from consensus.cluster import IN_FORCE, MS, OVERTAKEN, Cluster, Conditions, S
+from consensus.simulated_cluster import IN_FORCE, OVERTAKEN, Cluster, Conditions
+from kestrelplank.time_units import MILLISECOND, SECOND
 
-MOST_UNDER_WAY = 8  # orders
-TEXTS = 3  # that operators send under one number
+MAX_ORDERS_IN_FLIGHT = 8  # orders
+TEXTS_PER_VERSION = 3  # that operators send under one number
 
 
 class History:
-    """One cluster, operators that send orders all the time, and troubles that come and go."""
+    """One cluster, operators that send orders all the time, and faults that come and go."""
 
     def __init__(self, seed: int, count: int = 3) -> None:
         self.random = Random(seed)
@@ -20,7 +21,7 @@
         self.count = count
         self.version = 0
         self.under_way = 0
-        self.troubles = 0
+        self.faults = 0
         self.ended = False
         for machine in self.cluster.machines.values():
             machine.compact_after = self.random.choice((1, 4, 16, 64))
@@ -37,13 +38,13 @@
         """An order begins, most often under a new number, else under one that was used before."""
         if self.ended:
             return
-        if self.under_way < MOST_UNDER_WAY:
+        if self.under_way < MAX_ORDERS_IN_FLIGHT:
             if self.random.random() < 0.7 or not self.version:
                 self.version += self.random.randint(1, 3)
             version = max(1, self.version - self.random.choice((0, 0, 0, 1, 1, 5, 50)))
             self.under_way += 1
-            self.send(version, f"{version}-{self.random.randrange(TEXTS)}".encode(), 30)
-        self.cluster.at(self.random.randrange(400 * MS), self.operate)
+            self.send(version, f"{version}-{self.random.randrange(TEXTS_PER_VERSION)}".encode(), 30)
+        self.cluster.at(self.random.randrange(400 * MILLISECOND), self.operate)
 
     def send(self, version: int, text: bytes, left: int) -> None:
         """One attempt of an order; another follows until it is answered, for `left` times."""
@@ -55,17 +56,17 @@
             else:
                 self.send(version, text, left - 1)
 
-        self.cluster.at(self.random.randint(100 * MS, S), look)
+        self.cluster.at(self.random.randint(100 * MILLISECOND, SECOND), look)
         if self.random.random() < 0.2:
             self.cluster.read(self.name())
 
-    # Troubles.
+    # Faults.
 
-    def trouble(self) -> None:
-        """One more trouble begins; each ends by itself."""
+    def inject_fault(self) -> None:
+        """One more fault begins; each ends by itself."""
         if self.ended:
             return
-        self.troubles += 1
+        self.faults += 1
         kinds = (
             self.kill_one,
             self.kill_one,
@@ -75,20 +76,20 @@
             self.wipe,
             self.freeze,
             self.freeze_leader,
-            self.cut_pair,
-            self.cut_one_way,
-            self.cut_off,
-            self.cut_leader_off,
+            self.partition_pair,
+            self.partition_one_way,
+            self.partition_off,
+            self.partition_leader_off,
             self.hang,
             self.reset,
-            self.weather,
+            self.change_conditions,
             self.hand_over,
         )
         self.random.choice(kinds)()
-        self.cluster.at(self.random.randrange(2 * S), self.trouble)
+        self.cluster.at(self.random.randrange(2 * SECOND), self.inject_fault)
 
-    def span(self, most: int = 6 * S) -> int:
-        """How long a trouble lasts: mostly short."""
+    def span(self, most: int = 6 * SECOND) -> int:
+        """How long a fault lasts: mostly short."""
         return int(self.random.choice((0.01, 0.1, 0.4, 1)) * self.random.randrange(most))
 
     def leader_name(self) -> str:
@@ -107,17 +108,17 @@
 
     def kill_several(self) -> None:
         for name in self.random.sample(self.names(), self.random.randint(2, self.count)):
-            self.kill(name, self.span(3 * S))
+            self.kill(name, self.span(3 * SECOND))
 
     def kill_all(self) -> None:
-        after = self.span(3 * S)
+        after = self.span(3 * SECOND)
         for name in self.names():
-            self.kill(name, after + self.random.randrange(300 * MS))
+            self.kill(name, after + self.random.randrange(300 * MILLISECOND))
 
     def wipe(self) -> None:
         """A disk is lost, if no other is: what a majority holds must not rest on fewer disks than that."""
         cluster = self.cluster
-        committed = cluster.checks.membership(cluster.first)
+        committed = cluster.invariants.membership(cluster.first)
         known = {machine.identity for machine in cluster.machines.values()}
         if committed.joint or any(voter not in known for voter in committed.voters):
             return
@@ -125,7 +126,7 @@
             return
         name = self.name()
         cluster.wipe(name)
-        self.kill(name, self.span(3 * S))
+        self.kill(name, self.span(3 * SECOND))
 
     def freeze(self, name: str | None = None) -> None:
         name = name or self.name()
@@ -135,23 +136,23 @@
     def freeze_leader(self) -> None:
         self.freeze(self.leader_name())
 
-    def cut_pair(self) -> None:
+    def partition_pair(self) -> None:
         one, other = self.random.sample(self.names(), 2)
-        self.cluster.cut(one, other, keep=self.random.random() < 0.3)
-        self.cluster.at(self.span(), lambda: self.cluster.join(one, other))
+        self.cluster.partition(one, other, keep=self.random.random() < 0.3)
+        self.cluster.at(self.span(), lambda: self.cluster.heal(one, other))
 
-    def cut_one_way(self) -> None:
+    def partition_one_way(self) -> None:
         one, other = self.random.sample(self.names(), 2)
-        self.cluster.cut(one, other, both=False, keep=self.random.random() < 0.3)
-        self.cluster.at(self.span(), lambda: self.cluster.join(one, other))
+        self.cluster.partition(one, other, both=False, keep=self.random.random() < 0.3)
+        self.cluster.at(self.span(), lambda: self.cluster.heal(one, other))
 
-    def cut_off(self, name: str | None = None) -> None:
+    def partition_off(self, name: str | None = None) -> None:
         inward, outward = self.random.choice(((True, True), (True, True), (True, False), (False, True)))
         self.cluster.isolate(name or self.name(), inward=inward, outward=outward, keep=self.random.random() < 0.3)
-        self.cluster.at(self.span(20 * S), self.cluster.join)
+        self.cluster.at(self.span(20 * SECOND), self.cluster.heal)
 
-    def cut_leader_off(self) -> None:
-        self.cut_off(self.leader_name())
+    def partition_leader_off(self) -> None:
+        self.partition_off(self.leader_name())
 
     def hang(self) -> None:
         name = self.name()
@@ -167,26 +168,34 @@
         if leader is not None and not leader.frozen:
             self.cluster.transfer(leader)
 
-    def weather(self) -> None:
+    def change_conditions(self) -> None:
         """Links and disks become better or worse."""
         choice = self.random.choice
         self.cluster.conditions = Conditions(
-            delay=choice(((200_000, 2 * MS), (1 * MS, 60 * MS), (1 * MS, 400 * MS))),
+            delay=choice(
+                ((200_000, 2 * MILLISECOND), (1 * MILLISECOND, 60 * MILLISECOND), (1 * MILLISECOND, 400 * MILLISECOND))
+            ),
             loss=choice((0, 0, 0.02, 0.2)),
             double=choice((0, 0.05, 0.5)),
             stray=choice((0, 0.5)),
             answer_loss=choice((0, 0.3)),
-            write=choice(((1 * MS, 6 * MS), (1 * MS, 6 * MS), (30 * MS, 200 * MS))),
+            write=choice(
+                (
+                    (1 * MILLISECOND, 6 * MILLISECOND),
+                    (1 * MILLISECOND, 6 * MILLISECOND),
+                    (30 * MILLISECOND, 200 * MILLISECOND),
+                )
+            ),
             refusal=choice((0, 0, 0.3)),
         )
 
-    # The whole.
+    # A complete history.
 
     def play(self, span: int) -> None:
-        """Troubles for `span` ns, then calm: all_voters catches up, and an order is taken."""
+        """Faults for `span` ns, then calm: everybody catches up, and an order is taken."""
         cluster = self.cluster
         cluster.at(0, self.operate)
-        cluster.at(S + self.random.randrange(4 * S), self.trouble)
+        cluster.at(SECOND + self.random.randrange(4 * SECOND), self.inject_fault)
         cluster.run(span)
         self.ended = True
         cluster.calm()
@@ -198,12 +207,12 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_random_history_of_three(seed):
-    History(seed).play(40 * S)
+    History(seed).play(40 * SECOND)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_random_history_of_five(seed):
-    History(1000 + seed, 5).play(30 * S)
+    History(1000 + seed, 5).play(30 * SECOND)
 
 
 if __name__ == "__main__":
@@ -215,8 +224,8 @@
     for seed in range(first, last):
         history = History(seed, count)
         try:
-            history.play(span * S)
+            history.play(span * SECOND)
         except (AssertionError, ValueError, LookupError) as error:
             print("seed", seed, type(error).__name__, str(error)[:300], flush=True)
-        orders += len(history.cluster.checks.acknowledged)
+        orders += len(history.cluster.invariants.acknowledged)
     print(f"{last - first} histories of {count} for {span} s: {orders} orders, {time.perf_counter() - began:.0f} s")
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from consensus.cluster import IN_FORCE, MS, Cluster, S
+from consensus.simulated_cluster import IN_FORCE, Cluster
 from kestrelplank.consensus.consensus_messages import Append, AppendReply, VoteReply, VoteRequest
 from kestrelplank.consensus.effects import Persist, Send
 from kestrelplank.consensus.identity import FIRST_INCARNATION, identity_of
@@ -22,6 +22,7 @@
 from kestrelplank.consensus.roles import Role
 from kestrelplank.consensus.snapshots import OutgoingSnapshot
 from kestrelplank.consensus.timing import HEARTBEAT_INTERVAL_NS, LEASE_NS
+from kestrelplank.time_units import MILLISECOND, SECOND
 
 A, B, C, D = (identity_of(name, FIRST_INCARNATION) for name in "abcd")
 ABC = Membership(1, (A, B, C))
@@ -49,7 +50,7 @@
 def elected(node, now, answering):
     """Plays until the node leads its next term by the vote of `answering`; the time then."""
     for _ in range(100):
-        now += 50 * MS
+        now += 50 * MILLISECOND
         sent = written(node, now, node.tick(now))
         while sent and node.role != Role.LEADER:
             one = sent.pop(0)
@@ -71,10 +72,10 @@
     return node, now
 
 
-# What is durable is told apart from what is in memory.
+# What is durable is kept apart from what is in memory.
 
 
-def with_old_tail():
+def follower_with_uncommitted_tail():
     """A follower whose disk has entries 1 to 30 of term 1, of which nobody committed any, and the snapshot at 20 of
     term 2 that the leader of term 3 sends it."""
     follower = member(B, HardState(1, A, A), [order(index, 1) for index in range(1, 31)], first_start=False)
@@ -90,22 +91,28 @@
 
 
 def test_entries_that_a_snapshot_replaces_are_not_acknowledged_before_the_snapshot_is_durable():
-    """The same piece again, as its answer was late, while the disk has not written the snapshot yet."""
-    follower, piece = with_old_tail()
-    now = START + 10 * MS
-    first = follower.receive(now, C, piece)
+    """The same chunk again, as its answer was late, while the disk has not written the snapshot yet."""
+    follower, chunk = follower_with_uncommitted_tail()
+    now = START + 10 * MILLISECOND
+    first = follower.receive(now, C, chunk)
     hard_state, with_snapshot = [effect for effect in first if isinstance(effect, Persist)]
-    again = [*follower.receive(now + MS, C, piece), *follower.persisted(now + 2 * MS, hard_state.number)]
+    again = [
+        *follower.receive(now + MILLISECOND, C, chunk),
+        *follower.persisted(now + 2 * MILLISECOND, hard_state.number),
+    ]
     assert highest_match(effect for effect in again if isinstance(effect, Send)) == 0
-    assert highest_match(written(follower, now + 3 * MS, [with_snapshot])) == 20
+    assert highest_match(written(follower, now + 3 * MILLISECOND, [with_snapshot])) == 20
 
 
 def test_a_member_killed_while_a_snapshot_replaces_old_entries_catches_up_after_its_restart():
     """As before; then the member is killed before the snapshot is durable, and starts with its old entries."""
-    follower, piece = with_old_tail()
-    now = START + 10 * MS
-    hard_state = next(effect for effect in follower.receive(now, C, piece) if isinstance(effect, Persist))
-    replies = [*follower.receive(now + MS, C, piece), *follower.persisted(now + 2 * MS, hard_state.number)]
+    follower, chunk = follower_with_uncommitted_tail()
+    now = START + 10 * MILLISECOND
+    hard_state = next(effect for effect in follower.receive(now, C, chunk) if isinstance(effect, Persist))
+    replies = [
+        *follower.receive(now + MILLISECOND, C, chunk),
+        *follower.persisted(now + 2 * MILLISECOND, hard_state.number),
+    ]
     chief, leader_now = leading_term_3()
     for reply in replies:
         if isinstance(reply, Send) and isinstance(reply.message, AppendReply):
@@ -113,7 +120,7 @@
     follower = member(B, hard_state.hard_state, [order(index, 1) for index in range(1, 31)], first_start=False)
     messages = []
     for _ in range(200):
-        leader_now += 50 * MS
+        leader_now += 50 * MILLISECOND
         messages += [sent.message for sent in written(chief, leader_now, chief.tick(leader_now)) if sent.to == B]
         if not messages:
             continue
@@ -135,8 +142,8 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_a_former_leader_killed_while_a_snapshot_replaces_its_entries_catches_up_without_a_storm_of_messages(seed):
-    """The same in a whole cluster: a leader is cut off with 30 orders of its own, the others go on and restart, and it
-    is killed after it has answered the snapshot's piece a second time, before its disk has the snapshot."""
+    """The same in a complete cluster: a leader is cut off with 30 orders of its own, the others go on and restart, and it
+    is killed after it has answered the snapshot's chunk a second time, before its disk has the snapshot."""
     cluster = Cluster(3, seed)
     for machine in cluster.machines.values():
         machine.compact_after = 1
@@ -153,20 +160,20 @@
         assert cluster.put(version, b"%d" % version, at=cluster.leader().address) == IN_FORCE
     for other in others:
         cluster.restart(other)
-    cluster.run(MS)
+    cluster.run(MILLISECOND)
     cluster.elect()
-    cluster.run(300 * MS)
+    cluster.run(300 * MILLISECOND)
     cluster.conditions.double = 1.0
-    cluster.join()
+    cluster.heal()
     cluster.until(lambda: former.node.commit_index > 7)
     cluster.hang(name)
-    cluster.run(30 * MS)
+    cluster.run(30 * MILLISECOND)
     cluster.kill(name)
     cluster.conditions.double = 0.0
     cluster.hang(name, False)
     cluster.start(name)
     before = cluster.steps
-    cluster.run(3 * S)
+    cluster.run(3 * SECOND)
     assert cluster.steps - before < 3_000  # 552 and 560 where it catches up at once
     assert cluster.caught_up()
 
@@ -224,17 +231,17 @@
 
 
 def test_a_request_by_transfer_of_a_former_term_does_not_break_a_promise():
-    """The leader of term 1 handed over; the vote that its heir asked for arrives when term 2 has another leader."""
+    """The leader of term 1 handed over; the vote that its successor asked for arrives when term 2 has another leader."""
     node = member(B, HardState(1, A, A), [order(1, 1)], first_start=False)
     heartbeat = Append(2, 1, 1, 1, (), 0, 1)
     written(node, START, node.receive(START, C, heartbeat))
     stale = VoteRequest(2, 1, 1, 1, transfer=True)
-    replies = written(node, START + MS, node.receive(START + MS, A, stale))
+    replies = written(node, START + MILLISECOND, node.receive(START + MILLISECOND, A, stale))
     assert [reply.message.granted for reply in replies] == [False] and node.leader == C
 
 
 def test_the_former_sides_lease_ends_before_the_new_side_alone_can_elect():
-    """A newcomer that has acknowledged the joint membership votes for nobody else for a whole lease."""
+    """A newcomer that has acknowledged the joint membership votes for nobody else for a complete lease."""
     newcomer = ConsensusNode(START - 2 * LEASE_NS, Random(2), D, None, HardState(), (), None, False)
     joint = Entry(1, 1, ChangeMembership(Membership(2, (B, C, D), (A, B, C))))
     replies = written(newcomer, START, newcomer.receive(START, A, Append(1, 2, 0, 0, (joint,), 0, 1)))
@@ -261,9 +268,9 @@
     node = member(B)
     heartbeat = Append(1, 1, 0, 0, (), 0, 1)
     probe = 0
-    for place in range(appends):
-        (reply,) = written(node, START + place, node.receive(START + place, A, heartbeat))
+    for offset in range(appends):
+        (reply,) = written(node, START + offset, node.receive(START + offset, A, heartbeat))
         probe = probe or reply.message.probe
-    now = START + 50 * MS
+    now = START + 50 * MILLISECOND
     written(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, probe=probe, lease_ns=LEASE_NS)))
     assert node.current(now) is is_current
