--- a/tests/consensus/replacing_cluster.py
+++ b/tests/consensus/replacing_cluster.py
@@ -105,7 +105,9 @@
         """The leader sends its log to all that run, and to nobody else but those that count."""
         node = machine.node
         counted = node.membership.all_voters()
-        running = [one.identity for one in self.running() if self.reach(machine, one) and one.identity not in counted]
+        running = [
+            other.identity for other in self.running() if self.reach(machine, other) and other.identity not in counted
+        ]
         for identity in running:
             node.add_learner(identity)
         for identity in list(node.learners):
@@ -138,7 +140,7 @@
     # What tests ask.
 
     def voters(self) -> str:
-        """Addresses of the voters by the newest committed membership, in order, as one word."""
+        """Addresses of the voters by the newest committed membership, in order, joined."""
         membership = self.invariants.membership(self.first)
         return "".join(sorted(address_of(voter) for voter in membership.voters))
 
@@ -147,7 +149,7 @@
         membership = self.invariants.membership(self.first)
         if membership.joint or self.voters() != voters or not self.caught_up():
             return False
-        return all(self.machines[address_of(one)].identity == one for one in membership.voters)
+        return all(self.machines[address_of(voter)].identity == voter for voter in membership.voters)
 
     def has_replaced(self, newcomer: str) -> bool:
         """Whether a change that took `newcomer` in is over."""
@@ -248,12 +250,12 @@
     cluster.until(lambda: over(cluster))
     points = cluster.points
     assert points > 10
-    for place, victim in enumerate(victims):
+    for position, victim in enumerate(victims):
         for point in range(0, points, 1 if COVERAGE.thorough else stride):
             if COVERAGE.thorough:
                 chosen = losses
             else:
-                chosen = (losses[(point // stride + place) % len(losses)],)
+                chosen = (losses[(point // stride + position) % len(losses)],)
             for loss in chosen:
                 yield Play(struck(begin, loss, victim, point), loss, victim)
 
--- a/tests/consensus/simulated_cluster.py
+++ b/tests/consensus/simulated_cluster.py
@@ -395,10 +395,10 @@
                 self.carry_out(machine, effects)
                 return
 
-    def reach(self, one: Machine, other: Machine) -> bool:
+    def reach(self, first: Machine, second: Machine) -> bool:
         """Whether messages pass between two, both ways."""
-        pairs = ((one.address, other.address), (other.address, one.address))
-        return one is not other and not any(pair in self._partitions for pair in pairs)
+        pairs = ((first.address, second.address), (second.address, first.address))
+        return first is not second and not any(pair in self._partitions for pair in pairs)
 
     def _do(self, machine: Machine, call: Callable[[ConsensusNode, int], list[Effect] | None]) -> None:
         """Call the core, then carry out what it wants."""
@@ -482,12 +482,12 @@
 
     # Network.
 
-    def partition(self, one: str, other: str, *, both: bool = True, keep: bool = False) -> None:
-        """Nothing passes from `one` to `other` (nor back, if `both`); `keep`: it arrives once it is healed."""
-        self.note("partition", one, "--" if both else "->", other, "kept" if keep else "")
-        self._partitions[one, other] = keep
+    def partition(self, first: str, second: str, *, both: bool = True, keep: bool = False) -> None:
+        """Nothing passes from `first` to `second` (nor back, if `both`); `keep`: it arrives once it is healed."""
+        self.note("partition", first, "--" if both else "->", second, "kept" if keep else "")
+        self._partitions[first, second] = keep
         if both:
-            self._partitions[other, one] = keep
+            self._partitions[second, first] = keep
 
     def isolate(self, name: str, *, inward: bool = True, outward: bool = True, keep: bool = False) -> None:
         """Partition `name` from all others, in either or both directions."""
@@ -497,21 +497,21 @@
             if other != name and outward:
                 self.partition(name, other, both=False, keep=keep)
 
-    def heal(self, one: str | None = None, other: str | None = None) -> None:
+    def heal(self, first: str | None = None, second: str | None = None) -> None:
         """End the partitions between two, or all of them."""
-        self.note("heal", one or "all", other or "")
-        pairs = list(self._partitions) if one is None else [(one, other), (other, one)]
+        self.note("heal", first or "all", second or "")
+        pairs = list(self._partitions) if first is None else [(first, second), (second, first)]
         for pair in pairs:
             self._partitions.pop(pair, None)
             for arrive in self._held_back.pop(pair, []):
                 self._travel(pair, arrive)
 
-    def reset(self, one: str, other: str) -> None:
+    def reset(self, first: str, second: str) -> None:
         """The session between two breaks and stands again at once: what was on its way is lost, or strays."""
-        self.note("reset", one, other)
-        pair = frozenset((one, other))
+        self.note("reset", first, second)
+        pair = frozenset((first, second))
         self._session[pair] = self._session.get(pair, 0) + 1
-        for direction in ((one, other), (other, one)):
+        for direction in ((first, second), (second, first)):
             self._arrival.pop(direction, None)
             self._held_back.pop(direction, None)
 
--- a/tests/consensus/test_membership_model.py
+++ b/tests/consensus/test_membership_model.py
@@ -1,8 +1,8 @@
 """A search, in small, of what keeps committed entries safe while members are replaced and lose their disks.
 
-Three members count at first, two more may take places. Every order of the steps below is taken from every world, breadth
-first, so a broken invariant comes with a shortest trace. Worlds that differ only in which of the first members, or of the
-newcomers, is which count as one. In CI the first worlds of the sound protocol are met, by the number in the test;
+Three members vote at first, two more may become voters. Every order of the steps below is taken from every state, breadth
+first, so a broken invariant comes with a shortest trace. States that differ only in which of the first members, or of the
+newcomers, is which count as one. In CI the first states of the sound protocol are met, by the number in the test;
 `python tests/consensus/test_membership_model.py` meets all there are, by the table at its end.
 
     elect m Q      m begins a term and has the votes of Q, a least quorum of the newest membership in its log (of both
@@ -20,7 +20,7 @@
 
 Invariants:
 
-- kept: two leaders never commit different entries at one place, and whoever is elected has all that was ever committed.
+- kept: two leaders never commit different entries at one index, and whoever is elected has all that was ever committed.
 - one leader: of two leaders only the one of the newer term has a quorum that would still answer it, so majorities of
   different epochs that can both decide always meet.
 - available: with one more machine out, up to `TOLERATED`, somebody can be elected by the others.
@@ -72,18 +72,18 @@
     gone: bool = False
 
 
-class World(NamedTuple):
+class State(NamedTuple):
     members: tuple[Member, ...]
     committed: tuple[Entry, ...]
     left: Bounds  # what may happen yet
 
 
 class Broken(Exception):
-    """An invariant does not hold in a world that was reached."""
+    """An invariant does not hold in a state that was reached."""
 
 
-FIRST = Group(sum(1 << place for place in range(FOUNDERS)))
-EMPTY = World((Member(),) * len(EVERYBODY), (), Bounds())
+FIRST = Group(sum(1 << member_id for member_id in range(FOUNDERS)))
+EMPTY = State((Member(),) * len(EVERYBODY), (), Bounds())
 
 
 # Memberships and quorums.
@@ -91,10 +91,10 @@
 
 @cache
 def newest(log):
-    """The newest membership in a log, and its place there; 0 where it is the one of the first start."""
-    for place in range(len(log), 0, -1):
-        if log[place - 1].group is not None:
-            return log[place - 1].group, place
+    """The newest membership in a log, and its index there; 0 where it is the one of the first start."""
+    for index in range(len(log), 0, -1):
+        if log[index - 1].group is not None:
+            return log[index - 1].group, index
     return FIRST, 0
 
 
@@ -105,22 +105,22 @@
 
 
 @cache
-def is_quorum(group, yes, defect=None):
+def is_quorum(group, agreeing, defect=None):
     if defect == "one majority of both sides together":
         both = group.all_voters
-        return 2 * (both & yes).bit_count() > both.bit_count()
-    return all(2 * (side & yes).bit_count() > side.bit_count() for side in group if side)
+        return 2 * (both & agreeing).bit_count() > both.bit_count()
+    return all(2 * (side & agreeing).bit_count() > side.bit_count() for side in group if side)
 
 
 @cache
 def least_quorums(group, defect=None):
     """The quorums that are none any more if anyone is taken out."""
     found = []
-    for yes in range(1 << len(EVERYBODY)):
-        if is_quorum(group, yes, defect):
-            smaller = [yes & ~(1 << one) for one in EVERYBODY if yes >> one & 1]
+    for agreeing in range(1 << len(EVERYBODY)):
+        if is_quorum(group, agreeing, defect):
+            smaller = [agreeing & ~(1 << identity) for identity in EVERYBODY if agreeing >> identity & 1]
             if not any(is_quorum(group, other, defect) for other in smaller):
-                found.append(yes)
+                found.append(agreeing)
     return found
 
 
@@ -129,236 +129,242 @@
     return (log[-1].term if log else 0, len(log))
 
 
-def bits(places):
-    return sum(1 << place for place in places)
+def bits(member_ids):
+    return sum(1 << member_id for member_id in member_ids)
 
 
 @cache
-def places_in(mask):
-    return tuple(place for place in EVERYBODY if mask >> place & 1)
+def members_in(mask):
+    return tuple(member_id for member_id in EVERYBODY if mask >> member_id & 1)
 
 
 # Steps.
 
 
-def put(values, place, value):
-    return (*values[:place], value, *values[place + 1 :])
+def put(values, member_id, value):
+    return (*values[:member_id], value, *values[member_id + 1 :])
 
 
-def with_member(world, place, **changed):
-    return world._replace(members=put(world.members, place, world.members[place]._replace(**changed)))
+def with_member(state, member_id, **changed):
+    return state._replace(members=put(state.members, member_id, state.members[member_id]._replace(**changed)))
 
 
-def spend(world, **spent):
-    return world._replace(
-        left=world.left._replace(**{name: getattr(world.left, name) - count for name, count in spent.items()})
+def spend(state, **spent):
+    return state._replace(
+        left=state.left._replace(**{name: getattr(state.left, name) - count for name, count in spent.items()})
     )
 
 
-def steps(world, defect, bounds):
-    """Every (name, next world) from here. `defect`: one safeguard that is left out."""
-    for me, member in enumerate(world.members):
+def steps(state, defect, bounds):
+    """Every (name, next state) from here. `defect`: one safeguard that is left out."""
+    for me, member in enumerate(state.members):
         if member.gone:
             continue
         if member.match is None:
-            yield from elections(world, me, member, defect, bounds)
+            yield from elections(state, me, member, defect, bounds)
         else:
-            yield from leads(world, me, member, defect)
-        yield from losses(world, me, member, defect)
+            yield from leads(state, me, member, defect)
+        yield from losses(state, me, member, defect)
 
 
-def elections(world, me, member, defect, bounds):
+def elections(state, me, member, defect, bounds):
     group, _ = newest(member.log)
     if not group.all_voters >> me & 1:
         return
     for quorum in least_quorums(group, defect):
-        chosen = places_in(quorum)
+        chosen = members_in(quorum)
         if me not in chosen:
             continue
-        voters = [world.members[one] for one in chosen]
+        voters = [state.members[identity] for identity in chosen]
         term = max(voter.term for voter in voters) + 1
         if term > bounds.terms:
             continue
-        if not all(would_vote(world, one, me, defect) for one in chosen):
+        if not all(would_vote(state, identity, me, defect) for identity in chosen):
             continue
-        members = list(world.members)
-        for one in chosen:
-            members[one] = members[one]._replace(term=term, match=None)
+        members = list(state.members)
+        for identity in chosen:
+            members[identity] = members[identity]._replace(term=term, match=None)
         members[me] = members[me]._replace(match=own_match(me, member.log))
-        if member.log[: len(world.committed)] != world.committed:
+        if member.log[: len(state.committed)] != state.committed:
             raise Broken("kept: elected without all that is committed", f"elect {me} {chosen}")
-        yield f"elect {me} {chosen}", world._replace(members=tuple(members))
+        yield f"elect {me} {chosen}", state._replace(members=tuple(members))
 
 
-def would_vote(world, voter, candidate, defect):
+def would_vote(state, voter, candidate, defect):
     """Whether `voter` runs and finds the candidate's log new enough."""
-    own, asked = world.members[voter], world.members[candidate]
+    own, asked = state.members[voter], state.members[candidate]
     if own.gone or freshness(own.log) > freshness(asked.log):
         return False
     if defect != "votes denied to whom an uncommitted membership leaves out":
         return True
     known = epoch(own.log)
     if known == 0 and voter >= FOUNDERS:
-        return True  # it was told of no membership yet
+        return True  # it was in_order of no membership yet
     group, _ = newest(own.log)
     return bool(group.all_voters >> candidate & 1) or epoch(asked.log) > known
 
 
 def own_match(me, log):
-    return tuple(len(log) if place == me else 0 for place in EVERYBODY)
+    return tuple(len(log) if member_id == me else 0 for member_id in EVERYBODY)
 
 
-def leads(world, me, member, defect):
+def leads(state, me, member, defect):
     """What a leader does: adds an entry, or sends its log."""
-    if world.left.values:
-        yield f"value {me}", spend(added(world, me, member, None), values=1)
-    group, place = newest(member.log)
-    known = place <= len(world.committed) and member.log[:place] == world.committed[:place]
+    if state.left.values:
+        yield f"value {me}", spend(added(state, me, member, None), values=1)
+    group, index = newest(member.log)
+    known = index <= len(state.committed) and member.log[:index] == state.committed[:index]
     if group.outgoing:
-        stays = group.voters >> me & 1 or defect == "finished by a leader that goes"
+        stays = group.voters >> me & 1 or defect == "finished by a leader that is removed"
         if stays and (known or defect == "finished before the joint one is committed"):
-            yield f"finish {me}", added(world, me, member, Group(group.voters))
-    if world.left.changes and (
+            yield f"finish {me}", added(state, me, member, Group(group.voters))
+    if state.left.changes and (
         (known and not group.outgoing) or defect == "a change before the former one is committed"
     ):
         for chosen in combinations(EVERYBODY, SIZE):
             voters = bits(chosen)
-            if voters == group.voters or not (me in chosen or defect == "finished by a leader that goes"):
+            if voters == group.voters or not (me in chosen or defect == "finished by a leader that is removed"):
                 continue
             joint = Group(voters) if defect == "no joint phase" else Group(voters, group.voters)
-            after = caught_up(world, member, voters & ~group.voters)
+            after = caught_up(state, member, voters & ~group.voters)
             if after is not None:
                 yield f"change {me} {chosen}", spend(added(after, me, member, joint), changes=1)
-    for other, peer in enumerate(world.members):
+    for other, peer in enumerate(state.members):
         if other == me or peer.gone or peer.term > member.term:
             continue
-        if not group.all_voters >> other & 1 and defect != "news for those that do not count":
+        if not group.all_voters >> other & 1 and defect != "uncommitted entries for members that are no voters":
             continue
         log = member.log if peer.log[: len(member.log)] != member.log else peer.log
         if peer.term == member.term and log == peer.log and member.match[other] == len(member.log):
             continue
-        after = with_member(world, other, term=member.term, log=log, match=None)
+        after = with_member(state, other, term=member.term, log=log, match=None)
         after = with_member(after, me, match=put(member.match, other, len(member.log)))
         yield f"send {me} {other}", commits(after, me, defect, f"send {me} {other}")
 
 
-def caught_up(world, leader, newcomers):
-    """The world in which the newcomers have all that is committed; None where one of them cannot."""
-    for one in places_in(newcomers):
-        peer = world.members[one]
+def caught_up(state, leader, newcomers):
+    """The state in which the newcomers have all that is committed; None where one of them cannot."""
+    for identity in members_in(newcomers):
+        peer = state.members[identity]
         if peer.gone or peer.term > leader.term:
             return None
-        log = peer.log if peer.log[: len(world.committed)] == world.committed else world.committed
-        world = with_member(world, one, term=leader.term, log=log, match=None)
-    return world
+        log = peer.log if peer.log[: len(state.committed)] == state.committed else state.committed
+        state = with_member(state, identity, term=leader.term, log=log, match=None)
+    return state
 
 
-def added(world, me, member, group):
+def added(state, me, member, group):
     log = (*member.log, Entry(member.term, me, group))
-    return with_member(world, me, log=log, match=put(member.match, me, len(log)))
+    return with_member(state, me, log=log, match=put(member.match, me, len(log)))
 
 
-def commits(world, me, defect, name):
-    """The world with what leader `me` may call committed now."""
-    leader = world.members[me]
+def commits(state, me, defect, name):
+    """The state with what leader `me` may call committed now."""
+    leader = state.members[me]
     group, _ = newest(leader.log)
-    for place in range(len(leader.log), 0, -1):
-        if leader.log[place - 1].term != leader.term:
-            return world
-        if is_quorum(group, bits(one for one in EVERYBODY if leader.match[one] >= place), defect):
-            common = min(place, len(world.committed))
-            if leader.log[:common] != world.committed[:common]:
+    for index in range(len(leader.log), 0, -1):
+        if leader.log[index - 1].term != leader.term:
+            return state
+        if is_quorum(group, bits(identity for identity in EVERYBODY if leader.match[identity] >= index), defect):
+            common = min(index, len(state.committed))
+            if leader.log[:common] != state.committed[:common]:
                 raise Broken("kept: two leaders committed different entries", name)
-            if place > len(world.committed):
-                return world._replace(committed=leader.log[:place])
-            return world
-    return world
+            if index > len(state.committed):
+                return state._replace(committed=leader.log[:index])
+            return state
+    return state
 
 
-def losses(world, me, member, defect):
-    if not world.left.losses:
+def losses(state, me, member, defect):
+    if not state.left.losses:
         return
     if member.match is not None:
-        yield f"restart {me}", spend(with_member(world, me, match=None), losses=1)
+        yield f"restart {me}", spend(with_member(state, me, match=None), losses=1)
     if defect == "an identity kept across a lost disk":
-        yield f"wipe {me}", spend(with_member(world, me, term=0, log=(), match=None), losses=1)
+        yield f"wipe {me}", spend(with_member(state, me, term=0, log=(), match=None), losses=1)
         return
-    after = world._replace(members=put(world.members, me, Member(gone=True)))
+    after = state._replace(members=put(state.members, me, Member(gone=True)))
     if len(out(after)) <= TOLERATED and member.log:
         yield f"wipe {me}", spend(after, losses=1)
 
 
-def out(world):
+def out(state):
     """The wiped members that may still be needed."""
-    group, place = newest(world.committed)
+    group, index = newest(state.committed)
     counted = group.all_voters
-    for member in world.members:
+    for member in state.members:
         if not member.gone:
-            for entry in member.log[place:]:
+            for entry in member.log[index:]:
                 if entry.group is not None:
                     counted |= entry.group.all_voters
-    return [one for one in EVERYBODY if world.members[one].gone and counted >> one & 1]
+    return [identity for identity in EVERYBODY if state.members[identity].gone and counted >> identity & 1]
 
 
 # Invariants.
 
 
-def check(world, defect):
-    """Raises `Broken` if two leaders can decide, or if one loss too few is borne."""
-    leaders = [(member.term, place) for place, member in enumerate(world.members) if member.match is not None]
+def check(state, defect):
+    """Raises `Broken` if two leaders can decide, or if one loss too few is tolerated."""
+    leaders = [(member.term, member_id) for member_id, member in enumerate(state.members) if member.match is not None]
     newest_term = max(leaders, default=(0, 0))[0]
-    for term, place in leaders:
-        rivals = [other for other in leaders if other != (term, place) and other[0] >= term]
+    for term, member_id in leaders:
+        rivals = [other for other in leaders if other != (term, member_id) and other[0] >= term]
         if not rivals:
             continue
-        answering = bits(one for one in EVERYBODY if not world.members[one].gone and world.members[one].term <= term)
-        if term == newest_term or is_quorum(newest(world.members[place].log)[0], answering, defect):
+        answering = bits(
+            identity
+            for identity in EVERYBODY
+            if not state.members[identity].gone and state.members[identity].term <= term
+        )
+        if term == newest_term or is_quorum(newest(state.members[member_id].log)[0], answering, defect):
             raise Broken("one leader: two leaders have majorities that do not meet", "")
-    lost = bits(out(world))
+    lost = bits(out(state))
     if lost.bit_count() < TOLERATED:
-        running = [one for one in EVERYBODY if not world.members[one].gone]
-        if not all(electable(world, one, defect) for one in running):
-            raise Broken("available: the next loss is not borne", "")
-    elif not electable(world, None, defect):
+        running = [identity for identity in EVERYBODY if not state.members[identity].gone]
+        if not all(electable(state, identity, defect) for identity in running):
+            raise Broken("available: the next loss is not tolerated", "")
+    elif not electable(state, None, defect):
         raise Broken("available: nobody can be elected", "")
 
 
-def electable(world, missing, defect):
+def electable(state, missing, defect):
     """Whether somebody can be elected while `missing`, too, is out."""
-    running = [one for one in EVERYBODY if one != missing and not world.members[one].gone]
+    running = [identity for identity in EVERYBODY if identity != missing and not state.members[identity].gone]
     for me in running:
-        group, _ = newest(world.members[me].log)
+        group, _ = newest(state.members[me].log)
         if not group.all_voters >> me & 1:
             continue
         would = 0
-        for one in running:
-            if would_vote(world, one, me, defect):
-                would |= 1 << one
+        for identity in running:
+            if would_vote(state, identity, me, defect):
+                would |= 1 << identity
         if is_quorum(group, would, defect):
             return True
     return False
 
 
-# Worlds that are alike.
+# States that are alike.
 
 
 @cache
 def renamings(ranks):
-    """The orders, each a new place for every member, that put the first members and the newcomers in order of rank;
+    """The orders, each a new member_id for every member, that put the first members and the newcomers in order of rank;
     more than one where ranks are alike."""
     found = []
     for founders in permutations(range(FOUNDERS)):
         for newcomers in permutations(range(FOUNDERS, len(EVERYBODY))):
             sequence = (*founders, *newcomers)  # who comes first, second ...
-            told = [ranks[one] for one in sequence]
-            if told[:FOUNDERS] == sorted(told[:FOUNDERS]) and told[FOUNDERS:] == sorted(told[FOUNDERS:]):
-                found.append((sequence, tuple(sequence.index(one) for one in EVERYBODY)))
+            in_order = [ranks[identity] for identity in sequence]
+            if in_order[:FOUNDERS] == sorted(in_order[:FOUNDERS]) and in_order[FOUNDERS:] == sorted(
+                in_order[FOUNDERS:]
+            ):
+                found.append((sequence, tuple(sequence.index(identity) for identity in EVERYBODY)))
     return found
 
 
 @cache
 def moved_group(group, order):
-    return group and Group(*(bits(order[one] for one in places_in(side)) for side in group))
+    return group and Group(*(bits(order[identity] for identity in members_in(side)) for side in group))
 
 
 class Numbers:
@@ -371,7 +377,9 @@
     def moved(self, log, order):
         found = self._moved.get((log, order))
         if found is None:
-            renamed = tuple(Entry(one.term, order[one.author], moved_group(one.group, order)) for one in log)
+            renamed = tuple(
+                Entry(identity.term, order[identity.author], moved_group(identity.group, order)) for identity in log
+            )
             found = self._moved[log, order] = self._numbers.setdefault(renamed, len(self._numbers))
         return found
 
@@ -386,33 +394,33 @@
     )
 
 
-def key(world, numbers):
-    """The same for all worlds that are alike."""
-    ranks = [rank(member) for member in world.members]
+def key(state, numbers):
+    """The same for all states that are alike."""
+    ranks = [rank(member) for member in state.members]
     ordered = sorted(set(ranks))
     best = None
-    for sequence, order in renamings(tuple(ordered.index(one) for one in ranks)):
-        found = [numbers.moved(world.committed, order)]
-        for one in sequence:
-            member = world.members[one]
+    for sequence, order in renamings(tuple(ordered.index(identity) for identity in ranks)):
+        found = [numbers.moved(state.committed, order)]
+        for identity in sequence:
+            member = state.members[identity]
             match = member.match and tuple([member.match[other] for other in sequence])
             found.append((member.term, member.gone, numbers.moved(member.log, order), match or ()))
         if best is None or found < best:
             best = found
-    return hash((tuple(best), world.left))
+    return hash((tuple(best), state.left))
 
 
-def explore(bounds, defect=None, most=10**9, traced=True):
-    """How many worlds were met that are not alike, whether those are all, and what broke with its shortest trace.
-    Of worlds that were met a number is kept, as they are many; without `traced` also not the way to them."""
+def explore(bounds, defect=None, max_states=10**9, traced=True):
+    """How many states were met that are not alike, whether those are all, and what broke with its shortest trace.
+    Of states that were met a number is kept, as they are many; without `traced` also not the way to them."""
     numbers = Numbers()
     first = EMPTY._replace(left=bounds)
     met, queue = {key(first, numbers)}, deque([(first, None)])
-    while queue and len(met) < most:
-        world, way = queue.popleft()
+    while queue and len(met) < max_states:
+        state, way = queue.popleft()
         name = ""
         try:
-            for name, after in steps(world, defect, bounds):
+            for name, after in steps(state, defect, bounds):
                 found = key(after, numbers)
                 if found in met:
                     continue
@@ -430,7 +438,7 @@
 
 
 def test_no_order_of_steps_breaks_an_invariant():
-    met, _, broken = explore(Bounds(), most=60_000)
+    met, _, broken = explore(Bounds(), max_states=60_000)
     assert broken is None and met >= 60_000, broken
 
 
@@ -440,8 +448,8 @@
     "a change before the former one is committed": ("one leader", "elect"),
     "finished before the joint one is committed": ("one leader", "elect"),
     "one majority of both sides together": ("one leader", "elect"),
-    "news for those that do not count": ("available", "send"),
-    "finished by a leader that goes": ("available", "finish"),
+    "uncommitted entries for members that are no voters": ("available", "send"),
+    "finished by a leader that is removed": ("available", "finish"),
     "votes denied to whom an uncommitted membership leaves out": ("available", "send"),
 }
 
@@ -453,9 +461,9 @@
     assert broken[0].startswith(invariant) and broken[1][-1].split()[0] == last, (met, broken)
 
 
-def test_a_smaller_world_is_met_whole():
-    met, whole, broken = explore(Bounds(terms=2, values=1, changes=1, losses=1))
-    assert whole and broken is None, (met, broken)
+def test_a_smaller_search_is_complete():
+    met, complete, broken = explore(Bounds(terms=2, values=1, changes=1, losses=1))
+    assert complete and broken is None, (met, broken)
 
 
 def main():
@@ -463,13 +471,13 @@
 
     for defect in DEFECTS:
         met, _, broken = explore(Bounds(), defect)
-        print(f"{defect}: {broken[0]}, after {met} worlds: {', '.join(broken[1])}", flush=True)
+        print(f"{defect}: {broken[0]}, after {met} states: {', '.join(broken[1])}", flush=True)
     for bounds in TABLE:
         began = time.perf_counter()
-        met, whole, broken = explore(bounds, traced=False)
+        met, complete, broken = explore(bounds, traced=False)
         print(
-            f"{bounds.terms} terms, {bounds.values} values, {bounds.changes} changes, {bounds.losses} losses: {met} worlds, "
-            f"{'all' if whole else 'not all'}, {broken or 'nothing broken'}, {time.perf_counter() - began:.0f} s",
+            f"{bounds.terms} terms, {bounds.values} values, {bounds.changes} changes, {bounds.losses} losses: {met} states, "
+            f"{'all' if complete else 'not all'}, {broken or 'nothing broken'}, {time.perf_counter() - began:.0f} s",
             flush=True,
         )
 
--- a/tests/consensus/test_membership_planning.py
+++ b/tests/consensus/test_membership_planning.py
@@ -31,17 +31,17 @@
 
 
 def names(identities):
-    return " ".join(sorted(one.partition("/")[2] for one in identities))
+    return " ".join(sorted(identity.partition("/")[2] for identity in identities))
 
 
 def candidates(text, now=NOW):
-    found = []
-    for place, word in enumerate(text.split()):
-        member, _, states = word.partition(":")
+    known = []
+    for written in text.split():
+        member, _, states = written.partition(":")
         name, _, zone = member.partition("@")
         states = states.split("+") if states else []
         age = max([HEARD_BEFORE.get(state, 0) for state in states] + [RECENTLY])
-        found.append(
+        known.append(
             Candidate(
                 identity=identity(name),
                 zone=zone,
@@ -51,7 +51,7 @@
                 caught_up="behind" not in states,
             )
         )
-    return found
+    return known
 
 
 def group(text, epoch=7, outgoing=""):
@@ -275,10 +275,10 @@
 def test_every_set_of_tolerated_losses_is_replaced(count, losses):
     """Of `count` machines the first 2 * losses + 1 count. Whichever of them fall silent, and however many: what the
     others can replace is replaced, and no plan leaves a silent voter in while a standby is out."""
-    all_voters = "abcdefghijk"[:count]
-    voters, standbys = all_voters[: 2 * losses + 1], all_voters[2 * losses + 1 :]
+    machines = "abcdefghijk"[:count]
+    voters, standbys = machines[: 2 * losses + 1], machines[2 * losses + 1 :]
     for lost in permutations(voters[1:], losses):
-        known = " ".join(f"{name}:silent" if name in lost else name for name in all_voters)
+        known = " ".join(f"{name}:silent" if name in lost else name for name in machines)
         planned = plan(" ".join(voters), known, 2 * losses + 1)
         replaced = min(losses, len(standbys))
         if replaced == 0:
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -53,9 +53,9 @@
         now += 50 * MILLISECOND
         sent = written(node, now, node.tick(now))
         while sent and node.role != Role.LEADER:
-            one = sent.pop(0)
-            if isinstance(one.message, VoteRequest) and one.to == answering:
-                reply = VoteReply(one.message.term, 1, granted=True, pre_vote=one.message.pre_vote)
+            request = sent.pop(0)
+            if isinstance(request.message, VoteRequest) and request.to == answering:
+                reply = VoteReply(request.message.term, 1, granted=True, pre_vote=request.message.pre_vote)
                 sent += written(node, now, node.receive(now, answering, reply))
         if node.role == Role.LEADER:
             return now
@@ -85,7 +85,11 @@
 
 def highest_match(sent):
     return max(
-        (one.message.match_index for one in sent if isinstance(one.message, AppendReply) and one.message.success),
+        (
+            reply.message.match_index
+            for reply in sent
+            if isinstance(reply.message, AppendReply) and reply.message.success
+        ),
         default=0,
     )
 
@@ -264,7 +268,7 @@
 
 @pytest.mark.parametrize("appends, is_current", [(MAX_PENDING_PROBES, True), (MAX_PENDING_PROBES + 1, False)])
 def test_a_follower_is_current_by_its_oldest_probe_that_is_kept(appends, is_current):
-    """More answers under way than are kept leave it not current: the bound on appends during one way there and back."""
+    """More answers in flight than are kept leave it not current: the bound on appends during one way there and back."""
     node = member(B)
     heartbeat = Append(1, 1, 0, 0, (), 0, 1)
     probe = 0
