--- /dev/null
+++ b/tests/sharding/test_recorded_run.py
@@ -0,0 +1,72 @@
+"""What a leader decides of key ranges is, byte for byte, what 4f929ce decided: records, calls, messages to edges."""
+
+import msgspec
+import pytest
+from sharding.recorded_run import RecordedRun, recorded
+
+from kestrelplank.control.shard_assigner import CommitRecord, PushKeyRanges, ShardAssigner
+from kestrelplank.control.shard_record import read_record
+from kestrelplank.sharding.effects import (
+    GrantKeyRange,
+    KeyRangeStalled,
+    KeyRangeUnownedFor,
+    ReleaseKeyRange,
+    ServerCallResult,
+)
+from kestrelplank.sharding.shard_server import ShardServer
+from kestrelplank.time_units import MILLISECOND
+
+
+class Subject:
+    """The code under test, by neutral names."""
+
+    def __init__(self, now, term, record, servers, seed):
+        self.assigner = ShardAssigner(
+            now, "views", term, read_record(record), self.listing(servers), 500 * MILLISECOND, seed
+        )
+
+    def listing(self, servers):
+        return [ShardServer(name, *fields[:5]) for name, fields in servers.items()]
+
+    def listed(self, now, servers):
+        self.assigner.handle_server_list(now, self.listing(servers))
+
+    def report(self, now, keys, met):
+        self.assigner.placement.handle_load_report(now, keys, met)
+
+    def called(self, now, request, sent, status, handover):
+        return self.assigner.handle_call_ended(now, request, ServerCallResult(sent, status, handover))
+
+    def recorded(self, now):
+        return msgspec.msgpack.encode(self.assigner.handle_record_committed(now).message)
+
+    def update(self):
+        return msgspec.msgpack.encode(self.assigner.update())
+
+    def counters(self):
+        return (
+            self.assigner.key_ranges.moved_keys,
+            self.assigner.unowned_s(),
+            self.assigner.placement.learned_speeds(),
+        )
+
+    def work(self, now):
+        for effect in self.assigner.tick(now, 0):
+            match effect:
+                case CommitRecord(record):
+                    yield "record", record
+                case GrantKeyRange(server, address, keys):
+                    yield "grant", server, address, (keys.first, keys.last, keys.fencing_token, keys.handover), effect
+                case ReleaseKeyRange(server, address, keys):
+                    yield "release", server, address, (keys.first, keys.last, keys.fencing_token, keys.handover), effect
+                case PushKeyRanges(message):
+                    yield "push", msgspec.msgpack.encode(message)
+                case KeyRangeUnownedFor(keys, duration_ns):
+                    yield "unowned", keys.first, keys.last, duration_ns
+                case KeyRangeStalled(keys):
+                    yield "stalled", keys.first, keys.last
+
+
+@pytest.mark.parametrize("seed", [1, 2])
+def test_a_recorded_run_is_decided_as_it_was(seed):
+    assert RecordedRun(Subject, seed).run() == recorded()[str(seed)]
