--- a/benchmarks/log_file.py
+++ b/benchmarks/log_file.py
@@ -16,9 +16,10 @@
 import tempfile
 import time
 
-from kestrelplank.configuration.plan import read
+from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Entry, HardState, Membership, PutConfiguration, Snapshot
+from kestrelplank.consensus.log_entries import Entry, HardState, PutConfiguration, Snapshot
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.state.control_state import ControlState
 from kestrelplank.storage.log_file import LogFile
 
@@ -112,24 +113,24 @@
     log.keep_incarnation("first")
     log.write([Persist(1, HardState(1, "a:1/first", "a:1/first"))])
     texts = {version: configuration(routes, version) for version in range(8)}
-    digest = read(texts[0]).unwrap().key.digest
+    digest = parse_configuration(texts[0]).unwrap().key.digest
     writes, compactions, most, written = [], [], 0, 0
     for index in range(1, changes + 1):
         # The state is told of each version; its text stands for one of eight, as making each takes longer than a write.
         entry = Entry(index, 1, PutConfiguration(index, digest, texts[index % 8]))
-        before = log.size
+        before = log.size_bytes
         writes.append(timed(log.write, [Persist(index, None, None, (entry,))]))
-        written += log.size - before
+        written += log.size_bytes - before
         state.apply(entry)
-        most = max(most, log.size)
-        if log.size > bound:
+        most = max(most, log.size_bytes)
+        if log.size_bytes > bound:
             if not compactions:
                 shutil.copy(log.path, fullest)
-            before = log.size
+            before = log.size_bytes
             snapshot = Snapshot(index, 1, MEMBERS, state.snapshot())
             compactions.append(timed(log.write, [Persist(index, None, snapshot)]))
-            written += log.size
-            most = max(most, before + log.size)
+            written += log.size_bytes
+            most = max(most, before + log.size_bytes)
     log.close()
     if not compactions:
         shutil.copy(log.path, fullest)
@@ -138,7 +139,7 @@
     for _ in range(STARTS):
         log = LogFile(fullest)
         starts.append(timed(log.load))
-        frames, size = log.frames, log.size
+        frames, size = log.frame_count, log.size_bytes
         log.close()
     return (
         routes,
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -6,12 +6,13 @@
 
 from storage.memory import MemoryLog
 
-from kestrelplank.configuration.plan import read
+from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.control.bootstrap import start_member
 from kestrelplank.control.effects import CallServer
 from kestrelplank.control.member_profile import MemberProfile
-from kestrelplank.sharding.key_ranges import KEYS
+from kestrelplank.sharding.effects import ServerCallResult
+from kestrelplank.sharding.key_range import KEY_COUNT
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import LoadReport, decode_at_edge, decode_at_member
 from kestrelplank.transport.server_list import Entry
@@ -38,7 +39,7 @@
             disk.write([effect])
             settled(member, disk, now, member.handle_persisted(now, effect.number))
         elif isinstance(effect, CallServer):
-            done = member.handle_server_call_ended(now, effect.service, effect.action, effect.line, True, 200, "h")
+            done = member.handle_server_call_ended(now, effect, ServerCallResult(True, 200, "h"))
             settled(member, disk, now, done)
 
 
@@ -59,7 +60,7 @@
         settled(member, disk, now, member.tick(now))
     entries = [Entry(f"i-{number}", "views", f"10.1.0.{number}:80", "z", 2, "ready", 0) for number in range(servers)]
     settled(member, disk, now, member.handle_servers_fetched(now, entries))
-    settled(member, disk, now, member.handle_replace_call(now, 1, read(TEXT).unwrap()))
+    settled(member, disk, now, member.handle_replace_call(now, 1, parse_configuration(TEXT).unwrap()))
     for _ in range(80):
         now += S // 20
         settled(member, disk, now, member.tick(now))
@@ -80,12 +81,14 @@
                 began = time.process_time()
                 session = sessions.heard(now, ends.setdefault(number, End()), beat.edge)
                 session.said = beat.version
-                answers = [over(answer, decode_at_edge, out) for answer in member.handle_edge_heartbeat(now, beat, edges)]
+                answers = [
+                    over(answer, decode_at_edge, out) for answer in member.handle_edge_heartbeat(now, beat, edges)
+                ]
                 spent += time.process_time() - began
                 for answer in answers:
                     view.receive(now, ME, answer)
             if not (step + number) * S // 20 % REPORT:
-                keys = [random.randrange(KEYS) for _ in range(round(PER_S * REPORT / S / edges + random.random()))]
+                keys = [random.randrange(KEY_COUNT) for _ in range(round(PER_S * REPORT / S / edges + random.random()))]
                 servers_met = {f"i-{random.randrange(servers)}": (1, 0, 1.0, 1, 0.0, 0) for _ in keys}
                 report = over(LoadReport("views", keys, servers_met), decode_at_member, into)
                 began = time.process_time()
--- /dev/null
+++ b/kestrelplank/consensus/membership_planning.py
@@ -0,0 +1,298 @@
+"""Which membership a leader should propose: the policy for replacing, adding and dropping voters.
+
+Pure: the leader's side says what it knows of each member, `plan_membership` returns the joint membership to propose, or
+None. Once the joint one is committed, the new voters alone are the membership, and the change is over. The policy is
+asked only while the newest membership in the leader's log is committed.
+
+A leader never takes itself out while another voter can lead. `successor` says whom it should transfer leadership to
+first; the new leader then replaces the old one.
+
+Why it is done so, and what losses are tolerated at each moment: docs/membership.md.
+"""
+
+from collections import Counter
+from collections.abc import Iterable
+from dataclasses import dataclass
+from enum import IntEnum
+
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.membership import Membership
+from kestrelplank.consensus.quorum import has_majority
+from kestrelplank.time_units import SECOND
+
+VOTER_TIMEOUT_NS = 2 * SECOND
+"""A voter that has answered nothing for so long is replaced, if there is a standby."""
+STANDBY_TIMEOUT_NS = 1 * SECOND
+"""A member becomes a voter only if it has answered within this time: one that has just died must not become one."""
+
+
+@dataclass(frozen=True, slots=True)
+class Candidate:
+    """What the leader knows of one running member, voter or not, itself included.
+
+    :param identity: address and incarnation.
+    :param zone: failure domain; "": unknown.
+    :param eligible: whether it may vote, as the platform counts the loss of its machine.
+    :param leaving: whether it said that it is about to stop.
+    :param heard_at: on the leader's steady clock, when it last replied; for a voter that has not replied since the
+        election, when it was last heard before, or else when the leader was elected.
+    :param caught_up: whether it has the leader's log up to the newest entry, or nearly.
+    """
+
+    identity: str
+    zone: str
+    eligible: bool
+    leaving: bool
+    heard_at: int
+    caught_up: bool
+
+
+class Condition(IntEnum):
+    """Why a voter should be replaced, least urgent first."""
+
+    SOUND = 0
+    INELIGIBLE = 1
+    LEAVING = 2
+    SILENT = 3
+    DISK_LOST = 4
+
+
+def plan_membership(
+    now: int, membership: Membership, candidates: Iterable[Candidate], leader: str, target_voters: int
+) -> Membership | None:
+    """Return the joint membership that the leader should propose.
+
+    None: nothing is to be changed, a change is under way, or too few voters are in touch to complete one.
+
+    :param membership: the present one, which is committed.
+    :param leader: identity of the leader, which asks.
+    :param target_voters: how many voters tolerate the losses that the platform demands, 2 * losses + 1.
+    """
+    if membership.joint or leader not in membership.voters:
+        return None
+    members = _Members(now, membership, candidates, leader)
+    voters = _without_surplus(membership.voters, members, target_voters)
+    voters, standbys = _with_replacements(voters, members)
+    voters = _with_additions(voters, standbys, members, target_voters)
+    if set(voters) == set(membership.voters):
+        return None
+    in_touch = members.in_touch()
+    if not has_majority(membership.voters, in_touch) or not has_majority(tuple(voters), in_touch):
+        return None
+    return _joint(membership, voters, members)
+
+
+def finish(membership: Membership) -> Membership:
+    """Return the membership that ends a change, to be proposed once the joint one is committed.
+
+    :raises ValueError: `membership` is not joint.
+    """
+    if not membership.joint:
+        raise ValueError(f"membership of epoch {membership.epoch} is not joint")
+    return Membership(
+        epoch=membership.epoch + 1,
+        voters=membership.voters,
+        zones={voter: membership.zones[voter] for voter in membership.voters if voter in membership.zones},
+    )
+
+
+def successor(now: int, membership: Membership, candidates: Iterable[Candidate], leader: str) -> str | None:
+    """Return whom the leader should transfer leadership to now, or None if it should go on leading.
+
+    It hands over when it is leaving; when a change that it is no voter of awaits its end; and when it is not eligible
+    while a standby could replace it. The successor is a voter that stays, has answered lately and is caught up.
+    """
+    members = _Members(now, membership, candidates, leader)
+    if not members.leader_should_hand_over():
+        return None
+    able = [voter for voter in membership.voters if voter != leader and members.may_lead(voter)]
+    return min(able, key=members.order, default=None)
+
+
+class _Members:
+    """What the leader knows of all members at one moment, by identity."""
+
+    def __init__(self, now: int, membership: Membership, candidates: Iterable[Candidate], leader: str) -> None:
+        self._now = now
+        self._membership = membership
+        self._leader = leader
+        self._known = {candidate.identity: candidate for candidate in candidates}
+        self._running = self._last_heard_by_address()
+
+    def _last_heard_by_address(self) -> dict[str, str]:
+        """Return which identity runs at each address: the last one heard there, as a former one can't return."""
+        running: dict[str, str] = {}
+        for identity in sorted(self._known):
+            address = address_of(identity)
+            rival = running.get(address)
+            if rival is None or self._known[identity].heard_at > self._known[rival].heard_at:
+                running[address] = identity
+        running[address_of(self._leader)] = self._leader
+        return running
+
+    def is_leader(self, identity: str) -> bool:
+        return identity == self._leader
+
+    def zone(self, identity: str) -> str:
+        candidate = self._known.get(identity)
+        if candidate is not None and candidate.zone:
+            return candidate.zone
+        return self._membership.zones.get(identity, "")
+
+    def order(self, identity: str) -> tuple[str, str]:
+        """Return the sort key by which members are taken where nothing else decides."""
+        return self.zone(identity), identity
+
+    def condition(self, voter: str) -> Condition:
+        """Return why `voter` should be replaced. The leader is sound; `successor` looks after it."""
+        if voter == self._leader:
+            return Condition.SOUND
+        if self._running.get(address_of(voter), voter) != voter:
+            return Condition.DISK_LOST
+        candidate = self._known.get(voter)
+        if candidate is None:
+            return Condition.SOUND
+        if self._now - candidate.heard_at >= VOTER_TIMEOUT_NS:
+            return Condition.SILENT
+        if candidate.leaving:
+            return Condition.LEAVING
+        if not candidate.eligible:
+            return Condition.INELIGIBLE
+        return Condition.SOUND
+
+    def should_be_replaced(self, voter: str) -> bool:
+        if self.is_leader(voter):
+            return self._leaves_no_voter_to_lead()
+        return self.condition(voter) is not Condition.SOUND
+
+    def _leaves_no_voter_to_lead(self) -> bool:
+        """Whether the leader is to hand over and is the one voter, so that nobody could take over."""
+        return self._membership.voters == (self._leader,) and self.leader_should_hand_over()
+
+    def in_touch(self) -> frozenset[str]:
+        """Return the leader and all running members that are not silent."""
+        heard = [
+            identity
+            for identity in self._known
+            if self._running[address_of(identity)] == identity and self.condition(identity) < Condition.SILENT
+        ]
+        return frozenset([self._leader, *heard])
+
+    def may_vote(self, identity: str) -> bool:
+        """Whether this member may be made a voter."""
+        candidate = self._known[identity]
+        return (
+            self._running[address_of(identity)] == identity
+            and candidate.eligible
+            and candidate.caught_up
+            and not candidate.leaving
+            and self._now - candidate.heard_at < STANDBY_TIMEOUT_NS
+        )
+
+    def may_lead(self, voter: str) -> bool:
+        return voter in self._known and self.may_vote(voter)
+
+    def standbys(self) -> list[str]:
+        """Return who could become a voter now, in order."""
+        voters = self._membership.voters
+        able = [identity for identity in self._known if identity not in voters and self.may_vote(identity)]
+        return sorted(able, key=self.order)
+
+    def leader_should_hand_over(self) -> bool:
+        if self._leader not in self._membership.voters:
+            return True
+        candidate = self._known.get(self._leader)
+        if candidate is None:
+            return False
+        return candidate.leaving or (not candidate.eligible and bool(self.standbys()))
+
+
+def _without_surplus(voters: tuple[str, ...], members: _Members, target_voters: int) -> list[str]:
+    """Return `voters` without those beyond `target_voters`; the leader stays.
+
+    Dropped first is whoever should be replaced most urgently, then one from the zone with most voters.
+    """
+    kept = list(voters)
+    while len(kept) > max(1, target_voters):
+        in_zone = _voters_by_zone(kept, members)
+        droppable = [voter for voter in kept if not members.is_leader(voter)]
+        surplus = max(
+            droppable,
+            key=lambda voter: (members.condition(voter), in_zone[members.zone(voter)], members.order(voter)),
+        )
+        kept.remove(surplus)
+    return kept
+
+
+def _with_replacements(voters: list[str], members: _Members) -> tuple[list[str], list[str]]:
+    """Return `voters` with standbys instead of those that should be replaced, and the standbys that are left.
+
+    The most urgent are replaced first. A machine that lost its disk replaces its own former identity before any other
+    member does.
+    """
+    voters, standbys = list(voters), members.standbys()
+    unsound = [voter for voter in sorted(voters, key=members.order) if members.should_be_replaced(voter)]
+    unsound.sort(key=members.condition, reverse=True)
+    for voter in list(unsound):
+        replacement = _at_same_address(voter, standbys)
+        if replacement is not None:
+            _replace(voters, standbys, voter, replacement)
+            unsound.remove(voter)
+    for voter in unsound:
+        if not standbys:
+            break
+        _replace(voters, standbys, voter, _best_replacement(voters, standbys, voter, members))
+    return voters, standbys
+
+
+def _at_same_address(voter: str, standbys: list[str]) -> str | None:
+    """Return the standby at the address of a voter whose disk was lost."""
+    return next((standby for standby in standbys if address_of(standby) == address_of(voter)), None)
+
+
+def _replace(voters: list[str], standbys: list[str], voter: str, replacement: str) -> None:
+    voters[voters.index(voter)] = replacement
+    standbys.remove(replacement)
+
+
+def _best_replacement(voters: list[str], standbys: list[str], voter: str, members: _Members) -> str:
+    """Return who replaces `voter`: one of its zone, else one of the zone with fewest voters."""
+    same_zone = [standby for standby in standbys if members.zone(standby) == members.zone(voter)]
+    if same_zone:
+        return same_zone[0]
+    return _of_zone_with_fewest([other for other in voters if other != voter], standbys, members)
+
+
+def _with_additions(voters: list[str], standbys: list[str], members: _Members, target_voters: int) -> list[str]:
+    """Return `voters` with as many standbys as raise the number of tolerated losses, up to `target_voters`."""
+    count = min(target_voters, len(voters) + len(standbys))
+    count -= 1 - count % 2  # an even number tolerates no more losses than the odd one below
+    voters, standbys = list(voters), list(standbys)
+    while len(voters) < count:
+        addition = _of_zone_with_fewest(voters, standbys, members)
+        voters.append(addition)
+        standbys.remove(addition)
+    return voters
+
+
+def _of_zone_with_fewest(voters: list[str], standbys: list[str], members: _Members) -> str:
+    """Return the standby of the zone with fewest voters."""
+    in_zone = _voters_by_zone(voters, members)
+    return min(standbys, key=lambda standby: (in_zone[members.zone(standby)], members.order(standby)))
+
+
+def _voters_by_zone(voters: list[str], members: _Members) -> Counter[str]:
+    """Return how many of `voters` are in each zone."""
+    return Counter(members.zone(voter) for voter in voters)
+
+
+def _joint(membership: Membership, voters: list[str], members: _Members) -> Membership:
+    """Return the change from `membership` to `voters`, under way."""
+    ordered = tuple(sorted(voters, key=members.order))
+    all_voters = dict.fromkeys((*ordered, *membership.voters))
+    return Membership(
+        epoch=membership.epoch + 1,
+        voters=ordered,
+        outgoing=membership.voters,
+        zones={voter: members.zone(voter) for voter in all_voters if members.zone(voter)},
+    )
--- a/kestrelplank/control/edge_updates.py
+++ b/kestrelplank/control/edge_updates.py
@@ -2,11 +2,11 @@
 machine lacks. No I/O.
 """
 
-from kestrelplank.consensus.messages import address_of
+from kestrelplank.consensus.identity import address_of
 from kestrelplank.control.member_lifecycle import MemberLifecycle
 from kestrelplank.control.replica import Replica
 from kestrelplank.control.shard_assigners import ShardAssigners
-from kestrelplank.control.shard_assignment import key_ranges_update
+from kestrelplank.control.shard_record import key_ranges_update
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
     EdgeHeartbeat,
@@ -52,10 +52,10 @@
 
     def _key_ranges(self, now: int, service: str, known: KeyRangesVersion) -> KeyRangesUpdate | None:
         """Return the key ranges of a service where the edge machine knows an older version of them."""
-        assigner, record = self._assigners.decider(now, service), self._replica.record(service)
+        assigner, record = self._assigners.leading_assigner(now, service), self._replica.record(service)
         if assigner is not None:
-            return assigner.news() if known < assigner.place else None
-        return key_ranges_update(service, record) if known < record.place else None
+            return assigner.update() if known < assigner.version else None
+        return key_ranges_update(service, record) if known < record.version else None
 
     def _member_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> MemberHeartbeat:
         membership = self._lifecycle.committed_membership()
--- a/kestrelplank/control/inbound_connections.py
+++ b/kestrelplank/control/inbound_connections.py
@@ -2,7 +2,7 @@
 in session on which.
 """
 
-from kestrelplank.control.status import EdgeStatus, seconds
+from kestrelplank.control.status import EdgeStatus
 from kestrelplank.time_units import SECOND
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import FrameConnection
@@ -24,11 +24,14 @@
         return len(self._edges.by_name)
 
     def handle_heard(self, now: int, wire: FrameConnection) -> None:
-        """Something has come on that connection."""
+        """Take in that something has come on that connection."""
         self._heard_at[wire] = now
 
     def handle_edge_heard(self, now: int, wire: FrameConnection, edge: str, version: int | None) -> bool:
-        """That edge machine speaks there, and goes by that configuration. Return False where it has dialled anew since."""
+        """Take in that an edge machine speaks there. Return False where it has dialled anew since.
+
+        :param version: of the configuration that it goes by; None: none yet.
+        """
         session = self._edges.heard(now, wire, edge)
         if session is None:
             return False
@@ -56,7 +59,7 @@
         return {
             name: EdgeStatus(
                 configuration_version=None if session.said is None else f"{session.said:08x}",
-                last_heard_s=seconds(session.silent_for(now)),
+                last_heard_s=round(session.silent_for(now) / SECOND, 3),
             )
             for name, session in sorted(self._edges.by_name.items())
         }
--- a/kestrelplank/control/log_writer.py
+++ b/kestrelplank/control/log_writer.py
@@ -38,7 +38,7 @@
     @property
     def log_size_bytes(self) -> int:
         """Of the log on disk."""
-        return self._file.size
+        return self._file.size_bytes
 
     def write(self, persist: Persist) -> None:
         """Take a write; it is made after all that were taken before it."""
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -1,5 +1,5 @@
-"""One control member without I/O: the replicated log and what it adds up to, operators' calls, the assignment of keys to
-servers, and what edge machines are sent.
+"""One control member without I/O: the replicated log and what it adds up to, operators' calls, the assignment of keys
+to servers, and what edge machines are sent.
 
 Each `handle_...` method takes one event and returns effects (`control.effects`), to be carried out in order.
 """
@@ -7,37 +7,34 @@
 from random import Random
 from typing import assert_never
 
-from kestrelplank.configuration.plan import Configuration
+from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.consensus import effects as consensus
-from kestrelplank.consensus.messages import (
+from kestrelplank.consensus.consensus_messages import (
     Append,
     AppendReply,
-    ChangeMembership,
-    Entry,
-    HardState,
-    Membership,
+    SnapshotChunk,
+    SnapshotReply,
+    TransferLeadership,
+    VoteReply,
+    VoteRequest,
+)
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.log_entries import ChangeMembership, Entry, HardState, PutConfiguration, PutRecord, Snapshot
+from kestrelplank.consensus.member_messages import (
     MembershipQuery,
     MembershipRequest,
     MembershipUpdate,
     Message,
     OrderResult,
-    PutConfiguration,
-    PutRecord,
     ReadConfiguration,
     ReadResult,
     ServerListUpdate,
-    Snapshot,
-    SnapshotChunk,
-    SnapshotReply,
     SubmitOrder,
-    TransferLeadership,
-    VoteReply,
-    VoteRequest,
-    address_of,
 )
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.edge_updates import EdgeUpdates
-from kestrelplank.control.effects import Effect, KeepCopy, PushToEdges
+from kestrelplank.control.effects import CallServer, Effect, KeepCopy, PushToEdges
 from kestrelplank.control.member_lifecycle import MemberLifecycle
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.membership_reconciler import MembershipReconciler
@@ -45,10 +42,10 @@
 from kestrelplank.control.peer_directory import PeerDirectory
 from kestrelplank.control.replica import Replica
 from kestrelplank.control.server_discovery import ServerDiscovery
+from kestrelplank.control.shard_assigner import ShardAssigner
 from kestrelplank.control.shard_assigners import ShardAssigners
-from kestrelplank.control.shard_assignment import ShardAssigner
 from kestrelplank.control.status import MemberStatus, member_status
-from kestrelplank.sharding.key_ranges import KeyRange
+from kestrelplank.sharding.effects import ServerCallResult
 from kestrelplank.state.control_state import ControlState
 from kestrelplank.transport.messages import ConfigurationUpdate, EdgeHeartbeat, LoadReport, ToEdge
 from kestrelplank.transport.server_list import Entry as ListedServer
@@ -70,7 +67,8 @@
     - What was acknowledged outlives every loss that is borne:
       `test_no_loss_that_is_borne_loses_an_acknowledged_change`.
     - A version has one text: `test_of_two_operators_with_one_number_at_two_members_one_prevails`.
-    - Only a leader answers a read or an order: `test_a_member_that_does_not_lead_answers_a_forwarded_call_with_not_known`.
+    - Only a leader answers a read or an order:
+      `test_a_member_that_does_not_lead_answers_a_forwarded_call_with_not_known`.
     - A member that is not current rejects calls at once and does not vouch for its configuration:
       `test_a_member_cut_off_for_20_s_refuses_at_once_and_tells_edge_machines_that_it_is_not_current`.
     - A member with an empty disk is another one, and vouches for nothing:
@@ -178,21 +176,14 @@
         self._discovery.handle_fetched(now, entries)
         return self._take_effects(now)
 
-    def handle_server_call_ended(
-        self, now: int, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
-    ) -> list[Effect]:
-        """A `CallServer` has ended.
-
-        :param sent: whether anything of it left us.
-        :param status: the answer's; None without one.
-        :param handover: what the answer to a release carried.
-        """
-        self._assigners.called(now, service, action, line, sent, status, handover)
+    def handle_server_call_ended(self, now: int, call: CallServer, result: ServerCallResult) -> list[Effect]:
+        """A grant or release has ended."""
+        self._assigners.handle_call_ended(now, call, result)
         return self._take_effects(now)
 
     def handle_load_report(self, now: int, report: LoadReport) -> None:
         """An edge machine says what it has seen of servers and keys."""
-        self._assigners.load_report(now, report)
+        self._assigners.handle_load_report(now, report)
 
     def handle_edge_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> list[ToEdge]:
         """Return what is sent to an edge machine in answer to its heartbeat.
@@ -276,7 +267,7 @@
         if in_force is not None:
             self._handle_configuration_in_force(now, in_force)
         if isinstance(command, PutRecord):
-            self._assigners.recorded(now, entry, command)
+            self._assigners.handle_record_committed(now, entry, command)
         self._operator_calls.handle_applied(entry, took_force=in_force is not None)
 
     def _handle_configuration_in_force(self, now: int, order: PutConfiguration) -> None:
@@ -299,5 +290,5 @@
 
     def _handle_deposed(self) -> None:
         self._replica.handle_deposed()
-        self._assigners.keep_only([])
+        self._assigners.stop_leading()
         self._operator_calls.handle_deposed()
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -4,13 +4,9 @@
 searches for the others at every address it has heard of, for as long as it runs.
 """
 
-from kestrelplank.consensus.messages import (
-    Membership,
-    MembershipQuery,
-    MembershipRequest,
-    MembershipUpdate,
-    address_of,
-)
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.member_messages import MembershipQuery, MembershipRequest, MembershipUpdate
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.control.effects import SendToAddress
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.peer_directory import PeerDirectory
@@ -87,7 +83,7 @@
     # What others ask.
 
     def handle_membership_request(self, now: int, sender: str, request: MembershipRequest) -> None:
-        """A member runs, and asks to be or to stay a voter. The leader decides; any other tells it who the voters are."""
+        """Keep that a member asks to be or to stay a voter; who does not lead tells it who the voters are."""
         self._directory.handle_membership_request(now, sender, request)
         if not self._node.leads(now):
             self.handle_membership_query(now, sender)
@@ -146,7 +142,7 @@
         if self.stopping:
             return
         self._stop_at = self._request_at = now
-        self._node.may_campaign = False
+        self._node.stop_campaigning()
         self._replica.transfer_leadership(now)
 
     def may_stop(self, now: int) -> bool:
@@ -160,7 +156,7 @@
             return True
         if now < self._stop_at + STOP_SETTLE_NS or self._directory.other_standbys_run(now):
             return False
-        return self._node.commit == self._node.log.last_index and self._node.current(now)
+        return self._node.commit_index == self._node.log.last_index and self._node.current(now)
 
 
 def newer(first: Membership | None, second: Membership | None) -> Membership | None:
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -8,8 +8,9 @@
 import time
 from collections.abc import Callable
 
-from kestrelplank.consensus.messages import Message, address_of
-from kestrelplank.settings.platform import endpoint
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.member_messages import Message
+from kestrelplank.settings.platform import parse_address
 from kestrelplank.transport.messages import Envelope, decode_at_member
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import FrameConnection
@@ -121,7 +122,7 @@
         :raises OSError: it is refused.
         :raises TimeoutError: nobody answers.
         """
-        host = endpoint(address)[0]
+        host = parse_address(address)[0]
         async with asyncio.timeout(DIAL_TIMEOUT_S):
             _, wire = await asyncio.get_running_loop().create_connection(
                 lambda: FrameConnection(decode_at_member, self._handle_dialled, lambda _: ended.set()),
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -1,9 +1,10 @@
 """What a leader does about who the voters are: it sends the log to members that ask to be one, and changes the
-membership where `consensus.membership` says so. No I/O.
+membership where `consensus.membership_planning` says so. No I/O.
 """
 
-from kestrelplank.consensus.membership import Candidate, plan_membership, successor
-from kestrelplank.consensus.messages import ChangeMembership, Membership
+from kestrelplank.consensus.log_entries import ChangeMembership
+from kestrelplank.consensus.membership import Membership
+from kestrelplank.consensus.membership_planning import Candidate, plan_membership, successor
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.peer_directory import PeerDirectory, RequestingMember
 from kestrelplank.control.replica import Replica
@@ -53,7 +54,7 @@
         heard_at = peer.heard_at if peer is not None else 0
         if identity in self._replica.voters():
             heard_at = max(heard_at, self._elected_at)
-        caught_up = peer is not None and peer.caught_up(self._node.commit)
+        caught_up = peer is not None and peer.caught_up(self._node.commit_index)
         if requesting is None:
             return Candidate(identity, "", True, False, heard_at, caught_up)
         request = requesting.request
--- a/kestrelplank/control/operator_api.py
+++ b/kestrelplank/control/operator_api.py
@@ -6,10 +6,17 @@
 
 import msgspec
 
-from kestrelplank.configuration.plan import Configuration, read
+from kestrelplank.configuration.parsing import parse_configuration
+from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.control.effects import AnswerOrder, AnswerRead
 from kestrelplank.control.status import MemberStatus
-from kestrelplank.forwarding.errors import ANSWERS, Fault
+from kestrelplank.forwarding.errors import (
+    BodyTooLargeError,
+    InvalidConfigurationError,
+    NoMajorityError,
+    RequestError,
+    ResourceNotFoundError,
+)
 
 MAX_BODY_BYTES = 8 << 20  # a configuration goes to the other members in one message
 
@@ -28,9 +35,9 @@
     in_force: bool
 
 
-def rejected(fault: Fault, why: str) -> Result:
+def rejected(error: type[RequestError], why: str) -> Result:
     """Return the answer to a call that failed."""
-    return ANSWERS[fault].status, msgspec.json.encode({"error": fault.value, "why": why})
+    return error.status, msgspec.json.encode({"error": error.reason, "why": why})
 
 
 class Member(Protocol):
@@ -78,13 +85,13 @@
 
     async def answer(self, member: Member, body: bytes) -> Result:
         """Put the configuration in force, once enough members have it."""
-        parsed = read(body)
+        parsed = parse_configuration(body)
         configuration = parsed.value_or(None)
         if configuration is None:
-            return rejected(Fault.INVALID, str(parsed.failure()))
+            return rejected(InvalidConfigurationError, str(parsed.failure()))
         answer = await member.replace_configuration(configuration)
         if not answer.acknowledged:
-            return rejected(Fault.NO_MAJORITY, "not enough members can keep it")
+            return rejected(NoMajorityError, "not enough members can keep it")
         version = f"{configuration.key.version:08x}"
         return HTTPStatus.OK, msgspec.json.encode(Acknowledged(version, answer.in_force))
 
@@ -98,9 +105,9 @@
         """Return the configuration."""
         answer = await member.show_configuration()
         if not answer.known:
-            return rejected(Fault.NO_MAJORITY, "no member that is in touch with a majority answered")
+            return rejected(NoMajorityError, "no member that is in touch with a majority answered")
         if answer.text is None:
-            return rejected(Fault.NO_RESOURCE, "no configuration has come yet")
+            return rejected(ResourceNotFoundError, "no configuration has come yet")
         return HTTPStatus.OK, answer.text
 
 
@@ -135,7 +142,7 @@
 
 
 async def read_body(receive: Receive) -> bytes | None:
-    """Return a request's body, cut off once it is over `MAX_BODY_BYTES`; None where the client has gone before its end."""
+    """Return a request's body, cut off once it is over `MAX_BODY_BYTES`; None where the client went before its end."""
     chunks: list[bytes] = []
     size = 0
     while True:
@@ -156,7 +163,7 @@
     :param handler: of the resource at `path`; None where there is none.
     """
     if len(body) > MAX_BODY_BYTES:
-        return rejected(Fault.TOO_LARGE, f"over {MAX_BODY_BYTES} bytes")
+        return rejected(BodyTooLargeError, f"over {MAX_BODY_BYTES} bytes")
     if handler is None:
-        return rejected(Fault.NO_RESOURCE, path)
+        return rejected(ResourceNotFoundError, path)
     return await handler.answer(member, body)
--- a/kestrelplank/control/peer_directory.py
+++ b/kestrelplank/control/peer_directory.py
@@ -6,7 +6,9 @@
 
 from dataclasses import dataclass
 
-from kestrelplank.consensus.messages import Membership, MembershipRequest, MembershipUpdate, address_of
+from kestrelplank.consensus.identity import address_of
+from kestrelplank.consensus.member_messages import MembershipRequest, MembershipUpdate
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.time_units import SECOND
 
 RUNNING_TIMEOUT_NS = 3 * SECOND
--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -8,7 +8,8 @@
 
 from dataclasses import dataclass, field
 
-from kestrelplank.consensus.messages import CallId, Entry, PutConfiguration
+from kestrelplank.consensus.log_entries import Entry, PutConfiguration
+from kestrelplank.consensus.member_messages import CallId
 from kestrelplank.time_units import MILLISECOND
 
 CALL_TIMEOUT_NS = 800 * MILLISECOND  # the operator goes elsewhere after a second
--- a/kestrelplank/control/platform_client.py
+++ b/kestrelplank/control/platform_client.py
@@ -6,8 +6,9 @@
 import httpcore
 import msgspec
 
-from kestrelplank.http.call import Connection, dial
-from kestrelplank.settings.platform import endpoint, ns
+from kestrelplank.http.connection import Connection, dial
+from kestrelplank.settings.platform import parse_address
+from kestrelplank.time_units import seconds_to_ns
 from kestrelplank.transport.server_list import Entry
 
 DIAL_TIMEOUT_S = 0.6
@@ -48,7 +49,7 @@
     """The platform at that address. It owns the connection to it, and ends that when a fetch fails."""
 
     def __init__(self, address: str) -> None:
-        self._address = endpoint(address)
+        self._address = parse_address(address)
         self._connection: Connection | None = None
 
     async def fetch_servers(self) -> list[Entry] | None:
@@ -77,7 +78,7 @@
 
     async def _fetch_page(self, token: str | None) -> Page | None:
         connection = self._connection
-        if connection is None or connection.surplus() or not connection.keep:
+        if connection is None or connection.has_surplus() or not connection.reusable:
             connection = self._connection = await dial(self._address, DIAL_TIMEOUT_S)
         target = "/instances" + (f"?page_token={token}" if token else "")
         answer = await connection.ask(b"GET", target.encode(), [(b"Host", b"platform")], b"")
@@ -98,5 +99,5 @@
         instance.zone,
         instance.slots,
         instance.state,
-        ns(instance.warmup_left_s),
+        seconds_to_ns(instance.warmup_left_s),
     )
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from kestrelplank.configuration.plan import Configuration
+from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Message
+from kestrelplank.consensus.member_messages import Message
 from kestrelplank.control.bootstrap import start_member
 from kestrelplank.control.effects import (
     AnswerOrder,
@@ -39,11 +39,13 @@
 from kestrelplank.control.server_calls import ServerCalls
 from kestrelplank.control.status import MemberStatus
 from kestrelplank.control.waiting_calls import WaitingCalls
-from kestrelplank.http.serve import Duties, listener, server
-from kestrelplank.settings.platform import Settings, ns
-from kestrelplank.sharding.key_ranges import KeyRange
+from kestrelplank.http.critical_tasks import CriticalTasks
+from kestrelplank.http.server import create_server
+from kestrelplank.http.socket_options import listening_socket
+from kestrelplank.settings.platform import PlatformSettings
+from kestrelplank.sharding.effects import ServerCallResult
 from kestrelplank.storage.log_file import LogFile
-from kestrelplank.time_units import SECOND
+from kestrelplank.time_units import SECOND, seconds_to_ns
 from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, LoadReport, ToMember, decode_at_member
 from kestrelplank.transport.wire import FrameConnection, packed
 
@@ -61,8 +63,8 @@
 log = logging.getLogger("control")
 
 
-async def run(settings: Settings) -> int:
-    """Run the program until SIGTERM or SIGINT. Return the exit code: 1 where a part of it failed by a defect, else 0."""
+async def run(settings: PlatformSettings) -> int:
+    """Run the program until SIGTERM or SIGINT. Return the exit code: 1 where a task failed by a defect, else 0."""
     stop = stop_on_signals()
     random = Random(SystemRandom().getrandbits(64))
     file = LogFile(settings.local_system.data_directory or f"/tmp/{settings.local_system.node_name}")
@@ -80,16 +82,16 @@
     return stop
 
 
-async def start_from_disk(settings: Settings, random: Random, file: LogFile) -> ControlMember:
+async def start_from_disk(settings: PlatformSettings, random: Random, file: LogFile) -> ControlMember:
     """Return the member as its disk has it; a disk that refuses is asked again until it does not."""
     local = settings.local_system
-    host, port = settings.listen("control_plane")
+    host, port = settings.listen_address("control_plane")
     profile = MemberProfile(
         zone=local.zone,
         eligible=local.quorum_member,
         seeds=tuple(settings.network.seed_nodes),
         machine_losses=settings.fault_tolerance.machine_losses,
-        stop_grace_ns=ns(settings.bounds.grace_s),
+        stop_grace_ns=seconds_to_ns(settings.bounds.grace_s),
     )
     while True:
         try:
@@ -106,19 +108,19 @@
 
     - the operators' HTTP server: their connections, ended once calls in hand are answered;
     - the members' listener (`_listen_for_peers`): accepts connections; `_inbound` keeps what came in;
-    - `Duties`: the tasks of `_log_writer`, `_tick` and `_fetch_servers`;
+    - `CriticalTasks`: those of `_log_writer`, `_tick` and `_fetch_servers`;
     - `_sessions`: the connections that we dialled to other members;
     - `_server_calls`: connections to servers, one object an address; they end with the process.
     """
 
-    def __init__(self, settings: Settings, random: Random, file: LogFile, member: ControlMember) -> None:
+    def __init__(self, settings: PlatformSettings, random: Random, file: LogFile, member: ControlMember) -> None:
         self._settings = settings
         self._random = random
         self._member = member
         self._log_writer = LogWriter(file, self._handle_persisted)
-        self._sessions = MemberSessions(member.identity, settings.telegraph_port(), self._handle_peer_message)
+        self._sessions = MemberSessions(member.identity, settings.internal_port(), self._handle_peer_message)
         self._inbound = InboundConnections()
-        self._platform = PlatformClient(settings.cloud.address)
+        self._platform = PlatformClient(settings.cloud_api.address)
         self._server_calls: dict[str, ServerCalls] = {}  # by address
         tickets = itertools.count(1)
         self._orders = WaitingCalls[AnswerOrder](tickets)
@@ -126,21 +128,21 @@
 
     async def run(self, stop: asyncio.Event) -> int:
         """Run until `stop` is set, then stop in order. Return the exit code."""
-        duties = Duties("Control", stop)
+        tasks = CriticalTasks("Control", stop)
         with closing(self._sessions):
             try:
                 async with self._listen_for_peers(), self._serve_operators():
                     log.info("Control: member %s starts", self._member.identity)
-                    for duty in (self._log_writer.run(), self._tick(), self._fetch_servers()):
-                        duties.add(duty)
+                    for task in (self._log_writer.run(), self._tick(), self._fetch_servers()):
+                        tasks.add(task)
                     await stop.wait()
-                    if not duties.failed:
+                    if not tasks.failed:
                         log.info("Control: stopping, as SIGTERM or SIGINT came")
                         await self._stop_member()
             finally:
-                duties.cancel()
+                tasks.cancel()
         log.info("Control: stopped")
-        return 1 if duties.failed else 0
+        return 1 if tasks.failed else 0
 
     # Resources.
 
@@ -150,7 +152,7 @@
         listening = await asyncio.get_running_loop().create_server(
             lambda: FrameConnection(decode_at_member, self._handle_message, self._handle_connection_ended),
             self._settings.local_system.ip_address,
-            self._settings.telegraph_port(),
+            self._settings.internal_port(),
         )
         try:
             yield
@@ -160,8 +162,10 @@
     @asynccontextmanager
     async def _serve_operators(self) -> AsyncIterator[None]:
         """Serve the operators' API; at the end calls in hand are answered first."""
-        http_server = server(application(self), OPERATOR_IDLE_S, OPERATOR_DRAIN_S)
-        serving = asyncio.create_task(http_server.serve([listener(*self._settings.listen("control_plane"))]))
+        http_server = create_server(application(self), OPERATOR_IDLE_S, OPERATOR_DRAIN_S)
+        serving = asyncio.create_task(
+            http_server.serve([listening_socket(*self._settings.listen_address("control_plane"))])
+        )
         try:
             yield
         finally:
@@ -234,23 +238,19 @@
                 assert_never(effect)
 
     def _call_server(self, effect: CallServer) -> None:
-        calls = self._server_calls.get(effect.address)
+        address = effect.request.address
+        calls = self._server_calls.get(address)
         if calls is None:
-            calls = self._server_calls[effect.address] = ServerCalls(self._handle_server_call_ended, effect.address)
-        calls.queue.put_nowait(
-            ("call", effect.action, effect.service, effect.server, effect.address, effect.line, effect.until)
-        )
+            calls = self._server_calls[address] = ServerCalls(self._handle_server_call_ended, address)
+        calls.put(effect)
 
     # Events for the member.
 
     def _handle_persisted(self, number: int) -> None:
         self._carry_out(self._member.handle_persisted(time.monotonic_ns(), number))
 
-    def _handle_server_call_ended(
-        self, service: str, action: str, line: KeyRange, sent: bool, status: int | None, handover: str | None
-    ) -> None:
-        now = time.monotonic_ns()
-        self._carry_out(self._member.handle_server_call_ended(now, service, action, line, sent, status, handover))
+    def _handle_server_call_ended(self, call: CallServer, result: ServerCallResult) -> None:
+        self._carry_out(self._member.handle_server_call_ended(time.monotonic_ns(), call, result))
 
     def _handle_peer_message(self, sender: str, message: Message) -> None:
         """Take a message of the member `sender`, whoever of us dialled."""
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -6,10 +6,12 @@
 from collections.abc import Iterable
 
 from kestrelplank.consensus import effects as consensus
-from kestrelplank.consensus.messages import Command, Membership, Message
+from kestrelplank.consensus.log_entries import Command
+from kestrelplank.consensus.member_messages import Message
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.effects import Effect, LogLine, SendMessage
-from kestrelplank.control.shard_assignment import NOTHING, Record, read_record
+from kestrelplank.control.shard_record import NO_RECORD, ShardRecord, read_record
 from kestrelplank.state.control_state import ControlState
 
 COMPACTION_MIN_BYTES = 256 << 10
@@ -29,7 +31,7 @@
         self.committed_membership = committed_membership
         self.events: deque[consensus.Effect] = deque()
         self._effects: list[Effect] = []
-        self._decoded_records: dict[str, tuple[bytes, Record]] = {}  # by service: as stored, and decoded
+        self._decoded_records: dict[str, tuple[bytes, ShardRecord]] = {}  # by service: as stored, and decoded
         self._compacting: int | None = None  # the number of the `Persist` that compacts the log
         self._led_term = 0
         self._handed_over = False  # whether this member gave up leading in order
@@ -49,7 +51,7 @@
     def transfer_leadership(self, now: int) -> None:
         """Give up leading in order, so that another may be elected at once."""
         self._handed_over = True
-        self.add_events(self.node.transfer(now))
+        self.add_events(self.node.transfer_leadership(now))
 
     def handle_elected(self, term: int) -> None:
         """This member leads `term` from now on."""
@@ -105,11 +107,11 @@
             return []
         return [service.name for service in configuration.services.values() if service.sharded]
 
-    def record(self, service: str) -> Record:
+    def record(self, service: str) -> ShardRecord:
         """Return the newest committed record of a service's key ranges."""
         data = self.state.records.get(service)
         if data is None:
-            return NOTHING
+            return NO_RECORD
         decoded = self._decoded_records.get(service)
         if decoded is None or decoded[0] is not data:
             decoded = self._decoded_records[service] = (data, read_record(data))
--- a/kestrelplank/control/server_discovery.py
+++ b/kestrelplank/control/server_discovery.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Sequence
 
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.control.effects import PushToEdges
 from kestrelplank.control.replica import Replica
 from kestrelplank.control.shard_assigners import ShardAssigners
@@ -54,10 +54,10 @@
 
     def handle_server_list_update(self, now: int, update: ServerListUpdate) -> None:
         """Take the list that another member fetched, if it is newer than ours."""
-        self._take(now, update.age, update.entries)
+        self._take(now, update.age_ns, update.entries)
 
     def _take(self, now: int, age_ns: int, entries: Sequence[tuple[str, str, str, str, int, str, int]]) -> bool:
         changed = self._servers.take(now, age_ns, entries)
         if changed:
-            self._assigners.listed(now)
+            self._assigners.handle_server_list(now)
         return changed
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -5,9 +5,10 @@
 from kestrelplank.consensus.progress import Progress
 from kestrelplank.control.member_lifecycle import MemberLifecycle
 from kestrelplank.control.replica import Replica
+from kestrelplank.control.shard_assigner import ShardAssigner
 from kestrelplank.control.shard_assigners import ShardAssigners
-from kestrelplank.control.shard_assignment import Record, ShardAssigner
-from kestrelplank.sharding.key_ranges import KeyRange
+from kestrelplank.control.shard_record import ShardRecord
+from kestrelplank.sharding.key_range import KeyRange
 from kestrelplank.time_units import SECOND
 from kestrelplank.transport.server_list import ServerList
 
@@ -44,12 +45,12 @@
 class ServiceStatus(msgspec.Struct, frozen=True):
     """A sharded service.
 
-    :param assigned_here: whether this member assigns its keys to servers; the fields of an assigner are empty elsewhere.
+    :param assigned_here: whether this member assigns its keys to servers; what only an assigner has is empty elsewhere.
     :param record_term: the term of the newest record in the log.
     :param record_number: its number in that term.
     :param unowned_s: an assigner's: how long keys had no server, times their share of all keys.
     :param key_ranges: an assigner's.
-    :param server_estimates: what was measured of its servers, by name (`sharding.placement`).
+    :param learned_speeds: what was measured of its servers, by name (`sharding.placement`).
     """
 
     assigned_here: bool
@@ -57,7 +58,7 @@
     record_number: int
     unowned_s: float | None
     key_ranges: list[KeyRangeStatus]
-    server_estimates: dict[str, list[float]]
+    learned_speeds: dict[str, list[float]]
 
 
 class EdgeStatus(msgspec.Struct, frozen=True):
@@ -70,7 +71,7 @@
 class MemberStatus(msgspec.Struct, frozen=True):
     """A control member.
 
-    :param state: how far it has what is agreed (`ConsensusNode.catching_up`).
+    :param state: how far it has what is agreed (`ConsensusNode.catch_up_state`).
     :param leader: identity of the leader as far as known here; "": nobody.
     :param leads: whether this member may answer as the leader right now.
     :param current: whether it leads, or has lately heard the leader and has all that is committed.
@@ -121,7 +122,7 @@
     configuration = replica.state.configuration
     return MemberStatus(
         member=node.identity,
-        state=node.catching_up(now),
+        state=node.catch_up_state(now),
         term=node.term,
         leader=node.leader,
         leads=node.leads(now),
@@ -130,15 +131,15 @@
         voters=list(membership.all_voters()) if membership else [],
         standbys=list(lifecycle.standbys(now)),
         stopping=lifecycle.stopping,
-        commit_index=node.commit,
-        applied_index=node.applied,
+        commit_index=node.commit_index,
+        applied_index=node.applied_index,
         last_index=node.log.last_index,
         configuration_version=f"{configuration.version:08x}" if configuration else None,
-        peers={name: peer_status(now, peer, node.commit) for name, peer in sorted(node.peers.items())},
+        peers={name: peer_status(now, peer, node.commit_index) for name, peer in sorted(node.peers.items())},
         server_count=len(servers.entries),
         server_list_age_s=seconds(servers.age(now)),
         services={
-            service: service_status(now, assigners.decider(now, service), replica.record(service))
+            service: service_status(now, assigners.leading_assigner(now, service), replica.record(service))
             for service in replica.sharded_services()
         },
     )
@@ -151,10 +152,10 @@
     :param commit: the last entry that is committed.
     """
     heard_s = seconds(now - peer.heard_at) if peer.heard_at else None
-    return PeerStatus(peer.match, heard_s, peer.caught_up(commit))
+    return PeerStatus(peer.match_index, heard_s, peer.caught_up(commit))
 
 
-def service_status(now: int, assigner: ShardAssigner | None, record: Record) -> ServiceStatus:
+def service_status(now: int, assigner: ShardAssigner | None, record: ShardRecord) -> ServiceStatus:
     """Return the status of a sharded service.
 
     :param assigner: its assigner where this member leads.
@@ -164,9 +165,9 @@
         assigned_here=assigner is not None,
         record_term=record.term,
         record_number=record.number,
-        unowned_s=round(assigner.bare(), 3) if assigner else None,
-        key_ranges=[key_range_status(now, key_range) for key_range in assigner.lines.lines] if assigner else [],
-        server_estimates=assigner.placement.learnt() if assigner else record.learnt,
+        unowned_s=round(assigner.unowned_s(), 3) if assigner else None,
+        key_ranges=[key_range_status(now, key_range) for key_range in assigner.key_ranges.ranges] if assigner else [],
+        learned_speeds=assigner.placement.learned_speeds() if assigner else record.learned_speeds,
     )
 
 
@@ -176,9 +177,9 @@
         first=key_range.first,
         last=key_range.last,
         server=key_range.server,
-        fencing_token=key_range.fence,
-        state=key_range.state,
-        lease_remaining_s=round((key_range.until - now) / SECOND, 3),
+        fencing_token=key_range.fencing_token,
+        state=key_range.state.value,
+        lease_remaining_s=round((key_range.held_until - now) / SECOND, 3),
     )
 
 
--- a/kestrelplank/control/waiting_calls.py
+++ b/kestrelplank/control/waiting_calls.py
@@ -25,7 +25,8 @@
         future = self._futures[ticket] = asyncio.get_running_loop().create_future()
         try:
             begin(ticket)
-            return await future
+            answer: Answer = await future
+            return answer
         finally:
             self._futures.pop(ticket, None)
 
--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -47,32 +47,32 @@
 from docopt import DocoptExit, docopt
 
 if __name__ == "__main__":  # before all that loads pyserde or httpcore; who imports this module keeps what it has
-    from kestrelplank.settings import lean  # noqa: F401
+    from kestrelplank.settings import skip_unused_libraries  # noqa: F401
 from kestrelplank.settings import platform
-from kestrelplank.settings.ini import Unusable
-from kestrelplank.settings.logs import set_up
+from kestrelplank.settings.errors import InvalidSettingsError
+from kestrelplank.settings.json_logging import configure_json_logging
 
 if TYPE_CHECKING:
     from kestrelplank.control.status import MemberStatus, ServiceStatus
 
 
 def read_configuration(path: str) -> Any:
-    """The configuration in that file; Unusable, in one line, where it is none."""
-    from kestrelplank.configuration.plan import read
+    """The configuration in that file; InvalidSettingsError, in one line, where it is none."""
+    from kestrelplank.configuration.parsing import parse_configuration
 
     try:
-        found = read(Path(path).read_bytes())
+        found = parse_configuration(Path(path).read_bytes())
     except OSError as err:
-        raise Unusable(f"{path}: {err.strerror}") from err
+        raise InvalidSettingsError(f"{path}: {err.strerror}") from err
     if not found.value_or(None):
-        raise Unusable(f"{path}: {found.failure()}")
+        raise InvalidSettingsError(f"{path}: {found.failure()}")
     return found.unwrap()
 
 
 def check(path: str) -> int:
     """Whether a configuration file is valid; one line either way."""
     configuration = read_configuration(path)
-    routes = sum(map(len, configuration.hosts.values()))
+    routes = sum(map(len, configuration.routes_by_host.values()))
     print(f"{path}: version {configuration.key.version:08x}, {routes} routes, {len(configuration.services)} services")
     return 0
 
@@ -81,14 +81,14 @@
     """What `new` changes; 1 where it changes anything."""
     import json
 
-    from kestrelplank.configuration.change import changes
+    from kestrelplank.configuration.differences import differences
 
-    found = changes(read_configuration(old), read_configuration(new))
+    found = differences(read_configuration(old), read_configuration(new))
     if as_json:
         print(json.dumps([change._asdict() for change in found]))
     else:
         for change in found:
-            print(change.told())
+            print(change)
     return 1 if found else 0
 
 
@@ -99,7 +99,7 @@
     from kestrelplank.rehearsal.yard import play
 
     if not requests.isdecimal():
-        raise Unusable(f"--requests: {requests!r} is no whole number")
+        raise InvalidSettingsError(f"--requests: {requests!r} is no whole number")
     seen = play(int(requests), log=level)
     if as_json:
         print(json.dumps(seen))
@@ -114,7 +114,7 @@
 
 async def call(address: str, method: bytes, path: bytes, body: bytes = b"") -> tuple[int, bytes]:
     """One call to a control member: status and body. Raises OSError or TimeoutError where it does not answer."""
-    from kestrelplank.http.call import dial
+    from kestrelplank.http.connection import dial
 
     headers = [
         (b"Host", b"control"),
@@ -122,7 +122,7 @@
         (b"Content-Length", str(len(body)).encode()),
     ]
     async with asyncio.timeout(10):
-        line = await dial(platform.endpoint(address, "ADDRESS"), 2)
+        line = await dial(platform.parse_address(address, "ADDRESS"), 2)
         try:
             answer = await line.ask(method, path, headers, body)
         finally:
@@ -142,10 +142,11 @@
 
 def behind_by(seen: MemberStatus, version: int) -> list[str]:
     """Who in session with that member has not got this version yet: edge machines, and, if it leads, other members."""
-    edges = {name: edge.version for name, edge in seen.edges.items()}
+    edges = {name: edge.configuration_version for name, edge in seen.edges.items()}
     found = [name for name, held in edges.items() if held is None or int(held, 16) < version]
-    found += [name for name, peer in seen.peers.items() if peer.heard_s is not None and peer.match < seen.commit]
-    if seen.in_force is None or int(seen.in_force, 16) < version:
+    in_touch = {name: peer for name, peer in seen.peers.items() if peer.last_heard_s is not None}
+    found += [name for name, peer in in_touch.items() if peer.match_index < seen.commit_index]
+    if seen.configuration_version is None or int(seen.configuration_version, 16) < version:
         found.append(seen.member)
     return sorted(found)
 
@@ -159,7 +160,7 @@
     try:
         until = time.monotonic() + float(wait)
     except ValueError as err:
-        raise Unusable(f"--wait: {wait!r} is no number of seconds") from err
+        raise InvalidSettingsError(f"--wait: {wait!r} is no number of seconds") from err
 
     async def send() -> tuple[int, bytes, list[str]]:
         answered, body = await call(address, b"POST", b"/api/configuration/replace", configuration.text)
@@ -197,16 +198,17 @@
         return 0
     print(f"member {seen.member}: {seen.state}{', stopping' if seen.stopping else ''}")
     print(f"term {seen.term}: led by {seen.leader or 'nobody known'}{', this member' if seen.leads else ''}")
-    print(f"epoch {seen.epoch}: {', '.join(seen.voters) or 'nobody known'} count")
+    print(f"epoch {seen.epoch}: voters {', '.join(seen.voters) or 'not known'}")
     if seen.standbys:
-        print(f"standing by: {', '.join(seen.standbys)}")
-    print(f"log: {seen.last} entries, {seen.commit} committed, {seen.applied} applied")
-    print(f"in force: {seen.in_force}")
-    print(f"servers: {seen.servers}, list {seen.list_age_s} s old")
+        print(f"standbys: {', '.join(seen.standbys)}")
+    print(f"log: last index {seen.last_index}, commit index {seen.commit_index}, applied index {seen.applied_index}")
+    print(f"configuration in force: {seen.configuration_version}")
+    print(f"servers: {seen.server_count}, list {seen.server_list_age_s} s old")
     for name, peer in seen.peers.items():
-        print(f"peer {name}: has {peer.match}, last word {peer.heard_s} s ago{'' if peer.caught_up else ', behind'}")
+        behind = "" if peer.caught_up else ", behind"
+        print(f"peer {name}: match index {peer.match_index}, last heard {peer.last_heard_s} s ago{behind}")
     for name, edge in seen.edges.items():
-        print(f"edge {name}: version {edge.version}, last word {edge.heard_s} s ago")
+        print(f"edge {name}: configuration {edge.configuration_version}, last heard {edge.last_heard_s} s ago")
     for name, service in seen.services.items():
         print_service(name, service)
     return 0
@@ -214,14 +216,15 @@
 
 def print_service(name: str, service: ServiceStatus) -> None:
     """A sharded service as that member sees it."""
-    print(f"{name}: record {service.record} of term {service.term}{', decided here' if service.decides else ''}")
-    for line in service.lines:
+    assigned_here = ", assigned here" if service.assigned_here else ""
+    print(f"{name}: record {service.record_number} of term {service.record_term}{assigned_here}")
+    for keys in service.key_ranges:
         print(
-            f"  {line.first:5}-{line.last:5} {line.state:8} {line.server} fence {line.fence}"
-            f" runs out in {line.runs_out_s} s"
+            f"  {keys.first:5}-{keys.last:5} {keys.state:8} {keys.server} fencing token {keys.fencing_token},"
+            f" lease ends in {keys.lease_remaining_s} s"
         )
-    for server, parts in service.learnt.items():
-        print(f"  learnt of {server}: {', '.join(map(str, parts))}")
+    for server, speeds in service.learned_speeds.items():
+        print(f"  learned speeds of {server}: {', '.join(map(str, speeds))}")
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -244,22 +247,22 @@
         if words["check"] and words["--configuration"]:
             return check(words["--configuration"])
         if words["--settings"]:
-            os.environ[platform.VARIABLE] = words["--settings"]
-        settings = platform.from_environment()
+            os.environ[platform.SETTINGS_VARIABLE] = words["--settings"]
+        settings = platform.load_from_environment()
         if words["check"]:
             print(f"{words['--settings']}: {settings.local_system.node_name}")
             return 0
-        set_up(settings.local_system.node_name, words["--level"].upper())
+        configure_json_logging(settings.local_system.node_name, words["--level"].upper())
         if words["edge"]:
             if not words["--trace"].isdecimal():
-                raise Unusable(f"--trace: {words['--trace']!r} is no whole number")
+                raise InvalidSettingsError(f"--trace: {words['--trace']!r} is no whole number")
             from kestrelplank.edge.program import run as carry
 
             return asyncio.run(carry(settings, int(words["--trace"])))
         from kestrelplank.control.program import run
 
         return asyncio.run(run(settings))
-    except (Unusable, ValueError) as err:
+    except (InvalidSettingsError, ValueError) as err:
         print(f"kestrelplank: {err}", file=sys.stderr)
         return 2
     except (OSError, TimeoutError) as err:
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -11,8 +11,9 @@
 
 import msgspec
 
-from kestrelplank.configuration.plan import Configuration, read
-from kestrelplank.consensus.messages import Entry, PutConfiguration, PutRecord
+from kestrelplank.configuration.parsing import parse_configuration
+from kestrelplank.configuration.route_table import Configuration
+from kestrelplank.consensus.log_entries import Entry, PutConfiguration, PutRecord
 from kestrelplank.decode import Malformed
 
 SNAPSHOT_FORM = 1
@@ -74,7 +75,7 @@
     - The version in force never falls, and a version has one text, the first that came:
       `test_the_version_never_falls_and_the_state_stays_bounded`.
     - Members that applied the same entries have snapshots of the same bytes, also after a restore:
-      `test_a_snapshot_in_between_changes_nothing`.
+      `test_a_snapshot_holds_the_complete_state`.
     - A snapshot that can't be read changes nothing: `test_a_snapshot_that_cannot_be_read_changes_nothing`.
     """
 
@@ -104,7 +105,7 @@
         """
         if self._parse_pending and self._configuration is not None:
             self._parse_pending = False
-            self._parsed = read(self._configuration.text).value_or(None)
+            self._parsed = parse_configuration(self._configuration.text).value_or(None)
         return self._parsed
 
     @property
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -4,8 +4,9 @@
 from bisect import bisect_right
 from enum import Enum
 
-from kestrelplank.configuration.plan import Configuration, read
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.configuration.parsing import parse_configuration
+from kestrelplank.configuration.route_table import Configuration
+from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
     EdgeHeartbeat,
@@ -118,7 +119,7 @@
     def _told_configuration(self, news: ConfigurationUpdate) -> Change | None:
         if self.configuration is not None and news.version <= self.configuration.key.version:
             return None  # never back within a life
-        found = read(news.text).value_or(None)
+        found = parse_configuration(news.text).value_or(None)
         if found is None:
             return None
         self.configuration = found
@@ -139,7 +140,7 @@
         return Change.LINES
 
     def _told_servers(self, now: int, news: ServerListUpdate) -> Change | None:
-        return Change.SERVERS if self.servers.take(now, news.age, news.entries) else None
+        return Change.SERVERS if self.servers.take(now, news.age_ns, news.entries) else None
 
     def heartbeat(self, now: int) -> EdgeHeartbeat:
         """Where this machine stands, as it says in each beat; what it lacks is sent in return."""
--- a/tests/control/test_log_writer.py
+++ b/tests/control/test_log_writer.py
@@ -54,7 +54,7 @@
         await asyncio.sleep(0)
 
 
-def test_writes_that_wait_are_made_in_one_and_told_in_order():
+def test_writes_that_wait_are_made_in_one_and_reported_in_order():
     file = File()
 
     async def play(writer, told):
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("size", [0, 9])
 def test_the_size_is_the_files(size):
     file = File()
-    file.size = size
+    file.size_bytes = size
 
     async def play(writer, told):
         assert writer.log_size_bytes == size
--- a/tests/control/test_member_faults.py
+++ b/tests/control/test_member_faults.py
@@ -12,10 +12,11 @@
 
 import kestrelplank
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import Snapshot
-from kestrelplank.control.effects import GRANT
-from kestrelplank.control.shard_assignment import read_record
-from kestrelplank.sharding.key_ranges import HOLD, KEYS
+from kestrelplank.consensus.log_entries import Snapshot
+from kestrelplank.control.shard_record import read_record
+from kestrelplank.sharding.effects import GrantKeyRange
+from kestrelplank.sharding.key_range import KEY_COUNT
+from kestrelplank.sharding.timing import LEASE_DURATION_NS
 from kestrelplank.state.control_state import ControlState
 
 
@@ -23,7 +24,7 @@
     Simulation(1).begin()
 
 
-def test_a_lost_decider_leaves_no_key_bare():
+def test_when_the_leader_is_killed_every_key_keeps_its_server():
     system = Simulation(2)
     system.begin()
     lost = system.decider()
@@ -35,7 +36,7 @@
     assert system.all_held()
 
 
-def test_all_killed_and_back_leave_no_key_bare():
+def test_when_all_are_killed_and_come_back_every_key_keeps_its_server():
     system = Simulation(3)
     system.begin()
     for name in NAMES:
@@ -54,7 +55,7 @@
     del system.state["i-1"]
     system.turn(0.6)
     assert not system.all_held()
-    system.turn(HOLD / S + 1.5)
+    system.turn(LEASE_DURATION_NS / S + 1.5)
     assert system.all_held()
 
 
@@ -71,13 +72,13 @@
     system.begin()
     system.cut = {frozenset((name, "i-1")) for name in NAMES}
     system.state["i-1"] = "draining"
-    system.turn(HOLD / S + 2)
+    system.turn(LEASE_DURATION_NS / S + 2)
     system.cut = set()
     system.turn(2)
     assert system.all_held()
 
 
-def test_a_decider_frozen_beyond_its_lease_does_no_harm():
+def test_a_leader_frozen_beyond_its_lease_does_no_harm():
     system = Simulation(7)
     system.begin()
     lost = system.decider()
@@ -87,14 +88,14 @@
     assert system.decider() != lost and system.all_held()
 
 
-def test_a_grant_that_a_frozen_decider_had_in_hand_is_not_sent_when_its_lease_has_run_out():
+def test_a_grant_that_a_frozen_leader_had_in_hand_is_not_sent_when_its_lease_has_run_out():
     system = Simulation(7)
     system.begin()
     lost = system.decider()
 
     def in_hand():
         calls = [given[2] for _, _, what, given in system.events if what == system.called and given[0] == lost]
-        return any(call.action == GRANT and call.server == "i-1" for call in calls)
+        return any(isinstance(call.request, GrantKeyRange) and call.request.server == "i-1" for call in calls)
 
     while not in_hand():
         system.step()
@@ -107,7 +108,7 @@
     assert not any(until > system.now for until in system.servers["i-1"].until.values())
 
 
-def test_both_sides_of_a_cut_core():
+def test_of_two_sides_of_a_cut_only_the_majority_acknowledges():
     system = Simulation(8)
     system.begin()
     lost = system.decider()
@@ -153,7 +154,7 @@
     assert system.all_held() and min(held) >= len(PROBES) / 6 / 2
 
 
-def test_another_life_at_an_address_ends_the_former_ones_hold_at_once():
+def test_another_server_at_an_address_ends_the_lease_of_the_former_one_at_once():
     system = Simulation(13)
     system.begin()
     del system.state["i-1"]
@@ -183,7 +184,7 @@
     assert not [path for path in sources if re.search(r"\btime\.time(_ns)?\(|datetime", path.read_text())]
 
 
-def test_who_lost_its_disk_counts_for_nothing_until_the_others_have_taken_it_in():
+def test_a_member_that_lost_its_disk_is_no_voter_until_the_others_make_it_one():
     system = Simulation(9)
     system.begin()
     one, two, three = NAMES
@@ -214,7 +215,9 @@
         lines = system.lines()
         most = max(most, len(lines))
         assert len([line for line in lines if hot <= line[1] and line[0] < hot + 300]) >= 4
-        assert [line[0] for line in lines] == [0, *(line[1] + 1 for line in lines[:-1])] and lines[-1][1] == KEYS - 1
+        assert [line[0] for line in lines] == [0, *(line[1] + 1 for line in lines[:-1])] and lines[-1][
+            1
+        ] == KEY_COUNT - 1
     cool = [line for line in system.lines() if line[1] < 31_000]
     assert most > began and len(cool) < len(system.lines()) / 2 and most <= 6 * len(system.servers)
     for key in PROBES:
@@ -222,7 +225,7 @@
         assert held is None or system.servers[held.server].until[key] > system.now
 
 
-def test_an_edge_machine_that_missed_what_is_leaving_is_told_with_its_next_beat():
+def test_an_edge_machine_that_missed_a_release_is_told_with_its_next_heartbeat():
     system = Simulation(6)
     system.begin()
     leader = system.decider()
@@ -239,7 +242,7 @@
     assert system.moving() and system.decider() == leader
     assert not any(system.edge.holders["views"].of(first) for first, _, _ in ranges)
     system.edge_loses_news = False
-    system.turn(HOLD / S + 2)  # and it follows what changes afterwards
+    system.turn(LEASE_DURATION_NS / S + 2)  # and it follows what changes afterwards
     assert all(system.edge.holders["views"].of(first) for first, _, _ in ranges)
 
 
@@ -292,7 +295,7 @@
     system.cut, system.frozen, system.refuses = set(), {}, 0.0
     for name in back:
         system.start(name)
-    system.turn(HOLD / S + 8)
+    system.turn(LEASE_DURATION_NS / S + 8)
     assert len(system.versions()) == 1 and min(system.versions()) >= system.acknowledged
     assert system.all_count() and system.all_current()
     assert system.all_held() and system.edge.configuration.key.version >= system.acknowledged
@@ -307,11 +310,11 @@
     for name in NAMES:
         member = system.members[name]
         record = read_record(member.state.records["views"])
-        former = record.lines if lines_alone else [record.lines, record.learnt]
+        former = record.ranges if lines_alone else [record.ranges, record.learned_speeds]
         state = ControlState()
         state.restore(member.state.snapshot())
         state._records["views"] = msgspec.msgpack.encode(former)
-        snapshot = Snapshot(member.node.applied, member.node.term, member.committed_membership, state.snapshot())
+        snapshot = Snapshot(member.node.applied_index, member.node.term, member.committed_membership, state.snapshot())
         hard_state = member.node.hard_state
         system.kill(name)
         system.disks[name] = MemoryLog()
--- a/tests/control/test_membership_changes.py
+++ b/tests/control/test_membership_changes.py
@@ -3,7 +3,7 @@
 import pytest
 from control.simulation import FIFTH, FOURTH, MS, NAMES, S, Simulation
 
-from kestrelplank.sharding.key_ranges import HOLD
+from kestrelplank.sharding.timing import LEASE_DURATION_NS
 
 SYNC = 4  # s within which the platform wants a newcomer to count for the next loss
 GRACE = 6  # s between SIGTERM and SIGKILL
@@ -105,7 +105,7 @@
     assert system.versions() == {1} and put_and_read(system, 5)
 
 
-def test_replaced_twice_in_ten_seconds():
+def test_a_member_replaced_twice_in_ten_seconds_loses_nothing():
     system = begun()
     put_and_read(system, 5)
     first = system.leader()
@@ -122,7 +122,7 @@
     assert put_and_read(system, 6)
 
 
-def test_two_newcomers_for_one_place():
+def test_of_two_newcomers_for_one_voter_one_becomes_a_voter():
     system = begun()
     dead = system.followers()[0]
     system.kill(dead)
@@ -285,13 +285,13 @@
         assert count(system, *left, FIFTH) and put_and_read(system, 6)
 
 
-def test_a_replaced_decider_leaves_no_key_bare():
+def test_when_the_leader_is_replaced_every_key_keeps_its_server():
     system = begun()
     system.start(FOURTH)
     system.turn(1)
     going = system.decider()
     system.stop(going)
-    system.turn(HOLD / S + 2)
+    system.turn(LEASE_DURATION_NS / S + 2)
     assert going not in system.members and system.decider() and system.bare == 0 and system.all_held()
 
 
@@ -335,7 +335,7 @@
     assert FOURTH not in system.voters() and system.members[FOURTH].node.current(system.now)
 
 
-def test_who_lost_its_disk_right_after_an_acknowledgement_takes_nothing_along():
+def test_a_member_that_loses_its_disk_right_after_an_acknowledgement_loses_nothing():
     for name in NAMES:
         system = begun()
         order = system.put(system.leader(), 5)
@@ -366,5 +366,5 @@
     system.turn(SYNC)
     assert system.members[name].node.current(system.now) and system.versions() == {501}
     assert leader.node.log.last_index - leader.node.log.base_index < 500
-    assert all(disk.size < (1 << 20) for disk in system.disks.values())
+    assert all(disk.size_bytes < (1 << 20) for disk in system.disks.values())
     assert system.now > 50 * MS
--- a/tests/control/test_operator_orders.py
+++ b/tests/control/test_operator_orders.py
@@ -6,10 +6,10 @@
 import pytest
 from control.simulation import EDGE, MS, NAMES, S, Simulation
 
-from kestrelplank.consensus.messages import (
+from kestrelplank.consensus.log_entries import PutConfiguration
+from kestrelplank.consensus.member_messages import (
     CallId,
     OrderResult,
-    PutConfiguration,
     ReadConfiguration,
     ReadResult,
     SubmitOrder,
@@ -211,7 +211,7 @@
     assert not any(isinstance(command, PutConfiguration) for command in late)
 
 
-def test_who_does_not_lead_answers_a_call_that_is_passed_on_to_it_with_not_known():
+def test_a_member_that_does_not_lead_answers_a_forwarded_call_with_not_known():
     system = begun()
     follower = system.members[system.followers()[0]]
     call = CallId("10.0.0.9:80/first", 1, 1)
@@ -312,7 +312,7 @@
     log = node.log
     found = [index for index in range(log.base_index + 1, log.last_index + 1)]
     return any(
-        getattr(log.entry(index).command, "version", None) == version and node.durable >= index for index in found
+        getattr(log.entry(index).command, "version", None) == version and node.durable_index >= index for index in found
     )
 
 
@@ -370,7 +370,7 @@
     assert again.acknowledged and system.versions() == {5}
 
 
-def test_an_answer_to_a_former_life_of_the_member_answers_nothing_of_the_next():
+def test_an_answer_to_a_call_before_a_restart_answers_nothing_after_it():
     system = begun()
     lone = system.followers()[0]
     system.one_way = {(system.leader(), lone)}  # answers are held up
--- a/tests/control/test_pending_calls.py
+++ b/tests/control/test_pending_calls.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from kestrelplank.consensus.messages import CallId, Entry, Noop, PutConfiguration
+from kestrelplank.consensus.log_entries import Entry, Noop, PutConfiguration
+from kestrelplank.consensus.member_messages import CallId
 from kestrelplank.control.pending_calls import (
     CALL_TIMEOUT_NS,
     MAX_PENDING_CALLS,
@@ -27,7 +28,7 @@
     assert orders.handle_applied(Entry(8, 2, ORDER)) == Outcome([], [])
 
 
-def test_of_an_order_whose_place_another_terms_entry_took_nothing_is_known():
+def test_an_order_whose_index_another_terms_entry_took_has_an_unknown_outcome():
     orders = PendingOrders()
     orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
     assert orders.handle_applied(Entry(7, 3, ORDER)) == Outcome([], [LocalCaller(1)])
@@ -40,7 +41,7 @@
     assert orders.handle_applied(Entry(7, 2, ORDER)) == Outcome([LocalCaller(1), passed_on], [])
 
 
-def test_who_waited_too_long_is_told_so_once_and_the_order_stays_for_who_sends_it_again():
+def test_a_caller_that_waited_too_long_is_told_so_once_and_the_order_stays_for_who_sends_it_again():
     orders = PendingOrders()
     orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
     assert orders.take_expired(NOW + CALL_TIMEOUT_NS - 1) == [] and orders.take_expired(NOW + CALL_TIMEOUT_NS) == [
@@ -51,14 +52,14 @@
     assert orders.handle_applied(Entry(7, 2, ORDER)) == Outcome([LocalCaller(2)], [])
 
 
-def test_who_leads_no_longer_knows_nothing_of_any():
+def test_a_deposed_leader_returns_all_waiting_callers_once():
     orders = PendingOrders()
     orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
     orders.add(NOW, LocalCaller(2), OTHER, 8, 2)
     assert orders.take_all() == [LocalCaller(1), LocalCaller(2)] and orders.take_all() == []
 
 
-def test_calls_under_way_have_a_bound():
+def test_pending_calls_have_a_bound():
     orders, passed = PendingOrders(), ForwardedCalls("a", 1)
     for number in range(MAX_PENDING_CALLS):
         assert not orders.full() and not passed.full()
@@ -86,7 +87,7 @@
     assert passed.take_answered(LEADER, CallId("a", 9, 1), is_read=False) is None or not answers  # and only once
 
 
-def test_a_passed_call_ends_when_it_has_waited_too_long_or_its_leader_leads_no_longer():
+def test_a_forwarded_call_ends_when_it_has_waited_too_long_or_its_leader_leads_no_longer():
     passed = ForwardedCalls("a", 9)
     passed.add(NOW, 1, LEADER, is_read=False)
     passed.add(NOW + 5, 2, LEADER, is_read=True)
--- a/tests/control/test_recorded_runs.py
+++ b/tests/control/test_recorded_runs.py
@@ -22,6 +22,7 @@
     SendMessage,
     SendToAddress,
 )
+from kestrelplank.sharding.effects import GrantKeyRange
 
 # By seed: number of effects and answers to the edge machine, and their digest, all recorded at 4f929ce.
 RECORDED = {
@@ -43,8 +44,10 @@
             return "send to address", address, message
         case PushToEdges(message):
             return "push", message
-        case CallServer(action, service, server, address, line, until):
-            return "call", action, service, server, address, line.first, line.last, line.fence, line.handover, until
+        case CallServer(service, request, lease_until):
+            keys, action = request.key_range, "grant" if isinstance(request, GrantKeyRange) else "release"
+            where = service, request.server, request.address, keys.first, keys.last
+            return "call", action, *where, keys.fencing_token, keys.handover, lease_until
         case AnswerOrder(ticket, acknowledged, in_force):
             return "order", ticket, acknowledged, in_force
         case AnswerRead(ticket, known, text):
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -6,13 +6,13 @@
 import time
 from contextlib import asynccontextmanager
 
-from configuration.test_plan import encoded, route
+from configuration.test_parsing import encoded, route
 
-from kestrelplank.configuration.plan import read
+from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.edge.program import EdgeProgram
-from kestrelplank.http.stream import resetting
+from kestrelplank.http.socket_options import reset_on_close
 from kestrelplank.rehearsal.yard import free_port
-from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
+from kestrelplank.settings.platform import Bounds, CloudApi, LocalSystem, Network, PlatformSettings
 from kestrelplank.transport.server_list import Entry
 
 IP = "127.0.0.1"
@@ -58,7 +58,7 @@
         self.writer.write(data)
 
     def reset(self):
-        resetting(self.writer.get_extra_info("socket"))
+        reset_on_close(self.writer.get_extra_info("socket"))
         self.writer.transport.abort()
 
     def close(self):
@@ -126,7 +126,7 @@
     def configure(self, version="00000007", **changes):
         """A configuration comes into force."""
         given = {"limits": LIMITS, "virtual_hosts": HOSTS, "service_table": SERVICES, **changes}
-        found = read(encoded(version=version, **given)).unwrap()
+        found = parse_configuration(encoded(version=version, **given)).unwrap()
         self.program.view.configuration = found
         self.program.set_limits(found)
 
@@ -134,8 +134,8 @@
         """The platform's list of the servers of `views`."""
         entries = [Entry(one.name, "views", f"{IP}:{one.port}", "hall", 4, "ready", 0) for one in servers]
         now = time.monotonic_ns()
-        self.program.forwarder.endpoints.listed(now, now, entries)
-        self.program.requests.wake()
+        self.program.forwarder.endpoints.update(now, entries)
+        self.program.context.wake_pending()
 
     async def client(self):
         client = Client(*await asyncio.open_connection(IP, self.port))
@@ -175,7 +175,7 @@
             return True
 
     def reset(self):
-        resetting(self.writer.get_extra_info("socket"))
+        reset_on_close(self.writer.get_extra_info("socket"))
         self.writer.transport.abort()
 
     def close(self):
@@ -198,15 +198,15 @@
     ports = [free_port([IP]) for _ in range(4)]
     listens = {"frontend": f"{IP}:{ports[0]}", "readiness": f"{IP}:{ports[1]}"}
     program = EdgeProgram(
-        Settings(
-            Local("edge-1", IP, "hall"),
+        PlatformSettings(
+            LocalSystem("edge-1", IP, "hall"),
             Network([ports[2]], [f"{IP}:{ports[3]}"], listens),
             CloudApi(f"{IP}:9"),
             Bounds(),
         )
     )
     program.listen()
-    while not program.front.started:
+    while not program.server.started:
         await asyncio.sleep(0)
     stage = Stage(program, ports[0], servers)
     if configured:
@@ -217,9 +217,8 @@
     finally:
         for client in stage.opened:
             client.close()
-        program.connections.tidy(set())
-        program.front.should_exit = True
-        await program.serving
+        program.connections.close_unused(set())
+        await program.close()
         for server in servers:
             await server.stop()
 
--- a/tests/edge/test_server_connections.py
+++ b/tests/edge/test_server_connections.py
@@ -7,8 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from kestrelplank.edge.server_connections import ServerConnections, ServerRequest
-from kestrelplank.forwarding.resend import Seen
+from kestrelplank.edge.server_connections import OUTCOMES_WITHOUT_ANSWER, ServerConnections, ServerRequest
+from kestrelplank.forwarding.retry_policy import CallOutcome
+from kestrelplank.http.errors import NoAnswerError
 
 OURS = b"X-Attempt-Id: me\r\n"
 REQUEST = ServerRequest(b"GET", b"/a/b?c=%20d", [(b"host", b"h")], b"", b"me")
@@ -54,7 +55,7 @@
         for _ in range(len(scripts)):
             ended.append(await connections.send(address, REQUEST, int(within * 1e9), 24))
             await asyncio.sleep(wait)
-        connections.tidy(set())
+        connections.close_unused(set())
         server.close()
         return ended, len(came)
 
@@ -63,31 +64,35 @@
 
 def kinds(*scripts, **more):
     ended, _ = played(*scripts, **more)
-    return [one.seen for one in ended]
+    return [one.outcome for one in ended]
 
 
 def test_whole_answers_come_on_one_connection():
     ended, connections = played(answer(), answer(500, body=b"failed"), answer(404))
-    assert [one.seen for one in ended] == [Seen.ANSWERED, Seen.FAILED, Seen.ANSWERED] and connections == 1
+    assert [one.outcome for one in ended] == [
+        CallOutcome.ANSWERED,
+        CallOutcome.SERVER_ERROR,
+        CallOutcome.ANSWERED,
+    ] and connections == 1
     assert ended[1].answer.status == 500 and ended[1].answer.body == b"failed"
 
 
 @pytest.mark.parametrize(
     "script, kind",
     [
-        (answer(503, OURS + b"X-Not-Executed: 1\r\n"), Seen.NOT_RUN),
-        (answer(429, OURS + b"X-Not-Executed: 1\r\n"), Seen.NOT_RUN),
-        (answer(429, b"X-Not-Executed: 1\r\n"), Seen.SILENT),  # whose? it may be a surplus one
-        (answer(429, OURS + b"X-Attempt-Id: other\r\nX-Not-Executed: 1\r\n"), Seen.SILENT),
-        (answer(503), Seen.FAILED),  # its own word: it may have run
-        (answer(421, OURS + b"X-Instance-Id: i-2\r\n"), Seen.NOT_RUN),
-        (answer(421, b"X-Instance-Id: i-2\r\n"), Seen.SILENT),
-        (answer(200, OURS), Seen.UNREADABLE),  # no stamp: not the server's answer
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", Seen.TORN),
-        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcut", Seen.TORN),
-        (b"no answer at all\r\n\r\n", Seen.UNREADABLE),
-        ("close", Seen.CLOSED),
-        ("silence", Seen.SILENT),
+        (answer(503, OURS + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
+        (answer(429, OURS + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
+        (answer(429, b"X-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),  # whose? it may be a surplus one
+        (answer(429, OURS + b"X-Attempt-Id: other\r\nX-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),
+        (answer(503), CallOutcome.SERVER_ERROR),  # its own word: it may have run
+        (answer(421, OURS + b"X-Instance-Id: i-2\r\n"), CallOutcome.NOT_EXECUTED),
+        (answer(421, b"X-Instance-Id: i-2\r\n"), CallOutcome.TIMEOUT),
+        (answer(200, OURS), CallOutcome.MALFORMED),  # no stamp: not the server's answer
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", CallOutcome.TRUNCATED),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcut", CallOutcome.TRUNCATED),
+        (b"no answer at all\r\n\r\n", CallOutcome.MALFORMED),
+        ("close", CallOutcome.CLOSED),
+        ("silence", CallOutcome.TIMEOUT),
     ],
 )
 def test_what_an_answer_proves(script, kind):
@@ -97,9 +102,9 @@
 def test_an_answer_to_an_older_request_is_not_ours_and_ours_is_read_behind_it():
     other = answer(head=b"X-Attempt-Id: other\r\nX-Server-Seal: o\r\n", body=b"not yours")
     ended, _ = played(other + answer(body=b"mine"))
-    assert ended[0].seen == Seen.ANSWERED and ended[0].answer.body == b"mine"
-    assert kinds((other, answer(body=b"mine")), "close", within=0.3)[0] == Seen.ANSWERED
-    assert kinds(other, within=0.2) == [Seen.SILENT]
+    assert ended[0].outcome == CallOutcome.ANSWERED and ended[0].answer.body == b"mine"
+    assert kinds((other, answer(body=b"mine")), "close", within=0.3)[0] == CallOutcome.ANSWERED
+    assert kinds(other, within=0.2) == [CallOutcome.TIMEOUT]
 
 
 def test_surplus_bytes_behind_an_answer_cost_the_connection_and_nothing_else():
@@ -110,7 +115,7 @@
 
 def test_a_connection_that_says_it_closes_is_not_used_again():
     ended, connections = played(answer(head=OURS + b"X-Server-Seal: s\r\nConnection: close\r\n"), answer())
-    assert [one.seen for one in ended] == [Seen.ANSWERED, Seen.ANSWERED] and connections == 2
+    assert [one.outcome for one in ended] == [CallOutcome.ANSWERED, CallOutcome.ANSWERED] and connections == 2
 
 
 @pytest.mark.parametrize(
@@ -119,7 +124,11 @@
 def test_a_connection_is_kept_for_less_than_its_server_says(told, connections):
     keeps = answer(head=OURS + b"X-Server-Seal: s\r\nKeep-Alive: %s\r\n" % told)
     ended, came = played(keeps, keeps)
-    assert [one.seen for one in ended] == [Seen.ANSWERED] * 2 and came == connections
+    assert [one.outcome for one in ended] == [CallOutcome.ANSWERED] * 2 and came == connections
+
+
+def test_every_kind_of_call_without_answer_has_its_outcome():
+    assert set(OUTCOMES_WITHOUT_ANSWER) == set(NoAnswerError.__subclasses__())
 
 
 def test_nobody_there_is_proof_that_nothing_ran():
@@ -130,7 +139,7 @@
         await server.wait_closed()
         return await ServerConnections(time.monotonic_ns).send(address, REQUEST, 10**9, 24)
 
-    assert asyncio.run(play()).seen == Seen.UNSENT
+    assert asyncio.run(play()).outcome == CallOutcome.CONNECT_FAIL
 
 
 def test_more_requests_than_connections_are_not_sent():
@@ -148,9 +157,9 @@
         server.close()
         for writer in came:
             writer.close()
-        return sorted(one.seen.value for one in ended), len(came)
+        return sorted(one.outcome.value for one in ended), len(came)
 
-    assert asyncio.run(play()) == ([Seen.NO_ROOM.value] * 3 + [Seen.SILENT.value] * 2, 2)
+    assert asyncio.run(play()) == ([CallOutcome.NO_CONNECTION_FREE.value] * 3 + [CallOutcome.TIMEOUT.value] * 2, 2)
 
 
 PIECES = [
@@ -181,10 +190,10 @@
     """Of 150 mixtures of an answer's parts; most end as broken."""
     data = b"".join(pieces)
     one = played(data + b"cut", within=0.5)[0][0]
-    if one.seen == Seen.ANSWERED:
+    if one.outcome == CallOutcome.ANSWERED:
         assert one.answer.fields[b"x-attempt-id"] == b"me"
         assert one.answer.status >= 300 or b"x-server-seal" in one.answer.fields
         length = one.answer.fields.get(b"content-length")
         assert length is None or len(one.answer.body) == int(length)
-    if one.seen == Seen.NOT_RUN:
+    if one.outcome == CallOutcome.NOT_EXECUTED:
         assert b"X-Not-Executed" in data and b"HTTP/1.1" in data
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -4,12 +4,19 @@
 
 import msgspec
 import pytest
-from configuration.test_plan import encoded
+from configuration.test_parsing import encoded
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.configuration.plan import read
-from kestrelplank.consensus.messages import ChangeMembership, Entry, Membership, Noop, PutConfiguration, PutRecord
+from kestrelplank.configuration.parsing import parse_configuration
+from kestrelplank.consensus.log_entries import (
+    ChangeMembership,
+    Entry,
+    Noop,
+    PutConfiguration,
+    PutRecord,
+)
+from kestrelplank.consensus.membership import Membership
 from kestrelplank.decode import Malformed
 from kestrelplank.state.control_state import NO_CHANGE, ApplyResult, ControlState
 
@@ -20,7 +27,7 @@
     """An order whose configuration shards these of its services; `mark` makes another text of the same version."""
     services = [{"name": name, "sharded": name in sharded} for name in ("views", "orders", "carts")]
     text = encoded(version=f"{version:08x}", service_table=services) + mark.encode()
-    return PutConfiguration(version, read(text).unwrap().key.digest, text)
+    return PutConfiguration(version, parse_configuration(text).unwrap().key.digest, text)
 
 
 def applied(*commands):
@@ -134,7 +141,7 @@
 
 
 @pytest.mark.parametrize("commands", HISTORIES)
-def test_a_snapshot_holds_the_whole_state(commands):
+def test_a_snapshot_holds_the_complete_state(commands):
     state, _ = applied(*commands)
     for target in (ControlState(), applied(BOTH, VIEWS, PutRecord("orders", b"stale"))[0]):
         target.restore(state.snapshot())
@@ -178,7 +185,7 @@
 
 
 @given(some.integers(0, 1 << 32), some.integers(0, 30))
-def test_any_history_is_bounded_by_what_is_in_force_and_never_goes_back(seed, cut):
+def test_the_version_never_falls_and_the_state_stays_bounded(seed, cut):
     chance = Random(seed)
     choices = [Noop(), MEMBERS, VIEWS, VIEWS_2, ORDERS, PutRecord("carts", b"c"), FIVE, OTHER_FIVE, BOTH, SEVEN, NONE]
     commands = [chance.choice(choices) for _ in range(30)]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -4,13 +4,14 @@
 import json
 
 import pytest
-from configuration.test_plan import configuration, route
+from configuration.test_parsing import configuration, route
 
 from kestrelplank.control.effects import AnswerOrder, AnswerRead
 from kestrelplank.control.operator_api import application
 from kestrelplank.control.status import EdgeStatus, KeyRangeStatus, MemberStatus, PeerStatus, ServiceStatus
 from kestrelplank.gateway import main
-from kestrelplank.http.serve import listener, server
+from kestrelplank.http.server import create_server
+from kestrelplank.http.socket_options import listening_socket
 
 
 class Member:
@@ -56,7 +57,7 @@
                     record_number=7,
                     unowned_s=0.0,
                     key_ranges=[KeyRangeStatus(0, 65535, "s", 3000001, "held", 3.1)],
-                    server_estimates={"s": [1.5, 2.0, 0.0, 0.0]},
+                    learned_speeds={"s": [1.5, 2.0, 0.0, 0.0]},
                 )
             },
             edges={
@@ -70,9 +71,9 @@
     """The command's exit code against that member; ADDRESS stands for its address."""
 
     async def play():
-        sock = listener("127.0.0.1", 0)
+        sock = listening_socket("127.0.0.1", 0)
         address = "127.0.0.1:%d" % sock.getsockname()[1]
-        front = server(application(member), 5, 1)
+        front = create_server(application(member), 5, 1)
         serving = asyncio.create_task(front.serve([sock]))
         while not front.started:
             await asyncio.sleep(0)
@@ -128,26 +129,26 @@
 
 
 def test_nobody_at_the_address_is_one_line_and_exit_code_1(file, capsys):
-    sock = listener("127.0.0.1", 0)  # bound, and nobody listens
+    sock = listening_socket("127.0.0.1", 0)  # bound, and nobody listens
     assert main(["status", "127.0.0.1:%d" % sock.getsockname()[1]]) == 1
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_status_shows_who_counts_edges_and_lines(capsys):
+def test_status_shows_voters_edges_and_key_ranges(capsys):
     assert run(Member(), "status", "ADDRESS") == 0
     out = capsys.readouterr().out.splitlines()
     assert out[:4] == [
         "member a:1/first: current",
         "term 3: led by a:1/first, this member",
-        "epoch 2: a:1/first, b:1/first count",
-        "standing by: c:1/5f2c09d1",
+        "epoch 2: voters a:1/first, b:1/first",
+        "standbys: c:1/5f2c09d1",
     ]
-    assert "log: 9 entries, 8 committed, 8 applied" in out and "servers: 4, list 0.2 s old" in out
-    assert "peer b:1/first: has 8, last word 0.1 s ago" in out
-    assert "edge edge-2: version None, last word 0.2 s ago" in out
-    assert "views: record 7 of term 3, decided here" in out
-    assert "      0-65535 held     s fence 3000001 runs out in 3.1 s" in out
-    assert "  learnt of s: 1.5, 2.0, 0.0, 0.0" in out
+    assert "log: last index 9, commit index 8, applied index 8" in out and "servers: 4, list 0.2 s old" in out
+    assert "peer b:1/first: match index 8, last heard 0.1 s ago" in out
+    assert "edge edge-2: configuration None, last heard 0.2 s ago" in out
+    assert "views: record 7 of term 3, assigned here" in out
+    assert "      0-65535 held     s fencing token 3000001, lease ends in 3.1 s" in out
+    assert "  learned speeds of s: 1.5, 2.0, 0.0, 0.0" in out
 
 
 def test_status_as_json_is_what_the_member_said(capsys):
