--- a/kestrelplank/control/edge_updates.py
+++ b/kestrelplank/control/edge_updates.py
@@ -1,5 +1,6 @@
-"""What a control member sends an edge machine in answer to its heartbeat: its own heartbeat, and all that the edge
-machine lacks. No I/O.
+"""What a control member sends an edge machine in answer to its heartbeat. No I/O.
+
+Its own heartbeat, and all that the edge machine lacks.
 """
 
 from kestrelplank.consensus.identity import address_of
--- a/kestrelplank/control/inbound_connections.py
+++ b/kestrelplank/control/inbound_connections.py
@@ -1,5 +1,6 @@
-"""Connections that other members and edge machines dialled to us: when each was last heard, and which edge machine is
-in session on which.
+"""Connections that other members and edge machines dialled to us.
+
+When each was last heard, and which edge machine is in session on which.
 """
 
 from kestrelplank.control.status import EdgeStatus
@@ -39,7 +40,7 @@
         return True
 
     def handle_ended(self, wire: FrameConnection) -> None:
-        """That connection has ended."""
+        """Forget a connection that has ended."""
         self._heard_at.pop(wire, None)
         self._edges.ended(wire)
 
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -1,7 +1,7 @@
-"""One control member without I/O: the replicated log and what it adds up to, operators' calls, the assignment of keys
-to servers, and what edge machines are sent.
+"""One control member without I/O.
 
-Each `handle_...` method takes one event and returns effects (`control.effects`), to be carried out in order.
+The replicated log and what it adds up to, operators' calls, the assignment of keys to servers, and what edge machines
+are sent. Each `handle_...` method takes one event and returns effects (`control.effects`), to be carried out in order.
 """
 
 from random import Random
@@ -157,32 +157,32 @@
         return self._take_effects(now)
 
     def handle_persisted(self, now: int, number: int) -> list[Effect]:
-        """The `Persist` with that number is durable, and all before it."""
+        """Go on now that the `Persist` with that number is durable, and all before it."""
         self._replica.handle_persisted(now, number)
         return self._take_effects(now)
 
     def handle_replace_call(self, now: int, ticket: int, configuration: Configuration) -> list[Effect]:
-        """The operator sends a configuration that has passed the checks; `AnswerOrder` with the ticket follows."""
+        """Take an operator's configuration that has passed the checks; `AnswerOrder` with the ticket follows."""
         self._operator_calls.handle_replace_call(now, ticket, configuration)
         return self._take_effects(now)
 
     def handle_show_call(self, now: int, ticket: int) -> list[Effect]:
-        """The operator asks for the newest configuration; `AnswerRead` with the ticket follows."""
+        """Take an operator's read of the newest configuration; `AnswerRead` with the ticket follows."""
         self._operator_calls.handle_show_call(now, ticket)
         return self._take_effects(now)
 
     def handle_servers_fetched(self, now: int, entries: list[ListedServer]) -> list[Effect]:
-        """We have just fetched the platform's list of servers."""
+        """Take the platform's list of servers, which we have just fetched."""
         self._discovery.handle_fetched(now, entries)
         return self._take_effects(now)
 
     def handle_server_call_ended(self, now: int, call: CallServer, result: ServerCallResult) -> list[Effect]:
-        """A grant or release has ended."""
+        """Take how a grant or release has ended."""
         self._assigners.handle_call_ended(now, call, result)
         return self._take_effects(now)
 
     def handle_load_report(self, now: int, report: LoadReport) -> None:
-        """An edge machine says what it has seen of servers and keys."""
+        """Take what an edge machine has seen of servers and keys."""
         self._assigners.handle_load_report(now, report)
 
     def handle_edge_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> list[ToEdge]:
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -67,12 +67,12 @@
             wire.send(Envelope(self._identity, "", message))
 
     def handle_inbound(self, wire: FrameConnection, envelope: Envelope) -> None:
-        """A message has come on a connection that came in."""
+        """Deliver a message on a connection that came in."""
         if self._inbound.heard(time.monotonic_ns(), wire, envelope.sender) is not None:
             self._deliver(envelope)
 
     def handle_inbound_ended(self, wire: FrameConnection) -> None:
-        """A connection that came in has ended."""
+        """Forget a connection that came in and has ended."""
         self._inbound.ended(wire)
 
     def close(self) -> None:
@@ -80,7 +80,7 @@
         self.dial([])
 
     def _handle_dialled(self, wire: FrameConnection, envelope: object) -> None:
-        """A message has come on a connection that we dialled.
+        """Deliver a message on a connection that we dialled.
 
         `wire.peer` has the address that we dialled, and who has spoken there first: None before anybody has.
         """
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -1,5 +1,7 @@
-"""What a leader does about who the voters are: it sends the log to members that ask to be one, and changes the
-membership where `consensus.membership_planning` says so. No I/O.
+"""What a leader does about who the voters are. No I/O.
+
+It sends the log to members that ask to be a voter, and changes the membership where `consensus.membership_planning`
+says so.
 """
 
 from kestrelplank.consensus.log_entries import ChangeMembership
@@ -22,7 +24,7 @@
         self._elected_at = now
 
     def handle_elected(self, now: int) -> None:
-        """This member leads from now on."""
+        """Count the silence of voters from now on: this member has just been elected."""
         self._elected_at = now
 
     def tick(self, now: int, *, stopping: bool) -> None:
--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -1,5 +1,6 @@
-"""Operators' orders and reads: answered by the leader, forwarded to it by a member that is current, rejected at once by
-any other. No I/O.
+"""Operators' orders and reads. No I/O.
+
+The leader answers them, a member that is current forwards them to it, any other rejects them at once.
 """
 
 from kestrelplank.configuration.route_table import Configuration
--- a/kestrelplank/control/peer_directory.py
+++ b/kestrelplank/control/peer_directory.py
@@ -56,13 +56,13 @@
         return self._leader
 
     def handle_contact(self, now: int, identity: str) -> None:
-        """That member speaks to us. Of two incarnations at an address the one that speaks is the one that runs."""
+        """Keep that a member speaks to us, and forget former incarnations at its address: they run no more."""
         if identity not in self._heard_at:
             self._forget_former_incarnations(address_of(identity))
         self._heard_at[identity] = now
 
     def handle_membership_request(self, now: int, identity: str, request: MembershipRequest) -> None:
-        """That member runs, and asks to be or to stay a voter."""
+        """Keep that a member runs, and asks to be or to stay a voter."""
         self._requests[identity] = RequestingMember(identity, request, now)
 
     def handle_membership_update(self, now: int, update: MembershipUpdate) -> None:
--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -1,9 +1,9 @@
-"""Orders and reads of the operator that are not answered yet: at the leader, and at a member that forwarded them to it.
-No I/O.
+"""Orders and reads of the operator that are not answered yet. No I/O.
 
-An order is answered once its own entry of the log is applied: the same index and the same term. If another entry is
-applied at that index, or the member stops leading, or it takes too long, the outcome is unknown: the operator sends it
-again, and whoever then leads finds it in force, or proposes it anew.
+They wait at the leader, and at a member that forwarded them to it. An order is answered once its own entry of the log
+is applied: the same index and the same term. If another entry is applied at that index, or the member stops leading, or
+it takes too long, the outcome is unknown: the operator sends it again, and whoever then leads finds it in force, or
+proposes it anew.
 """
 
 from dataclasses import dataclass, field
--- a/kestrelplank/control/platform_client.py
+++ b/kestrelplank/control/platform_client.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import logging
+from http import HTTPStatus
 
 import httpcore
 import msgspec
@@ -82,7 +83,7 @@
             connection = self._connection = await dial(self._address, DIAL_TIMEOUT_S)
         target = "/instances" + (f"?page_token={token}" if token else "")
         answer = await connection.ask(b"GET", target.encode(), [(b"Host", b"platform")], b"")
-        return msgspec.json.decode(answer.body, type=Page) if answer.status == 200 else None
+        return msgspec.json.decode(answer.body, type=Page) if answer.status == HTTPStatus.OK else None
 
     def _reset(self) -> None:
         if self._connection is not None:
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -1,5 +1,6 @@
-"""The control program: one `ControlMember` on sockets, disk and the steady clock. It translates, sends and writes, and
-decides nothing.
+"""The control program: one `ControlMember` on sockets, disk and the steady clock.
+
+It translates, sends and writes, and decides nothing.
 """
 
 import asyncio
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -1,5 +1,6 @@
-"""This member's copy of the replicated log and of the state that it adds up to, and the effects gathered while a call
-is carried out. No I/O.
+"""This member's copy of the replicated log and of the state that it adds up to. No I/O.
+
+Also gathers the effects of a call while it is carried out.
 """
 
 from collections import deque
@@ -54,13 +55,13 @@
         self.add_events(self.node.transfer_leadership(now))
 
     def handle_elected(self, term: int) -> None:
-        """This member leads `term` from now on."""
+        """Log that this member leads `term` from now on, and why."""
         self._led_term = term
         self._handed_over = False
         self.log(f"leads term {term}: elected by a majority, and the first entry of the term is committed")
 
     def handle_deposed(self) -> None:
-        """This member leads no longer."""
+        """Log that this member leads no longer, and why."""
         if self._handed_over:
             reason = "it handed leadership over"
         elif self.node.term > self._led_term:
@@ -70,7 +71,7 @@
         self.log(f"steps down from leading term {self._led_term}: {reason}")
 
     def handle_persisted(self, now: int, number: int) -> None:
-        """The `Persist` with that number is durable, and all before it."""
+        """Go on now that the `Persist` with that number is durable, and all before it."""
         if self._compacting is not None and number >= self._compacting:
             self._compacting = None
         self.add_events(self.node.persisted(now, number))
