--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -1,4 +1,4 @@
-"""Control members, their disks, servers, an edge machine and an operator on one clock that the test turns.
+"""Control members, their disks, servers, an edge machine and an operator on one clock that the test moves.
 
 After each step the rules are checked: no key is held by two servers, an acknowledged configuration is never gone, and a
 number has one text, whoever is asked or told.
@@ -27,6 +27,7 @@
 from kestrelplank.sharding.effects import GrantKeyRange, ReleaseKeyRange, ServerCallResult
 from kestrelplank.sharding.key_range import KEY_COUNT, KeyRangeState
 from kestrelplank.sharding.timing import LEASE_DURATION_NS
+from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import ConfigurationUpdate, LoadReport
 from kestrelplank.transport.server_list import Entry
@@ -34,13 +35,12 @@
 NAMES = ("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80")
 FOURTH, FIFTH = "10.0.0.4:80", "10.0.0.5:80"
 EDGE = "edge"
-MS, S = 1_000_000, 1_000_000_000
 PROBES = range(0, KEY_COUNT, 1024)  # keys that are watched
-BEAT, REPORT = 400 * MS, 500 * MS  # of the edge machine
+HEARTBEAT_INTERVAL_NS, REPORT_INTERVAL_NS = 400 * MILLISECOND, 500 * MILLISECOND  # of the edge machine
 
 
 class Holding:
-    """A server's fences and holds, on a clock 2% slow."""
+    """The fencing tokens and leases that a server has, on a clock 2% slow."""
 
     def __init__(self):
         self.fences, self.until, self.up = dict.fromkeys(PROBES, -1), dict.fromkeys(PROBES, 0), True
@@ -78,9 +78,9 @@
     """`names`: machines of the first start, by control address; `losses`: how many the platform lets be lost."""
 
     def __init__(self, seed, servers=4, names=NAMES, losses=1):
-        self.random, self.now = Random(seed), 1000 * S
+        self.random, self.now = Random(seed), 1000 * SECOND
         self.seeds, self.losses = names[:3], losses
-        self.disks, self.lives = {}, {}
+        self.disks, self.starts = {}, {}
         self.members, self.stopping = {}, {}
         self.zones, self.ineligible = {}, set()
         self.waiting, self.writing = {}, {}  # writes of each member
@@ -93,40 +93,40 @@
         self.logged = []
         self.servers = {f"i-{number}": Holding() for number in range(servers)}
         self.state, self.addresses = dict.fromkeys(self.servers, "ready"), {}
-        self.bare = 0
+        self.unowned_probes = 0
         self.edge, self.hot = EdgeView(EDGE, self.seeds), None  # the edge machine, and where it sends most
-        self.edge_loses_news = False
+        self.edge_loses_pushes = False
         for name in names:
             self.start(name, first=True)
 
     # The machines.
 
-    def place(self, name, seeds=None):
+    def profile(self, name, seeds=None):
         zone = self.zones.get(name, f"zone-{name.split('.')[3].split(':')[0]}")
-        return MemberProfile(zone, name not in self.ineligible, tuple(seeds or self.seeds), self.losses, 6 * S)
+        return MemberProfile(zone, name not in self.ineligible, tuple(seeds or self.seeds), self.losses, 6 * SECOND)
 
     def start(self, name, first=False, seeds=None):
         """`seeds`: what the platform names, where it is not what it was at first."""
         disk = self.disks.setdefault(name, MemoryLog())
-        self.lives[name] = self.lives.get(name, 0) + 1
+        self.starts[name] = self.starts.get(name, 0) + 1
         self.waiting[name], self.writing[name] = [], False
         self.members[name] = start_member(
-            self.now, Random(self.random.random()), name, self.place(name, seeds), disk, first
+            self.now, Random(self.random.random()), name, self.profile(name, seeds), disk, first
         )
 
     def kill(self, name, wipe=False):
         del self.members[name]
         self.stopping.pop(name, None)
-        self.lives[name] += 1
+        self.starts[name] += 1
         if wipe:
             self.disks[name] = MemoryLog()
 
     def stop(self, name):
         """SIGTERM: it ends when it may."""
-        self.run(name, self.members[name].begin_stop(self.now))
+        self.carry_out(name, self.members[name].begin_stop(self.now))
         self.stopping[name] = self.now
 
-    def later(self, delay, what, *given):
+    def schedule(self, delay, what, *given):
         self.count += 1
         self.events.append((self.now + delay, self.count, what, given))
 
@@ -139,20 +139,22 @@
             other in self.members and one in self.members[other].addresses_to_dial(self.now)
         )
 
-    def run(self, name, effects):
-        """Does what the member wants done."""
-        life = self.lives[name]
+    def carry_out(self, name, effects):
+        """Carries out what the member wants done."""
+        start_number = self.starts[name]
         for effect in effects:
             if isinstance(effect, SendMessage | SendToAddress):
                 to = effect.to if isinstance(effect, SendMessage) else effect.address
-                self.post(name, to, effect.message)
+                self.send(name, to, effect.message)
             elif isinstance(effect, Persist):
                 self.waiting[name].append(effect)
-                self.write(name, life)
+                self.write(name, start_number)
             elif isinstance(effect, CallServer):
                 keys = effect.request.key_range
                 body = {"first": keys.first, "last": keys.last, "fence": keys.fencing_token}
-                self.later(self.random.choice((1, 3)) * MS, self.called, name, life, effect, body)
+                self.schedule(
+                    self.random.choice((1, 3)) * MILLISECOND, self.call_server, name, start_number, effect, body
+                )
             elif isinstance(effect, PushToEdges):
                 self.push(name, effect.message)
             elif isinstance(effect, AnswerOrder):
@@ -163,42 +165,42 @@
                 self.logged.append((self.now, name, effect.text))
             else:
                 assert isinstance(effect, KeepCopy)
-                self.one_text(effect.version, effect.text)
+                self.check_one_text(effect.version, effect.text)
 
     # Messages.
 
-    def post(self, name, to, message):
+    def send(self, name, to, message):
         address = address_of(to)
         if self.in_session(name, address):
             sender = self.members[name].identity
-            self.later(self.random.choice((1, 2, 9)) * MS, self.arrive, name, sender, address, to, message)
+            self.schedule(self.random.choice((1, 2, 9)) * MILLISECOND, self.deliver, name, sender, address, to, message)
 
-    def arrive(self, origin, sender, name, to, message):
+    def deliver(self, origin, sender, name, to, message):
         if name not in self.members or not self.reaches(origin, name):
             return
         if name in self.frozen:
-            self.later(10 * MS, self.arrive, origin, sender, name, to, message)
+            self.schedule(10 * MILLISECOND, self.deliver, origin, sender, name, to, message)
         elif to in (name, self.members[name].identity):
-            self.run(name, self.members[name].handle_message(self.now, sender, message))
+            self.carry_out(name, self.members[name].handle_message(self.now, sender, message))
 
     def push(self, name, message):
-        if name in self.edge.addresses_to_dial(self.now) and self.reaches(name, EDGE) and not self.edge_loses_news:
-            self.tell_edge(name, message)
+        if name in self.edge.addresses_to_dial(self.now) and self.reaches(name, EDGE) and not self.edge_loses_pushes:
+            self.send_to_edge(name, message)
 
-    def tell_edge(self, name, message):
+    def send_to_edge(self, name, message):
         if isinstance(message, ConfigurationUpdate):
-            self.one_text(message.version, message.text)
+            self.check_one_text(message.version, message.text)
         before = self.edge.configuration.key.version if self.edge.configuration else -1
         self.edge.receive(self.now, name, message)
         assert (self.edge.configuration.key.version if self.edge.configuration else -1) >= before
 
-    def beat(self):
-        """The edge machine's beat to each member."""
+    def send_edge_heartbeats(self):
+        """The edge machine's heartbeat to each member."""
         for name in self.edge_sessions():
             for message in self.members[name].handle_edge_heartbeat(self.now, self.edge.heartbeat(self.now), 1):
-                self.tell_edge(name, message)
+                self.send_to_edge(name, message)
 
-    def report(self):
+    def send_load_reports(self):
         """The edge machine's report: 40 requests, most of them for the keys from `hot` on."""
         for name in self.edge_sessions():
             keys = [
@@ -222,45 +224,45 @@
 
     # The disks.
 
-    def write(self, name, life):
+    def write(self, name, start_number):
         """All that waits in one write, after the one under way."""
         if self.writing[name] or not self.waiting[name]:
             return
         self.writing[name] = True
         batch, self.waiting[name] = self.waiting[name], []
-        self.later(self.random.choice((3, 5, 40)) * MS, self.written, name, life, batch)
+        self.schedule(self.random.choice((3, 5, 40)) * MILLISECOND, self.written, name, start_number, batch)
 
-    def written(self, name, life, batch):
-        if self.lives[name] != life:
+    def written(self, name, start_number, batch):
+        if self.starts[name] != start_number:
             return
         if name in self.stalled:
-            self.later(10 * MS, self.written, name, life, batch)
+            self.schedule(10 * MILLISECOND, self.written, name, start_number, batch)
             return
         if self.random.random() < self.refuses:
-            self.later(300 * MS, self.written, name, life, batch)
+            self.schedule(300 * MILLISECOND, self.written, name, start_number, batch)
             return
         self.disks[name].write(batch)
-        self.durable(name, life, batch)
+        self.durable(name, start_number, batch)
 
-    def durable(self, name, life, batch):
+    def durable(self, name, start_number, batch):
         """The member hears of it, if it runs."""
-        if self.lives[name] != life:
+        if self.starts[name] != start_number:
             return
         if name in self.frozen:
-            self.later(10 * MS, self.durable, name, life, batch)
+            self.schedule(10 * MILLISECOND, self.durable, name, start_number, batch)
             return
         self.writing[name] = False
         for persist in batch:
-            self.run(name, self.members[name].handle_persisted(self.now, persist.number))
-        self.write(name, life)
+            self.carry_out(name, self.members[name].handle_persisted(self.now, persist.number))
+        self.write(name, start_number)
 
     # The servers.
 
-    def called(self, name, life, call, body):
-        if self.lives[name] != life:
+    def call_server(self, name, start_number, call, body):
+        if self.starts[name] != start_number:
             return
         if name in self.frozen:  # it looks at its lease when it is thawed, as the adapter does
-            self.later(10 * MS, self.called, name, life, call, body)
+            self.schedule(10 * MILLISECOND, self.call_server, name, start_number, call, body)
             return
         holding = self.servers[call.request.server]
         releases = isinstance(call.request, ReleaseKeyRange)
@@ -271,14 +273,16 @@
             if self.random.random() < 0.05:
                 status = None  # it arrived, and its answer is lost
         handover = "h" if status == 200 and releases else None
-        self.later((5 if status else 800) * MS, self.call_ended, name, life, call, sent, status, handover)
+        self.schedule(
+            (5 if status else 800) * MILLISECOND, self.call_ended, name, start_number, call, sent, status, handover
+        )
 
-    def call_ended(self, name, life, call, sent, status, handover):
-        if self.lives[name] == life and name in self.members:
+    def call_ended(self, name, start_number, call, sent, status, handover):
+        if self.starts[name] == start_number and name in self.members:
             result = ServerCallResult(sent, status, handover)
-            self.run(name, self.members[name].handle_server_call_ended(self.now, call, result))
+            self.carry_out(name, self.members[name].handle_server_call_ended(self.now, call, result))
 
-    def listed(self):
+    def listed_servers(self):
         return [
             Entry(server, "views", self.addresses.get(server, f"{server}:80"), "z", 2, state, 0)
             for server, state in self.state.items()
@@ -287,7 +291,7 @@
     # Time.
 
     def step(self):
-        self.now += 10 * MS
+        self.now += 10 * MILLISECOND
         for name in [name for name, until in self.frozen.items() if until <= self.now]:
             del self.frozen[name]
         while True:
@@ -297,25 +301,25 @@
             event = min(due, key=lambda event: event[:2])
             self.events.remove(event)
             event[2](*event[3])
-        if self.now % (50 * MS) == 0:
+        if self.now % (50 * MILLISECOND) == 0:
             for name in list(self.members):
                 if name not in self.frozen:
                     self.tick(name)
-        if self.now % BEAT == 0:
-            self.beat()
-        if self.now % REPORT == 0 and self.hot is not None:
-            self.report()
+        if self.now % HEARTBEAT_INTERVAL_NS == 0:
+            self.send_edge_heartbeats()
+        if self.now % REPORT_INTERVAL_NS == 0 and self.hot is not None:
+            self.send_load_reports()
         self.check()
 
     def tick(self, name):
         member = self.members[name]
-        self.run(name, member.tick(self.now, self.disks[name].size_bytes))
+        self.carry_out(name, member.tick(self.now, self.disks[name].size_bytes))
         if member.server_fetch_due_in_ns(self.now) == 0:
-            self.run(name, member.handle_servers_fetched(self.now, self.listed()))
+            self.carry_out(name, member.handle_servers_fetched(self.now, self.listed_servers()))
         if name in self.stopping and member.may_stop(self.now):
             self.kill(name)
 
-    def turn(self, seconds):
+    def run_for(self, seconds):
         for _ in range(round(seconds * 100)):
             self.step()
 
@@ -327,11 +331,11 @@
                 server for server, holding in self.servers.items() if holding.up and holding.until[key] > self.now
             ]
             assert len(holders) <= 1, (key, holders, self.now)
-            self.bare += not holders
+            self.unowned_probes += not holders
         leading = [name for name, member in self.members.items() if member.node.leads(self.now)]
         assert len(leading) <= 1, (leading, self.now)
 
-    def one_text(self, version, text):
+    def check_one_text(self, version, text):
         assert self.texts.setdefault(version, text) == text
 
     def order_answered(self, answer):
@@ -349,7 +353,7 @@
             version = parse_configuration(answer.text).unwrap().key.version if answer.text else -1
             assert version >= found.least
             if answer.text:
-                self.one_text(version, answer.text)
+                self.check_one_text(version, answer.text)
 
     # The operator.
 
@@ -358,7 +362,7 @@
         text = encoded(version=f"{version:08x}", **changes)
         self.ticket += 1
         order = self.orders[self.ticket] = Order(version, text, self.now)
-        self.run(
+        self.carry_out(
             name, self.members[name].handle_replace_call(self.now, self.ticket, parse_configuration(text).unwrap())
         )
         return order
@@ -366,10 +370,10 @@
     def show(self, name):
         self.ticket += 1
         found = self.reads[self.ticket] = Read(self.acknowledged, self.now)
-        self.run(name, self.members[name].handle_show_call(self.now, self.ticket))
+        self.carry_out(name, self.members[name].handle_show_call(self.now, self.ticket))
         return found
 
-    def settled(self, version):
+    def is_acknowledged(self, version):
         return any(order.acknowledged for order in self.orders.values() if order.version == version)
 
     # What can be seen.
@@ -382,7 +386,7 @@
     def leader(self):
         return next((name for name, member in self.members.items() if member.node.leads(self.now)), None)
 
-    def decider(self):
+    def assigner(self):
         name = self.leader()
         return name if name is not None and self.members[name].shard_assigners else None
 
@@ -390,20 +394,20 @@
         return [name for name in self.members if name != self.leader()]
 
     def voters(self):
-        """Addresses of all that count, as the leader has it."""
+        """Addresses of all voters, as the leader has it."""
         return [address_of(one) for one in self.members[self.leader()].committed_membership.all_voters()]
 
-    def decided(self):
-        """The key ranges of whoever decides."""
-        name = self.decider()
+    def key_ranges(self):
+        """The key ranges at the member that assigns them."""
+        name = self.assigner()
         return self.members[name].shard_assigners["views"].key_ranges.ranges if name else []
 
-    def lines(self):
-        return [(line.first, line.last, line.server) for line in self.decided()]
+    def owned_ranges(self):
+        return [(line.first, line.last, line.server) for line in self.key_ranges()]
 
     def moving(self):
-        """Whether some line is on its way from one server to another."""
-        return any(line.state is not KeyRangeState.HELD for line in self.decided())
+        """Whether some key range is on its way from one server to another."""
+        return any(line.state is not KeyRangeState.HELD for line in self.key_ranges())
 
     def all_held(self):
         return all(
@@ -413,9 +417,9 @@
     def all_current(self):
         return all(member.node.current(self.now) for member in self.members.values())
 
-    def all_count(self):
+    def all_are_voters(self):
         """Whether every member that runs is a voter of a membership that each of them knows to be committed, with no
-        change under way: who lost a disk is whole again."""
+        change under way: whoever lost a disk is one again."""
         known = [member.committed_membership for member in self.members.values()]
         return all(
             counts is not None and not counts.joint and member.identity in counts.voters
@@ -424,9 +428,9 @@
         )
 
     def begin(self):
-        """Until the first keys are held by the first configuration."""
-        self.turn(0.5)
+        """Until servers hold all keys by the first configuration."""
+        self.run_for(0.5)
         first = self.put(NAMES[0], 1)
-        self.turn(4)
+        self.run_for(4)
         assert first.acknowledged and self.all_held()
-        self.bare = 0
+        self.unowned_probes = 0
--- a/tests/control/test_member_faults.py
+++ b/tests/control/test_member_faults.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from control.simulation import BEAT, NAMES, PROBES, Holding, S, Simulation
+from control.simulation import HEARTBEAT_INTERVAL_NS, NAMES, PROBES, Holding, Simulation
 from storage.memory import MemoryLog
 
 import kestrelplank
@@ -18,6 +18,7 @@
 from kestrelplank.sharding.key_range import KEY_COUNT
 from kestrelplank.sharding.timing import LEASE_DURATION_NS
 from kestrelplank.state.control_state import ControlState
+from kestrelplank.time_units import SECOND
 
 
 def test_a_first_start_gives_out_all_keys():
@@ -27,12 +28,12 @@
 def test_when_the_leader_is_killed_every_key_keeps_its_server():
     system = Simulation(2)
     system.begin()
-    lost = system.decider()
+    lost = system.assigner()
     system.kill(lost)
-    system.turn(6)
-    assert system.decider() not in (None, lost) and system.bare == 0
+    system.run_for(6)
+    assert system.assigner() not in (None, lost) and system.unowned_probes == 0
     system.start(lost)
-    system.turn(3)
+    system.run_for(3)
     assert system.all_held()
 
 
@@ -41,11 +42,11 @@
     system.begin()
     for name in NAMES:
         system.kill(name)
-    system.turn(1.5)
+    system.run_for(1.5)
     for name in NAMES:
         system.start(name)
-    system.turn(6)
-    assert system.decider() and system.bare == 0
+    system.run_for(6)
+    assert system.assigner() and system.unowned_probes == 0
 
 
 def test_keys_of_a_server_that_is_gone_wait_for_its_hold_and_no_longer():
@@ -53,9 +54,9 @@
     system.begin()
     system.servers["i-1"].up = False
     del system.state["i-1"]
-    system.turn(0.6)
+    system.run_for(0.6)
     assert not system.all_held()
-    system.turn(LEASE_DURATION_NS / S + 1.5)
+    system.run_for(LEASE_DURATION_NS / SECOND + 1.5)
     assert system.all_held()
 
 
@@ -63,7 +64,7 @@
     system = Simulation(5)
     system.begin()
     system.state["i-1"] = "draining"
-    system.turn(2.5)  # an answer may be lost on the way
+    system.run_for(2.5)  # an answer may be lost on the way
     assert system.all_held() and not any(until > system.now for until in system.servers["i-1"].until.values())
 
 
@@ -72,56 +73,56 @@
     system.begin()
     system.cut = {frozenset((name, "i-1")) for name in NAMES}
     system.state["i-1"] = "draining"
-    system.turn(LEASE_DURATION_NS / S + 2)
+    system.run_for(LEASE_DURATION_NS / SECOND + 2)
     system.cut = set()
-    system.turn(2)
+    system.run_for(2)
     assert system.all_held()
 
 
 def test_a_leader_frozen_beyond_its_lease_does_no_harm():
     system = Simulation(7)
     system.begin()
-    lost = system.decider()
-    system.frozen[lost] = system.now + 8 * S
+    lost = system.assigner()
+    system.frozen[lost] = system.now + 8 * SECOND
     system.state["i-1"] = "draining"
-    system.turn(12)
-    assert system.decider() != lost and system.all_held()
+    system.run_for(12)
+    assert system.assigner() != lost and system.all_held()
 
 
 def test_a_grant_that_a_frozen_leader_had_in_hand_is_not_sent_when_its_lease_has_run_out():
     system = Simulation(7)
     system.begin()
-    lost = system.decider()
+    lost = system.assigner()
 
     def in_hand():
-        calls = [given[2] for _, _, what, given in system.events if what == system.called and given[0] == lost]
+        calls = [given[2] for _, _, what, given in system.events if what == system.call_server and given[0] == lost]
         return any(isinstance(call.request, GrantKeyRange) and call.request.server == "i-1" for call in calls)
 
     while not in_hand():
         system.step()
     system.cut = {frozenset((name, "i-1")) for name in NAMES if name != lost}
-    system.frozen[lost] = system.now + 10 * S
+    system.frozen[lost] = system.now + 10 * SECOND
     system.state["i-1"] = "draining"
-    system.turn(9)
+    system.run_for(9)
     assert system.all_held()  # by others, as its hold has run out
-    system.turn(3)
+    system.run_for(3)
     assert not any(until > system.now for until in system.servers["i-1"].until.values())
 
 
 def test_of_two_sides_of_a_cut_only_the_majority_acknowledges():
     system = Simulation(8)
     system.begin()
-    lost = system.decider()
+    lost = system.assigner()
     others = [name for name in NAMES if name != lost]
     system.cut = {frozenset((lost, other)) for other in others}
-    system.turn(1)
+    system.run_for(1)
     system.put(lost, 9)
-    system.turn(1.5)
-    system.put(system.decider(), 5)
-    system.turn(3.5)
-    assert system.settled(5) and not system.settled(9) and system.decider() in others
+    system.run_for(1.5)
+    system.put(system.assigner(), 5)
+    system.run_for(3.5)
+    assert system.is_acknowledged(5) and not system.is_acknowledged(9) and system.assigner() in others
     system.cut = set()
-    system.turn(3)
+    system.run_for(3)
     assert system.versions() == {5} and system.all_held()
 
 
@@ -134,22 +135,22 @@
     for _ in range(3):  # the move is under way, at another step each time
         for name in NAMES:
             system.kill(name)
-        system.turn(0.5)
+        system.run_for(0.5)
         for name in NAMES:
             system.start(name)
-        system.turn(0.93)
-    system.turn(4)
+        system.run_for(0.93)
+    system.run_for(4)
     assert system.all_held() and not any(until > system.now for until in system.servers["i-1"].until.values())
 
 
 def test_servers_that_appear_one_by_one_at_a_first_start_all_get_keys():
     system = Simulation(12, servers=0)
-    system.turn(0.5)
+    system.run_for(0.5)
     system.put(NAMES[0], 1)
     for number in range(6):
         system.servers[f"i-{number}"], system.state[f"i-{number}"] = Holding(), "ready"
-        system.turn(0.7)
-    system.turn(4)
+        system.run_for(0.7)
+    system.run_for(4)
     held = [sum(until > system.now for until in holding.until.values()) for holding in system.servers.values()]
     assert system.all_held() and min(held) >= len(PROBES) / 6 / 2
 
@@ -161,7 +162,7 @@
     system.servers["i-1"].up = False
     system.servers["n-1"], system.state["n-1"] = Holding(), "ready"
     system.addresses["n-1"] = "i-1:80"
-    system.turn(1.5)  # far below a hold
+    system.run_for(1.5)  # far below a hold
     assert system.all_held()
 
 
@@ -189,37 +190,37 @@
     system.begin()
     one, two, three = NAMES
     system.kill(three)
-    system.turn(3)
+    system.run_for(3)
     newest = system.put(two, 5)
-    system.turn(0.5)
+    system.run_for(0.5)
     assert newest.acknowledged
     for name in (one, two):
         system.kill(name, wipe=name == one)
     for name in (one, three):  # `two` alone has 5 now
         system.start(name)
-    system.turn(4)
+    system.run_for(4)
     assert system.leader() is None and not any(member.node.current(system.now) for member in system.members.values())
     assert not system.members[one].node.is_voter
     system.start(two)
-    system.turn(6)
+    system.run_for(6)
     assert system.members[one].node.is_voter and system.versions() == {5} and system.all_current()
 
 
 def test_lines_are_cut_where_the_heat_is_and_joined_where_it_was_and_an_edge_follows_by_what_changed():
     system, most = Simulation(10), 0
     system.begin()
-    began = len(system.lines())
+    began = len(system.owned_ranges())
     for hot in (5_000, 30_000, 60_000):
         system.hot = hot
-        system.turn(15)
-        lines = system.lines()
+        system.run_for(15)
+        lines = system.owned_ranges()
         most = max(most, len(lines))
         assert len([line for line in lines if hot <= line[1] and line[0] < hot + 300]) >= 4
         assert [line[0] for line in lines] == [0, *(line[1] + 1 for line in lines[:-1])] and lines[-1][
             1
         ] == KEY_COUNT - 1
-    cool = [line for line in system.lines() if line[1] < 31_000]
-    assert most > began and len(cool) < len(system.lines()) / 2 and most <= 6 * len(system.servers)
+    cool = [line for line in system.owned_ranges() if line[1] < 31_000]
+    assert most > began and len(cool) < len(system.owned_ranges()) / 2 and most <= 6 * len(system.servers)
     for key in PROBES:
         held = system.edge.holders["views"].of(key)
         assert held is None or system.servers[held.server].until[key] > system.now
@@ -228,21 +229,21 @@
 def test_an_edge_machine_that_missed_a_release_is_told_with_its_next_heartbeat():
     system = Simulation(6)
     system.begin()
-    leader = system.decider()
+    leader = system.assigner()
     system.cut = {frozenset((name, "i-1")) for name in NAMES}  # the release hangs: its keys leave for a whole hold
-    ranges = [line for line in system.lines() if line[2] == "i-1"]
-    system.turn(0.39 - system.now % BEAT / S)
-    system.edge_loses_news = True
+    ranges = [line for line in system.owned_ranges() if line[2] == "i-1"]
+    system.run_for(0.39 - system.now % HEARTBEAT_INTERVAL_NS / SECOND)
+    system.edge_loses_pushes = True
     system.state["i-1"] = "draining"
     while not system.moving():
         system.step()
     before = [system.edge.holders["views"].of(first) for first, _, _ in ranges]
     assert all(holder is not None and holder.server == "i-1" for holder in before)
-    system.turn(BEAT / S)
-    assert system.moving() and system.decider() == leader
+    system.run_for(HEARTBEAT_INTERVAL_NS / SECOND)
+    assert system.moving() and system.assigner() == leader
     assert not any(system.edge.holders["views"].of(first) for first, _, _ in ranges)
-    system.edge_loses_news = False
-    system.turn(LEASE_DURATION_NS / S + 2)  # and it follows what changes afterwards
+    system.edge_loses_pushes = False
+    system.run_for(LEASE_DURATION_NS / SECOND + 2)  # and it follows what changes afterwards
     assert all(system.edge.holders["views"].of(first) for first, _, _ in ranges)
 
 
@@ -255,7 +256,7 @@
     version, back, fresh = 1, {}, 0
     for second in range(60):
         kind = chance.randrange(9)
-        sound = len(system.members) == 3 and system.all_count()
+        sound = len(system.members) == 3 and system.all_are_voters()
         if kind == 0 and sound and not system.frozen:
             name = chance.choice(NAMES)
             system.kill(name, wipe=chance.random() < 0.5)
@@ -271,7 +272,7 @@
         elif kind == 3:
             system.cut = set()
         elif kind == 4 and len(system.members) == 3:
-            system.frozen[chance.choice(NAMES)] = system.now + chance.randrange(1, 7) * S
+            system.frozen[chance.choice(NAMES)] = system.now + chance.randrange(1, 7) * SECOND
         elif kind == 5:
             ready = [server for server, state in system.state.items() if state == "ready"]
             if len(ready) > 2:
@@ -288,16 +289,16 @@
         elif system.members:
             version += 1
             system.put(chance.choice(sorted(system.members)), version)
-        system.turn(1)
+        system.run_for(1)
         for name in [name for name, at in back.items() if at <= second]:
             del back[name]
             system.start(name)
     system.cut, system.frozen, system.refuses = set(), {}, 0.0
     for name in back:
         system.start(name)
-    system.turn(LEASE_DURATION_NS / S + 8)
+    system.run_for(LEASE_DURATION_NS / SECOND + 8)
     assert len(system.versions()) == 1 and min(system.versions()) >= system.acknowledged
-    assert system.all_count() and system.all_current()
+    assert system.all_are_voters() and system.all_current()
     assert system.all_held() and system.edge.configuration.key.version >= system.acknowledged
 
 
@@ -306,7 +307,7 @@
     """Before there was a log a record was its lines and what was learnt of servers; before that, lines alone."""
     system = Simulation(4)
     system.begin()
-    before = system.lines()
+    before = system.owned_ranges()
     for name in NAMES:
         member = system.members[name]
         record = read_record(member.state.records["views"])
@@ -322,6 +323,6 @@
         system.disks[name].write([Persist(1, hard_state, snapshot)])
     for name in NAMES:
         system.start(name)
-    system.turn(6)
-    assert system.decider() and system.all_held() and system.bare == 0
-    assert [line[2] for line in system.lines()] == [line[2] for line in before]
+    system.run_for(6)
+    assert system.assigner() and system.all_held() and system.unowned_probes == 0
+    assert [line[2] for line in system.owned_ranges()] == [line[2] for line in before]
--- a/tests/control/test_membership_changes.py
+++ b/tests/control/test_membership_changes.py
@@ -1,22 +1,23 @@
 """Control members that come, go, come back empty and are replaced, with losses right after and in between."""
 
 import pytest
-from control.simulation import FIFTH, FOURTH, MS, NAMES, S, Simulation
+from control.simulation import FIFTH, FOURTH, NAMES, Simulation
 
 from kestrelplank.sharding.timing import LEASE_DURATION_NS
+from kestrelplank.time_units import MILLISECOND, SECOND
 
 SYNC = 4  # s within which the platform wants a newcomer to count for the next loss
 GRACE = 6  # s between SIGTERM and SIGKILL
 GONE = ("10.9.0.1:80", "10.9.0.2:80", "10.9.0.3:80")
 
 
-def begun(seed=1, **given):
+def running_system(seed=1, **given):
     system = Simulation(seed, **given)
     system.begin()
     return system
 
 
-def count(system, *names):
+def voters_are(system, *names):
     """Whether exactly these count, and no change is under way."""
     name = system.leader()
     if name is None or system.members[name].committed_membership.joint:
@@ -27,227 +28,227 @@
 def put_and_read(system, version):
     """An order at the leader, read back everywhere."""
     order = system.put(system.leader(), version)
-    system.turn(0.6)
+    system.run_for(0.6)
     found = [system.show(name) for name in system.members]
-    system.turn(0.3)
+    system.run_for(0.3)
     return order.acknowledged and all(one.known and one.text == order.text for one in found)
 
 
 @pytest.mark.parametrize("lost", ["leader", "follower"])
 def test_a_newcomer_takes_the_place_of_one_that_is_dead_and_the_next_loss_is_borne(lost):
-    system = begun()
+    system = running_system()
     dead = system.leader() if lost == "leader" else system.followers()[0]
     put_and_read(system, 5)
     system.kill(dead)
-    system.turn(1)
+    system.run_for(1)
     system.start(FOURTH)
-    system.turn(SYNC)
+    system.run_for(SYNC)
     left = [name for name in NAMES if name != dead]
-    assert count(system, *left, FOURTH)
+    assert voters_are(system, *left, FOURTH)
     system.kill(system.leader())
-    system.turn(4)
+    system.run_for(4)
     assert system.versions() == {5} and put_and_read(system, 6)
 
 
 def test_a_newcomer_that_comes_before_the_old_ones_sigterm_takes_its_place_before_it_stops():
     for old in NAMES:
-        system = begun()
+        system = running_system()
         system.start(FOURTH)
-        system.turn(2)
-        assert count(system, *NAMES)  # three are enough
+        system.run_for(2)
+        assert voters_are(system, *NAMES)  # three are enough
         system.stop(old)
-        system.turn(GRACE - 1.5)
-        assert old not in system.members and count(system, *(name for name in NAMES if name != old), FOURTH)
+        system.run_for(GRACE - 1.5)
+        assert old not in system.members and voters_are(system, *(name for name in NAMES if name != old), FOURTH)
         system.kill(system.followers()[0])  # the next loss right after
-        system.turn(3)
+        system.run_for(3)
         assert put_and_read(system, 5)
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
 def test_a_member_that_nobody_can_replace_stops_soon_and_a_leader_hands_over_first(role):
-    system = begun()
+    system = running_system()
     order = system.put(system.leader(), 5)
-    system.turn(0.3)
+    system.run_for(0.3)
     going = system.leader() if role == "leader" else system.followers()[0]
     system.stop(going)
-    system.turn(0.3)
+    system.run_for(0.3)
     assert system.leader() not in (None, going) and going in system.members
-    system.turn(2)
+    system.run_for(2)
     assert going not in system.members and order.acknowledged
-    assert put_and_read(system, 6) and system.bare == 0
+    assert put_and_read(system, 6) and system.unowned_probes == 0
     system.start(going)
-    system.turn(3)
-    assert count(system, *NAMES) and system.all_current()
+    system.run_for(3)
+    assert voters_are(system, *NAMES) and system.all_current()
 
 
 def test_a_leader_that_leaves_right_after_an_order_takes_nothing_with_it():
     for delay in range(0, 60, 10):
-        system = begun()
+        system = running_system()
         going = system.leader()
         order = system.put(going, 5)
-        system.turn(delay / 1000)
+        system.run_for(delay / 1000)
         system.stop(going)
-        system.turn(GRACE)
+        system.run_for(GRACE)
         assert going not in system.members
         if order.acknowledged:
             assert system.versions() == {5}
 
 
 def test_all_stop_in_order_within_their_grace():
-    system = begun()
+    system = running_system()
     for name in NAMES:
         system.stop(name)
-    system.turn(GRACE - 1.4)
+    system.run_for(GRACE - 1.4)
     assert not system.members
     for name in NAMES:
         system.start(name)
-    system.turn(4)
+    system.run_for(4)
     assert system.versions() == {1} and put_and_read(system, 5)
 
 
 def test_a_member_replaced_twice_in_ten_seconds_loses_nothing():
-    system = begun()
+    system = running_system()
     put_and_read(system, 5)
     first = system.leader()
     system.kill(first)
     system.start(FOURTH)
-    system.turn(5)
+    system.run_for(5)
     system.kill(FOURTH)
     system.start(FIFTH)
-    system.turn(5)
+    system.run_for(5)
     left = [name for name in NAMES if name != first]
-    assert count(system, *left, FIFTH) and system.versions() == {5}
+    assert voters_are(system, *left, FIFTH) and system.versions() == {5}
     system.kill(left[0])
-    system.turn(4)
+    system.run_for(4)
     assert put_and_read(system, 6)
 
 
 def test_of_two_newcomers_for_one_voter_one_becomes_a_voter():
-    system = begun()
+    system = running_system()
     dead = system.followers()[0]
     system.kill(dead)
     system.start(FOURTH)
     system.start(FIFTH)
-    system.turn(SYNC + 1)
+    system.run_for(SYNC + 1)
     counted = system.voters()
     assert len(counted) == 3 and dead not in counted and system.all_current()
     system.start(dead)  # it returns after its place was given
-    system.turn(3)
+    system.run_for(3)
     assert system.voters() == counted and system.all_current() and put_and_read(system, 5)
 
 
 def test_a_member_that_lost_its_disk_comes_back_as_another_and_counts_again():
-    system = begun()
+    system = running_system()
     for name in NAMES:  # each after the other
         put_and_read(system, 2 + NAMES.index(name))
         before = system.members[name].identity
         system.kill(name, wipe=True)
-        system.turn(0.5)
+        system.run_for(0.5)
         system.start(name)
-        system.turn(SYNC + 2)
+        system.run_for(SYNC + 2)
         assert system.members[name].identity != before
-        assert count(system, *NAMES) and system.all_current()
+        assert voters_are(system, *NAMES) and system.all_current()
     assert system.versions() == {4}
 
 
 def test_a_member_that_lost_its_disk_while_another_is_being_replaced():
-    system = begun()
+    system = running_system()
     one, two, three = system.leader(), *system.followers()
     system.kill(three)
     system.start(FOURTH)
-    system.turn(3.2)
-    while not count(system, one, two, FOURTH):
+    system.run_for(3.2)
+    while not voters_are(system, one, two, FOURTH):
         system.step()
     system.kill(two, wipe=True)
     system.start(two)
-    system.turn(SYNC + 2)
-    assert count(system, one, two, FOURTH) and put_and_read(system, 5)
+    system.run_for(SYNC + 2)
+    assert voters_are(system, one, two, FOURTH) and put_and_read(system, 5)
 
 
 def test_a_newcomer_that_finds_nobody_goes_on_asking_until_a_seed_is_back():
-    system = begun()
+    system = running_system()
     for name in NAMES:
         system.kill(name)
     system.start(FOURTH)
-    system.turn(20)
+    system.run_for(20)
     for name in NAMES:
         system.start(name)
-    system.turn(5)
+    system.run_for(5)
     assert system.members[FOURTH].node.current(system.now)
     system.kill(system.followers()[0] if system.followers()[0] != FOURTH else system.followers()[1])
-    system.turn(SYNC)
+    system.run_for(SYNC)
     assert FOURTH in system.voters()
 
 
 def test_a_newcomer_finds_the_others_by_one_seed_that_is_no_voter_any_more():
-    system = begun()
+    system = running_system()
     first = system.followers()[0]
     system.kill(first)
     system.start(FOURTH)
-    system.turn(SYNC)
+    system.run_for(SYNC)
     system.start(first)
-    system.turn(2)
+    system.run_for(2)
     assert first not in system.voters()
     system.start(FIFTH, seeds=(first, *GONE[:2]))
-    system.turn(2)
+    system.run_for(2)
     assert system.members[FIFTH].node.current(system.now)
 
 
 def test_a_member_whose_seeds_are_all_gone_finds_the_others_by_what_its_disk_has():
-    system = begun()
+    system = running_system()
     name = system.followers()[0]
     system.kill(name)
     system.start(name, seeds=GONE)
-    system.turn(3)
+    system.run_for(3)
     assert system.members[name].node.current(system.now)
 
 
 def test_a_member_that_was_off_while_all_others_were_replaced_finds_them_by_its_seeds():
-    system = begun()
+    system = running_system()
     put_and_read(system, 5)
     name = system.followers()[0]
     system.kill(name)
     system.start(FOURTH)
-    system.turn(SYNC + 1)
+    system.run_for(SYNC + 1)
     others = [one for one in NAMES if one != name]
     for old, new in zip(others, (FIFTH, "10.0.0.6:80")):
         system.start(new, seeds=(FOURTH,))
-        system.turn(1)
+        system.run_for(1)
         system.stop(old)
-        system.turn(GRACE)
+        system.run_for(GRACE)
         assert old not in system.members
-    assert count(system, FOURTH, FIFTH, "10.0.0.6:80")
+    assert voters_are(system, FOURTH, FIFTH, "10.0.0.6:80")
     put_and_read(system, 6)
     system.start(name, seeds=(FOURTH, FIFTH))
-    system.turn(3)
+    system.run_for(3)
     assert system.members[name].node.current(system.now) and system.versions() == {6}
     assert not system.members[name].node.is_voter
 
 
 def test_an_old_member_that_returns_from_a_cut_in_the_old_epoch_does_no_harm():
-    system = begun()
+    system = running_system()
     put_and_read(system, 5)
     lone = system.leader()
     others = [name for name in NAMES if name != lone]
     system.cut = {frozenset((lone, other)) for other in (*others, FOURTH)}
-    system.turn(2)
+    system.run_for(2)
     system.start(FOURTH)
-    system.turn(SYNC + 1)
-    assert count(system, *others, FOURTH)
+    system.run_for(SYNC + 1)
+    assert voters_are(system, *others, FOURTH)
     order = system.put(system.leader(), 6)
-    system.turn(1)
+    system.run_for(1)
     refused, found = system.put(lone, 9), system.show(lone)
     assert order.acknowledged and refused.acknowledged is False and found.known is False
     leader = system.leader()
     system.cut = set()
-    system.turn(3)
+    system.run_for(3)
     assert system.leader() == leader  # it disturbs nobody
-    assert count(system, *others, FOURTH) and system.versions() == {6} and system.all_current()
+    assert voters_are(system, *others, FOURTH) and system.versions() == {6} and system.all_current()
 
 
 def test_all_lose_power_in_the_middle_of_a_change():
     for steps in range(0, 12, 2):
-        system = begun()
+        system = running_system()
         put_and_read(system, 5)
         dead = system.followers()[0]
         system.kill(dead)
@@ -258,17 +259,17 @@
             system.step()
         for name in list(system.members):
             system.kill(name)
-        system.turn(0.5)
+        system.run_for(0.5)
         for name in (*(one for one in NAMES if one != dead), FOURTH):
             system.start(name)
-        system.turn(7)
-        assert count(system, *(name for name in NAMES if name != dead), FOURTH) and put_and_read(system, 6)
+        system.run_for(7)
+        assert voters_are(system, *(name for name in NAMES if name != dead), FOURTH) and put_and_read(system, 6)
 
 
 def test_a_second_loss_at_each_step_of_a_replacement_loses_nothing():
     """The newcomer dies while it is taken in: with the other two the system goes on, and the next one is taken in."""
     for steps in range(0, 30, 5):
-        system = begun()
+        system = running_system()
         put_and_read(system, 5)
         dead = system.followers()[0]
         system.kill(dead)
@@ -278,36 +279,36 @@
         for _ in range(steps):
             system.step()
         system.kill(FOURTH, wipe=True)
-        system.turn(0.5)
+        system.run_for(0.5)
         system.start(FIFTH)
-        system.turn(2 * SYNC)
+        system.run_for(2 * SYNC)
         left = [name for name in NAMES if name != dead]
-        assert count(system, *left, FIFTH) and put_and_read(system, 6)
+        assert voters_are(system, *left, FIFTH) and put_and_read(system, 6)
 
 
 def test_when_the_leader_is_replaced_every_key_keeps_its_server():
-    system = begun()
+    system = running_system()
     system.start(FOURTH)
-    system.turn(1)
-    going = system.decider()
+    system.run_for(1)
+    going = system.assigner()
     system.stop(going)
-    system.turn(LEASE_DURATION_NS / S + 2)
-    assert going not in system.members and system.decider() and system.bare == 0 and system.all_held()
+    system.run_for(LEASE_DURATION_NS / SECOND + 2)
+    assert going not in system.members and system.assigner() and system.unowned_probes == 0 and system.all_held()
 
 
 def test_edge_machines_find_newcomers_and_let_go_of_those_that_left():
-    system = begun()
+    system = running_system()
     system.start(FOURTH)
-    system.turn(1)
+    system.run_for(1)
     going = system.leader()
     system.stop(going)
-    system.turn(GRACE)
+    system.run_for(GRACE)
     assert sorted(system.edge.addresses_to_dial(system.now)) == sorted(
         [*(name for name in NAMES if name != going), FOURTH]
     )
     system.cut = {frozenset((name, "edge")) for name in NAMES}  # the newcomer is all that it reaches
     order = system.put(system.leader(), 5)
-    system.turn(1)
+    system.run_for(1)
     assert order.acknowledged and system.edge.configuration.key.version == 5
 
 
@@ -315,29 +316,29 @@
     names = (*NAMES, FOURTH, FIFTH, "10.0.0.6:80")
     system = Simulation(3, names=names, losses=2)
     system.begin()
-    system.turn(2)
+    system.run_for(2)
     assert len(system.voters()) == 5
     put_and_read(system, 5)
     dead = [name for name in system.voters()[:2]]
     for name in dead:
         system.kill(name)
-    system.turn(2 * SYNC)
+    system.run_for(2 * SYNC)
     assert system.versions() == {5} and put_and_read(system, 6)
     assert sum(name in system.members for name in system.voters()) >= 3
 
 
 def test_a_member_that_the_platform_does_not_count_becomes_no_voter():
-    system = begun()
+    system = running_system()
     system.kill(system.followers()[0])
     system.ineligible = {FOURTH}
     system.start(FOURTH)
-    system.turn(SYNC + 1)
+    system.run_for(SYNC + 1)
     assert FOURTH not in system.voters() and system.members[FOURTH].node.current(system.now)
 
 
 def test_a_member_that_loses_its_disk_right_after_an_acknowledgement_loses_nothing():
     for name in NAMES:
-        system = begun()
+        system = running_system()
         order = system.put(system.leader(), 5)
         while order.acknowledged is None:
             system.step()
@@ -347,24 +348,24 @@
                 system.kill(other)
         for other in NAMES:
             system.start(other)
-        system.turn(SYNC + 4)
-        assert system.versions() == {5} and count(system, *NAMES)
+        system.run_for(SYNC + 4)
+        assert system.versions() == {5} and voters_are(system, *NAMES)
 
 
 def test_a_member_that_comes_back_while_the_log_has_moved_on_by_500_changes_is_current_in_time():
-    system = begun()
+    system = running_system()
     name = system.followers()[0]
     system.kill(name)
     text = [{"host_name": f"h{number}.example", "host_routes": []} for number in range(300)]
     for version in range(2, 502):
         order = system.put(system.leader(), version, virtual_hosts=text)
-        system.turn(0.12)
+        system.run_for(0.12)
         assert order.acknowledged
     leader = system.members[system.leader()]
     assert leader.node.log.snapshot.index > 0  # the log was cut short meanwhile
     system.start(name)
-    system.turn(SYNC)
+    system.run_for(SYNC)
     assert system.members[name].node.current(system.now) and system.versions() == {501}
     assert leader.node.log.last_index - leader.node.log.base_index < 500
     assert all(disk.size_bytes < (1 << 20) for disk in system.disks.values())
-    assert system.now > 50 * MS
+    assert system.now > 50 * MILLISECOND
--- a/tests/control/test_recorded_runs.py
+++ b/tests/control/test_recorded_runs.py
@@ -9,7 +9,7 @@
 
 import msgspec
 import pytest
-from control.simulation import NAMES, S, Simulation
+from control.simulation import NAMES, Simulation
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.control.effects import (
@@ -23,6 +23,7 @@
     SendToAddress,
 )
 from kestrelplank.sharding.effects import GrantKeyRange
+from kestrelplank.time_units import SECOND
 
 # By seed: number of effects and answers to the edge machine, and their digest, all recorded at 4f929ce.
 RECORDED = {
@@ -72,14 +73,14 @@
         self.count_recorded += 1
         self.digest.update(msgspec.msgpack.encode((self.now, name, *values)))
 
-    def run(self, name, effects):
+    def carry_out(self, name, effects):
         for effect in effects:
             self.record(name, *content(effect))
-        super().run(name, effects)
+        super().carry_out(name, effects)
 
-    def tell_edge(self, name, message):
+    def send_to_edge(self, name, message):
         self.record(name, "edge", message)
-        super().tell_edge(name, message)
+        super().send_to_edge(name, message)
 
 
 def played(seed):
@@ -90,30 +91,30 @@
     for version in range(2, 6):
         system.put(chance.choice(NAMES), version)
         system.show(chance.choice(NAMES))
-        system.turn(0.5)
+        system.run_for(0.5)
     system.state["i-1"] = "draining"
     lost = chance.choice(NAMES)
     system.kill(lost, wipe=seed % 2 == 0)
-    system.turn(4)
+    system.run_for(4)
     system.start(lost)
     system.start("10.0.0.4:80")
-    system.turn(5)
+    system.run_for(5)
     lone = system.leader()
     system.cut = {frozenset((lone, other)) for other in system.members if other != lone}
     system.put(lone, 9)
-    system.turn(4)
+    system.run_for(4)
     system.cut = set()
-    system.turn(3)
+    system.run_for(3)
     system.stop(system.leader())
-    system.turn(6)
+    system.run_for(6)
     for name in list(system.members):
         system.kill(name)
     for name in (*NAMES, "10.0.0.4:80"):
         if name in system.disks:
             system.start(name)
-    system.turn(8)
-    system.frozen[system.leader() or NAMES[0]] = system.now + 4 * S
-    system.turn(6)
+    system.run_for(8)
+    system.frozen[system.leader() or NAMES[0]] = system.now + 4 * SECOND
+    system.run_for(6)
     return system.count_recorded, system.digest.hexdigest()
 
 
