--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -1,57 +1,88 @@
 """`kestrelplank check FILE...`: whether an operator's file, node lists (together one set) and scripts can be used."""
 
 import sys
+from enum import StrEnum
 
 import click
 
-from kestrelplank.settings import operator, reference_proxy
+from kestrelplank.cli.output import ExitCode, print_refusal
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.operator import NodeFileSettings, read_operator_settings
+from kestrelplank.settings.reference_proxy import read_reference_proxy_settings
+from kestrelplank.state.nodeset import Part, Refused, assemble
 
 
-def kind(ini: IniFile) -> str:
-    """What a file is, by its sections."""
-    kinds = {section.kind for section in ini.sections}
-    if "relay" in kinds:
-        return "relay's file"
-    return "script" if "site" in kinds else "node list" if kinds & {"zone", "list"} else "operator's file"
+class FileKind(StrEnum):
+    """What a file is, as the command says it."""
+
+    REFERENCE_PROXY = "relay's file"
+    SCRIPT = "script"
+    NODE_LIST = "node list"
+    OPERATOR = "operator's file"
 
 
 @click.command()
 @click.argument("paths", metavar="FILE...", nargs=-1, required=True, type=click.Path())
 def command(paths: tuple[str, ...]) -> None:
     """Say whether files can be used; node lists among them are checked as one set."""
-    from kestrelplank.file_discovery import nodelist
-    from kestrelplank.file_discovery.source import bytes_of
-    from kestrelplank.state.nodeset import Refused, assemble
-
-    bad, parts = False, []
+    unusable, node_lists = False, []
     for path in paths:
         try:
-            ini = IniFile.load(path)
-            what = kind(ini)
-            if what == "script":
-                from kestrelplank.emulator.script import script
-
-                script(ini)
-            elif what == "relay's file":
-                reference_proxy.read_reference_proxy_settings(ini)
-            elif what == "node list":
-                limits = operator.NodeFileSettings()
-                parts.append(nodelist.read(path, bytes_of(path, limits.max_file_bytes), limits.max_nodes, False))
-            else:
-                operator.read_operator_settings(ini)
-            click.echo(f"{path}: {what}, good")
+            kind, node_list = check_file(path)
+            print(f"{path}: {kind}, good")
         except InvalidSettingsError as err:
-            bad = True
-            click.echo(f"kestrelplank: {err}", err=True)
-    if parts and not bad:
-        try:
-            found = assemble(parts)
-            size = f"{len(found)} nodes, {len(found.ready())} ready, in {len(found.zones)} zones"
-            click.echo(f"{size}; hash {found.short}")
-        except Refused as err:
-            bad = True
-            for conflict in err.conflicts:
-                click.echo(f"kestrelplank: {conflict}", err=True)
-    sys.exit(2 if bad else 0)
+            unusable = True
+            print_refusal(err)
+        else:
+            node_lists += [node_list] if node_list else []
+    if node_lists and not unusable:
+        unusable = not check_together(node_lists)
+    sys.exit(ExitCode.UNUSABLE_INPUT if unusable else ExitCode.DONE)
+
+
+def check_file(path: str) -> tuple[FileKind, Part | None]:
+    """Read a file as what it is; of a node list also what it holds.
+
+    :raises InvalidSettingsError: it cannot be used.
+    """
+    ini = IniFile.load(path)
+    kind = kind_of(ini)
+    match kind:
+        case FileKind.SCRIPT:
+            from kestrelplank.emulator.script import script
+
+            script(ini)
+        case FileKind.REFERENCE_PROXY:
+            read_reference_proxy_settings(ini)
+        case FileKind.NODE_LIST:
+            from kestrelplank.cli.nodes.files import read_node_lists
+
+            return kind, read_node_lists([path], NodeFileSettings())[0]
+        case FileKind.OPERATOR:
+            read_operator_settings(ini)
+    return kind, None
+
+
+def kind_of(ini: IniFile) -> FileKind:
+    """Return what a file is, by its sections."""
+    section_kinds = {section.kind for section in ini.sections}
+    if "relay" in section_kinds:
+        return FileKind.REFERENCE_PROXY
+    if "site" in section_kinds:
+        return FileKind.SCRIPT
+    return FileKind.NODE_LIST if section_kinds & {"zone", "list"} else FileKind.OPERATOR
+
+
+def check_together(node_lists: list[Part]) -> bool:
+    """Whether node lists go together as one set; print what it holds, or each conflict."""
+    try:
+        node_set = assemble(node_lists)
+    except Refused as err:
+        for conflict in err.conflicts:
+            print_refusal(conflict)
+        return False
+    print(
+        f"{len(node_set)} nodes, {len(node_set.ready())} ready, in {len(node_set.zones)} zones; hash {node_set.short}"
+    )
+    return True
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -1,48 +1,56 @@
 """`kestrelplank config show`: what holds of the operator's file, and where each value came from."""
 
-import sys
-
 import click
-import msgspec
 
-from kestrelplank.settings import operator
-from kestrelplank.settings.errors import InvalidSettingsError
-from kestrelplank.settings.ini import IniFile
+from kestrelplank.cli.options import ini_option
+from kestrelplank.cli.output import print_json, refusing_invalid_settings
+from kestrelplank.settings.ini import FieldOrigin, IniFile
 from kestrelplank.settings.ini_fields import NS_PER_UNIT
+from kestrelplank.settings.operator import read_operator_settings
 
-
-def shown(value: object, field: str, section: str) -> str:
-    if isinstance(value, bool):
-        return "yes" if value else "no"
-    if isinstance(value, tuple):
-        return ", ".join(map(str, value))
-    if isinstance(value, int) and field in TIMES and section != "[members]" or field == "every":
-        unit = next((unit for unit, size in reversed(NS_PER_UNIT.items()) if value and not value % size), "s")
-        return f"{value // NS_PER_UNIT[unit]}{unit}"
-    return "" if value is None else str(value)
-
-
-TIMES = ("quiet", "poll", "stand", "grace", "every")
+DURATIONS = {
+    ("[nodes]", "quiet"),
+    ("[nodes]", "poll"),
+    ("[nodes]", "stand"),
+    ("[nodes]", "grace"),
+    ("[members]", "every"),
+}
 
 
-@click.group(name="config")
+@click.group(name="config", help="What the operator's file says.")
 def command() -> None:
-    """What the operator's file says."""
+    """Show what the operator's file says."""
 
 
 @command.command()
-@click.option("--ini", "path", envvar=operator.INI_VARIABLE, type=click.Path(), help="The operator's file.")
+@ini_option
 @click.option("--json", "as_json", is_flag=True, help="As JSON, times in ns.")
 def show(path: str | None, as_json: bool) -> None:
     """Every field with its value, and the line or default that it came from."""
-    try:
+    with refusing_invalid_settings():
         ini = IniFile.load(path) if path else IniFile("no file", "")
-        operator.read_operator_settings(ini)
-    except InvalidSettingsError as err:
-        click.echo(f"kestrelplank: {err}", err=True)
-        sys.exit(2)
+        read_operator_settings(ini)
     if as_json:
-        click.echo(msgspec.json.encode([dict(zip(("section", "field", "value", "from"), row)) for row in ini.origins]))
+        print_json([dict(zip(("section", "field", "value", "from"), origin)) for origin in ini.origins])
         return
-    for section, field, value, where in ini.origins:
-        click.echo(f"{section:<10} {field:<16} {shown(value, field, section):<28} {where}")
+    for origin in ini.origins:
+        print(f"{origin.section:<10} {origin.field:<16} {shown_value(origin):<28} {origin.origin}")
+
+
+def shown_value(origin: FieldOrigin) -> str:
+    """Return a field's value as it could be written in the file."""
+    value = origin.value
+    if isinstance(value, bool):
+        return "yes" if value else "no"
+    if isinstance(value, tuple):
+        return ", ".join(map(str, value))
+    if isinstance(value, int) and (origin.section, origin.field) in DURATIONS:
+        return shown_duration(value)
+    return "" if value is None else str(value)
+
+
+def shown_duration(duration_ns: int) -> str:
+    """Return a time in the largest unit that it is a whole number of; 0 in seconds."""
+    units = (unit for unit, size in reversed(NS_PER_UNIT.items()) if duration_ns and not duration_ns % size)
+    unit = next(units, "s")
+    return f"{duration_ns // NS_PER_UNIT[unit]}{unit}"
--- a/kestrelplank/cli/group.py
+++ b/kestrelplank/cli/group.py
@@ -7,20 +7,26 @@
 from kestrelplank.cli import COMMANDS
 
 
-class Lazy(click.Group):
-    def list_commands(self, ctx: click.Context) -> list[str]:
+class LazyGroup(click.Group):
+    """A group that knows its commands' names and help lines without importing them."""
+
+    def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's signature
+        """Return the names of the commands in the order of the help."""
         return list(COMMANDS)
 
-    def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        if name not in COMMANDS:
+    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:  # noqa: ARG002 - click's signature
+        """Import the command of that name."""
+        if cmd_name not in COMMANDS:
             return None
-        return import_module(f"kestrelplank.cli.{COMMANDS[name][0]}").command
+        command: click.Command = import_module(f"kestrelplank.cli.{COMMANDS[cmd_name].module}").command
+        return command
 
-    def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
+    def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - the same
+        """Write the help line of each command."""
         with formatter.section("Commands"):
-            formatter.write_dl([(name, line) for name, (_, line) in COMMANDS.items()])
+            formatter.write_dl([(name, command.help_line) for name, command in COMMANDS.items()])
 
 
-@click.group(cls=Lazy)
+@click.group(cls=LazyGroup, help="An assigner that tells forwarding proxies where work goes.")
 def group() -> None:
-    """An assigner that tells forwarding proxies where work goes."""
+    """Run a command of the assigner."""
--- /dev/null
+++ b/kestrelplank/cli/nodes/check.py
@@ -0,0 +1,33 @@
+"""`kestrelplank nodes check`: whether what the files say may follow what is in force."""
+
+import sys
+
+import click
+
+from kestrelplank.cli.nodes.files import (
+    load_state,
+    paths_of,
+    read_node_file_settings,
+    read_node_lists,
+    refusing_unusable_files,
+)
+from kestrelplank.cli.options import ini_option
+from kestrelplank.cli.output import ExitCode
+from kestrelplank.state.guards import ACCEPTED, Terms, judge
+from kestrelplank.state.nodeset import assemble
+
+
+@click.command()
+@ini_option
+def check(path: str | None) -> None:
+    """Whether what the files say may follow what is in force. Exit 1: it would wait or be refused."""
+    with refusing_unusable_files():
+        settings = read_node_file_settings(path)
+        node_lists = read_node_lists(paths_of(settings), settings)
+        node_set = assemble(node_lists)
+        state = load_state(settings)
+    confirmations = tuple(node_list.confirms for node_list in node_lists if node_list.confirms)
+    terms = Terms(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
+    verdict = judge(state[0] if state else None, node_set, confirmations, 0, terms)
+    print(f"{verdict.how}: {verdict.why}")
+    sys.exit(ExitCode.DONE if verdict.how == ACCEPTED else ExitCode.FOUND_WANTING)
--- /dev/null
+++ b/kestrelplank/cli/nodes/diff.py
@@ -0,0 +1,31 @@
+"""`kestrelplank nodes diff`: what one node list changes of another."""
+
+import sys
+
+import click
+
+from kestrelplank.cli.nodes.files import read_node_lists, refusing_unusable_files
+from kestrelplank.cli.options import json_option
+from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.settings.operator import NodeFileSettings
+from kestrelplank.state.nodeset import assemble, difference
+
+
+@click.command(help="What one node list changes of another. Exit 1: something.")
+@click.argument("old", type=click.Path())
+@click.argument("new", type=click.Path())
+@json_option
+def diff(old: str, new: str, as_json: bool) -> None:
+    """Print what one node list changes of another."""
+    limits = NodeFileSettings()
+    with refusing_unusable_files():
+        before, after = (assemble(read_node_lists([path], limits)) for path in (old, new))
+    found = difference(before, after)
+    if as_json:
+        print_json(found._asdict())
+    else:
+        for sign, names in (("+", found.added), ("-", found.gone), ("~", found.changed)):
+            for name in names:
+                print(f"{sign} {name}" + (" (closed)" if name in found.closed else ""))
+        print(found)
+    sys.exit(ExitCode.FOUND_WANTING if found.added or found.gone or found.changed else ExitCode.DONE)
--- /dev/null
+++ b/kestrelplank/cli/nodes/history.py
@@ -0,0 +1,22 @@
+"""`kestrelplank nodes history`: the versions that were in force."""
+
+import click
+
+from kestrelplank.cli.nodes.files import load_state, read_node_file_settings, refusing_unusable_files
+from kestrelplank.cli.options import ini_option, json_option
+from kestrelplank.cli.output import print_json
+
+
+@click.command(help="The versions that were in force, the last of them now.")
+@ini_option
+@json_option
+def history(path: str | None, as_json: bool) -> None:
+    """Print the versions that were in force."""
+    with refusing_unusable_files():
+        state = load_state(read_node_file_settings(path))
+    versions = state[2] if state else ()
+    if as_json:
+        print_json([dict(zip(("version", "hash", "what"), version)) for version in versions])
+        return
+    for number, short_hash, what in versions:
+        print(f"{number:>6}  {short_hash}  {what}")
--- /dev/null
+++ b/kestrelplank/cli/nodes/list.py
@@ -0,0 +1,48 @@
+"""`kestrelplank nodes list`: every node, as the files have it or as it is in force."""
+
+import sys
+
+import click
+
+from kestrelplank.cli.nodes.files import (
+    load_state,
+    paths_of,
+    read_node_file_settings,
+    read_node_lists,
+    refusing_unusable_files,
+)
+from kestrelplank.cli.options import ini_option, json_option
+from kestrelplank.cli.output import ExitCode, print_json, print_refusal
+from kestrelplank.state.nodeset import NodeSet, assemble
+
+
+@click.command(name="list")
+@ini_option
+@json_option
+@click.option("--in-force", is_flag=True, help="What stands in the state file instead of what the files say.")
+def list_nodes(path: str | None, as_json: bool, in_force: bool) -> None:
+    """Every node, as the files have it or as it is in force."""
+    with refusing_unusable_files():
+        settings = read_node_file_settings(path)
+        if in_force:
+            state = load_state(settings)
+            node_set = state[0] if state else None
+        else:
+            node_set = assemble(read_node_lists(paths_of(settings), settings))
+    if node_set is None:
+        print_refusal("no state is kept")
+        sys.exit(ExitCode.FOUND_WANTING)
+    if as_json:
+        print_json([{"name": name, **listed._asdict()} for name, listed in node_set.nodes.items()])
+    else:
+        print_nodes(node_set)
+
+
+def print_nodes(node_set: NodeSet) -> None:
+    """Print a line for each node, and one for them all."""
+    for name, listed in node_set.nodes.items():
+        print(
+            f"{name:<40} {listed.zone:<12} {listed.address:<22} {listed.weight:<8g} "
+            f"{'ready' if listed.ready else 'draining'}"
+        )
+    print(f"{len(node_set)} nodes, {len(node_set.ready())} ready; hash {node_set.short}")
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -1,56 +1,21 @@
-"""`kestrelplank rehearse SCRIPT`: an incident played with the real decisions. Exit 0: the rules were kept; 1: one was
-broken or something ran twice; 2: the script can't be used."""
+"""`kestrelplank rehearse SCRIPT`: an incident played with the real decisions.
+
+Exit 0: the rules were kept; 1: one was broken or something ran twice; 2: the script can't be used.
+"""
 
 import sys
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 
 import click
-import msgspec
 
+from kestrelplank.cli.output import ExitCode, print_refusal, refusing_invalid_settings
+from kestrelplank.cli.rehearsal_report import Report, encoded_report, report_lines, rules_kept
+from kestrelplank.emulator.script import Script, script
 from kestrelplank.file_discovery.atomic_write import write_atomically
-from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 
-
-def encoded(found: dict) -> bytes:
-    """A report as JSON, one field a line, the same bytes for the same figures."""
-    return msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n"
-
-
-def table(found: dict) -> list[str]:
-    """A report as lines for a person."""
-    site = found["site"]
-    size = ", ".join(f"{site[what]} {what}" for what in ("nodes", "relays", "conductors", "slices"))
-    lines = [
-        f"{size}; {found['how']}, seed {found['seed']}; all figures are simulated",
-        f"service {found['service']:.4f}, worst 5 s {found['worst_5s']:.4f}, "
-        f"second tries {found['second_tries']}, slices moved {found['channel']['moves']}",
-        "",
-        f"{'op type':<18}{'asked':>8}{'in time':>9}{'acked':>8}{'rejected':>10}{'aborted':>9}{'p50':>8}{'p95':>8}"
-        f"{'p99 ms':>9}{'twice':>7}",
-    ]
-    for name, counts in found["op_types"].items():
-        widths = ("p50_ms", 8), ("p95_ms", 8), ("p99_ms", 9)
-        times = "".join(f"{counts[key] or 0:>{width}.0f}" for key, width in widths)
-        lines.append(
-            f"{name[:17]:<18}{counts['asked']:>8}{counts['in_time']:>9}{counts['acked']:>8}"
-            f"{counts['rejected']:>10}{counts['aborted']:>9}{times}{found['duplicates'][name]:>7}"
-        )
-    lines += ["", f"{'rule':<10}{'worst':>10}{'limit':>10}{'margin':>9}"]
-    units = {"bare": "s", "drains": "s", "cold": "of what it may be sent", "queue": "lines", "repeats": "ops"}
-    for rule, held in found["rules"].items():
-        said = "" if held["kept"] else f"  BROKEN: {held['where']}"
-        figures = f"{held['worst']:>10.4g}{held['limit']:>10.4g}{held['margin']:>8.0%}"
-        lines.append(f"{rule:<10}{figures}  {units[rule]}{said}")
-    if found["lost"]:
-        lines += ["", "lost: " + ", ".join(f"{why} {count}" for why, count in found["lost"].items())]
-    if found["fallen_nodes"]:
-        lines.append(f"pushed over: nodes {', '.join(map(str, found['fallen_nodes']))}")
-    return lines
-
-
-def kept(found: dict) -> bool:
-    """Whether the rules held and no once-only op ran twice, nor was anything acked that never ran."""
-    return not found["broken"] and not found["acked_without_a_run"]
+PROGRESS_STEPS = 1000
 
 
 @click.command()
@@ -59,37 +24,57 @@
 @click.option("--live", is_flag=True, help="Over real sockets on loopback, with conductors as processes, in real time.")
 @click.option("--baseline", is_flag=True, help="Conductors that leave each slice until it has lost its node.")
 @click.option("--knowing", is_flag=True, help="Slices placed by who knows the truth at once: the upper mark.")
-@click.option("--json", "to", type=click.Path(), help="Also write the whole report, with a timeline of each node.")
-def command(path: str, seed: int, live: bool, baseline: bool, knowing: bool, to: str | None) -> None:
+@click.option(
+    "--json", "report_path", type=click.Path(), help="Also write the whole report, with a timeline of each node."
+)
+def command(path: str, seed: int, live: bool, baseline: bool, knowing: bool, report_path: str | None) -> None:
     """Play a scripted incident with the real decisions, and hold the rules against it."""
+    if live + baseline + knowing > 1:
+        raise click.UsageError("--live, --baseline and --knowing exclude each other")
+    with refusing_invalid_settings():
+        incident = script(IniFile.load(path))
+    report = play_live(incident, seed) if live else play_emulated(incident, seed, baseline=baseline, knowing=knowing)
+    click.echo("\n".join(report_lines(report)))
+    if report_path:
+        write_report(report_path, report)
+    sys.exit(ExitCode.DONE if rules_kept(report) else ExitCode.FOUND_WANTING)
+
+
+def play_live(incident: Script, seed: int) -> Report:
+    """Play over real sockets, with conductors as processes."""
+    from kestrelplank.rehearsal.live import play
+
+    with progress_bar() as progress:
+        return play(incident, seed, progress)
+
+
+def play_emulated(incident: Script, seed: int, *, baseline: bool, knowing: bool) -> Report:
+    """Play in simulated time."""
     from kestrelplank.emulator import rehearsal
     from kestrelplank.emulator.conductors import Standing
-    from kestrelplank.emulator.script import script
     from kestrelplank.policy import Conductor
 
-    if live + baseline + knowing > 1:
-        raise click.UsageError("--live, --baseline and --knowing exclude each other")
-    try:
-        read = script(IniFile.load(path))
-    except InvalidSettingsError as err:
-        click.echo(f"kestrelplank: {err}", err=True)
-        sys.exit(2)
-    with click.progressbar(length=1000, label="rehearsing", file=sys.stderr, hidden=not sys.stderr.isatty()) as bar:
+    policy = Standing if baseline else Conductor
+    with progress_bar() as progress:
+        return rehearsal.play(incident, seed, policy, progress=progress, knowing=knowing)
+
+
+@contextmanager
+def progress_bar() -> Iterator[Callable[[float], None]]:
+    """Show a bar on a terminal; yields what takes the fraction that is done."""
+    hidden = not sys.stderr.isatty()
+    with click.progressbar(length=PROGRESS_STEPS, label="rehearsing", file=sys.stderr, hidden=hidden) as bar:
 
         def progress(done: float) -> None:
-            bar.update(int(done * 1000) - bar.pos)
-
-        if live:
-            from kestrelplank.rehearsal.live import play as play_live
-
-            found = play_live(read, seed, progress)
-        else:
-            found = rehearsal.play(read, seed, Standing if baseline else Conductor, progress=progress, knowing=knowing)
-    click.echo("\n".join(table(found)))
-    if to:
-        try:
-            write_atomically(to, encoded(found))
-        except OSError as err:
-            click.echo(f"kestrelplank: {to} can't be written: {err.strerror}", err=True)
-            sys.exit(2)
-    sys.exit(0 if kept(found) else 1)
+            bar.update(int(done * PROGRESS_STEPS) - bar.pos)
+
+        yield progress
+
+
+def write_report(path: str, report: Report) -> None:
+    """Write the whole report, or end the command."""
+    try:
+        write_atomically(path, encoded_report(report))
+    except OSError as err:
+        print_refusal(f"{path} can't be written: {err.strerror}")
+        sys.exit(ExitCode.UNUSABLE_INPUT)
--- a/kestrelplank/cli/relay.py
+++ b/kestrelplank/cli/relay.py
@@ -1,4 +1,4 @@
-"""`kestrelplank relay --config FILE`: the reference relay."""
+"""`kestrelplank relay --config FILE`: the reference proxy."""
 
 import sys
 
--- a/kestrelplank/cli/serve.py
+++ b/kestrelplank/cli/serve.py
@@ -1,4 +1,4 @@
-"""`kestrelplank serve`: today's program, the same as `python -m kestrelplank`."""
+"""`kestrelplank serve`: the assigner in service, the same as `python -m kestrelplank`."""
 
 import os
 import sys
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -3,43 +3,41 @@
 import sys
 
 import click
-import msgspec
 
-from kestrelplank.settings import operator
-from kestrelplank.settings.errors import InvalidSettingsError
+from kestrelplank.cli.options import ini_option, json_option
+from kestrelplank.cli.output import ExitCode, print_json, print_refusal, refusing_invalid_settings
 from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.operator import read_operator_settings
 
-WITHIN = 3.0  # s
+ANSWER_TIMEOUT_S = 3.0
+COLUMNS = ("listed", "ready", "withdrawn", "barred", "cold", "demand", "capacity")
 
 
 @click.command()
-@click.option("--ini", "path", envvar=operator.INI_VARIABLE, type=click.Path(), help="The operator's file.")
-@click.option("--socket", "at", type=click.Path(), help="The status socket, where no file names it.")
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def command(path: str | None, at: str | None, as_json: bool) -> None:
+@ini_option
+@click.option("--socket", "socket_path", type=click.Path(), help="The status socket, where no file names it.")
+@json_option
+def command(path: str | None, socket_path: str | None, as_json: bool) -> None:
     """Each zone as a running conductor sees it: nodes, demand, capacity, and who of the others is alive."""
     from kestrelplank.assigner.status import asked
 
+    with refusing_invalid_settings():
+        if not socket_path and path:
+            socket_path = read_operator_settings(IniFile.load(path)).status.path
+    if not socket_path:
+        print_refusal("no status socket: name one with --socket or in the operator's file")
+        sys.exit(ExitCode.UNUSABLE_INPUT)
     try:
-        at = at or (operator.read_operator_settings(IniFile.load(path)).status.path if path else "")
-    except InvalidSettingsError as err:
-        click.echo(f"kestrelplank: {err}", err=True)
-        sys.exit(2)
-    if not at:
-        click.echo("kestrelplank: no status socket: name one with --socket or in the operator's file", err=True)
-        sys.exit(2)
-    try:
-        found = asked(at, WITHIN)
+        status = asked(socket_path, ANSWER_TIMEOUT_S)
     except (OSError, ValueError) as err:
-        click.echo(f"kestrelplank: {at}: {getattr(err, 'strerror', None) or err}", err=True)
-        sys.exit(1)
+        print_refusal(f"{socket_path}: {getattr(err, 'strerror', None) or err}")
+        sys.exit(ExitCode.FOUND_WANTING)
     if as_json:
-        click.echo(msgspec.json.encode(found))
+        print_json(status)
         return
-    columns = ("listed", "ready", "withdrawn", "barred", "cold", "demand", "capacity")
-    click.echo(f"{'zone':<16}" + "".join(f"{column:>10}" for column in columns))
-    for name, zone in found["zones"].items():
-        click.echo(f"{name:<16}" + "".join(f"{zone.get(column, 0):>10}" for column in columns))
-    if found["members"]:
-        alive = ", ".join(map(str, found["members"]["alive"]))
-        click.echo(f"view {found['members']['view']}: conductors {alive} alive")
+    print(f"{'zone':<16}" + "".join(f"{column:>10}" for column in COLUMNS))
+    for name, zone in status["zones"].items():
+        print(f"{name:<16}" + "".join(f"{zone.get(column, 0):>10}" for column in COLUMNS))
+    if status["members"]:
+        alive = ", ".join(map(str, status["members"]["alive"]))
+        print(f"view {status['members']['view']}: conductors {alive} alive")
--- /dev/null
+++ b/kestrelplank/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""The gateway's programs and its operators' commands: `python -m kestrelplank.gateway COMMAND`."""
--- /dev/null
+++ b/kestrelplank/gateway/check.py
@@ -0,0 +1,42 @@
+"""`gateway check`: whether a configuration or a settings file can be used, in one line."""
+
+from pathlib import Path
+
+from kestrelplank.cli.output import ExitCode
+from kestrelplank.configuration.parsing import parse_configuration
+from kestrelplank.configuration.route_table import Configuration
+from kestrelplank.settings.errors import InvalidSettingsError
+from kestrelplank.settings.platform import PlatformSettings
+
+
+def read_configuration(path: str) -> Configuration:
+    """Return the configuration in the file at `path`.
+
+    :raises InvalidSettingsError: it cannot be read, or is no valid configuration.
+    """
+    try:
+        result = parse_configuration(Path(path).read_bytes())
+    except OSError as err:
+        raise InvalidSettingsError(err.strerror or str(err), file=path) from err
+    configuration = result.value_or(None)
+    if configuration is None:
+        raise InvalidSettingsError(str(result.failure()), file=path)
+    return configuration
+
+
+def check_configuration(path: str) -> ExitCode:
+    """Print what a valid configuration holds.
+
+    :raises InvalidSettingsError: it is not valid.
+    """
+    configuration = read_configuration(path)
+    routes = sum(map(len, configuration.routes_by_host.values()))
+    services = len(configuration.services)
+    print(f"{path}: version {configuration.key.version:08x}, {routes} routes, {services} services")
+    return ExitCode.DONE
+
+
+def check_settings(path: str, settings: PlatformSettings) -> ExitCode:
+    """Print whose settings the file at `path` holds, which has been read."""
+    print(f"{path}: {settings.local_system.node_name}")
+    return ExitCode.DONE
--- /dev/null
+++ b/kestrelplank/gateway/control_client.py
@@ -0,0 +1,47 @@
+"""One call to a control member, as an operator makes it."""
+
+import asyncio
+from typing import NamedTuple
+
+import msgspec
+
+from kestrelplank.control.status import MemberStatus
+from kestrelplank.http.call import dial
+from kestrelplank.settings.platform import parse_address
+
+CALL_TIMEOUT_S = 10
+CONNECT_TIMEOUT_S = 2
+
+
+class Answer(NamedTuple):
+    """What a control member answered."""
+
+    status: int
+    body: bytes
+
+
+async def call(address: str, method: bytes, path: bytes, body: bytes = b"") -> Answer:
+    """Call the control member at `address`.
+
+    :raises InvalidSettingsError: the address is none.
+    :raises OSError: it does not answer, or breaks off.
+    :raises TimeoutError: it does not answer in time.
+    """
+    headers = [
+        (b"Host", b"control"),
+        (b"Content-Type", b"application/json"),
+        (b"Content-Length", str(len(body)).encode()),
+    ]
+    async with asyncio.timeout(CALL_TIMEOUT_S):
+        connection = await dial(parse_address(address, "ADDRESS"), CONNECT_TIMEOUT_S)
+        try:
+            answer = await connection.ask(method, path, headers, body)
+        finally:
+            connection.reset()
+    return Answer(answer.status, answer.body)
+
+
+async def fetch_status(address: str) -> MemberStatus:
+    """Return what the control member at `address` sees; raises as `call` does."""
+    answer = await call(address, b"GET", b"/api/status")
+    return msgspec.json.decode(answer.body, type=MemberStatus)
--- /dev/null
+++ b/kestrelplank/gateway/diff.py
@@ -0,0 +1,19 @@
+"""`gateway diff`: what differs between two configurations, route by route."""
+
+from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.configuration.differences import differences
+from kestrelplank.gateway.check import read_configuration
+
+
+def diff(old_path: str, new_path: str, *, as_json: bool) -> ExitCode:
+    """Print what the new configuration changes; FOUND_WANTING where it changes anything.
+
+    :raises InvalidSettingsError: one of them cannot be used.
+    """
+    found = differences(read_configuration(old_path), read_configuration(new_path))
+    if as_json:
+        print_json([difference._asdict() for difference in found])
+    else:
+        for difference in found:
+            print(difference)
+    return ExitCode.FOUND_WANTING if found else ExitCode.DONE
--- /dev/null
+++ b/kestrelplank/gateway/rehearse.py
@@ -0,0 +1,22 @@
+"""`gateway rehearse`: a small gateway on loopback, played through losses."""
+
+from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.rehearsal.yard import play
+
+BROKEN_RULES = ("run_twice", "promised_and_ran", "held_twice")
+
+
+def rehearse(requests: int, log_level: str, *, as_json: bool) -> ExitCode:
+    """Print what was seen; FOUND_WANTING where a rule was broken.
+
+    :param requests: how many the clients send.
+    """
+    report = play(requests, log=log_level)
+    if as_json:
+        print_json(report)
+    else:
+        for name, value in report.items():
+            print(f"{name.replace('_', ' ')}: {', '.join(value) if isinstance(value, list) else value}")
+    complete = report["ready"] and report["replaced"]
+    broken = not complete or any(report[rule] for rule in BROKEN_RULES)
+    return ExitCode.FOUND_WANTING if broken else ExitCode.DONE
--- /dev/null
+++ b/kestrelplank/gateway/replace.py
@@ -0,0 +1,91 @@
+"""`gateway replace`: a configuration is sent to a control member, and waited for until all in session have it."""
+
+import asyncio
+import json
+import time
+from dataclasses import dataclass
+
+from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.configuration.route_table import Configuration
+from kestrelplank.control.status import MemberStatus
+from kestrelplank.gateway.check import read_configuration
+from kestrelplank.gateway.control_client import Answer, call, fetch_status
+
+HTTP_OK = 200
+STATUS_INTERVAL_S = 0.1
+
+
+@dataclass(frozen=True, slots=True)
+class Replacement:
+    """What came of it; `behind`: who in session had not got the version when the wait was over."""
+
+    answer: Answer
+    behind: list[str]
+
+    @property
+    def acknowledged(self) -> bool:
+        """Whether the control member took the configuration."""
+        return self.answer.status == HTTP_OK
+
+
+def replace(address: str, path: str, wait_s: float, *, as_json: bool) -> ExitCode:
+    """Send a configuration and print who has it; FOUND_WANTING where it was refused or somebody is behind.
+
+    :param wait_s: how long to wait for the last one.
+    :raises InvalidSettingsError: the file holds no valid configuration; then nothing is sent.
+    """
+    configuration = read_configuration(path)
+    wait_until_s = time.monotonic() + wait_s
+    replacement = asyncio.run(_send(address, configuration, wait_until_s))
+    if as_json:
+        _print_as_json(replacement)
+    elif not replacement.acknowledged:
+        reason = json.loads(replacement.answer.body).get("why")
+        print(f"{address}: refused, {replacement.answer.status}: {reason}")
+    elif not json.loads(replacement.answer.body)["in_force"]:
+        version = f"{configuration.key.version:08x}"
+        print(f"{address}: version {version} changed nothing: it is not above the one in force")
+        return ExitCode.FOUND_WANTING
+    else:
+        _print_acknowledged(address, configuration, replacement)
+    complete = replacement.acknowledged and not replacement.behind
+    return ExitCode.DONE if complete else ExitCode.FOUND_WANTING
+
+
+async def _send(address: str, configuration: Configuration, wait_until_s: float) -> Replacement:
+    """Send the configuration, and ask the member until nobody is behind or the wait is over."""
+    answer = await call(address, b"POST", b"/api/configuration/replace", configuration.text)
+    behind: list[str] = []
+    while answer.status == HTTP_OK:
+        behind = names_behind(await fetch_status(address), configuration.key.version)
+        if not behind or time.monotonic() >= wait_until_s:
+            break
+        await asyncio.sleep(STATUS_INTERVAL_S)
+    return Replacement(answer, behind)
+
+
+def names_behind(status: MemberStatus, version: int) -> list[str]:
+    """Return who has not got this version yet: edges in session, the member itself, and, if it leads, its peers."""
+    names = [name for name, edge in status.edges.items() if _is_before(edge.version, version)]
+    names += [name for name, peer in status.peers.items() if peer.heard_s is not None and peer.match < status.commit]
+    if _is_before(status.in_force, version):
+        names.append(status.member)
+    return sorted(names)
+
+
+def _is_before(held_version: str | None, version: int) -> bool:
+    """Whether a version in hexadecimal digits, or none, is below that number."""
+    return held_version is None or int(held_version, 16) < version
+
+
+def _print_as_json(replacement: Replacement) -> None:
+    """Print the member's answer and who is behind."""
+    answer = replacement.answer
+    print_json({"status": answer.status, "answer": json.loads(answer.body), "behind": replacement.behind})
+
+
+def _print_acknowledged(address: str, configuration: Configuration, replacement: Replacement) -> None:
+    """Print that the member took the configuration, and who is behind."""
+    behind = replacement.behind
+    rest = f"behind: {', '.join(behind)}" if behind else "all in session have it"
+    print(f"{address}: version {configuration.key.version:08x} is acknowledged; {rest}")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -9,7 +9,7 @@
 from kestrelplank.control.calls import Shown, application
 from kestrelplank.control.effects import AnswerOrder
 from kestrelplank.control.status import EdgeStatus, LineStatus, MemberStatus, PeerStatus, ServiceStatus
-from kestrelplank.gateway import main
+from kestrelplank.gateway.command_line import main
 from kestrelplank.http.serve import listener, server
 
 
