--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from kestrelplank.forwarding.endpoint import Endpoint, ServerLoad
-from kestrelplank.load_balancing.attempts import Avoidance
+from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
 from kestrelplank.time_units import SECOND
 from kestrelplank.transport.server_list import READY, Entry
 
@@ -31,7 +31,7 @@
         self._random, self._zone = random, zone
         self.by_name: dict[str, Endpoint] = {}
         self.services: dict[str, list[Endpoint]] = {}
-        self._ejection = Avoidance(random, CONSECUTIVE_FAILURES, EJECTION_TIME_NS)
+        self._ejection = OutlierEjection(random, CONSECUTIVE_FAILURES, EJECTION_TIME_NS)
         self._last_number = UNUSED_NUMBER
 
     def update(self, fetched_at: int, entries: Iterable[Entry]) -> None:
@@ -72,7 +72,7 @@
         ]
         if not usable:
             return None
-        healthy = self._ejection.sound(now, [(endpoint.number, 1.0) for endpoint in usable])
+        healthy = self._ejection.without_ejected(now, [(endpoint.number, 1.0) for endpoint in usable])
         if len(healthy) < len(usable):
             numbers = {number for number, _ in healthy}
             usable = [endpoint for endpoint in usable if endpoint.number in numbers]
@@ -89,7 +89,7 @@
 
     def is_ejected(self, now: int, endpoint: Endpoint) -> bool:
         """Whether attempts there have failed in a row just now."""
-        healthy = self._ejection.sound(now, [(endpoint.number, 1.0), (UNUSED_NUMBER, 1.0)])
+        healthy = self._ejection.without_ejected(now, [(endpoint.number, 1.0), (UNUSED_NUMBER, 1.0)])
         return healthy[0][0] != endpoint.number
 
     def attempt_ended(
@@ -97,5 +97,5 @@
     ) -> None:
         """Count the end of an attempt, as `Endpoint.attempt_ended` has it; eject a server that fails in a row."""
         if endpoint.listed:
-            self._ejection.ended(now, endpoint.number, succeeded)
+            self._ejection.record_attempt(now, endpoint.number, succeeded)
         endpoint.attempt_ended(now, succeeded, duration_ns, load)
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -10,11 +10,17 @@
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.decode import Ids, Malformed, text
 from kestrelplank.file_discovery.atomic_write import write_atomically
-from kestrelplank.load_balancing import admission, limits, pools
-from kestrelplank.load_balancing.attempts import Attempts, Avoidance, Budget
-from kestrelplank.load_balancing.returning import Damping
-from kestrelplank.load_balancing.tiers import Distances
-from kestrelplank.load_balancing.zones import Preference, Terms
+from kestrelplank.load_balancing.admission import Admission, AdmissionSettings
+from kestrelplank.load_balancing.attempts import Attempts, AttemptSettings, OverloadControl
+from kestrelplank.load_balancing.concurrency_limits import ConcurrencyLimits, ConcurrencyLimitSettings
+from kestrelplank.load_balancing.connection_pool import PoolSettings
+from kestrelplank.load_balancing.flap_damping import FlapDampingSettings
+from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
+from kestrelplank.load_balancing.retry_budget import RetryBudget
+from kestrelplank.load_balancing.selection import SelectionMethod
+from kestrelplank.load_balancing.waiting_queue import WaitingQueue
+from kestrelplank.load_balancing.zone_distances import ZoneDistances
+from kestrelplank.load_balancing.zone_preference import ZonePreference, ZonePreferenceSettings
 from kestrelplank.reference_proxy.hub import PERIOD, HubClient
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.reference_proxy.request import Request
@@ -53,8 +59,8 @@
     )
 
 
-def client_terms(file: ReferenceProxySettings) -> admission.Terms:
-    return admission.Terms(
+def admission_settings(file: ReferenceProxySettings) -> AdmissionSettings:
+    return AdmissionSettings(
         file.clients.max_connections,
         file.clients.max_connections_per_client,
         file.clients.header_timeout_ns,
@@ -62,9 +68,9 @@
     )
 
 
-def node_terms(file: ReferenceProxySettings) -> pools.Terms:
+def pool_settings(file: ReferenceProxySettings) -> PoolSettings:
     nodes = file.nodes
-    return pools.Terms(
+    return PoolSettings(
         nodes.max_connections,
         nodes.idle_timeout_ns,
         nodes.max_requests_per_connection,
@@ -85,17 +91,15 @@
         self.addresses: dict[int, str] = {}
         self._zone_of: dict[int, int] = {}
         self._dirty = False
-        held = limits.Limits(
-            limits.Terms(
-                file.attempts.first_limit,
-                file.attempts.least_limit,
-                file.attempts.greatest_limit,
-                file.attempts.latency_tolerance,
+        tries = file.attempts
+        limits = ConcurrencyLimits(
+            ConcurrencyLimitSettings(
+                tries.first_limit, tries.least_limit, tries.greatest_limit, tries.latency_tolerance
             )
         )
-        self.zones = self._preference(held) if file.zones.prefer_near else None
-        self.distances = Distances()
-        self.attempts = self._made_attempts(held)
+        self.zones = self._preference(limits) if file.zones.prefer_near else None
+        self.distances = ZoneDistances()
+        self.attempts = self._made_attempts(limits)
         self._by = b"" if process.slice_key == "path" else process.slice_key.lower().encode()
         self.kept_at: float | None = self._restore()
         self.proxy = self._made_proxy(listening)
@@ -103,20 +107,20 @@
         self._looks = loop.at(loop.now() + PERIOD, self._look_at_distances)
         self._timer = loop.at(loop.now() + process.state_interval_ns, self._keep)
 
-    def _made_attempts(self, held: limits.Limits) -> Attempts:
+    def _made_attempts(self, limits: ConcurrencyLimits) -> Attempts:
         tries, ops, random = self.file.attempts, list(self.file.op_types.values()), Random(self.file.process.seed)
         values, targets = [op.value for op in ops], [op.target_latency_ns for op in ops]
         return Attempts(
             random,
             self.tables,
-            [op.timeout_ns for op in ops],
-            tries.pick,
-            tries.hold_ns,
-            Avoidance(random, tries.failures_to_avoid, tries.avoidance_ns),
-            budget=Budget(len(ops), tries.retry_budget, tries.saved_retries),
-            limits=held if tries.limited else None,
-            queue=limits.Queue(tries.queue_length, targets, values, tries.queue_wait_fraction),
-            weigh=self._weigh if self.file.nodes.slow_start_ns else None,
+            AttemptSettings([op.timeout_ns for op in ops], SelectionMethod(tries.pick), tries.hold_ns),
+            OutlierEjection(random, tries.failures_to_avoid, tries.avoidance_ns),
+            OverloadControl(
+                RetryBudget(len(ops), tries.retry_budget, tries.saved_retries),
+                limits if tries.limited else None,
+                WaitingQueue(tries.queue_length, targets, values, tries.queue_wait_fraction),
+            ),
+            weight_factor=self._weigh if self.file.nodes.slow_start_ns else None,
             zones=self.zones,
         )
 
@@ -131,11 +135,11 @@
             bounds(file),
             self.tables,
             self.attempts,
-            admission.Admission(client_terms(file)),
+            Admission(admission_settings(file)),
             answers.Answers(
                 answers.Terms(clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns)
             ),
-            node_terms(file),
+            pool_settings(file),
             self.addresses,
             self._table_of,
             self._on_try,
@@ -159,39 +163,41 @@
             self._placed,
         )
 
-    def _preference(self, held: limits.Limits) -> Preference:
+    def _preference(self, limits: ConcurrencyLimits) -> ZonePreference:
         file, own = self.file.zones, self.ids.zone(self.file.process.zone)
-        terms = Terms(
+        settings = ZonePreferenceSettings(
             tuple(map(parse_fraction, file.spill_fractions)),
             file.tier_width_ns,
             file.spill_begins_at,
             file.spill_ends_at,
             file.panic_threshold,
         )
-        damping = Damping(
+        damping = FlapDampingSettings(
             file.loss_window_ns, file.free_losses, file.first_hold_ns, file.longest_hold_ns, file.forget_after_ns
         )
         count = len(self.file.op_types)
-        return Preference(own, terms, damping, file.failures_to_lose_zone, lambda node: held.room_of(node, count))
+        return ZonePreference(
+            own, settings, damping, file.failures_to_lose_zone, lambda node: limits.usage(node, count)
+        )
 
     def _placed(self, node: int, zone: int) -> None:
         self._zone_of[node] = zone
         if self.zones:
-            self.zones.placed(node, zone)
+            self.zones.set_node_zone(node, zone)
 
     def _look_at_distances(self) -> None:
         """What the last second's answers say of how far zones are."""
         self._looks = self.loop.at(self.loop.now() + PERIOD, self._look_at_distances)
-        self.distances.close()
+        self.distances.close_period()
         own = self.ids.zones.get(self.file.process.zone, 0)
         for zone in self.ids.zones.values():
             distance = self.distances.between(own, zone) if self.zones and zone != own else None
             if distance is not None:
-                self.zones.far(zone, distance)
+                self.zones.set_distance(zone, distance)
 
     def _weigh(self, node: int) -> float:
         pool = self.proxy.upstream.pools.get(node)
-        return 1.0 if pool is None else pool.share(self.loop.now())
+        return 1.0 if pool is None else pool.weight_share(self.loop.now())
 
     def _table_of(self, request: Request) -> int:
         """The slice of an op: by the header that the file names, or its path."""
@@ -202,7 +208,7 @@
         if self.hub:
             self.hub.on_try(table, node, op_type, good, time)
         if self.zones and good and node in self._zone_of:
-            self.distances.seen(self.ids.zone(self.file.process.zone), self._zone_of[node], 1, time)
+            self.distances.add(self.ids.zone(self.file.process.zone), self._zone_of[node], 1, time)
 
     def _on_op(self, *told: object) -> None:
         if self.hub:
@@ -264,7 +270,7 @@
             )
         self.file = file
         self.proxy.reconfigure(op_types(file), bounds(file))
-        self.proxy.admission.terms = client_terms(file)
+        self.proxy.admission.settings = admission_settings(file)
 
     def close(self) -> None:
         self._timer.cancel()
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from kestrelplank.cli.rehearse import encoded, kept
+from kestrelplank.cli.rehearsal_report import encoded_report, kept
 from kestrelplank.emulator.clock import Clock
 from kestrelplank.emulator.conductors import Standing
 from kestrelplank.emulator.rehearsal import play
 from kestrelplank.emulator.score import Score
 from kestrelplank.emulator.script import script
 from kestrelplank.emulator.world import World
-from kestrelplank.load_balancing.attempts import PROOFS, RESET, SILENT
+from kestrelplank.load_balancing.operations import PROOFS_NOT_EXECUTED, AttemptOutcome
 from kestrelplank.policy import Conductor
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
@@ -67,8 +67,8 @@
 
 def test_the_same_script_and_seed_give_the_same_bytes_and_another_seed_others():
     made = read("kind = lost, who = zone windsor, start = 4s, length = 4s")
-    first = encoded(play(made, 3))
-    assert encoded(play(made, 3)) == first and encoded(play(made, 4)) != first
+    first = encoded_report(play(made, 3))
+    assert encoded_report(play(made, 3)) == first and encoded_report(play(made, 4)) != first
 
 
 def test_the_same_bytes_from_another_folder_and_under_another_hash_seed(tmp_path):
@@ -167,7 +167,10 @@
     assert 0 < found["rules"]["drains"]["worst"] < 1.5 and found["broken"] == []
 
 
-@pytest.mark.parametrize("proofs, broken", [(PROOFS, False), ((*PROOFS, RESET, SILENT), True)])
+@pytest.mark.parametrize(
+    "proofs, broken",
+    [(PROOFS_NOT_EXECUTED, False), ((*PROOFS_NOT_EXECUTED, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT), True)],
+)
 def test_a_planted_relay_that_repeats_without_proof_is_caught(proofs, broken):
     """A node that dies may have run what it had; a relay that sends it again runs it twice."""
     made = read("kind = lost, who = nodes 45%, start = 4s, length = 2s", load="90%")
