--- a/kestrelplank/decode.py
+++ b/kestrelplank/decode.py
@@ -1,184 +1,256 @@
-"""What both adapters share: readers of fields, ids, and the settings that a conductor is made with.
+"""What all adapters share: readers of fields, ids, and the settings that an assigner is made with.
 
 A reader takes one decoded value and returns it in our units, or raises Malformed with what was wrong. The
-settings are one object in both worlds: the simulator's first message holds it, and so does a real conductor's
-configuration.
+settings are one object in both worlds: the simulator's first message holds it, and so does a real assigner's
+configuration. The program in service imports this module: it needs nothing but msgspec.
 """
 
 import struct
-from collections.abc import Callable, Mapping
-from typing import Any
+from collections.abc import Callable, Mapping, Set
+from typing import NoReturn, TypeVar
 from zlib import crc32
 
 import msgspec
 
 NS_PER_MS = 1_000_000
-MOST_NAMES = 65_536  # of nodes or zones held: against a party that never names the same one twice
+MAX_NAMES = 65_536  # of nodes or zones held: against a party that never names the same one twice
 LARGEST = 1e300  # what cannot be reckoned with further; no comparison holds for what is not a number
-MOST_TOLD = 1e9  # that one report may count, or last in ms: far above any, and sums of it stay sound
-SHARES = 2  # the first byte of datagrams that tell loads; membership's begin with another
-SHARE = struct.Struct("!Ie")  # checksum of a node's name, ops a second as a half-precision float: three digits
-MOST_SHARES = (256 - 1) // SHARE.size  # in a datagram
-MOST_OPS = 65_504.0  # the largest of that form
-EFFECTS = {"pure": "retryable", "token": "deduplicated", "side_effect": "once-only"}
-PICKS = {"random": "random", "rotate": "rotate", "p2c": "two"}
-LEVELS = {"fraction": "share", "per_second": "rate", "none": ""}
+LARGEST_REPORTED = 1e9  # that one report may count, or last in ms: far above any, and sums of it stay sound
+PEER_LOADS = 2  # the first byte of datagrams that tell loads; membership's begin with another
+PEER_LOAD = struct.Struct("!Ie")  # checksum of a node's name, ops a second as a half-precision float: three digits
+MAX_PEER_LOADS = (256 - 1) // PEER_LOAD.size  # in a datagram
+LARGEST_PEER_LOAD = 65_504.0  # the largest half-precision float
+EFFECTS: dict[object, str] = {"pure": "retryable", "token": "deduplicated", "side_effect": "once-only"}
+PICKS: dict[object, str] = {"random": "random", "rotate": "rotate", "p2c": "two"}
+LEVELS: dict[object, str] = {"fraction": "share", "per_second": "rate", "none": ""}
+
+Value = TypeVar("Value")
+Default = TypeVar("Default")
+NodeName = str | int  # as the wire has it
 
 
 class Malformed(ValueError):
     """A line, or one field of it, that the wire does not allow; the text says which and why."""
 
 
-def checksum(name: Any) -> int:
-    """What a node goes by between conductors, as each numbers nodes in its own way; `name` is the wire's, a text or
-    a number. Two of 200 nodes share one on a day in two hundred thousand: each one's figures pass for the other's."""
+def checksum(name: NodeName) -> int:
+    """Return what a node goes by between assigners, as each numbers nodes in its own way.
+
+    Two of 200 nodes share one on a day in two hundred thousand: each one's figures pass for the other's.
+    """
     return crc32(str(name).encode())
 
 
 class Ids:
-    """Small indices for one instance's nodes, zones and op types, given out in order of appearance, and never
-    twice: what is still under way for a node that was forgotten must not meet another. What a node is called on
-    the wire, a number or a text, is for the reader to check."""
+    """Small indices for one instance's nodes, zones and op types, given out in order of appearance.
+
+    None is given twice: what is still under way for a node that was forgotten must not meet another.
+
+    :param read_node: reads what a node is called on the wire, a number or a text.
+    """
 
-    def __init__(self, read_node: Callable[[Any], Any]) -> None:
+    def __init__(self, read_node: Callable[[object], NodeName]) -> None:
         self._read_node = read_node
-        self.nodes: dict[Any, int] = {}
-        self.node_ids: dict[int, Any] = {}
-        self.checksums: dict[int, int] = {}  # what nodes go by between conductors, to their indices
+        self.nodes: dict[NodeName, int] = {}
+        self.node_ids: dict[int, NodeName] = {}
+        self.checksums: dict[int, int] = {}  # what nodes go by between assigners, to their indices
         self._given = 0
         self.zones: dict[str, int] = {}
         self.op_types: dict[str, int] = {}
 
-    def node(self, value: Any) -> int:
-        index = self.nodes.get(self._read_node(value))
+    def node(self, value: object) -> int:
+        """Return the index of a node, a new one where it is named for the first time.
+
+        :raises Malformed: it is no name, or too many have been named.
+        """
+        name = self._read_node(value)
+        index = self.nodes.get(name)
         if index is None:
-            if len(self.node_ids) >= MOST_NAMES:
-                raise Malformed(f"more than {MOST_NAMES} nodes have been named")
-            index = self.nodes[value] = self._given
-            self.node_ids[index] = value
-            self.checksums[checksum(value)] = index
+            if len(self.node_ids) >= MAX_NAMES:
+                raise Malformed(f"more than {MAX_NAMES} nodes have been named")
+            index = self.nodes[name] = self._given
+            self.node_ids[index] = name
+            self.checksums[checksum(name)] = index
             self._given += 1
         return index
 
     def forget(self, index: int) -> None:
+        """Forget a node; its index stays unused."""
         name = self.node_ids.pop(index)
         del self.nodes[name]
         self.checksums.pop(checksum(name), None)
 
-    def zone(self, value: Any) -> int:
-        if text(value) not in self.zones and len(self.zones) >= MOST_NAMES:
-            raise Malformed(f"more than {MOST_NAMES} zones have been named")
-        return self.zones.setdefault(value, len(self.zones))
+    def zone(self, value: object) -> int:
+        """Return the index of a zone, a new one where it is named for the first time.
+
+        :raises Malformed: it is no name, or too many have been named.
+        """
+        name = text(value)
+        if name not in self.zones and len(self.zones) >= MAX_NAMES:
+            raise Malformed(f"more than {MAX_NAMES} zones have been named")
+        return self.zones.setdefault(name, len(self.zones))
+
+    def op_type(self, value: object) -> int:
+        """Return the index of an op type that the settings name.
 
-    def op_type(self, value: Any) -> int:
-        if text(value) not in self.op_types:
+        :raises Malformed: they name none such.
+        """
+        name = text(value)
+        if name not in self.op_types:
             raise Malformed(f"no op type is called {value!r}")
-        return self.op_types[value]
+        return self.op_types[name]
 
 
-def parsed(data: bytes) -> Any:
-    """JSON as plain values. The library has other words for text that is no UTF-8 and for what is nested too
-    deep, either of which a party may send."""
+def parsed(data: bytes) -> object:
+    """Return JSON as plain values.
+
+    :raises Malformed: it is none, or nested too deeply.
+    """
     try:
         return msgspec.json.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:  # the latter two are not the library's own
         raise Malformed(f"not JSON: {err}") from None
 
 
-def number(value: Any) -> float:
+def number(value: object) -> float:
+    """Return a number that can be reckoned with; a truth value is none."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < LARGEST:
-        raise Malformed(f"expected a number, got {value!r}")
+        refuse("a number", value)
     return value
 
 
-def whole(value: Any) -> int:
+def whole(value: object) -> int:
+    """Return a whole number of 0 or more."""
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        raise Malformed(f"expected a whole number, got {value!r}")
+        refuse("a whole number", value)
     return value
 
 
-def count(value: Any) -> float:
-    if number(value) < 0:
-        raise Malformed(f"expected a number of 0 or more, got {value!r}")
-    return value
+def count(value: object) -> float:
+    """Return a number of 0 or more."""
+    read = number(value)
+    if read < 0:
+        refuse("a number of 0 or more", value)
+    return read
 
 
-def told(value: Any) -> float:
-    if count(value) > MOST_TOLD:
-        raise Malformed(f"expected a figure of one report, got {value!r}")
-    return value
+def told(value: object) -> float:
+    """Return a number that one report may hold."""
+    read = count(value)
+    if read > LARGEST_REPORTED:
+        refuse("a figure of one report", value)
+    return read
 
 
-def time(value: Any) -> int:
+def time(value: object) -> int:
+    """Return a time in ms, as the wire has them, in ns."""
     return round(count(value) * NS_PER_MS)
 
 
-def text(value: Any) -> str:
+def text(value: object) -> str:
+    """Return a text."""
     if not isinstance(value, str):
-        raise Malformed(f"expected text, got {value!r}")
+        refuse("text", value)
     return value
 
 
-def listed(value: Any) -> list:
+def listed(value: object) -> list[object]:
+    """Return a list."""
     if not isinstance(value, list):
-        raise Malformed(f"expected a list, got {value!r}")
+        refuse("a list", value)
     return value
 
 
-def mapping(value: Any) -> dict:
+def mapping(value: object) -> dict[str, object]:
+    """Return an object, whose keys are texts as in all JSON."""
     if not isinstance(value, dict):
-        raise Malformed(f"expected an object, got {value!r}")
+        refuse("an object", value)
     return value
 
 
-def flag(value: Any) -> bool:
+def flag(value: object) -> bool:
+    """Return a truth value."""
     if not isinstance(value, bool):
-        raise Malformed(f"expected true or false, got {value!r}")
+        refuse("true or false", value)
     return value
 
 
-def word(choices: Any) -> Callable[[Any], str]:
-    def read(value: Any) -> str:
-        if text(value) not in choices:
-            raise Malformed(f"expected one of {', '.join(choices)}, got {value!r}")
-        return choices[value] if isinstance(choices, dict) else value
+def word(choices: Mapping[str, str] | Set[str]) -> Callable[[object], str]:
+    """Return a reader of one of the words, or of a mapping's keys, for which it returns the values."""
+
+    def read(value: object) -> str:
+        chosen = text(value)
+        if chosen not in choices:
+            refuse(f"one of {', '.join(choices)}", value)
+        return choices[chosen] if isinstance(choices, Mapping) else chosen
 
     return read
 
 
-def settings(conf: Any, ids: Ids, where: str) -> dict[str, Any]:
-    """The wire's settings as one flat mapping in our words and units; what is not known here is skipped."""
-    if not isinstance(conf, dict):
-        raise Malformed(f"{where}: expected an object, got {conf!r}")
+def refuse(expected: str, value: object) -> NoReturn:
+    """Refuse a value in place of which something else was expected."""
+    raise Malformed(f"expected {expected}, got {value!r}")
+
+
+class _SettingsReader:
+    """Reads fields of the wire's settings by their dotted paths; a refusal names the path after `where`."""
+
+    def __init__(self, conf: Mapping[str, object], where: str) -> None:
+        self._conf, self._where = conf, where
 
-    def read(path: str, reader: Callable[[Any], Any], absent: Any) -> Any:
-        value: Any = conf
+    def __call__(self, path: str, reader: Callable[[object], Value], default: Default) -> Value | Default:
+        """Return a field as `reader` reads it; `default` where the field is absent or null."""
+        value: object = self._conf
         for key in path.split("."):
             value = value.get(key) if isinstance(value, dict) else None
         try:
-            return absent if value is None else reader(value)
+            return default if value is None else reader(value)
         except Malformed as err:
-            raise Malformed(f"{where}.{path}: {err}") from None
+            raise Malformed(f"{self._where}.{path}: {err}") from None
+
+
+def settings(conf: object, ids: Ids, where: str) -> dict[str, object]:
+    """Return the wire's settings as one flat mapping in our words and units; what is not known here is skipped.
+
+    Zones and op types are added to `ids` in the order of the settings.
 
+    :param where: how the settings are called in a message.
+    :raises Malformed: a field cannot be used; the first is named.
+    """
+    if not isinstance(conf, dict):
+        raise Malformed(f"{where}: expected an object, got {conf!r}")
+    read = _SettingsReader(conf, where)
     for zone in read("Areas", listed, ()):
         ids.zone(zone)
-    op_types = []
-    for place, kind in enumerate(read("Categories", listed, ())):
-        if not isinstance(kind, dict):
-            raise Malformed(f"{where}.Categories: entry {place}: expected an object, got {kind!r}")
-        ids.op_types[text(kind.get("Name"))] = place
-        op_types.append(
-            {
-                "target_latency": time(kind.get("Target") or 0),
-                "op_timeout": time(kind.get("Deadline") or 0),
-                "value": count(kind.get("Importance") or 0),
-                "group": kind.get("Group") or "",
-                "effect": EFFECTS.get(kind.get("Effect"), "once-only"),
-                "repeat_window": time(kind.get("DedupWindow") or 0),
-            }
-        )
+    op_types = [_op_type(op_type, index, ids, where) for index, op_type in enumerate(read("Categories", listed, ()))]
     return {
         "op_types": op_types,
+        **_site_settings(read, ids),
+        **_channel_settings(read),
+        **_load_settings(read),
+        **_rule_settings(read),
+        **_permissions(read),
+    }
+
+
+def _op_type(value: object, index: int, ids: Ids, where: str) -> dict[str, object]:
+    """Return an op type, and give it its index."""
+    if not isinstance(value, dict):
+        raise Malformed(f"{where}.Categories: entry {index}: expected an object, got {value!r}")
+    ids.op_types[text(value.get("Name"))] = index
+    return {
+        "target_latency": time(value.get("Target") or 0),
+        "op_timeout": time(value.get("Deadline") or 0),
+        "value": count(value.get("Importance") or 0),
+        "group": value.get("Group") or "",
+        "effect": EFFECTS.get(value.get("Effect"), "once-only"),
+        "repeat_window": time(value.get("DedupWindow") or 0),
+    }
+
+
+def _site_settings(read: _SettingsReader, ids: Ids) -> dict[str, object]:
+    """Return who this assigner is, and what there is of assigners, zones, proxies and slices."""
+    return {
         "ordinal": read("Ordinal", whole, 0),
         "conductors": read("Balancers", whole, 1),
         "zone": read("Az", ids.zone, None),
@@ -189,6 +261,12 @@
         "write_life": read("Specifics.WriteLife", time, 0),
         "lease": read("Specifics.Tenure", time, 0),
         "bare_limit": read("Specifics.Blackhole", time, 0),
+    }
+
+
+def _channel_settings(read: _SettingsReader) -> dict[str, object]:
+    """Return what the channel to the proxies takes, and how long."""
+    return {
         "envelope": read("Specifics.Envelope", count, 0),
         "lines_per_s": read("Specifics.EgressPerS", count, 0),
         "most_waiting": read("Specifics.MostWaiting", count, 0),
@@ -196,14 +274,26 @@
         "messages_span": read("Specifics.MessagesOver", time, 0),
         "transit": read("Specifics.Transit", time, 0),
         "longest_transit": read("Specifics.WorstTransit", time, 0),
+    }
+
+
+def _load_settings(read: _SettingsReader) -> dict[str, object]:
+    """Return how proxies report and choose, and how nodes are listed."""
+    return {
         "report_every": read("Specifics.ReportEvery", time, NS_PER_MS * 1000),
         "strikes": read("Specifics.Strikes", whole, 0),
-        "pick": read("Specifics.Pick", lambda v: PICKS.get(v, "random"), "random"),
-        "levels": read("Specifics.LevelKind", lambda v: LEVELS.get(v, ""), ""),
+        "pick": read("Specifics.Pick", _pick, "random"),
+        "levels": read("Specifics.LevelKind", _level_kind, ""),
         "usual_again": read("Specifics.BaseMode", whole, 0),
         "first_wait": read("Specifics.FirstWait", count, 1.0),
         "warm_keys": read("Specifics.WarmKeys", flag, False),
         "subscribe": read("MembershipMode", text, "automatic") == "subscribe",
+    }
+
+
+def _rule_settings(read: _SettingsReader) -> dict[str, object]:
+    """Return the rules that decisions are held to."""
+    return {
         "ask_within": read("Rules.AskWithin", time, 0),
         "cold_from": read("Rules.ColdFrom", count, 1.0),
         "warm_up": read("Rules.WarmUp", time, 0),
@@ -211,6 +301,12 @@
         "tip_after": read("Rules.TipAfter", time, 0),
         "grace": read("Rules.StopSendingWithin", time, 0),
         "only_draining_binds": read("Rules.OnlyDrainingBinds", flag, False),
+    }
+
+
+def _permissions(read: _SettingsReader) -> dict[str, object]:
+    """Return what this assigner may do of itself, and where weights and loads come from."""
+    return {
         "weights": read("WeightSource", text, "none"),
         "tick": read("Tick", time, NS_PER_MS),
         "dial_timeout": read("Permissions.DialTimeout", time, 250 * NS_PER_MS),
@@ -220,17 +316,37 @@
     }
 
 
-def shares(parts: Mapping[int, float], names: Mapping[int, Any]) -> list[bytes]:
-    """Datagrams of at most 256 bytes that tell other conductors `parts`, node to ops a second; `names` has the nodes'
-    names. Each stands for itself, as any may be lost: it names some nodes, and says nothing of the others."""
-    told = [SHARE.pack(checksum(names[node]), min(ops, MOST_OPS)) for node, ops in parts.items()]
-    return [bytes([SHARES]) + b"".join(told[at : at + MOST_SHARES]) for at in range(0, len(told), MOST_SHARES)]
+def _pick(value: object) -> str:
+    """Return how proxies choose among nodes, at random where the word is not known."""
+    return PICKS.get(value, "random")
+
+
+def _level_kind(value: object) -> str:
+    """Return what levels of shedding are, none where the word is not known."""
+    return LEVELS.get(value, "")
+
+
+def shares(loads: Mapping[int, float], names: Mapping[int, NodeName]) -> list[bytes]:
+    """Return datagrams of at most 256 bytes that tell other assigners the loads of nodes.
+
+    Each stands for itself, as any may be lost: it names some nodes, and says nothing of the others.
+
+    :param loads: ops a second by node.
+    :param names: the nodes' names.
+    """
+    encoded = [PEER_LOAD.pack(checksum(names[node]), min(load, LARGEST_PEER_LOAD)) for node, load in loads.items()]
+    return [
+        bytes([PEER_LOADS]) + b"".join(encoded[start : start + MAX_PEER_LOADS])
+        for start in range(0, len(encoded), MAX_PEER_LOADS)
+    ]
 
 
 def shared(body: bytes, ids: Ids) -> list[tuple[int, float]] | None:
-    """(node, ops a second) of the nodes in such a datagram that are known; None for what is none. A figure that can't
-    be is passed over."""
-    if body[:1] != bytes([SHARES]) or (len(body) - 1) % SHARE.size:
+    """Return the loads in such a datagram, ops a second by node; None for what is none.
+
+    Nodes that are not known and loads that can't be are passed over.
+    """
+    if body[:1] != bytes([PEER_LOADS]) or (len(body) - 1) % PEER_LOAD.size:
         return None
-    found = ((ids.checksums.get(name), ops) for name, ops in SHARE.iter_unpack(body[1:]))
-    return [(node, ops) for node, ops in found if node is not None and 0.0 <= ops <= MOST_OPS]
+    loads = ((ids.checksums.get(name), load) for name, load in PEER_LOAD.iter_unpack(body[1:]))
+    return [(node, load) for node, load in loads if node is not None and 0.0 <= load <= LARGEST_PEER_LOAD]
--- a/tests/test_decode.py
+++ b/tests/test_decode.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from kestrelplank.decode import SHARE, SHARES, Ids, checksum, shared, shares, text
+from kestrelplank.decode import PEER_LOAD, PEER_LOADS, Ids, checksum, shared, shares, text
 from kestrelplank.state import membership
 
 
@@ -28,7 +28,7 @@
     assert set(arrived) != set(bodies) or len(found) == len(figures)
 
 
-@pytest.mark.parametrize("body", [b"", b"hello", bytes([SHARES, 1, 2, 3]), membership.encode(1, [(1, 2, 3)], [])])
+@pytest.mark.parametrize("body", [b"", b"hello", bytes([PEER_LOADS, 1, 2, 3]), membership.encode(1, [(1, 2, 3)], [])])
 def test_what_is_no_such_datagram_is_left_to_others(body):
     assert shared(body, known([])) is None
 
@@ -36,8 +36,8 @@
 @pytest.mark.parametrize("ops", [float("nan"), float("inf"), -1.0])
 def test_a_node_not_known_and_a_figure_that_cannot_be_are_passed_over(ops):
     ids = known(["a", "b"])
-    body = bytes([SHARES]) + b"".join(
-        SHARE.pack(checksum(name), figure) for name, figure in [("a", ops), ("b", 2.0), ("c", 3.0)]
+    body = bytes([PEER_LOADS]) + b"".join(
+        PEER_LOAD.pack(checksum(name), figure) for name, figure in [("a", ops), ("b", 2.0), ("c", 3.0)]
     )
     assert shared(body, ids) == [(1, 2.0)]
 
