--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -16,9 +16,9 @@
 from kestrelplank import decode
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, text
-from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.atomic_write import write_atomically
-from kestrelplank.file_discovery.source import Source
+from kestrelplank.file_discovery.node_files import NodeFiles
+from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.rehearsal.parties import Kit
 from kestrelplank.settings.operator import NodeFileSettings
@@ -44,7 +44,7 @@
         made[number % files][f"order-{number}.{zone}.example.org"] = Listed(
             zone, f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:9000", 1.0 + number % 4 / 2
         )
-    return [nodelist.written(NodeSet(part)) for part in made]
+    return [format_node_list(NodeSet(part)) for part in made]
 
 
 def timed(what: str, call: object, times: int = 9) -> object:
@@ -60,14 +60,19 @@
 def cores(nodes: int, files: int) -> None:
     lists = [data.encode() for data in texts(nodes, files)]
     tracemalloc.start()
-    parts = [nodelist.read(f"{place}.ini", data, nodes, True) for place, data in enumerate(lists)]
+    parts = [
+        parse_node_list(f"{place}.ini", data, max_nodes=nodes, trailer_required=True)
+        for place, data in enumerate(lists)
+    ]
     made = assemble(parts)
     print(
         f"{nodes} nodes in {files} files: {tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB held, "
         f"{tracemalloc.get_traced_memory()[1] / 1e6:.1f} MB at most"
     )
     tracemalloc.stop()
-    timed("one file read and parsed", lambda: nodelist.read("0.ini", lists[0], nodes, True))
+    timed(
+        "one file read and parsed", lambda: parse_node_list("0.ini", lists[0], max_nodes=nodes, trailer_required=True)
+    )
     timed("all parts checked and put together, with the hash", lambda: assemble(parts))
     fewer = NodeSet(dict(list(made.nodes.items())[: -nodes // 100]))
     timed("the difference of two sets, judged", lambda: judge(made, fewer, (), 0, Terms(0.25, 0, False)))
@@ -118,7 +123,7 @@
         nodes = NodeFileSettings(
             files=(path,), quiet_period_ns=quiet, poll_interval_ns=100 * MS, events=events, weight_step=0.0
         )
-        source = Source(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
+        source = NodeFiles(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
         took = []
         while source.intake.force is None:
             kit.loop.at(kit.loop.now() + MS, lambda: None)
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -162,9 +162,9 @@
     policy = Policy(loop.now(), config["seed"], found)
     conductor = Conductor(loop, counters, policy, found["tick"], orders, discovery, probes, peers)
     if extras and extras.nodes.files:
-        from kestrelplank.file_discovery.source import Source
+        from kestrelplank.file_discovery.node_files import NodeFiles
 
-        files = Source(loop, counters, extras.nodes, found["grace"], ids, discovery.addresses, on_event)
+        files = NodeFiles(loop, counters, extras.nodes, found["grace"], ids, discovery.addresses, on_event)
         conductor.holders.append(files)
     members = status = None
     if extras and (extras.members.enabled or extras.status.path):
--- a/kestrelplank/cli/nodes/check.py
+++ b/kestrelplank/cli/nodes/check.py
@@ -5,10 +5,10 @@
 import click
 
 from kestrelplank.cli.nodes.files import (
-    load_state,
     paths_of,
     read_node_file_settings,
     read_node_lists,
+    read_state,
     refusing_unusable_files,
 )
 from kestrelplank.cli.options import ini_option
@@ -25,7 +25,7 @@
         settings = read_node_file_settings(path)
         node_lists = read_node_lists(paths_of(settings), settings)
         node_set = assemble(node_lists)
-        state = load_state(settings)
+        state = read_state(settings)
     confirmations = tuple(node_list.confirms for node_list in node_lists if node_list.confirms)
     terms = Terms(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
     verdict = judge(state[0] if state else None, node_set, confirmations, 0, terms)
--- a/kestrelplank/cli/nodes/files.py
+++ b/kestrelplank/cli/nodes/files.py
@@ -6,12 +6,12 @@
 from contextlib import contextmanager
 
 from kestrelplank.cli.output import ExitCode, print_refusal, refusing_invalid_settings
-from kestrelplank.file_discovery import nodelist
-from kestrelplank.file_discovery.source import bytes_of, load
+from kestrelplank.file_discovery.node_files import StoredState, load_state, read_bounded_file
+from kestrelplank.file_discovery.node_list import parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.operator import INI_VARIABLE, NodeFileSettings, read_operator_settings
-from kestrelplank.state.nodeset import NodeSet, Part, Refused
+from kestrelplank.state.nodeset import Part, Refused
 
 
 @contextmanager
@@ -42,7 +42,12 @@
 def read_node_lists(paths: Iterable[str], settings: NodeFileSettings) -> list[Part]:
     """Return the node lists in these files, each of which the settings' bounds hold for."""
     return [
-        nodelist.read(path, bytes_of(path, settings.max_file_bytes), settings.max_nodes, settings.trailer_required)
+        parse_node_list(
+            path,
+            read_bounded_file(path, settings.max_file_bytes),
+            max_nodes=settings.max_nodes,
+            trailer_required=settings.trailer_required,
+        )
         for path in paths
     ]
 
@@ -58,6 +63,6 @@
     return list(paths)
 
 
-def load_state(settings: NodeFileSettings) -> tuple[NodeSet, int, tuple[tuple[int, str, str], ...]] | None:
+def read_state(settings: NodeFileSettings) -> StoredState | None:
     """Return the set in force, its version and the versions before it; None where no state is kept."""
-    return load(settings.state_path) if settings.state_path else None
+    return load_state(settings.state_path) if settings.state_path else None
--- a/kestrelplank/cli/nodes/history.py
+++ b/kestrelplank/cli/nodes/history.py
@@ -2,7 +2,7 @@
 
 import click
 
-from kestrelplank.cli.nodes.files import load_state, read_node_file_settings, refusing_unusable_files
+from kestrelplank.cli.nodes.files import read_node_file_settings, read_state, refusing_unusable_files
 from kestrelplank.cli.options import ini_option, json_option
 from kestrelplank.cli.output import print_json
 
@@ -13,7 +13,7 @@
 def history(path: str | None, as_json: bool) -> None:
     """Print the versions that were in force."""
     with refusing_unusable_files():
-        state = load_state(read_node_file_settings(path))
+        state = read_state(read_node_file_settings(path))
     versions = state[2] if state else ()
     if as_json:
         print_json([dict(zip(("version", "hash", "what"), version)) for version in versions])
--- a/kestrelplank/cli/nodes/list.py
+++ b/kestrelplank/cli/nodes/list.py
@@ -5,10 +5,10 @@
 import click
 
 from kestrelplank.cli.nodes.files import (
-    load_state,
     paths_of,
     read_node_file_settings,
     read_node_lists,
+    read_state,
     refusing_unusable_files,
 )
 from kestrelplank.cli.options import ini_option, json_option
@@ -25,7 +25,7 @@
     with refusing_unusable_files():
         settings = read_node_file_settings(path)
         if in_force:
-            state = load_state(settings)
+            state = read_state(settings)
             node_set = state[0] if state else None
         else:
             node_set = assemble(read_node_lists(paths_of(settings), settings))
--- a/kestrelplank/emulator/discovery.py
+++ b/kestrelplank/emulator/discovery.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.emulator.part import Part
 from kestrelplank.emulator.script import Fault
-from kestrelplank.file_discovery import nodelist
+from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.state import guards, roster
 from kestrelplank.state.intake import SETTLED, Debounce, Intake
@@ -81,7 +81,7 @@
             Debounce(terms.quiet),
             roster.Roster(roster.Terms(script.rules.grace, terms.weight_step)),
         )
-        self._text: bytes | None = nodelist.written(NodeSet(self._nodes)).encode()
+        self._text: bytes | None = format_node_list(NodeSet(self._nodes)).encode()
         self._read_at(self.clock.now())
         self._read_at(self.clock.now() + terms.quiet)
         self._roster.accept(self.clock.now(), self.intake.force)
@@ -104,7 +104,7 @@
                 held[name] = held[name]._replace(draining=True)
             elif fault.how == "weight":
                 held[name] = held[name]._replace(weight=held[name].weight * fault.strength)
-        text = nodelist.written(NodeSet(held))
+        text = format_node_list(NodeSet(held))
         if fault.how == "torn":
             text = text[: self.random.randrange(1, len(text) - 1)]
         elif fault.how == "twice":
@@ -114,7 +114,7 @@
 
     def restore(self) -> None:
         """The whole list is saved again."""
-        self._put(nodelist.written(NodeSet(self._nodes)).encode())
+        self._put(format_node_list(NodeSet(self._nodes)).encode())
 
     def _put(self, text: bytes | None) -> None:
         self._text = text
@@ -147,7 +147,7 @@
         if self._text is None:
             return "nodes.ini: there is no such file"
         try:
-            return nodelist.read("nodes.ini", self._text, 2 * len(self._nodes), True)
+            return parse_node_list("nodes.ini", self._text, max_nodes=2 * len(self._nodes), trailer_required=True)
         except InvalidSettingsError as err:
             return str(err)
 
--- /dev/null
+++ b/kestrelplank/file_discovery/file_watcher.py
@@ -0,0 +1,221 @@
+"""Watches files: says that one may have changed, by inotify on its directory and by looking now and then.
+
+Who hears of it reads the file and judges by its content; a call too many costs a reading. Looking never stops, as
+inotify says nothing on some file systems, drops events when its queue is full, and loses a directory that is replaced.
+"""
+
+import contextlib
+import glob
+import os
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import TYPE_CHECKING, NamedTuple
+
+from kestrelplank.sockets.loop import READ, Loop
+
+if TYPE_CHECKING:
+    from inotify_simple import INotify  # type: ignore[import-untyped] # the library has no types
+
+WILDCARDS = "*?["
+CLOCK_TICK_NS = 100_000_000  # above the tick by which any file system keeps its times
+
+
+class FileIdentity(NamedTuple):
+    """What tells one state of a file from another.
+
+    Times only tell that something differs, never which is newer: clocks are set back.
+    """
+
+    device: int
+    inode: int
+    size: int
+    modified_ns: int
+    changed_ns: int
+    mode: int
+
+
+class WatchedDirectory(NamedTuple):
+    """A directory that inotify watches, and what it was when the watch began."""
+
+    descriptor: int
+    device: int
+    inode: int
+
+
+class _Unknown:
+    """The identity of a file that equals no other, so that the file is read at the next look."""
+
+
+UNKNOWN = _Unknown()
+
+
+class FileWatcher:
+    """Files by path or by pattern (`*`, `?` in the last part).
+
+    :param poll_interval_ns: files are looked at so often.
+    :param use_events: whether inotify is used as well, where it is to be had.
+    :param on_change: called with the path of a file that may have changed, come or gone.
+    :param on_trouble: called with the reason where events can't be had or were lost.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        patterns: tuple[str, ...],
+        poll_interval_ns: int,
+        *,
+        use_events: bool,
+        on_change: Callable[[str], None],
+        on_trouble: Callable[[str], None],
+    ) -> None:
+        self._loop, self._patterns, self._poll_interval_ns = loop, patterns, poll_interval_ns
+        self._on_change, self._on_trouble = on_change, on_trouble
+        self._seen: dict[str, FileIdentity | None | _Unknown] = {}  # None: the file is gone
+        self._inotify: INotify | None = None
+        self._directories: dict[int, str] = {}  # by watch descriptor
+        self._watched: dict[str, WatchedDirectory] = {}
+        if use_events:
+            self._open_inotify()
+        self._timer = loop.at(loop.now(), self.look)
+
+    def paths(self) -> list[str]:
+        """Return the files there are or have been, in the order of their names; one that has gone stays."""
+        return sorted(self._seen)
+
+    def close(self) -> None:
+        """End the watch."""
+        self._timer.cancel()
+        if self._inotify is not None:
+            self._loop.forget(self._inotify)
+            self._inotify.close()
+            self._inotify = None
+
+    # Looking.
+
+    def look(self) -> None:
+        """Look at all files now, and again after the interval."""
+        self._timer.cancel()
+        self._look_at_all()
+        self._timer = self._loop.at(self._loop.now() + self._poll_interval_ns, self.look)
+
+    def _look_at_all(self) -> None:
+        if self._inotify is not None:
+            self._watch_directories(self._inotify)
+        paths = dict.fromkeys(self._seen)
+        for pattern in self._patterns:
+            if any(letter in Path(pattern).name for letter in WILDCARDS):
+                matches = glob.glob(pattern)  # noqa: PTH207 - Path.glob takes no absolute pattern
+                paths.update(dict.fromkeys(sorted(matches)))
+            else:
+                paths[pattern] = None
+        for path in paths:
+            self._look_at(path)
+
+    def _look_at(self, path: str) -> None:
+        identity = identity_of(path)
+        if path not in self._seen or self._seen[path] != identity:
+            # Written a moment ago, it may be written again without a time to tell it by: then it is read once more.
+            fresh = identity is not None and time.time_ns() - identity.modified_ns < CLOCK_TICK_NS
+            self._seen[path] = UNKNOWN if fresh else identity
+            self._on_change(path)
+
+    # Events.
+
+    def _open_inotify(self) -> None:
+        try:
+            from inotify_simple import INotify
+        except ImportError:
+            self._on_trouble("inotify-simple is not installed; files are looked at now and then")
+            return
+        try:
+            self._inotify = INotify(nonblocking=True)
+        except OSError as err:
+            self._on_trouble(f"no inotify: {err.strerror}; files are looked at now and then")
+            return
+        self._loop.watch(self._inotify, READ, self._on_readable)
+
+    def _watch_directories(self, inotify: "INotify") -> None:
+        """Watch each directory that holds a file, or to which a link in a file's path leads.
+
+        One that was replaced under its name is watched anew.
+        """
+        wanted: dict[str, None] = {}
+        for path in (*self._patterns, *self._seen):
+            wanted[os.path.dirname(path) or "."] = None  # noqa: PTH120 - as inotify and messages shall name it
+            wanted[str(Path(os.path.realpath(path)).parent)] = None
+        for directory in wanted:
+            identity = identity_of(directory)
+            watched = self._watched.get(directory)
+            if identity is None or watched is not None and watched[1:] == identity[:2]:
+                continue
+            if watched is not None:
+                self._unwatch(inotify, directory)
+            self._watch(inotify, directory, identity)
+        for directory in [directory for directory in self._watched if directory not in wanted]:
+            self._unwatch(inotify, directory)
+
+    def _watch(self, inotify: "INotify", directory: str, identity: FileIdentity) -> None:
+        try:
+            descriptor = inotify.add_watch(directory, _event_mask())
+        except OSError as err:
+            self._on_trouble(f"{directory} can't be watched: {err.strerror}; it is looked at now and then")
+            return
+        self._directories[descriptor] = directory
+        self._watched[directory] = WatchedDirectory(descriptor, identity.device, identity.inode)
+
+    def _unwatch(self, inotify: "INotify", directory: str) -> None:
+        watched = self._watched.pop(directory)
+        if self._directories.pop(watched.descriptor, None) is not None:
+            with contextlib.suppress(OSError):  # the directory has gone, and its watch with it
+                inotify.rm_watch(watched.descriptor)
+
+    def _on_readable(self, _events: int) -> None:
+        from inotify_simple import flags
+
+        if self._inotify is None:
+            return
+        named: set[str] = set()
+        for event in self._inotify.read(timeout=0):
+            if event.mask & flags.Q_OVERFLOW:
+                self._on_trouble("events were lost; all files are looked at")
+            if event.mask & flags.IGNORED:
+                directory = self._directories.pop(event.wd, "")
+                self._watched.pop(directory, None)
+            named.add(event.name)
+        # A file that was named is read in any case, as a write within one tick of the clock changes no time of its; the
+        # others are looked at, as behind links a file has other names.
+        for path in list(self._seen):
+            if Path(path).name in named or Path(os.path.realpath(path)).name in named:
+                self._seen[path] = UNKNOWN
+        self._look_at_all()
+
+
+def _event_mask() -> int:
+    """Return which events of a directory are asked for: all that may change what a path in it names or holds."""
+    from inotify_simple import flags
+
+    mask: int = (
+        flags.CREATE
+        | flags.CLOSE_WRITE
+        | flags.MODIFY
+        | flags.MOVED_FROM
+        | flags.MOVED_TO
+        | flags.DELETE
+        | flags.DELETE_SELF
+        | flags.MOVE_SELF
+        | flags.ATTRIB
+        | flags.ONLYDIR
+    )
+    return mask
+
+
+def identity_of(path: str) -> FileIdentity | None:
+    """Return what tells this state of the file from another; None where there is no file."""
+    try:
+        status = Path(path).stat()
+    except OSError:
+        return None
+    return FileIdentity(
+        status.st_dev, status.st_ino, status.st_size, status.st_mtime_ns, status.st_ctime_ns, status.st_mode
+    )
--- /dev/null
+++ b/kestrelplank/file_discovery/node_files.py
@@ -0,0 +1,229 @@
+"""Nodes from watched files: reads them, hands what they say to the cores in `state/`, and tells the policy.
+
+It decides nothing: `Debounce` says when a reading counts, `Intake` whether the set that it makes may be in force;
+`NodeListReporter` tells what follows from the set.
+"""
+
+import os
+from collections.abc import Callable
+
+from kestrelplank.assigner.counters import Counters
+from kestrelplank.decode import Ids, Malformed
+from kestrelplank.file_discovery.atomic_write import write_atomically
+from kestrelplank.file_discovery.file_watcher import FileWatcher
+from kestrelplank.file_discovery.node_list import parse_node_list
+from kestrelplank.file_discovery.node_list_reporter import Event, NodeListReporter
+from kestrelplank.settings.errors import InvalidSettingsError
+from kestrelplank.settings.operator import NodeFileSettings
+from kestrelplank.sockets.loop import Loop, Timer
+from kestrelplank.state import guards, roster
+from kestrelplank.state.guards import ACCEPTED, REFUSED
+from kestrelplank.state.intake import SAME, SETTLED, Debounce, Intake, restored
+from kestrelplank.state.nodeset import NodeSet, Part
+from kestrelplank.state.sealed import digest_of
+
+StoredState = tuple[NodeSet, int, tuple[tuple[int, str, str], ...]]  # the set in force, its version, former versions
+
+
+def read_bounded_file(path: str, max_bytes: int) -> bytes:
+    """Return a file's bytes.
+
+    :raises OSError: it cannot be read.
+    :raises InvalidSettingsError: it is larger than that.
+    """
+    descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a pipe put there must not block the loop
+    with open(descriptor, "rb") as file:  # noqa: PTH123 - a descriptor, no path
+        data = file.read(max_bytes + 1) or b""
+    if len(data) > max_bytes:
+        raise InvalidSettingsError(f"over {max_bytes} bytes", file=path)
+    return data
+
+
+def load_state(path: str) -> StoredState | None:
+    """Return the state that a file keeps; None where there is no such file yet.
+
+    :raises InvalidSettingsError: it cannot be read.
+    """
+    try:
+        with open(path, "rb") as file:  # noqa: PTH123 - one call less than by Path, at the start of a program
+            return restored(file.read())
+    except FileNotFoundError:
+        return None
+    except OSError as err:
+        raise InvalidSettingsError(f"can't be read: {err.strerror}", file=path) from None
+    except Malformed as err:
+        raise InvalidSettingsError(str(err), file=path) from None
+
+
+class NodeFiles:
+    """Watched node lists, from a change of a file to what the policy is told.
+
+    :param settings: what the operator's file says of them.
+    :param default_grace_ns: holds where the operator's file gives none.
+    :param addresses: discovery's addresses by node index, for health checks; those of the files are added.
+    :param on_event: takes the policy's events.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        counters: Counters,
+        settings: NodeFileSettings,
+        default_grace_ns: int,
+        ids: Ids,
+        addresses: dict[int, str],
+        on_event: Callable[[Event], None],
+    ) -> None:
+        self._loop, self._counters, self._settings = loop, counters, settings
+        self._default_grace_ns = default_grace_ns
+        self._debounce = Debounce(settings.quiet_period_ns)
+        self._reporter = NodeListReporter(counters, ids, addresses, self._roster_terms(), settings.authority, on_event)
+        self._read_timers: dict[str, Timer] = {}  # of files that are to be read again
+        self._decide_timer: Timer | None = None
+        self._report_timer: Timer | None = None
+        self.intake = self._restored_intake()
+        self._report_accepted()
+        self._watcher = self._new_watcher()
+
+    def on_event(self, event: Event) -> None:
+        """Take discovery's events, on their way to the policy."""
+        self._reporter.on_discovery_event(event)
+
+    def forget(self, node: int) -> None:
+        """Forget a node that the policy has forgotten."""
+        self._reporter.forget(node)
+
+    def reload(self, settings: NodeFileSettings) -> None:
+        """Take the operator's file as it was read anew; files that it no longer names are no longer waited for."""
+        self._settings = settings
+        self.intake.terms = self._guard_terms()
+        self._reporter.set_terms(self._roster_terms())
+        former_paths = self._watcher.paths()
+        self._watcher.close()
+        self._watcher = self._new_watcher()
+        self._watcher.look()  # now, so that what is there is known below
+        for path in former_paths:
+            if path not in self._watcher.paths():
+                self._debounce.forget(path)
+                self.intake.drop(path)
+        self._decide()
+
+    def close(self) -> None:
+        """End the watch and all that is due."""
+        for timer in (*self._read_timers.values(), self._decide_timer, self._report_timer):
+            if timer is not None:
+                timer.cancel()
+        self._watcher.close()
+
+    # What the cores and the watcher are made with.
+
+    def _roster_terms(self) -> roster.Terms:
+        grace_ns = self._settings.grace_ns
+        return roster.Terms(self._default_grace_ns if grace_ns is None else grace_ns, self._settings.weight_step)
+
+    def _guard_terms(self) -> guards.Terms:
+        settings = self._settings
+        return guards.Terms(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
+
+    def _new_watcher(self) -> FileWatcher:
+        return FileWatcher(
+            self._loop,
+            self._settings.files,
+            self._settings.poll_interval_ns,
+            use_events=self._settings.events,
+            on_change=self._read,
+            on_trouble=lambda reason: self._counters.trouble("files_watch_troubles", reason),
+        )
+
+    def _restored_intake(self) -> Intake:
+        if not self._settings.state_path:
+            return Intake(self._guard_terms())
+        try:
+            state = load_state(self._settings.state_path)
+        except InvalidSettingsError as err:  # the set in force is lost; the files still say what shall be
+            self._counters.trouble("files_state_refused", err)
+            return Intake(self._guard_terms())
+        if state is None:
+            return Intake(self._guard_terms())
+        node_set, version, _ = state
+        self._counters.info("files_restored", version=version, hash=node_set.short, nodes=len(node_set))
+        return Intake(self._guard_terms(), *state)
+
+    # Reading.
+
+    def _read(self, path: str) -> None:
+        """Read a file that may have changed, and decide once what was read counts and no other file is written."""
+        now, problem, data = self._loop.now(), "", b""
+        try:
+            data = read_bounded_file(path, self._settings.max_file_bytes)
+            digest: str | None = digest_of(data)
+        except FileNotFoundError:
+            digest, problem = None, f"{path}: there is no such file"
+        except OSError as err:
+            digest, problem = f"!{err.errno}", f"{path}: can't be read: {err.strerror}"
+        except InvalidSettingsError as err:
+            digest, problem = "!size", str(err)
+        outcome = self._debounce.see(now, path, digest)
+        if outcome == SETTLED:
+            self._counters.add("files_read")
+            self.intake.take(path, problem or self._parsed(path, data))
+        elif isinstance(outcome, int):
+            self._read_again_at(path, outcome)
+        if outcome in (SETTLED, SAME) and self._debounce.at_rest(now):
+            self._decide()
+
+    def _parsed(self, path: str, data: bytes) -> Part | str:
+        """Return what the file lists, or why it cannot be used."""
+        settings = self._settings
+        try:
+            return parse_node_list(path, data, max_nodes=settings.max_nodes, trailer_required=settings.trailer_required)
+        except InvalidSettingsError as err:
+            return str(err)
+
+    def _read_again_at(self, path: str, at: int) -> None:
+        if path in self._read_timers:
+            self._read_timers[path].cancel()
+        self._read_timers[path] = self._loop.at(at, lambda: self._read(path))
+
+    # Deciding is the cores' part; this does what they say.
+
+    def _decide(self) -> None:
+        outcome = self.intake.decide(self._loop.now())
+        if self.intake.due is not None:
+            self._decide_timer = self._replaced(self._decide_timer, self.intake.due, self._decide)
+        if outcome is None:
+            return
+        if outcome.how == ACCEPTED:
+            self._counters.add("files_accepted")
+            self._counters.info("files_accepted", why=outcome.why, version=outcome.version, hash=outcome.short)
+            self._save()
+            self._report_accepted()
+        else:
+            name = "files_refused" if outcome.how == REFUSED else "files_waiting"
+            self._counters.trouble(name, outcome.why, in_force=outcome.version, hash=outcome.short)
+
+    def _save(self) -> None:
+        path = self._settings.state_path
+        if path:
+            try:
+                write_atomically(path, self.intake.stored())
+            except OSError as err:  # the set holds all the same; a restart would know an older one
+                self._counters.trouble("files_state_not_saved", f"{path}: {err.strerror}")
+
+    def _report_accepted(self) -> None:
+        """Tell the policy of the set that is in force now, if there is one."""
+        if self.intake.force is not None:
+            self._reporter.accept(self._loop.now(), self.intake.force)
+            self._report()
+
+    def _report(self) -> None:
+        """Tell the policy what is due, and come back when more is."""
+        due = self._reporter.report(self._loop.now())
+        if due is not None:
+            self._report_timer = self._replaced(self._report_timer, due, self._report)
+
+    def _replaced(self, timer: Timer | None, at: int, callback: Callable[[], None]) -> Timer:
+        """Return a timer in place of one that is set already."""
+        if timer is not None:
+            timer.cancel()
+        return self._loop.at(at, callback)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -9,7 +9,7 @@
 
 from kestrelplank.cli import COMMANDS
 from kestrelplank.cli.group import group
-from kestrelplank.file_discovery import nodelist
+from kestrelplank.file_discovery.node_list import parse_node_list
 from kestrelplank.state.guards import Terms
 from kestrelplank.state.intake import Intake
 
@@ -114,7 +114,7 @@
 def keep(site):
     """A state file, as a conductor that has read these lists leaves it."""
     intake = Intake(Terms(0.25, 0, False))
-    intake.take("a", nodelist.read("a", NODES.encode(), 9, True))
+    intake.take("a", parse_node_list("a", NODES.encode(), max_nodes=9, trailer_required=True))
     intake.decide(0)
     (site / "state").write_bytes(intake.stored())
     return intake.force.short
--- a/tests/file_discovery/test_source.py
+++ b/tests/file_discovery/test_node_files.py
@@ -15,8 +15,8 @@
 from kestrelplank.assigner.orders import Orders
 from kestrelplank.assigner.probes import Probes
 from kestrelplank.decode import Ids, settings, text
-from kestrelplank.file_discovery.nodelist import read, written
-from kestrelplank.file_discovery.source import Source
+from kestrelplank.file_discovery.node_files import NodeFiles
+from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.operator import NodeFileSettings
@@ -42,7 +42,7 @@
 
 
 def text_of(numbers, **more):
-    return written(NodeSet({name(number): listed(number, **more) for number in numbers}))
+    return format_node_list(NodeSet({name(number): listed(number, **more) for number in numbers}))
 
 
 class Site:
@@ -79,7 +79,7 @@
                 **fields,
             }
         )
-        self.source = Source(kit.loop, kit.counters, nodes, 40 * MS, ids, discovery.addresses, self.on_event)
+        self.source = NodeFiles(kit.loop, kit.counters, nodes, 40 * MS, ids, discovery.addresses, self.on_event)
         self.conductor.holders.append(self.source)
         told = News(kit.loop, kit.pool, kit.counters, self.hub.at, ids, RELAYS, SLICES, orders, self.on_event)
         self.parts = [told, orders, self.source, probes, self.hub, self.agent]
@@ -266,7 +266,7 @@
     here.wait(lambda: len(here.in_force()) == 8)
     (tmp_path / "data.new").symlink_to("v1")
     os.replace(tmp_path / "data.new", tmp_path / "data")
-    here.source._watch.look()  # the link's own folder is not the file's: found by looking
+    here.source._watcher.look()  # the link's own folder is not the file's: found by looking
     here.wait(lambda: len(here.in_force()) == 9)
 
 
@@ -327,7 +327,7 @@
     here.wait(lambda: len(here.in_force()) == 10)
     (here.folder / "b.ini").unlink()
     here.wait(lambda: here.count("files_refused"))
-    here.source.reload(here.source._nodes)
+    here.source.reload(here.source._settings)
     here.wait(lambda: len(here.in_force()) == 8)
 
 
@@ -359,7 +359,10 @@
             at = random.randrange(len(data))
             data = data[:at] + random.choice("\x00=[]#\n") + data[at + 1 :]
             try:
-                names.update(line.name for line in read("a.ini", data.encode(), 99, True).lines)
+                names.update(
+                    line.name
+                    for line in parse_node_list("a.ini", data.encode(), max_nodes=99, trailer_required=True).lines
+                )
             except InvalidSettingsError:
                 pass
         elif how == "twice":
@@ -373,7 +376,9 @@
         else:
             here.write("a.ini", "" if how == "empty" else data)
         if how == "valid":  # it is taken, or waits for a second word
-            here.wait(lambda data=data: written(NodeSet(here.in_force())) == data or here.source.intake.waiting)
+            here.wait(
+                lambda data=data: format_node_list(NodeSet(here.in_force())) == data or here.source.intake.waiting
+            )
         else:
             end = here.kit.loop.now() + random.randrange(6) * MS
             here.wait(lambda end=end: here.kit.loop.now() >= end)
@@ -390,7 +395,7 @@
     nodes = rewrites(here, Random(seed), int(os.environ.get("REWRITES", 500)))
     last = text_of(range(1, 17))
     here.write("a.ini", f"[list]\nconfirm = {here.source.intake.force.short}\n{last}")
-    here.wait(lambda: written(NodeSet(here.in_force())) == last)
+    here.wait(lambda: format_node_list(NodeSet(here.in_force())) == last)
     for _, orders in here.calls:
         for order in orders:
             assert order[0] == "mark" or order[2 if order[0] == "line" else 1] in nodes
--- a/tests/file_discovery/test_nodelist.py
+++ b/tests/file_discovery/test_node_list.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.file_discovery.nodelist import read, written
+from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.state.nodeset import Line, Listed, NodeSet, Refused, assemble
 
@@ -21,7 +21,8 @@
 
 
 def part(text=TEXT, most=99, trailer=True):
-    return read("n.ini", text.encode() if isinstance(text, str) else text, most, trailer)
+    data = text.encode() if isinstance(text, str) else text
+    return parse_node_list("n.ini", data, max_nodes=most, trailer_required=trailer)
 
 
 def test_a_list_is_read_with_its_lines():
@@ -133,7 +134,7 @@
 
 @given(sets)
 def test_a_set_that_is_written_is_read_back_as_it_was(made):
-    lines = part(written(made)).lines
+    lines = part(format_node_list(made)).lines
     assert NodeSet({line.name: line.listed for line in lines}) == made and len(lines) == len(made)
 
 
