--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -6,9 +6,8 @@
 import time
 from random import Random
 
-from kestrelplank.load_balancing.selection import rendezvous
-
 from kestrelplank.emulator.sharded_service import ShardedService
+from kestrelplank.load_balancing.selection import rendezvous
 from kestrelplank.sharding.key_range import KEY_COUNT
 
 SPEEDS = [0.7, 1.0, 1.0, 1.5]
