--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,9 +13,11 @@
 from kestrelplank.http.serve import listener, server
 
 
-class Member:
-    """A control member that keeps what it is told. `lag`: how many times it is asked before an edge machine has the
-    newest; `log_lag`: entries that the other member lacks."""
+class StubMember:
+    """A control member that keeps the configuration it is sent.
+
+    `lag`: how many times it is asked before an edge machine has the newest; `log_lag`: entries that its peer lacks.
+    """
 
     def __init__(self, lag=0, majority=True, log_lag=0, in_force=True):
         self.configuration, self.lag, self.majority, self.log_lag = None, lag, majority, log_lag
@@ -66,8 +68,8 @@
         )
 
 
-def run(member, *words):
-    """The command's exit code against that member; ADDRESS stands for its address."""
+def exit_code(member, *words):
+    """Run a command against that member; ADDRESS stands for its address."""
 
     async def play():
         sock = listener("127.0.0.1", 0)
@@ -86,7 +88,7 @@
 
 
 @pytest.fixture
-def file(tmp_path):
+def configuration_file(tmp_path):
     def written(name="new.json", **changes):
         path = tmp_path / name
         path.write_text(json.dumps(configuration(**changes)))
@@ -95,46 +97,46 @@
     return written
 
 
-def test_replace_waits_until_the_last_edge_has_it(file, capsys):
-    assert run(Member(lag=2), "replace", "ADDRESS", file()) == 0
+def test_replace_waits_until_the_last_edge_has_the_version(configuration_file, capsys):
+    assert exit_code(StubMember(lag=2), "replace", "ADDRESS", configuration_file()) == 0
     assert "version 00000007 is acknowledged; all in session have it" in capsys.readouterr().out
 
 
-def test_replace_names_who_is_behind(file, capsys):
-    assert run(Member(lag=99), "replace", "ADDRESS", file(), "--wait=0", "--json") == 1
+def test_replace_names_an_edge_that_is_behind(configuration_file, capsys):
+    assert exit_code(StubMember(lag=99), "replace", "ADDRESS", configuration_file(), "--wait=0", "--json") == 1
     assert json.loads(capsys.readouterr().out)["behind"] == ["edge-2"]
 
 
-def test_replace_names_the_member_that_lacks_it(file, capsys):
-    assert run(Member(log_lag=1), "replace", "ADDRESS", file(), "--wait=0", "--json") == 1
+def test_replace_names_a_peer_that_lacks_entries_of_the_log(configuration_file, capsys):
+    assert exit_code(StubMember(log_lag=1), "replace", "ADDRESS", configuration_file(), "--wait=0", "--json") == 1
     assert json.loads(capsys.readouterr().out)["behind"] == ["b:1/first"]
 
 
-def test_replace_tells_why_it_was_refused(file, capsys):
-    assert run(Member(majority=False), "replace", "ADDRESS", file()) == 1
+def test_replace_prints_the_reason_of_a_refusal(configuration_file, capsys):
+    assert exit_code(StubMember(majority=False), "replace", "ADDRESS", configuration_file()) == 1
     assert "refused, 503: not enough members can keep it" in capsys.readouterr().out
 
 
-def test_replace_tells_that_another_text_or_a_higher_version_is_in_force(file, capsys):
-    assert run(Member(in_force=False), "replace", "ADDRESS", file()) == 1
+def test_replace_prints_that_a_version_not_above_the_one_in_force_changed_nothing(configuration_file, capsys):
+    assert exit_code(StubMember(in_force=False), "replace", "ADDRESS", configuration_file()) == 1
     assert "version 00000007 changed nothing: it is not above the one in force" in capsys.readouterr().out
 
 
-def test_a_file_that_is_no_configuration_is_never_sent(file, capsys):
-    member = Member()
-    path = file(virtual_hosts=[{"host_name": "", "host_routes": []}])
-    assert run(member, "replace", "ADDRESS", path) == 2 and member.configuration is None
+def test_an_invalid_configuration_is_refused_and_never_sent(configuration_file, capsys):
+    member = StubMember()
+    path = configuration_file(virtual_hosts=[{"host_name": "", "host_routes": []}])
+    assert exit_code(member, "replace", "ADDRESS", path) == 2 and member.configuration is None
     assert capsys.readouterr().err == f"kestrelplank: {path}: virtual_hosts[0].host_name: empty\n"
 
 
-def test_nobody_at_the_address_is_one_line_and_exit_code_1(file, capsys):
+def test_an_address_that_does_not_answer_is_one_line_and_exit_code_1(configuration_file, capsys):
     sock = listener("127.0.0.1", 0)  # bound, and nobody listens
     assert main(["status", "127.0.0.1:%d" % sock.getsockname()[1]]) == 1
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_status_shows_who_counts_edges_and_lines(capsys):
-    assert run(Member(), "status", "ADDRESS") == 0
+def test_status_prints_voters_edges_and_key_ranges(capsys):
+    assert exit_code(StubMember(), "status", "ADDRESS") == 0
     out = capsys.readouterr().out.splitlines()
     assert out[:4] == [
         "member a:1/first: current",
@@ -150,15 +152,15 @@
     assert "  learnt of s: 1.5, 2.0, 0.0, 0.0" in out
 
 
-def test_status_as_json_is_what_the_member_said(capsys):
-    assert run(Member(), "status", "ADDRESS", "--json") == 0
+def test_status_as_json_is_what_the_member_answered(capsys):
+    assert exit_code(StubMember(), "status", "ADDRESS", "--json") == 0
     assert json.loads(capsys.readouterr().out)["services"]["views"]["lines"][0]["server"] == "s"
 
 
-def test_a_difference_is_told_route_by_route_and_field_by_field(file, capsys):
+def test_a_difference_is_printed_route_by_route_and_field_by_field(configuration_file, capsys):
     old, new = (
-        file("old.json"),
-        file(
+        configuration_file("old.json"),
+        configuration_file(
             version="00000008",
             virtual_hosts=[
                 {
