--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -39,13 +39,13 @@
     return str(tmp_path / "s.ini")
 
 
-def test_every_command_has_a_line_in_the_help_and_a_module():
+def test_every_command_has_a_help_line_and_a_module():
     said = run("--help").output
     for name in COMMANDS:
         assert name in said and run(name, "--help").exit_code == 0
 
 
-def test_a_rehearsal_prints_its_figures_and_writes_them_whole(path, tmp_path):
+def test_a_rehearsal_prints_its_figures_and_writes_the_complete_report(path, tmp_path):
     done = run("rehearse", path, "--json", str(tmp_path / "r.json"))
     assert done.exit_code == 0, done.output
     assert "all figures are simulated" in done.output and "service 1.0000" in done.output
@@ -53,13 +53,13 @@
     assert found["rules"]["queue"]["kept"] and len(found["timelines"]) == 4 and found["form"] == 1
 
 
-def test_a_script_that_cannot_be_used_is_one_line_and_exit_code_2(path):
+def test_an_invalid_script_is_one_line_and_exit_code_2(path):
     Path(path).write_text(SCRIPT.replace("500ms", "soon"))
     done = run("rehearse", path)
     assert done.exit_code == 2 and done.output.count("\n") == 1 and "line 11, [op look], field target" in done.output
 
 
-def test_a_report_that_cannot_be_written_is_exit_code_2_and_said(path, tmp_path):
+def test_a_report_that_cannot_be_written_is_one_line_and_exit_code_2(path, tmp_path):
     done = run("rehearse", path, "--json", str(tmp_path / "no" / "r.json"))
     assert done.exit_code == 2 and "can't be written: No such file or directory" in done.output
 
@@ -120,7 +120,7 @@
     return intake.force.short
 
 
-def test_check_tells_what_each_file_is_and_names_what_is_wrong(site, path):
+def test_check_prints_what_each_file_is_and_names_conflicts(site, path):
     done = run("check", str(site / "k.ini"), str(site / "nodes" / "a.ini"), path)
     assert done.exit_code == 0 and "4 nodes, 3 ready, in 2 zones" in done.output
     assert [line.rpartition(": ")[2] for line in done.output.splitlines()[:3]] == [
@@ -164,7 +164,7 @@
     ]
 
 
-def test_the_difference_of_two_lists(site):
+def test_nodes_diff_prints_each_node_that_differs_and_exits_with_1(site):
     (site / "new.ini").write_text(
         NODES.replace("n2 = 10.0.0.1:2 weight 2", "n2 = 10.0.0.1:2 draining\nn5 = 10.0.0.1:5").replace(
             "n4 = 10.0.0.1:4\n", ""
@@ -188,7 +188,7 @@
         (("diff", "none", "none"), "none: can't be read"),
     ],
 )
-def test_what_the_nodes_commands_cannot_use_is_one_line(words, says, monkeypatch):
+def test_a_file_that_the_nodes_commands_cannot_use_is_one_line_and_exit_code_2(words, says, monkeypatch):
     monkeypatch.delenv("KESTRELPLANK_INI", raising=False)
     done = run("nodes", *words)
     assert done.exit_code == 2 and says in done.output and done.output.count("\n") == 1
--- a/tests/file_discovery/test_atomic_write.py
+++ b/tests/file_discovery/test_atomic_write.py
@@ -5,7 +5,7 @@
 from kestrelplank.file_discovery.atomic_write import write_atomically
 
 
-def test_a_file_is_replaced_whole_and_keeps_its_mode(tmp_path):
+def test_a_file_is_replaced_atomically_and_keeps_its_mode(tmp_path):
     path = tmp_path / "nodes.ini"
     write_atomically(str(path), b"one")
     path.chmod(0o640)
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("fails", ["fsync", "replace"])
-def test_where_it_cannot_be_written_the_old_file_stands_and_nothing_is_left(tmp_path, monkeypatch, fails):
+def test_a_write_that_fails_keeps_the_old_file_and_leaves_no_temporary_one(tmp_path, monkeypatch, fails):
     path = tmp_path / "nodes.ini"
     path.write_bytes(b"one")
 
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_a_saved_file_is_in_force_and_told_and_what_vanished_drains_first(site, events):
+def test_a_saved_file_is_in_force_and_nodes_that_vanished_drain_first(site, events):
     here = site(text_of(range(1, 9)), events=events)
     here.wait(lambda: len(here.in_force()) == 8)
     here.write("a.ini", text_of([*range(1, 8), 9]))
@@ -197,7 +197,7 @@
         (lambda data: "[zone toronto]\n# end 0 nodes\n", "it lists no node"),
     ],
 )
-def test_what_cannot_be_used_changes_nothing_and_is_said_with_its_place(site, capfd, spoil, says):
+def test_an_invalid_list_changes_nothing_and_is_logged_with_its_line(site, capfd, spoil, says):
     here = site(text_of(range(1, 9)), trailer_required=True)
     here.wait(lambda: len(here.in_force()) == 8)
     before, calls = here.in_force(), len(here.calls)
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_a_file_deleted_deleted_and_made_again_replaced_by_a_folder_or_unreadable_keeps_what_stands(site, events):
+def test_a_file_deleted_made_again_replaced_by_a_directory_or_unreadable_keeps_the_set_in_force(site, events):
     here = site(text_of(range(1, 9)), events=events)
     here.wait(lambda: len(here.in_force()) == 8)
     path, before = here.folder / "a.ini", here.in_force()
@@ -242,7 +242,7 @@
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_an_edit_in_place_of_the_same_size_and_a_touch_without_a_change(site, events):
+def test_an_edit_in_place_of_the_same_size_is_seen_and_a_touch_changes_nothing(site, events):
     here = site(text_of(range(1, 9)), events=events)
     here.wait(lambda: len(here.in_force()) == 8)
     path = here.folder / "a.ini"
@@ -256,7 +256,7 @@
     assert here.count("files_read") == reads + 1
 
 
-def test_a_link_that_is_swapped_as_orchestrators_do(site, tmp_path):
+def test_a_symbolic_link_that_is_swapped_is_read_anew(site, tmp_path):
     """A file behind a link to a folder behind another link, which is replaced whole."""
     for number, nodes in enumerate((range(1, 9), range(1, 10))):
         (tmp_path / f"v{number}").mkdir()
@@ -280,7 +280,7 @@
     assert here.source.intake.version == 2 and not here.count("files_refused")
 
 
-def test_a_set_that_waits_is_taken_with_its_marker(site):
+def test_a_set_that_waits_is_in_force_with_its_marker(site):
     here = site(text_of(range(1, 9)))
     here.wait(lambda: len(here.in_force()) == 8)
     here.write("a.ini", text_of(range(1, 5)))
@@ -290,7 +290,7 @@
     here.wait(lambda: len(here.in_force()) == 4)
 
 
-def test_a_set_that_stands_is_taken_though_no_file_changes_any_more(site):
+def test_a_set_that_stays_the_same_for_the_confirmation_period_is_in_force(site):
     here = site(text_of(range(1, 9)), confirmation_period_ns=120 * MS)
     here.wait(lambda: len(here.in_force()) == 8)
     here.write("a.ini", text_of(range(1, 5)))
@@ -298,7 +298,7 @@
     assert here.count("files_waiting") == 1
 
 
-def test_after_a_restart_with_a_broken_list_what_stood_holds(site):
+def test_after_a_restart_with_an_invalid_list_the_former_set_is_in_force(site):
     here = site(text_of(range(1, 9)))
     here.wait(lambda: len(here.in_force()) == 8)
     again = site("[zone toronto\n")
@@ -307,21 +307,21 @@
     assert sorted(again.told()) == sorted(map(name, range(1, 9)))
 
 
-def test_a_torn_state_file_is_named_and_the_files_hold(site, tmp_path, capfd):
+def test_a_torn_state_file_is_logged_and_the_lists_are_in_force(site, tmp_path, capfd):
     (tmp_path / "state").write_text("{")
     here = site(text_of(range(1, 9)))
     here.wait(lambda: len(here.in_force()) == 8)
     assert here.count("files_state_refused") == 1 and f"{tmp_path}/state: torn or changed" in capfd.readouterr().err
 
 
-def test_a_change_during_the_start_is_the_one_that_holds(site):
+def test_a_change_during_the_start_is_in_force(site):
     here = site(text_of(range(1, 9)))
     here.write("a.ini", text_of(range(1, 10)))
     here.wait(lambda: here.in_force())
     assert len(here.in_force()) == 9 and here.source.intake.version == 1
 
 
-def test_a_file_that_is_gone_goes_from_the_set_when_the_operators_file_is_read_anew(site):
+def test_a_file_that_is_gone_leaves_the_set_when_the_operators_file_is_reloaded(site):
     here = site(text_of(range(1, 9)))
     here.write("b.ini", text_of(range(9, 11)))
     here.wait(lambda: len(here.in_force()) == 10)
@@ -331,7 +331,7 @@
     here.wait(lambda: len(here.in_force()) == 8)
 
 
-def test_a_thousand_changes_in_a_row_come_to_the_last(site):
+def test_of_a_thousand_changes_in_a_row_the_last_is_in_force(site):
     here = site(text_of(range(1, 9)))
     here.wait(lambda: len(here.in_force()) == 8)
     for turn in range(1000):
@@ -387,7 +387,7 @@
 
 
 @pytest.mark.parametrize("seed, events", [(1, True), (2, False)])
-def test_relays_only_see_whole_valid_tables_over_a_thousand_rewrites(site, seed, events):
+def test_relays_only_see_complete_valid_tables_over_a_thousand_rewrites(site, seed, events):
     here = site(
         text_of(range(1, 17)), trailer_required=True, events=events, quiet_period_ns=2 * MS, poll_interval_ns=3 * MS
     )
--- a/tests/file_discovery/test_node_list.py
+++ b/tests/file_discovery/test_node_list.py
@@ -75,7 +75,7 @@
         ("# end 3", "# end 4", "line 11: 4 nodes are announced and 3 are listed"),
     ],
 )
-def test_what_cannot_be_used_names_its_line(old, new, says):
+def test_an_invalid_list_is_refused_with_its_line(old, new, says):
     assert old in TEXT
     with pytest.raises(InvalidSettingsError) as found:
         part(TEXT.replace(old, new, 1))
@@ -95,13 +95,13 @@
         part(most=2)
 
 
-def test_a_trailer_that_is_not_asked_for_must_be_true_all_the_same():
+def test_a_trailer_that_is_not_required_must_be_true_all_the_same():
     assert len(part(TEXT.replace("# end 3 nodes\n", ""), trailer=False).lines) == 3
     with pytest.raises(InvalidSettingsError, match="4 nodes are announced"):
         part(TEXT.replace("# end 3", "# end 4"), trailer=False)
 
 
-def test_a_write_cut_at_any_byte_is_refused_where_the_trailer_is_asked_for():
+def test_a_list_cut_short_at_any_byte_is_refused_where_the_trailer_is_required():
     data = TEXT.encode()
     for cut in range(len(data)):
         with pytest.raises(InvalidSettingsError):
@@ -133,13 +133,13 @@
 
 
 @given(sets)
-def test_a_set_that_is_written_is_read_back_as_it_was(made):
+def test_a_set_that_is_formatted_is_read_back_as_it_was(made):
     lines = part(format_node_list(made)).lines
     assert NodeSet({line.name: line.listed for line in lines}) == made and len(lines) == len(made)
 
 
 @given(some.binary(max_size=80))
-def test_no_bytes_raise_anything_but_unusable(data):
+def test_no_bytes_raise_anything_but_invalid_settings(data):
     try:
         part(data, trailer=False)
     except InvalidSettingsError as err:
--- a/tests/test_decode.py
+++ b/tests/test_decode.py
@@ -14,7 +14,7 @@
 
 
 @given(st.lists(st.floats(0, 60_000), max_size=300), st.data())
-def test_what_arrives_is_what_was_told_whatever_is_lost_doubled_or_out_of_order(figures, data):
+def test_peer_loads_arrive_as_sent_whatever_is_lost_doubled_or_out_of_order(figures, data):
     told = known(f"s-{place}" for place in range(len(figures)))
     heard = known(f"s-{place}" for place in reversed(range(len(figures))))
     bodies = shares(dict(enumerate(figures)), told.node_ids)
@@ -29,12 +29,12 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"hello", bytes([PEER_LOADS, 1, 2, 3]), membership.encode(1, [(1, 2, 3)], [])])
-def test_what_is_no_such_datagram_is_left_to_others(body):
+def test_a_datagram_of_another_kind_is_left_to_others(body):
     assert shared(body, known([])) is None
 
 
 @pytest.mark.parametrize("ops", [float("nan"), float("inf"), -1.0])
-def test_a_node_not_known_and_a_figure_that_cannot_be_are_passed_over(ops):
+def test_unknown_nodes_and_impossible_loads_are_passed_over(ops):
     ids = known(["a", "b"])
     body = bytes([PEER_LOADS]) + b"".join(
         PEER_LOAD.pack(checksum(name), figure) for name, figure in [("a", ops), ("b", 2.0), ("c", 3.0)]
@@ -42,7 +42,7 @@
     assert shared(body, ids) == [(1, 2.0)]
 
 
-def test_a_node_that_is_forgotten_is_known_by_its_checksum_no_more():
+def test_a_forgotten_node_is_no_longer_known_by_its_checksum():
     ids = known(["a"])
     ids.forget(0)
     assert shared(shares({0: 1.0}, {0: "a"})[0], ids) == []
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -144,7 +144,7 @@
     assert code == 0 and "event=counters" in said and "hb_answered=1" in said
 
 
-def test_a_drain_reaches_the_relay_whatever_the_relay_does_and_after_a_kill(kit, tmp_path):
+def test_a_drain_reaches_the_relay_though_it_refuses_and_after_a_kill(kit, tmp_path):
     lost = []
 
     def relay_does(visitor, path, body):
