--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -16,7 +16,8 @@
 import msgspec
 
 from kestrelplank.control.effects import CallServer
-from kestrelplank.http.call import Answer, Connection, dial
+from kestrelplank.http.answer import Answer
+from kestrelplank.http.connection import Connection, dial
 from kestrelplank.settings.platform import parse_address
 from kestrelplank.sharding.effects import GrantKeyRange, ReleaseKeyRange, ServerCallResult, ServerRequest
 from kestrelplank.sharding.timing import GRANT_TIMEOUT_NS, LEASE_DURATION_NS, RELEASE_TIMEOUT_NS
@@ -113,7 +114,7 @@
         try:
             async with asyncio.timeout((GRANT_TIMEOUT_NS if is_grant else RELEASE_TIMEOUT_NS) / SECOND):
                 kept = self._take(call.request) or KeptConnection(await dial(self._address, CONNECT_TIMEOUT_S))
-                kept.connection.stream.begin()
+                kept.connection.stream.begin_call()
                 if is_grant and time.monotonic_ns() >= call.lease_until:
                     return False, None
                 kept.carried_release |= not is_grant
@@ -122,7 +123,7 @@
             pass
         finally:
             self._give_back(kept, answer)
-        return kept is not None and kept.connection.stream.sent > 0, answer
+        return kept is not None and kept.connection.stream.sent_bytes > 0, answer
 
     async def _send(self, connection: Connection, request: ServerRequest) -> Answer:
         target, body = encoded(request)
@@ -138,7 +139,7 @@
         """Return an idle connection for this request, the one used last first."""
         now = time.monotonic_ns()
         for kept in reversed(self._idle):
-            if now >= kept.idle_until or kept.connection.surplus():
+            if now >= kept.idle_until or kept.connection.has_surplus():
                 self._idle.remove(kept)
                 kept.connection.reset()
             elif isinstance(request, GrantKeyRange) or not kept.carried_release:
@@ -150,10 +151,10 @@
         """Keep the connection for another call only after a complete answer with nothing behind it."""
         if kept is None:
             return
-        if answer is None or not kept.connection.keep:
+        if answer is None or not kept.connection.reusable:
             kept.connection.reset()
             return
-        kept.idle_until = time.monotonic_ns() + answer.kept_for()
+        kept.idle_until = time.monotonic_ns() + answer.max_idle_ns()
         self._idle.append(kept)
 
 
--- a/kestrelplank/gateway/control_client.py
+++ b/kestrelplank/gateway/control_client.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from kestrelplank.control.status import MemberStatus
-from kestrelplank.http.call import dial
+from kestrelplank.http.connection import dial
 from kestrelplank.settings.platform import parse_address
 
 CALL_TIMEOUT_S = 10
