--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -61,7 +61,7 @@
     Invariants: the client gets one answer, whatever happens, unless it has gone
     (`test_whatever_happens_on_both_wires_each_client_gets_its_own_answer_and_nothing_runs_twice`); the memory of its
     body is given back (`test_bodies_are_held_within_a_bound_and_given_back`); an attempt is broken off only where
-    another run would do no harm (`test_a_client_that_gives_up_does_not_break_off_what_can_not_be_repeated`).
+    another run would do no harm (`test_a_client_that_goes_does_not_break_off_what_is_not_idempotent`).
     """
 
     def __init__(self, context: ExchangeContext, scope: Scope, receive: Receive, send: AsgiSend) -> None:
--- a/kestrelplank/forwarding/retry_budget.py
+++ b/kestrelplank/forwarding/retry_budget.py
@@ -5,7 +5,7 @@
     """Retries that this edge may still make at each service: a share of its requests, and a few saved up.
 
     All edges together stay within the operator's bound even when they hear nothing of each other, as each may save up
-    only its part (`test_the_budget_keeps_all_members_together_within_the_operators_bound`).
+    only its part (`test_the_retry_budget_keeps_all_edges_together_within_the_operators_bound`).
 
     Source: Finagle's and gRPC's retry budgets, see `load_balancing.retry_budget`; here the saved part shrinks as edges
     are added.
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -16,7 +16,7 @@
 from kestrelplank.transport.server_list import Entry
 
 IP = "127.0.0.1"
-PATIENCE = 20  # s after which a test that hangs fails
+TEST_TIMEOUT_S = 20  # after which a test that hangs fails
 LIMITS = {"max_header_bytes": 4096, "max_body_bytes": 8 << 20, "header_timeout_s": 3, "idle_timeout_s": 15}
 HOSTS = [
     {
@@ -189,18 +189,13 @@
     return "\r\n".join([f"{method} {path} HTTP/1.1", *fields, "", ""]).encode()
 
 
-@asynccontextmanager
-async def staged(*scripts, configured=True):
-    """A stage with a server of `views` for each script."""
-    servers = [ScriptedServer(f"views-{number}", script) for number, script in enumerate(scripts)]
-    for server in servers:
-        await server.start()
-    ports = [free_port([IP]) for _ in range(4)]
-    listens = {"frontend": f"{IP}:{ports[0]}", "readiness": f"{IP}:{ports[1]}"}
+async def started_program():
+    """An edge program on free ports, which takes requests and knows nothing yet."""
+    frontend, readiness, sessions, seed = (free_port([IP]) for _ in range(4))
     program = EdgeProgram(
         Settings(
             Local("edge-1", IP, "hall"),
-            Network([ports[2]], [f"{IP}:{ports[3]}"], listens),
+            Network([sessions], [f"{IP}:{seed}"], {"frontend": f"{IP}:{frontend}", "readiness": f"{IP}:{readiness}"}),
             CloudApi(f"{IP}:9"),
             Bounds(),
         )
@@ -208,7 +203,17 @@
     program.listen()
     while not program.server.started:
         await asyncio.sleep(0)
-    stage = Stage(program, ports[0], servers)
+    return program
+
+
+@asynccontextmanager
+async def staged(*scripts, configured=True):
+    """A stage with a server of `views` for each script."""
+    servers = [ScriptedServer(f"views-{number}", script) for number, script in enumerate(scripts)]
+    for server in servers:
+        await server.start()
+    program = await started_program()
+    stage = Stage(program, program.settings.listen("frontend")[1], servers)
     if configured:
         stage.configure()
         stage.listed(*servers)
@@ -227,7 +232,7 @@
     """Runs `play(stage)` on a stage of its own, and fails if it hangs."""
 
     async def whole():
-        async with asyncio.timeout(PATIENCE), staged(*scripts, **named) as stage:
+        async with asyncio.timeout(TEST_TIMEOUT_S), staged(*scripts, **named) as stage:
             return await play(stage)
 
     return asyncio.run(whole())
--- a/tests/edge/test_client_limits.py
+++ b/tests/edge/test_client_limits.py
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("before, after, rests, ends", [(15, 60, 59, False), (15, 60, 61, True), (60, 15, 59, False), (60, 15, 61, True), (15, 15, 14.9, False), (15, 15, 15.1, True)])  # fmt: skip
-def test_a_connection_rests_for_the_longer_limit_of_those_in_force_meanwhile(before, after, rests, ends):
+def test_a_connection_may_be_idle_for_the_longer_limit_of_those_in_force_meanwhile(before, after, rests, ends):
     async def play(stage):
         stage.configure(limits={**LIMITS, "idle_timeout_s": before})
         protocol = await rested(stage, await stage.client())
@@ -47,7 +47,7 @@
     played(play, serving)
 
 
-def test_a_connection_that_never_sends_anything_or_only_empty_lines_rests_too():
+def test_a_connection_that_never_sends_anything_or_only_empty_lines_is_idle_too():
     async def play(stage):
         client = await stage.client()
         while not stage.program.server.server_state.connections:
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge program's HTTP side on loopback, with a stand-in server behind it and its view of the rest given to it."""
+"""The HTTP side of an edge program on loopback, with a slow server and a view of the rest that is given to it."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -6,17 +6,15 @@
 
 import pytest
 from configuration.test_plan import encoded
+from edge.stage import IP, TEST_TIMEOUT_S, started_program
 
-from kestrelplank.edge.program import EdgeProgram
 from kestrelplank.rehearsal.yard import StandIn, Tally, free_port
-from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.messages import ConfigurationUpdate, ServerListUpdate
 
-IP = "127.0.0.1"
 LIMITS = {"max_body_bytes": 100_000}
 
 
-class Slow(StandIn):
+class SlowServer(StandIn):
     """A server that answers when it is let."""
 
     def __init__(self, *given):
@@ -32,30 +30,20 @@
 
 @asynccontextmanager
 async def edge():
-    ports = [free_port([IP]) for _ in range(4)]
-    settings = Settings(
-        Local("edge-1", IP, "hall"),
-        Network([ports[2]], [f"{IP}:{ports[3]}"], {"frontend": f"{IP}:{ports[0]}", "readiness": f"{IP}:{ports[1]}"}),
-        CloudApi("127.0.0.1:9"),
-        Bounds(),
-    )
-    tally = Tally()
-    behind = Slow("orders-0", "orders", (IP, free_port([IP])), tally, [])
-    await behind.start()
-    found = EdgeProgram(settings)
-    found.listen()
-    found.receive("member", ConfigurationUpdate(7, encoded(limits=LIMITS)))
-    entry = ("orders-0", "orders", f"{IP}:{behind.address[1]}", "hall", 4, "ready", 0)
-    found.receive("member", ServerListUpdate(0, [entry]))
-    while not found.server.started:
-        await asyncio.sleep(0)
+    """An edge program, one slow server of `orders` that it knows, and the port for clients."""
+    server = SlowServer("orders-0", "orders", (IP, free_port([IP])), Tally(), [])
+    await server.start()
+    program = await started_program()
+    program.receive("member", ConfigurationUpdate(7, encoded(limits=LIMITS)))
+    entry = ("orders-0", "orders", f"{IP}:{server.address[1]}", "hall", 4, "ready", 0)
+    program.receive("member", ServerListUpdate(0, [entry]))
     try:
-        yield found, behind, ports[0]
+        yield program, server, program.settings.listen("frontend")[1]
     finally:
-        behind.let.set()
-        found.connections.close_unused(set())
-        await found.drain(0)
-        await behind.stop()
+        server.let.set()
+        program.connections.close_unused(set())
+        await program.drain(0)
+        await server.stop()
 
 
 def head(path="/a/b/x", *more, host="shop.example"):
@@ -71,8 +59,8 @@
 
 def run(play):
     async def whole():
-        async with asyncio.timeout(20), edge() as parts:
-            await play(*parts)
+        async with asyncio.timeout(TEST_TIMEOUT_S), edge() as (program, server, port):
+            await play(program, server, port)
 
     asyncio.run(whole())
 
@@ -86,16 +74,16 @@
         [head("/a/b/x", "Content-Length: 5", "Expect: 100-continue"), b"whole"],
     ],
 )
-def test_a_body_arrives_whole_however_it_comes(parts):
-    async def play(found, behind, port):
-        behind.let.set()
+def test_a_body_arrives_complete_however_it_comes(parts):
+    async def play(program, server, port):
+        server.let.set()
         reader, writer = await asyncio.open_connection(IP, port)
         for part in parts:
             writer.write(part)
             if b"Expect" in part:
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
         status, fields, body = await answer(reader)
-        assert status == 200 and behind.bodies == [b"whole"] and fields["x-server-seal"] == "orders-0"
+        assert status == 200 and server.bodies == [b"whole"] and fields["x-server-seal"] == "orders-0"
         writer.close()
 
     run(play)
@@ -110,40 +98,40 @@
     ],
 )
 def test_a_request_with_two_lengths_reaches_no_server(lengths):
-    async def play(found, behind, port):
-        behind.let.set()
+    async def play(program, server, port):
+        server.let.set()
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/a/b/x", *lengths) + b"0\r\n\r\nPOST /a/b/y HTTP/1.1\r\n\r\n")
         assert (await reader.read(12)).startswith(b"HTTP/1.1 400")
         await reader.read()
-        assert behind.bodies == []
+        assert server.bodies == []
         writer.close()
 
     run(play)
 
 
 def test_a_body_beyond_the_operators_limit_is_refused():
-    async def play(found, behind, port):
+    async def play(program, server, port):
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/a/b/x", "Content-Length: 100001") + b"x" * 100001)
-        assert (await answer(reader))[0] == 413 and behind.bodies == []
+        assert (await answer(reader))[0] == 413 and server.bodies == []
         writer.close()
 
     run(play)
 
 
-def test_an_upload_half_read_when_we_are_told_to_stop_is_carried_to_its_end():
-    async def play(found, behind, port):
+def test_an_upload_that_is_half_read_when_we_stop_is_forwarded_and_answered():
+    async def play(program, server, port):
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/a/b/x", "Content-Length: 5") + b"wh")
-        while not found.server.server_state.tasks:
+        while not program.server.server_state.tasks:
             await asyncio.sleep(0)
-        leaving = asyncio.create_task(found.drain(0))
+        leaving = asyncio.create_task(program.drain(0))
         writer.write(b"ole")
-        await behind.arrived.wait()
-        behind.let.set()
+        await server.arrived.wait()
+        server.let.set()
         status, fields, body = await answer(reader)
-        assert status == 200 and behind.bodies == [b"whole"] and fields["connection"] == "close"
+        assert status == 200 and server.bodies == [b"whole"] and fields["connection"] == "close"
         assert await reader.read() == b""
         writer.close()
         await leaving
@@ -152,15 +140,15 @@
 
 
 def test_while_stopping_we_are_not_ready_and_each_answer_ends_its_connection():
-    async def play(found, behind, port):
-        behind.let.set()
-        found.readiness.begin_drain()
+    async def play(program, server, port):
+        server.let.set()
+        program.readiness.begin_drain()
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/nowhere", "Content-Length: 0"))
         status, fields, _ = await answer(reader)
         assert status == 404 and fields["connection"] == "close"
         writer.close()
-        reader, writer = await asyncio.open_connection(IP, found.settings.listen("readiness")[1])
+        reader, writer = await asyncio.open_connection(IP, program.settings.listen("readiness")[1])
         writer.write(b"GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
         assert (await answer(reader))[0] == 503
         writer.close()
@@ -169,39 +157,39 @@
 
 
 @pytest.mark.parametrize("path, host, runs", [("/a/b/x", "shop.example", 1), ("/a/x", "pay.example", 1)])
-def test_a_client_that_gives_up_does_not_break_off_what_can_not_be_repeated(path, host, runs):
-    async def play(found, behind, port):
+def test_a_client_that_goes_does_not_break_off_what_is_not_idempotent(path, host, runs):
+    async def play(program, server, port):
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head(path, "Content-Length: 0", host=host))
-        await behind.arrived.wait()
+        await server.arrived.wait()
         writer.close()
         await writer.wait_closed()
-        behind.let.set()
-        while not behind.tally.runs or found.server.server_state.tasks:
+        server.let.set()
+        while not server.tally.runs or program.server.server_state.tasks:
             await asyncio.sleep(0)
-        assert behind.tally.runs == {"me": runs}
-        assert [endpoint.in_flight for endpoint in found.forwarder.endpoints.by_name.values()] == [0]
+        assert server.tally.runs == {"me": runs}
+        assert [endpoint.in_flight for endpoint in program.forwarder.endpoints.by_name.values()] == [0]
 
     run(play)
 
 
 def test_bodies_are_held_within_a_bound_and_given_back():
     async def play():
-        async with edge() as (found, behind, port):
-            found.context.max_body_memory = 50_000
+        async with edge() as (program, server, port):
+            program.context.max_body_memory = 50_000
             first = await asyncio.open_connection(IP, port)
             first[1].write(head("/a/b/x", "Content-Length: 40000") + bytes(40_000))
-            await behind.arrived.wait()
+            await server.arrived.wait()
             second = await asyncio.open_connection(IP, port)
             second[1].write(head("/a/b/x", "Content-Length: 20000") + bytes(20_000))
             refused = await second[0].readuntil(b"\r\n\r\n")
-            behind.let.set()
+            server.let.set()
             served = await first[0].readuntil(b"\r\n\r\n")
-            while found.context.body_memory:
+            while program.context.body_memory:
                 await asyncio.sleep(0)
             for _, writer in (first, second):
                 writer.close()
-            return refused, served, len(behind.bodies)
+            return refused, served, len(server.bodies)
 
     refused, served, met = asyncio.run(play())
     assert refused.startswith(b"HTTP/1.1 503") and b"retry-after: 0.5" in refused
@@ -210,15 +198,15 @@
 
 def test_one_request_is_traced_by_its_id(caplog):
     async def play():
-        async with edge() as (found, behind, port):
-            found.context.trace = 1
-            behind.let.set()
+        async with edge() as (program, server, port):
+            program.context.trace = 1
+            server.let.set()
             reader, writer = await asyncio.open_connection(IP, port)
             writer.write(head("/a/b/x", "Content-Length: 0"))
             await reader.readuntil(b"\r\n\r\n")
             while not caplog.records:
                 await asyncio.sleep(0)
-            found.log_counters()
+            program.log_counters()
             writer.close()
 
     with caplog.at_level("INFO", "edge"):
@@ -261,15 +249,15 @@
     random = Random(5)
 
     async def play():
-        async with edge() as (found, behind, port):
-            behind.let.set()
+        async with edge() as (program, server, port):
+            server.let.set()
             met = []
 
             async def request(fields, body):
                 met.append((fields, body))
-                return await StandIn.request(behind, fields, body)
+                return await StandIn.request(server, fields, body)
 
-            behind.request = request
+            server.request = request
             served = 0
             for number in range(300):
                 reader, writer = await asyncio.open_connection(IP, port)
@@ -291,7 +279,7 @@
                     writer.write(head("/a/b/x", "Content-Length: 4") + b"body")
                     served += (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
                     writer.close()
-            return served, met, found.context.body_memory
+            return served, met, program.context.body_memory
 
     served, met, held = asyncio.run(play())
     assert served == 30 and held == 0 and len(met) > 60
--- a/tests/edge/test_every_byte.py
+++ b/tests/edge/test_every_byte.py
@@ -54,7 +54,7 @@
     played(play, script)
 
 
-def test_a_repeatable_request_whose_answers_end_at_each_byte_is_sent_exactly_twice():
+def test_an_idempotent_request_whose_answers_end_at_each_byte_is_sent_exactly_twice():
     at = []
 
     async def script(server, connection):
@@ -109,7 +109,7 @@
     played(play, serving)
 
 
-def test_a_dial_that_nobody_answers_proves_that_nothing_was_sent():
+def test_a_connection_that_does_not_come_up_proves_that_nothing_was_sent():
     """Also where the client's time is over while the connection still comes up: the request was never offered, so it is
     refused with a promise, and not with a 504."""
 
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -77,7 +77,7 @@
     played(play, script)
 
 
-def test_answer_of_a_former_life_of_the_server():
+def test_answer_of_a_former_incarnation_of_the_server():
     """Another life stands at the address: it answers 421, and the kept connection of the former one is not used."""
 
     async def former(server, connection):
@@ -106,7 +106,7 @@
     played(play, former)
 
 
-def test_an_answer_of_a_former_life_that_was_under_way_is_read_past():
+def test_an_answer_of_a_former_incarnation_that_was_under_way_is_read_past():
     """The former life's answer to an older request stands where ours is due, and bears its own id."""
 
     async def script(server, connection):
--- a/tests/edge/test_server_connections.py
+++ b/tests/edge/test_server_connections.py
@@ -67,7 +67,7 @@
     return [one.outcome for one in ended]
 
 
-def test_whole_answers_come_on_one_connection():
+def test_complete_answers_come_on_one_connection():
     ended, connections = played(answer(), answer(500, body=b"failed"), answer(404))
     assert [one.outcome for one in ended] == [
         CallOutcome.ANSWERED,
--- a/tests/forwarding/test_errors.py
+++ b/tests/forwarding/test_errors.py
@@ -37,7 +37,7 @@
     ]
 
 
-def test_a_client_is_told_when_to_come_back_only_where_nothing_has_run_or_will():
+def test_retry_after_is_said_only_where_nothing_has_run_or_will():
     for error in ERRORS:
         assert not (error.allows_retry_after and error.may_have_run)
         if not issubclass(error, OperatorCallError):
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -124,7 +124,7 @@
         assert isinstance(step.error, ServersFullError) and step.error.retry_after_ns > 0
 
 
-def test_a_repeatable_request_is_tried_again_once_after_a_failure():
+def test_an_idempotent_request_is_retried_once_after_a_failure():
     found = forwarder()
     request, step = begin(found)
     assert isinstance(found.attempt_ended(NOW + MS, request, CallOutcome.RESET), Send)
@@ -170,7 +170,7 @@
     assert isinstance(step.error, NoServerError)
 
 
-def test_the_budget_keeps_all_members_together_within_the_operators_bound():
+def test_the_retry_budget_keeps_all_edges_together_within_the_operators_bound():
     edges, ratio, allowance = 12, 0.2, 64
     retries, requests = 0, 0
     for _ in range(edges):
@@ -220,7 +220,7 @@
     assert isinstance(step.error, ServersFullError) and step.error.retry_after_ns > 0
 
 
-def test_a_repeatable_request_that_any_server_may_run_is_not_waited_for_to_the_end_at_a_silent_one():
+def test_an_idempotent_request_that_any_server_may_run_times_out_early_at_a_silent_server():
     found = forwarder(
         virtual_hosts=[
             {
@@ -260,7 +260,7 @@
     assert isinstance([begin(found)[1] for _ in range(5)][-1], Wait)
 
 
-def test_where_no_server_has_room_a_request_waits_here_and_is_refused_while_it_can_come_back():
+def test_where_no_server_has_capacity_a_request_waits_here_and_is_refused_while_it_can_come_back():
     found = forwarder(servers=2)
     found.view.edges = 12
     steps = [begin(found, key=None, host="pay.example")[1] for _ in range(4)]
@@ -277,7 +277,7 @@
     )
 
 
-def test_a_server_that_leaves_gets_nothing_long_before_its_time_is_over_though_it_still_holds_the_key():
+def test_a_draining_server_gets_nothing_long_before_its_time_is_over_though_it_still_holds_the_key():
     """Guards against an assigner that is lost just then: key ranges stay as they are, and the edge would send by them."""
     found = forwarder()
     entries = [
