--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -6,12 +6,12 @@
 
 from storage.memory import MemoryLog
 
-from kestrelplank.configuration.plan import read
+from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.control.bootstrap import started
 from kestrelplank.control.effects import CallServer
 from kestrelplank.control.member_profile import MemberProfile
-from kestrelplank.sharding.key_ranges import KEYS
+from kestrelplank.sharding.key_range import KEY_COUNT
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import LoadReport, decode_at_edge, decode_at_member
 from kestrelplank.transport.server_list import Entry
@@ -59,7 +59,7 @@
         settled(member, disk, now, member.tick(now))
     entries = [Entry(f"i-{number}", "views", f"10.1.0.{number}:80", "z", 2, "ready", 0) for number in range(servers)]
     settled(member, disk, now, member.fetched(now, entries))
-    settled(member, disk, now, member.put(now, 1, read(TEXT).unwrap()))
+    settled(member, disk, now, member.put(now, 1, parse_configuration(TEXT).unwrap()))
     for _ in range(80):
         now += S // 20
         settled(member, disk, now, member.tick(now))
@@ -85,7 +85,7 @@
                 for answer in answers:
                     view.receive(now, ME, answer)
             if not (step + number) * S // 20 % REPORT:
-                keys = [random.randrange(KEYS) for _ in range(round(PER_S * REPORT / S / edges + random.random()))]
+                keys = [random.randrange(KEY_COUNT) for _ in range(round(PER_S * REPORT / S / edges + random.random()))]
                 servers_met = {f"i-{random.randrange(servers)}": (1, 0, 1.0, 1, 0.0, 0) for _ in keys}
                 report = over(LoadReport("views", keys, servers_met), decode_at_member, into)
                 began = time.process_time()
--- a/kestrelplank/edge/control_sessions.py
+++ b/kestrelplank/edge/control_sessions.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from kestrelplank.settings.platform import endpoint
+from kestrelplank.settings.platform import parse_address
 from kestrelplank.time_units import MILLISECOND
 from kestrelplank.transport.edge_view import SILENT, EdgeView
 from kestrelplank.transport.messages import LoadReport, ToEdge, decode_at_edge
@@ -67,7 +67,7 @@
             await asyncio.sleep(RECONNECT_INTERVAL_S * (1 + self._random.random()))
 
     async def _connect(self, member: str) -> FrameConnection:
-        host = endpoint(member)[0]
+        host = parse_address(member)[0]
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, connection = await asyncio.get_running_loop().create_connection(
                 lambda: FrameConnection(decode_at_edge, self._received, _on_end), host, self._port
--- a/kestrelplank/edge/exchange_context.py
+++ b/kestrelplank/edge/exchange_context.py
@@ -39,4 +39,4 @@
     def max_body_bytes(self) -> int:
         """Return how many bytes one body may have."""
         configuration = self.forwarder.view.configuration
-        return configuration.max_body if configuration else MAX_BODY_BYTES_BEFORE_CONFIGURATION
+        return configuration.max_body_bytes if configuration else MAX_BODY_BYTES_BEFORE_CONFIGURATION
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -9,7 +9,7 @@
 import time
 from random import Random, SystemRandom
 
-from kestrelplank.configuration.plan import Configuration
+from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.edge.client_application import client_application
 from kestrelplank.edge.control_sessions import ControlSessions
 from kestrelplank.edge.exchange_context import ExchangeContext
@@ -19,8 +19,8 @@
 from kestrelplank.http.critical_tasks import CriticalTasks
 from kestrelplank.http.server import Server, create_server
 from kestrelplank.http.socket_options import listening_socket
-from kestrelplank.settings.platform import Settings, ns
-from kestrelplank.time_units import SECOND
+from kestrelplank.settings.platform import PlatformSettings
+from kestrelplank.time_units import SECOND, seconds_to_ns
 from kestrelplank.transport.edge_view import Change, EdgeView
 from kestrelplank.transport.messages import LoadReport, ToEdge
 
@@ -38,13 +38,18 @@
     :param trace: one request in so many is logged, 0 for none.
     """
 
-    def __init__(self, settings: Settings, trace: int = 0) -> None:
+    def __init__(self, settings: PlatformSettings, trace: int = 0) -> None:
         self.settings = settings
         local, bounds = settings.local_system, settings.bounds
         random = Random(SystemRandom().getrandbits(64))
         self.view = EdgeView(local.node_name, tuple(settings.network.seed_nodes))
         self.forwarder = Forwarder(
-            random, self.view, local.zone, bounds.retry_budget_ratio, bounds.retry_allowance, ns(bounds.drain_s)
+            random,
+            self.view,
+            local.zone,
+            bounds.retry_budget_ratio,
+            bounds.retry_allowance,
+            seconds_to_ns(bounds.drain_s),
         )
         self.connections = ServerConnections(time.monotonic_ns)
         self.readiness = Readiness(self.view)
@@ -55,9 +60,9 @@
             int(local.limits.memory_mb * BYTES_PER_MB * BODY_MEMORY_FRACTION),
             trace,
         )
-        self.sessions = ControlSessions(self.view, settings.telegraph_port(), random, self.receive)
+        self.sessions = ControlSessions(self.view, settings.internal_port(), random, self.receive)
         self.server: Server = create_server(
-            client_application(self.context, settings.listen("readiness")[1]),
+            client_application(self.context, settings.listen_address("readiness")[1]),
             idle_timeout_s=None,  # until a configuration has come
             grace_s=bounds.grace_s - DRAIN_DELAY_S - FINAL_ANSWERS_S,
         )
@@ -92,7 +97,7 @@
 
     def listen(self) -> None:
         """Take connections from now on."""
-        sockets = [listening_socket(*self.settings.listen(name)) for name in ("frontend", "readiness")]
+        sockets = [listening_socket(*self.settings.listen_address(name)) for name in ("frontend", "readiness")]
         self._serving = asyncio.create_task(self.server.serve(sockets))
 
     async def drain(self, delay_s: float) -> None:
@@ -134,9 +139,9 @@
     def set_limits(self, configuration: Configuration) -> None:
         """Bound clients as the configuration says from now on, on all connections."""
         limits = self.server.limits
-        limits.header_bytes = configuration.max_header
-        limits.header_timeout_s = configuration.header_wait / SECOND
-        limits.idle_timeout_s = configuration.idle / SECOND
+        limits.header_bytes = configuration.max_header_bytes
+        limits.header_timeout_s = configuration.header_timeout_ns / SECOND
+        limits.idle_timeout_s = configuration.idle_timeout_ns / SECOND
 
     # What is sent to control members, and logged.
 
@@ -176,7 +181,7 @@
         )
 
 
-async def run(settings: Settings, trace: int = 0) -> int:
+async def run(settings: PlatformSettings, trace: int = 0) -> int:
     """Run an edge until SIGTERM, and return the exit code.
 
     :param trace: one request in so many is logged, 0 for none.
--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -47,32 +47,32 @@
 from docopt import DocoptExit, docopt
 
 if __name__ == "__main__":  # before all that loads pyserde or httpcore; who imports this module keeps what it has
-    from kestrelplank.settings import lean  # noqa: F401
+    from kestrelplank.settings import skip_unused_libraries  # noqa: F401
 from kestrelplank.settings import platform
-from kestrelplank.settings.ini import Unusable
-from kestrelplank.settings.logs import set_up
+from kestrelplank.settings.errors import InvalidSettingsError
+from kestrelplank.settings.json_logging import configure_json_logging
 
 if TYPE_CHECKING:
     from kestrelplank.control.status import MemberStatus, ServiceStatus
 
 
 def read_configuration(path: str) -> Any:
-    """The configuration in that file; Unusable, in one line, where it is none."""
-    from kestrelplank.configuration.plan import read
+    """The configuration in that file; InvalidSettingsError, in one line, where it is none."""
+    from kestrelplank.configuration.parsing import parse_configuration
 
     try:
-        found = read(Path(path).read_bytes())
+        found = parse_configuration(Path(path).read_bytes())
     except OSError as err:
-        raise Unusable(f"{path}: {err.strerror}") from err
+        raise InvalidSettingsError(f"{path}: {err.strerror}") from err
     if not found.value_or(None):
-        raise Unusable(f"{path}: {found.failure()}")
+        raise InvalidSettingsError(f"{path}: {found.failure()}")
     return found.unwrap()
 
 
 def check(path: str) -> int:
     """Whether a configuration file is valid; one line either way."""
     configuration = read_configuration(path)
-    routes = sum(map(len, configuration.hosts.values()))
+    routes = sum(map(len, configuration.routes_by_host.values()))
     print(f"{path}: version {configuration.key.version:08x}, {routes} routes, {len(configuration.services)} services")
     return 0
 
@@ -81,14 +81,14 @@
     """What `new` changes; 1 where it changes anything."""
     import json
 
-    from kestrelplank.configuration.change import changes
+    from kestrelplank.configuration.differences import differences
 
-    found = changes(read_configuration(old), read_configuration(new))
+    found = differences(read_configuration(old), read_configuration(new))
     if as_json:
         print(json.dumps([change._asdict() for change in found]))
     else:
         for change in found:
-            print(change.told())
+            print(change)
     return 1 if found else 0
 
 
@@ -99,7 +99,7 @@
     from kestrelplank.rehearsal.yard import play
 
     if not requests.isdecimal():
-        raise Unusable(f"--requests: {requests!r} is no whole number")
+        raise InvalidSettingsError(f"--requests: {requests!r} is no whole number")
     seen = play(int(requests), log=level)
     if as_json:
         print(json.dumps(seen))
@@ -122,7 +122,7 @@
         (b"Content-Length", str(len(body)).encode()),
     ]
     async with asyncio.timeout(10):
-        line = await dial(platform.endpoint(address, "ADDRESS"), 2)
+        line = await dial(platform.parse_address(address, "ADDRESS"), 2)
         try:
             answer = await line.ask(method, path, headers, body)
         finally:
@@ -159,7 +159,7 @@
     try:
         until = time.monotonic() + float(wait)
     except ValueError as err:
-        raise Unusable(f"--wait: {wait!r} is no number of seconds") from err
+        raise InvalidSettingsError(f"--wait: {wait!r} is no number of seconds") from err
 
     async def send() -> tuple[int, bytes, list[str]]:
         answered, body = await call(address, b"POST", b"/api/configuration/replace", configuration.text)
@@ -244,22 +244,22 @@
         if words["check"] and words["--configuration"]:
             return check(words["--configuration"])
         if words["--settings"]:
-            os.environ[platform.VARIABLE] = words["--settings"]
-        settings = platform.from_environment()
+            os.environ[platform.SETTINGS_VARIABLE] = words["--settings"]
+        settings = platform.load_from_environment()
         if words["check"]:
             print(f"{words['--settings']}: {settings.local_system.node_name}")
             return 0
-        set_up(settings.local_system.node_name, words["--level"].upper())
+        configure_json_logging(settings.local_system.node_name, words["--level"].upper())
         if words["edge"]:
             if not words["--trace"].isdecimal():
-                raise Unusable(f"--trace: {words['--trace']!r} is no whole number")
+                raise InvalidSettingsError(f"--trace: {words['--trace']!r} is no whole number")
             from kestrelplank.edge.program import run as carry
 
             return asyncio.run(carry(settings, int(words["--trace"])))
         from kestrelplank.control.program import run
 
         return asyncio.run(run(settings))
-    except (Unusable, ValueError) as err:
+    except (InvalidSettingsError, ValueError) as err:
         print(f"kestrelplank: {err}", file=sys.stderr)
         return 2
     except (OSError, TimeoutError) as err:
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -6,13 +6,13 @@
 import time
 from contextlib import asynccontextmanager
 
-from configuration.test_plan import encoded, route
+from configuration.test_parsing import encoded, route
 
-from kestrelplank.configuration.plan import read
+from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.edge.program import EdgeProgram
 from kestrelplank.http.socket_options import reset_on_close
 from kestrelplank.rehearsal.yard import free_port
-from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
+from kestrelplank.settings.platform import Bounds, CloudApi, LocalSystem, Network, PlatformSettings
 from kestrelplank.transport.server_list import Entry
 
 IP = "127.0.0.1"
@@ -126,7 +126,7 @@
     def configure(self, version="00000007", **changes):
         """A configuration comes into force."""
         given = {"limits": LIMITS, "virtual_hosts": HOSTS, "service_table": SERVICES, **changes}
-        found = read(encoded(version=version, **given)).unwrap()
+        found = parse_configuration(encoded(version=version, **given)).unwrap()
         self.program.view.configuration = found
         self.program.set_limits(found)
 
@@ -193,8 +193,8 @@
     """An edge program on free ports, which takes requests and knows nothing yet."""
     frontend, readiness, sessions, seed = (free_port([IP]) for _ in range(4))
     program = EdgeProgram(
-        Settings(
-            Local("edge-1", IP, "hall"),
+        PlatformSettings(
+            LocalSystem("edge-1", IP, "hall"),
             Network([sessions], [f"{IP}:{seed}"], {"frontend": f"{IP}:{frontend}", "readiness": f"{IP}:{readiness}"}),
             CloudApi(f"{IP}:9"),
             Bounds(),
@@ -213,7 +213,7 @@
     for server in servers:
         await server.start()
     program = await started_program()
-    stage = Stage(program, program.settings.listen("frontend")[1], servers)
+    stage = Stage(program, program.settings.listen_address("frontend")[1], servers)
     if configured:
         stage.configure()
         stage.listed(*servers)
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from configuration.test_plan import encoded
+from configuration.test_parsing import encoded
 from edge.stage import IP, TEST_TIMEOUT_S, started_program
 
 from kestrelplank.rehearsal.yard import StandIn, Tally, free_port
@@ -38,7 +38,7 @@
     entry = ("orders-0", "orders", f"{IP}:{server.address[1]}", "hall", 4, "ready", 0)
     program.receive("member", ServerListUpdate(0, [entry]))
     try:
-        yield program, server, program.settings.listen("frontend")[1]
+        yield program, server, program.settings.listen_address("frontend")[1]
     finally:
         server.let.set()
         program.connections.close_unused(set())
@@ -148,7 +148,7 @@
         status, fields, _ = await answer(reader)
         assert status == 404 and fields["connection"] == "close"
         writer.close()
-        reader, writer = await asyncio.open_connection(IP, program.settings.listen("readiness")[1])
+        reader, writer = await asyncio.open_connection(IP, program.settings.listen_address("readiness")[1])
         writer.write(b"GET /api/readiness HTTP/1.1\r\nHost: x\r\n\r\n")
         assert (await answer(reader))[0] == 503
         writer.close()
--- a/tests/emulator/test_recorded_reports.py
+++ b/tests/emulator/test_recorded_reports.py
@@ -12,7 +12,7 @@
 from kestrelplank.cli.rehearse import encoded
 from kestrelplank.emulator.rehearsal import play
 from kestrelplank.emulator.script import script
-from kestrelplank.settings.ini import Ini
+from kestrelplank.settings.ini import IniFile
 
 SCRIPTS = Path(__file__).parents[2] / "rehearsals"
 RECORDED = json.loads((Path(__file__).parent / "recorded_reports.json").read_text())
@@ -20,7 +20,7 @@
 
 def report_digest(name, seed, more, knowing):
     text = (SCRIPTS / f"{name}.ini").read_text() + more
-    return hashlib.sha256(encoded(play(script(Ini(f"{name}.ini", text)), seed, knowing=knowing))).hexdigest()
+    return hashlib.sha256(encoded(play(script(IniFile(f"{name}.ini", text)), seed, knowing=knowing))).hexdigest()
 
 
 @pytest.mark.parametrize(
