--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -17,7 +17,7 @@
 
 from kestrelplank.control.effects import CallServer
 from kestrelplank.http.call import Answer, Connection, dial
-from kestrelplank.settings.platform import endpoint
+from kestrelplank.settings.platform import parse_address
 from kestrelplank.sharding.effects import GrantKeyRange, ReleaseKeyRange, ServerCallResult, ServerRequest
 from kestrelplank.sharding.timing import GRANT_TIMEOUT_NS, LEASE_DURATION_NS, RELEASE_TIMEOUT_NS
 from kestrelplank.time_units import SECOND
@@ -64,7 +64,7 @@
 
     def __init__(self, call_ended: CallEnded, address: str) -> None:
         self._call_ended = call_ended
-        self._address = endpoint(address)
+        self._address = parse_address(address)
         self._queue: asyncio.Queue[CallServer] = asyncio.Queue()
         self._grants = asyncio.Semaphore(MAX_CONCURRENT_GRANTS)
         self._releases = asyncio.Semaphore(MAX_CONCURRENT_RELEASES)
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -163,6 +163,8 @@
         """Return the shortest latency target of the routes that lead to the service."""
         configuration = self._replica.state.parsed
         assert configuration is not None, "it names the service"
-        routes = [route for paths in configuration.hosts.values() for route in paths.values()]
-        targets = [route.aim for route in routes if any(name == service for name, _ in route.split)]
+        routes = [route for paths in configuration.routes_by_host.values() for route in paths.values()]
+        targets = [
+            route.latency_target_ns for route in routes if any(name == service for name, _ in route.traffic_split)
+        ]
         return min(targets, default=DEFAULT_LATENCY_TARGET_NS)
--- a/kestrelplank/file_discovery/nodelist.py
+++ b/kestrelplank/file_discovery/nodelist.py
@@ -14,7 +14,10 @@
 
 from msgspec import Struct
 
-from kestrelplank.settings.ini import Ini, Section, Unusable, number, whole
+from kestrelplank.settings.errors import InvalidSettingsError
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.ini_fields import parse_count, parse_number
+from kestrelplank.settings.ini_syntax import Section
 from kestrelplank.sockets.connection import address
 from kestrelplank.state.nodeset import Line, Listed, NodeSet, Part
 
@@ -27,7 +30,7 @@
     confirm: str = ""
 
 
-def node(ini: Ini, section: Section, name: str) -> Line:
+def node(ini: IniFile, section: Section, name: str) -> Line:
     """One line of a zone: address, and after it `weight W`, `cell N` and `draining` in any order."""
     text, line = section.fields[name]
     try:
@@ -43,40 +46,44 @@
             if word == "draining":
                 found[word] = True
             elif word in ("weight", "cell") and words:
-                found[word] = (number if word == "weight" else whole)(words.pop(0))
+                found[word] = (parse_number if word == "weight" else parse_count)(words.pop(0))
             else:
                 raise ValueError(f"expected weight W, cell N or draining, got {word!r}")
         if found.get("weight", 0.0) > LARGEST_WEIGHT:
             raise ValueError(f"a weight is at most {LARGEST_WEIGHT:g}")
     except ValueError as err:
-        raise ini.fail(section, name, str(err) if text.strip() else "an address is missing") from None
+        raise ini.error(section, name, str(err) if text.strip() else "an address is missing") from None
     return Line(name, Listed(section.name, at, **found), line)
 
 
 def read(path: str, data: bytes, most_nodes: int, trailer: bool) -> Part:
-    """The part that a file's bytes make. Raises Unusable, naming file and line. `trailer`: the last line must be
-    `# end N nodes`, which proves that nothing is missing; where one stands it must be true in any case."""
+    """The part that a file's bytes make. Raises InvalidSettingsError, naming file and line. `trailer`: the last line
+    must be `# end N nodes`, which proves that nothing is missing; where one stands it must be true in any case."""
     try:
         text = data.decode()
     except UnicodeDecodeError as err:
-        raise Unusable(f"{path}: not text: byte {err.start} is no UTF-8") from None
+        raise InvalidSettingsError(f"{path}: not text: byte {err.start} is no UTF-8") from None
     rows = text.rstrip().splitlines()
     if not rows:
-        raise Unusable(f"{path}: the file is empty")
-    ini, lines = Ini(path, text), []
-    head = ini.one("list", Head)
-    for section in ini.named("zone"):
+        raise InvalidSettingsError(f"{path}: the file is empty")
+    ini, lines = IniFile(path, text), []
+    head = ini.read_section("list", Head)
+    for section in ini.named_sections("zone"):
         if not NAME.fullmatch(section.name):
-            raise ini.fail(section, None, f"{section.name[:60]!r} is no name for a zone")
+            raise ini.error(section, None, f"{section.name[:60]!r} is no name for a zone")
         lines += [node(ini, section, name) for name in section.fields]
         if len(lines) > most_nodes:
-            raise ini.fail(section, None, f"more than {most_nodes} nodes are listed")
-    ini.finish()
+            raise ini.error(section, None, f"more than {most_nodes} nodes are listed")
+    ini.reject_unread_sections()
     end = END.fullmatch(rows[-1])
     if trailer and not (end and text.endswith("\n")):
-        raise Unusable(f"{path}, line {len(rows)}: the last line is not `# end N nodes`: the file may be cut short")
+        raise InvalidSettingsError(
+            f"{path}, line {len(rows)}: the last line is not `# end N nodes`: the file may be cut short"
+        )
     if end and int(end[1]) != len(lines):
-        raise Unusable(f"{path}, line {len(rows)}: {end[1]} nodes are announced and {len(lines)} are listed")
+        raise InvalidSettingsError(
+            f"{path}, line {len(rows)}: {end[1]} nodes are announced and {len(lines)} are listed"
+        )
     return Part(path, tuple(lines), head.confirm)
 
 
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -14,7 +14,7 @@
 
 from random import Random
 
-from kestrelplank.configuration.plan import Configuration, Route, Service
+from kestrelplank.configuration.route_table import Configuration, Route, Service
 from kestrelplank.forwarding.endpoint import Endpoint, EndpointStats, ServerLoad
 from kestrelplank.forwarding.endpoints import Endpoints
 from kestrelplank.forwarding.errors import (
@@ -104,11 +104,11 @@
         :raises RequestError: it is refused, and no state is kept of it.
         """
         configuration, route = self._route(host, path)
-        service = configuration.services[route.service(self._random)]
+        service = configuration.services[route.choose_service(self._random)]
         key = self._shard_key(service, shard_key)
         self.retry_budget.deposit(service.name)
-        deadline_at = now + min(client_timeout_ns, route.timeout)
-        return ForwardedRequest(route, service.name, service.connections, key, now, deadline_at, body_bytes)
+        deadline_at = now + min(client_timeout_ns, route.timeout_ns)
+        return ForwardedRequest(route, service.name, service.max_connections, key, now, deadline_at, body_bytes)
 
     def _route(self, host: str, path: str) -> tuple[Configuration, Route]:
         configuration = self.view.configuration
@@ -133,7 +133,7 @@
 
     def next_step(self, now: int, request: ForwardedRequest) -> Step:
         """Decide where the request goes: after its admission, after a wait, and before a retry."""
-        least_ns = max(ANSWER_MARGIN_NS, request.route.aim // MIN_ATTEMPT_DIVISOR)
+        least_ns = max(ANSWER_MARGIN_NS, request.route.latency_target_ns // MIN_ATTEMPT_DIVISOR)
         if now + least_ns >= request.deadline_at:
             return self._refuse(request, DeadlineTooNearError)
         if request.key is None:
@@ -143,7 +143,7 @@
     def _to_any_server(self, now: int, request: ForwardedRequest) -> Step:
         endpoint = self.endpoints.choose(now, request.service, request.attempted_servers, request.body_bytes)
         if endpoint is None:
-            return self._refuse(request, NoServerError, request.route.aim // 2)
+            return self._refuse(request, NoServerError, request.route.latency_target_ns // 2)
         if not endpoint.has_capacity(now, self.view.edges):
             return self._wait_for_capacity(now, request, endpoint)
         return self._start_attempt(now, request, endpoint)
@@ -172,7 +172,7 @@
 
     def _wait_for_holder(self, now: int, request: ForwardedRequest) -> Step:
         """Wait for as long as a move of the key takes, as nobody holds it as far as is known."""
-        until = request.received_at + request.route.aim // 2
+        until = request.received_at + request.route.latency_target_ns // 2
         if now >= until:
             return self._refuse(request, NoKeyHolderError, NO_HOLDER_RETRY_AFTER_NS)
         request.wait()
@@ -180,10 +180,10 @@
 
     def _wait_for_capacity(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
         """Wait while the latency target can still be met, as the server to be used has enough in hand."""
-        until = request.received_at + request.route.aim - int(endpoint.latency_s * SECOND)
+        until = request.received_at + request.route.latency_target_ns - int(endpoint.latency_s * SECOND)
         if now >= until:
             expected_wait_ns = int(endpoint.expected_wait_s(now) * SECOND)
-            return self._refuse(request, ServersFullError, min(request.route.aim, expected_wait_ns) // 2)
+            return self._refuse(request, ServersFullError, min(request.route.latency_target_ns, expected_wait_ns) // 2)
         request.wait()
         return Wait(min(until, now + CAPACITY_POLL_INTERVAL_NS))
 
@@ -195,7 +195,9 @@
         timeout_ns = request.deadline_at - now
         if self._may_time_out_early(request):
             usual_ns = int(EARLY_TIMEOUT_LATENCIES * endpoint.latency_s * SECOND)
-            timeout_ns = min(timeout_ns, max(usual_ns, int(EARLY_TIMEOUT_TARGET_FRACTION * request.route.aim)))
+            timeout_ns = min(
+                timeout_ns, max(usual_ns, int(EARLY_TIMEOUT_TARGET_FRACTION * request.route.latency_target_ns))
+            )
         return Send(endpoint, timeout_ns)
 
     def _may_time_out_early(self, request: ForwardedRequest) -> bool:
@@ -205,7 +207,7 @@
         """
         return (
             request.key is None
-            and len(request.attempted_servers) + 1 < request.route.attempts
+            and len(request.attempted_servers) + 1 < request.route.max_attempts
             and len(self.endpoints.services.get(request.service, ())) > 1
             and is_idempotent(request.call_kind)
         )
@@ -254,7 +256,7 @@
         if not result.counts_as_attempt:
             return request.unsent_attempts < MAX_UNSENT_ATTEMPTS
         return (
-            len(request.attempted_servers) < request.route.attempts
+            len(request.attempted_servers) < request.route.max_attempts
             and now + 2 * ANSWER_MARGIN_NS < request.deadline_at
             and self.retry_budget.try_withdraw(request.service)
         )
@@ -264,9 +266,9 @@
         if outcome is CallOutcome.ANSWERED:
             return self._forward_answer(request)
         if outcome is CallOutcome.NOT_EXECUTED:
-            return self._refuse(request, ServersFullError, request.route.aim // 4)
+            return self._refuse(request, ServersFullError, request.route.latency_target_ns // 4)
         if outcome is CallOutcome.CONNECT_FAIL:
-            return self._refuse(request, NoServerError, request.route.aim // 2)
+            return self._refuse(request, NoServerError, request.route.latency_target_ns // 2)
         return self._refuse(request, OutcomeUnknownError)
 
     # 6. The answer.
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -17,7 +17,7 @@
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.log_entries import HardState
-from kestrelplank.file_discovery.whole import sync_folder
+from kestrelplank.file_discovery.atomic_write import sync_directory
 from kestrelplank.storage import readable_copies
 from kestrelplank.storage.entries import check_contiguous, merge_persists
 from kestrelplank.storage.errors import (
@@ -169,7 +169,7 @@
             write_at(self._fd, data[last_frame.start : last_frame.end], last_frame.start)
         os.ftruncate(self._fd, last_frame.end + 1)
         truncate_durably(self._fd, last_frame.end)
-        sync_folder(str(self.folder))
+        sync_directory(str(self.folder))
 
     def _set_content(self, loaded: LoadedLog, salt: bytes, size_bytes: int, frame_count: int) -> None:
         """Take what the open file contains as what is held."""
@@ -242,5 +242,5 @@
     def _finish_replacing(self) -> None:
         """Make the new file's name durable; until then a loss of power may bring the old file back."""
         if self._folder_sync_due:
-            sync_folder(str(self.folder))
+            sync_directory(str(self.folder))
             self._folder_sync_due = False
