--- a/tests/control/test_server_calls.py
+++ b/tests/control/test_server_calls.py
@@ -14,11 +14,11 @@
 from kestrelplank.time_units import SECOND
 
 
-def answered(status=200, more=""):
+def answer(status=200, more=""):
     return f"HTTP/1.1 {status} X\r\n{more}Content-Length: 0\r\n\r\n".encode()
 
 
-RELEASED = answered(more="X-Handover: h\r\n")
+RELEASED = answer(more="X-Handover: h\r\n")
 
 
 class Calls:
@@ -50,8 +50,8 @@
             await self.more.wait()
 
 
-def played(play, script):
-    async def whole():
+def run_against(script, play):
+    async def run():
         server = ScriptedServer("s", script)
         await server.start()
         calls = Calls(server)
@@ -62,34 +62,34 @@
             calls.calls.close()
             await server.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-def asked(data):
-    """The calls in these bytes: path and body."""
-    found, left = [], data
-    while left:
-        head, _, left = left.partition(b"\r\n\r\n")
+def requests_in(data):
+    """The requests in these bytes: path and body of each."""
+    requests, rest = [], data
+    while rest:
+        head, _, rest = rest.partition(b"\r\n\r\n")
         size = int(next(line for line in head.split(b"\r\n") if line.lower().startswith(b"content-length"))[16:])
-        found.append((head.split()[1].decode(), json.loads(left[:size])))
-        left = left[size:]
-    return found
+        requests.append((head.split()[1].decode(), json.loads(rest[:size])))
+        rest = rest[size:]
+    return requests
 
 
 def test_releases_to_one_server_go_out_side_by_side_a_bounded_number_and_hold_no_grant_up():
-    let = asyncio.Event()
+    may_answer = asyncio.Event()
 
     async def script(server, connection):
         while True:
-            head, _ = await connection.head()
-            await connection._read(int(_["content-length"]))
+            head, headers = await connection.head()
+            await connection._read(int(headers["content-length"]))
             if "release" in head:
                 server.waiting = getattr(server, "waiting", 0) + 1
                 server.more.set()
-                await let.wait()
+                await may_answer.wait()
                 connection.write(RELEASED)
             else:
-                connection.write(answered())
+                connection.write(answer())
 
     async def play(calls):
         calls.server.more = asyncio.Event()
@@ -104,18 +104,18 @@
         assert calls.server.waiting == MAX_CONCURRENT_RELEASES and set(calls.ended.values()) == {
             (GrantKeyRange, ServerCallResult(True, 200))
         }
-        let.set()
+        may_answer.set()
         await calls.until_ended(MAX_CONCURRENT_RELEASES + 3 + 3 * MAX_CONCURRENT_GRANTS)
         assert [calls.ended[first] for first in range(MAX_CONCURRENT_RELEASES + 3)] == [
             (ReleaseKeyRange, ServerCallResult(True, 200, "h"))
         ] * (MAX_CONCURRENT_RELEASES + 3)
         assert len(calls.server.connections) <= MAX_CONCURRENT_RELEASES + 3 + MAX_CONCURRENT_GRANTS
 
-    played(play, script)
+    run_against(script, play)
 
 
 @pytest.mark.parametrize("ends", ["reset", "close", "half", "garbage"])
-def test_a_call_whose_connection_ends_is_sent_once_and_told_as_sent(ends):
+def test_a_call_whose_connection_ends_is_sent_once_and_reported_as_sent(ends):
     async def script(server, connection):
         await connection.request()
         connection.write({"half": b"HTTP/1.1 20", "garbage": b"\x00\x01\r\n\r\n"}.get(ends, b""))
@@ -126,12 +126,12 @@
         calls.grant(1)
         await calls.until_ended(1)
         assert calls.ended[1] == (GrantKeyRange, ServerCallResult(True))
-        assert len(calls.server.connections) == 1 and len(asked(calls.server.connections[0].received)) == 1
+        assert len(calls.server.connections) == 1 and len(requests_in(calls.server.connections[0].received)) == 1
 
-    played(play, script)
+    run_against(script, play)
 
 
-def test_nobody_there_is_told_as_not_sent():
+def test_a_call_to_nobody_is_reported_as_not_sent():
     async def play(calls):
         calls.server.listening.close()
         await calls.server.listening.wait_closed()
@@ -142,10 +142,10 @@
     async def script(server, connection):
         pass
 
-    played(play, script)
+    run_against(script, play)
 
 
-def test_a_grant_is_not_sent_once_the_lease_is_over():
+def test_a_grant_is_not_sent_once_the_lease_has_ended():
     """As it waited in the queue, or for its connection."""
 
     async def script(server, connection):
@@ -157,7 +157,7 @@
         assert calls.ended[1] == (GrantKeyRange, ServerCallResult(False))
         assert all(not connection.received for connection in calls.server.connections)
 
-    played(play, script)
+    run_against(script, play)
 
 
 def test_a_second_answer_to_a_release_is_not_taken_for_the_next_ones():
@@ -183,14 +183,14 @@
         await asyncio.sleep(0)
         assert 2 not in calls.ended and len(calls.server.connections) == 2
 
-    played(play, script)
+    run_against(script, play)
 
 
 def test_an_answer_with_anything_behind_it_costs_the_connection():
     async def script(server, connection):
         while True:
             await connection.request()
-            connection.write(answered() + answered(409))
+            connection.write(answer() + answer(409))
 
     async def play(calls):
         for first in (1, 2):
@@ -198,14 +198,14 @@
             await calls.until_ended(first)
         assert [calls.ended[first][1].status for first in (1, 2)] == [200, 200] and len(calls.server.connections) == 2
 
-    played(play, script)
+    run_against(script, play)
 
 
-def test_what_a_grant_says_and_that_renewals_share_a_connection():
+def test_a_grant_carries_its_lease_and_handover_and_renewals_share_a_connection():
     async def script(server, connection):
         while True:
             await connection.request()
-            connection.write(answered(more="Keep-Alive: timeout=10\r\n"))
+            connection.write(answer(more="Keep-Alive: timeout=10\r\n"))
 
     async def play(calls):
         for first in (1, 2):
@@ -213,8 +213,8 @@
             await calls.until_ended(first)
         assert len(calls.server.connections) == 1
         wanted = {"target_version": 1, "fence": 7, "hold_s": 4.0, "handover": "old"}
-        assert asked(calls.server.connections[0].received) == [
+        assert requests_in(calls.server.connections[0].received) == [
             ("/api/grant", {"source": first, **wanted, "target_version": first}) for first in (1, 2)
         ]
 
-    played(play, script)
+    run_against(script, play)
