--- a/tests/emulator/test_recorded_reports.py
+++ b/tests/emulator/test_recorded_reports.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from kestrelplank.cli.rehearse import encoded
+from kestrelplank.cli.rehearsal_report import encoded_report
 from kestrelplank.emulator.rehearsal import play
 from kestrelplank.emulator.script import script
 from kestrelplank.settings.ini import IniFile
@@ -20,7 +20,7 @@
 
 def report_digest(name, seed, more, knowing):
     text = (SCRIPTS / f"{name}.ini").read_text() + more
-    return hashlib.sha256(encoded(play(script(IniFile(f"{name}.ini", text)), seed, knowing=knowing))).hexdigest()
+    return hashlib.sha256(encoded_report(play(script(IniFile(f"{name}.ini", text)), seed, knowing=knowing))).hexdigest()
 
 
 @pytest.mark.parametrize(
