--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -19,7 +19,8 @@
 from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.source import Source
 from kestrelplank.file_discovery.whole import write_whole
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.interface import Event, PolicySettings, SliceOwnership
+from kestrelplank.policy import Policy
 from kestrelplank.rehearsal.parties import Kit
 from kestrelplank.settings.operator import MS, Nodes
 from kestrelplank.state.guards import Terms, judge
@@ -82,7 +83,7 @@
         self.at: list[int] = []
         self._clock = clock
 
-    def take_out(self, node: int, out: bool) -> None:
+    def set_withdrawn(self, node: int, withdrawn: bool) -> None:
         self.at.append(self._clock())
 
     def __getattr__(self, word: str) -> Callable[..., None]:
@@ -101,14 +102,14 @@
             "Rules": {"ColdFrom": 1.0, "FallMultiple": 3.0},
         }
         settings = decode.settings(conf, Ids(text), "bench")
-        policy, orders = Policy(kit.loop.now(), 1, settings), Orders(kit.loop.now)
-        policy.on_tenure(0, 0, True)
+        policy, orders = Policy(kit.loop.now(), 1, PolicySettings.from_mapping(settings)), Orders(kit.loop.now)
+        policy.handle(0, SliceOwnership(0, True))
         heard = orders.at
         whole = texts(300, 1)[0]
         lines = whole.splitlines()
         drained = "\n".join([lines[0], lines[1] + " draining", *lines[2:]]) + "\n"
 
-        def on_event(event: tuple) -> None:
+        def on_event(event: Event) -> None:
             policy.round(kit.loop.now(), [event], orders)
             policy.round(kit.loop.now(), [], orders)  # a node let back is told a round after its lines are away
 
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -17,7 +17,8 @@
 from kestrelplank.assigner.peers import Peers
 from kestrelplank.assigner.probes import Probes
 from kestrelplank.decode import Ids, Malformed, listed, mapping, parsed, settings, text
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.interface import Event, PeerMessage, PolicySettings
+from kestrelplank.policy import Policy
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import READ, Loop
@@ -107,7 +108,7 @@
     counters = Counters(logger(str(config.get("name", ""))), loop.now)
     pool, op_types = Pool(BUFFER, BUFFERS), list(ids.op_types)
 
-    def on_event(event: tuple) -> None:
+    def on_event(event: Event) -> None:
         conductor.on_event(event)
 
     def reload() -> None:
@@ -129,12 +130,12 @@
     )
     files = None
 
-    def on_listed(event: tuple) -> None:
+    def on_listed(event: Event) -> None:
         (files.on_event if files else on_event)(event)
 
-    def on_datagram(event: tuple) -> None:
-        if members and event[0] == "peer":
-            members.take(*event[1:])
+    def on_datagram(event: Event) -> None:
+        if members and isinstance(event, PeerMessage):
+            members.take(event.sender, event.body)
         else:
             on_event(event)
 
@@ -159,7 +160,7 @@
     except OSError as err:
         print(f"kestrelplank: can't listen: {err.strerror}", file=sys.stderr)
         return 1
-    policy = Policy(loop.now(), config["seed"], found)
+    policy = Policy(loop.now(), config["seed"], PolicySettings.from_mapping(found))
     conductor = Conductor(loop, counters, policy, found["tick"], orders, discovery, probes, peers)
     if extras and extras.nodes.files:
         from kestrelplank.file_discovery.source import Source
--- a/kestrelplank/assigner/conductor.py
+++ b/kestrelplank/assigner/conductor.py
@@ -5,11 +5,12 @@
 from kestrelplank.assigner.orders import Orders
 from kestrelplank.assigner.peers import Peers
 from kestrelplank.assigner.probes import Probes
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.interface import Event, NodeReport, ProxyReport, SliceReport, TimerFired
+from kestrelplank.policy import Policy
 from kestrelplank.sockets.loop import Loop
 
 MOST_EVENTS = 50_000  # gathered while rounds are held up; what comes beyond that is reports, as a rule
-REPORTS = ("tries", "heat", "demand")
+REPORTS = (NodeReport, SliceReport, ProxyReport)
 
 
 class Conductor:
@@ -29,15 +30,16 @@
     ) -> None:
         self._loop, self._counters, self._policy, self._gather = loop, counters, policy, gather
         self._orders, self._discovery, self._probes, self._peers = orders, discovery, probes, peers
-        self._events: list[tuple] = []
+        self._events: list[Event] = []
         self._due = False
-        self.line, self.clear, self.take_out = orders.line, orders.clear, orders.take_out
-        self.level, self.mark = orders.level, orders.mark
-        self.probe, self.fetch = probes.probe, discovery.fetch
+        self.set_endpoint, self.clear_table = orders.set_endpoint, orders.clear_table
+        self.set_withdrawn, self.set_admission = orders.set_withdrawn, orders.set_admission
+        self.request_acknowledgement = orders.request_acknowledgement
+        self.check_health, self.fetch_nodes = probes.probe, discovery.fetch
         self.holders = [orders, discovery, probes]  # whoever holds something of a node, to be forgotten with it
 
-    def on_event(self, event: tuple) -> None:
-        if len(self._events) >= MOST_EVENTS and event[0] in REPORTS:
+    def on_event(self, event: Event) -> None:
+        if len(self._events) >= MOST_EVENTS and isinstance(event, REPORTS):
             self._counters.add("reports_dropped")
             return
         self._events.append(event)
@@ -59,28 +61,28 @@
 
     # The orders that go to no relay.
 
-    def bind(self, proxy: int, table: int, op_types: int) -> None:
+    def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:
         self._counters.trouble("orders_dropped", "the relay has no order that binds a proxy")
 
-    def tell(self, peer: int | None, body: bytes) -> None:
+    def send_to_peers(self, peer: int | None, body: bytes) -> None:
         if self._peers:
             self._peers.tell(peer, body)
         else:
             self._counters.trouble("datagrams_not_sent", "not allowed")
 
-    def share(self, parts: dict[int, float]) -> None:
+    def share_loads(self, loads: dict[int, float]) -> None:
         if self._peers:
-            self._peers.share(parts)
+            self._peers.share(loads)
 
-    def watch(self, on: bool) -> None:
+    def watch_nodes(self, enabled: bool) -> None:
         """Discovery is watched from the start."""
 
-    def timer(self, at: int, name: str) -> None:
-        self._loop.at(at, lambda: self.on_event(("timer", name)))
+    def set_timer(self, at: int, name: str) -> None:
+        self._loop.at(at, lambda: self.on_event(TimerFired(name)))
 
-    def forget(self, node: int) -> None:
+    def forget_node(self, node: int) -> None:
         for part in self.holders:
             part.forget(node)
 
-    def note(self, text: str) -> None:
+    def log(self, text: str) -> None:
         self._counters.info("note", text=text[:200])
--- a/kestrelplank/assigner/discovery.py
+++ b/kestrelplank/assigner/discovery.py
@@ -9,6 +9,7 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, listed, mapping, parsed, time, whole, word
+from kestrelplank.interface import Event, NodeEntry, NodeListKind, NodeListUpdate
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL, Client, Stream
 from kestrelplank.sockets.loop import Loop
@@ -26,7 +27,7 @@
     """`addresses` holds where each listed node is reached. The watch goes on from the newest list we have."""
 
     def __init__(
-        self, loop: Loop, pool: Pool, counters: Counters, at: str, ids: Ids, on_event: Callable[[tuple], None]
+        self, loop: Loop, pool: Pool, counters: Counters, at: str, ids: Ids, on_event: Callable[[Event], None]
     ) -> None:
         self._loop, self._counters, self._ids, self._on_event = loop, counters, ids, on_event
         self._version, self.addresses = 0, {}
@@ -96,7 +97,7 @@
         self._counters.trouble("lists_broken", why)
         if self._asked:
             self._asked = False
-            self._on_event(("roster", "failed", []))
+            self._on_event(NodeListUpdate(NodeListKind.FAILED, ()))
 
     def close(self) -> None:
         if self._timer:
@@ -125,13 +126,13 @@
                 self._counters.trouble("entries_skipped", err)
         self._version, self._listed = version, how != "cached"
         self._counters.add("lists_in")
-        self._on_event(("roster", how, entries))
+        self._on_event(NodeListUpdate(how, entries))
 
-    def _entry(self, instance: dict) -> tuple:
+    def _entry(self, instance: dict) -> NodeEntry:
         condition = CONDITION(instance.get("lifecycle"))
         zone, cell = instance.get("zone"), instance.get("cell")
         weight, started = instance.get("weight"), instance.get("startedAtMs")
-        entry = (
+        entry = NodeEntry(
             self._ids.node(instance.get("instanceId")),
             condition,
             None if zone is None else self._ids.zone(zone),
@@ -140,5 +141,5 @@
             self._loop.from_unix(time(started)) if started else None,
         )
         if isinstance(instance.get("hostPort"), str):
-            self.addresses[entry[0]] = instance["hostPort"]
+            self.addresses[entry.node] = instance["hostPort"]
         return entry
--- a/kestrelplank/assigner/extras.py
+++ b/kestrelplank/assigner/extras.py
@@ -7,7 +7,8 @@
 from kestrelplank.assigner.peers import Peers
 from kestrelplank.assigner.status import Status
 from kestrelplank.decode import Ids
-from kestrelplank.policy import Conductor
+from kestrelplank.policy import Policy
+from kestrelplank.policy.node import NodeState
 from kestrelplank.settings.operator import Members as MembersFile
 from kestrelplank.settings.operator import Status as StatusFile
 from kestrelplank.sockets.loop import Loop
@@ -15,23 +16,23 @@
 from kestrelplank.state.membership import Membership, Terms
 
 
-def seen(policy: Conductor, now: int) -> list[Seen]:
+def seen(policy: Policy, now: int) -> list[Seen]:
     """The module's nodes, as sums over its reports."""
     found = []
     for node in policy.nodes.values():
-        seconds = max(1, len(node.past)) * policy.period / 1e9
+        seconds = max(1, len(node.periods)) * policy.state.period_ns / 1e9
         tries, failed = node.sums()[:2]
-        found.append(Seen(node.zone, node.live(now), tries / seconds, (tries - failed) / seconds))
+        found.append(Seen(node.zone, node.usable(now), tries / seconds, (tries - failed) / seconds))
     return found
 
 
-def best(policy: Conductor) -> float:
+def best(policy: Policy) -> float:
     """Acks a second that a live node was seen to do at its best."""
-    return policy.levels.best / (policy.period / 1e9)
+    return policy.shedder.best_acknowledged / (policy.state.period_ns / 1e9)
 
 
 def membership(
-    loop: Loop, counters: Counters, file: MembersFile, settings: dict, policy: Conductor, peers: Peers | None
+    loop: Loop, counters: Counters, file: MembersFile, settings: dict, policy: Policy, peers: Peers | None
 ) -> Members | None:
     """Membership, where the operator wants it and the platform's settings allow datagrams."""
     if not file.on:
@@ -45,7 +46,7 @@
     return Members(loop, counters, core, file.every, peers.tell, lambda: seen(policy, loop.now()), lambda: best(policy))
 
 
-def shown(loop: Loop, file: StatusFile, policy: Conductor, ids: Ids, members: Members | None) -> Status | None:
+def shown(loop: Loop, file: StatusFile, policy: Policy, ids: Ids, members: Members | None) -> Status | None:
     """The status socket, where the operator names one. Raises OSError."""
     if not file.socket:
         return None
@@ -59,10 +60,10 @@
                 held = zones[names[node.zone]]
                 held.pop("zone", None)
                 for what, is_so in (
-                    ("listed", node.state == "up"),
-                    ("withdrawn", node.out),
-                    ("barred", now < node.barred_until),
-                    ("cold", policy.warmth(node, now) < 1.0),
+                    ("listed", node.state is NodeState.UP),
+                    ("withdrawn", node.withdrawn),
+                    ("barred", now < node.ejected_until),
+                    ("cold", policy.state.capacity_share(node, now) < 1.0),
                 ):
                     held[what] = held.get(what, 0) + is_so
         return {"slices": len(policy.slices), "zones": zones, "members": members.shown() if members else None}
--- a/kestrelplank/assigner/front.py
+++ b/kestrelplank/assigner/front.py
@@ -13,17 +13,18 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, time, told
+from kestrelplank.interface import Event, NodeReport, SliceReport
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import Loop
 
 LOADS = {
-    "inflight": "inflight",
+    "inflight": "in_flight",
     "queue": "queued",
-    "util": "util",
+    "util": "utilization",
     "latency_ms": "service_ms",
-    "qps": "acked_per_s",
+    "qps": "acknowledged_per_s",
     "eps": "aborted_per_s",
 }
 HB, HB_OK = b"hb", resp.encode(b"hb_ok")
@@ -75,7 +76,7 @@
     return known(kind, fields, "locality", ids.zones)
 
 
-def report(message: list[bytes], ids: Ids, slices: int, zone: int) -> tuple | None:
+def report(message: list[bytes], ids: Ids, slices: int, zone: int) -> NodeReport | SliceReport | None:
     """One message from the collector of a zone as an event for the module; None where there is nothing to tell.
     A figure that can't be is not cut to one that can: all the message is worth is then in doubt."""
     kind, fields = decoded(message)
@@ -102,8 +103,7 @@
             raise Malformed(f"{kind}, field locality: not this collector's")
         mean_time = time(read("rtt")) if tries > failed or "rtt" in fields else None
         metrics = (pair.split(":") for pair in fields.get("metrics", "").split(","))
-        return (
-            "tries",
+        return NodeReport(
             known(kind, fields, "endpoint", ids.nodes),
             zone,
             tries,
@@ -115,7 +115,7 @@
     shard = fields.get("shard", "")
     if not (shard.isdecimal() and len(shard) <= MOST_DIGITS and int(shard) < slices):
         raise Malformed(f"{kind}, field shard: {shard[:40]!r} is not known")
-    return "heat", int(shard), known(kind, fields, "route", ids.op_types), tries, failed, window
+    return SliceReport(int(shard), known(kind, fields, "route", ids.op_types), tries, failed, window)
 
 
 class Caller:
@@ -165,7 +165,7 @@
         at: tuple[str, int],
         ids: Ids,
         slices: int,
-        on_event: Callable[[tuple], None],
+        on_event: Callable[[Event], None],
     ) -> None:
         self.loop, self.pool, self.counters = loop, pool, counters
         self._ids, self._slices, self._on_event = ids, slices, on_event
@@ -190,7 +190,7 @@
             self.counters.trouble("reports_skipped", err)
             return
         if event:
-            self.counters.add(event[0] + "_in")
+            self.counters.add("tries_in" if isinstance(event, NodeReport) else "heat_in")
             self._on_event(event)
 
     def gone(self, caller: Caller) -> None:
--- a/kestrelplank/assigner/news.py
+++ b/kestrelplank/assigner/news.py
@@ -11,6 +11,7 @@
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.assigner.orders import Orders
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, mapping, parsed, text, time, whole
+from kestrelplank.interface import EndpointStored, Event, ProxyJoined, ProxyLeft, SliceOwnership, WatermarkAcknowledged
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL, Stream
 from kestrelplank.sockets.loop import Loop
@@ -21,12 +22,20 @@
 MOST_LINE = 1 << 20
 QUIET = 150 * NS_PER_MS  # ends what stands, or a slice's lines: nothing else marks it, and they come in one burst
 
+COUNTER_NAMES: dict[type[Event], str] = {
+    ProxyJoined: "joined_in",
+    ProxyLeft: "left_in",
+    WatermarkAcknowledged: "applied_in",
+    SliceOwnership: "tenure_in",
+    EndpointStored: "line_in",
+}
+
 
 class Picture:
     """What a new stream has named so far of what we knew."""
 
     def __init__(self, now: int) -> None:
-        self.proxies: dict[int, tuple] = {}  # proxy to how it joined; without that where it is new
+        self.proxies: dict[int, ProxyJoined | None] = {}  # proxy to how it joined; without that where it is new
         self.slices: dict[int, dict[int, float] | None] = {}  # slice to its lines; None where it is new
         self.heard_at, self.empty = now, True
 
@@ -42,14 +51,14 @@
         proxies: int,
         slices: int,
         orders: Orders,
-        on_event: Callable[[tuple], None],
+        on_event: Callable[[Event], None],
     ) -> None:
         self._loop, self._counters, self._ids, self._on_event = loop, counters, ids, on_event
         self._proxies, self._slices, self._orders = proxies, slices, orders
         self._joined: dict[int, int] = {}  # proxy to the last mark it was told to have applied
         self._held: dict[int, bool] = {}  # slices in our charge
         self._picture: Picture | None = None
-        self._giving: list[tuple] = []  # a slice given, and its lines so far
+        self._giving: list[SliceOwnership | EndpointStored] = []  # a slice given, and its lines so far
         self._timer = self._given = None
         self._stream = Stream(
             loop, pool, to, lambda: PATH, self.take, self.start, self.end, DIAL, SILENCE, PAUSES, MOST_LINE
@@ -117,7 +126,7 @@
         self._tell_given()
         for proxy in [proxy for proxy in self._joined if proxy not in picture.proxies]:
             del self._joined[proxy]
-            self._tell("left", proxy)
+            self._tell(ProxyLeft(proxy))
         for number in [number for number in self._held if number not in picture.slices]:
             self._take_back(number)
         for number, lines in picture.slices.items():
@@ -132,22 +141,22 @@
         for event in known:
             # It may have lost its stream and dialled again while we heard nothing, and have missed orders that
             # no store keeps: the module tells a proxy that joins, if not afresh, what is withdrawn (rule 3).
-            self._tell("joined", *event)
+            self._tell(event)
         self._orders.hold(False)
-        self._orders.ask_again([self._joined[event[0]] for event in known])
+        self._orders.ask_again([self._joined[event.proxy] for event in known])
 
     # The lines.
 
-    def _tell(self, word: str, *fields: Any) -> None:
-        self._counters.add(word + "_in")
-        self._on_event((word, *fields))
+    def _tell(self, event: Event) -> None:
+        self._counters.add(COUNTER_NAMES[type(event)])
+        self._on_event(event)
 
     def _give(self, number: int) -> None:
         """Told when its lines have come: bytes may come in pieces, and the module would find lines for a slice
         that looks bare."""
         self._held[number] = True
         self._orders.given(number)
-        self._giving = [("tenure", number, True)]
+        self._giving = [SliceOwnership(number, True)]
         self._given = self._loop.at(self._loop.now() + QUIET, self._tell_given)
 
     def _tell_given(self) -> None:
@@ -155,19 +164,19 @@
             self._given.cancel()
             giving, self._giving = self._giving, []
             for event in giving:
-                self._tell(*event)
+                self._tell(event)
 
     def _take_back(self, number: int) -> None:
         self._held.pop(number, None)
         self._orders.taken_back(number)
-        self._tell("tenure", number, False)
+        self._tell(SliceOwnership(number, False))
 
     def _line(self, number: int, node: int, weight: float) -> None:
         self._orders.stands(number, node, weight)
-        if self._giving and self._giving[0][1] == number:
-            self._giving.append(("line", number, node, weight))
+        if self._giving and self._giving[0].slice == number:
+            self._giving.append(EndpointStored(number, node, weight))
         else:
-            self._tell("line", number, node, weight)
+            self._tell(EndpointStored(number, node, weight))
 
     def _below(self, value: Any, most: int) -> int:
         if whole(value) >= most:
@@ -185,18 +194,18 @@
             zone, rate = self._ids.zone(fields.get("locality")), count(fields.get("w"))
             fresh = flag(fields.get("cold"))
             if picture and proxy in self._joined:
-                picture.proxies[proxy] = (proxy, zone, rate, False)
+                picture.proxies[proxy] = ProxyJoined(proxy, zone, rate, False)
                 return
             if picture:
-                picture.proxies[proxy] = ()
+                picture.proxies[proxy] = None
             elif proxy in self._joined:  # its earlier stream has ended, with all that was on its way there
-                self._tell("left", proxy)
+                self._tell(ProxyLeft(proxy))
             self._joined[proxy] = -1
-            self._tell("joined", proxy, zone, rate, fresh)
+            self._tell(ProxyJoined(proxy, zone, rate, fresh))
         elif kind == "detach":
             proxy = self._below(fields.get("node"), self._proxies)
             if self._joined.pop(proxy, None) is not None:
-                self._tell("left", proxy)
+                self._tell(ProxyLeft(proxy))
         elif kind == "done":
             proxy = self._below(fields.get("node"), self._proxies)
             stamp = whole(fields.get("nonce"))
@@ -205,7 +214,7 @@
             # A call that was sent again puts its mark into two messages; the second answer would count twice.
             if self._joined.get(proxy, mark) != mark:
                 self._joined[proxy] = mark
-                self._tell("applied", proxy, mark, time(fields.get("latency")))
+                self._tell(WatermarkAcknowledged(proxy, mark, time(fields.get("latency"))))
         elif kind == "owner":
             number, held = self._below(fields.get("shard"), self._slices), flag(fields.get("set"))
             if held and picture:
--- a/kestrelplank/assigner/orders.py
+++ b/kestrelplank/assigner/orders.py
@@ -79,27 +79,27 @@
 
     # What the module orders.
 
-    def line(self, table: int, node: int, weight: float) -> None:
+    def set_endpoint(self, table: int, node: int, weight: float) -> None:
         name = self._ids.node_ids[node]
         self._order({"verb": "put", "cluster": table, "endpoint": name, "w": weight}, table, node, weight)
 
-    def clear(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         self._order({"verb": "wipe", "cluster": table}, table)
 
-    def take_out(self, node: int, out: bool) -> None:
-        self._order({"verb": "eject" if out else "uneject", "endpoint": self._ids.node_ids[node]})
+    def set_withdrawn(self, node: int, withdrawn: bool) -> None:
+        self._order({"verb": "eject" if withdrawn else "uneject", "endpoint": self._ids.node_ids[node]})
 
-    def level(self, table: int, op_types: int, share: float, again: int) -> None:
-        order = {"verb": "gate", "cluster": "*" if table == ALL_TABLES else table, "gate": share, "again": again}
+    def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
+        order = {"verb": "gate", "cluster": "*" if table == ALL_TABLES else table, "gate": share, "again": retry_mode}
         if op_types:
             order["for"] = [name for place, name in enumerate(self._op_types) if op_types >> place & 1]
         self._order(order, table, None, 1.0)
 
-    def mark(self, number: int, everyone: bool, behind: int = 0) -> None:
-        self._last_mark = number
-        stamp = (number + self._first_mark) % MARKS
+    def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:
+        self._last_mark = watermark
+        stamp = (watermark + self._first_mark) % MARKS
         self._order(fence(stamp, everyone))
-        self._behind[self._round[-1][0]] = behind
+        self._behind[self._round[-1][0]] = backlog_ns
 
     def marked(self, stamp: int) -> int:
         """The mark that the module knows by that stamp."""
@@ -163,7 +163,7 @@
         last = self._last_mark
         if last is not None and not self._queue and any(mark != last for mark in told):
             self._counters.add("marks_asked_again")
-            self.mark(last, True)
+            self.request_acknowledgement(last, True)
             self.close_round()
 
     def _forget(self, number: int) -> None:
--- a/kestrelplank/assigner/peers.py
+++ b/kestrelplank/assigner/peers.py
@@ -5,6 +5,7 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, shared, shares
+from kestrelplank.interface import Event, PeerLoads, PeerMessage
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import READ, Loop
 
@@ -21,7 +22,7 @@
         peers: list[str],
         everyone: str,
         ids: Ids,
-        on_event: Callable[[tuple], None],
+        on_event: Callable[[Event], None],
     ) -> None:
         self._loop, self._counters, self._ids, self._on_event = loop, counters, ids, on_event
         self._peers, self._everyone = [address(peer) for peer in peers], address(everyone) if everyone else None
@@ -59,7 +60,7 @@
                 continue
             self._counters.add("peer_in")
             parts, number = shared(body, self._ids), self._peers.index(sender)
-            self._on_event(("peer", number, body) if parts is None else ("shared", number, parts))
+            self._on_event(PeerMessage(number, body) if parts is None else PeerLoads(number, parts))
 
     def close(self) -> None:
         self._loop.forget(self._sock)
--- a/kestrelplank/assigner/probes.py
+++ b/kestrelplank/assigner/probes.py
@@ -5,6 +5,7 @@
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.assigner.front import load
 from kestrelplank.decode import NS_PER_MS, Malformed
+from kestrelplank.interface import Event, HealthChecked
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.http import Client
@@ -42,7 +43,8 @@
 
     def _tell(self, verdict: str, report: dict[str, float]) -> None:
         self._probes.counters.add("probes_answered")
-        self._probes.on_event(("probed", self._node, verdict, self._probes.loop.now() - self._asked_at, report))
+        duration_ns = self._probes.loop.now() - self._asked_at
+        self._probes.on_event(HealthChecked(self._node, verdict, duration_ns, report))
 
 
 class Probes:
@@ -55,7 +57,7 @@
         allowed: bool,
         dial: int,
         with_load: bool,
-        on_event: Callable[[tuple], None],
+        on_event: Callable[[Event], None],
     ) -> None:
         self.loop, self.pool, self.counters, self.on_event = loop, pool, counters, on_event
         self._addresses, self._allowed, self.dial = addresses, allowed, dial
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -64,7 +64,7 @@
     from kestrelplank.emulator import rehearsal
     from kestrelplank.emulator.conductors import Standing
     from kestrelplank.emulator.script import script
-    from kestrelplank.policy import Conductor
+    from kestrelplank.policy import Policy
 
     if live + baseline + knowing > 1:
         raise click.UsageError("--live, --baseline and --knowing exclude each other")
@@ -83,7 +83,7 @@
 
             found = play_live(read, seed, progress)
         else:
-            found = rehearsal.play(read, seed, Standing if baseline else Conductor, progress=progress, knowing=knowing)
+            found = rehearsal.play(read, seed, Standing if baseline else Policy, progress=progress, knowing=knowing)
     click.echo("\n".join(table(found)))
     if to:
         try:
--- a/kestrelplank/emulator/conductors.py
+++ b/kestrelplank/emulator/conductors.py
@@ -6,7 +6,33 @@
 from kestrelplank.emulator.clock import chance
 from kestrelplank.emulator.part import Actor
 from kestrelplank.emulator.script import conf
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.interface import (
+    EndpointStored,
+    Event,
+    NodeEntry,
+    NodeListUpdate,
+    NodeReport,
+    PolicySettings,
+    ProxyJoined,
+    ProxyLeft,
+    SliceOwnership,
+    SliceReport,
+    TimerFired,
+    WatermarkAcknowledged,
+)
+from kestrelplank.policy import Policy
+
+EVENT_TYPES = {
+    "roster": NodeListUpdate,
+    "tenure": SliceOwnership,
+    "line": EndpointStored,
+    "joined": ProxyJoined,
+    "left": ProxyLeft,
+    "applied": WatermarkAcknowledged,
+    "tries": NodeReport,
+    "heat": SliceReport,
+    "timer": TimerFired,
+}  # the world's events, and those of the module
 
 
 class Conductor(Actor):
@@ -27,7 +53,7 @@
 
     def __init__(self, world, number: int) -> None:
         super().__init__(world, number)
-        self._events: list[tuple] = []
+        self._events: list[Event] = []
         self._due = False
 
     def start(self) -> None:
@@ -36,7 +62,7 @@
         self.ids = Ids(whole)
         found = settings(conf(world.script, self.number), self.ids, "script")
         seed = chance(world.seed, "conductor", self.number, self.life).getrandbits(64)
-        self.policy = world.policy(world.clock.now(), seed, found)
+        self.policy = world.policy(world.clock.now(), seed, PolicySettings.from_mapping(found))
 
     def kill(self) -> None:
         self.alive = False
@@ -44,12 +70,12 @@
     def hear(self, word: str, *fields: Any) -> None:
         fields = list(fields)
         if word == "roster":
-            fields[1] = [(self.ids.node(node), *rest) for node, *rest in fields[1]]
+            fields[1] = [NodeEntry(self.ids.node(node), *rest) for node, *rest in fields[1]]
         elif word == "line":
             fields[1] = self.ids.node(fields[1])
         elif word == "tries":
             fields[0] = self.ids.node(fields[0])
-        self._events.append((word, *fields))
+        self._events.append(EVENT_TYPES[word](*fields))
         if not self._due:
             self._due = True
             self.in_this_life(self.clock.now() + self.world.script.rules.tick, self._round)
@@ -66,37 +92,36 @@
 
     # What the module orders.
 
-    def line(self, table: int, node: int, weight: float) -> None:
+    def set_endpoint(self, table: int, node: int, weight: float) -> None:
         self._orders.append(("line", table, self.ids.node_ids[node], weight))
 
-    def clear(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         self._orders.append(("clear", table))
 
-    def take_out(self, node: int, out: bool) -> None:
-        self._orders.append(("take_out", self.ids.node_ids[node], out))
+    def set_withdrawn(self, node: int, withdrawn: bool) -> None:
+        self._orders.append(("take_out", self.ids.node_ids[node], withdrawn))
 
-    def level(self, table: int, op_types: int, share: float, again: int) -> None:
-        self._orders.append(("level", table, op_types, share, again))
+    def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
+        self._orders.append(("level", table, op_types, share, retry_mode))
 
-    def mark(self, number: int, everyone: bool, behind: int = 0) -> None:
-        self._orders.append(("mark", number))
+    def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:
+        self._orders.append(("mark", watermark))
 
-    def timer(self, at: int, name: str) -> None:
+    def set_timer(self, at: int, name: str) -> None:
         self.in_this_life(at, self.hear, "timer", name)
 
-    def forget(self, node: int) -> None:
+    def forget_node(self, node: int) -> None:
         self.ids.forget(node)
 
-    def watch(self, on: bool) -> None:
+    def watch_nodes(self, enabled: bool) -> None:
         """All are told of changes."""
 
 
 class Standing(Policy):
     """The baseline: every slice stays where it is until it has lost its node. No load move, no bar."""
 
-    def __init__(self, now: int, seed: int, settings: dict) -> None:
-        super().__init__(now, seed, settings)
-        self.health.judge = lambda *_: None
+    def eject_unhealthy(self, now: int) -> None:
+        """Nothing is ejected."""
 
-    def turn(self, now: int) -> None:
+    def balance(self, now: int) -> None:
         """Nothing moves for its load."""
--- a/kestrelplank/emulator/rehearsal.py
+++ b/kestrelplank/emulator/rehearsal.py
@@ -8,7 +8,7 @@
 from kestrelplank.emulator.script import MS, Script
 from kestrelplank.emulator.world import World
 from kestrelplank.load_balancing.attempts import PROOFS
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.policy import Policy
 
 FORM = 1  # of the report
 STEP = 500 * MS  # of virtual time between two calls of progress
--- a/kestrelplank/emulator/world.py
+++ b/kestrelplank/emulator/world.py
@@ -22,7 +22,7 @@
 from kestrelplank.emulator.score import Score
 from kestrelplank.emulator.script import MS, Script, most_waiting
 from kestrelplank.load_balancing.attempts import PROOFS
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.policy import Policy
 
 SLACK = 300 * MS  # what the protocol's page grants time limits on sockets
 
--- a/kestrelplank/file_discovery/source.py
+++ b/kestrelplank/file_discovery/source.py
@@ -13,6 +13,7 @@
 from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.watch import Watch
 from kestrelplank.file_discovery.whole import write_whole
+from kestrelplank.interface import Event, NodeEntry, NodeListKind, NodeListUpdate
 from kestrelplank.settings.ini import Unusable
 from kestrelplank.settings.operator import Nodes
 from kestrelplank.sockets.loop import Loop, Timer
@@ -58,7 +59,7 @@
         grace: int,
         ids: Ids,
         addresses: dict[int, str],
-        on_event: Callable[[tuple], None],
+        on_event: Callable[[Event], None],
     ) -> None:
         self._loop, self._counters, self._nodes, self._ids = loop, counters, nodes, ids
         self._addresses, self._on_event = addresses, on_event
@@ -186,12 +187,12 @@
         how, entries = self._blend.take(side, how, entries)
         if entries or how != "delta":
             self._counters.add("files_told")
-            self._on_event(("roster", how, entries))
+            self._on_event(NodeListUpdate(how, [NodeEntry(*entry) for entry in entries]))
 
-    def on_event(self, event: tuple) -> None:
+    def on_event(self, event: Event) -> None:
         """Discovery's events, on their way to the module."""
-        if event[0] == "roster" and event[1] != "failed":
-            self._tell(DISCOVERY, event[1], event[2])
+        if isinstance(event, NodeListUpdate) and event.kind != NodeListKind.FAILED:
+            self._tell(DISCOVERY, event.kind, list(event.entries))
         else:
             self._on_event(event)
 
--- a/kestrelplank/policy/__init__.py
+++ b/kestrelplank/policy/__init__.py
@@ -1,7 +1,10 @@
-"""All decisions of kestrelplank.
+"""All decisions of an assigner.
 
-Make a `Conductor(now, seed, settings)` an instance and call `conductor.round(now, events, out)` once a round
-with all that came in; it orders through `out`. `kestrelplank/interface.py` has both. Times are whole ns.
+Make a `Policy(now, seed, settings)` for each assigner and call `policy.round(now, events, out)` once a round with all
+events that came in; it orders through `out`. `kestrelplank/interface.py` has the types of both sides.
+
+The mechanism is that of *Mirador: An Active Control Plane for Datacenter Storage*; docs/design.md says which part of
+the paper each step follows, and lists every departure with its reason.
 """
 
-from kestrelplank.policy.conductor import Conductor as Conductor
+from kestrelplank.policy.assigner_policy import Policy as Policy
--- a/kestrelplank/policy/channel.py
+++ b/kestrelplank/policy/channel.py
@@ -1,68 +1,100 @@
-"""The way to the proxies, kept short."""
+"""The channel to the proxies, whose queue must stay short (rule 5)."""
 
 from collections import deque
 
-from kestrelplank.policy.node import S
+from kestrelplank.interface import SECOND, OrderWriter, PolicySettings
+from kestrelplank.policy.parameters import MOST_WATERMARKS, SENT_TIMES_KEPT
 
-MARKS_KEPT = 4096  # of which the time is known; who left with an older one unanswered is told all anew
+
+class MessageInFlight:
+    """A message that some proxies have not acknowledged; `cost` in orders."""
+
+    __slots__ = ("cost", "proxies")
+
+    def __init__(self, cost: float, proxies: int) -> None:
+        self.cost, self.proxies = cost, proxies
 
 
 class Channel:
-    """Keeps the queue short (rule 5). Messages leave in order: an answer proves all older ones."""
-
-    def __init__(self, envelope, most_waiting, most_messages, messages_span, lines_per_s):
-        self.envelope, self.most_waiting, self.pace = envelope, most_waiting, max(1.0, lines_per_s)
-        self.most_messages, self.span = most_messages, messages_span
-        self.waiting = {}  # proxy to the marks it has not answered
-        self.unproved = {}  # mark to lines of one of its messages, and how many of those are not proved
-        self.messages, self.mark = deque(), 0  # the mark to be sent next
-        self.sent_at = {}  # mark to when its message was sent, of the last few thousand
-        self.known = {}  # proxy that was here to the time: what was sent before it has applied
-
-    def gone(self, now, proxy):
-        queue = self.waiting.get(proxy)
-        if queue is not None:
-            self.known[proxy] = self.sent_at.get(queue[0], -1) if queue else now
+    """Keeps account of what waits on the way to the proxies.
+
+    Messages leave in order: an acknowledgement of one proves that all older ones have left.
+    """
+
+    def __init__(self, settings: PolicySettings) -> None:
+        self.overhead, self.queue_limit = settings.message_overhead, settings.queue_limit
+        self.orders_per_s = max(1.0, settings.orders_per_s)
+        self.message_limit, self.message_window_ns = settings.message_limit, settings.message_window_ns
+        self.unacknowledged: dict[int, deque[int]] = {}  # by joined proxy: watermarks that it has not acknowledged
+        self.in_flight: dict[int, MessageInFlight] = {}  # by watermark
+        self.recent_messages: deque[int] = deque()  # when sent
+        self.next_watermark = 0
+        self.sent_at: dict[int, int] = {}  # by watermark, of the last few thousand
+        self.applied_until: dict[int, int] = {}  # by proxy that was here before: what was sent earlier it has applied
+
+    def join(self, now: int, proxy: int) -> int:
+        """Begin a proxy's stream; return until when it has applied what was sent, -1 where that is not known."""
+        self._note_applied(now, proxy)
+        self.unacknowledged[proxy] = deque()
+        return self.applied_until.get(proxy, -1)
 
-    def left(self, now, proxy):
-        self.gone(now, proxy)
-        for mark in self.waiting.pop(proxy, ()):
-            if mark in self.unproved:
-                self.unproved[mark][1] -= 1
+    def leave(self, now: int, proxy: int) -> None:
+        """End a proxy's stream, and what was on its way there."""
+        self._note_applied(now, proxy)
+        for watermark in self.unacknowledged.pop(proxy, ()):
+            if watermark in self.in_flight:
+                self.in_flight[watermark].proxies -= 1
 
-    def applied(self, proxy, mark):
-        queue = self.waiting.get(proxy, ())
-        while mark in queue:
+    def _note_applied(self, now: int, proxy: int) -> None:
+        queue = self.unacknowledged.get(proxy)
+        if queue is not None:
+            self.applied_until[proxy] = self.sent_at.get(queue[0], -1) if queue else now
+
+    def acknowledge(self, proxy: int, watermark: int) -> None:
+        """Take a proxy's acknowledgement, which also covers all older messages."""
+        queue = self.unacknowledged.get(proxy)
+        while queue and watermark in queue:
             queue.popleft()
-        if mark in self.unproved:
-            while next(iter(self.unproved)) != mark:
-                del self.unproved[next(iter(self.unproved))]
-            self.unproved[mark][1] -= 1
-
-    def room(self, now, share, spare, due):
-        """Lines a reply may hold: none until all due fits, or half a queue: else envelopes fill it."""
-        while self.messages and now - self.messages[0] > self.span:
-            self.messages.popleft()
-        if not self.waiting:
+        if watermark in self.in_flight:
+            while (oldest := next(iter(self.in_flight))) != watermark:
+                del self.in_flight[oldest]
+            self.in_flight[watermark].proxies -= 1
+
+    def acknowledged_by_all(self, watermark: int | None) -> bool:
+        """Whether no joined proxy still owes an acknowledgement of this message."""
+        return not any(watermark in queue for queue in self.unacknowledged.values())
+
+    def room(self, now: int, queue_share: float, spare_messages: int, orders_due: int) -> float:
+        """Return how many orders a message may hold.
+
+        None until all that is due fits, or half of what an empty queue takes: else overhead would fill the queue.
+        """
+        while self.recent_messages and now - self.recent_messages[0] > self.message_window_ns:
+            self.recent_messages.popleft()
+        if not self.unacknowledged:
             return 1e9
-        if self.most_messages and len(self.messages) + spare >= self.most_messages:
+        if self.message_limit and len(self.recent_messages) + spare_messages >= self.message_limit:
             return 0
-        most = self.most_waiting * share / len(self.waiting) - self.envelope - 1
-        room = most - self.unproven() / len(self.waiting)
-        return room if room >= min(due, most / 2) else 0
-
-    def unproven(self):  # lines that wait, as far as is known
-        return sum(lines * proxies for lines, proxies in self.unproved.values())
-
-    def send(self, now, lines, out):
-        self.messages.append(now)
-        self.sent_at.pop(self.mark, None)
-        self.sent_at[self.mark] = now
-        if len(self.sent_at) > MARKS_KEPT:
+        proxies = len(self.unacknowledged)
+        most = self.queue_limit * queue_share / proxies - self.overhead - 1
+        room = most - self.queued() / proxies
+        return room if room >= min(orders_due, most / 2) else 0
+
+    def queued(self) -> float:
+        """Return the orders that wait in the channel, as far as is known."""
+        return sum(message.cost * message.proxies for message in self.in_flight.values())
+
+    def send(self, now: int, orders: int, out: OrderWriter) -> None:
+        """End a message of so many orders with a watermark, and count it as in flight."""
+        self.recent_messages.append(now)
+        watermark = self.next_watermark
+        self.sent_at.pop(watermark, None)
+        self.sent_at[watermark] = now
+        if len(self.sent_at) > SENT_TIMES_KEPT:
             del self.sent_at[next(iter(self.sent_at))]
-        # To everyone, also where no table names the node: else no proof comes, and room never.
-        out.mark(self.mark, True, int(self.unproven() / self.pace * S))
-        self.unproved[self.mark] = [lines + self.envelope + 1, len(self.waiting)]
-        for queue in self.waiting.values():
-            queue.append(self.mark)
-        self.mark = (self.mark + 1) % 65536
+        # To everyone, also where no table names the node: else no acknowledgement comes, and never any room.
+        out.request_acknowledgement(watermark, True, int(self.queued() / self.orders_per_s * SECOND))
+        self.in_flight[watermark] = MessageInFlight(orders + self.overhead + 1, len(self.unacknowledged))
+        for queue in self.unacknowledged.values():
+            queue.append(watermark)
+        self.next_watermark = (watermark + 1) % MOST_WATERMARKS
--- a/kestrelplank/policy/node.py
+++ b/kestrelplank/policy/node.py
@@ -1,76 +1,112 @@
-"""A node and a slice, as far as a conductor knows them."""
+"""A node as far as an assigner knows it."""
 
 from collections import deque
+from enum import Enum
+from operator import add
+from typing import NamedTuple
 
-S = 1_000_000_000
-TURN = 2 * S  # the greedy pass runs this often
-REPORTS = 5  # loads are averages over this many reports, and a move settles for as many
-SICK, EVIDENCE = 0.5, 4  # bar a node failing by so much more than the median, at least so many failures
-BAR, BAR_MOST = 6 * S, 24 * S  # for so long at first, at the most
-HEARD = 2 * TURN  # what another conductor told of its slices holds for so long
-GONE = ("draining", "removed")
+from kestrelplank.interface import SECOND, NodeReport
+from kestrelplank.policy.parameters import EJECTION_NS, LONGEST_EJECTION_NS, PEER_LOADS_VALID_NS, PERIODS
+
+
+class NodeState(Enum):
+    """What lists say of a node."""
+
+    UNLISTED = "unlisted"
+    UP = "up"
+    DRAINING = "draining"
+    REMOVED = "removed"
+    DROPPED = "dropped"  # as REMOVED, at a site where only draining binds: it works until it fails
+
+
+GONE = (NodeState.DRAINING, NodeState.REMOVED)
+
+
+class ReportSums(NamedTuple):
+    """Sums of reports on a node; `zone_...` counts those of proxies in the node's own zone only."""
+
+    attempts: float = 0.0
+    failures: float = 0.0
+    latency_s: float = 0.0  # of all attempts together
+    zone_attempts: float = 0.0
+    zone_failures: float = 0.0
+    zone_latency_s: float = 0.0
+    utilization: float = 0.0
+    acknowledged_per_s: float = 0.0
+
+
+NO_REPORTS = ReportSums()
 
 
 class Node:
-    """All that is known of one node."""
-
-    def __init__(self, index, now):
-        self.index, self.zone, self.weight, self.boot = index, None, 1.0, None
-        self.state = "unlisted"  # or up, draining, removed; dropped where only draining binds
-        self.out, self.since = False, now  # to be withdrawn from proxies, since when; ordered unless stale
-        self.stale = False  # some joined proxy may hold another withdrawal than that
-        self.told_at = None  # when it was last withdrawn or let in by order
-        self.untold = False  # a proxy has joined that may hold another
-        # By period: tries, failures, busy seconds; as its own zone saw them; utilization and acks as told.
-        self.now, self.past = [0.0] * 8, deque(maxlen=REPORTS)
-        self.barred_until, self.bar_for = -BAR_MOST, BAR
-        self.settles_at = 0  # takes part in no further move until then
-        self.told = {}  # by other conductor: ops a second that its slices bring here, and when it said so
-        self.starts, self.held_until = (), 0  # when its last starts were told; given nothing until then
-        self.fresh = False  # new or restarted, and not up to its part of the load yet
-        self.stripped = True  # since its last start it has been rid of what it held before
-
-    def live(self, now):
-        return self.state == "up" and not self.out and not self.shut(now)
-
-    def bound(self):
-        """A rule wants it shut: it drains, is gone, or came back cold with all that it held before."""
-        return self.state in GONE or not self.stripped
-
-    def shut(self, now):
-        return self.bound() or now < self.barred_until
-
-    def tell(self, now, out):
-        out.take_out(self.index, self.out)
-        self.stale, self.told_at = False, now
-        return 1
-
-    def others(self, now):
-        return sum(ops for ops, at in self.told.values() if now - at < HEARD)
-
-    def sums(self, last=REPORTS):
-        recent = list(self.past)[-last:]
-        return [sum(part) for part in zip(*recent)] if recent else [0.0] * 8
-
-    def time(self, last):
-        """Mean time of its answers as seen from its own zone, as a slow way between zones is no strain."""
-        tries, failed, busy = self.sums(last)[3:6]
-        return busy / tries if tries > failed else None
-
-
-class Slice:
-    """A slice in this conductor's charge: lines wanted and lines ordered, node to weight."""
-
-    def __init__(self, number):
-        self.number, self.want, self.sent = number, {}, {}
-        self.closing, self.opens_at = None, None  # exclusive tables: proof awaited, new owner not before
-        self.now, self.past = 0.0, deque(maxlen=REPORTS)
-
-    def heat(self, period):  # ops a second that come for it
-        return sum(self.past) / max(1, len(self.past)) / (period / S)
-
-    def newest(self):  # ops that came for it by the newest report
-        return max(self.now, self.past[-1] if self.past else 0.0)
-
-    def owner(self):
-        return next(iter(self.want), None)
+    """All that is known of one node.
+
+    Whether proxies are to be kept from it is `withdrawn`; the order that says so is due while `order_due`.
+    """
+
+    def __init__(self, index: int, now: int) -> None:
+        self.index = index
+        self.zone: int | None = None
+        self.weight = 1.0
+        self.started_at: int | None = None
+        self.state = NodeState.UNLISTED
+        self.withdrawn, self.withdrawal_changed_at = False, now
+        self.order_due = False  # some joined proxy may hold another state of `withdrawn`
+        self.joined_order_due = False  # as that, because a proxy has joined: ordered from the next heartbeat on
+        self.ordered_at: int | None = None  # when it was last withdrawn or let in by order
+        self.current_period = NO_REPORTS
+        self.periods: deque[ReportSums] = deque(maxlen=PERIODS)
+        self.ejected_until, self.ejection_ns = -LONGEST_EJECTION_NS, EJECTION_NS
+        self.settled_at = 0  # takes part in no move before
+        self.peer_loads: dict[int, tuple[float, int]] = {}  # by peer: ops a second of its slices here, heard at
+        self.recent_starts: tuple[int, ...] = ()
+        self.flapping_until = 0  # given nothing before
+        self.filling = False  # new or restarted, and not up to its part of the load yet
+        self.emptied = True  # since its last start it has lost every slice that it had before
+
+    def usable(self, now: int) -> bool:
+        """Whether slices may be put here."""
+        return self.state is NodeState.UP and not self.withdrawn and not self.must_withdraw(now)
+
+    def bound_to_withdraw(self) -> bool:
+        """Whether a rule wants it withdrawn: it drains, is gone, or came back cold with all that it had before."""
+        return self.state in GONE or not self.emptied
+
+    def must_withdraw(self, now: int) -> bool:
+        """Whether it is to be withdrawn, by a rule or as unhealthy."""
+        return self.bound_to_withdraw() or now < self.ejected_until
+
+    def add_report(self, report: NodeReport) -> None:
+        """Count a report in the current period."""
+        latency_s = report.attempts * (report.mean_latency_ns or 0) / SECOND
+        own_zone = report.zone == self.zone
+        counted = (
+            report.attempts,
+            report.failures,
+            latency_s,
+            report.attempts if own_zone else 0,
+            report.failures if own_zone else 0,
+            latency_s if own_zone else 0,
+            report.load.get("utilization", 0),
+            report.load.get("acknowledged_per_s", 0),
+        )
+        self.current_period = ReportSums(*map(add, self.current_period, counted))
+
+    def close_period(self) -> None:
+        """Begin a report period."""
+        self.periods.append(self.current_period)
+        self.current_period = NO_REPORTS
+
+    def sums(self, last: int = PERIODS) -> ReportSums:
+        """Return the sums over the last so many periods that have ended."""
+        recent = list(self.periods)[-last:]
+        return ReportSums(*map(sum, zip(*recent))) if recent else NO_REPORTS
+
+    def peer_load(self, now: int) -> float:
+        """Return the ops a second that other assigners' slices bring here, as far as they told lately."""
+        return sum(ops for ops, heard_at in self.peer_loads.values() if now - heard_at < PEER_LOADS_VALID_NS)
+
+    def zone_latency_s(self, last: int) -> float | None:
+        """Return its mean latency as its own zone saw it, since a slow way between zones is no strain."""
+        sums = self.sums(last)
+        return sums.zone_latency_s / sums.zone_attempts if sums.zone_attempts > sums.zone_failures else None
--- a/kestrelplank/sharding/placement.py
+++ b/kestrelplank/sharding/placement.py
@@ -1,4 +1,4 @@
-"""Which server each line of a sharded service shall be at: the decision module's greedy pass (`policy.Conductor`), told
+"""Which server each line of a sharded service shall be at: the decision module's greedy pass (`policy.Policy`), told
 in its own words. Lines are its slices, servers its nodes, a decider's report period its period.
 
 What is ours round the pass: heat is told from a longer window than the pass averages over, as a server here meets a few
@@ -14,7 +14,19 @@
 from heapq import heapify, heapreplace
 from typing import Any
 
-from kestrelplank.policy import Conductor
+from kestrelplank.interface import (
+    EndpointStored,
+    Event,
+    NodeEntry,
+    NodeListUpdate,
+    NodeReport,
+    OpTypeSettings,
+    PolicySettings,
+    SliceOwnership,
+    SliceReport,
+    SliceSplit,
+)
+from kestrelplank.policy import Policy
 from kestrelplank.sharding.key_ranges import FREE, HELD, KEYS, LEAVING, KeyRange, KeyRanges, Server
 
 S = 1_000_000_000
@@ -40,14 +52,15 @@
     def __init__(self) -> None:
         self.lines: dict[int, int] = {}
 
-    def line(self, table: int, node: int, weight: float) -> None:
+    def set_endpoint(self, table: int, node: int, weight: float) -> None:
         if weight:
             self.lines[table] = node
 
     def pass_over(self, *given: Any) -> None:
         """Proxies here are told by the record, and ask for what they lack."""
 
-    clear = take_out = level = mark = bind = probe = tell = share = watch = fetch = timer = forget = note = pass_over
+    clear_table = set_withdrawn = set_admission = request_acknowledgement = bind_proxy = check_health = pass_over
+    send_to_peers = share_loads = watch_nodes = fetch_nodes = set_timer = forget_node = log = pass_over
 
 
 class Pace:
@@ -99,7 +112,7 @@
         """`known`: what who decided before us had learnt of servers, as `learnt` said there."""
         self._lines, self._orders = lines, Orders()
         self._seed, self._target = seed, target
-        self._pass: Conductor | None = None  # made with the first lines: its periods count from then on
+        self._pass: Policy | None = None  # made with the first lines: its periods count from then on
         self._given = 0  # numbers of slices
         self._numbers: dict[int, KeyRange] = {}
         self._of: dict[KeyRange, int] = {}
@@ -147,21 +160,22 @@
     def turn(self, now: int) -> None:
         """Tells the pass what has come, and gives its orders to the lines."""
         if self._pass is None:
-            self._pass = Conductor(now, self._seed, settings(self._target))
+            self._pass = Policy(now, self._seed, settings(self._target))
             self._deal()
-        events: list[tuple[Any, ...]] = []
+        events: list[Event] = []
         if self._roster_due:
             self._roster_due = False
             servers = self._lines.servers.values()
             cold = sum(server.warm_at > now for server in servers)
             # Where most are cold the service itself has just started: then cold ones are what there is.
-            events.append(("roster", "full", [self._entry(now, server, 2 * cold < len(servers)) for server in servers]))
+            entries = [self._entry(now, server, 2 * cold < len(servers)) for server in servers]
+            events.append(NodeListUpdate("full", entries))
         for line in self._lines.lines:
             if line not in self._of and line not in self._joining:
                 number = self._number(line)
-                events.append(("tenure", number, True))
+                events.append(SliceOwnership(number, True))
                 if line.server and line.state == HELD:
-                    events.append(("line", number, self._node(line.server), 1.0))
+                    events.append(EndpointStored(number, self._node(line.server), 1.0))
         if now - self._told_at >= PERIOD:
             events += self._told(now)
             self._told_at = now
@@ -206,19 +220,20 @@
             self._names[self._nodes[name]] = name
         return self._nodes[name]
 
-    def _entry(self, now: int, server: Server, heed_cold: bool) -> tuple[Any, ...]:
+    def _entry(self, now: int, server: Server, heed_cold: bool) -> NodeEntry:
         zone = self._zones.setdefault(server.zone, len(self._zones))
         boot = server.warm_at - WARM_UP if heed_cold and server.warm_at > now else None
         weight = server.slots * self._worth.get(server.name, 1.0)
-        return (self._node(server.name), "up" if server.ready else "draining", zone, None, weight, boot)
+        return NodeEntry(self._node(server.name), "up" if server.ready else "draining", zone, None, weight, boot)
 
     # Heat.
 
-    def _told(self, now: int) -> list[tuple[Any, ...]]:
+    def _told(self, now: int) -> list[Event]:
         """What a period of reports comes to, in the pass's words."""
         self._expire(now)
         span = PERIOD if self._began is None else max(PERIOD, min(WINDOW, now - self._began))
-        heats, events = self._heats(now, span), []
+        heats = self._heats(now, span)
+        events: list[Event] = []
         self._judge_servers(now, max(len(self._sorted) / span, len(self._newest) / min(span, NEWEST)) * S)
         total = sum(heats.values())
         ready = sum(server.ready for server in self._lines.servers.values())
@@ -227,7 +242,7 @@
             events += self._joins(now, heats, total / ready)
         for line, heat in heats.items():
             if line in self._of:
-                events.append(("heat", self._of[line], 0, heat * PERIOD / S, 0, PERIOD))
+                events.append(SliceReport(self._of[line], 0, heat * PERIOD / S, 0, PERIOD))
         # A server counts for its lines' heat, as it was in each of the last five periods: so a line that has moved
         # weighs on both ends until these have run out, and not for as long as the window of its heat.
         loads: dict[str, float] = {}
@@ -237,7 +252,7 @@
             if name in self._lines.servers:
                 zone, load = self._zones.get(self._lines.servers[name].zone), loads.get(name, 0.0)
                 failing = load * failed / tries if tries else 0.0
-                events.append(("tries", self._node(name), zone, load, failing, 0, PERIOD, {}))
+                events.append(NodeReport(self._node(name), zone, load, failing, 0, PERIOD, {}))
         return events
 
     def _expire(self, now: int) -> None:
@@ -310,9 +325,9 @@
         usual = FLOOR * max(sum(heats.values()), len(self._lines.servers)) / KEYS
         return {line: heat + usual * (line.last - line.first + 1) for line, heat in heats.items()}
 
-    def _cuts(self, heats: dict[KeyRange, float], mean: float) -> list[tuple[Any, ...]]:
+    def _cuts(self, heats: dict[KeyRange, float], mean: float) -> list[Event]:
         """Cuts what is too hot, the hottest first, each once a period."""
-        events: list[tuple[Any, ...]] = []
+        events: list[Event] = []
         room = MOST_LINES * max(1, len(self._lines.servers)) - len(self._lines.lines)
         hot = [
             line
@@ -336,11 +351,11 @@
                 continue  # one key has it all: nothing to be had by a cut
             other = self._lines.cut(line, at)
             number = self._number(other)
-            events.append(("cut", self._of[line], number, share))
+            events.append(SliceSplit(self._of[line], number, share))
             heats[other], heats[line] = heats[line] * share, heats[line] * (1 - share)
         return events
 
-    def _joins(self, now: int, heats: dict[KeyRange, float], mean: float) -> list[tuple[Any, ...]]:
+    def _joins(self, now: int, heats: dict[KeyRange, float], mean: float) -> list[Event]:
         """Makes cool neighbours one line again, a pair a period, so that there is room for cuts where the heat goes
         next. The pass knows no more of a line that goes to its neighbour's server for that."""
         lines = self._lines.lines
@@ -374,7 +389,7 @@
             self._lines.leave(now, other, line.server)
         number = self._of.pop(other)
         del self._numbers[number]
-        return [("tenure", number, False)]
+        return [SliceOwnership(number, False)]
 
 
 def without(keys: list[int], expired: list[int]) -> list[int]:
@@ -400,29 +415,29 @@
     return [upto - before for before, upto in zip([0, *below], below)]
 
 
-def settings(target: int) -> dict[str, Any]:
+def settings(target: int) -> PolicySettings:
     """What the pass is made with. Lines have one owner; there is no channel to keep short, and no level to set."""
-    return {
-        "envelope": 0,
-        "most_waiting": 1e9,
-        "most_messages": 0,
-        "messages_span": S,
-        "lines_per_s": 1e9,
-        "subscribe": False,
-        "report_every": PERIOD,
-        "evidence": WINDOW,
-        "fall_multiple": 4.0,
-        "only_draining_binds": False,
-        "cold_from": COLD_FROM,
-        "warm_up": WARM_UP,
-        "exclusive": True,
-        "usual_again": 1,
-        "pick": "random",
-        "levels": "",
-        "op_types": [{"target_latency": target, "value": 1.0}],
-        "grace": 3 * S,
-        "write_life": 0,
-        "lease": 0,
-        "may_tell": False,
-        "conductors": 1,
-    }
+    return PolicySettings(
+        message_overhead=0,
+        queue_limit=1e9,
+        message_limit=0,
+        message_window_ns=S,
+        orders_per_s=1e9,
+        subscribes_to_nodes=False,
+        report_interval_ns=PERIOD,
+        load_window_ns=WINDOW,
+        overload_multiple=4.0,
+        only_draining_binds=False,
+        cold_capacity_share=COLD_FROM,
+        warm_up_ns=WARM_UP,
+        exclusive_slices=True,
+        initial_retry_mode=1,
+        pick="random",
+        admission="",
+        op_types=(OpTypeSettings(target, 1.0),),
+        withdrawal_deadline_ns=3 * S,
+        write_timeout_ns=0,
+        ownership_lease_ns=0,
+        peers_may_talk=False,
+        assigners=1,
+    )
--- a/kestrelplank/simulator_protocol/__init__.py
+++ b/kestrelplank/simulator_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that drives the decision module over the bench's wire; it decides nothing itself."""
+"""The adapter that drives the decision module over the wire of the operators' simulator; it decides nothing itself."""
--- a/kestrelplank/simulator_protocol/__main__.py
+++ b/kestrelplank/simulator_protocol/__main__.py
@@ -6,6 +6,7 @@
 
 
 def main() -> None:
+    """Answer batches until standard input ends."""
     host, output = Host(), sys.stdout.buffer
     for line_number, raw in enumerate(sys.stdin.buffer, 1):
         if raw.strip():
--- /dev/null
+++ b/kestrelplank/simulator_protocol/events.py
@@ -0,0 +1,244 @@
+"""Reads events off the simulator's wire: its names, units and order of fields on one side, ours on the other."""
+
+import base64
+import binascii
+from collections.abc import Callable, Sequence
+from typing import Literal, TypeVar
+
+from kestrelplank.decode import (
+    Ids,
+    Malformed,
+    count,
+    flag,
+    mapping,
+    number,
+    shared,
+    text,
+    time,
+    told,
+    whole,
+    word,
+)
+from kestrelplank.interface import (
+    EndpointStored,
+    Event,
+    HealthChecked,
+    HealthVerdict,
+    NodeCondition,
+    NodeEntry,
+    NodeListKind,
+    NodeListUpdate,
+    NodeLoad,
+    NodeReport,
+    PeerLoads,
+    PeerMessage,
+    ProxyJoined,
+    ProxyLeft,
+    ProxyReport,
+    SliceOwnership,
+    SliceReport,
+    TimerFired,
+    WatermarkAcknowledged,
+)
+
+NODE_FIELDS = 7  # of a node's entry
+LoadName = Literal["in_flight", "queued", "utilization", "service_ms", "acknowledged_per_s", "aborted_per_s"]
+LOAD_NAMES: dict[str, LoadName] = {
+    "busy_reqs": "in_flight",
+    "pending": "queued",
+    "cpu_share": "utilization",
+    "svc_ms": "service_ms",
+    "served_ps": "acknowledged_per_s",
+    "failed_ps": "aborted_per_s",
+}
+read_condition = word({condition.value for condition in NodeCondition})
+read_list_kind = word({kind.value for kind in NodeListKind})
+read_verdict = word(
+    {
+        "success": HealthVerdict.OK,
+        "failure": HealthVerdict.FAILED,
+        "overloaded": HealthVerdict.OVERLOADED,
+        "timed_out": HealthVerdict.TIMED_OUT,
+        "unreachable": HealthVerdict.UNREACHABLE,
+        "broken": HealthVerdict.BROKEN,
+        "withdrawn": HealthVerdict.WITHDRAWN,
+        "void": HealthVerdict.VOID,
+    }
+)
+T = TypeVar("T")
+
+
+class FieldReader:
+    """Takes an event's fields in the order of the wire, after its name and the instance.
+
+    `ids` gives out indices, in the order in which names are read.
+    """
+
+    def __init__(self, message: Sequence[object], ids: Ids) -> None:
+        self.ids, self._message, self._position = ids, message, 2
+
+    def take(self, name: str, reader: Callable[[object], T]) -> T:
+        """Return the next field.
+
+        :raises Malformed: naming event and field, where the reader can't use it.
+        """
+        value = self._message[self._position] if self._position < len(self._message) else None
+        self._position += 1
+        try:
+            return reader(value)
+        except Malformed as err:
+            raise Malformed(f"{self._message[0]}, field {name}: {err}") from None
+
+    def take_optional(self, name: str, reader: Callable[[object], T]) -> T | None:
+        """Return the next field, or None where it is null or absent."""
+        return self.take(name, lambda value: None if value is None else reader(value))
+
+
+def read_body(value: object) -> bytes:
+    """Read a datagram."""
+    try:
+        return base64.b64decode(text(value), validate=True)
+    except binascii.Error as err:
+        raise Malformed(f"expected base64: {err}") from None
+
+
+def read_load(value: object) -> NodeLoad:
+    """Read what a node reports of its own load; what is not known here is skipped."""
+    load = NodeLoad()
+    for name, figure in mapping(value).items() if value is not None else ():
+        if name in LOAD_NAMES and figure is not None:
+            load[LOAD_NAMES[name]] = told(figure)
+    return load
+
+
+def read_entries(value: object, ids: Ids) -> list[NodeEntry]:
+    """Read the entries of a node list."""
+    if value is None:
+        return []
+    if not isinstance(value, list):
+        raise Malformed(f"expected a list of entries, got {value!r}")
+    entries = []
+    for position, entry in enumerate(value):
+        if not isinstance(entry, list) or len(entry) < NODE_FIELDS:
+            raise Malformed(f"entry {position}: expected seven values, got {entry!r}")
+        try:
+            entries.append(read_entry(entry, ids))
+        except Malformed as err:
+            raise Malformed(f"entry {position}: {err}") from None
+    return entries
+
+
+def read_entry(entry: Sequence[object], ids: Ids) -> NodeEntry:
+    """Read one entry of a node list."""
+    started, cell, condition, zone, node, _kind, weight = entry[:NODE_FIELDS]
+    return NodeEntry(
+        node=ids.node(node),
+        condition=read_condition(condition),
+        zone=None if zone is None else ids.zone(zone),
+        cell=None if cell is None else whole(cell),
+        weight=1.0 if weight is None else count(weight),
+        started_at=time(started) if started else None,
+    )
+
+
+# One reader an event. The order in which fields are taken is that of the wire.
+
+
+def read_node_list(fields: FieldReader) -> Event:
+    """Read ROSTER_CHANGE."""
+    fields.take_optional("Version", number)
+    kind = fields.take("How", read_list_kind)
+    return NodeListUpdate(kind, fields.take("Hosts", lambda value: read_entries(value, fields.ids)))
+
+
+def read_ownership(fields: FieldReader) -> Event:
+    """Read TENURE."""
+    return SliceOwnership(fields.take("SetId", whole), fields.take("Yes", flag))
+
+
+def read_stored_endpoint(fields: FieldReader) -> Event:
+    """Read CURRENT_OWNER."""
+    node, number = fields.take("Node", fields.ids.node), fields.take("SetId", whole)
+    return EndpointStored(number, node, fields.take("Size", count))
+
+
+def read_joined_proxy(fields: FieldReader) -> Event:
+    """Read SUBSCRIBED."""
+    proxy, zone = fields.take("Proxy", whole), fields.take_optional("FailureDomain", fields.ids.zone)
+    return ProxyJoined(proxy, zone, fields.take_optional("Size", count), fields.take("Yes", flag))
+
+
+def read_left_proxy(fields: FieldReader) -> Event:
+    """Read LOST_STREAM."""
+    return ProxyLeft(fields.take("Proxy", whole))
+
+
+def read_acknowledgement(fields: FieldReader) -> Event:
+    """Read INSTALLED."""
+    proxy, watermark = fields.take("Proxy", whole), fields.take("Version", whole)
+    return WatermarkAcknowledged(proxy, watermark, fields.take_optional("WaitTime", time))
+
+
+def read_node_report(fields: FieldReader) -> Event:
+    """Read ROUNDUP."""
+    attempts, failures = fields.take("N", told), fields.take("Bad", told)
+    mean_latency_ns, window_ns = fields.take_optional("WaitTime", time), fields.take("Window", time)
+    zone, node = fields.take_optional("FailureDomain", fields.ids.zone), fields.take("Node", fields.ids.node)
+    return NodeReport(node, zone, attempts, failures, mean_latency_ns, window_ns, fields.take("Stats", read_load))
+
+
+def read_slice_report(fields: FieldReader) -> Event:
+    """Read WEIGHT_SEEN."""
+    window_ns, op_type = fields.take("Window", time), fields.take("Cls", fields.ids.op_type)
+    number, aborted = fields.take("SetId", whole), fields.take("Bad", told)
+    return SliceReport(number, op_type, fields.take("N", told), aborted, window_ns)
+
+
+def read_proxy_report(fields: FieldReader) -> Event:
+    """Read DEMAND."""
+    ops, op_type = fields.take("N", told), fields.take("Cls", fields.ids.op_type)
+    proxy, aborted = fields.take("Proxy", whole), fields.take("Bad", told)
+    return ProxyReport(proxy, op_type, ops, aborted, fields.take("Window", time))
+
+
+def read_health_check(fields: FieldReader) -> Event:
+    """Read ECHO."""
+    node, verdict = fields.take("Node", fields.ids.node), fields.take("Verdict", read_verdict)
+    duration_ns = fields.take_optional("WaitTime", time)
+    return HealthChecked(node, verdict, duration_ns, fields.take("Stats", read_load))
+
+
+def read_datagram(fields: FieldReader) -> Event:
+    """Read DATAGRAM, which may tell loads."""
+    sender, body = fields.take("Sender", whole), fields.take_optional("Body", read_body)
+    loads = shared(body or b"", fields.ids)
+    return PeerMessage(sender, body) if loads is None else PeerLoads(sender, loads)
+
+
+def read_timer(fields: FieldReader) -> Event:
+    """Read REMINDER."""
+    return TimerFired(fields.take("Name", text))
+
+
+EVENT_READERS: dict[str, Callable[[FieldReader], Event]] = {
+    "ROSTER_CHANGE": read_node_list,
+    "TENURE": read_ownership,
+    "CURRENT_OWNER": read_stored_endpoint,
+    "SUBSCRIBED": read_joined_proxy,
+    "LOST_STREAM": read_left_proxy,
+    "INSTALLED": read_acknowledgement,
+    "ROUNDUP": read_node_report,
+    "WEIGHT_SEEN": read_slice_report,
+    "DEMAND": read_proxy_report,
+    "ECHO": read_health_check,
+    "DATAGRAM": read_datagram,
+    "REMINDER": read_timer,
+}
+
+
+def read_event(message: Sequence[object], ids: Ids) -> Event:
+    """Read one line, whose name and instance have been looked at.
+
+    :raises Malformed: naming event and field.
+    """
+    return EVENT_READERS[str(message[0])](FieldReader(message, ids))
--- a/kestrelplank/simulator_protocol/host.py
+++ b/kestrelplank/simulator_protocol/host.py
@@ -1,29 +1,47 @@
-"""Hosts one conductor an instance and hands each its events of a batch."""
+"""Hosts one assigner's policy an instance, and hands each its events of a batch."""
 
 import sys
-from typing import Any
+from collections.abc import Sequence
+from typing import NamedTuple
 
-from kestrelplank.decode import Ids, Malformed, parsed, settings, shared, time, whole
-from kestrelplank.policy import Conductor
-from kestrelplank.simulator_protocol import wire
+from kestrelplank.decode import Ids, Malformed, parsed, settings, time, whole
+from kestrelplank.interface import Event, PolicySettings
+from kestrelplank.policy import Policy
+from kestrelplank.simulator_protocol.events import EVENT_READERS, read_event
+from kestrelplank.simulator_protocol.orders import OrderLines
 
 
-def complain(line_number: int, why: str) -> None:
-    print(f"line {line_number}: {why}", file=sys.stderr, flush=True)
+class Instance(NamedTuple):
+    """One assigner of the simulator: its policy, and the ids of its wire."""
+
+    policy: Policy
+    ids: Ids
+
+
+def log_skipped_line(line_number: int, reason: str) -> None:
+    """Say on standard error which line was skipped and why."""
+    print(f"line {line_number}: {reason}", file=sys.stderr, flush=True)
+
+
+def field_at(message: Sequence[object], position: int) -> object:
+    """Return one field of a line, None where it is absent."""
+    return message[position] if position < len(message) else None
 
 
 class Host:
+    """All instances of a run, and the events of the batch that is being read."""
+
     def __init__(self) -> None:
-        self._instances: dict[int, tuple[Conductor, Ids]] = {}
-        self._events: dict[int, list[tuple]] = {}
+        self.instances: dict[int, Instance] = {}
+        self._events: dict[int, list[Event]] = {}
         self._now: int | None = None
 
     def read(self, raw: bytes, line_number: int) -> list[bytes] | None:
-        """Take one line of input; the reply's lines once a batch is complete, else None."""
+        """Take one line of input; return the reply's lines once a batch is complete, else None."""
         try:
             return self._read(raw)
         except Malformed as err:
-            complain(line_number, str(err))
+            log_skipped_line(line_number, str(err))
         return None
 
     def _read(self, raw: bytes) -> list[bytes] | None:
@@ -34,51 +52,56 @@
         if name == "GO":
             return self._reply()
         if name == "ROUND":
-            self._events = {}
-            try:
-                self._now = time(message[1] if len(message) > 1 else None)
-            except Malformed as err:
-                raise Malformed(f"ROUND, field clock: {err}") from None
-            return None
-        if self._now is None:
+            self._begin_batch(message)
+        elif self._now is None:
             raise Malformed(f"{name} came before a ROUND with a clock")
-        if name not in wire.EVENTS and name not in ("CREATE", "KILLED"):
+        elif name not in EVENT_READERS and name not in ("CREATE", "KILLED"):
             raise Malformed(f"{name}: no event is called that")
+        else:
+            self._take(self._now, message)
+        return None
+
+    def _begin_batch(self, message: Sequence[object]) -> None:
+        self._events = {}
         try:
-            instance = whole(message[1] if len(message) > 1 else None)
+            self._now = time(field_at(message, 1))
+        except Malformed as err:
+            raise Malformed(f"ROUND, field clock: {err}") from None
+
+    def _take(self, now: int, message: Sequence[object]) -> None:
+        """Take one line that concerns one instance."""
+        name = message[0]
+        try:
+            number = whole(field_at(message, 1))
         except Malformed as err:
             raise Malformed(f"{name}, field Conductor: {err}") from None
         if name == "CREATE":
-            self._create(instance, message)
+            self._create(now, number, message)
         elif name == "KILLED":
-            self._instances.pop(instance, None)
-            self._events.pop(instance, None)
-        elif instance not in self._instances:
-            raise Malformed(f"{name}, field Conductor: instance {instance} has not been created")
+            self.instances.pop(number, None)
+            self._events.pop(number, None)
+        elif number not in self.instances:
+            raise Malformed(f"{name}, field Conductor: instance {number} has not been created")
         else:
-            ids = self._instances[instance][1]
-            decoded = wire.event(message, ids)
-            if decoded[0] == "peer" and (parts := shared(decoded[2] or b"", ids)) is not None:
-                decoded = "shared", decoded[1], parts
-            self._events.setdefault(instance, []).append(decoded)
-        return None
+            event = read_event(message, self.instances[number].ids)
+            self._events.setdefault(number, []).append(event)
 
-    def _create(self, instance: int, message: list) -> None:
-        seed: Any = message[2] if len(message) > 2 else None
+    def _create(self, now: int, number: int, message: Sequence[object]) -> None:
         try:
-            seed = whole(seed)
+            seed = whole(field_at(message, 2))
         except Malformed as err:
             raise Malformed(f"CREATE, field RandomSeed: {err}") from None
         ids = Ids(whole)
-        found = settings(message[3] if len(message) > 3 else None, ids, "CREATE, field Conf")
-        self._instances[instance] = Conductor(self._now, seed, found), ids
-        self._events[instance] = []
+        found = settings(field_at(message, 3), ids, "CREATE, field Conf")
+        self.instances[number] = Instance(Policy(now, seed, PolicySettings.from_mapping(found)), ids)
+        self._events[number] = []
 
     def _reply(self) -> list[bytes]:
         reply: list[bytes] = []
-        for instance, events in self._events.items():
-            conductor, ids = self._instances[instance]
-            conductor.round(self._now, events, wire.Lines(instance, ids, reply))
+        for number, events in self._events.items():
+            policy, ids = self.instances[number]
+            if self._now is not None:
+                policy.round(self._now, events, OrderLines(number, ids, reply))
         self._events = {}
         reply.append(b'["DONE"]')
         return reply
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -14,7 +14,7 @@
 from kestrelplank.emulator.script import script
 from kestrelplank.emulator.world import World
 from kestrelplank.load_balancing.attempts import PROOFS, RESET, SILENT
-from kestrelplank.policy import Conductor
+from kestrelplank.policy import Policy
 from kestrelplank.settings.ini import Ini, Unusable
 
 SCRIPTS = Path(__file__).parents[2] / "rehearsals"
@@ -104,14 +104,14 @@
 
 
 def test_a_zone_lost_with_its_relays_and_a_conductor_keeps_the_rules_and_beats_standing_still():
-    made, services = script(Ini.of(str(SCRIPTS / "windsor-lost.ini"))), {Conductor: [], Standing: []}
+    made, services = script(Ini.of(str(SCRIPTS / "windsor-lost.ini"))), {Policy: [], Standing: []}
     for policy, found in services.items():
         for seed in range(4):
             played = play(made, seed, policy)
             assert played["broken"] == [] and played["duplicates"]["order-place"] == 0 and kept(played)
             assert [what for _, what, _ in played["events"]] == ["windsor: lost begins", "back"]
             found.append(played["service"])
-    assert sum(services[Conductor]) > sum(services[Standing]) and min(services[Conductor]) > 0.95
+    assert sum(services[Policy]) > sum(services[Standing]) and min(services[Policy]) > 0.95
 
 
 def test_a_stall_that_begins_while_a_second_try_is_in_flight_gets_no_third_try():
@@ -189,7 +189,7 @@
         def round(self, now, events, out):
             super().round(now, events, out)
             if self.slices and not hasattr(self, "said"):
-                self.said = [out.take_out(index, True) for index in self.nodes]
+                self.said = [out.set_withdrawn(index, True) for index in self.nodes]
 
     assert "bare" in play(read(), 1, Bare)["broken"]
 
--- a/tests/file_discovery/test_source.py
+++ b/tests/file_discovery/test_source.py
@@ -17,7 +17,8 @@
 from kestrelplank.decode import Ids, settings, text
 from kestrelplank.file_discovery.nodelist import read, written
 from kestrelplank.file_discovery.source import Source
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.interface import NodeListKind, NodeListUpdate, PolicySettings
+from kestrelplank.policy import Policy
 from kestrelplank.settings.ini import Unusable
 from kestrelplank.settings.operator import Nodes
 from kestrelplank.state.nodeset import Listed, NodeSet
@@ -66,7 +67,7 @@
         orders = Orders(kit.loop, kit.pool, kit.counters, self.hub.at, ids, ["look"], 7)
         discovery = Discovery(kit.loop, kit.pool, kit.counters, self.agent.at, ids, self.source_event)
         probes = Probes(kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event)
-        self.policy = Policy(kit.loop.now(), 5, found)
+        self.policy = Policy(kit.loop.now(), 5, PolicySettings.from_mapping(found))
         self.conductor = Conductor(kit.loop, kit.counters, self.policy, found["tick"], orders, discovery, probes, None)
         nodes = Nodes(
             **{
@@ -147,9 +148,9 @@
         """Name to condition, as a fold of what the module was told."""
         found = {}
         for event in self.events:
-            if event[0] == "roster":
-                found = {} if event[1] != "delta" else found
-                found.update({entry[0]: entry[1] for entry in event[2]})
+            if isinstance(event, NodeListUpdate):
+                found = {} if event.kind != NodeListKind.DELTA else found
+                found.update({entry.node: entry.condition for entry in event.entries})
         return {self.ids.node_ids[node]: condition for node, condition in found.items() if node in self.ids.node_ids}
 
     def close(self):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,8 @@
 from kestrelplank.assigner.orders import Orders
 from kestrelplank.assigner.probes import Probes
 from kestrelplank.decode import Ids, settings, text
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.interface import PolicySettings
+from kestrelplank.policy import Policy
 
 NODES, PROXIES, SLICES = [f"s-{n}" for n in range(6)], 4, 12
 CONF = {
@@ -145,7 +146,7 @@
     orders = Orders(kit.loop, kit.pool, kit.counters, relay.at, ids, ["look"], 65_530)
     discovery = Discovery(kit.loop, kit.pool, kit.counters, agent.at, ids, on_event)
     probes = Probes(kit.loop, kit.pool, kit.counters, {}, False, MS, False, on_event)
-    policy = Policy(kit.loop.now(), seed, found)
+    policy = Policy(kit.loop.now(), seed, PolicySettings.from_mapping(found))
     conductor = Conductor(kit.loop, kit.counters, policy, found["tick"], orders, discovery, probes, None)
     discovery.start(known)
     told = News(kit.loop, kit.pool, kit.counters, relay.at, ids, PROXIES, SLICES, orders, on_event)
@@ -169,14 +170,16 @@
 
     def agree():
         sent = {
-            number: {ids.node_ids[node]: weight for node, weight in kept.sent.items()}
+            number: {ids.node_ids[node]: weight for node, weight in kept.ordered.items()}
             for number, kept in policy.slices.items()
         }
         want = {
-            number: {ids.node_ids[node]: weight for node, weight in kept.want.items()}
+            number: {ids.node_ids[node]: weight for node, weight in kept.desired.items()}
             for number, kept in policy.slices.items()
         }
-        out = {name for name in NODES if ids.nodes.get(name) in policy.nodes and policy.nodes[ids.nodes[name]].out}
+        out = {
+            name for name in NODES if ids.nodes.get(name) in policy.nodes and policy.nodes[ids.nodes[name]].withdrawn
+        }
         drained = {name for name in NODES if states[name] == "terminating"}
         return (
             sent == want == {number: relay.lines[number] for number in relay.held}
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,6 +15,21 @@
 from kestrelplank.assigner.peers import Peers
 from kestrelplank.assigner.probes import Probes
 from kestrelplank.decode import Malformed
+from kestrelplank.interface import (
+    EndpointStored,
+    HealthChecked,
+    NodeEntry,
+    NodeListKind,
+    NodeListUpdate,
+    NodeReport,
+    PeerLoads,
+    PeerMessage,
+    ProxyJoined,
+    ProxyLeft,
+    SliceOwnership,
+    SliceReport,
+    WatermarkAcknowledged,
+)
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
 from kestrelplank.sockets.http import Client
@@ -84,19 +99,19 @@
 
 
 def test_a_report_becomes_an_event_in_our_units():
-    assert report(list(REPORT), names(), 9, 0) == (
-        "tries",
+    assert report(list(REPORT), names(), 9, 0) == NodeReport(
         0,
         0,
         9.0,
         3.0,
         41_500_000,
         1_000_000_000,
-        {"inflight": 7.0, "util": 0.5},
+        {"in_flight": 7.0, "utilization": 0.5},
     )
-    assert report(list(HEAT), names(), 9, 0) == ("heat", 8, 0, 4.0, 1.0, 500_000_000)
-    assert report([*HEAT[:8], b"5", *HEAT[9:]], names(), 9, 0)[3:5] == (4.0, 5.0)  # of those that came earlier
-    assert report([*REPORT[:7], b"errors", b"9", *REPORT[11:13]], names(), 9, 0)[5] is None
+    assert report(list(HEAT), names(), 9, 0) == SliceReport(8, 0, 4.0, 1.0, 500_000_000)
+    aborted_earlier = report([*HEAT[:8], b"5", *HEAT[9:]], names(), 9, 0)
+    assert (aborted_earlier.ops, aborted_earlier.aborted) == (4.0, 5.0)  # of those that came earlier
+    assert report([*REPORT[:7], b"errors", b"9", *REPORT[11:13]], names(), 9, 0).mean_latency_ns is None
 
 
 @pytest.mark.parametrize(
@@ -186,7 +201,7 @@
     until(kit.loop, lambda: got.append(heard(collector)) or got[-1])
     assert (
         got[-1] == HB_OK
-        and [event[0] for event in kit.events] == ["tries"] * 2
+        and [type(event) for event in kit.events] == [NodeReport] * 2
         and kit.counters.counts["reports_skipped"] == 2
     )
 
@@ -475,8 +490,8 @@
 
 def ordered(made, *tables, behind=0):
     for table in tables:
-        made.line(table, 0, 1.0)
-    made.mark(tables[-1], True, behind)
+        made.set_endpoint(table, 0, 1.0)
+    made.request_acknowledgement(tables[-1], True, behind)
     made.close_round()
 
 
@@ -517,7 +532,7 @@
     ordered(made, 8)
     end(made, None)
     relay.visitors[-1].tell(news("done", node=1, nonce=answered, latency=1.0))
-    until(kit.loop, lambda: kit.events[-1][0] == "applied")
+    until(kit.loop, lambda: isinstance(kit.events[-1], WatermarkAcknowledged))
     assert len(made._client.bodies) == (1 if answered == 6 else 2) and made._client.bodies[-1] == [
         ("put", 7 + (answered == 7)),
         ("fence", 7 + (answered == 7)),
@@ -540,7 +555,7 @@
 @pytest.mark.parametrize("first, number, stamp", [(0, 5, 5), (65_000, 5, 65_005), (65_000, 600, 64)])
 def test_marks_are_told_apart_from_those_of_a_former_life(kit, first, number, stamp):
     made = orders(kit, first)
-    made.mark(number, True)
+    made.request_acknowledgement(number, True)
     made.close_round()
     assert made._client.bodies == [[("fence", stamp)]] and made.marked(stamp) == number
 
@@ -557,11 +572,11 @@
 
 def test_every_order_has_its_words_and_a_long_round_is_several_calls(kit):
     made = orders(kit)
-    made.clear(4)
-    made.take_out(1, True)
-    made.take_out(1, False)
-    made.level(-1, 0, 1.0, 1)
-    made.level(4, 2, 0.5, 1)
+    made.clear_table(4)
+    made.set_withdrawn(1, True)
+    made.set_withdrawn(1, False)
+    made.set_admission(-1, 0, 1.0, 1)
+    made.set_admission(4, 2, 0.5, 1)
     made.close_round()
     assert [json.loads(order[0]) for order in made._queue[0]] == [
         {"verb": "wipe", "cluster": 4},
@@ -664,17 +679,17 @@
         news("detach", node=2),
     ):
         relay.visitors[-1].tell(line)
-    until(kit.loop, lambda: kit.events[-1:] == [("left", 2)])
+    until(kit.loop, lambda: kit.events[-1:] == [ProxyLeft(2)])
     assert kit.events == [
-        ("joined", 1, 0, 2.0, True),
-        ("joined", 2, 0, 2.0, True),
-        ("tenure", 3, True),
-        ("line", 3, 0, 1.0),
-        ("tenure", 4, True),
-        ("line", 4, 0, 1.0),
-        ("applied", 1, 7, 2_500_000),
-        ("tenure", 3, False),
-        ("left", 2),
+        ProxyJoined(1, 0, 2.0, True),
+        ProxyJoined(2, 0, 2.0, True),
+        SliceOwnership(3, True),
+        EndpointStored(3, 0, 1.0),
+        SliceOwnership(4, True),
+        EndpointStored(4, 0, 1.0),
+        WatermarkAcknowledged(1, 7, 2_500_000),
+        SliceOwnership(3, False),
+        ProxyLeft(2),
     ]
     assert kit.counters.counts["news_skipped"] == 3 and relay.visitors[-1].bytes_in == asked
     told.close()
@@ -696,7 +711,9 @@
     assert not kit.events
     relay.visitors[-1].tell(*[after] if after else [])
     until(kit.loop, lambda: kit.events and not (after and after["type"] == "entry" and told._giving))
-    assert kit.events[:2] == [("tenure", 3, True)] + [("line", 3, 0, 1.0)] * bool(after and after["type"] == "entry")
+    assert kit.events[:2] == [SliceOwnership(3, True)] + [EndpointStored(3, 0, 1.0)] * bool(
+        after and after["type"] == "entry"
+    )
     told.close()
     relay.close()
 
@@ -708,7 +725,7 @@
     until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
     relay.visitors[-1].tell(*STANDING[1:], {})
     until(kit.loop, lambda: told._picture is None)
-    assert kit.events[6:] == [("left", 1), ("joined", 2, 0, 2.0, False)]
+    assert kit.events[6:] == [ProxyLeft(1), ProxyJoined(2, 0, 2.0, False)]
     told.close()
     relay.close()
 
@@ -719,7 +736,12 @@
     relay, told, made = relayed(kit, *STANDING)
     again(kit, relay, attach(1), attach(5), *STANDING[2:4], *([end] if end is not None else []))
     until(kit.loop, lambda: told._picture is None)
-    assert kit.events == [("joined", 5, 0, 2.0, True), ("left", 2), ("tenure", 4, False), ("joined", 1, 0, 2.0, False)]
+    assert kit.events == [
+        ProxyJoined(5, 0, 2.0, True),
+        ProxyLeft(2),
+        SliceOwnership(4, False),
+        ProxyJoined(1, 0, 2.0, False),
+    ]
     told.close()
     relay.close()
 
@@ -728,7 +750,7 @@
     relay, told, made = relayed(kit, *STANDING)
     again(kit, relay, *STANDING, news("owner", shard=3, set=False))
     until(kit.loop, lambda: told._picture is None and kit.events)
-    assert [event for event in kit.events if event[0] == "tenure"] == [("tenure", 3, False)]
+    assert [event for event in kit.events if isinstance(event, SliceOwnership)] == [SliceOwnership(3, False)]
     told.close()
     relay.close()
 
@@ -739,7 +761,7 @@
     ordered(made, 3, 4)
     again(kit, relay, *STANDING[:3], news("entry", shard=3, endpoint="s-2", w=1.0), *STANDING[4:], {})
     until(kit.loop, lambda: told._picture is None)
-    assert kit.events[:3] == [("tenure", 3, False), ("tenure", 3, True), ("line", 3, 1, 1.0)]
+    assert kit.events[:3] == [SliceOwnership(3, False), SliceOwnership(3, True), EndpointStored(3, 1, 1.0)]
     assert made._client.bodies == [[("put", 4), ("fence", 4)]]
     told.close()
     relay.close()
@@ -751,7 +773,7 @@
     ordered(made, 6)
     end(made, b'{"ok_count":2}')
     relay.visitors[-1].tell(*(news("done", node=proxy, nonce=6, latency=1.0) for proxy in answered))
-    until(kit.loop, lambda: [event[0] for event in kit.events].count("applied") == len(answered))
+    until(kit.loop, lambda: [type(event) for event in kit.events].count(WatermarkAcknowledged) == len(answered))
     again(kit, relay, *STANDING, {})
     until(kit.loop, lambda: told._picture is None)
     assert made._client.bodies[1:] == asked
@@ -763,7 +785,7 @@
     monkeypatch.setattr("kestrelplank.assigner.news.SILENCE", 50 * MS)
     relay, told, _ = relayed(kit, *STANDING)
     until(kit.loop, lambda: len(relay.visitors) > 1)
-    assert kit.counters.counts["news_broken"] >= 1 and not any(event[0] == "left" for event in kit.events)
+    assert kit.counters.counts["news_broken"] >= 1 and not any(isinstance(event, ProxyLeft) for event in kit.events)
     told.close()
     relay.close()
 
@@ -802,12 +824,12 @@
     assert watched == [f"/v1/endpoints?follow=1&since={version}" for version in (4, 5)]
     boot = kit.loop.from_unix(1_000_500_000)
     assert kit.counters.counts["entries_skipped"] == 2 and kit.events == [
-        ("roster", "cached", [(0, "up", 0, 1, 1.0, None)]),
-        ("roster", "delta", [(1, "draining", 0, 1, 1.0, boot)]),
-        ("roster", "delta", [(1, "up", 0, 1, 1.0, None)]),
+        NodeListUpdate(NodeListKind.CACHED, [NodeEntry(0, "up", 0, 1, 1.0, None)]),
+        NodeListUpdate(NodeListKind.DELTA, [NodeEntry(1, "draining", 0, 1, 1.0, boot)]),
+        NodeListUpdate(NodeListKind.DELTA, [NodeEntry(1, "up", 0, 1, 1.0, None)]),
     ]
     made.fetch()
-    until(kit.loop, lambda: kit.events[-1] == ("roster", "full", [(0, "up", 0, 1, 1.0, None)]))
+    until(kit.loop, lambda: kit.events[-1] == NodeListUpdate(NodeListKind.FULL, [NodeEntry(0, "up", 0, 1, 1.0, None)]))
     made.close()
     agent.close()
 
@@ -829,7 +851,7 @@
     for number in range(3000):
         made._take(node_list(number, instance(f"n-{number}")), None)
         probes.probe(index := made._ids.nodes[f"n-{number}"])
-        conductor.forget(index)
+        conductor.forget_node(index)
         kit.events.clear()
         if number == 1000:
             gc.collect()
@@ -851,7 +873,7 @@
 
 def test_what_was_known_is_told_to_be_the_list_where_nothing_has_changed(kit):
     agent, made = discovering(kit, [], node_list(5, instance("s-1"), reset=True))
-    until(kit.loop, lambda: [event[1:] for event in kit.events[1:]] == [("delta", [])])
+    until(kit.loop, lambda: kit.events[1:] == [NodeListUpdate(NodeListKind.DELTA, [])])
     made.on_answer(200, json.dumps(node_list(5, instance("s-1"), reset=True)).encode())
     assert len(kit.events) == 2
     made.close()
@@ -861,7 +883,10 @@
 def test_a_watch_that_lies_behind_what_the_agent_has_is_replaced(kit):
     """It counts as told what the agent wrote to a connection that has silently died."""
     agent, made = discovering(kit, [[node_list(4, reset=True)], [node_list(5, instance("s-1", "terminating"))]])
-    until(kit.loop, lambda: kit.events[-1:] == [("roster", "delta", [(0, "draining", 0, 1, 1.0, None)])])
+    until(
+        kit.loop,
+        lambda: kit.events[-1:] == [NodeListUpdate(NodeListKind.DELTA, [NodeEntry(0, "draining", 0, 1, 1.0, None)])],
+    )
     assert kit.counters.counts["watches_behind"] == 1
     made.close()
     agent.close()
@@ -871,7 +896,7 @@
     agent = StubServer(kit)
     made = Discovery(kit.loop, kit.pool, kit.counters, agent.at, names(), kit.events.append)
     made.fetch()
-    until(kit.loop, lambda: kit.events == [("roster", "failed", [])])
+    until(kit.loop, lambda: kit.events == [NodeListUpdate(NodeListKind.FAILED, ())])
     made.close()
     agent.close()
 
@@ -882,7 +907,7 @@
 @pytest.mark.parametrize(
     "status, body, verdict, load",
     [
-        (200, b"inflight=7,util=0.5,moon=2", "ok", {"inflight": 7.0, "util": 0.5}),
+        (200, b"inflight=7,util=0.5,moon=2", "ok", {"in_flight": 7.0, "utilization": 0.5}),
         (503, b"", "full", {}),
         (200, b"util=much", "ok", {}),
         (404, b"", "failed", {}),
@@ -896,7 +921,9 @@
     probes = Probes(kit.loop, kit.pool, kit.counters, {0: node.at}, True, 250 * MS, True, kit.events.append)
     probes.probe(0)
     until(kit.loop, lambda: kit.events)
-    assert kit.events[0][:3] == ("probed", 0, verdict) and kit.events[0][4] == load
+    checked = kit.events[0]
+    assert isinstance(checked, HealthChecked)
+    assert (checked.node, checked.verdict, checked.load) == (0, verdict, load)
     probes.probe(0)
     until(kit.loop, lambda: len(kit.events) == 2)
     assert len(node.visitors) == (1 if status else 2) and node.requests[0][1] == "/status/load"
@@ -925,7 +952,7 @@
     others[0].sendto(others[2].recv(300), peers._sock.getsockname())
     until(kit.loop, lambda: len(kit.events) == 2)
     assert (
-        kit.events == [("peer", 1, b"peer"), ("shared", 0, [(1, 7.5)])]
+        kit.events == [PeerMessage(1, b"peer"), PeerLoads(0, [(1, 7.5)])]
         and kit.counters.counts["datagrams_skipped"] == 2
     )
     peers.close()
@@ -942,7 +969,7 @@
 
     def round(self, now, events, out):
         self.held.append(events)
-        out.line(0, 0, 1.0)
+        out.set_endpoint(0, 0, 1.0)
 
 
 def test_a_round_gathers_what_came_and_waits_while_orders_pile_up(kit):
@@ -959,11 +986,11 @@
         None,
     )
     for number in range(9):
-        conductor.on_event(("left", number))
+        conductor.on_event(ProxyLeft(number))
     until(kit.loop, lambda: policy.held)
     assert [len(events) for events in policy.held] == [9] and made._client.bodies == [[("put", 0)]]
     made._waiting += 1 << 20
-    conductor.on_event(("left", 1))
+    conductor.on_event(ProxyLeft(1))
     until(kit.loop, lambda: kit.counters.counts["rounds_held_up"])
     assert len(policy.held) == 1
     made._waiting -= 1 << 20
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -378,7 +378,7 @@
         told.take(thing)
         listed._line(thing)
         listed.on_answer(200, thing)
-        made.line(0, 0, 1.0)
+        made.set_endpoint(0, 0, 1.0)
         made.close_round()
         made.on_answer(200, thing)
         front.take(
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -3,8 +3,9 @@
 import pytest
 
 from kestrelplank.decode import Ids, settings, whole
-from kestrelplank.simulator_protocol import wire
+from kestrelplank.simulator_protocol.events import read_load
 from kestrelplank.simulator_protocol.host import Host
+from kestrelplank.simulator_protocol.orders import OrderLines
 
 OP_TYPE = {"Name": "look", "Target": 750.0, "Deadline": 2500.0, "Importance": 1.0, "Effect": "pure"}
 CONF = {"Areas": ["east"], "Categories": [OP_TYPE], "Specifics": {"Shards": 4, "EgressPerS": 900.0}}
@@ -46,10 +47,11 @@
 
 
 @pytest.mark.parametrize(
-    "told, load", [(None, {}), ({}, {}), ({"cpu_share": 0.5, "moon": 1}, {"util": 0.5}), ({"served_ps": None}, {})]
+    "told, load",
+    [(None, {}), ({}, {}), ({"cpu_share": 0.5, "moon": 1}, {"utilization": 0.5}), ({"served_ps": None}, {})],
 )
 def test_unknown_and_empty_load_values_are_skipped(told, load):
-    assert wire.load(told) == load
+    assert read_load(told) == load
 
 
 @pytest.mark.parametrize(
@@ -76,9 +78,9 @@
     made = host()
     made.read(b'["ROSTER_CHANGE",3,1,"full",[[null,0,"up","east",77,"k",1],[null,0,"up","east",78,"k",1]]]', 3)
     made.read(b'["GO"]', 4)
-    (conductor, ids), reply = made._instances[3], []
-    wire.Lines(9, ids, reply).share({1: 4.0})
+    (policy, ids), reply = made.instances[3], []
+    OrderLines(9, ids, reply).share_loads({1: 4.0})
     made.read(b'["ROUND",2000.0]', 5)
     made.read(json.dumps(["DATAGRAM", 3, 1, json.loads(reply[0])[3]]).encode(), 6)
     made.read(b'["GO"]', 7)
-    assert conductor.nodes[1].told[1][0] == 4.0 and not conductor.nodes[0].told
+    assert policy.nodes[1].peer_loads[1][0] == 4.0 and not policy.nodes[0].peer_loads
