--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -11,7 +11,7 @@
 
 from kestrelplank.configuration.plan import read
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import address_of
+from kestrelplank.consensus.identity import address_of
 from kestrelplank.control.bootstrap import started
 from kestrelplank.control.effects import (
     GRANT,
@@ -303,7 +303,7 @@
 
     def tick(self, name):
         member = self.members[name]
-        self.run(name, member.tick(self.now, self.disks[name].size))
+        self.run(name, member.tick(self.now, self.disks[name].size_bytes))
         if member.list_due(self.now) == 0:
             self.run(name, member.fetched(self.now, self.listed()))
         if name in self.stopping and member.may_stop(self.now):
