--- a/benchmarks/record_decisions.py
+++ b/benchmarks/record_policy.py
@@ -1,16 +1,16 @@
 """Record what the decision module orders, over the operators' simulator's wire, and compare or time another checkout.
 
-    python benchmarks/record_decisions.py record CHECKOUT MODULE FILE [--seed N]
-    python benchmarks/record_decisions.py compare CHECKOUT MODULE CHECKOUT MODULE --seeds 1-20
-    python benchmarks/record_decisions.py time CHECKOUT MODULE [CHECKOUT MODULE ...]
+    python benchmarks/record_policy.py record CHECKOUT MODULE FILE [--seed N]
+    python benchmarks/record_policy.py compare CHECKOUT MODULE CHECKOUT MODULE --seeds 1-20
+    python benchmarks/record_policy.py time CHECKOUT MODULE [CHECKOUT MODULE ...]
 
 A day is a small model of a site (nodes with a capacity, slices with heat, proxies that acknowledge marks late, faults)
 that answers the orders of `python -m MODULE`, run in CHECKOUT. What went in and what came out is kept line by line:
 `#` begins a day, `>` is a line to the program, `<` a line of its reply. The model needs no more of the program than
 its lines, so recordings of an older checkout stay usable.
 
-`tests/recordings/decisions.txt.xz` is `record` of 4f929ce (`kestrelplank.drill`) with the default seed;
-`tests/test_recorded_decisions.py` replays it. `time` replays one day at fleet size and gives seconds of processor time.
+`tests/recordings/policy_decisions.txt.xz` is `record` of 4f929ce (`kestrelplank.drill`) with the default seed;
+`tests/test_recorded_policy.py` replays it. `time` replays one day at fleet size and gives seconds of processor time.
 """
 
 import argparse
