--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from kestrelplank.assigner.conductor import Conductor
 from kestrelplank.assigner.counters import Counters, logger
-from kestrelplank.assigner.discovery import Discovery
-from kestrelplank.assigner.front import Front
-from kestrelplank.assigner.news import News
-from kestrelplank.assigner.orders import MARKS, Orders
-from kestrelplank.assigner.peers import Peers
-from kestrelplank.assigner.probes import Probes
+from kestrelplank.assigner.health_checks import HealthChecks
+from kestrelplank.assigner.node_discovery import NodeDiscovery
+from kestrelplank.assigner.order_queue import MARKS, OrderQueue
+from kestrelplank.assigner.peer_datagrams import PeerDatagrams
+from kestrelplank.assigner.proxy_updates import ProxyUpdates
+from kestrelplank.assigner.rounds import RoundRunner
+from kestrelplank.assigner.telemetry_server import TelemetryServer
 from kestrelplank.decode import Ids, Malformed, listed, mapping, parsed, settings, text
 from kestrelplank.interface import Event, PeerMessage, PolicySettings
 from kestrelplank.policy import Policy
@@ -125,7 +125,7 @@
         if files:
             files.reload(more.nodes)
 
-    orders = Orders(
+    orders = OrderQueue(
         loop, pool, counters, config["hub"], ids, op_types, config["seed"] % MARKS, found["longest_transit"]
     )
     files = None
@@ -139,8 +139,8 @@
         else:
             on_event(event)
 
-    discovery = Discovery(loop, pool, counters, config["discovery"], ids, on_listed)
-    probes = Probes(
+    discovery = NodeDiscovery(loop, pool, counters, config["discovery"], ids, on_listed)
+    probes = HealthChecks(
         loop,
         pool,
         counters,
@@ -151,17 +151,17 @@
         on_event,
     )
     try:
-        front = Front(loop, pool, counters, address(config["listen"]), ids, found["slices"], on_event)
+        front = TelemetryServer(loop, pool, counters, address(config["listen"]), ids, found["slices"], on_event)
         peers = None
         if found["may_tell"] and config.get("peer_listen"):
-            peers = Peers(
+            peers = PeerDatagrams(
                 loop, counters, config["peer_listen"], config["peers"], config.get("peers_all") or "", ids, on_datagram
             )
     except OSError as err:
         print(f"kestrelplank: can't listen: {err.strerror}", file=sys.stderr)
         return 1
     policy = Policy(loop.now(), config["seed"], PolicySettings.from_mapping(found))
-    conductor = Conductor(loop, counters, policy, found["tick"], orders, discovery, probes, peers)
+    conductor = RoundRunner(loop, counters, policy, found["tick"], orders, discovery, probes, peers)
     if extras and extras.nodes.files:
         from kestrelplank.file_discovery.source import Source
 
@@ -169,7 +169,7 @@
         conductor.holders.append(files)
     members = status = None
     if extras and (extras.members.on or extras.status.socket):
-        from kestrelplank.assigner.extras import membership, shown
+        from kestrelplank.assigner.operator_features import membership, shown
 
         members = membership(loop, counters, extras.members, found, policy, peers)
         try:
@@ -178,7 +178,7 @@
             print(f"kestrelplank: can't listen at {extras.status.socket}: {err.strerror}", file=sys.stderr)
             return 1
     discovery.start(config.get("known"))
-    news = News(loop, pool, counters, config["hub"], ids, found["proxies"], found["slices"], orders, on_event)
+    news = ProxyUpdates(loop, pool, counters, config["hub"], ids, found["proxies"], found["slices"], orders, on_event)
     signals = Signals(
         loop,
         {signal.SIGTERM: loop.stop, signal.SIGINT: loop.stop, signal.SIGHUP: reload, signal.SIGUSR1: counters.report},
--- a/kestrelplank/assigner/probes.py
+++ b/kestrelplank/assigner/health_checks.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.assigner.front import load
+from kestrelplank.assigner.telemetry_server import load
 from kestrelplank.decode import NS_PER_MS, Malformed
 from kestrelplank.interface import Event, HealthChecked
 from kestrelplank.sockets.buffers import Pool
@@ -19,7 +19,7 @@
 class Check:
     """The checks of one node, one at a time."""
 
-    def __init__(self, probes: "Probes", node: int, to: str) -> None:
+    def __init__(self, probes: "HealthChecks", node: int, to: str) -> None:
         self._probes, self._node, self._asked_at = probes, node, 0
         self.client = Client(probes.loop, probes.pool, to, self, probes.dial, MOST_BODY)
 
@@ -47,7 +47,7 @@
         self._probes.on_event(HealthChecked(self._node, verdict, duration_ns, report))
 
 
-class Probes:
+class HealthChecks:
     def __init__(
         self,
         loop: Loop,
--- a/kestrelplank/assigner/members.py
+++ b/kestrelplank/assigner/membership_gossip.py
@@ -10,7 +10,7 @@
 AGE = 3_000_000_000  # of sums that are still shown
 
 
-class Members:
+class MembershipGossip:
     """`tell(None, body)` sends to all; `seen()` gives the nodes as the module sees them, `best()` what one acks in a
     second."""
 
--- a/kestrelplank/assigner/discovery.py
+++ b/kestrelplank/assigner/node_discovery.py
@@ -23,7 +23,7 @@
 ANSWERS_WITHIN = 300 * NS_PER_MS
 
 
-class Discovery:
+class NodeDiscovery:
     """`addresses` holds where each listed node is reached. The watch goes on from the newest list we have."""
 
     def __init__(
--- a/kestrelplank/assigner/extras.py
+++ b/kestrelplank/assigner/operator_features.py
@@ -3,9 +3,9 @@
 import time
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.assigner.members import Members
-from kestrelplank.assigner.peers import Peers
-from kestrelplank.assigner.status import Status
+from kestrelplank.assigner.membership_gossip import MembershipGossip
+from kestrelplank.assigner.peer_datagrams import PeerDatagrams
+from kestrelplank.assigner.status_socket import StatusSocket
 from kestrelplank.decode import Ids
 from kestrelplank.policy import Policy
 from kestrelplank.policy.node import NodeState
@@ -32,8 +32,8 @@
 
 
 def membership(
-    loop: Loop, counters: Counters, file: MembersFile, settings: dict, policy: Policy, peers: Peers | None
-) -> Members | None:
+    loop: Loop, counters: Counters, file: MembersFile, settings: dict, policy: Policy, peers: PeerDatagrams | None
+) -> MembershipGossip | None:
     """Membership, where the operator wants it and the platform's settings allow datagrams."""
     if not file.on:
         return None
@@ -43,10 +43,14 @@
     terms = Terms(file.every, file.suspect, file.dead, file.grace)
     life = int(time.time()) & 0xFFFFFFFF  # higher than in any former one, unless the clock has been set back past it
     core = Membership(loop.now(), settings["ordinal"], life, settings["conductors"], terms)
-    return Members(loop, counters, core, file.every, peers.tell, lambda: seen(policy, loop.now()), lambda: best(policy))
+    return MembershipGossip(
+        loop, counters, core, file.every, peers.tell, lambda: seen(policy, loop.now()), lambda: best(policy)
+    )
 
 
-def shown(loop: Loop, file: StatusFile, policy: Policy, ids: Ids, members: Members | None) -> Status | None:
+def shown(
+    loop: Loop, file: StatusFile, policy: Policy, ids: Ids, members: MembershipGossip | None
+) -> StatusSocket | None:
     """The status socket, where the operator names one. Raises OSError."""
     if not file.socket:
         return None
@@ -68,4 +72,4 @@
                     held[what] = held.get(what, 0) + is_so
         return {"slices": len(policy.slices), "zones": zones, "members": members.shown() if members else None}
 
-    return Status(loop, file.socket, state)
+    return StatusSocket(loop, file.socket, state)
--- a/kestrelplank/assigner/orders.py
+++ b/kestrelplank/assigner/order_queue.py
@@ -40,7 +40,7 @@
     return {"verb": "fence", "stamp": stamp, "set": int(everyone)}
 
 
-class Orders:
+class OrderQueue:
     """Marks go out counted from `first_mark`, which is another at each start: an answer to a mark of a former
     life then means none of ours, as the module counts from 0 each time."""
 
--- a/kestrelplank/assigner/peers.py
+++ b/kestrelplank/assigner/peer_datagrams.py
@@ -13,7 +13,7 @@
 MOST_AT_ONCE = 64  # read in one pass, so that a flood of them can't hold up the rest
 
 
-class Peers:
+class PeerDatagrams:
     def __init__(
         self,
         loop: Loop,
--- a/kestrelplank/assigner/news.py
+++ b/kestrelplank/assigner/proxy_updates.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.assigner.orders import Orders
+from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, mapping, parsed, text, time, whole
 from kestrelplank.interface import EndpointStored, Event, ProxyJoined, ProxyLeft, SliceOwnership, WatermarkAcknowledged
 from kestrelplank.sockets.buffers import Pool
@@ -40,7 +40,7 @@
         self.heard_at, self.empty = now, True
 
 
-class News:
+class ProxyUpdates:
     def __init__(
         self,
         loop: Loop,
@@ -50,7 +50,7 @@
         ids: Ids,
         proxies: int,
         slices: int,
-        orders: Orders,
+        orders: OrderQueue,
         on_event: Callable[[Event], None],
     ) -> None:
         self._loop, self._counters, self._ids, self._on_event = loop, counters, ids, on_event
--- a/kestrelplank/assigner/conductor.py
+++ b/kestrelplank/assigner/rounds.py
@@ -1,10 +1,10 @@
 """Gathers what all parties tell, gives it to the decision module once a round, and passes its orders on."""
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.assigner.discovery import Discovery
-from kestrelplank.assigner.orders import Orders
-from kestrelplank.assigner.peers import Peers
-from kestrelplank.assigner.probes import Probes
+from kestrelplank.assigner.health_checks import HealthChecks
+from kestrelplank.assigner.node_discovery import NodeDiscovery
+from kestrelplank.assigner.order_queue import OrderQueue
+from kestrelplank.assigner.peer_datagrams import PeerDatagrams
 from kestrelplank.interface import Event, NodeReport, ProxyReport, SliceReport, TimerFired
 from kestrelplank.policy import Policy
 from kestrelplank.sockets.loop import Loop
@@ -13,7 +13,7 @@
 REPORTS = (NodeReport, SliceReport, ProxyReport)
 
 
-class Conductor:
+class RoundRunner:
     """The writer that the module orders through, and the events of its next round. A round is held `gather`
     after the first event, so that its cost follows the time and not the reads."""
 
@@ -23,10 +23,10 @@
         counters: Counters,
         policy: Policy,
         gather: int,
-        orders: Orders,
-        discovery: Discovery,
-        probes: Probes,
-        peers: Peers | None,
+        orders: OrderQueue,
+        discovery: NodeDiscovery,
+        probes: HealthChecks,
+        peers: PeerDatagrams | None,
     ) -> None:
         self._loop, self._counters, self._policy, self._gather = loop, counters, policy, gather
         self._orders, self._discovery, self._probes, self._peers = orders, discovery, probes, peers
--- a/kestrelplank/assigner/status.py
+++ b/kestrelplank/assigner/status_socket.py
@@ -5,17 +5,17 @@
 
 import msgspec
 
-from kestrelplank.sockets.local import LocalListener
 from kestrelplank.sockets.loop import Loop
+from kestrelplank.sockets.unix_listener import UnixListener
 
 
-class Status:
+class StatusSocket:
     """At `path`. `shown` makes the object, anew for each who asks. Who does not take it at once gets what fits: nobody
     is waited for."""
 
     def __init__(self, loop: Loop, path: str, shown: Callable[[], dict]) -> None:
         self.shown = shown
-        self._listener = LocalListener(loop, path, self._accept)
+        self._listener = UnixListener(loop, path, self._accept)
 
     def _accept(self, link: socket.socket) -> None:
         try:
@@ -29,7 +29,7 @@
         self._listener.close()
 
 
-def asked(path: str, within: float) -> dict:
+def read_status(path: str, within: float) -> dict:
     """What the conductor at that path shows. Raises OSError, or ValueError where it is not whole."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as link:
         link.settimeout(within)
--- a/kestrelplank/assigner/front.py
+++ b/kestrelplank/assigner/telemetry_server.py
@@ -121,7 +121,7 @@
 class Caller:
     """One connection to our address. It is written to only to answer `hb`, and when it is let go."""
 
-    def __init__(self, front: "Front", sock: socket.socket, now: int) -> None:
+    def __init__(self, front: "TelemetryServer", sock: socket.socket, now: int) -> None:
         self._front, self._parser = front, resp.Parser(MOST_FIRST)
         self.heard_at, self.zone = now, None
         self.connection = Connection(front.loop, front.pool, sock, self, MOST_UNREAD)
@@ -153,7 +153,7 @@
         self._front.gone(self)
 
 
-class Front:
+class TelemetryServer:
     """Callers stand in the order in which their time runs out: strangers by when they came, collectors of a zone
     by when they joined."""
 
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -17,7 +17,7 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def command(path: str | None, at: str | None, as_json: bool) -> None:
     """Each zone as a running conductor sees it: nodes, demand, capacity, and who of the others is alive."""
-    from kestrelplank.assigner.status import asked
+    from kestrelplank.assigner.status_socket import read_status
 
     try:
         at = at or (operator.read(Ini.of(path)).status.socket if path else "")
@@ -28,7 +28,7 @@
         click.echo("kestrelplank: no status socket: name one with --socket or in the operator's file", err=True)
         sys.exit(2)
     try:
-        found = asked(at, WITHIN)
+        found = read_status(at, WITHIN)
     except (OSError, ValueError) as err:
         click.echo(f"kestrelplank: {at}: {getattr(err, 'strerror', None) or err}", err=True)
         sys.exit(1)
--- a/kestrelplank/reference_proxy/takeover.py
+++ b/kestrelplank/reference_proxy/takeover.py
@@ -8,8 +8,8 @@
 import socket
 from collections.abc import Callable
 
-from kestrelplank.sockets.local import LocalListener
 from kestrelplank.sockets.loop import READ, Loop
+from kestrelplank.sockets.unix_listener import UnixListener
 
 WITHIN = 2.0  # s for a predecessor to hand over; it may be gone, or hang
 
@@ -47,7 +47,7 @@
     def __init__(self, loop: Loop, path: str, descriptor: Callable[[], int], on_taken: Callable[[], None]) -> None:
         self._loop, self._descriptor, self._on_taken = loop, descriptor, on_taken
         self._links: list[socket.socket] = []
-        self._listener = LocalListener(loop, path, self._accept)
+        self._listener = UnixListener(loop, path, self._accept)
 
     def _accept(self, link: socket.socket) -> None:
         try:
--- a/kestrelplank/sockets/local.py
+++ b/kestrelplank/sockets/unix_listener.py
@@ -9,7 +9,7 @@
 BACKLOG = 8
 
 
-class LocalListener:
+class UnixListener:
     """At `path`, put there by a rename: whoever connects finds the one before or this one. `on_accept(link)` owns what
     it is given, which does not block. `close` is the one place where socket and path are given back; a path that
     somebody else has taken meanwhile is left alone. Raises OSError where it can't listen."""
--- a/tests/assigner/test_extras.py
+++ b/tests/assigner/test_operator_features.py
@@ -8,8 +8,8 @@
 from parties import Kit, until
 from test_program import SETTINGS, Program, closed_port
 
-from kestrelplank.assigner.members import Members
-from kestrelplank.assigner.status import Status, asked
+from kestrelplank.assigner.membership_gossip import MembershipGossip
+from kestrelplank.assigner.status_socket import StatusSocket, read_status
 from kestrelplank.cli.group import group
 from kestrelplank.state.digest import Seen
 from kestrelplank.state.membership import Membership, Terms
@@ -71,7 +71,7 @@
     until(kit.loop, lambda: all(program.lines("alive=0,1") or program.lines('alive="0,1"') for program in programs))
     done = CliRunner().invoke(group, ["zones", "--socket", f"{tmp_path}/s0"])
     assert done.exit_code == 0 and "conductors 0, 1 alive" in done.output
-    assert asked(f"{tmp_path}/s1", 5)["members"]["alive"] == [0, 1]
+    assert read_status(f"{tmp_path}/s1", 5)["members"]["alive"] == [0, 1]
     programs[0].end(signal.SIGKILL)
     until(kit.loop, lambda: programs[1].lines("alive=1"))
     code, said = programs[1].end(signal.SIGTERM)
@@ -93,7 +93,7 @@
     sent = []
     nodes = [Seen(0, True, 10.0, 9.0)]
     made = [
-        Members(
+        MembershipGossip(
             kit.loop,
             Counts(),
             Membership(kit.loop.now(), number, 5, 2, Terms(every=10_000_000)),
@@ -134,7 +134,7 @@
 
 def test_who_asks_and_reads_nothing_holds_nobody_up(kit, tmp_path):
     path = str(tmp_path / "s")
-    status = Status(kit.loop, path, lambda: {"much": "x" * 5_000_000})
+    status = StatusSocket(kit.loop, path, lambda: {"much": "x" * 5_000_000})
     silent = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     silent.connect(path)
     until(kit.loop, lambda: True)
--- a/tests/file_discovery/test_source.py
+++ b/tests/file_discovery/test_source.py
@@ -9,11 +9,11 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, news, until
 
-from kestrelplank.assigner.conductor import Conductor
-from kestrelplank.assigner.discovery import Discovery
-from kestrelplank.assigner.news import News
-from kestrelplank.assigner.orders import Orders
-from kestrelplank.assigner.probes import Probes
+from kestrelplank.assigner.health_checks import HealthChecks
+from kestrelplank.assigner.node_discovery import NodeDiscovery
+from kestrelplank.assigner.order_queue import OrderQueue
+from kestrelplank.assigner.proxy_updates import ProxyUpdates
+from kestrelplank.assigner.rounds import RoundRunner
 from kestrelplank.decode import Ids, settings, text
 from kestrelplank.file_discovery.nodelist import read, written
 from kestrelplank.file_discovery.source import Source
@@ -64,11 +64,13 @@
         found = settings(CONF, ids, "settings")
         kit = self.kit
         self.events = []
-        orders = Orders(kit.loop, kit.pool, kit.counters, self.hub.at, ids, ["look"], 7)
-        discovery = Discovery(kit.loop, kit.pool, kit.counters, self.agent.at, ids, self.source_event)
-        probes = Probes(kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event)
+        orders = OrderQueue(kit.loop, kit.pool, kit.counters, self.hub.at, ids, ["look"], 7)
+        discovery = NodeDiscovery(kit.loop, kit.pool, kit.counters, self.agent.at, ids, self.source_event)
+        probes = HealthChecks(kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event)
         self.policy = Policy(kit.loop.now(), 5, PolicySettings.from_mapping(found))
-        self.conductor = Conductor(kit.loop, kit.counters, self.policy, found["tick"], orders, discovery, probes, None)
+        self.conductor = RoundRunner(
+            kit.loop, kit.counters, self.policy, found["tick"], orders, discovery, probes, None
+        )
         nodes = Nodes(
             **{
                 "files": (str(folder / "*.ini"),),
@@ -82,7 +84,7 @@
         )
         self.source = Source(kit.loop, kit.counters, nodes, 40 * MS, ids, discovery.addresses, self.on_event)
         self.conductor.holders.append(self.source)
-        told = News(kit.loop, kit.pool, kit.counters, self.hub.at, ids, RELAYS, SLICES, orders, self.on_event)
+        told = ProxyUpdates(kit.loop, kit.pool, kit.counters, self.hub.at, ids, RELAYS, SLICES, orders, self.on_event)
         self.parts = [told, orders, self.source, probes, self.hub, self.agent]
 
     def on_event(self, event):
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -3,7 +3,7 @@
 import json
 
 from kestrelplank.assigner.counters import Counters, logger
-from kestrelplank.assigner.orders import Orders
+from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.decode import Ids, text
 from kestrelplank.rehearsal import parties
 from kestrelplank.rehearsal.parties import MS, attach, fail, instance, news, node_list
@@ -76,7 +76,7 @@
 
 
 def orders(kit, first_mark=0):
-    made = Orders(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), ["look", "buy"], first_mark)
+    made = OrderQueue(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), ["look", "buy"], first_mark)
     made._client = Calls()
     made.hold(False)
     return made
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -6,11 +6,11 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, instance, news, node_list, until
 
-from kestrelplank.assigner.conductor import Conductor
-from kestrelplank.assigner.discovery import Discovery
-from kestrelplank.assigner.news import News
-from kestrelplank.assigner.orders import Orders
-from kestrelplank.assigner.probes import Probes
+from kestrelplank.assigner.health_checks import HealthChecks
+from kestrelplank.assigner.node_discovery import NodeDiscovery
+from kestrelplank.assigner.order_queue import OrderQueue
+from kestrelplank.assigner.proxy_updates import ProxyUpdates
+from kestrelplank.assigner.rounds import RoundRunner
 from kestrelplank.decode import Ids, settings, text
 from kestrelplank.interface import PolicySettings
 from kestrelplank.policy import Policy
@@ -143,13 +143,13 @@
     def on_event(event):
         conductor.on_event(event)
 
-    orders = Orders(kit.loop, kit.pool, kit.counters, relay.at, ids, ["look"], 65_530)
-    discovery = Discovery(kit.loop, kit.pool, kit.counters, agent.at, ids, on_event)
-    probes = Probes(kit.loop, kit.pool, kit.counters, {}, False, MS, False, on_event)
+    orders = OrderQueue(kit.loop, kit.pool, kit.counters, relay.at, ids, ["look"], 65_530)
+    discovery = NodeDiscovery(kit.loop, kit.pool, kit.counters, agent.at, ids, on_event)
+    probes = HealthChecks(kit.loop, kit.pool, kit.counters, {}, False, MS, False, on_event)
     policy = Policy(kit.loop.now(), seed, PolicySettings.from_mapping(found))
-    conductor = Conductor(kit.loop, kit.counters, policy, found["tick"], orders, discovery, probes, None)
+    conductor = RoundRunner(kit.loop, kit.counters, policy, found["tick"], orders, discovery, probes, None)
     discovery.start(known)
-    told = News(kit.loop, kit.pool, kit.counters, relay.at, ids, PROXIES, SLICES, orders, on_event)
+    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, ids, PROXIES, SLICES, orders, on_event)
     end = kit.loop.now() + 2500 * MS
     due = kit.loop.now()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,13 +7,13 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
 
-from kestrelplank.assigner.conductor import Conductor
-from kestrelplank.assigner.discovery import Discovery
-from kestrelplank.assigner.front import Front, report
-from kestrelplank.assigner.news import News
-from kestrelplank.assigner.orders import Orders
-from kestrelplank.assigner.peers import Peers
-from kestrelplank.assigner.probes import Probes
+from kestrelplank.assigner.health_checks import HealthChecks
+from kestrelplank.assigner.node_discovery import NodeDiscovery
+from kestrelplank.assigner.order_queue import OrderQueue
+from kestrelplank.assigner.peer_datagrams import PeerDatagrams
+from kestrelplank.assigner.proxy_updates import ProxyUpdates
+from kestrelplank.assigner.rounds import RoundRunner
+from kestrelplank.assigner.telemetry_server import TelemetryServer, report
 from kestrelplank.decode import Malformed
 from kestrelplank.interface import (
     EndpointStored,
@@ -179,7 +179,7 @@
 
 @pytest.fixture
 def front(kit):
-    made = Front(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
+    made = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
     yield made
     made.close()
 
@@ -636,13 +636,13 @@
     assert made.agrees(1, {0: 1.0}) and not made.agrees(1, {}) and not made._queue
 
 
-# News
+# Updates of proxies
 
 
 def relayed(kit, *known):
     relay = StubServer(kit, lambda visitor, path, body: visitor.begin() if path == "/api/stream" else None)
     made = orders(kit)
-    told = News(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, made, kit.events.append)
+    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, made, kit.events.append)
     until(kit.loop, lambda: kit.counters.counts["news_started"])
     relay.visitors[-1].tell(*known, {})
     until(kit.loop, lambda: told._picture is None)
@@ -701,7 +701,7 @@
 )
 def test_a_slice_is_given_with_its_lines_however_late_they_come(kit, monkeypatch, after):
     """Also where nothing follows: then it is bare."""
-    monkeypatch.setattr("kestrelplank.assigner.news.QUIET", 1000 * MS)
+    monkeypatch.setattr("kestrelplank.assigner.proxy_updates.QUIET", 1000 * MS)
     relay, told, _ = relayed(kit)
     relay.visitors[-1].tell(news("owner", shard=3, set=True))
     until(kit.loop, lambda: told._giving)
@@ -782,7 +782,7 @@
 
 
 def test_a_stream_that_falls_silent_is_dialled_again(kit, monkeypatch):
-    monkeypatch.setattr("kestrelplank.assigner.news.SILENCE", 50 * MS)
+    monkeypatch.setattr("kestrelplank.assigner.proxy_updates.SILENCE", 50 * MS)
     relay, told, _ = relayed(kit, *STANDING)
     until(kit.loop, lambda: len(relay.visitors) > 1)
     assert kit.counters.counts["news_broken"] >= 1 and not any(isinstance(event, ProxyLeft) for event in kit.events)
@@ -804,7 +804,7 @@
             visitor.reply(node_list(5, instance("s-1"), reset=True))
 
     agent = StubServer(kit, answer)
-    made = Discovery(kit.loop, kit.pool, kit.counters, agent.at, names(), kit.events.append)
+    made = NodeDiscovery(kit.loop, kit.pool, kit.counters, agent.at, names(), kit.events.append)
     made.start(known)
     return agent, made
 
@@ -812,7 +812,7 @@
 @pytest.mark.parametrize("broken", [b"{]\n", b'{"generation":9,"reset":false}\n', b"[1]\n"])
 def test_the_watch_goes_on_from_the_newest_list(kit, monkeypatch, broken):
     """Also after one that can't be read: what it changed would be lost else."""
-    monkeypatch.setattr("kestrelplank.assigner.discovery.ANSWERS_WITHIN", 20_000 * MS)
+    monkeypatch.setattr("kestrelplank.assigner.node_discovery.ANSWERS_WITHIN", 20_000 * MS)
     started = instance("s-2", "terminating", 1000.5)
     agent, made = discovering(
         kit,
@@ -836,13 +836,13 @@
 
 def test_a_node_that_is_forgotten_leaves_nothing_and_its_index_is_not_used_again(kit):
     agent, made = discovering(kit, [])
-    probes = Probes(kit.loop, kit.pool, kit.counters, made.addresses, True, 250 * MS, True, kit.events.append)
-    conductor = Conductor(
+    probes = HealthChecks(kit.loop, kit.pool, kit.counters, made.addresses, True, 250 * MS, True, kit.events.append)
+    conductor = RoundRunner(
         kit.loop,
         kit.counters,
         Rounds(),
         MS,
-        Orders(kit.loop, kit.pool, kit.counters, agent.at, made._ids, [], 0),
+        OrderQueue(kit.loop, kit.pool, kit.counters, agent.at, made._ids, [], 0),
         made,
         probes,
         None,
@@ -894,14 +894,14 @@
 
 def test_a_list_that_does_not_come_is_told_as_failed(kit):
     agent = StubServer(kit)
-    made = Discovery(kit.loop, kit.pool, kit.counters, agent.at, names(), kit.events.append)
+    made = NodeDiscovery(kit.loop, kit.pool, kit.counters, agent.at, names(), kit.events.append)
     made.fetch()
     until(kit.loop, lambda: kit.events == [NodeListUpdate(NodeListKind.FAILED, ())])
     made.close()
     agent.close()
 
 
-# Probes and peers
+# HealthChecks and peers
 
 
 @pytest.mark.parametrize(
@@ -918,7 +918,7 @@
     node = StubServer(
         kit, lambda visitor, path, _: visitor.reply(body, status) if status else visitor.connection.close("broken off")
     )
-    probes = Probes(kit.loop, kit.pool, kit.counters, {0: node.at}, True, 250 * MS, True, kit.events.append)
+    probes = HealthChecks(kit.loop, kit.pool, kit.counters, {0: node.at}, True, 250 * MS, True, kit.events.append)
     probes.probe(0)
     until(kit.loop, lambda: kit.events)
     checked = kit.events[0]
@@ -939,7 +939,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(5)
     at = ["%s:%d" % sock.getsockname() for sock in others]
-    peers = Peers(kit.loop, kit.counters, "127.0.0.1:0", at[:2], at[2], names(), kit.events.append)
+    peers = PeerDatagrams(kit.loop, kit.counters, "127.0.0.1:0", at[:2], at[2], names(), kit.events.append)
     peers.tell(1, b"one")
     peers.tell(None, b"all")
     peers.tell(7, b"nobody")
@@ -975,14 +975,14 @@
 def test_a_round_gathers_what_came_and_waits_while_orders_pile_up(kit):
     made = orders(kit)
     policy = Rounds()
-    conductor = Conductor(
+    conductor = RoundRunner(
         kit.loop,
         kit.counters,
         policy,
         5 * MS,
         made,
-        Discovery(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), kit.events.append),
-        Probes(kit.loop, kit.pool, kit.counters, {}, False, MS, False, kit.events.append),
+        NodeDiscovery(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), kit.events.append),
+        HealthChecks(kit.loop, kit.pool, kit.counters, {}, False, MS, False, kit.events.append),
         None,
     )
     for number in range(9):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,9 +12,9 @@
 from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
 
 from kestrelplank.assigner.counters import Output
-from kestrelplank.assigner.discovery import Discovery
-from kestrelplank.assigner.front import Front
-from kestrelplank.assigner.news import News
+from kestrelplank.assigner.node_discovery import NodeDiscovery
+from kestrelplank.assigner.proxy_updates import ProxyUpdates
+from kestrelplank.assigner.telemetry_server import TelemetryServer
 from kestrelplank.rehearsal.process import CONDUCTOR, Process
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.loop import READ
@@ -311,10 +311,10 @@
 
 
 def test_connects_and_breaks_leave_nothing_behind(kit, monkeypatch):
-    monkeypatch.setattr("kestrelplank.assigner.news.PAUSES", (MS, 10 * MS))
+    monkeypatch.setattr("kestrelplank.assigner.proxy_updates.PAUSES", (MS, 10 * MS))
     relay = StubServer(kit, lambda visitor, path, body: visitor.begin() if path == "/api/stream" else None)
-    front = Front(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
-    told = News(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, orders(kit), kit.events.append)
+    front = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
+    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, orders(kit), kit.events.append)
     until(kit.loop, lambda: relay.requests)
     before = cycles(kit, front, relay, 8)
     tracemalloc.start()
@@ -334,12 +334,12 @@
 def test_no_bytes_of_any_party_raise_anything(kit, seed):
     random, front = (
         Random(seed),
-        Front(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append),
+        TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append),
     )
     dead = closed_port()
-    told = News(kit.loop, kit.pool, kit.counters, dead, names(), 9, 9, orders(kit), kit.events.append)
+    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, dead, names(), 9, 9, orders(kit), kit.events.append)
     told.start()
-    listed = Discovery(kit.loop, kit.pool, kit.counters, dead, names(), kit.events.append)
+    listed = NodeDiscovery(kit.loop, kit.pool, kit.counters, dead, names(), kit.events.append)
     listed.start(None)
     made = orders(kit)
     values = [None, True, -1, 0, 1, 2.5, 1e400, 10**30, "s-1", "a", "", [], {}, [{}], "x" * 99, float("nan")]
