--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -169,11 +169,11 @@
         conductor.holders.append(files)
     members = status = None
     if extras and (extras.members.on or extras.status.socket):
-        from kestrelplank.assigner.operator_features import membership, shown
+        from kestrelplank.assigner.operator_features import make_membership, make_status_socket
 
-        members = membership(loop, counters, extras.members, found, policy, peers)
+        members = make_membership(loop, counters, extras.members, found, policy, peers)
         try:
-            status = shown(loop, extras.status, policy, ids, members)
+            status = make_status_socket(loop, extras.status, policy, ids, members)
         except OSError as err:
             print(f"kestrelplank: can't listen at {extras.status.socket}: {err.strerror}", file=sys.stderr)
             return 1
--- a/kestrelplank/assigner/__init__.py
+++ b/kestrelplank/assigner/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that drives the decision module over sockets; it decides nothing itself."""
+"""The assigner in service: adapters between the decision module and the parties on sockets. They place nothing."""
--- a/kestrelplank/assigner/health_checks.py
+++ b/kestrelplank/assigner/health_checks.py
@@ -1,75 +1,53 @@
-"""Checks of single nodes: a kept connection each, made at the first check of a node."""
+"""Health checks of single nodes: a kept connection each, made at the first check of a node."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.assigner.telemetry_server import load
+from kestrelplank.assigner.telemetry_messages import read_load
 from kestrelplank.decode import NS_PER_MS, Malformed
-from kestrelplank.interface import Event, HealthChecked
+from kestrelplank.interface import Event, HealthChecked, HealthVerdict, NodeLoad
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.http import Client
 from kestrelplank.sockets.loop import Loop
 
 MOST_NODES = 256  # connections kept, of the nodes checked last
-MOST_BODY = 1 << 14
-ANSWERS_WITHIN = 1000 * NS_PER_MS
+MOST_BODY_BYTES = 1 << 14
+ANSWER_TIMEOUT_NS = 1000 * NS_PER_MS
+VERDICTS_OF_STATUS = {200: HealthVerdict.OK, 503: HealthVerdict.OVERLOADED}  # all others: failed
+VERDICTS_OF_FAILURE = {
+    "silent": HealthVerdict.TIMED_OUT,
+    "does not come up": HealthVerdict.UNREACHABLE,
+    "ECONNREFUSED": HealthVerdict.UNREACHABLE,
+}  # all others: broken
 
 
-class Check:
-    """The checks of one node, one at a time."""
-
-    def __init__(self, probes: "HealthChecks", node: int, to: str) -> None:
-        self._probes, self._node, self._asked_at = probes, node, 0
-        self.client = Client(probes.loop, probes.pool, to, self, probes.dial, MOST_BODY)
-
-    def ask(self) -> None:
-        if not self.client.busy:
-            self._probes.counters.add("probes_sent")
-            self._asked_at = self._probes.loop.now()
-            self.client.call("GET", self._probes.path, b"", ANSWERS_WITHIN)
-
-    def on_answer(self, status: int, body: bytes) -> None:
-        try:
-            pairs = (pair.split("=") for pair in body.decode(errors="replace").strip().split(","))
-            report = load(pairs) if status == 200 else {}
-        except Malformed:
-            report = {}
-        self._tell("ok" if status == 200 else "full" if status == 503 else "failed", report)
-
-    def on_broken(self, why: str) -> None:
-        verdict = {"silent": "timed out", "does not come up": "unreachable", "ECONNREFUSED": "unreachable"}
-        self._tell(verdict.get(why, "broken"), {})
-
-    def _tell(self, verdict: str, report: dict[str, float]) -> None:
-        self._probes.counters.add("probes_answered")
-        duration_ns = self._probes.loop.now() - self._asked_at
-        self._probes.on_event(HealthChecked(self._node, verdict, duration_ns, report))
+class HealthChecks:
+    """Checks nodes that `addresses` (index to address) has, where the settings allow it.
 
+    :param dial_timeout_ns: how long a connection may take to come up.
+    :param with_load: ask for the node's load, which it answers with its health.
+    """
 
-class HealthChecks:
     def __init__(
         self,
         loop: Loop,
         pool: Pool,
         counters: Counters,
-        addresses: dict[int, str],
+        addresses: Mapping[int, str],
         allowed: bool,
-        dial: int,
+        dial_timeout_ns: int,
         with_load: bool,
         on_event: Callable[[Event], None],
     ) -> None:
         self.loop, self.pool, self.counters, self.on_event = loop, pool, counters, on_event
-        self._addresses, self._allowed, self.dial = addresses, allowed, dial
+        self._addresses, self._allowed, self.dial_timeout_ns = addresses, allowed, dial_timeout_ns
         self.path = "/status/load" if with_load else "/health"
-        self._checks: dict[int, Check] = {}
+        self._checks: dict[int, NodeCheck] = {}  # those used last come last
 
-    def probe(self, node: int) -> None:
-        to = self._addresses.get(node, "")
-        try:
-            address(to)
-        except ValueError:
-            to = ""
+    def check(self, node: int) -> None:
+        """Check a node, unless a check of it is out."""
+        to = self._address_of(node)
         if not self._allowed or not to:
             self.counters.trouble("probes_not_sent", "not allowed" if to else f"node {node} has no address")
             return
@@ -77,17 +55,63 @@
         if check is None or check.client.to != to:
             if check:
                 check.client.close()
-            check = Check(self, node, to)
-        self._checks[node] = check  # the last in the order of use
+            check = NodeCheck(self, node, to)
+        self._checks[node] = check
         if len(self._checks) > MOST_NODES:
             self._checks.pop(next(iter(self._checks))).client.close()
         check.ask()
 
+    def _address_of(self, node: int) -> str:
+        """Return a node's address, empty where it has none that can be used."""
+        to = self._addresses.get(node, "")
+        try:
+            address(to)
+        except ValueError:
+            return ""
+        return to
+
     def forget(self, node: int) -> None:
+        """Give a node's connection back."""
         check = self._checks.pop(node, None)
         if check:
             check.client.close()
 
     def close(self) -> None:
+        """Give all connections back."""
         for check in self._checks.values():
             check.client.close()
+
+
+class NodeCheck:
+    """The checks of one node, one at a time."""
+
+    def __init__(self, checks: HealthChecks, node: int, to: str) -> None:
+        self._checks, self._node, self._asked_at = checks, node, 0
+        self.client = Client(checks.loop, checks.pool, to, self, checks.dial_timeout_ns, MOST_BODY_BYTES)
+
+    def ask(self) -> None:
+        """Send a check, unless one is out."""
+        if not self.client.busy:
+            self._checks.counters.add("probes_sent")
+            self._asked_at = self._checks.loop.now()
+            self.client.call("GET", self._checks.path, b"", ANSWER_TIMEOUT_NS)
+
+    def on_answer(self, status: int, body: bytes) -> None:
+        """Take what the node answered."""
+        verdict = VERDICTS_OF_STATUS.get(status, HealthVerdict.FAILED)
+        load = NodeLoad()
+        try:
+            pairs = (pair.split("=") for pair in body.decode(errors="replace").strip().split(","))
+            load = read_load(pairs) if verdict is HealthVerdict.OK else load
+        except Malformed:
+            pass  # the verdict holds without it
+        self._report(verdict, load)
+
+    def on_broken(self, why: str) -> None:
+        """Take that no answer came."""
+        self._report(VERDICTS_OF_FAILURE.get(why, HealthVerdict.BROKEN), NodeLoad())
+
+    def _report(self, verdict: HealthVerdict, load: NodeLoad) -> None:
+        self._checks.counters.add("probes_answered")
+        duration_ns = self._checks.loop.now() - self._asked_at
+        self._checks.on_event(HealthChecked(self._node, verdict, duration_ns, load))
--- a/kestrelplank/assigner/membership_gossip.py
+++ b/kestrelplank/assigner/membership_gossip.py
@@ -1,4 +1,4 @@
-"""Membership over the datagrams between conductors, for installations that allow them: ticks, takes and shows."""
+"""Membership over the datagrams between assigners, for installations that allow them."""
 
 from collections.abc import Callable
 
@@ -7,50 +7,56 @@
 from kestrelplank.state.digest import Seen, together, zone_sums
 from kestrelplank.state.membership import Malformed, Membership
 
-AGE = 3_000_000_000  # of sums that are still shown
+SUMS_VALID_NS = 3_000_000_000  # of other assigners, in what is shown
 
 
 class MembershipGossip:
-    """`tell(None, body)` sends to all; `seen()` gives the nodes as the module sees them, `best()` what one acks in a
-    second."""
+    """Ticks the membership, takes its datagrams, and shows what it knows.
+
+    :param send: `send(None, body)` sends to all.
+    :param nodes: the nodes as the decision module sees them.
+    :param best: what a node acknowledges in a second at its best.
+    """
 
     def __init__(
         self,
         loop: Loop,
         counters: Counters,
         membership: Membership,
-        every: int,
-        tell: Callable[[None, bytes], None],
-        seen: Callable[[], list[Seen]],
+        interval_ns: int,
+        send: Callable[[None, bytes], None],
+        nodes: Callable[[], list[Seen]],
         best: Callable[[], float],
     ) -> None:
-        self._loop, self._counters, self._membership, self._every = loop, counters, membership, every
-        self._tell, self._seen, self._best = tell, seen, best
+        self._loop, self._counters, self._membership = loop, counters, membership
+        self._interval_ns, self._send, self._nodes, self._best = interval_ns, send, nodes, best
         self._timer = loop.at(loop.now(), self._tick)
-        self._view = 0
+        self._logged_view = 0
 
     def _tick(self) -> None:
         now = self._loop.now()
-        self._membership.told(zone_sums(self._seen(), self._best()))
+        self._membership.told(zone_sums(self._nodes(), self._best()))
         body = self._membership.tick(now)
         if body is not None:
-            self._tell(None, body)
+            self._send(None, body)
         view = self._membership.view(now)
-        if view.version != self._view:
-            self._view = view.version
+        if view.version != self._logged_view:
+            self._logged_view = view.version
             self._counters.info("members", view=view.version, alive=",".join(map(str, view.alive)))
-        self._timer = self._loop.at(now + self._every, self._tick)
+        self._timer = self._loop.at(now + self._interval_ns, self._tick)
 
-    def take(self, sender: int, body: bytes) -> None:
+    def take(self, sender: int, body: bytes) -> None:  # noqa: ARG002  the body names the sender
+        """Take a datagram."""
         try:
             self._counters.add("members_news" if self._membership.take(self._loop.now(), body) else "members_old")
         except Malformed as err:
             self._counters.trouble("members_unreadable", err)
 
-    def shown(self) -> dict:
+    def status(self) -> dict[str, object]:
+        """Return who is alive, and the zones as all assigners see them together."""
         now = self._loop.now()
         view = self._membership.view(now)
-        zones = together(zone_sums(self._seen(), self._best()), self._membership.zones(now, AGE))
+        zones = together(zone_sums(self._nodes(), self._best()), self._membership.zones(now, SUMS_VALID_NS))
         return {
             "view": view.version,
             "alive": view.alive,
@@ -58,4 +64,5 @@
         }
 
     def close(self) -> None:
+        """Tick no longer."""
         self._timer.cancel()
--- a/kestrelplank/assigner/node_discovery.py
+++ b/kestrelplank/assigner/node_discovery.py
@@ -1,145 +1,179 @@
 """The node list: what the configuration remembers, then a watch on the agent of our own machine.
 
-What the agent has written counts as told to us, also on a connection that has silently died. So it is asked now
-and then what it has, which costs nothing, and a watch that lies behind is replaced.
+What the agent has written counts as told to us, also on a connection that has silently died. So it is polled for its
+version, which costs nothing, and a watch that lies behind is replaced.
 """
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, listed, mapping, parsed, time, whole, word
-from kestrelplank.interface import Event, NodeEntry, NodeListKind, NodeListUpdate
+from kestrelplank.interface import Event, NodeCondition, NodeEntry, NodeListKind, NodeListUpdate
 from kestrelplank.sockets.buffers import Pool
-from kestrelplank.sockets.http import DIAL, Client, Stream
-from kestrelplank.sockets.loop import Loop
+from kestrelplank.sockets.http import DIAL_TIMEOUT_NS, Client, Stream, StreamLimits
+from kestrelplank.sockets.loop import Loop, Timer
 
 PATH = "/v1/endpoints"
-CONDITION = word({"in_service": "up", "terminating": "draining", "terminated": "removed"})
-SILENCE = 2600 * NS_PER_MS  # an empty line comes every 2 s
-PAUSES = 20 * NS_PER_MS, 500 * NS_PER_MS
-MOST_LIST = 1 << 23
-POLL = 400 * NS_PER_MS  # the shortest grace leaves a second for an order to be made and to arrive
-ANSWERS_WITHIN = 300 * NS_PER_MS
+read_condition = word(
+    {
+        "in_service": NodeCondition.UP,
+        "terminating": NodeCondition.DRAINING,
+        "terminated": NodeCondition.REMOVED,
+    }
+)
+HTTP_OK = 200
+MOST_LIST_BYTES = 1 << 23
+WATCH_LIMITS = StreamLimits(
+    silence_ns=2600 * NS_PER_MS,  # an empty line comes every 2 s
+    first_pause_ns=20 * NS_PER_MS,
+    longest_pause_ns=500 * NS_PER_MS,
+    most_line_bytes=MOST_LIST_BYTES,
+)
+POLL_INTERVAL_NS = 400 * NS_PER_MS  # the shortest grace leaves a second for an order to be made and to arrive
+ANSWER_TIMEOUT_NS = 300 * NS_PER_MS
 
 
 class NodeDiscovery:
-    """`addresses` holds where each listed node is reached. The watch goes on from the newest list we have."""
+    """Follows the node list. `addresses` holds where each listed node is reached, by index.
+
+    The watch goes on from the newest version that was read.
+    """
 
     def __init__(
         self, loop: Loop, pool: Pool, counters: Counters, at: str, ids: Ids, on_event: Callable[[Event], None]
     ) -> None:
-        self._loop, self._counters, self._ids, self._on_event = loop, counters, ids, on_event
-        self._version, self.addresses = 0, {}
-        self._pool, self._at, self._stream = pool, at, None
-        self._whole, self._asked, self._timer = Client(loop, pool, at, self, DIAL, MOST_LIST), False, None
-        self._listed = False  # anything but what was known
-
-    def start(self, known: Any) -> None:
-        """What was known last comes first, and then what the agent says has changed since."""
-        if known is not None:
+        self._loop, self._pool, self._counters, self._ids = loop, pool, counters, ids
+        self._address, self._on_event = at, on_event
+        self.addresses: dict[int, str] = {}
+        self._version = 0
+        self._list_received = False  # anything but what was remembered
+        self._client = Client(loop, pool, at, self, DIAL_TIMEOUT_NS, MOST_LIST_BYTES)
+        self._fetch_wanted = False
+        self._watch: Stream | None = None
+        self._poll_timer: Timer | None = None
+
+    def start(self, remembered: object) -> None:
+        """Take the list that is remembered, then watch what the agent says has changed since."""
+        if remembered is not None:
             try:
-                self._take(mapping(known), "cached")
+                self._take(mapping(remembered), NodeListKind.CACHED)
             except Malformed as err:
                 self._counters.trouble("lists_skipped", err)
-        self._stream = Stream(
-            self._loop,
-            self._pool,
-            self._at,
-            lambda: f"{PATH}?follow=1&since={self._version}",
-            self._line,
-            lambda: None,
-            lambda why: self._counters.trouble("discovery_broken", why),
-            DIAL,
-            SILENCE,
-            PAUSES,
-            MOST_LIST,
-        )
+        self._watch = Stream(self._loop, self._pool, self._address, self, WATCH_LIMITS)
         self._poll()
 
     def move(self, at: str) -> None:
-        self._whole.move(at)
-        self._stream.move(at)
+        """Go to the agent at another address."""
+        self._client.move(at)
+        if self._watch:
+            self._watch.move(at)
 
     def forget(self, node: int) -> None:
+        """Release a node's address."""
         self.addresses.pop(node, None)
 
     def fetch(self) -> None:
-        self._asked = True
+        """Ask for the complete list."""
+        self._fetch_wanted = True
         self._ask()
 
-    def _ask(self) -> None:
-        if not self._whole.busy:
-            self._whole.call("GET", PATH, b"", ANSWERS_WITHIN)
+    def close(self) -> None:
+        """End the watch and the poll."""
+        if self._poll_timer:
+            self._poll_timer.cancel()
+        self._client.close()
+        if self._watch:
+            self._watch.close()
+
+    # The poll.
 
     def _poll(self) -> None:
         self._ask()
-        self._timer = self._loop.at(self._loop.now() + POLL, self._poll)
+        self._poll_timer = self._loop.at(self._loop.now() + POLL_INTERVAL_NS, self._poll)
+
+    def _ask(self) -> None:
+        if not self._client.busy:
+            self._client.call("GET", PATH, b"", ANSWER_TIMEOUT_NS)
 
     def on_answer(self, status: int, body: bytes) -> None:
+        """Take the answer to a poll."""
         try:
-            if status != 200:
+            if status != HTTP_OK:
                 raise Malformed(f"status {status}")
-            message = mapping(parsed(body))
-            ahead = whole(message.get("generation")) - self._version
-            if self._asked:
-                self._take(message, None)
-                self._asked = False
-            elif not ahead and not self._listed:  # the watch has nothing to say: what was known is the list
-                self._take(message | {"reset": False, "instances": []}, None)
-            elif ahead > 0:
-                self._counters.add("watches_behind")
-                self._stream.drop("lies behind")
+            self._take_answer(mapping(parsed(body)))
         except Malformed as err:
             self.on_broken(str(err))
 
+    def _take_answer(self, message: Mapping[str, object]) -> None:
+        ahead = whole(message.get("generation")) - self._version
+        if self._fetch_wanted:
+            self._take(message, None)
+            self._fetch_wanted = False
+        elif not ahead and not self._list_received:  # the watch has nothing to say: what was remembered is the list
+            self._take({**message, "reset": False, "instances": []}, None)
+        elif ahead > 0 and self._watch:
+            self._counters.add("watches_behind")
+            self._watch.drop("lies behind")
+
     def on_broken(self, why: str) -> None:
+        """Take that a poll has failed."""
         self._counters.trouble("lists_broken", why)
-        if self._asked:
-            self._asked = False
+        if self._fetch_wanted:
+            self._fetch_wanted = False
             self._on_event(NodeListUpdate(NodeListKind.FAILED, ()))
 
-    def close(self) -> None:
-        if self._timer:
-            self._timer.cancel()
-        self._whole.close()
-        if self._stream:
-            self._stream.close()
+    # The watch.
+
+    def stream_path(self) -> str:
+        """Return the path that goes on from the newest version."""
+        return f"{PATH}?follow=1&since={self._version}"
 
-    def _line(self, line: bytes) -> None:
+    def on_stream_start(self) -> None:
+        """Do nothing: changes follow."""
+
+    def on_stream_end(self, why: str) -> None:
+        """Take that the watch has ended; it begins again by itself."""
+        self._counters.trouble("discovery_broken", why)
+
+    def on_stream_line(self, line: bytes) -> None:
+        """Take a change of the list."""
         if not line.strip():
             return
         try:
             self._take(mapping(parsed(line)), None)
         except Malformed as err:  # the next would go on from changes that are lost: they must be told anew
             self._counters.trouble("lists_skipped", err)
-            self._stream.drop("unreadable")
+            if self._watch:
+                self._watch.drop("unreadable")
+
+    # Lists.
 
-    def _take(self, message: dict, how: str | None) -> None:
+    def _take(self, message: Mapping[str, object], kind: NodeListKind | None) -> None:
         instances, version = listed(message.get("instances")), whole(message.get("generation"))
-        how = how or ("full" if flag(message.get("reset")) else "delta")
+        if kind is None:
+            kind = NodeListKind.FULL if flag(message.get("reset")) else NodeListKind.DELTA
         entries = []
         for instance in instances:
             try:
-                entries.append(self._entry(mapping(instance)))
-            except Malformed as err:  # the others still stand
+                entries.append(self._read_entry(mapping(instance)))
+            except Malformed as err:  # the others still hold
                 self._counters.trouble("entries_skipped", err)
-        self._version, self._listed = version, how != "cached"
+        self._version, self._list_received = version, kind is not NodeListKind.CACHED
         self._counters.add("lists_in")
-        self._on_event(NodeListUpdate(how, entries))
+        self._on_event(NodeListUpdate(kind, entries))
 
-    def _entry(self, instance: dict) -> NodeEntry:
-        condition = CONDITION(instance.get("lifecycle"))
+    def _read_entry(self, instance: Mapping[str, object]) -> NodeEntry:
+        condition = read_condition(instance.get("lifecycle"))
         zone, cell = instance.get("zone"), instance.get("cell")
-        weight, started = instance.get("weight"), instance.get("startedAtMs")
+        weight, started, address = instance.get("weight"), instance.get("startedAtMs"), instance.get("hostPort")
         entry = NodeEntry(
-            self._ids.node(instance.get("instanceId")),
-            condition,
-            None if zone is None else self._ids.zone(zone),
-            None if cell is None else whole(cell),
-            1.0 if weight is None else count(weight),
-            self._loop.from_unix(time(started)) if started else None,
+            node=self._ids.node(instance.get("instanceId")),
+            condition=condition,
+            zone=None if zone is None else self._ids.zone(zone),
+            cell=None if cell is None else whole(cell),
+            weight=1.0 if weight is None else count(weight),
+            started_at=self._loop.from_unix(time(started)) if started else None,
         )
-        if isinstance(instance.get("hostPort"), str):
-            self.addresses[entry.node] = instance["hostPort"]
+        if isinstance(address, str):
+            self.addresses[entry.node] = address
         return entry
--- a/kestrelplank/assigner/operator_features.py
+++ b/kestrelplank/assigner/operator_features.py
@@ -1,14 +1,16 @@
-"""Parts of a conductor that only an operator's file brings, made here, so that without one none of them is loaded."""
+"""Features that only an operator's file brings, made here, so that without one nothing of them is loaded."""
 
 import time
+from collections.abc import Mapping
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.assigner.membership_gossip import MembershipGossip
 from kestrelplank.assigner.peer_datagrams import PeerDatagrams
 from kestrelplank.assigner.status_socket import StatusSocket
 from kestrelplank.decode import Ids
+from kestrelplank.interface import SECOND
 from kestrelplank.policy import Policy
-from kestrelplank.policy.node import NodeState
+from kestrelplank.policy.node import Node, NodeState
 from kestrelplank.settings.operator import Members as MembersFile
 from kestrelplank.settings.operator import Status as StatusFile
 from kestrelplank.sockets.loop import Loop
@@ -16,60 +18,87 @@
 from kestrelplank.state.membership import Membership, Terms
 
 
-def seen(policy: Policy, now: int) -> list[Seen]:
-    """The module's nodes, as sums over its reports."""
-    found = []
+def observed_nodes(policy: Policy, now: int) -> list[Seen]:
+    """Return the module's nodes, as means over its reports."""
+    observed = []
     for node in policy.nodes.values():
-        seconds = max(1, len(node.periods)) * policy.state.period_ns / 1e9
-        tries, failed = node.sums()[:2]
-        found.append(Seen(node.zone, node.usable(now), tries / seconds, (tries - failed) / seconds))
-    return found
+        seconds = max(1, len(node.periods)) * policy.state.period_ns / SECOND
+        sums = node.sums()
+        acknowledged = (sums.attempts - sums.failures) / seconds
+        observed.append(Seen(node.zone, node.usable(now), sums.attempts / seconds, acknowledged))
+    return observed
 
 
-def best(policy: Policy) -> float:
-    """Acks a second that a live node was seen to do at its best."""
-    return policy.shedder.best_acknowledged / (policy.state.period_ns / 1e9)
+def best_acknowledged_per_s(policy: Policy) -> float:
+    """Return what a usable node was seen to acknowledge in a second at its best."""
+    return policy.shedder.best_acknowledged / (policy.state.period_ns / SECOND)
 
 
-def membership(
-    loop: Loop, counters: Counters, file: MembersFile, settings: dict, policy: Policy, peers: PeerDatagrams | None
+def make_membership(
+    loop: Loop,
+    counters: Counters,
+    file: MembersFile,
+    settings: Mapping[str, int],
+    policy: Policy,
+    peers: PeerDatagrams | None,
 ) -> MembershipGossip | None:
-    """Membership, where the operator wants it and the platform's settings allow datagrams."""
+    """Return membership, where the operator wants it and the platform's settings allow datagrams."""
     if not file.on:
         return None
     if peers is None:
         counters.trouble("members_off", "the settings allow no datagrams between conductors")
         return None
     terms = Terms(file.every, file.suspect, file.dead, file.grace)
-    life = int(time.time()) & 0xFFFFFFFF  # higher than in any former one, unless the clock has been set back past it
-    core = Membership(loop.now(), settings["ordinal"], life, settings["conductors"], terms)
+    incarnation = int(time.time()) & 0xFFFFFFFF  # grows with each start, unless the clock has been set back past it
+    core = Membership(loop.now(), settings["ordinal"], incarnation, settings["conductors"], terms)
     return MembershipGossip(
-        loop, counters, core, file.every, peers.tell, lambda: seen(policy, loop.now()), lambda: best(policy)
+        loop,
+        counters,
+        core,
+        file.every,
+        peers.send,
+        lambda: observed_nodes(policy, loop.now()),
+        lambda: best_acknowledged_per_s(policy),
     )
 
 
-def shown(
+def make_status_socket(
     loop: Loop, file: StatusFile, policy: Policy, ids: Ids, members: MembershipGossip | None
 ) -> StatusSocket | None:
-    """The status socket, where the operator names one. Raises OSError."""
+    """Return the status socket, where the operator names one.
+
+    :raises OSError: it can't be listened at.
+    """
     if not file.socket:
         return None
 
-    def state() -> dict:
-        now = loop.now()
-        names = {index: name for name, index in ids.zones.items()}
-        zones: dict[str, dict] = {names[one.zone]: one._asdict() for one in zone_sums(seen(policy, now), best(policy))}
-        for node in policy.nodes.values():
-            if node.zone is not None:
-                held = zones[names[node.zone]]
-                held.pop("zone", None)
-                for what, is_so in (
-                    ("listed", node.state is NodeState.UP),
-                    ("withdrawn", node.withdrawn),
-                    ("barred", now < node.ejected_until),
-                    ("cold", policy.state.capacity_share(node, now) < 1.0),
-                ):
-                    held[what] = held.get(what, 0) + is_so
-        return {"slices": len(policy.slices), "zones": zones, "members": members.shown() if members else None}
-
-    return StatusSocket(loop, file.socket, state)
+    def status() -> dict[str, object]:
+        zones = zone_status(policy, ids, loop.now())
+        return {"slices": len(policy.slices), "zones": zones, "members": members.status() if members else None}
+
+    return StatusSocket(loop, file.socket, status)
+
+
+def zone_status(policy: Policy, ids: Ids, now: int) -> dict[str, dict[str, int]]:
+    """Return demand, capacity and numbers of nodes by the name of their zone."""
+    names = {index: name for name, index in ids.zones.items()}
+    zones = {
+        names[sums.zone]: {name: value for name, value in sums._asdict().items() if name != "zone"}
+        for sums in zone_sums(observed_nodes(policy, now), best_acknowledged_per_s(policy))
+    }
+    for node in policy.nodes.values():
+        if node.zone is not None:
+            zone = zones[names[node.zone]]
+            for condition, holds in node_conditions(policy, node, now).items():
+                zone[condition] = zone.get(condition, 0) + holds
+    return zones
+
+
+def node_conditions(policy: Policy, node: Node, now: int) -> dict[str, bool]:
+    """Return what is counted of nodes by zone."""
+    return {
+        "listed": node.state is NodeState.UP,
+        "withdrawn": node.withdrawn,
+        "barred": now < node.ejected_until,
+        "cold": policy.state.capacity_share(node, now) < 1.0,
+    }
--- a/kestrelplank/assigner/order_queue.py
+++ b/kestrelplank/assigner/order_queue.py
@@ -1,11 +1,13 @@
-"""Orders to the relay: one queue, one call out, and what may not have been carried out is sent again whole
-before anything newer. Orders set state, so carrying one out twice changes nothing.
+"""Orders to the relay: one queue, one call out.
 
-Nothing is sent while the news is away: a slice may have passed through other hands meanwhile, and what waits
-here for it must go before it can do harm.
+What may not have been carried out is sent again complete before anything newer. Orders set state, so carrying one out
+twice changes nothing. Nothing is sent while the updates of proxies are away: a slice may have passed through other
+hands meanwhile, and what waits here for it must go before it can do harm.
 """
 
 from collections import deque
+from collections.abc import Collection, Iterable, Mapping
+from typing import NamedTuple
 
 import msgspec
 
@@ -13,36 +15,51 @@
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, parsed
 from kestrelplank.interface import ALL_TABLES
 from kestrelplank.sockets.buffers import Pool
-from kestrelplank.sockets.http import DIAL, Client
-from kestrelplank.sockets.loop import Loop
+from kestrelplank.sockets.http import DIAL_TIMEOUT_NS, Client
+from kestrelplank.sockets.loop import Loop, Timer
 
-MOST_BYTES = 60_000  # of one call
-HEAD, TAIL = b'{"ops":[', b"]}"
-ANSWERS_WITHIN = 50 * NS_PER_MS  # the relay's own word; after that no answer comes any more
-SLACK = 30 * NS_PER_MS  # for the way there and back, and for our own lateness
-PAUSES = 20 * NS_PER_MS, 200 * NS_PER_MS  # before the same call again: at first, at the most
-MOST_WAITING = 1 << 18  # bytes; see `full`
-MOST_TRIES = 5  # of a call that the relay calls malformed: a defect of ours must not stop the queue
-MOST_ANSWER = 1 << 14
-MARKS = 65_536
 PATH = "/api/batches"
+HEAD, TAIL = b'{"ops":[', b"]}"
+MOST_CALL_BYTES = 60_000
+MOST_ANSWER_BYTES = 1 << 14
+MOST_QUEUED_BYTES = 1 << 18  # see `is_full`
+RELAY_ANSWER_TIMEOUT_NS = 50 * NS_PER_MS  # the relay's own word; after that no answer comes any more
+ANSWER_TIMEOUT_NS = RELAY_ANSWER_TIMEOUT_NS + 30 * NS_PER_MS  # with the way there and back, and our own lateness
+FIRST_RETRY_NS, LONGEST_RETRY_NS = 20 * NS_PER_MS, 200 * NS_PER_MS  # before the same call is sent again
+MOST_ATTEMPTS = 5  # of a call that the relay calls malformed: a defect of ours must not stop the queue
+MARKS = 65_536  # numbers of marks on the wire
+
 
+class Order(NamedTuple):
+    """An order as it is sent, and what it changes as far as the store keeps that."""
 
-def put(lines: dict[int, float], node: int, weight: float) -> None:
-    """What one line does to a table, as the store keeps it."""
+    encoded: bytes
+    table: int = ALL_TABLES
+    node: int | None = None
+    weight: float = 0.0
+
+
+def set_in_store(endpoints: dict[int, float], node: int, weight: float) -> None:
+    """Do to a table what one endpoint's order does in the store."""
     if weight:
-        lines[node] = weight
+        endpoints[node] = weight
     else:
-        lines.pop(node, None)
+        endpoints.pop(node, None)
 
 
-def fence(stamp: int, everyone: bool = True) -> dict:
+def fence(stamp: int, everyone: bool = True) -> dict[str, object]:
+    """Return the wire's order that asks proxies for an acknowledgement."""
     return {"verb": "fence", "stamp": stamp, "set": int(everyone)}
 
 
 class OrderQueue:
-    """Marks go out counted from `first_mark`, which is another at each start: an answer to a mark of a former
-    life then means none of ours, as the module counts from 0 each time."""
+    """Sends a round's orders as one call, and keeps account of what the store holds.
+
+    Marks go out counted from `first_mark`, which is another at each start: an answer to a mark of a former incarnation
+    then means none of ours, as the module counts its watermarks from 0 each time.
+
+    :param transit_ns: the longest way of an order to a proxy and of its acknowledgement back.
+    """
 
     def __init__(
         self,
@@ -53,234 +70,270 @@
         ids: Ids,
         op_types: list[str],
         first_mark: int,
-        transit: int = 0,
+        transit_ns: int = 0,
     ) -> None:
         self._loop, self._counters, self._ids, self._op_types = loop, counters, ids, op_types
-        self._first_mark, self._transit = first_mark, transit
-        self._client = Client(loop, pool, to, self, DIAL, MOST_ANSWER)
-        # An order is (encoded, table, node, weight): what it changes, as far as the store keeps that.
-        self._round: list[tuple] = []  # what the present round has ordered
-        self._queue: deque[list[tuple]] = deque()  # calls to be made, the first of them may be out
-        self._store: dict[int, dict[int, float]] = {}  # lines of our slices, as told and as answered for
-        self._waiting, self._pause, self._tries, self._held = 0, PAUSES[0], 0, True
-        self._last_mark: int | None = None
-        self._behind: dict[bytes, int] = {}  # a mark that waits here, to how long nobody can answer it once it is sent
+        self._first_mark, self._transit_ns = first_mark, transit_ns
+        self._client = Client(loop, pool, to, self, DIAL_TIMEOUT_NS, MOST_ANSWER_BYTES)
+        self._round: list[Order] = []  # what the present round has ordered
+        self._queue: deque[list[Order]] = deque()  # calls to be made, the first of them may be out
+        self._queued_bytes = 0
+        self._store: dict[int, dict[int, float]] = {}  # endpoints of our slices, as told and as answered for
+        self._suspended = True  # updates of proxies are away
+        self._answer: tuple[int, bytes] | None = None  # came while suspended
+        self._retry_timer: Timer | None = None  # set while the first call's outcome is unknown
+        self._retry_ns, self._attempts = FIRST_RETRY_NS, 0
+        self._last_watermark: int | None = None
+        self._backlog_ns: dict[bytes, int] = {}  # by fence that is queued: how long nobody can answer it once sent
         self._outdated: set[int] = set()  # slices lost or given while the call that may order for them is out
-        self._timer = None
-        self._answer: tuple[int, bytes] | None = None  # came while the news was away
 
     def move(self, to: str) -> None:
+        """Send calls to the relay at another address."""
         self._client.move(to)
 
-    def full(self) -> bool:
-        """No further round should be held while so much waits: against a relay that is away for long while
-        nothing else slows the module down."""
-        return self._waiting > MOST_WAITING
+    def is_full(self) -> bool:
+        """Whether no further round should be held.
+
+        Against a relay that is away for long while nothing else slows the module down.
+        """
+        return self._queued_bytes > MOST_QUEUED_BYTES
+
+    def close(self) -> None:
+        """Send nothing more."""
+        if self._retry_timer:
+            self._retry_timer.cancel()
+        self._client.close()
 
     # What the module orders.
 
     def set_endpoint(self, table: int, node: int, weight: float) -> None:
+        """Order one endpoint of a table."""
         name = self._ids.node_ids[node]
-        self._order({"verb": "put", "cluster": table, "endpoint": name, "w": weight}, table, node, weight)
+        self._add({"verb": "put", "cluster": table, "endpoint": name, "w": weight}, table, node, weight)
 
     def clear_table(self, table: int) -> None:
-        self._order({"verb": "wipe", "cluster": table}, table)
+        """Order that a table is emptied."""
+        self._add({"verb": "wipe", "cluster": table}, table)
 
     def set_withdrawn(self, node: int, withdrawn: bool) -> None:
-        self._order({"verb": "eject" if withdrawn else "uneject", "endpoint": self._ids.node_ids[node]})
+        """Order that a node is withdrawn, or let in again."""
+        self._add({"verb": "eject" if withdrawn else "uneject", "endpoint": self._ids.node_ids[node]})
 
     def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
-        order = {"verb": "gate", "cluster": "*" if table == ALL_TABLES else table, "gate": share, "again": retry_mode}
+        """Order the share let in and the way of trying again."""
+        cluster = "*" if table == ALL_TABLES else table
+        order: dict[str, object] = {"verb": "gate", "cluster": cluster, "gate": share, "again": retry_mode}
         if op_types:
-            order["for"] = [name for place, name in enumerate(self._op_types) if op_types >> place & 1]
-        self._order(order, table, None, 1.0)
+            order["for"] = [name for index, name in enumerate(self._op_types) if op_types >> index & 1]
+        self._add(order, table, None, 1.0)
 
     def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:
-        self._last_mark = watermark
-        stamp = (watermark + self._first_mark) % MARKS
-        self._order(fence(stamp, everyone))
-        self._behind[self._round[-1][0]] = backlog_ns
+        """Order that proxies acknowledge what this round has ordered."""
+        self._last_watermark = watermark
+        self._add(fence((watermark + self._first_mark) % MARKS, everyone))
+        self._backlog_ns[self._round[-1].encoded] = backlog_ns
 
-    def marked(self, stamp: int) -> int:
-        """The mark that the module knows by that stamp."""
-        return (stamp - self._first_mark) % MARKS
+    def watermark_of(self, mark: int) -> int:
+        """Return the watermark that the module knows by that mark of the wire."""
+        return (mark - self._first_mark) % MARKS
 
-    def _order(self, order: dict, table: int = ALL_TABLES, node: int | None = None, weight: float = 0.0) -> None:
+    def _add(
+        self, order: Mapping[str, object], table: int = ALL_TABLES, node: int | None = None, weight: float = 0.0
+    ) -> None:
         self._counters.add("orders_in")
-        self._round.append((msgspec.json.encode(order), table, node, weight))
+        self._round.append(Order(msgspec.json.encode(order), table, node, weight))
 
     def close_round(self) -> None:
-        """What one round ordered is one call, unless it is too long; calls are never merged, so a mark proves
-        what its round ordered and nothing later."""
+        """Queue what the round ordered as one call, or as several where it is too long.
+
+        Calls are never merged, so a mark proves what its round ordered and nothing later.
+        """
         orders, self._round = self._round, []
-        size, call = MOST_BYTES, []
+        call: list[Order] = []
+        size = MOST_CALL_BYTES
         for order in orders:
-            if size + len(order[0]) + 1 > MOST_BYTES:
+            if size + len(order.encoded) + 1 > MOST_CALL_BYTES:
                 size, call = len(HEAD) + len(TAIL), []
                 self._queue.append(call)
             call.append(order)
-            size += len(order[0]) + 1
-            self._waiting += len(order[0])
-        self._next()
+            size += len(order.encoded) + 1
+            self._queued_bytes += len(order.encoded)
+        self._send_next()
 
     def forget(self, node: int) -> None:
+        """Release a node's name."""
         self._ids.forget(node)
 
-    # What the news tells.
+    # What the updates of proxies tell.
+
+    def suspend(self) -> None:
+        """Send nothing: the updates are away."""
+        self._suspended = True
 
-    def hold(self, held: bool) -> None:
-        self._held = held
-        if not held and self._answer:
+    def resume(self) -> None:
+        """Go on: the updates have told all that holds."""
+        self._suspended = False
+        if self._answer:
             answer, self._answer = self._answer, None
-            self._end(*answer)
-        self._next()
+            self._take_answer(*answer)
+        self._send_next()
 
-    def given(self, number: int) -> None:
-        """The slice's lines are told anew; what waits for it was decided on others."""
-        self._forget(number)
+    def slice_given(self, number: int) -> None:
+        """Take that a slice's endpoints are told anew; what waits for it was decided on others."""
+        self._drop_orders_for(number)
         self._store[number] = {}
 
-    def taken_back(self, number: int) -> None:
-        self._forget(number)
+    def slice_taken_back(self, number: int) -> None:
+        """Take that a slice is ours no longer."""
+        self._drop_orders_for(number)
         self._store.pop(number, None)
 
-    def stands(self, number: int, node: int, weight: float) -> None:
-        put(self._store.setdefault(number, {}), node, weight)
+    def endpoint_stored(self, number: int, node: int, weight: float) -> None:
+        """Take one endpoint that the store holds."""
+        set_in_store(self._store.setdefault(number, {}), node, weight)
 
-    def agrees(self, number: int, lines: dict[int, float]) -> bool:
-        """Whether the store may hold these lines by our orders alone, with the call of unknown outcome or
-        without it."""
+    def explains(self, number: int, endpoints: Mapping[int, float]) -> bool:
+        """Whether the store may hold these by our orders alone, with the call of unknown outcome or without it."""
         held = dict(self._store.get(number, {}))
-        if held == lines:
+        if held == endpoints:
             return True
         for order in self._queue[0] if self._queue else ():
             self._apply(held, number, order)
-        return held == lines
+        return held == endpoints
+
+    def request_lost_acknowledgements(self, acknowledged: Iterable[int]) -> None:
+        """Ask again for the answers to the last watermark that were lost with the updates.
+
+        The module would wait for them and order nothing more.
 
-    def ask_again(self, told: list[int]) -> None:
-        """For the answers to the last mark that were lost with the news, by what each proxy was told to have
-        applied: the module would wait for them and order nothing more."""
-        last = self._last_mark
-        if last is not None and not self._queue and any(mark != last for mark in told):
+        :param acknowledged: the last watermark that each proxy is known to have applied.
+        """
+        last = self._last_watermark
+        if last is not None and not self._queue and any(watermark != last for watermark in acknowledged):
             self._counters.add("marks_asked_again")
             self.request_acknowledgement(last, True)
             self.close_round()
 
-    def _forget(self, number: int) -> None:
-        """Drops what waits for a slice; of the call that is out, when it turns out to be sent again."""
+    def mark_acknowledged(self, mark: int) -> None:
+        """Take that a proxy has answered a mark.
+
+        Where it ends the call of unknown outcome, the call was carried out: it is not sent again, as its orders would
+        wait in the channel twice (rule 5).
+        """
+        if self._retry_timer and self._queue and self._queue[0][-1].encoded == msgspec.json.encode(fence(mark)):
+            self._counters.add("calls_proved")
+            self._retry_timer.cancel()
+            self._retry_timer = None
+            self._carried_out(len(self._queue[0]))
+            self._call_ended()
+
+    def _drop_orders_for(self, number: int) -> None:
+        """Drop what waits for a slice; of the call that is out, when it turns out to be sent again."""
         for call in self._queue:
             if call is self._queue[0] and (self._client.busy or self._answer):
                 self._outdated.add(number)
             else:
-                self._shed(call, {number})
+                self._drop_outdated(call, {number})
 
-    def _shed(self, call: list[tuple], outdated: set[int]) -> None:
-        stale = [order for order in call if order[1] in outdated]
-        if stale:
-            self._counters.add("orders_outdated", len(stale))
-            self._waiting -= sum(len(order[0]) for order in stale)
-            call[:] = [order for order in call if order[1] not in outdated]
+    def _drop_outdated(self, call: list[Order], slices: Collection[int]) -> None:
+        outdated = [order for order in call if order.table in slices]
+        if outdated:
+            self._counters.add("orders_outdated", len(outdated))
+            self._queued_bytes -= sum(len(order.encoded) for order in outdated)
+            call[:] = [order for order in call if order.table not in slices]
 
-    def _apply(self, lines: dict[int, float], number: int, order: tuple) -> None:
-        _, table, node, weight = order
-        if table == number and node is not None:
-            put(lines, node, weight)
-        elif table == number and not weight:
-            lines.clear()
+    def _apply(self, endpoints: dict[int, float], number: int, order: Order) -> None:
+        if order.table == number and order.node is not None:
+            set_in_store(endpoints, order.node, order.weight)
+        elif order.table == number and not order.weight:
+            endpoints.clear()
 
-    # The queue.
+    # Calls.
 
-    def _next(self) -> None:
+    def _send_next(self) -> None:
         while self._queue and not self._queue[0]:
             self._queue.popleft()
         if not self._queue:
-            self._behind.clear()
-        if self._queue and not self._client.busy and self._timer is None and not self._held:
+            self._backlog_ns.clear()
+        if self._queue and not self._client.busy and self._retry_timer is None and not self._suspended:
             self._counters.add("calls_sent")
-            body = HEAD + b",".join(order[0] for order in self._queue[0]) + TAIL
-            self._client.call("POST", PATH, body, ANSWERS_WITHIN + SLACK)
-
-    def proved(self, stamp: int) -> None:
-        """A proxy has answered that mark. Where it ends the call of unknown outcome, the call was carried out: it
-        stands, and is not sent again, as its lines would wait in the channel twice (rule 5)."""
-        if self._timer and self._queue and self._queue[0][-1][0] == msgspec.json.encode(fence(stamp)):
-            self._counters.add("calls_proved")
-            self._timer.cancel()
-            self._timer = None
-            self._taken(len(self._queue[0]))
-            self._settled()
-
-    def _again(self, name: str, why: str) -> None:
-        self._shed(self._queue[0], self._outdated)
-        self._outdated.clear()
-        self._counters.trouble(name, why, waiting=len(self._queue))
-        # Time enough for a proxy to prove that it was carried out: `transit` is the longest way, as the first answer
-        # often takes more than the mean. To wait for what is before it in the channel costs nothing, as that must
-        # leave first in either case.
-        last = self._queue[0][-1][0] if self._queue[0] else b""
-        pause = max(self._pause, self._transit + self._behind.get(last, 0))
-        self._timer = self._loop.at(self._loop.now() + pause, self._resume)
-        self._pause = min(2 * self._pause, PAUSES[1])
-
-    def _resume(self) -> None:
-        self._timer = None
-        if not self._held:
-            self._counters.add("calls_resent")
-        self._next()
-
-    def _taken(self, number: int) -> None:
-        """The first so many orders of the call that was out stand in the store."""
-        call = self._queue[0]
-        self._counters.add("orders_taken", number)
-        for order in call[:number]:
-            if order[1] in self._store:
-                self._apply(self._store[order[1]], order[1], order)
-        self._drop(number)
-
-    def _drop(self, number: int) -> None:
-        self._waiting -= sum(len(order[0]) for order in self._queue[0][:number])
-        del self._queue[0][:number]
+            body = HEAD + b",".join(order.encoded for order in self._queue[0]) + TAIL
+            self._client.call("POST", PATH, body, ANSWER_TIMEOUT_NS)
 
     def on_answer(self, status: int, body: bytes) -> None:
-        """One that comes while the news is away waits: what stands may be told as before that call or as after
-        it, and `agrees` must allow for both."""
-        if self._held:
+        """Take the relay's answer.
+
+        One that comes while suspended waits: what holds may be told as before that call or as after it, and `explains`
+        must allow for both.
+        """
+        if self._suspended:
             self._answer = status, body
         else:
-            self._end(status, body)
+            self._take_answer(status, body)
+
+    def on_broken(self, why: str) -> None:
+        """Take that no answer came."""
+        self._retry_later("calls_broken", why)
 
-    def _end(self, status: int, body: bytes) -> None:
+    def _take_answer(self, status: int, body: bytes) -> None:
         try:
             answer = parsed(body)
         except Malformed:
             answer = None
-        taken = answer.get("ok_count") if isinstance(answer, dict) else None
-        call = self._queue[0]
+        fields = answer if isinstance(answer, dict) else {}
+        taken, call = fields.get("ok_count"), self._queue[0]
         if not isinstance(taken, int) or isinstance(taken, bool) or not 0 <= taken <= len(call):
-            error = answer.get("error") if isinstance(answer, dict) else None
-            self._tries += error == "malformed"
-            if self._tries < MOST_TRIES:
-                name = "calls_limited" if error == "limit" else "calls_unreadable"
-                self._again(name, f"status {status}: {body[:80]!r}")
-                return
-            self._counters.trouble("calls_given_up", f"status {status}: {body[:80]!r}")
-            self._drop(len(call))
-        else:
-            self._taken(taken)
-            if call:
-                self._counters.trouble("orders_dropped", f"not taken: {call[0][0]!r}")
-                self._drop(1)  # the relay can't use that one; what stands behind it still counts
-        self._settled()
-
-    def _settled(self) -> None:
+            self._take_error(fields.get("error"), f"status {status}: {body[:80]!r}")
+            return
+        self._carried_out(taken)
+        if call:
+            self._counters.trouble("orders_dropped", f"not taken: {call[0].encoded!r}")
+            self._remove_first(1)  # the relay can't use that one; what comes behind it still counts
+        self._call_ended()
+
+    def _take_error(self, error: object, why: str) -> None:
+        """Send the call again, but not for ever where the relay finds it malformed."""
+        self._attempts += error == "malformed"
+        if self._attempts < MOST_ATTEMPTS:
+            self._retry_later("calls_limited" if error == "limit" else "calls_unreadable", why)
+            return
+        self._counters.trouble("calls_given_up", why)
+        self._remove_first(len(self._queue[0]))
+        self._call_ended()
+
+    def _retry_later(self, counter: str, why: str) -> None:
+        """Send the first call again after a while, unless a proxy proves meanwhile that it was carried out.
+
+        `transit_ns` is the longest way, as the first answer often takes more than the mean. To wait for what is before
+        the call in the channel costs nothing, as that must leave first in either case.
+        """
+        self._drop_outdated(self._queue[0], self._outdated)
         self._outdated.clear()
-        self._tries, self._pause = 0, PAUSES[0]
-        self._next()
+        self._counters.trouble(counter, why, waiting=len(self._queue))
+        last = self._queue[0][-1].encoded if self._queue[0] else b""
+        pause_ns = max(self._retry_ns, self._transit_ns + self._backlog_ns.get(last, 0))
+        self._retry_timer = self._loop.at(self._loop.now() + pause_ns, self._retry)
+        self._retry_ns = min(2 * self._retry_ns, LONGEST_RETRY_NS)
+
+    def _retry(self) -> None:
+        self._retry_timer = None
+        if not self._suspended:
+            self._counters.add("calls_resent")
+        self._send_next()
 
-    def on_broken(self, why: str) -> None:
-        self._again("calls_broken", why)
+    def _carried_out(self, number: int) -> None:
+        """Apply the first so many orders of the call that was out to the store."""
+        self._counters.add("orders_taken", number)
+        for order in self._queue[0][:number]:
+            if order.table in self._store:
+                self._apply(self._store[order.table], order.table, order)
+        self._remove_first(number)
 
-    def close(self) -> None:
-        if self._timer:
-            self._timer.cancel()
-        self._client.close()
+    def _remove_first(self, number: int) -> None:
+        self._queued_bytes -= sum(len(order.encoded) for order in self._queue[0][:number])
+        del self._queue[0][:number]
+
+    def _call_ended(self) -> None:
+        self._outdated.clear()
+        self._attempts, self._retry_ns = 0, FIRST_RETRY_NS
+        self._send_next()
--- a/kestrelplank/assigner/peer_datagrams.py
+++ b/kestrelplank/assigner/peer_datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams between the conductors of a tier."""
+"""Datagrams between the assigners of a tier."""
 
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, shared, shares
@@ -9,11 +9,18 @@
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import READ, Loop
 
-MOST_BYTES = 256
+MOST_BYTES = 256  # of a datagram
 MOST_AT_ONCE = 64  # read in one pass, so that a flood of them can't hold up the rest
 
 
 class PeerDatagrams:
+    """Sends datagrams to peers, and hears no strangers.
+
+    :param listen: our own address.
+    :param peers: addresses of the peers, by number.
+    :param everyone: the address that reaches all of them; empty where there is none.
+    """
+
     def __init__(
         self,
         loop: Loop,
@@ -31,8 +38,11 @@
         self._sock.bind(address(listen))
         loop.watch(self._sock, READ, self._ready)
 
-    def tell(self, peer: int | None, body: bytes) -> None:
-        to = self._everyone if peer is None else self._peers[peer] if peer < len(self._peers) else None
+    def send(self, peer: int | None, body: bytes) -> None:
+        """Send a datagram to a peer, or to all where `peer` is None."""
+        to = self._everyone
+        if peer is not None:
+            to = self._peers[peer] if peer < len(self._peers) else None
         if to is None or len(body) > MOST_BYTES:
             self._counters.trouble("datagrams_not_sent", "too long" if to else "no such peer")
             return
@@ -42,11 +52,12 @@
         except OSError as err:  # they may be lost anyway
             self._counters.trouble("datagrams_not_sent", err)
 
-    def share(self, parts: dict[int, float]) -> None:
-        for body in shares(parts, self._ids.node_ids):
-            self.tell(None, body)
+    def share_loads(self, loads: Mapping[int, float]) -> None:
+        """Send loads, ops a second by node, to all."""
+        for body in shares(loads, self._ids.node_ids):
+            self.send(None, body)
 
-    def _ready(self, events: int) -> None:
+    def _ready(self, events: int) -> None:  # noqa: ARG002  the loop's callback
         for _ in range(MOST_AT_ONCE):
             try:
                 body, sender = self._sock.recvfrom(MOST_BYTES + 1)
@@ -55,13 +66,17 @@
             except OSError as err:  # what came back for one that we sent
                 self._counters.trouble("datagrams_failed", err)
                 return
-            if sender not in self._peers or len(body) > MOST_BYTES:
-                self._counters.trouble("datagrams_skipped", f"{len(body)} bytes from {sender}")
-                continue
-            self._counters.add("peer_in")
-            parts, number = shared(body, self._ids), self._peers.index(sender)
-            self._on_event(PeerMessage(number, body) if parts is None else PeerLoads(number, parts))
+            self._take(body, sender)
+
+    def _take(self, body: bytes, sender: tuple[str, int]) -> None:
+        if sender not in self._peers or len(body) > MOST_BYTES:
+            self._counters.trouble("datagrams_skipped", f"{len(body)} bytes from {sender}")
+            return
+        self._counters.add("peer_in")
+        loads, number = shared(body, self._ids), self._peers.index(sender)
+        self._on_event(PeerMessage(number, body) if loads is None else PeerLoads(number, loads))
 
     def close(self) -> None:
+        """Give the socket back."""
         self._loop.forget(self._sock)
         self._sock.close()
--- a/kestrelplank/assigner/proxy_updates.py
+++ b/kestrelplank/assigner/proxy_updates.py
@@ -1,27 +1,35 @@
-"""The relay's news: which proxies have joined, which slices are ours, what the store holds, what is applied.
+"""The relay's updates: which proxies have joined, which slices are ours, what the store holds, what is applied.
 
-A new stream first tells all that stands. What is new in it is told to the module at once; what is known is
-held against it once all has been told: proxies not named are gone, slices not named are taken back, and a
-slice whose lines are not those that we ordered has passed through other hands.
+A new stream first tells all that holds. What is new in it becomes an event at once; what is known is reconciled once
+all has been told: proxies not named are gone, slices not named are taken back, and a slice whose endpoints are not
+those that we ordered has passed through other hands.
 """
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, mapping, parsed, text, time, whole
-from kestrelplank.interface import EndpointStored, Event, ProxyJoined, ProxyLeft, SliceOwnership, WatermarkAcknowledged
+from kestrelplank.interface import (
+    EndpointStored,
+    Event,
+    ProxyJoined,
+    ProxyLeft,
+    SliceOwnership,
+    WatermarkAcknowledged,
+)
 from kestrelplank.sockets.buffers import Pool
-from kestrelplank.sockets.http import DIAL, Stream
-from kestrelplank.sockets.loop import Loop
+from kestrelplank.sockets.http import Stream, StreamLimits
+from kestrelplank.sockets.loop import Loop, Timer
 
 PATH = "/api/stream"
-SILENCE = 1600 * NS_PER_MS  # a sign of life comes each second
-PAUSES = 10 * NS_PER_MS, 250 * NS_PER_MS
-MOST_LINE = 1 << 20
-QUIET = 150 * NS_PER_MS  # ends what stands, or a slice's lines: nothing else marks it, and they come in one burst
-
+STREAM_LIMITS = StreamLimits(
+    silence_ns=1600 * NS_PER_MS,  # a sign of life comes each second
+    first_pause_ns=10 * NS_PER_MS,
+    longest_pause_ns=250 * NS_PER_MS,
+    most_line_bytes=1 << 20,
+)
+QUIET_NS = 150 * NS_PER_MS  # ends what holds, or a slice's endpoints: nothing else marks it, and they come in one burst
 COUNTER_NAMES: dict[type[Event], str] = {
     ProxyJoined: "joined_in",
     ProxyLeft: "left_in",
@@ -29,19 +37,28 @@
     SliceOwnership: "tenure_in",
     EndpointStored: "line_in",
 }
+NOTHING_APPLIED = -1
 
 
-class Picture:
+class Reconciliation:
     """What a new stream has named so far of what we knew."""
 
     def __init__(self, now: int) -> None:
-        self.proxies: dict[int, ProxyJoined | None] = {}  # proxy to how it joined; without that where it is new
-        self.slices: dict[int, dict[int, float] | None] = {}  # slice to its lines; None where it is new
+        self.proxies: dict[int, ProxyJoined | None] = {}  # None where the proxy is new
+        self.slices: dict[int, dict[int, float] | None] = {}  # endpoints; None where the slice is new
         self.heard_at, self.empty = now, True
 
 
 class ProxyUpdates:
-    def __init__(
+    """Turns the relay's stream into events.
+
+    No order leaves between a break of the stream and the end of the reconciliation (tests/test_net.py).
+
+    :param proxies: how many there may be.
+    :param slices: how many there are.
+    """
+
+    def __init__(  # noqa: PLR0913, PLR0917  made once, by the program
         self,
         loop: Loop,
         pool: Pool,
@@ -55,182 +72,219 @@
     ) -> None:
         self._loop, self._counters, self._ids, self._on_event = loop, counters, ids, on_event
         self._proxies, self._slices, self._orders = proxies, slices, orders
-        self._joined: dict[int, int] = {}  # proxy to the last mark it was told to have applied
-        self._held: dict[int, bool] = {}  # slices in our charge
-        self._picture: Picture | None = None
-        self._giving: list[SliceOwnership | EndpointStored] = []  # a slice given, and its lines so far
-        self._timer = self._given = None
-        self._stream = Stream(
-            loop, pool, to, lambda: PATH, self.take, self.start, self.end, DIAL, SILENCE, PAUSES, MOST_LINE
-        )
+        self._applied: dict[int, int] = {}  # by joined proxy: the last watermark it is known to have applied
+        self._owned: dict[int, None] = {}  # slices, in the order in which they were given
+        self._reconciliation: Reconciliation | None = None  # while a new stream tells what holds
+        self._quiet_timer: Timer | None = None
+        self._new_slice: list[SliceOwnership | EndpointStored] = []  # a slice given, and its endpoints so far
+        self._new_slice_timer: Timer | None = None
+        self._readers: dict[object, Callable[[Mapping[str, object]], None]] = {
+            "attach": self._take_joined_proxy,
+            "detach": self._take_left_proxy,
+            "done": self._take_acknowledgement,
+            "owner": self._take_ownership,
+            "entry": self._take_endpoint,
+        }
+        self._stream = Stream(loop, pool, to, self, STREAM_LIMITS)
 
     def move(self, to: str) -> None:
+        """Follow the relay at another address."""
         self._stream.move(to)
 
     def close(self) -> None:
-        self._cancel()
+        """End the stream."""
+        self._cancel_timers()
         self._stream.close()
 
-    def _cancel(self) -> None:
-        for timer in (self._timer, self._given):
+    def _cancel_timers(self) -> None:
+        for timer in (self._quiet_timer, self._new_slice_timer):
             if timer:
                 timer.cancel()
 
     # The stream's callbacks.
 
-    def start(self) -> None:
+    def stream_path(self) -> str:
+        """Return the path of the stream."""
+        return PATH
+
+    def on_stream_start(self) -> None:
+        """Begin to reconcile what the stream tells with what we knew."""
         self._counters.add("news_started")
-        self._picture = Picture(self._loop.now())
-        self._timer = self._loop.at(self._loop.now() + QUIET, self._listen)
+        self._reconciliation = Reconciliation(self._loop.now())
+        self._quiet_timer = self._loop.at(self._loop.now() + QUIET_NS, self._check_quiet)
 
-    def end(self, why: str) -> None:
+    def on_stream_end(self, why: str) -> None:
+        """Hold orders back until a new stream has told what holds."""
         self._counters.trouble("news_broken", why)
-        self._tell_given()
-        self._picture = None
-        self._cancel()
-        self._orders.hold(True)
+        self._emit_new_slice()
+        self._reconciliation = None
+        self._cancel_timers()
+        self._orders.suspend()
 
-    def take(self, line: bytes) -> None:
+    def on_stream_line(self, line: bytes) -> None:
+        """Take one update; what can be read but not used is skipped."""
         if not line.strip():
             return
         try:
             message = mapping(parsed(line))
-        except Malformed as err:  # whatever it told is lost: what stands must be told anew
+        except Malformed as err:  # whatever it told is lost: what holds must be told anew
             self._counters.trouble("news_unreadable", err)
             self._stream.drop("unreadable")
             return
         kind = message.get("type")
         if kind != "entry":
-            self._tell_given()
+            self._emit_new_slice()
         try:
             if message:
                 self._take(kind, mapping(message.get("object")))
-            else:
-                self._whole()
+            else:  # a sign of life is no part of what holds
+                self._reconcile()
         except Malformed as err:
             self._counters.trouble("news_skipped", err)
 
-    def _listen(self) -> None:
-        if self._picture is not None:
-            quiet = self._loop.now() - self._picture.heard_at >= QUIET
-            if quiet and not self._picture.empty:
-                self._whole()
+    # Reconciliation.
+
+    def _check_quiet(self) -> None:
+        if self._reconciliation is not None:
+            quiet = self._loop.now() - self._reconciliation.heard_at >= QUIET_NS
+            if quiet and not self._reconciliation.empty:
+                self._reconcile()
             else:
-                self._timer = self._loop.at(self._loop.now() + QUIET, self._listen)
+                self._quiet_timer = self._loop.at(self._loop.now() + QUIET_NS, self._check_quiet)
 
-    def _whole(self) -> None:
-        """All that stands has been told."""
-        picture, self._picture = self._picture, None
-        if picture is None:
+    def _reconcile(self) -> None:
+        """End the reconciliation, if there is one: all that holds has been told."""
+        told, self._reconciliation = self._reconciliation, None
+        if told is None:
             return
-        self._tell_given()
-        for proxy in [proxy for proxy in self._joined if proxy not in picture.proxies]:
-            del self._joined[proxy]
-            self._tell(ProxyLeft(proxy))
-        for number in [number for number in self._held if number not in picture.slices]:
+        self._emit_new_slice()
+        for proxy in [proxy for proxy in self._applied if proxy not in told.proxies]:
+            del self._applied[proxy]
+            self._emit(ProxyLeft(proxy))
+        for number in [number for number in self._owned if number not in told.slices]:
             self._take_back(number)
-        for number, lines in picture.slices.items():
-            if lines is not None and not self._orders.agrees(number, lines):
-                self._counters.add("slices_given_anew")
-                self._take_back(number)
-                self._give(number)
-                for node, weight in lines.items():
-                    self._line(number, node, weight)
-                self._tell_given()
-        known = [event for event in picture.proxies.values() if event]
-        for event in known:
+        for number, endpoints in told.slices.items():
+            if endpoints is not None and not self._orders.explains(number, endpoints):
+                self._take_up_anew(number, endpoints)
+        known = [joined for joined in told.proxies.values() if joined]
+        for joined in known:
             # It may have lost its stream and dialled again while we heard nothing, and have missed orders that
             # no store keeps: the module tells a proxy that joins, if not afresh, what is withdrawn (rule 3).
-            self._tell(event)
-        self._orders.hold(False)
-        self._orders.ask_again([self._joined[event.proxy] for event in known])
+            self._emit(joined)
+        self._orders.resume()
+        self._orders.request_lost_acknowledgements([self._applied[joined.proxy] for joined in known])
 
-    # The lines.
+    def _take_up_anew(self, number: int, endpoints: Mapping[int, float]) -> None:
+        """Take a slice that has passed through other hands for one given anew."""
+        self._counters.add("slices_given_anew")
+        self._take_back(number)
+        self._give(number)
+        for node, weight in endpoints.items():
+            self._store_endpoint(number, node, weight)
+        self._emit_new_slice()
 
-    def _tell(self, event: Event) -> None:
+    # Events.
+
+    def _emit(self, event: Event) -> None:
         self._counters.add(COUNTER_NAMES[type(event)])
         self._on_event(event)
 
     def _give(self, number: int) -> None:
-        """Told when its lines have come: bytes may come in pieces, and the module would find lines for a slice
-        that looks bare."""
-        self._held[number] = True
-        self._orders.given(number)
-        self._giving = [SliceOwnership(number, True)]
-        self._given = self._loop.at(self._loop.now() + QUIET, self._tell_given)
-
-    def _tell_given(self) -> None:
-        if self._giving:
-            self._given.cancel()
-            giving, self._giving = self._giving, []
-            for event in giving:
-                self._tell(event)
+        """Take a slice; the event waits for its endpoints.
+
+        Bytes may come in pieces, and the module would find endpoints for a slice that looks bare.
+        """
+        self._owned[number] = None
+        self._orders.slice_given(number)
+        self._new_slice = [SliceOwnership(number, True)]
+        self._new_slice_timer = self._loop.at(self._loop.now() + QUIET_NS, self._emit_new_slice)
+
+    def _emit_new_slice(self) -> None:
+        if self._new_slice:
+            if self._new_slice_timer:
+                self._new_slice_timer.cancel()
+            events, self._new_slice = self._new_slice, []
+            for event in events:
+                self._emit(event)
 
     def _take_back(self, number: int) -> None:
-        self._held.pop(number, None)
-        self._orders.taken_back(number)
-        self._tell(SliceOwnership(number, False))
-
-    def _line(self, number: int, node: int, weight: float) -> None:
-        self._orders.stands(number, node, weight)
-        if self._giving and self._giving[0].slice == number:
-            self._giving.append(EndpointStored(number, node, weight))
-        else:
-            self._tell(EndpointStored(number, node, weight))
-
-    def _below(self, value: Any, most: int) -> int:
-        if whole(value) >= most:
-            raise Malformed(f"{value} is not below {most}")
-        return value
-
-    def _take(self, kind: Any, fields: dict) -> None:
-        if kind in ("done", "detach") or kind == "owner" and fields.get("set") is False:
-            self._whole()  # these are never part of what stands
-        picture = self._picture
-        if picture:
-            picture.heard_at, picture.empty = self._loop.now(), False
-        if kind == "attach":
-            proxy = self._below(fields.get("node"), self._proxies)
-            zone, rate = self._ids.zone(fields.get("locality")), count(fields.get("w"))
-            fresh = flag(fields.get("cold"))
-            if picture and proxy in self._joined:
-                picture.proxies[proxy] = ProxyJoined(proxy, zone, rate, False)
-                return
-            if picture:
-                picture.proxies[proxy] = None
-            elif proxy in self._joined:  # its earlier stream has ended, with all that was on its way there
-                self._tell(ProxyLeft(proxy))
-            self._joined[proxy] = -1
-            self._tell(ProxyJoined(proxy, zone, rate, fresh))
-        elif kind == "detach":
-            proxy = self._below(fields.get("node"), self._proxies)
-            if self._joined.pop(proxy, None) is not None:
-                self._tell(ProxyLeft(proxy))
-        elif kind == "done":
-            proxy = self._below(fields.get("node"), self._proxies)
-            stamp = whole(fields.get("nonce"))
-            mark = self._orders.marked(stamp)
-            self._orders.proved(stamp)
-            # A call that was sent again puts its mark into two messages; the second answer would count twice.
-            if self._joined.get(proxy, mark) != mark:
-                self._joined[proxy] = mark
-                self._tell(WatermarkAcknowledged(proxy, mark, time(fields.get("latency"))))
-        elif kind == "owner":
-            number, held = self._below(fields.get("shard"), self._slices), flag(fields.get("set"))
-            if held and picture:
-                picture.slices[number] = {} if number in self._held else None
-            if held and not (picture and number in self._held):
-                self._give(number)
-            elif not held and number in self._held:
-                self._take_back(number)
-        elif kind == "entry":
-            number, weight = self._below(fields.get("shard"), self._slices), count(fields.get("w"))
-            if number not in self._held:
-                raise Malformed(f"a line of slice {number}, which is not ours")
-            node = self._ids.node(fields.get("endpoint"))
-            if picture and picture.slices.get(number) is not None:
-                picture.slices[number][node] = weight
-            else:
-                self._line(number, node, weight)
+        self._owned.pop(number, None)
+        self._orders.slice_taken_back(number)
+        self._emit(SliceOwnership(number, False))
+
+    def _store_endpoint(self, number: int, node: int, weight: float) -> None:
+        self._orders.endpoint_stored(number, node, weight)
+        event = EndpointStored(number, node, weight)
+        if self._new_slice and self._new_slice[0].slice == number:
+            self._new_slice.append(event)
         else:
+            self._emit(event)
+
+    # Updates, by kind.
+
+    def _take(self, kind: object, fields: Mapping[str, object]) -> None:
+        if kind in ("done", "detach") or (kind == "owner" and fields.get("set") is False):
+            self._reconcile()  # these are never part of what holds
+        if self._reconciliation:
+            self._reconciliation.heard_at, self._reconciliation.empty = self._loop.now(), False
+        reader = self._readers.get(kind) if isinstance(kind, str) else None
+        if reader is None:
             raise Malformed(f"no news is called {text(kind)[:40]!r}")
+        reader(fields)
+
+    def _take_joined_proxy(self, fields: Mapping[str, object]) -> None:
+        proxy = read_below(fields.get("node"), self._proxies)
+        zone, ops_per_s = self._ids.zone(fields.get("locality")), count(fields.get("w"))
+        fresh, told = flag(fields.get("cold")), self._reconciliation
+        if told and proxy in self._applied:
+            told.proxies[proxy] = ProxyJoined(proxy, zone, ops_per_s, False)
+            return
+        if told:
+            told.proxies[proxy] = None
+        elif proxy in self._applied:  # its earlier stream has ended, with all that was on its way there
+            self._emit(ProxyLeft(proxy))
+        self._applied[proxy] = NOTHING_APPLIED
+        self._emit(ProxyJoined(proxy, zone, ops_per_s, fresh))
+
+    def _take_left_proxy(self, fields: Mapping[str, object]) -> None:
+        proxy = read_below(fields.get("node"), self._proxies)
+        if self._applied.pop(proxy, None) is not None:
+            self._emit(ProxyLeft(proxy))
+
+    def _take_acknowledgement(self, fields: Mapping[str, object]) -> None:
+        proxy, mark = read_below(fields.get("node"), self._proxies), whole(fields.get("nonce"))
+        watermark = self._orders.watermark_of(mark)
+        self._orders.mark_acknowledged(mark)
+        # A call that was sent again puts its mark into two messages; the second answer would count twice.
+        if self._applied.get(proxy, watermark) != watermark:
+            self._applied[proxy] = watermark
+            self._emit(WatermarkAcknowledged(proxy, watermark, time(fields.get("latency"))))
+
+    def _take_ownership(self, fields: Mapping[str, object]) -> None:
+        number, owned = read_below(fields.get("shard"), self._slices), flag(fields.get("set"))
+        known, told = number in self._owned, self._reconciliation
+        if owned and told:
+            told.slices[number] = {} if known else None
+        if owned and not (told and known):
+            self._give(number)
+        elif not owned and known:
+            self._take_back(number)
+
+    def _take_endpoint(self, fields: Mapping[str, object]) -> None:
+        number, weight = read_below(fields.get("shard"), self._slices), count(fields.get("w"))
+        if number not in self._owned:
+            raise Malformed(f"a line of slice {number}, which is not ours")
+        node, told = self._ids.node(fields.get("endpoint")), self._reconciliation
+        endpoints = told.slices.get(number) if told else None
+        if endpoints is not None:
+            endpoints[node] = weight
+        else:
+            self._store_endpoint(number, node, weight)
+
+
+def read_below(value: object, most: int) -> int:
+    """Read a number from 0 that is below `most`."""
+    number = whole(value)
+    if number >= most:
+        raise Malformed(f"{number} is not below {most}")
+    return number
--- a/kestrelplank/assigner/rounds.py
+++ b/kestrelplank/assigner/rounds.py
@@ -1,4 +1,6 @@
-"""Gathers what all parties tell, gives it to the decision module once a round, and passes its orders on."""
+"""Gathers events, has the decision module decide once a round, and passes its orders on."""
+
+from typing import Protocol
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.assigner.health_checks import HealthChecks
@@ -10,49 +12,59 @@
 from kestrelplank.sockets.loop import Loop
 
 MOST_EVENTS = 50_000  # gathered while rounds are held up; what comes beyond that is reports, as a rule
-REPORTS = (NodeReport, SliceReport, ProxyReport)
+MOST_LOG_TEXT = 200
+
+
+class NodeHolder(Protocol):
+    """Whoever holds something of a node."""
+
+    def forget(self, node: int) -> None:
+        """Release it."""
 
 
 class RoundRunner:
-    """The writer that the module orders through, and the events of its next round. A round is held `gather`
-    after the first event, so that its cost follows the time and not the reads."""
+    """The order writer of the module, and the events of its next round.
+
+    A round is held `gather_ns` after the first event, so that its cost follows the time and not the reads.
+    """
 
     def __init__(
         self,
         loop: Loop,
         counters: Counters,
         policy: Policy,
-        gather: int,
+        gather_ns: int,
         orders: OrderQueue,
         discovery: NodeDiscovery,
-        probes: HealthChecks,
+        checks: HealthChecks,
         peers: PeerDatagrams | None,
     ) -> None:
-        self._loop, self._counters, self._policy, self._gather = loop, counters, policy, gather
-        self._orders, self._discovery, self._probes, self._peers = orders, discovery, probes, peers
+        self._loop, self._counters, self._policy, self._gather_ns = loop, counters, policy, gather_ns
+        self._orders, self._peers = orders, peers
         self._events: list[Event] = []
-        self._due = False
+        self._round_due = False
         self.set_endpoint, self.clear_table = orders.set_endpoint, orders.clear_table
         self.set_withdrawn, self.set_admission = orders.set_withdrawn, orders.set_admission
         self.request_acknowledgement = orders.request_acknowledgement
-        self.check_health, self.fetch_nodes = probes.probe, discovery.fetch
-        self.holders = [orders, discovery, probes]  # whoever holds something of a node, to be forgotten with it
+        self.check_health, self.fetch_nodes = checks.check, discovery.fetch
+        self.holders: list[NodeHolder] = [orders, discovery, checks]  # told of a node that is forgotten
 
     def on_event(self, event: Event) -> None:
-        if len(self._events) >= MOST_EVENTS and isinstance(event, REPORTS):
+        """Keep an event for the next round."""
+        if len(self._events) >= MOST_EVENTS and isinstance(event, NodeReport | SliceReport | ProxyReport):
             self._counters.add("reports_dropped")
             return
         self._events.append(event)
-        if not self._due:
-            self._due = True
-            self._loop.at(self._loop.now() + self._gather, self._round)
+        if not self._round_due:
+            self._round_due = True
+            self._loop.at(self._loop.now() + self._gather_ns, self._hold_round)
 
-    def _round(self) -> None:
-        if self._orders.full():
+    def _hold_round(self) -> None:
+        if self._orders.is_full():
             self._counters.add("rounds_held_up")
-            self._loop.at(self._loop.now() + self._gather, self._round)
+            self._loop.at(self._loop.now() + self._gather_ns, self._hold_round)
             return
-        events, self._events, self._due = self._events, [], False
+        events, self._events, self._round_due = self._events, [], False
         self._counters.add("rounds")
         try:
             self._policy.round(self._loop.now(), events, self)
@@ -61,28 +73,34 @@
 
     # The orders that go to no relay.
 
-    def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:
+    def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:  # noqa: ARG002  an order writer's
+        """Drop the order: the relay has none for it."""
         self._counters.trouble("orders_dropped", "the relay has no order that binds a proxy")
 
     def send_to_peers(self, peer: int | None, body: bytes) -> None:
+        """Send a datagram, where talk is allowed."""
         if self._peers:
-            self._peers.tell(peer, body)
+            self._peers.send(peer, body)
         else:
             self._counters.trouble("datagrams_not_sent", "not allowed")
 
     def share_loads(self, loads: dict[int, float]) -> None:
+        """Send loads to all peers, where talk is allowed."""
         if self._peers:
-            self._peers.share(loads)
+            self._peers.share_loads(loads)
 
     def watch_nodes(self, enabled: bool) -> None:
-        """Discovery is watched from the start."""
+        """Do nothing: the node list is watched from the start."""
 
     def set_timer(self, at: int, name: str) -> None:
+        """Deliver an event at an instant."""
         self._loop.at(at, lambda: self.on_event(TimerFired(name)))
 
     def forget_node(self, node: int) -> None:
-        for part in self.holders:
-            part.forget(node)
+        """Have every part release a node."""
+        for holder in self.holders:
+            holder.forget(node)
 
     def log(self, text: str) -> None:
-        self._counters.info("note", text=text[:200])
+        """Log a line."""
+        self._counters.info("note", text=text[:MOST_LOG_TEXT])
--- a/kestrelplank/assigner/status_socket.py
+++ b/kestrelplank/assigner/status_socket.py
@@ -1,40 +1,49 @@
-"""What a running conductor shows of itself over a Unix socket: whoever connects gets one JSON object and the end."""
+"""What a running assigner shows of itself over a Unix socket: whoever connects gets one JSON object and the end."""
 
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 import msgspec
 
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.sockets.unix_listener import UnixListener
 
+READ_BYTES = 1 << 16
+
 
 class StatusSocket:
-    """At `path`. `shown` makes the object, anew for each who asks. Who does not take it at once gets what fits: nobody
-    is waited for."""
+    """Shows what `status()` returns, made anew for each who asks, at `path`.
+
+    Who does not take it at once gets what fits: nobody is waited for.
+    """
 
-    def __init__(self, loop: Loop, path: str, shown: Callable[[], dict]) -> None:
-        self.shown = shown
+    def __init__(self, loop: Loop, path: str, status: Callable[[], Mapping[str, object]]) -> None:
+        self.status = status
         self._listener = UnixListener(loop, path, self._accept)
 
     def _accept(self, link: socket.socket) -> None:
         try:
-            link.send(msgspec.json.encode(self.shown()) + b"\n")
+            link.send(msgspec.json.encode(self.status()) + b"\n")
         except OSError:
             pass
         finally:
             link.close()
 
     def close(self) -> None:
+        """Listen no longer."""
         self._listener.close()
 
 
-def read_status(path: str, within: float) -> dict:
-    """What the conductor at that path shows. Raises OSError, or ValueError where it is not whole."""
+def read_status(path: str, timeout_s: float) -> dict[str, object]:
+    """Return what the assigner at that path shows.
+
+    :raises OSError: it can't be reached.
+    :raises ValueError: what it shows is cut off.
+    """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as link:
-        link.settimeout(within)
+        link.settimeout(timeout_s)
         link.connect(path)
         data = bytearray()
-        while part := link.recv(1 << 16):
-            data += part
-    return msgspec.json.decode(data)
+        while chunk := link.recv(READ_BYTES):
+            data += chunk
+    return msgspec.json.decode(data, type=dict[str, object])
--- /dev/null
+++ b/kestrelplank/assigner/telemetry_messages.py
@@ -0,0 +1,117 @@
+"""Collectors' messages as events in our units; a figure that can't be makes the message worthless."""
+
+import re
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Literal
+
+from kestrelplank.decode import Ids, Malformed, time, told
+from kestrelplank.interface import NodeLoad, NodeReport, SliceReport
+
+LoadName = Literal["in_flight", "queued", "utilization", "service_ms", "acknowledged_per_s", "aborted_per_s"]
+LOAD_NAMES: dict[str, LoadName] = {
+    "inflight": "in_flight",
+    "queue": "queued",
+    "util": "utilization",
+    "latency_ms": "service_ms",
+    "qps": "acknowledged_per_s",
+    "eps": "aborted_per_s",
+}
+MOST_DIGITS = 8  # of a slice's number: Python refuses to read thousands of them
+FIGURE = re.compile(r"-?\d+(\.\d+)?([eE][-+]?\d+)?", re.ASCII)  # Python reads more than that as a number
+
+
+def read_figure(value: str) -> float:
+    """Read one figure of a report."""
+    if not FIGURE.fullmatch(value):
+        raise Malformed(f"expected a number, got {value[:40]!r}")
+    return told(float(value))
+
+
+def read_load(pairs: Iterable[Sequence[str]]) -> NodeLoad:
+    """Read a node's load from names and values already split; what is not known here is skipped."""
+    load = NodeLoad()
+    for name, *value in pairs:
+        if name in LOAD_NAMES:
+            load[LOAD_NAMES[name]] = read_figure(":".join(value))
+    return load
+
+
+def read_message(message: Sequence[bytes]) -> tuple[str, dict[str, str]]:
+    """Return a message's kind, and its fields by name."""
+    try:
+        kind, *words = (word.decode() for word in message)
+    except UnicodeDecodeError:
+        raise Malformed("not text") from None
+    fields = dict(zip(words[::2], words[1::2]))
+    if len(words) != 2 * len(fields):
+        raise Malformed(f"{kind[:40]}: a name without a value, or twice")
+    return kind, fields
+
+
+def read_index(kind: str, fields: Mapping[str, str], name: str, indices: Mapping[str, int]) -> int:
+    """Return the index of what a field names."""
+    value = fields.get(name)
+    if value is None or value not in indices:
+        raise Malformed(f"{kind}, field {name}: {value and value[:40]!r} is not known")
+    return indices[value]
+
+
+def read_joining(message: Sequence[bytes], ids: Ids) -> int:
+    """Return the zone that a collector names; whoever says anything else first is none."""
+    kind, fields = read_message(message)
+    if kind != "telemetry":
+        raise Malformed(f"{kind[:40]!r} from who has not joined")
+    return read_index(kind, fields, "locality", ids.zones)
+
+
+def read_report(message: Sequence[bytes], ids: Ids, slices: int, zone: int) -> NodeReport | SliceReport | None:
+    """Read a message from the collector of a zone; None where there is nothing to report.
+
+    :param slices: how many there are.
+    :raises Malformed: naming message and field.
+    """
+    kind, fields = read_message(message)
+    if kind == "telemetry":
+        return None
+    if kind not in ("upstream_stats", "range_stats"):
+        raise Malformed(f"no message is called {kind[:40]!r}")
+    total, errors = _figure_of(kind, fields, "total"), _figure_of(kind, fields, "errors")
+    window_ns = time(_figure_of(kind, fields, "interval"))
+    if not window_ns:
+        raise Malformed(f"{kind}: in no time")
+    if kind == "range_stats":
+        return _read_slice_report(fields, ids, slices, total, errors, window_ns)
+    return _read_node_report(fields, ids, zone, total, errors, window_ns)
+
+
+def _figure_of(kind: str, fields: Mapping[str, str], name: str) -> float:
+    if name not in fields:
+        raise Malformed(f"{kind}, field {name}: missing")
+    try:
+        return read_figure(fields[name])
+    except Malformed as err:
+        raise Malformed(f"{kind}, field {name}: {err}") from None
+
+
+def _read_node_report(
+    fields: Mapping[str, str], ids: Ids, zone: int, attempts: float, failures: float, window_ns: int
+) -> NodeReport:
+    kind = "upstream_stats"
+    if failures > attempts:  # of a slice's ops, those that came earlier may end now
+        raise Malformed(f"{kind}: {failures} of {attempts} failed")
+    if read_index(kind, fields, "locality", ids.zones) != zone:
+        raise Malformed(f"{kind}, field locality: not this collector's")
+    timed = attempts > failures or "rtt" in fields
+    mean_latency_ns = time(_figure_of(kind, fields, "rtt")) if timed else None
+    metrics = (pair.split(":") for pair in fields.get("metrics", "").split(","))
+    node = read_index(kind, fields, "endpoint", ids.nodes)
+    return NodeReport(node, zone, attempts, failures, mean_latency_ns, window_ns, read_load(metrics))
+
+
+def _read_slice_report(
+    fields: Mapping[str, str], ids: Ids, slices: int, ops: float, aborted: float, window_ns: int
+) -> SliceReport:
+    kind, shard = "range_stats", fields.get("shard", "")
+    if not (shard.isdecimal() and len(shard) <= MOST_DIGITS and int(shard) < slices):
+        raise Malformed(f"{kind}, field shard: {shard[:40]!r} is not known")
+    return SliceReport(int(shard), read_index(kind, fields, "route", ids.op_types), ops, aborted, window_ns)
--- a/kestrelplank/assigner/telemetry_server.py
+++ b/kestrelplank/assigner/telemetry_server.py
@@ -1,161 +1,41 @@
-"""The conductor's own address: collectors connect, name their zone and pass on its reports; anybody may ask
-whether we live.
+"""The assigner's own address: collectors connect, name their zone and send reports; anybody may ask whether we live.
 
-Admission is decided here. Who has not named a zone that exists may do nothing but that and ask for a sign of life,
-and only for a short while: strangers come by hundreds, say nothing, half a message or one without end, and each
-holds a descriptor. Whoever is let go is told `reject` first.
+Admission is decided here. Who has not named a zone that exists may do nothing but that and ask for a sign of life, and
+only for a short while: strangers come by hundreds, say nothing, half a message or one without end, and each holds a
+descriptor. Whoever is rejected is told so first.
 """
 
-import re
 import socket
-from collections.abc import Callable, Iterable
-from typing import Any
+from collections.abc import Callable
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import NS_PER_MS, Ids, Malformed, time, told
-from kestrelplank.interface import Event, NodeReport, SliceReport
+from kestrelplank.assigner.telemetry_messages import read_joining, read_report
+from kestrelplank.decode import NS_PER_MS, Ids, Malformed
+from kestrelplank.interface import Event, NodeReport
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import Loop
 
-LOADS = {
-    "inflight": "in_flight",
-    "queue": "queued",
-    "util": "utilization",
-    "latency_ms": "service_ms",
-    "qps": "acknowledged_per_s",
-    "eps": "aborted_per_s",
-}
-HB, HB_OK = b"hb", resp.encode(b"hb_ok")
+HEARTBEAT, HEARTBEAT_ANSWER = b"hb", resp.encode(b"hb_ok")
 MOST_STRANGERS = 64  # connections that have not joined; the oldest goes first, as it had its chance
 MOST_OF_ZONE = 4  # joined: one reports; those of a machine that vanished are held until found out
-MOST_FIRST = 4096  # bytes held of whoever has not joined
-MOST_UNREAD = 1 << 16
-MOST_DIGITS = 8  # of a slice's number: thousands of them are more than the language makes a number of
-SWEEP = 200 * NS_PER_MS  # how often those whose time is over are looked for; how long listening pauses when short
-JOIN_WITHIN, IDLE = 1000 * NS_PER_MS, 120_000 * NS_PER_MS  # kept without joining; joined, since the last bytes
-FIGURE = re.compile(r"-?\d+(\.\d+)?([eE][-+]?\d+)?", re.ASCII)  # the language reads more than that as a number
+MOST_STRANGER_BYTES = 4096  # of a message, held of whoever has not joined
+MOST_UNSENT_BYTES = 1 << 16
+MOST_REASON_BYTES = 80
+SWEEP_INTERVAL_NS = 200 * NS_PER_MS  # how often expired callers are looked for; how long listening pauses when short
+JOIN_TIMEOUT_NS = 1000 * NS_PER_MS  # kept without joining
+IDLE_TIMEOUT_NS = 120_000 * NS_PER_MS  # joined, since the last bytes
 
 
-def figure(value: str) -> float:
-    if not FIGURE.fullmatch(value):
-        raise Malformed(f"expected a number, got {value[:40]!r}")
-    return told(float(value))
-
-
-def load(pairs: Iterable[list[str]]) -> dict[str, float]:
-    """Load report: name to value, from pairs already split; what is not known here is skipped."""
-    return {LOADS[pair[0]]: figure(":".join(pair[1:])) for pair in pairs if pair[0] in LOADS}
-
-
-def decoded(message: list[bytes]) -> tuple[str, dict[str, str]]:
-    """A message's kind, and its fields by name."""
-    try:
-        kind, *words = (part.decode() for part in message)
-    except UnicodeDecodeError:
-        raise Malformed("not text") from None
-    fields = dict(zip(words[::2], words[1::2]))
-    if len(words) != 2 * len(fields):
-        raise Malformed(f"{kind[:40]}: a name without a value, or twice")
-    return kind, fields
-
-
-def known(kind: str, fields: dict[str, str], name: str, among: dict[Any, int]) -> int:
-    value = fields.get(name)
-    if value not in among:
-        raise Malformed(f"{kind}, field {name}: {value and value[:40]!r} is not known")
-    return among[value]
-
-
-def joining(message: list[bytes], ids: Ids) -> int:
-    """The zone that a collector names; whoever says anything else first is none."""
-    kind, fields = decoded(message)
-    if kind != "telemetry":
-        raise Malformed(f"{kind[:40]!r} from who has not joined")
-    return known(kind, fields, "locality", ids.zones)
-
-
-def report(message: list[bytes], ids: Ids, slices: int, zone: int) -> NodeReport | SliceReport | None:
-    """One message from the collector of a zone as an event for the module; None where there is nothing to tell.
-    A figure that can't be is not cut to one that can: all the message is worth is then in doubt."""
-    kind, fields = decoded(message)
-
-    def read(name: str) -> float:
-        if name not in fields:
-            raise Malformed(f"{kind}, field {name}: missing")
-        try:
-            return figure(fields[name])
-        except Malformed as err:
-            raise Malformed(f"{kind}, field {name}: {err}") from None
-
-    if kind == "telemetry":
-        return None
-    if kind not in ("upstream_stats", "range_stats"):
-        raise Malformed(f"no message is called {kind[:40]!r}")
-    tries, failed, window = read("total"), read("errors"), time(read("interval"))
-    if not window:
-        raise Malformed(f"{kind}: in no time")
-    if kind == "upstream_stats":
-        if failed > tries:  # of a slice's ops, those that came earlier may end now
-            raise Malformed(f"{kind}: {failed} of {tries} failed")
-        if known(kind, fields, "locality", ids.zones) != zone:
-            raise Malformed(f"{kind}, field locality: not this collector's")
-        mean_time = time(read("rtt")) if tries > failed or "rtt" in fields else None
-        metrics = (pair.split(":") for pair in fields.get("metrics", "").split(","))
-        return NodeReport(
-            known(kind, fields, "endpoint", ids.nodes),
-            zone,
-            tries,
-            failed,
-            mean_time,
-            window,
-            load(metrics),
-        )
-    shard = fields.get("shard", "")
-    if not (shard.isdecimal() and len(shard) <= MOST_DIGITS and int(shard) < slices):
-        raise Malformed(f"{kind}, field shard: {shard[:40]!r} is not known")
-    return SliceReport(int(shard), known(kind, fields, "route", ids.op_types), tries, failed, window)
-
-
-class Caller:
-    """One connection to our address. It is written to only to answer `hb`, and when it is let go."""
-
-    def __init__(self, front: "TelemetryServer", sock: socket.socket, now: int) -> None:
-        self._front, self._parser = front, resp.Parser(MOST_FIRST)
-        self.heard_at, self.zone = now, None
-        self.connection = Connection(front.loop, front.pool, sock, self, MOST_UNREAD)
-
-    def on_data(self, data: memoryview) -> None:
-        try:
-            for message in self._parser.feed(data):
-                if not self.connection.open:  # let go for what came before
-                    return
-                if message[0] == HB:
-                    self._front.counters.add("hb_answered")
-                    self.connection.write(HB_OK)
-                elif self.zone is None:
-                    self._front.join(self, message)
-                    self._parser.most = resp.MOST_BYTES
-                else:
-                    self._front.take(message, self.zone)
-        except Malformed as err:
-            self.reject("callers_malformed", str(err))
-        if self.zone is not None:
-            self.heard_at = self._front.loop.now()
-
-    def reject(self, name: str, why: str) -> None:
-        self._front.counters.trouble(name, why)
-        self.connection.write(resp.encode(b"reject", b"reason", why.encode()[:80]))
-        self.connection.close(why)
-
-    def on_close(self, why: str) -> None:
-        self._front.gone(self)
+class TelemetryServer:
+    """Admits callers and takes collectors' reports.
 
+    Callers are held in the order in which their time runs out: strangers by when they came, collectors of a zone by
+    when they joined.
 
-class TelemetryServer:
-    """Callers stand in the order in which their time runs out: strangers by when they came, collectors of a zone
-    by when they joined."""
+    :param slices: how many there are.
+    """
 
     def __init__(
         self,
@@ -171,60 +51,111 @@
         self._ids, self._slices, self._on_event = ids, slices, on_event
         self._strangers: dict[int, Caller] = {}
         self._collectors: dict[int, Caller] = {}
-        self._listener = Listener(loop, at, self._accept, self._short, SWEEP)
+        self._listener = Listener(loop, at, self._accept, self._make_room, SWEEP_INTERVAL_NS)
         self.at = self._listener.at
-        self._timer = loop.at(loop.now() + SWEEP, self._sweep)
+        self._timer = loop.at(loop.now() + SWEEP_INTERVAL_NS, self._sweep)
+
+    # Called by callers.
 
-    def join(self, caller: Caller, message: list[bytes]) -> None:
-        caller.zone = joining(message, self._ids)
+    def join(self, caller: "Caller", message: list[bytes]) -> int:
+        """Admit a caller as collector of the zone that it names, and return the zone."""
+        zone = read_joining(message, self._ids)
         self._strangers.pop(id(caller), None)
-        same = [other for other in self._collectors.values() if other.zone == caller.zone]
-        if len(same) >= MOST_OF_ZONE:
-            min(same, key=lambda other: other.heard_at).reject("callers_pushed_out", "too many of a zone")
+        same_zone = [other for other in self._collectors.values() if other.zone == zone]
+        if len(same_zone) >= MOST_OF_ZONE:
+            min(same_zone, key=lambda other: other.heard_at).reject("callers_pushed_out", "too many of a zone")
         self._collectors[id(caller)] = caller
+        return zone
 
     def take(self, message: list[bytes], zone: int) -> None:
+        """Take a report; one that can't be used is skipped alone."""
         try:
-            event = report(message, self._ids, self._slices, zone)
+            report = read_report(message, self._ids, self._slices, zone)
         except Malformed as err:
             self.counters.trouble("reports_skipped", err)
             return
-        if event:
-            self.counters.add("tries_in" if isinstance(event, NodeReport) else "heat_in")
-            self._on_event(event)
+        if report:
+            self.counters.add("tries_in" if isinstance(report, NodeReport) else "heat_in")
+            self._on_event(report)
 
-    def gone(self, caller: Caller) -> None:
+    def caller_gone(self, caller: "Caller") -> None:
+        """Forget a caller whose connection has ended."""
         self._strangers.pop(id(caller), None)
         self._collectors.pop(id(caller), None)
 
+    # Admission.
+
     def _accept(self, sock: socket.socket) -> None:
         self.counters.add("accepted")
         if len(self._strangers) >= MOST_STRANGERS:
-            self._push_out("too many")
+            self._reject_oldest_stranger("too many")
         caller = Caller(self, sock, self.loop.now())
         self._strangers[id(caller)] = caller
 
-    def _push_out(self, why: str) -> None:
+    def _reject_oldest_stranger(self, why: str) -> None:
         next(iter(self._strangers.values())).reject("callers_pushed_out", why)
 
-    def _short(self, why: str) -> bool:
-        """Strangers make room: a collector that comes, and our own calls, must find a descriptor."""
+    def _make_room(self, why: str) -> bool:
+        """Reject a stranger: a collector that comes, and our own calls, must find a descriptor."""
         self.counters.trouble("accept_failed", why)
         if self._strangers:
-            self._push_out("short of descriptors")
+            self._reject_oldest_stranger("short of descriptors")
             return True
         return False
 
     def _sweep(self) -> None:
         now = self.loop.now()
-        for held, most in ((self._strangers, JOIN_WITHIN), (self._collectors, IDLE)):
-            for caller in list(held.values()):
-                if now - caller.heard_at >= most:
+        for callers, timeout_ns in ((self._strangers, JOIN_TIMEOUT_NS), (self._collectors, IDLE_TIMEOUT_NS)):
+            for caller in list(callers.values()):
+                if now - caller.heard_at >= timeout_ns:
                     caller.reject("callers_silent", "has not joined" if caller.zone is None else "says nothing")
-        self._timer = self.loop.at(now + SWEEP, self._sweep)
+        self._timer = self.loop.at(now + SWEEP_INTERVAL_NS, self._sweep)
 
     def close(self) -> None:
+        """Listen no longer, and end all callers."""
         self._timer.cancel()
         self._listener.close()
         for caller in [*self._strangers.values(), *self._collectors.values()]:
             caller.connection.close("we end")
+
+
+class Caller:
+    """One connection to our address. It is written to only to answer `hb`, and when it is rejected."""
+
+    def __init__(self, server: TelemetryServer, sock: socket.socket, now: int) -> None:
+        self._server, self._parser = server, resp.Parser(MOST_STRANGER_BYTES)
+        self.heard_at = now  # strangers: when it came
+        self.zone: int | None = None  # of a collector
+        self.connection = Connection(server.loop, server.pool, sock, self, MOST_UNSENT_BYTES)
+
+    def on_data(self, data: memoryview) -> None:
+        """Take bytes."""
+        try:
+            for message in self._parser.feed(data):
+                if not self.connection.open:  # rejected for what came before
+                    return
+                self._take(message)
+        except Malformed as err:
+            self.reject("callers_malformed", str(err))
+        if self.zone is not None:
+            self.heard_at = self._server.loop.now()
+
+    def _take(self, message: list[bytes]) -> None:
+        if message[0] == HEARTBEAT:
+            self._server.counters.add("hb_answered")
+            self.connection.write(HEARTBEAT_ANSWER)
+        elif self.zone is None:
+            self.zone = self._server.join(self, message)
+            self._parser.most_bytes = resp.MOST_BYTES
+        else:
+            self._server.take(message, self.zone)
+
+    def reject(self, counter: str, why: str) -> None:
+        """Tell the caller why it is rejected, and end the connection."""
+        self._server.counters.trouble(counter, why)
+        self.connection.write(resp.encode(b"reject", b"reason", why.encode()[:MOST_REASON_BYTES]))
+        self.connection.close(why)
+
+    def on_close(self, why: str) -> None:  # noqa: ARG002  a connection's owner
+        """Take that the connection has ended."""
+        self._server.caller_gone(self)
--- a/kestrelplank/reference_proxy/hub.py
+++ b/kestrelplank/reference_proxy/hub.py
@@ -18,7 +18,7 @@
 from kestrelplank.decode import Ids, Malformed, count, flag, listed, mapping, parsed, text, whole
 from kestrelplank.load_balancing.operations import Verdict
 from kestrelplank.sockets.buffers import Pool
-from kestrelplank.sockets.http import DIAL, Client, Stream
+from kestrelplank.sockets.http import DIAL_TIMEOUT_NS, Client, Stream, StreamLimits
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.sums import OpSum, TrySum
 from kestrelplank.state.tables import Refused, Tables
@@ -57,11 +57,9 @@
         self._posts: deque[tuple[str, bytes]] = deque()
         self._tries: dict[tuple[int, int], TrySum] = {}  # by node and conductor (-1: none)
         self._heat: dict[tuple[int, int], OpSum] = {}  # by table and op type
-        self._client = Client(loop, pool, hub, self, DIAL, 1 << 12)
-        path = f"/v1/tables?relay={number}&zone={zone}"
-        self._stream = Stream(
-            loop, pool, hub, lambda: path, self._line, self._begun, self._ended, DIAL, SILENCE, PAUSES, MOST_LINE
-        )
+        self._client = Client(loop, pool, hub, self, DIAL_TIMEOUT_NS, 1 << 12)
+        self._path = f"/v1/tables?relay={number}&zone={zone}"
+        self._stream = Stream(loop, pool, hub, self, StreamLimits(SILENCE, *PAUSES, MOST_LINE))
         self._timer = loop.at(loop.now() + PERIOD, self._report)
 
     def close(self) -> None:
@@ -71,15 +69,18 @@
 
     # Tables.
 
-    def _begun(self) -> None:
+    def stream_path(self) -> str:
+        return self._path
+
+    def on_stream_start(self) -> None:
         self.joined_at = self._loop.now()
         self._counters.add("tables_streams")
 
-    def _ended(self, why: str) -> None:
+    def on_stream_end(self, why: str) -> None:
         self.joined_at = None
         self._counters.trouble("tables_broken", why)
 
-    def _line(self, line: bytes) -> None:
+    def on_stream_line(self, line: bytes) -> None:
         if not line.strip():
             return
         try:
--- a/kestrelplank/sockets/resp.py
+++ b/kestrelplank/sockets/resp.py
@@ -5,63 +5,81 @@
 from kestrelplank.decode import Malformed
 
 MOST_BYTES = 1 << 20  # of one message
-MOST_PARTS = 1024  # of one message: many small parts take far more memory than their bytes
+MOST_STRINGS = 1024  # of one message: many small strings take far more memory than their bytes
 MOST_DIGITS = 8
+END = b"\r\n"
+NO_STRING = -1
 
 
-def encode(*words: bytes) -> bytes:
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+def encode(*strings: bytes) -> bytes:
+    """Return a message of these strings."""
+    return b"*%d\r\n" % len(strings) + b"".join(b"$%d\r\n%s\r\n" % (len(string), string) for string in strings)
 
 
 class Parser:
-    """`feed` takes what has come and yields each message that it completes, a list of bytes. Every bound is
-    checked before anything is kept for it; bytes that break the form raise Malformed, and the rest of the
-    stream can't be trusted then."""
+    """Reads messages from a stream of bytes.
 
-    def __init__(self, most: int = MOST_BYTES) -> None:
-        self.most = most  # bytes of one message
-        self._held, self._at = bytearray(), 0
-        self._parts: list[bytes] = []
-        self._left, self._size, self._bytes = 0, -1, 0
+    Every bound is checked before anything is kept for it. Bytes that break the form raise Malformed, and the rest of
+    the stream can't be trusted then.
+    """
+
+    def __init__(self, most_bytes: int = MOST_BYTES) -> None:
+        self.most_bytes = most_bytes  # of one message
+        self._received, self._position = bytearray(), 0
+        self._strings: list[bytes] = []  # of the message that is being read
+        self._strings_left, self._message_bytes = 0, 0
+        self._string_bytes = NO_STRING  # of the string that is being read
 
     def feed(self, data: bytes | memoryview) -> Iterator[list[bytes]]:
-        self._held += data
-        while True:
-            if self._size >= 0:
-                end = self._at + self._size
-                if len(self._held) < end + 2:
-                    break
-                if self._held[end : end + 2] != b"\r\n":
-                    raise Malformed("a bulk string does not end where it says")
-                self._parts.append(bytes(self._held[self._at : end]))
-                self._at, self._size, self._left = end + 2, -1, self._left - 1
-            else:
-                number = self._header(b"$" if self._left else b"*")
-                if number is None:
-                    break
-                if self._left:
-                    self._bytes += number
-                    if self._bytes > self.most:
-                        raise Malformed("a message is too large")
-                    self._size = number
-                    continue
-                if number > MOST_PARTS:
-                    raise Malformed(f"a message of {number} parts")
-                self._left, self._bytes = number, 0
-            if not self._left and self._parts:
-                message, self._parts = self._parts, []
+        """Take what has come, and yield each message that it completes.
+
+        :raises Malformed: the bytes are no message.
+        """
+        self._received += data
+        while self._read_string() if self._string_bytes >= 0 else self._read_header():
+            if not self._strings_left and self._strings:
+                message, self._strings = self._strings, []
                 yield message
-        del self._held[: self._at]
-        self._at = 0
+        del self._received[: self._position]
+        self._position = 0
+
+    def _read_string(self) -> bool:
+        """Read one string, if all of it has come."""
+        end = self._position + self._string_bytes
+        if len(self._received) < end + len(END):
+            return False
+        if self._received[end : end + len(END)] != END:
+            raise Malformed("a bulk string does not end where it says")
+        self._strings.append(bytes(self._received[self._position : end]))
+        self._position, self._string_bytes = end + len(END), NO_STRING
+        self._strings_left -= 1
+        return True
+
+    def _read_header(self) -> bool:
+        """Read the header of a message or of one of its strings, if all of it has come."""
+        number = self._read_number(b"$" if self._strings_left else b"*")
+        if number is None:
+            return False
+        if self._strings_left:
+            self._message_bytes += number
+            if self._message_bytes > self.most_bytes:
+                raise Malformed("a message is too large")
+            self._string_bytes = number
+        elif number > MOST_STRINGS:
+            raise Malformed(f"a message of {number} parts")
+        else:
+            self._strings_left, self._message_bytes = number, 0
+        return True
 
-    def _header(self, mark: bytes) -> int | None:
-        end = self._held.find(b"\r\n", self._at, self._at + MOST_DIGITS + 3)
-        line = bytes(self._held[self._at : self._at + MOST_DIGITS + 3] if end < 0 else self._held[self._at : end])
-        if line and line[:1] != mark or end < 0 and len(line) > MOST_DIGITS + 2:
-            raise Malformed(f"expected {mark.decode()} and a number, got {line!r}")
+    def _read_number(self, sign: bytes) -> int | None:
+        most = self._position + MOST_DIGITS + len(sign) + len(END)
+        end = self._received.find(END, self._position, most)
+        line = bytes(self._received[self._position : most if end < 0 else end])
+        if (line and line[:1] != sign) or (end < 0 and len(line) > MOST_DIGITS + len(END)):
+            raise Malformed(f"expected {sign.decode()} and a number, got {line!r}")
         if end < 0:
             return None
         if not line[1:].isdigit():
-            raise Malformed(f"expected {mark.decode()} and a number, got {line!r}")
-        self._at = end + 2
+            raise Malformed(f"expected {sign.decode()} and a number, got {line!r}")
+        self._position = end + len(END)
         return int(line[1:])
--- a/tests/assigner/test_operator_features.py
+++ b/tests/assigner/test_operator_features.py
@@ -108,7 +108,7 @@
     for number, body in sent:
         made[1 - number].take(number, body)
     made[0].take(1, b"junk")
-    assert made[0].shown() == {
+    assert made[0].status() == {
         "view": 2,
         "alive": (0, 1),
         "zones": {0: {"demand": 20, "capacity": 20, "ready": 1, "told_by": 2}},
@@ -140,7 +140,7 @@
     until(kit.loop, lambda: True)
     kit.loop.at(kit.loop.now(), lambda: None)
     kit.loop.turn()
-    status.shown = lambda: {"little": 1}
+    status.status = lambda: {"little": 1}
     assert ask(kit, path) == {"little": 1} and os.stat(path).st_mode & 0o777 == 0o600
     silent.close()
     status.close()
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -78,5 +78,5 @@
 def orders(kit, first_mark=0):
     made = OrderQueue(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), ["look", "buy"], first_mark)
     made._client = Calls()
-    made.hold(False)
+    made.resume()
     return made
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -7,13 +7,15 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
 
+from kestrelplank.assigner import proxy_updates
 from kestrelplank.assigner.health_checks import HealthChecks
 from kestrelplank.assigner.node_discovery import NodeDiscovery
 from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.assigner.peer_datagrams import PeerDatagrams
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 from kestrelplank.assigner.rounds import RoundRunner
-from kestrelplank.assigner.telemetry_server import TelemetryServer, report
+from kestrelplank.assigner.telemetry_messages import read_report
+from kestrelplank.assigner.telemetry_server import TelemetryServer
 from kestrelplank.decode import Malformed
 from kestrelplank.interface import (
     EndpointStored,
@@ -99,7 +101,7 @@
 
 
 def test_a_report_becomes_an_event_in_our_units():
-    assert report(list(REPORT), names(), 9, 0) == NodeReport(
+    assert read_report(list(REPORT), names(), 9, 0) == NodeReport(
         0,
         0,
         9.0,
@@ -108,10 +110,10 @@
         1_000_000_000,
         {"in_flight": 7.0, "utilization": 0.5},
     )
-    assert report(list(HEAT), names(), 9, 0) == SliceReport(8, 0, 4.0, 1.0, 500_000_000)
-    aborted_earlier = report([*HEAT[:8], b"5", *HEAT[9:]], names(), 9, 0)
+    assert read_report(list(HEAT), names(), 9, 0) == SliceReport(8, 0, 4.0, 1.0, 500_000_000)
+    aborted_earlier = read_report([*HEAT[:8], b"5", *HEAT[9:]], names(), 9, 0)
     assert (aborted_earlier.ops, aborted_earlier.aborted) == (4.0, 5.0)  # of those that came earlier
-    assert report([*REPORT[:7], b"errors", b"9", *REPORT[11:13]], names(), 9, 0).mean_latency_ns is None
+    assert read_report([*REPORT[:7], b"errors", b"9", *REPORT[11:13]], names(), 9, 0).mean_latency_ns is None
 
 
 @pytest.mark.parametrize(
@@ -161,7 +163,7 @@
     ids = names()
     ids.zone("b")
     with pytest.raises(Malformed):
-        report(message, ids, 9, 0)
+        read_report(message, ids, 9, 0)
 
 
 def caller(front):
@@ -303,7 +305,10 @@
     strangers = [caller(front) for _ in range(2)]
     until(kit.loop, lambda: len(front._strangers) == 2)
     assert (
-        front._short("EMFILE") and len(front._strangers) == 1 and front._short("EMFILE") and not front._short("EMFILE")
+        front._make_room("EMFILE")
+        and len(front._strangers) == 1
+        and front._make_room("EMFILE")
+        and not front._make_room("EMFILE")
     )
     for sock in strangers:
         sock.close()
@@ -527,7 +532,7 @@
 def test_a_call_of_unknown_outcome_that_a_proxy_proves_is_not_sent_again(kit, answered, transit, behind):
     """Nothing newer goes before that, or before it was sent again; no proof comes before what waits has left."""
     relay, told, made = relayed(kit, *STANDING)
-    made._transit = transit
+    made._transit_ns = transit
     ordered(made, 7, behind=behind)
     ordered(made, 8)
     end(made, None)
@@ -557,7 +562,7 @@
     made = orders(kit, first)
     made.request_acknowledgement(number, True)
     made.close_round()
-    assert made._client.bodies == [[("fence", stamp)]] and made.marked(stamp) == number
+    assert made._client.bodies == [[("fence", stamp)]] and made.watermark_of(stamp) == number
 
 
 def test_a_call_that_the_relay_can_never_read_does_not_stop_the_queue(kit):
@@ -578,7 +583,7 @@
     made.set_admission(-1, 0, 1.0, 1)
     made.set_admission(4, 2, 0.5, 1)
     made.close_round()
-    assert [json.loads(order[0]) for order in made._queue[0]] == [
+    assert [json.loads(order.encoded) for order in made._queue[0]] == [
         {"verb": "wipe", "cluster": 4},
         {"verb": "eject", "endpoint": "s-2"},
         {"verb": "uneject", "endpoint": "s-2"},
@@ -586,30 +591,30 @@
         {"verb": "gate", "cluster": 4, "gate": 0.5, "again": 1, "for": ["buy"]},
     ]
     ordered(made, *range(2500))
-    sizes = [sum(len(order[0]) + 1 for order in call) + 10 for call in made._queue]
+    sizes = [sum(len(order.encoded) + 1 for order in call) + 10 for call in made._queue]
     assert len(sizes) > 3 and max(sizes) <= 60_000
     ordered(made, *range(2500))
-    assert made.full()
+    assert made.is_full()
 
 
 def test_orders_wait_while_the_news_is_away_and_go_with_a_slice_that_is_lost(kit):
     made = orders(kit)
-    made.hold(True)
-    made.given(1)
+    made.suspend()
+    made.slice_given(1)
     ordered(made, 1, 2)
-    made.taken_back(1)
+    made.slice_taken_back(1)
     assert not made._client.bodies
-    made.hold(False)
+    made.resume()
     assert made._client.bodies == [[("put", 2), ("fence", 2)]]
 
 
 def test_a_call_that_is_out_is_sent_again_without_orders_for_a_slice_lost_meanwhile(kit):
     made = orders(kit)
-    made.given(1)
+    made.slice_given(1)
     ordered(made, 1, 2)
-    made.given(1)
+    made.slice_given(1)
     ordered(made, 1)
-    made.taken_back(3)
+    made.slice_taken_back(3)
     end(made, None)
     until(kit.loop, lambda: len(made._client.bodies) == 2)
     end(made, b'{"ok_count":2}')
@@ -619,21 +624,21 @@
 @pytest.mark.parametrize("lines, agrees", [({}, True), ({0: 1.0}, True), ({1: 1.0}, False), ({0: 1.0, 1: 1.0}, False)])
 def test_what_the_store_tells_is_held_against_what_was_ordered(kit, lines, agrees):
     made = orders(kit)
-    made.given(1)
+    made.slice_given(1)
     ordered(made, 1)  # may have been carried out, or not
-    assert made.agrees(1, lines) is agrees
+    assert made.explains(1, lines) is agrees
 
 
 @pytest.mark.parametrize("lines", [{}, {0: 1.0}])
 def test_an_answer_that_comes_while_the_news_is_away_waits_for_what_stands(kit, lines):
     made = orders(kit)
-    made.given(1)
+    made.slice_given(1)
     ordered(made, 1)
-    made.hold(True)
+    made.suspend()
     end(made, b'{"ok_count":2}')
-    assert made.agrees(1, lines)
-    made.hold(False)
-    assert made.agrees(1, {0: 1.0}) and not made.agrees(1, {}) and not made._queue
+    assert made.explains(1, lines)
+    made.resume()
+    assert made.explains(1, {0: 1.0}) and not made.explains(1, {}) and not made._queue
 
 
 # Updates of proxies
@@ -645,7 +650,7 @@
     told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, made, kit.events.append)
     until(kit.loop, lambda: kit.counters.counts["news_started"])
     relay.visitors[-1].tell(*known, {})
-    until(kit.loop, lambda: told._picture is None)
+    until(kit.loop, lambda: told._reconciliation is None)
     return relay, told, made
 
 
@@ -701,16 +706,16 @@
 )
 def test_a_slice_is_given_with_its_lines_however_late_they_come(kit, monkeypatch, after):
     """Also where nothing follows: then it is bare."""
-    monkeypatch.setattr("kestrelplank.assigner.proxy_updates.QUIET", 1000 * MS)
+    monkeypatch.setattr("kestrelplank.assigner.proxy_updates.QUIET_NS", 1000 * MS)
     relay, told, _ = relayed(kit)
     relay.visitors[-1].tell(news("owner", shard=3, set=True))
-    until(kit.loop, lambda: told._giving)
+    until(kit.loop, lambda: told._new_slice)
     for _ in range(5):
         kit.loop.at(kit.loop.now() + MS, lambda: None)
         kit.loop.turn()
     assert not kit.events
     relay.visitors[-1].tell(*[after] if after else [])
-    until(kit.loop, lambda: kit.events and not (after and after["type"] == "entry" and told._giving))
+    until(kit.loop, lambda: kit.events and not (after and after["type"] == "entry" and told._new_slice))
     assert kit.events[:2] == [SliceOwnership(3, True)] + [EndpointStored(3, 0, 1.0)] * bool(
         after and after["type"] == "entry"
     )
@@ -724,7 +729,7 @@
     relay.visitors[-1].tell(line + json.dumps(news("detach", node=1)).encode() + b"\n")
     until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
     relay.visitors[-1].tell(*STANDING[1:], {})
-    until(kit.loop, lambda: told._picture is None)
+    until(kit.loop, lambda: told._reconciliation is None)
     assert kit.events[6:] == [ProxyLeft(1), ProxyJoined(2, 0, 2.0, False)]
     told.close()
     relay.close()
@@ -735,7 +740,7 @@
     """Also where no sign of life ends what stands: it is over when the burst is."""
     relay, told, made = relayed(kit, *STANDING)
     again(kit, relay, attach(1), attach(5), *STANDING[2:4], *([end] if end is not None else []))
-    until(kit.loop, lambda: told._picture is None)
+    until(kit.loop, lambda: told._reconciliation is None)
     assert kit.events == [
         ProxyJoined(5, 0, 2.0, True),
         ProxyLeft(2),
@@ -749,7 +754,7 @@
 def test_a_slice_taken_back_right_after_what_stands_stays_taken_back(kit):
     relay, told, made = relayed(kit, *STANDING)
     again(kit, relay, *STANDING, news("owner", shard=3, set=False))
-    until(kit.loop, lambda: told._picture is None and kit.events)
+    until(kit.loop, lambda: told._reconciliation is None and kit.events)
     assert [event for event in kit.events if isinstance(event, SliceOwnership)] == [SliceOwnership(3, False)]
     told.close()
     relay.close()
@@ -757,10 +762,10 @@
 
 def test_a_slice_that_passed_through_other_hands_is_taken_up_anew(kit):
     relay, told, made = relayed(kit, *STANDING)
-    made.hold(True)
+    made.suspend()
     ordered(made, 3, 4)
     again(kit, relay, *STANDING[:3], news("entry", shard=3, endpoint="s-2", w=1.0), *STANDING[4:], {})
-    until(kit.loop, lambda: told._picture is None)
+    until(kit.loop, lambda: told._reconciliation is None)
     assert kit.events[:3] == [SliceOwnership(3, False), SliceOwnership(3, True), EndpointStored(3, 1, 1.0)]
     assert made._client.bodies == [[("put", 4), ("fence", 4)]]
     told.close()
@@ -775,14 +780,15 @@
     relay.visitors[-1].tell(*(news("done", node=proxy, nonce=6, latency=1.0) for proxy in answered))
     until(kit.loop, lambda: [type(event) for event in kit.events].count(WatermarkAcknowledged) == len(answered))
     again(kit, relay, *STANDING, {})
-    until(kit.loop, lambda: told._picture is None)
+    until(kit.loop, lambda: told._reconciliation is None)
     assert made._client.bodies[1:] == asked
     told.close()
     relay.close()
 
 
 def test_a_stream_that_falls_silent_is_dialled_again(kit, monkeypatch):
-    monkeypatch.setattr("kestrelplank.assigner.proxy_updates.SILENCE", 50 * MS)
+    limits = proxy_updates.STREAM_LIMITS._replace(silence_ns=50 * MS)
+    monkeypatch.setattr(proxy_updates, "STREAM_LIMITS", limits)
     relay, told, _ = relayed(kit, *STANDING)
     until(kit.loop, lambda: len(relay.visitors) > 1)
     assert kit.counters.counts["news_broken"] >= 1 and not any(isinstance(event, ProxyLeft) for event in kit.events)
@@ -812,7 +818,7 @@
 @pytest.mark.parametrize("broken", [b"{]\n", b'{"generation":9,"reset":false}\n', b"[1]\n"])
 def test_the_watch_goes_on_from_the_newest_list(kit, monkeypatch, broken):
     """Also after one that can't be read: what it changed would be lost else."""
-    monkeypatch.setattr("kestrelplank.assigner.node_discovery.ANSWERS_WITHIN", 20_000 * MS)
+    monkeypatch.setattr("kestrelplank.assigner.node_discovery.ANSWER_TIMEOUT_NS", 20_000 * MS)
     started = instance("s-2", "terminating", 1000.5)
     agent, made = discovering(
         kit,
@@ -850,7 +856,7 @@
     before = None
     for number in range(3000):
         made._take(node_list(number, instance(f"n-{number}")), None)
-        probes.probe(index := made._ids.nodes[f"n-{number}"])
+        probes.check(index := made._ids.nodes[f"n-{number}"])
         conductor.forget_node(index)
         kit.events.clear()
         if number == 1000:
@@ -919,15 +925,15 @@
         kit, lambda visitor, path, _: visitor.reply(body, status) if status else visitor.connection.close("broken off")
     )
     probes = HealthChecks(kit.loop, kit.pool, kit.counters, {0: node.at}, True, 250 * MS, True, kit.events.append)
-    probes.probe(0)
+    probes.check(0)
     until(kit.loop, lambda: kit.events)
     checked = kit.events[0]
     assert isinstance(checked, HealthChecked)
     assert (checked.node, checked.verdict, checked.load) == (0, verdict, load)
-    probes.probe(0)
+    probes.check(0)
     until(kit.loop, lambda: len(kit.events) == 2)
     assert len(node.visitors) == (1 if status else 2) and node.requests[0][1] == "/status/load"
-    probes.probe(1)
+    probes.check(1)
     assert kit.counters.counts["probes_not_sent"] == 1
     probes.close()
     node.close()
@@ -940,15 +946,15 @@
         sock.settimeout(5)
     at = ["%s:%d" % sock.getsockname() for sock in others]
     peers = PeerDatagrams(kit.loop, kit.counters, "127.0.0.1:0", at[:2], at[2], names(), kit.events.append)
-    peers.tell(1, b"one")
-    peers.tell(None, b"all")
-    peers.tell(7, b"nobody")
-    peers.tell(0, b"x" * 257)
+    peers.send(1, b"one")
+    peers.send(None, b"all")
+    peers.send(7, b"nobody")
+    peers.send(0, b"x" * 257)
     assert others[1].recv(300) == b"one" and others[2].recv(300) == b"all"
     others[2].sendto(b"stranger", peers._sock.getsockname())
     others[0].sendto(b"x" * 257, peers._sock.getsockname())
     others[1].sendto(b"peer", peers._sock.getsockname())
-    peers.share({1: 7.5})
+    peers.share_loads({1: 7.5})
     others[0].sendto(others[2].recv(300), peers._sock.getsockname())
     until(kit.loop, lambda: len(kit.events) == 2)
     assert (
@@ -989,9 +995,9 @@
         conductor.on_event(ProxyLeft(number))
     until(kit.loop, lambda: policy.held)
     assert [len(events) for events in policy.held] == [9] and made._client.bodies == [[("put", 0)]]
-    made._waiting += 1 << 20
+    made._queued_bytes += 1 << 20
     conductor.on_event(ProxyLeft(1))
     until(kit.loop, lambda: kit.counters.counts["rounds_held_up"])
     assert len(policy.held) == 1
-    made._waiting -= 1 << 20
+    made._queued_bytes -= 1 << 20
     until(kit.loop, lambda: len(policy.held) == 2)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,7 +11,8 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
 
-from kestrelplank.assigner.counters import Output
+from kestrelplank.assigner import proxy_updates
+from kestrelplank.assigner.counters import NonBlockingOutput
 from kestrelplank.assigner.node_discovery import NodeDiscovery
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 from kestrelplank.assigner.telemetry_server import TelemetryServer
@@ -311,7 +312,8 @@
 
 
 def test_connects_and_breaks_leave_nothing_behind(kit, monkeypatch):
-    monkeypatch.setattr("kestrelplank.assigner.proxy_updates.PAUSES", (MS, 10 * MS))
+    limits = proxy_updates.STREAM_LIMITS._replace(first_pause_ns=MS, longest_pause_ns=10 * MS)
+    monkeypatch.setattr(proxy_updates, "STREAM_LIMITS", limits)
     relay = StubServer(kit, lambda visitor, path, body: visitor.begin() if path == "/api/stream" else None)
     front = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
     told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, orders(kit), kit.events.append)
@@ -338,7 +340,7 @@
     )
     dead = closed_port()
     told = ProxyUpdates(kit.loop, kit.pool, kit.counters, dead, names(), 9, 9, orders(kit), kit.events.append)
-    told.start()
+    told.on_stream_start()
     listed = NodeDiscovery(kit.loop, kit.pool, kit.counters, dead, names(), kit.events.append)
     listed.start(None)
     made = orders(kit)
@@ -375,8 +377,8 @@
         if random.random() < 0.3:
             at = random.randrange(len(thing))
             thing = thing[:at] + random.choice([random.randbytes(2), b"\xff" + thing[at:], b"[" * 2000])
-        told.take(thing)
-        listed._line(thing)
+        told.on_stream_line(thing)
+        listed.on_stream_line(thing)
         listed.on_answer(200, thing)
         made.set_endpoint(0, 0, 1.0)
         made.close_round()
@@ -420,7 +422,7 @@
 
 def test_a_log_that_nobody_reads_or_that_is_gone_holds_nothing_up():
     read, write = os.pipe()
-    out = Output(write)
+    out = NonBlockingOutput(write)
     for _ in range(3000):
         out.write("x" * 99 + "\n")
     os.close(read)
