--- a/kestrelplank/assigner/operator_features.py
+++ b/kestrelplank/assigner/operator_features.py
@@ -11,8 +11,7 @@
 from kestrelplank.interface import SECOND
 from kestrelplank.policy import Policy
 from kestrelplank.policy.node import Node, NodeState
-from kestrelplank.settings.operator import Members as MembersFile
-from kestrelplank.settings.operator import Status as StatusFile
+from kestrelplank.settings.operator import MembershipSettings, StatusSocketSettings
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.digest import Seen, zone_sums
 from kestrelplank.state.membership import Membership, Terms
@@ -37,25 +36,25 @@
 def make_membership(
     loop: Loop,
     counters: Counters,
-    file: MembersFile,
+    file: MembershipSettings,
     settings: Mapping[str, int],
     policy: Policy,
     peers: PeerDatagrams | None,
 ) -> MembershipGossip | None:
     """Return membership, where the operator wants it and the platform's settings allow datagrams."""
-    if not file.on:
+    if not file.enabled:
         return None
     if peers is None:
         counters.trouble("members_off", "the settings allow no datagrams between conductors")
         return None
-    terms = Terms(file.every, file.suspect, file.dead, file.grace)
+    terms = Terms(file.heartbeat_interval_ns, file.suspect_phi, file.dead_phi, file.min_missed_heartbeats)
     incarnation = int(time.time()) & 0xFFFFFFFF  # grows with each start, unless the clock has been set back past it
     core = Membership(loop.now(), settings["ordinal"], incarnation, settings["conductors"], terms)
     return MembershipGossip(
         loop,
         counters,
         core,
-        file.every,
+        file.heartbeat_interval_ns,
         peers.send,
         lambda: observed_nodes(policy, loop.now()),
         lambda: best_acknowledged_per_s(policy),
@@ -63,20 +62,20 @@
 
 
 def make_status_socket(
-    loop: Loop, file: StatusFile, policy: Policy, ids: Ids, members: MembershipGossip | None
+    loop: Loop, file: StatusSocketSettings, policy: Policy, ids: Ids, members: MembershipGossip | None
 ) -> StatusSocket | None:
     """Return the status socket, where the operator names one.
 
     :raises OSError: it can't be listened at.
     """
-    if not file.socket:
+    if not file.path:
         return None
 
     def status() -> dict[str, object]:
         zones = zone_status(policy, ids, loop.now())
         return {"slices": len(policy.slices), "zones": zones, "members": members.status() if members else None}
 
-    return StatusSocket(loop, file.socket, status)
+    return StatusSocket(loop, file.path, status)
 
 
 def zone_status(policy: Policy, ids: Ids, now: int) -> dict[str, dict[str, int]]:
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -4,7 +4,7 @@
 from weakref import WeakKeyDictionary
 
 import pytest
-from configuration.test_plan import configuration, encoded, route
+from configuration.test_parsing import configuration, encoded, route
 
 from kestrelplank.forwarding.errors import (
     BadRequestError,
@@ -118,7 +118,7 @@
     first = step.endpoint.server
     step = found.attempt_ended(NOW + MS, request, outcome)
     assert isinstance(step, Send) and (outcome == CallOutcome.CONNECT_FAIL or step.endpoint.server != first)
-    assert request.route.attempts == 2
+    assert request.route.max_attempts == 2
     if outcome == CallOutcome.NOT_EXECUTED:  # the operator allows two
         step = found.attempt_ended(NOW + 2 * MS, request, CallOutcome.NOT_EXECUTED)
         assert isinstance(step.error, ServersFullError) and step.error.retry_after_ns > 0
@@ -267,7 +267,7 @@
     assert sorted(step.endpoint.server for step in steps) == ["orders-0", "orders-0", "orders-1", "orders-1"]
     request, step = begin(found, key=None, host="pay.example")
     assert isinstance(step, Wait)
-    later = NOW + request.route.aim
+    later = NOW + request.route.latency_target_ns
     step = found.next_step(later, request)
     assert (
         isinstance(step.error, ServersFullError)
