--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -19,7 +19,8 @@
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.file_discovery.node_files import NodeFiles
 from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.interface import Event, PolicySettings, SliceOwnership
+from kestrelplank.policy import Policy
 from kestrelplank.rehearsal.parties import Kit
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.state.guards import Terms, judge
@@ -88,7 +89,7 @@
         self.at: list[int] = []
         self._clock = clock
 
-    def take_out(self, node: int, out: bool) -> None:
+    def set_withdrawn(self, node: int, withdrawn: bool) -> None:
         self.at.append(self._clock())
 
     def __getattr__(self, word: str) -> Callable[..., None]:
@@ -107,14 +108,14 @@
             "Rules": {"ColdFrom": 1.0, "FallMultiple": 3.0},
         }
         settings = decode.settings(conf, Ids(text), "bench")
-        policy, orders = Policy(kit.loop.now(), 1, settings), Orders(kit.loop.now)
-        policy.on_tenure(0, 0, True)
+        policy, orders = Policy(kit.loop.now(), 1, PolicySettings.from_mapping(settings)), Orders(kit.loop.now)
+        policy.handle(0, SliceOwnership(0, True))
         heard = orders.at
         whole = texts(300, 1)[0]
         lines = whole.splitlines()
         drained = "\n".join([lines[0], lines[1] + " draining", *lines[2:]]) + "\n"
 
-        def on_event(event: tuple) -> None:
+        def on_event(event: Event) -> None:
             policy.round(kit.loop.now(), [event], orders)
             policy.round(kit.loop.now(), [], orders)  # a node let back is told a round after its lines are away
 
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -8,16 +8,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from kestrelplank.assigner.conductor import Conductor
 from kestrelplank.assigner.counters import Counters, logger
-from kestrelplank.assigner.discovery import Discovery
-from kestrelplank.assigner.front import Front
-from kestrelplank.assigner.news import News
-from kestrelplank.assigner.orders import MARKS, Orders
-from kestrelplank.assigner.peers import Peers
-from kestrelplank.assigner.probes import Probes
+from kestrelplank.assigner.health_checks import HealthChecks
+from kestrelplank.assigner.node_discovery import NodeDiscovery
+from kestrelplank.assigner.order_queue import MARKS, OrderQueue
+from kestrelplank.assigner.peer_datagrams import PeerDatagrams
+from kestrelplank.assigner.proxy_updates import ProxyUpdates
+from kestrelplank.assigner.rounds import RoundRunner
+from kestrelplank.assigner.telemetry_server import TelemetryServer
 from kestrelplank.decode import Ids, Malformed, listed, mapping, parsed, settings, text
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.interface import Event, PeerMessage, PolicySettings
+from kestrelplank.policy import Policy
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import READ, Loop
@@ -107,7 +108,7 @@
     counters = Counters(logger(str(config.get("name", ""))), loop.now)
     pool, op_types = Pool(BUFFER, BUFFERS), list(ids.op_types)
 
-    def on_event(event: tuple) -> None:
+    def on_event(event: Event) -> None:
         conductor.on_event(event)
 
     def reload() -> None:
@@ -124,22 +125,22 @@
         if files:
             files.reload(more.nodes)
 
-    orders = Orders(
+    orders = OrderQueue(
         loop, pool, counters, config["hub"], ids, op_types, config["seed"] % MARKS, found["longest_transit"]
     )
     files = None
 
-    def on_listed(event: tuple) -> None:
+    def on_listed(event: Event) -> None:
         (files.on_event if files else on_event)(event)
 
-    def on_datagram(event: tuple) -> None:
-        if members and event[0] == "peer":
-            members.take(*event[1:])
+    def on_datagram(event: Event) -> None:
+        if members and isinstance(event, PeerMessage):
+            members.take(event.sender, event.body)
         else:
             on_event(event)
 
-    discovery = Discovery(loop, pool, counters, config["discovery"], ids, on_listed)
-    probes = Probes(
+    discovery = NodeDiscovery(loop, pool, counters, config["discovery"], ids, on_listed)
+    probes = HealthChecks(
         loop,
         pool,
         counters,
@@ -150,17 +151,17 @@
         on_event,
     )
     try:
-        front = Front(loop, pool, counters, address(config["listen"]), ids, found["slices"], on_event)
+        front = TelemetryServer(loop, pool, counters, address(config["listen"]), ids, found["slices"], on_event)
         peers = None
         if found["may_tell"] and config.get("peer_listen"):
-            peers = Peers(
+            peers = PeerDatagrams(
                 loop, counters, config["peer_listen"], config["peers"], config.get("peers_all") or "", ids, on_datagram
             )
     except OSError as err:
         print(f"kestrelplank: can't listen: {err.strerror}", file=sys.stderr)
         return 1
-    policy = Policy(loop.now(), config["seed"], found)
-    conductor = Conductor(loop, counters, policy, found["tick"], orders, discovery, probes, peers)
+    policy = Policy(loop.now(), config["seed"], PolicySettings.from_mapping(found))
+    conductor = RoundRunner(loop, counters, policy, found["tick"], orders, discovery, probes, peers)
     if extras and extras.nodes.files:
         from kestrelplank.file_discovery.node_files import NodeFiles
 
@@ -168,16 +169,16 @@
         conductor.holders.append(files)
     members = status = None
     if extras and (extras.members.enabled or extras.status.path):
-        from kestrelplank.assigner.extras import membership, shown
+        from kestrelplank.assigner.operator_features import make_membership, make_status_socket
 
-        members = membership(loop, counters, extras.members, found, policy, peers)
+        members = make_membership(loop, counters, extras.members, found, policy, peers)
         try:
-            status = shown(loop, extras.status, policy, ids, members)
+            status = make_status_socket(loop, extras.status, policy, ids, members)
         except OSError as err:
             print(f"kestrelplank: can't listen at {extras.status.path}: {err.strerror}", file=sys.stderr)
             return 1
     discovery.start(config.get("known"))
-    news = News(loop, pool, counters, config["hub"], ids, found["proxies"], found["slices"], orders, on_event)
+    news = ProxyUpdates(loop, pool, counters, config["hub"], ids, found["proxies"], found["slices"], orders, on_event)
     signals = Signals(
         loop,
         {signal.SIGTERM: loop.stop, signal.SIGINT: loop.stop, signal.SIGHUP: reload, signal.SIGUSR1: counters.report},
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -19,7 +19,7 @@
 @json_option
 def command(path: str | None, socket_path: str | None, as_json: bool) -> None:
     """Each zone as a running conductor sees it: nodes, demand, capacity, and who of the others is alive."""
-    from kestrelplank.assigner.status import asked
+    from kestrelplank.assigner.status_socket import read_status
 
     with refusing_invalid_settings():
         if not socket_path and path:
@@ -28,7 +28,7 @@
         print_refusal("no status socket: name one with --socket or in the operator's file")
         sys.exit(ExitCode.UNUSABLE_INPUT)
     try:
-        status = asked(socket_path, ANSWER_TIMEOUT_S)
+        status = read_status(socket_path, ANSWER_TIMEOUT_S)
     except (OSError, ValueError) as err:
         print_refusal(f"{socket_path}: {getattr(err, 'strerror', None) or err}")
         sys.exit(ExitCode.FOUND_WANTING)
--- a/kestrelplank/file_discovery/node_list_reporter.py
+++ b/kestrelplank/file_discovery/node_list_reporter.py
@@ -4,12 +4,11 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids
+from kestrelplank.interface import Event, NodeEntry, NodeListKind, NodeListUpdate
 from kestrelplank.state import roster, sources
 from kestrelplank.state.nodeset import NodeSet
 from kestrelplank.state.sources import DISCOVERY, FILES, Blend
 
-Event = tuple  # until the policy's events have types
-
 
 class NodeListReporter:
     """Tells the policy of nodes. `Roster` says what a set comes to over time, `Blend` how it goes with discovery.
@@ -55,8 +54,8 @@
 
     def on_discovery_event(self, event: Event) -> None:
         """Pass an event of discovery on; a list of nodes together with what the files say."""
-        if event[0] == "roster" and event[1] != "failed":
-            self._report_list(DISCOVERY, event[1], event[2])
+        if isinstance(event, NodeListUpdate) and event.kind != NodeListKind.FAILED:
+            self._report_list(DISCOVERY, event.kind, list(event.entries))
         else:
             self._on_event(event)
 
@@ -80,4 +79,4 @@
         kind, entries = self._blend.take(side, kind, entries)
         if entries or kind != "delta":
             self._counters.add("files_told")
-            self._on_event(("roster", kind, entries))
+            self._on_event(NodeListUpdate(kind, [NodeEntry(*entry) for entry in entries]))
