--- a/kestrelplank/cli/__init__.py
+++ b/kestrelplank/cli/__init__.py
@@ -27,7 +27,7 @@
 
 
 def main() -> int:
-    """Run the console script. Returns the exit code, as `output.ExitCode` names them."""
+    """Run the console script. Returns the exit code, as `command_output.ExitCode` names them."""
     try:
         from kestrelplank.cli.group import group
     except ModuleNotFoundError as err:
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -5,7 +5,7 @@
 
 import click
 
-from kestrelplank.cli.output import ExitCode, print_refusal
+from kestrelplank.command_output import ExitCode, print_refusal
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.operator import NodeFileSettings, read_operator_settings
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -3,7 +3,7 @@
 import click
 
 from kestrelplank.cli.options import ini_option
-from kestrelplank.cli.output import print_json, refusing_invalid_settings
+from kestrelplank.command_output import print_json, refusing_invalid_settings
 from kestrelplank.settings.ini import FieldOrigin, IniFile
 from kestrelplank.settings.ini_fields import NS_PER_UNIT
 from kestrelplank.settings.operator import read_operator_settings
--- a/kestrelplank/cli/nodes/check.py
+++ b/kestrelplank/cli/nodes/check.py
@@ -12,7 +12,7 @@
     refusing_unusable_files,
 )
 from kestrelplank.cli.options import ini_option
-from kestrelplank.cli.output import ExitCode
+from kestrelplank.command_output import ExitCode
 from kestrelplank.state.guards import ACCEPTED, Terms, judge
 from kestrelplank.state.nodeset import assemble
 
--- a/kestrelplank/cli/nodes/diff.py
+++ b/kestrelplank/cli/nodes/diff.py
@@ -6,7 +6,7 @@
 
 from kestrelplank.cli.nodes.files import read_node_lists, refusing_unusable_files
 from kestrelplank.cli.options import json_option
-from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.state.nodeset import assemble, difference
 
--- a/kestrelplank/cli/nodes/files.py
+++ b/kestrelplank/cli/nodes/files.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from contextlib import contextmanager
 
-from kestrelplank.cli.output import ExitCode, print_refusal, refusing_invalid_settings
+from kestrelplank.command_output import ExitCode, print_refusal, refusing_invalid_settings
 from kestrelplank.file_discovery.node_files import StoredState, load_state, read_bounded_file
 from kestrelplank.file_discovery.node_list import parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
--- a/kestrelplank/cli/nodes/history.py
+++ b/kestrelplank/cli/nodes/history.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.cli.nodes.files import read_node_file_settings, read_state, refusing_unusable_files
 from kestrelplank.cli.options import ini_option, json_option
-from kestrelplank.cli.output import print_json
+from kestrelplank.command_output import print_json
 
 
 @click.command(help="The versions that were in force, the last of them now.")
--- a/kestrelplank/cli/nodes/list.py
+++ b/kestrelplank/cli/nodes/list.py
@@ -12,7 +12,7 @@
     refusing_unusable_files,
 )
 from kestrelplank.cli.options import ini_option, json_option
-from kestrelplank.cli.output import ExitCode, print_json, print_refusal
+from kestrelplank.command_output import ExitCode, print_json, print_refusal
 from kestrelplank.state.nodeset import NodeSet, assemble
 
 
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -9,8 +9,8 @@
 
 import click
 
-from kestrelplank.cli.output import ExitCode, print_refusal, refusing_invalid_settings
 from kestrelplank.cli.rehearsal_report import Report, encoded_report, report_lines, rules_kept
+from kestrelplank.command_output import ExitCode, print_refusal, refusing_invalid_settings
 from kestrelplank.emulator.script import Script, script
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.settings.ini import IniFile
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -5,7 +5,7 @@
 import click
 
 from kestrelplank.cli.options import ini_option, json_option
-from kestrelplank.cli.output import ExitCode, print_json, print_refusal, refusing_invalid_settings
+from kestrelplank.command_output import ExitCode, print_json, print_refusal, refusing_invalid_settings
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.operator import read_operator_settings
 
--- a/kestrelplank/gateway/check.py
+++ b/kestrelplank/gateway/check.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from kestrelplank.cli.output import ExitCode
+from kestrelplank.command_output import ExitCode
 from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.settings.errors import InvalidSettingsError
--- a/kestrelplank/gateway/command_line.py
+++ b/kestrelplank/gateway/command_line.py
@@ -38,7 +38,7 @@
 
 from docopt import DocoptExit, docopt  # type: ignore[import-untyped] # the library has no types
 
-from kestrelplank.cli.output import ExitCode, print_refusal
+from kestrelplank.command_output import ExitCode, print_refusal
 from kestrelplank.settings import platform
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.json_logging import configure_json_logging
--- a/kestrelplank/gateway/diff.py
+++ b/kestrelplank/gateway/diff.py
@@ -1,6 +1,6 @@
 """`gateway diff`: what differs between two configurations, route by route."""
 
-from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.configuration.differences import differences
 from kestrelplank.gateway.check import read_configuration
 
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -1,6 +1,6 @@
 """`gateway rehearse`: a small gateway on loopback, played through losses."""
 
-from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.rehearsal.yard import play
 
 BROKEN_RULES = ("run_twice", "promised_and_ran", "held_twice")
--- a/kestrelplank/gateway/replace.py
+++ b/kestrelplank/gateway/replace.py
@@ -5,7 +5,7 @@
 import time
 from dataclasses import dataclass
 
-from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.control.status import MemberStatus
 from kestrelplank.gateway.check import read_configuration
--- a/kestrelplank/gateway/status.py
+++ b/kestrelplank/gateway/status.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from kestrelplank.cli.output import ExitCode, print_json
+from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.control.status import MemberStatus, ServiceStatus
 from kestrelplank.gateway.control_client import fetch_status
 
