--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -52,9 +52,9 @@
     """Play in simulated time."""
     from kestrelplank.emulator import rehearsal
     from kestrelplank.emulator.conductors import Standing
-    from kestrelplank.policy import Conductor
+    from kestrelplank.policy import Policy
 
-    policy = Standing if baseline else Conductor
+    policy = Standing if baseline else Policy
     with progress_bar() as progress:
         return rehearsal.play(incident, seed, policy, progress=progress, knowing=knowing)
 
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -1,6 +1,7 @@
 """`kestrelplank zones`: a running conductor's zones, from its status socket."""
 
 import sys
+from typing import cast
 
 import click
 
@@ -19,7 +20,7 @@
 @json_option
 def command(path: str | None, socket_path: str | None, as_json: bool) -> None:
     """Each zone as a running conductor sees it: nodes, demand, capacity, and who of the others is alive."""
-    from kestrelplank.assigner.status import asked
+    from kestrelplank.assigner.status_socket import read_status
 
     with refusing_invalid_settings():
         if not socket_path and path:
@@ -28,16 +29,22 @@
         print_refusal("no status socket: name one with --socket or in the operator's file")
         sys.exit(ExitCode.UNUSABLE_INPUT)
     try:
-        status = asked(socket_path, ANSWER_TIMEOUT_S)
+        status = read_status(socket_path, ANSWER_TIMEOUT_S)
     except (OSError, ValueError) as err:
         print_refusal(f"{socket_path}: {getattr(err, 'strerror', None) or err}")
         sys.exit(ExitCode.FOUND_WANTING)
     if as_json:
         print_json(status)
         return
+    print_zones(cast("dict[str, dict[str, object]]", status["zones"]))
+    members = cast("dict[str, list[int]] | None", status["members"])
+    if members:
+        alive = ", ".join(map(str, members["alive"]))
+        print(f"view {members['view']}: conductors {alive} alive")
+
+
+def print_zones(zones: dict[str, dict[str, object]]) -> None:
+    """Print a table with a line for each zone."""
     print(f"{'zone':<16}" + "".join(f"{column:>10}" for column in COLUMNS))
-    for name, zone in status["zones"].items():
+    for name, zone in zones.items():
         print(f"{name:<16}" + "".join(f"{zone.get(column, 0):>10}" for column in COLUMNS))
-    if status["members"]:
-        alive = ", ".join(map(str, status["members"]["alive"]))
-        print(f"view {status['members']['view']}: conductors {alive} alive")
--- a/kestrelplank/sharding/greedy_pass.py
+++ b/kestrelplank/sharding/greedy_pass.py
@@ -1,4 +1,4 @@
-"""The decision module's greedy pass (`policy.Conductor`) over one service's key ranges.
+"""The decision module's greedy pass (`policy.Policy`) over one service's key ranges.
 
 It is told of them in its own words: ranges are its slices, servers its nodes, the leader its only conductor. What
 happened is gathered as its events; `run` hands them over, and calls back for each range that it wants elsewhere.
@@ -7,7 +7,22 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from kestrelplank.policy import Conductor
+from kestrelplank.interface import (
+    EndpointStored,
+    Event,
+    NodeCondition,
+    NodeEntry,
+    NodeListKind,
+    NodeListUpdate,
+    NodeLoad,
+    NodeReport,
+    OpTypeSettings,
+    PolicySettings,
+    SliceOwnership,
+    SliceReport,
+    SliceSplit,
+)
+from kestrelplank.policy import Policy
 from kestrelplank.sharding.key_range import KeyRange, KeyRangeState
 from kestrelplank.sharding.request_window import REPORT_PERIOD_NS, WINDOW_NS
 from kestrelplank.sharding.shard_server import ShardServer
@@ -24,7 +39,7 @@
     def __init__(self) -> None:
         self.nodes: dict[int, int] = {}
 
-    def line(self, table: int, node: int, weight: float) -> None:
+    def set_endpoint(self, table: int, node: int, weight: float) -> None:
         """Put a slice at a node; a weight of 0 takes it from there, which its next node says as well."""
         if weight:
             self.nodes[table] = node
@@ -32,7 +47,8 @@
     def ignore(self, *order: Any) -> None:
         """Do nothing: edge machines get the ranges' record, and ask for what they lack."""
 
-    clear = take_out = level = mark = bind = probe = tell = share = watch = fetch = timer = forget = note = ignore
+    clear_table = set_withdrawn = set_admission = request_acknowledgement = bind_proxy = check_health = ignore
+    send_to_peers = share_loads = watch_nodes = fetch_nodes = set_timer = forget_node = log = ignore
 
 
 class GreedyPass:
@@ -47,9 +63,9 @@
         self.numbers: dict[KeyRange, int] = {}
         self._seed = seed
         self._latency_target_ns = latency_target_ns
-        self._conductor: Conductor | None = None
+        self._policy: Policy | None = None
         self._orders = PlacementOrders()
-        self._events: list[tuple[Any, ...]] = []
+        self._events: list[Event] = []
         self._last_number = 0
         self._ranges: dict[int, KeyRange] = {}
         self._nodes: dict[str, int] = {}
@@ -60,11 +76,11 @@
     @property
     def started(self) -> bool:
         """Whether `start` was called."""
-        return self._conductor is not None
+        return self._policy is not None
 
     def start(self, now: int) -> None:
         """Begin: the pass's periods count from now on."""
-        self._conductor = Conductor(now, self._seed, conductor_settings(self._latency_target_ns))
+        self._policy = Policy(now, self._seed, policy_settings(self._latency_target_ns))
 
     # What happened since the last run.
 
@@ -78,50 +94,51 @@
             zone = self._zones.setdefault(server.zone, len(self._zones))
             started_at = server.warming_until - WARM_UP_NS if heed_warming and server.warming_until > now else None
             weight = server.slots * slot_weights.get(server.name, 1.0)
-            condition = "up" if server.ready else "draining"
-            entries.append((self._node(server.name), condition, zone, None, weight, started_at))
-        self._events.append(("roster", "full", entries))
+            condition = NodeCondition.UP if server.ready else NodeCondition.DRAINING
+            entries.append(NodeEntry(self._node(server.name), condition, zone, None, weight, started_at))
+        self._events.append(NodeListUpdate(NodeListKind.FULL, entries))
 
     def add_new_ranges(self, ranges: Iterable[KeyRange], excluded: Mapping[KeyRange, KeyRange]) -> None:
         """Have the pass decide on those of `ranges` that it does not know yet, but for `excluded`."""
         for key_range in ranges:
             if key_range not in self.numbers and key_range not in excluded:
                 number = self._number(key_range)
-                self._events.append(("tenure", number, True))
+                self._events.append(SliceOwnership(number, True))
                 if key_range.server and key_range.state is KeyRangeState.HELD:
-                    self._events.append(("line", number, self._node(key_range.server), 1.0))
+                    self._events.append(EndpointStored(number, self._node(key_range.server), 1.0))
 
     def split_range(self, lower: KeyRange, upper: KeyRange, upper_share: float) -> None:
         """Note that `upper` was split off from `lower`, with that share of its requests."""
         number = self._number(upper)
-        self._events.append(("cut", self.numbers[lower], number, upper_share))
+        self._events.append(SliceSplit(self.numbers[lower], number, upper_share))
 
     def remove_range(self, key_range: KeyRange) -> None:
         """Have the pass decide on this range no more."""
         number = self.numbers.pop(key_range)
         del self._ranges[number]
-        self._events.append(("tenure", number, False))
+        self._events.append(SliceOwnership(number, False))
 
     def add_requests(self, key_range: KeyRange, requests: float) -> None:
         """Count so many requests for the range's keys in this report period."""
         if key_range in self.numbers:
-            self._events.append(("heat", self.numbers[key_range], 0, requests, 0, REPORT_PERIOD_NS))
+            self._events.append(SliceReport(self.numbers[key_range], 0, requests, 0, REPORT_PERIOD_NS))
 
     def add_attempts(self, server: ShardServer, attempts: float, failures: float) -> None:
         """Count so many attempts at the server in this report period."""
         zone = self._zones.get(server.zone)
-        self._events.append(("tries", self._node(server.name), zone, attempts, failures, 0, REPORT_PERIOD_NS, {}))
+        node = self._node(server.name)
+        self._events.append(NodeReport(node, zone, attempts, failures, 0, REPORT_PERIOD_NS, NodeLoad()))
 
     # What follows.
 
     def run(self, now: int, move: Callable[[int, KeyRange, str], None]) -> None:
         """Call `move` for each range that is to go to another server, by what happened and what is due."""
-        assert self._conductor is not None
+        assert self._policy is not None
         if not self._events and now < self._run_at:
             return
         self._run_at = now + IDLE_INTERVAL_NS
         events, self._events = self._events, []
-        self._conductor.round(now, events, self._orders)
+        self._policy.round(now, events, self._orders)
         for number, node in self._orders.nodes.items():
             move(now, self._ranges[number], self._servers[node])
             self._run_at = now  # the pass moves a range in two steps: the next one is due at once
@@ -140,29 +157,29 @@
         return self._nodes[server]
 
 
-def conductor_settings(latency_target_ns: int) -> dict[str, Any]:
+def policy_settings(latency_target_ns: int) -> PolicySettings:
     """Return what the pass is made with: slices have one owner, no channel is to be kept short, no level to be set."""
-    return {
-        "envelope": 0,
-        "most_waiting": 1e9,
-        "most_messages": 0,
-        "messages_span": SECOND,
-        "lines_per_s": 1e9,
-        "subscribe": False,
-        "report_every": REPORT_PERIOD_NS,
-        "evidence": WINDOW_NS,
-        "fall_multiple": 4.0,
-        "only_draining_binds": False,
-        "cold_from": COLD_SHARE,
-        "warm_up": WARM_UP_NS,
-        "exclusive": True,
-        "usual_again": 1,
-        "pick": "random",
-        "levels": "",
-        "op_types": [{"target_latency": latency_target_ns, "value": 1.0}],
-        "grace": 3 * SECOND,
-        "write_life": 0,
-        "lease": 0,
-        "may_tell": False,
-        "conductors": 1,
-    }
+    return PolicySettings(
+        message_overhead=0,
+        queue_limit=1e9,
+        message_limit=0,
+        message_window_ns=SECOND,
+        orders_per_s=1e9,
+        subscribes_to_nodes=False,
+        report_interval_ns=REPORT_PERIOD_NS,
+        load_window_ns=WINDOW_NS,
+        overload_multiple=4.0,
+        only_draining_binds=False,
+        cold_capacity_share=COLD_SHARE,
+        warm_up_ns=WARM_UP_NS,
+        exclusive_slices=True,
+        initial_retry_mode=1,
+        pick="random",
+        admission="",
+        op_types=(OpTypeSettings(latency_target_ns, 1.0),),
+        withdrawal_deadline_ns=3 * SECOND,
+        write_timeout_ns=0,
+        ownership_lease_ns=0,
+        peers_may_talk=False,
+        assigners=1,
+    )
