--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kestrelplank`: one real conductor, told all it needs by the file that $NODE_CONFIG names."""
+"""`python -m kestrelplank`: one real assigner, told all it needs by the file that $NODE_CONFIG names."""
 
 import gc
 import os
@@ -6,7 +6,8 @@
 import socket
 import sys
 from collections.abc import Callable
-from typing import Any
+from pathlib import Path
+from typing import TYPE_CHECKING, Any, NamedTuple, TypeVar
 
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.assigner.health_checks import HealthChecks
@@ -20,47 +21,98 @@
 from kestrelplank.interface import Event, PeerMessage, PolicySettings
 from kestrelplank.policy import Policy
 from kestrelplank.sockets.buffers import Pool
-from kestrelplank.sockets.connection import address
+from kestrelplank.sockets.connection import address as parse_address
 from kestrelplank.sockets.loop import READ, Loop
 
-BUFFER, BUFFERS = 1 << 16, 4
+if TYPE_CHECKING:
+    from kestrelplank.assigner.membership_gossip import MembershipGossip
+    from kestrelplank.assigner.status_socket import StatusSocket
+    from kestrelplank.file_discovery.node_files import NodeFiles
+    from kestrelplank.settings.operator import OperatorSettings
 
+Value = TypeVar("Value")
 
-def configuration(ids: Ids) -> dict[str, Any]:
-    """The configuration as it stands, its addresses and settings read; Malformed says what can't be used."""
+BUFFER_BYTES, BUFFERS = 1 << 16, 4
+EXIT_DONE, EXIT_CANNOT_LISTEN, EXIT_UNUSABLE_INPUT = 0, 1, 2
+
+
+class AssignerConfiguration(NamedTuple):
+    """What the platform's file says of this assigner; addresses are `host:port`, empty where there is none."""
+
+    name: str
+    listen_address: str
+    discovery_address: str
+    update_source_address: str
+    peer_listen_address: str
+    peer_addresses: list[str]
+    all_peers_address: str
+    seed: int
+    known_nodes: object  # as discovery tells them, from an earlier run
+    settings: dict[str, Any]  # as `decode.settings` returns them
+
+
+def read_configuration(ids: Ids) -> AssignerConfiguration:
+    """Return the configuration as it is now; zones and op types are added to `ids`.
+
+    :raises Malformed: a field cannot be used; it is named with the file.
+    """
     path = os.environ.get("NODE_CONFIG")
     if not path:
         raise Malformed("NODE_CONFIG is not set")
+    document = _read_document(path)
+    hub = document.get("hub")
+    hub_address = hub.get("address") if isinstance(hub, dict) else None
+    if "settings" not in document:
+        raise Malformed(f"{path}, field settings: missing")
+    peers = _read_field(path, "peers", listed, document.get("peers") or [])
+    values = {"listen": document.get("listen"), "discovery": document.get("discovery"), "hub": hub_address}
+    values.update({name: document[name] for name in ("peer_listen", "peers_all") if document.get(name)})
+    addresses = {name: _read_field(path, name, _read_address, value) for name, value in values.items()}
+    peer_addresses = [_read_field(path, "peers", _read_address, peer) for peer in peers]
+    return AssignerConfiguration(
+        name=str(document.get("name", "")),
+        listen_address=addresses["listen"],
+        discovery_address=addresses["discovery"],
+        update_source_address=addresses["hub"],
+        peer_listen_address=addresses.get("peer_listen", ""),
+        peer_addresses=peer_addresses,
+        all_peers_address=addresses.get("peers_all", ""),
+        seed=_read_field(path, "seed", lambda value: int(text(value), 16), document.get("seed")),
+        known_nodes=document.get("known"),
+        settings=settings(document["settings"], ids, "settings"),
+    )
+
+
+def _read_document(path: str) -> dict[str, object]:
+    """Return the configuration file's JSON object."""
     try:
-        with open(path, "rb") as file:
-            found = mapping(parsed(file.read()))
+        return mapping(parsed(Path(path).read_bytes()))
     except OSError as err:
         raise Malformed(f"{path} can't be read: {err.strerror}") from None
     except Malformed as err:
         raise Malformed(f"{path}: {err}") from None
-    found["hub"] = found["hub"].get("address") if isinstance(found.get("hub"), dict) else None
-    if "settings" not in found:
-        raise Malformed(f"{path}, field settings: missing")
 
-    def check(name: str, reader: Callable[[Any], Any], value: Any) -> Any:
-        try:
-            return reader(value)
-        except ValueError as err:
-            raise Malformed(f"{path}, field {name}: {err}") from None
 
-    found["peers"] = check("peers", listed, found.get("peers") or [])
-    addresses = [(name, found.get(name)) for name in ("listen", "discovery", "hub")]
-    addresses += [(name, found[name]) for name in ("peer_listen", "peers_all") if found.get(name)]
-    for name, value in addresses + [("peers", peer) for peer in found["peers"]]:
-        check(name, lambda value: address(text(value)), value)
-    found["seed"] = check("seed", lambda value: int(text(value), 16), found.get("seed"))
-    found["settings"] = settings(found["settings"], ids, "settings")
-    return found
+def _read_field(path: str, name: str, reader: Callable[[object], Value], value: object) -> Value:
+    """Return a field as `reader` reads it; a refusal names file and field."""
+    try:
+        return reader(value)
+    except ValueError as err:
+        raise Malformed(f"{path}, field {name}: {err}") from None
+
+
+def _read_address(value: object) -> str:
+    """Return a text that is an address with a port."""
+    address = text(value)
+    parse_address(address)
+    return address
 
 
-def operators_file() -> Any:
-    """What the operator's own file says, where one is named; InvalidSettingsError says what can't be used. Without it
-    nothing is imported for it."""
+def read_operator_file() -> "OperatorSettings | None":
+    """Return what the operator's own file says, where one is named. Without it nothing is imported for it.
+
+    :raises InvalidSettingsError: it cannot be used.
+    """
     path = os.environ.get("KESTRELPLANK_INI")
     if not path:
         return None
@@ -71,126 +123,264 @@
 
 
 class Signals:
-    """Signals as bytes on a socket of the loop's: nothing of ours runs inside a handler."""
+    """Signals as bytes on a socket of the loop's: nothing of ours runs inside a handler.
+
+    :param callbacks: what to call, by the signal's number.
+    """
 
-    def __init__(self, loop: Loop, calls: dict[int, Any]) -> None:
-        self._loop, self._calls = loop, calls
-        self._ours, self._theirs = socket.socketpair()
-        for sock in (self._ours, self._theirs):
+    def __init__(self, loop: Loop, callbacks: dict[int, Callable[[], None]]) -> None:
+        self._loop, self._callbacks = loop, callbacks
+        self._readable, self._writable = socket.socketpair()
+        for sock in (self._readable, self._writable):
             sock.setblocking(False)
-        signal.set_wakeup_fd(self._theirs.fileno(), warn_on_full_buffer=False)
-        for number in calls:
+        signal.set_wakeup_fd(self._writable.fileno(), warn_on_full_buffer=False)
+        for number in callbacks:
             signal.signal(number, lambda *_: None)
-        loop.watch(self._ours, READ, self._ready)
+        loop.watch(self._readable, READ, self._on_readable)
 
-    def _ready(self, events: int) -> None:
-        for number in self._ours.recv(64):
-            if number in self._calls:
-                self._calls[number]()
+    def _on_readable(self, _events: int) -> None:
+        for number in self._readable.recv(64):
+            if number in self._callbacks:
+                self._callbacks[number]()
 
     def close(self) -> None:
+        """Take no more signals."""
         signal.set_wakeup_fd(-1)
-        self._loop.forget(self._ours)
-        self._ours.close()
-        self._theirs.close()
+        self._loop.forget(self._readable)
+        self._readable.close()
+        self._writable.close()
 
 
-def main() -> int:
-    try:
-        ids = Ids(text)
-        config = configuration(ids)
-        found = config["settings"]
-        extras = operators_file()
-    except ValueError as err:
-        print(f"kestrelplank: {err}", file=sys.stderr)
-        return 2
-    loop = Loop(lambda err: counters.defect(err))
-    counters = Counters(logger(str(config.get("name", ""))), loop.now)
-    pool, op_types = Pool(BUFFER, BUFFERS), list(ids.op_types)
+class CannotListenError(Exception):
+    """A socket that the program needs cannot be had; the text says which and why."""
+
+
+class Program:
+    """One assigner in service: its parts, made in the order in which they need each other.
 
-    def on_event(event: Event) -> None:
-        conductor.on_event(event)
+    What only an operator's file brings is imported and made only with one (tests/cli/test_cli.py,
+    `test_the_platforms_run_imports_nothing_new`).
 
-    def reload() -> None:
+    :raises CannotListenError: another program has the address.
+    """
+
+    def __init__(self, ids: Ids, configuration: AssignerConfiguration, operator: "OperatorSettings | None") -> None:
+        self._ids, self._configuration = ids, configuration
+        self._settings = configuration.settings
+        self._loop = Loop(lambda err: self._counters.defect(err))
+        self._counters = Counters(logger(configuration.name), self._loop.now)
+        self._pool = Pool(BUFFER_BYTES, BUFFERS)
+        self._node_files: NodeFiles | None = None
+        self._membership: MembershipGossip | None = None
+        self._status: StatusSocket | None = None
+        self._orders = self._new_order_queue()
+        self._discovery = NodeDiscovery(
+            self._loop, self._pool, self._counters, configuration.discovery_address, ids, self._on_discovery_event
+        )
+        self._health_checks = self._new_health_checks()
+        self._listen()
+        self._policy = Policy(self._loop.now(), configuration.seed, PolicySettings.from_mapping(self._settings))
+        self._rounds = RoundRunner(
+            self._loop,
+            self._counters,
+            self._policy,
+            self._settings["tick"],
+            self._orders,
+            self._discovery,
+            self._health_checks,
+            self._peers,
+        )
+        if operator:
+            self._add_operator_features(operator)
+        self._discovery.start(configuration.known_nodes)
+        self._proxy_updates = self._new_proxy_updates()
+        self._signals = Signals(
+            self._loop,
+            {
+                signal.SIGTERM: self._loop.stop,
+                signal.SIGINT: self._loop.stop,
+                signal.SIGHUP: self.reload,
+                signal.SIGUSR1: self._counters.report,
+            },
+        )
+
+    # The parts.
+
+    def _new_order_queue(self) -> OrderQueue:
+        return OrderQueue(
+            self._loop,
+            self._pool,
+            self._counters,
+            self._configuration.update_source_address,
+            self._ids,
+            list(self._ids.op_types),
+            self._configuration.seed % MARKS,
+            self._settings["longest_transit"],
+        )
+
+    def _new_health_checks(self) -> HealthChecks:
+        return HealthChecks(
+            self._loop,
+            self._pool,
+            self._counters,
+            self._discovery.addresses,
+            self._settings["may_probe"],
+            self._settings["dial_timeout"],
+            self._settings["load_by"] != "none",
+            self._on_event,
+        )
+
+    def _new_proxy_updates(self) -> ProxyUpdates:
+        return ProxyUpdates(
+            self._loop,
+            self._pool,
+            self._counters,
+            self._configuration.update_source_address,
+            self._ids,
+            self._settings["proxies"],
+            self._settings["slices"],
+            self._orders,
+            self._on_event,
+        )
+
+    def _listen(self) -> None:
+        """Listen for telemetry and, where that is allowed, for other assigners."""
         try:
-            new = configuration(Ids(text))
-            more = operators_file()
-        except ValueError as err:
-            counters.trouble("reloads_refused", err)
-            return
-        counters.add("reloads")
-        counters.info("reloaded", discovery=new["discovery"], hub=new["hub"])
-        for part, to in ((orders, new["hub"]), (news, new["hub"]), (discovery, new["discovery"])):
-            part.move(to)
-        if files:
-            files.reload(more.nodes)
-
-    orders = OrderQueue(
-        loop, pool, counters, config["hub"], ids, op_types, config["seed"] % MARKS, found["longest_transit"]
-    )
-    files = None
+            self._telemetry = TelemetryServer(
+                self._loop,
+                self._pool,
+                self._counters,
+                parse_address(self._configuration.listen_address),
+                self._ids,
+                self._settings["slices"],
+                self._on_event,
+            )
+            self._peers = self._new_peer_datagrams()
+        except OSError as err:
+            raise CannotListenError(f"can't listen: {err.strerror}") from err
 
-    def on_listed(event: Event) -> None:
-        (files.on_event if files else on_event)(event)
+    def _new_peer_datagrams(self) -> PeerDatagrams | None:
+        configuration = self._configuration
+        if not (self._settings["may_tell"] and configuration.peer_listen_address):
+            return None
+        return PeerDatagrams(
+            self._loop,
+            self._counters,
+            configuration.peer_listen_address,
+            configuration.peer_addresses,
+            configuration.all_peers_address,
+            self._ids,
+            self._on_datagram,
+        )
 
-    def on_datagram(event: Event) -> None:
-        if members and isinstance(event, PeerMessage):
-            members.take(event.sender, event.body)
-        else:
-            on_event(event)
-
-    discovery = NodeDiscovery(loop, pool, counters, config["discovery"], ids, on_listed)
-    probes = HealthChecks(
-        loop,
-        pool,
-        counters,
-        discovery.addresses,
-        found["may_probe"],
-        found["dial_timeout"],
-        found["load_by"] != "none",
-        on_event,
-    )
-    try:
-        front = TelemetryServer(loop, pool, counters, address(config["listen"]), ids, found["slices"], on_event)
-        peers = None
-        if found["may_tell"] and config.get("peer_listen"):
-            peers = PeerDatagrams(
-                loop, counters, config["peer_listen"], config["peers"], config.get("peers_all") or "", ids, on_datagram
+    def _add_operator_features(self, operator: "OperatorSettings") -> None:
+        """Add watched files, membership and the status socket, as far as the operator's file asks for them."""
+        if operator.nodes.files:
+            from kestrelplank.file_discovery.node_files import NodeFiles
+
+            self._node_files = NodeFiles(
+                self._loop,
+                self._counters,
+                operator.nodes,
+                self._settings["grace"],
+                self._ids,
+                self._discovery.addresses,
+                self._on_event,
             )
-    except OSError as err:
-        print(f"kestrelplank: can't listen: {err.strerror}", file=sys.stderr)
-        return 1
-    policy = Policy(loop.now(), config["seed"], PolicySettings.from_mapping(found))
-    conductor = RoundRunner(loop, counters, policy, found["tick"], orders, discovery, probes, peers)
-    if extras and extras.nodes.files:
-        from kestrelplank.file_discovery.node_files import NodeFiles
-
-        files = NodeFiles(loop, counters, extras.nodes, found["grace"], ids, discovery.addresses, on_event)
-        conductor.holders.append(files)
-    members = status = None
-    if extras and (extras.members.enabled or extras.status.path):
+            self._rounds.holders.append(self._node_files)
+        if operator.members.enabled or operator.status.path:
+            self._add_membership_and_status(operator)
+
+    def _add_membership_and_status(self, operator: "OperatorSettings") -> None:
         from kestrelplank.assigner.operator_features import make_membership, make_status_socket
 
-        members = make_membership(loop, counters, extras.members, found, policy, peers)
+        self._membership = make_membership(
+            self._loop, self._counters, operator.members, self._settings, self._policy, self._peers
+        )
         try:
-            status = make_status_socket(loop, extras.status, policy, ids, members)
+            self._status = make_status_socket(self._loop, operator.status, self._policy, self._ids, self._membership)
         except OSError as err:
-            print(f"kestrelplank: can't listen at {extras.status.path}: {err.strerror}", file=sys.stderr)
-            return 1
-    discovery.start(config.get("known"))
-    news = ProxyUpdates(loop, pool, counters, config["hub"], ids, found["proxies"], found["slices"], orders, on_event)
-    signals = Signals(
-        loop,
-        {signal.SIGTERM: loop.stop, signal.SIGINT: loop.stop, signal.SIGHUP: reload, signal.SIGUSR1: counters.report},
-    )
-    counters.info("started", listen="%s:%d" % front.at)
-    gc.freeze()  # what start-up made stays, and need not be looked through again
-    loop.run()
-    for part in (front, news, orders, discovery, files, members, status, probes, peers, signals, loop):
-        if part is not None:
-            part.close()
-    counters.report()
-    return 0
+            raise CannotListenError(f"can't listen at {operator.status.path}: {err.strerror}") from err
+
+    # Events on their way to the policy.
+
+    def _on_event(self, event: Event) -> None:
+        self._rounds.on_event(event)
+
+    def _on_discovery_event(self, event: Event) -> None:
+        if self._node_files is not None:
+            self._node_files.on_event(event)
+        else:
+            self._on_event(event)
+
+    def _on_datagram(self, event: Event) -> None:
+        if self._membership is not None and isinstance(event, PeerMessage):
+            self._membership.take(event.sender, event.body or b"")
+        else:
+            self._on_event(event)
+
+    # Running.
+
+    def run(self) -> None:
+        """Run until a signal ends it."""
+        self._counters.info("started", listen="%s:%d" % self._telemetry.at)
+        gc.freeze()  # what start-up made stays, and need not be looked through again
+        self._loop.run()
+
+    def reload(self) -> None:
+        """Read both files again: addresses and node lists may change; a file that cannot be used changes nothing."""
+        try:
+            configuration = read_configuration(Ids(text))
+            operator = read_operator_file()
+        except ValueError as err:
+            self._counters.trouble("reloads_refused", err)
+            return
+        self._counters.add("reloads")
+        hub, discovery = configuration.update_source_address, configuration.discovery_address
+        self._counters.info("reloaded", discovery=discovery, hub=hub)
+        self._orders.move(hub)
+        self._proxy_updates.move(hub)
+        self._discovery.move(discovery)
+        if self._node_files is not None and operator is not None:
+            self._node_files.reload(operator.nodes)
+
+    def close(self) -> None:
+        """Close every part, and log the counters a last time."""
+        for part in (
+            self._telemetry,
+            self._proxy_updates,
+            self._orders,
+            self._discovery,
+            self._node_files,
+            self._membership,
+            self._status,
+            self._health_checks,
+            self._peers,
+            self._signals,
+            self._loop,
+        ):
+            if part is not None:
+                part.close()
+        self._counters.report()
+
+
+def main() -> int:
+    """Run one assigner until a signal ends it. Returns the exit code."""
+    ids = Ids(text)
+    try:
+        configuration = read_configuration(ids)
+        operator = read_operator_file()
+    except ValueError as err:
+        print(f"kestrelplank: {err}", file=sys.stderr)
+        return EXIT_UNUSABLE_INPUT
+    try:
+        program = Program(ids, configuration, operator)
+    except CannotListenError as err:
+        print(f"kestrelplank: {err}", file=sys.stderr)
+        return EXIT_CANNOT_LISTEN
+    program.run()
+    program.close()
+    return EXIT_DONE
 
 
 if __name__ == "__main__":
