--- a/kestrelplank/consensus/election.py
+++ b/kestrelplank/consensus/election.py
@@ -1,7 +1,7 @@
 """Votes: whom a member promises what, when it campaigns, and how it is elected.
 
 Source: D. Ongaro, *Consensus: Bridging Theory and Practice* (2014), sections 3.4 (elections), 3.10 (leadership
-transfer), 9.6 (pre-vote). Departures: `Election`.
+transfer), 9.6 (pre-vote). What departs from it stands in the docstring of `Election`.
 """
 
 from random import Random
@@ -17,9 +17,9 @@
     """One member's votes and campaigns.
 
     - A member that has answered a leader votes for nobody else for `LEASE_NS`; after a restart for as long again, as it
-      may have answered just before. The one exception: it may vote at once for the leader that it followed last, which
-      surely leads no longer if it asks.
-    - A candidate first asks whether votes would be granted (pre-vote): a member that is cut off raises no term.
+      may have answered just before. Two exceptions: it may vote at once for the leader that it followed last, which
+      surely leads no longer if it asks; and, for the very next term, for whom the leader asked to take over.
+    - A candidate first asks whether votes would be granted (pre-vote): a partitioned member raises no term.
     - A candidate that is no voter of the newest membership that a voter knows to be committed is denied, unless the
       candidate knows a newer one.
     - A vote, also one for oneself, counts only once it is durable.
@@ -118,7 +118,9 @@
 
     def _vote_request(self, term: int, *, transfer: bool) -> VoteRequest:
         log = self._state.log
-        return VoteRequest(term, self._state.epoch, log.last_index, log.last_term, self._pre_vote, transfer)
+        return VoteRequest(
+            term, self._state.epoch, log.last_index, log.last_term, pre_vote=self._pre_vote, transfer=transfer
+        )
 
     def _other_voters(self) -> list[str]:
         return [voter for voter in self._state.all_voters if voter != self._state.identity]
--- a/kestrelplank/consensus/follower.py
+++ b/kestrelplank/consensus/follower.py
@@ -5,6 +5,7 @@
 from kestrelplank.consensus.consensus_messages import Append, AppendReply, SnapshotChunk, SnapshotReply
 from kestrelplank.consensus.effects import Restored, Send
 from kestrelplank.consensus.election import Election
+from kestrelplank.consensus.errors import CommittedEntryError
 from kestrelplank.consensus.lease import LeaderContact
 from kestrelplank.consensus.log_entries import Entry, Snapshot
 from kestrelplank.consensus.member_state import MemberState
@@ -88,7 +89,7 @@
     def _take_entries(self, now: int, sender: str, entries: tuple[Entry, ...]) -> None:
         """Replace our log from the first entry on that differs.
 
-        :raises ValueError: that entry is committed here.
+        :raises CommittedEntryError: that entry is committed here.
         """
         state = self._state
         differing = self._differing(entries)
@@ -96,12 +97,12 @@
             return
         first_index = differing[0].index
         if first_index <= state.commit_index:
-            raise ValueError(f"entry {first_index} differs, and {state.commit_index} is committed")
+            raise CommittedEntryError(f"entry {first_index} differs, and {state.commit_index} is committed")
         if first_index <= state.log.last_index:
             state.log.truncate(first_index)
             state.writes.truncate(first_index)
         state.log.append(differing)
-        reply = AppendReply(state.term, state.epoch, True, differing[-1].index, 0)
+        reply = self._durable_reply(differing[-1].index)
         state.writes.persist_entries(differing, then=Send(sender, reply))
         self._election.schedule_campaign(now)
 
@@ -147,7 +148,7 @@
         matching_until = snapshot.index if matches else state.commit_index
         state.restore(snapshot)
         state.writes.truncate(matching_until + 1)
-        reply = AppendReply(state.term, state.epoch, True, snapshot.index, 0)
+        reply = self._durable_reply(snapshot.index)
         entries = state.log.entries_after_snapshot()
         state.writes.persist_snapshot(snapshot, entries, state.hard_state, matching_until, then=Send(sender, reply))
         state.writes.emit(Restored(snapshot))
@@ -170,8 +171,14 @@
         reply = AppendReply(state.term, state.epoch, success, index, heartbeat_round, probe)
         state.writes.send_when_durable(to, reply)
 
+    def _durable_reply(self, match_index: int) -> AppendReply:
+        """Return what to send, to no heartbeat, once our log up to `match_index` is on disk."""
+        state = self._state
+        return AppendReply(state.term, state.epoch, success=True, match_index=match_index, heartbeat_round=0)
+
     def _refuse_former_leader(self, sender: str) -> None:
         """Answer one that leads no longer, so that it learns the newer term."""
         state = self._state
-        reply = AppendReply(state.term, state.epoch, False, state.writes.durable_index, 0)
+        durable_index = state.writes.durable_index
+        reply = AppendReply(state.term, state.epoch, success=False, match_index=durable_index, heartbeat_round=0)
         state.writes.send_when_durable(sender, reply)
--- a/kestrelplank/consensus/log.py
+++ b/kestrelplank/consensus/log.py
@@ -2,6 +2,7 @@
 
 from typing import NamedTuple
 
+from kestrelplank.consensus.errors import EntryGapError
 from kestrelplank.consensus.log_entries import ChangeMembership, Entry, PutConfiguration, PutRecord, Snapshot
 from kestrelplank.consensus.membership import Membership
 
@@ -106,11 +107,11 @@
     def append(self, entries: tuple[Entry, ...]) -> None:
         """Add entries after the last one.
 
-        :raises ValueError: an entry does not follow the one before it.
+        :raises EntryGapError: an entry does not follow the one before it.
         """
         for entry in entries:
             if entry.index != self.last_index + 1:
-                raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
+                raise EntryGapError(f"entry {entry.index} does not follow {self.last_index}")
             self._entries.append(entry)
             if isinstance(entry.command, ChangeMembership):
                 self._memberships.append(LoggedMembership(entry.index, entry.command.membership))
--- a/kestrelplank/consensus/membership_planning.py
+++ b/kestrelplank/consensus/membership_planning.py
@@ -15,6 +15,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from kestrelplank.consensus.errors import NotJointError
 from kestrelplank.consensus.identity import address_of
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.quorum import has_majority
@@ -85,10 +86,10 @@
 def finish(membership: Membership) -> Membership:
     """Return the membership that ends a change, to be proposed once the joint one is committed.
 
-    :raises ValueError: `membership` is not joint.
+    :raises NotJointError: `membership` is not joint.
     """
     if not membership.joint:
-        raise ValueError(f"membership of epoch {membership.epoch} is not joint")
+        raise NotJointError(f"membership of epoch {membership.epoch} is not joint")
     return Membership(
         epoch=membership.epoch + 1,
         voters=membership.voters,
--- a/tests/consensus/test_log_properties.py
+++ b/tests/consensus/test_log_properties.py
@@ -20,7 +20,7 @@
 
 FIRST = Membership(1, ("a", "b", "c"))
 NAMES = "abcdefg"
-MOST_AT_ONCE = 40
+MAX_APPENDED = 40
 
 
 def entry_at(index, term, kind):
@@ -32,12 +32,12 @@
 
 
 class LogAgainstList(RuleBasedStateMachine):
-    """`all`: every entry from 1 on, though the log may have let go of it, or never had it; `committed`: up to here
+    """`all`: every entry from 1 on, though the log may have dropped it, or never had it; `committed`: up to here
     entries don't change, as the core takes care that they don't. `known_from`: the first that the log must still have."""
 
-    @initialize(told=st.booleans())
-    def begin(self, told):
-        self.first = FIRST if told else None
+    @initialize(knows_first=st.booleans())
+    def begin(self, knows_first):
+        self.first = FIRST if knows_first else None
         self.log = ReplicatedLog(self.first, None, ())
         self.all = []
         self.term = 1
@@ -46,13 +46,15 @@
         self.known_from = 1
 
     def memberships(self, index):
-        changes = [one.command.membership for one in self.all[:index] if isinstance(one.command, ChangeMembership)]
+        changes = [
+            entry.command.membership for entry in self.all[:index] if isinstance(entry.command, ChangeMembership)
+        ]
         return changes[-1] if changes else self.first
 
     def more(self, base, kinds):
-        return [entry_at(base + 1 + place, self.term, kind) for place, kind in enumerate(kinds)]
+        return [entry_at(base + 1 + offset, self.term, kind) for offset, kind in enumerate(kinds)]
 
-    @rule(kinds=st.lists(st.integers(0, 90), max_size=MOST_AT_ONCE), new_term=st.booleans())
+    @rule(kinds=st.lists(st.integers(0, 90), max_size=MAX_APPENDED), new_term=st.booleans())
     def append(self, kinds, new_term):
         self.term += new_term
         entries = self.more(len(self.all), kinds)
@@ -98,17 +100,17 @@
         index = data.draw(st.integers(self.committed + 1, len(self.all) + ahead))
         inside = index <= len(self.all)
         if inside and alike:
-            found = self.all[index - 1]
+            last = self.all[index - 1]
         else:
             self.term += 1
             del self.all[index - 1 :]
             self.all += [entry_at(at, self.term, 1) for at in range(len(self.all) + 1, index)]
-            found = entry_at(index, self.term, 0)
-            self.all.append(found)
+            last = entry_at(index, self.term, 0)
+            self.all.append(last)
         membership = self.memberships(index) or FIRST
         if self.memberships(index) is None:
             self.first = FIRST
-        snapshot = Snapshot(index, found.term, membership, b"installed")
+        snapshot = Snapshot(index, last.term, membership, b"installed")
         self.log.install(snapshot)
         assert self.log.snapshot == snapshot
         self.committed = self.snapshot_index = index
@@ -126,13 +128,13 @@
     @rule(first=st.integers(0, 200), most=st.integers(1, 70), most_bytes=st.integers(1, 2000))
     def slices(self, first, most, most_bytes):
         first = min(self.known_from + first, len(self.all) + 1)
-        found = self.log.entries_from(first, most, most_bytes)
+        entries = self.log.entries_from(first, most, most_bytes)
         expected = []
         for entry in self.all[first - 1 : first - 1 + most]:
             if expected and sum(map(entry_size_bytes, expected)) + entry_size_bytes(entry) > most_bytes:
                 break
             expected.append(entry)
-        assert list(found) == expected
+        assert list(entries) == expected
 
     def compare(self):
         log = self.log
@@ -158,25 +160,25 @@
 some = st.sets(st.sampled_from(NAMES))
 
 
-def naive_majority(voters, yes):
-    return 2 * len([voter for voter in voters if voter in yes]) > len(voters)
+def naive_majority(voters, agreeing):
+    return 2 * len([voter for voter in voters if voter in agreeing]) > len(voters)
 
 
 @given(groups, some)
-def test_more_than_half_is_a_majority_and_nothing_less(voters, yes):
-    assert has_majority(voters, sorted(yes)) == naive_majority(voters, yes)
+def test_more_than_half_is_a_majority_and_nothing_less(voters, agreeing):
+    assert has_majority(voters, sorted(agreeing)) == naive_majority(voters, agreeing)
 
 
 @given(memberships, some)
-def test_a_quorum_is_a_majority_of_each_side(membership, yes):
-    expected = naive_majority(membership.voters, yes)
+def test_a_quorum_is_a_majority_of_each_side(membership, agreeing):
+    expected = naive_majority(membership.voters, agreeing)
     if membership.outgoing:
-        expected = expected and naive_majority(membership.outgoing, yes)
-    assert is_quorum(membership, sorted(yes)) == expected
+        expected = expected and naive_majority(membership.outgoing, agreeing)
+    assert is_quorum(membership, sorted(agreeing)) == expected
 
 
 @given(memberships, some, some)
-def test_any_two_quorums_meet_in_one_who_counts(membership, one, other):
+def test_any_two_quorums_meet_in_a_voter(membership, one, other):
     if is_quorum(membership, one) and is_quorum(membership, other):
         assert one & other & set(membership.voters)
         assert not membership.joint or one & other & set(membership.outgoing)
