--- a/kestrelplank/assigner/proxy_updates.py
+++ b/kestrelplank/assigner/proxy_updates.py
@@ -52,7 +52,8 @@
 class ProxyUpdates:
     """Turns the relay's stream into events.
 
-    No order leaves between a break of the stream and the end of the reconciliation (tests/test_net.py).
+    No order leaves between a break of the stream and the end of the reconciliation
+    (`test_orders_wait_while_updates_are_away_and_are_dropped_with_a_slice_that_is_lost`).
 
     :param proxies: how many there may be.
     :param slices: how many there are.
@@ -154,19 +155,19 @@
 
     def _reconcile(self) -> None:
         """End the reconciliation, if there is one: all that holds has been told."""
-        told, self._reconciliation = self._reconciliation, None
-        if told is None:
+        reconciliation, self._reconciliation = self._reconciliation, None
+        if reconciliation is None:
             return
         self._emit_new_slice()
-        for proxy in [proxy for proxy in self._applied if proxy not in told.proxies]:
+        for proxy in [proxy for proxy in self._applied if proxy not in reconciliation.proxies]:
             del self._applied[proxy]
             self._emit(ProxyLeft(proxy))
-        for number in [number for number in self._owned if number not in told.slices]:
+        for number in [number for number in self._owned if number not in reconciliation.slices]:
             self._take_back(number)
-        for number, endpoints in told.slices.items():
+        for number, endpoints in reconciliation.slices.items():
             if endpoints is not None and not self._orders.explains(number, endpoints):
                 self._take_up_anew(number, endpoints)
-        known = [joined for joined in told.proxies.values() if joined]
+        known = [joined for joined in reconciliation.proxies.values() if joined]
         for joined in known:
             # It may have lost its stream and dialled again while we heard nothing, and have missed orders that
             # no store keeps: the module tells a proxy that joins, if not afresh, what is withdrawn (rule 3).
@@ -235,12 +236,12 @@
     def _take_joined_proxy(self, fields: Mapping[str, object]) -> None:
         proxy = read_below(fields.get("node"), self._proxies)
         zone, ops_per_s = self._ids.zone(fields.get("locality")), count(fields.get("w"))
-        fresh, told = flag(fields.get("cold")), self._reconciliation
-        if told and proxy in self._applied:
-            told.proxies[proxy] = ProxyJoined(proxy, zone, ops_per_s, False)
+        fresh, reconciliation = flag(fields.get("cold")), self._reconciliation
+        if reconciliation and proxy in self._applied:
+            reconciliation.proxies[proxy] = ProxyJoined(proxy, zone, ops_per_s, False)
             return
-        if told:
-            told.proxies[proxy] = None
+        if reconciliation:
+            reconciliation.proxies[proxy] = None
         elif proxy in self._applied:  # its earlier stream has ended, with all that was on its way there
             self._emit(ProxyLeft(proxy))
         self._applied[proxy] = NOTHING_APPLIED
@@ -262,10 +263,10 @@
 
     def _take_ownership(self, fields: Mapping[str, object]) -> None:
         number, owned = read_below(fields.get("shard"), self._slices), flag(fields.get("set"))
-        known, told = number in self._owned, self._reconciliation
-        if owned and told:
-            told.slices[number] = {} if known else None
-        if owned and not (told and known):
+        known, reconciliation = number in self._owned, self._reconciliation
+        if owned and reconciliation:
+            reconciliation.slices[number] = {} if known else None
+        if owned and not (reconciliation and known):
             self._give(number)
         elif not owned and known:
             self._take_back(number)
@@ -274,8 +275,8 @@
         number, weight = read_below(fields.get("shard"), self._slices), count(fields.get("w"))
         if number not in self._owned:
             raise Malformed(f"a line of slice {number}, which is not ours")
-        node, told = self._ids.node(fields.get("endpoint")), self._reconciliation
-        endpoints = told.slices.get(number) if told else None
+        node, reconciliation = self._ids.node(fields.get("endpoint")), self._reconciliation
+        endpoints = reconciliation.slices.get(number) if reconciliation else None
         if endpoints is not None:
             endpoints[node] = weight
         else:
--- a/kestrelplank/policy/assigner_policy.py
+++ b/kestrelplank/policy/assigner_policy.py
@@ -104,11 +104,11 @@
     def _decide_withdrawals(self, now: int) -> None:
         """Withdraw nodes that must be; let others in again, but only once no table names them without need."""
         for index, node in self.nodes.items():
-            if node.must_withdraw(now) == node.withdrawn or node.withdrawn and self._still_to_be_removed(index):
+            if node.must_withdraw(now) == node.withdrawn or node.withdrawn and self._has_endpoint_to_remove(index):
                 continue
             node.withdrawn, node.withdrawal_changed_at, node.order_due = not node.withdrawn, now, True
 
-    def _still_to_be_removed(self, index: int) -> bool:
+    def _has_endpoint_to_remove(self, index: int) -> bool:
         return any(index in owned.ordered and index not in owned.desired for owned in self.slices.values())
 
     def _release_gone_nodes(self, now: int, out: interface.OrderWriter) -> None:
--- /dev/null
+++ b/tests/assigner/assigner_parties.py
@@ -0,0 +1,72 @@
+"""Stand-ins, messages and steps that several tests of the assigner use."""
+
+from parties import StubServer, attach, names, news, orders, until
+
+from kestrelplank.assigner.proxy_updates import ProxyUpdates
+
+REPORT = (
+    b"upstream_stats",
+    b"locality",
+    b"a",
+    b"endpoint",
+    b"s-1",
+    b"total",
+    b"9",
+    b"errors",
+    b"3",
+    b"rtt",
+    b"41.5",
+    b"interval",
+    b"1000.0",
+    b"metrics",
+    b"inflight:7,util:0.5,moon:1",
+)
+HEAT = (b"range_stats", b"shard", b"8", b"route", b"look", b"total", b"4", b"errors", b"1", b"interval", b"500")
+
+
+def end(made, outcome):
+    made._client.busy = False
+    made.on_answer(200, outcome) if isinstance(outcome, bytes) else made.on_broken("silent")
+
+
+def ordered(made, *tables, behind=0):
+    for table in tables:
+        made.set_endpoint(table, 0, 1.0)
+    made.request_acknowledgement(tables[-1], True, behind)
+    made.close_round()
+
+
+def relayed(kit, *known):
+    relay = StubServer(kit, lambda visitor, path, body: visitor.begin() if path == "/api/stream" else None)
+    made = orders(kit)
+    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, made, kit.events.append)
+    until(kit.loop, lambda: kit.counters.counts["news_started"])
+    relay.visitors[-1].tell(*known, {})
+    until(kit.loop, lambda: told._reconciliation is None)
+    return relay, told, made
+
+
+STANDING = (
+    attach(1),
+    attach(2),
+    news("owner", shard=3, set=True),
+    news("entry", shard=3, endpoint="s-1", w=1.0),
+    news("owner", shard=4, set=True),
+    news("entry", shard=4, endpoint="s-1", w=1.0),
+)
+
+
+def again(kit, relay, *lines):
+    kit.events.clear()
+    relay.visitors[-1].connection.close("broken off")
+    until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
+    relay.visitors[-1].tell(*lines)
+
+
+class Rounds:
+    def __init__(self):
+        self.held = []
+
+    def round(self, now, events, out):
+        self.held.append(events)
+        out.set_endpoint(0, 0, 1.0)
--- /dev/null
+++ b/tests/assigner/test_health_checks.py
@@ -0,0 +1,36 @@
+import pytest
+from parties import MS, StubServer, until
+
+from kestrelplank.assigner.health_checks import HealthChecks
+from kestrelplank.interface import (
+    HealthChecked,
+)
+
+
+@pytest.mark.parametrize(
+    "status, body, verdict, load",
+    [
+        (200, b"inflight=7,util=0.5,moon=2", "ok", {"in_flight": 7.0, "utilization": 0.5}),
+        (503, b"", "full", {}),
+        (200, b"util=much", "ok", {}),
+        (404, b"", "failed", {}),
+        (None, b"", "broken", {}),
+    ],
+)
+def test_a_health_check_reports_what_the_node_answered(kit, status, body, verdict, load):
+    node = StubServer(
+        kit, lambda visitor, path, _: visitor.reply(body, status) if status else visitor.connection.close("broken off")
+    )
+    probes = HealthChecks(kit.loop, kit.pool, kit.counters, {0: node.at}, True, 250 * MS, True, kit.events.append)
+    probes.check(0)
+    until(kit.loop, lambda: kit.events)
+    checked = kit.events[0]
+    assert isinstance(checked, HealthChecked)
+    assert (checked.node, checked.verdict, checked.load) == (0, verdict, load)
+    probes.check(0)
+    until(kit.loop, lambda: len(kit.events) == 2)
+    assert len(node.visitors) == (1 if status else 2) and node.requests[0][1] == "/status/load"
+    probes.check(1)
+    assert kit.counters.counts["probes_not_sent"] == 1
+    probes.close()
+    node.close()
--- a/tests/assigner/test_operator_features.py
+++ b/tests/assigner/test_operator_features.py
@@ -5,7 +5,7 @@
 
 import pytest
 from click.testing import CliRunner
-from parties import Kit, until
+from parties import until
 from test_program import SETTINGS, Program, closed_port
 
 from kestrelplank.assigner.membership_gossip import MembershipGossip
@@ -21,13 +21,6 @@
         return "127.0.0.1:%d" % sock.getsockname()[1]
 
 
-@pytest.fixture
-def kit():
-    made = Kit()
-    yield made
-    made.loop.close()
-
-
 def ask(kit, path):
     """What stands at the socket, while our own loop plays its owner."""
     link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -2,6 +2,8 @@
 
 import json
 
+import pytest
+
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.decode import Ids, text
@@ -16,10 +18,12 @@
     "attach",
     "fail",
     "instance",
+    "kit",
     "names",
     "news",
     "node_list",
     "orders",
+    "received",
     "until",
 ]
 
@@ -41,6 +45,14 @@
         self.events = []
 
 
+@pytest.fixture
+def kit():
+    """A kit, whose loop is closed after the test."""
+    made = Kit()
+    yield made
+    made.loop.close()
+
+
 class StubServer(parties.StubServer):
     """One that remembers what it was asked."""
 
@@ -53,6 +65,14 @@
         super().asked(visitor, path, body)
 
 
+def received(sock):
+    """What has come on a socket that does not block; None where nothing has."""
+    try:
+        return sock.recv(1 << 20)
+    except BlockingIOError:
+        return None
+
+
 def names():
     ids = Ids(text)
     for name in ("s-1", "s-2"):
--- /dev/null
+++ b/tests/sockets/test_resp.py
@@ -0,0 +1,34 @@
+import pytest
+from assigner_parties import REPORT
+
+from kestrelplank.decode import Malformed
+from kestrelplank.sockets import resp
+
+
+@pytest.mark.parametrize("piece", [1, 2, 7, 10_000])
+def test_messages_come_complete_out_of_any_pieces(piece):
+    parser, data = resp.Parser(), resp.encode(b"hb") + resp.encode(*REPORT) + resp.encode(b"x", b"a\r\nb", b"")
+    found = [m for at in range(0, len(data), piece) for m in parser.feed(data[at : at + piece])]
+    assert found == [[b"hb"], list(REPORT), [b"x", b"a\r\nb", b""]]
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*-1\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n:5\r\n",
+        b"*99999999999\r\n",
+        b"*1025\r\n",
+        b"*1\r\n$1048577\r\n",
+        b"*2\r\n$700000\r\n" + b"x" * 700_000 + b"\r\n$700000\r\n",
+        b"*1\r\n$2\r\nabc\r\n",
+        b"\x00" * 40,
+        b"*1x\r\n",
+        b"*" + b"1" * 30,
+    ],
+)
+def test_garbage_and_too_much_are_rejected_before_anything_is_kept(data):
+    with pytest.raises(Malformed):
+        list(resp.Parser().feed(data))
