--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.consensus.messages import HardState
+from kestrelplank.consensus.log_entries import HardState
 from kestrelplank.file_discovery.whole import sync_folder
 from kestrelplank.storage import readable_copies
 from kestrelplank.storage.entries import check_contiguous, merge_persists
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -4,7 +4,7 @@
 from typing import assert_never
 
 from kestrelplank.configuration.plan import Configuration, read
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.key_range_table import KeyRangeTable
 from kestrelplank.transport.messages import (
@@ -131,7 +131,7 @@
         return Change.KEY_RANGES
 
     def _handle_server_list(self, now: int, update: ServerListUpdate) -> Change | None:
-        return Change.SERVERS if self.servers.update(now, update.age, update.entries) else None
+        return Change.SERVERS if self.servers.update(now, update.age_ns, update.entries) else None
 
     def heartbeat(self, now: int) -> EdgeHeartbeat:
         """Return what this machine has; what it lacks is sent in answer."""
--- a/kestrelplank/transport/messages.py
+++ b/kestrelplank/transport/messages.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from kestrelplank.consensus.messages import Message, ServerListUpdate
+from kestrelplank.consensus.member_messages import Message, ServerListUpdate
 
 
 class KeyRangesVersion(msgspec.Struct, frozen=True, array_like=True, order=True):
--- a/kestrelplank/transport/server_list.py
+++ b/kestrelplank/transport/server_list.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 
 ServerRow = tuple[str, str, str, str, int, str, int]  # a `ListedServer` as it is on the wire
 
--- a/tests/transport/test_edge_view.py
+++ b/tests/transport/test_edge_view.py
@@ -2,7 +2,7 @@
 
 from configuration.test_plan import encoded
 
-from kestrelplank.consensus.messages import ServerListUpdate
+from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.time_units import SECOND
 from kestrelplank.transport.edge_view import SEED_FALLBACK_DELAY_NS, VOUCH_MAX_AGE_NS, Change, EdgeView
 from kestrelplank.transport.messages import (
