--- a/kestrelplank/storage/files.py
+++ b/kestrelplank/storage/files.py
@@ -5,7 +5,7 @@
 import tempfile
 from pathlib import Path
 
-from kestrelplank.file_discovery.whole import sync_folder
+from kestrelplank.file_discovery.atomic_write import sync_directory
 
 log = logging.getLogger("storage")
 
@@ -17,7 +17,7 @@
     parent = folder.absolute().parent
     make_folder(parent)
     folder.mkdir(parents=True, exist_ok=True)
-    sync_folder(str(parent))
+    sync_directory(str(parent))
 
 
 def replace_file(path: Path, data: bytes, temporary_prefix: str) -> int:
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -3,7 +3,8 @@
 from enum import Enum
 from typing import assert_never
 
-from kestrelplank.configuration.plan import Configuration, read
+from kestrelplank.configuration.parsing import parse_configuration
+from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.key_range_table import KeyRangeTable
@@ -109,7 +110,7 @@
     def _handle_configuration(self, update: ConfigurationUpdate) -> Change | None:
         if self.configuration is not None and update.version <= self.configuration.key.version:
             return None
-        configuration = read(update.text).value_or(None)
+        configuration = parse_configuration(update.text).value_or(None)
         if configuration is None:
             return None
         self.configuration = configuration
--- a/tests/transport/test_edge_view.py
+++ b/tests/transport/test_edge_view.py
@@ -1,6 +1,6 @@
 """What an edge machine makes of what control members send it."""
 
-from configuration.test_plan import encoded
+from configuration.test_parsing import encoded
 
 from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.time_units import SECOND
