--- a/kestrelplank/reference_proxy/keyed.py
+++ b/kestrelplank/reference_proxy/keyed.py
@@ -1,4 +1,4 @@
-"""Requests with a key, of deduplicated op types: one of them runs, the others get its answer (`state/answers.py`)."""
+"""Requests with a key, of deduplicated op types: one of them runs, the others get its answer (`state/idempotency_cache.py`)."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 from kestrelplank.load_balancing.operations import Verdict
 from kestrelplank.reference_proxy.exchange import Exchange
 from kestrelplank.reference_proxy.request import Refusal
-from kestrelplank.state.answers import BUSY, FULL, KNOWN, NEW, OTHER, Answers
+from kestrelplank.state.idempotency_cache import IdempotencyCache, LookupStatus
 
 UNKNOWN = "the first may have run, and its end is not known"
 TOO_LONG = Refusal(413, "too long for an op with a key")
@@ -39,7 +39,7 @@
 class KeyedRequests:
     """An exchange holds its key from `look_up` until it is settled or released."""
 
-    def __init__(self, answers: Answers, counters: Counters) -> None:
+    def __init__(self, answers: IdempotencyCache, counters: Counters) -> None:
         self._answers, self._counters = answers, counters
 
     def look_up(self, now: int, exchange: Exchange, most_body: int) -> Found:
@@ -47,16 +47,16 @@
         if exchange.request.size > most_body:
             exchange.key = ""
             return TOO_LONG
-        told, answer = self._answers.ask(now, exchange.key, exchange.request.digest(), exchange.number)
+        told, answer = self._answers.look_up(now, exchange.key, exchange.request.digest(), exchange.number)
         self._counters.add(f"keys_{told}")
-        if told == BUSY:
+        if told == LookupStatus.PENDING:
             return AwaitFirst()
-        if told == NEW:
+        if told == LookupStatus.NEW:
             return Forward()
         exchange.key = ""
-        if told == KNOWN and answer:
+        if told == LookupStatus.ANSWERED and answer:
             return Replay(answer)
-        return {FULL: TOO_MANY, OTHER: OTHER_REQUEST}.get(told, MAY_HAVE_RUN)
+        return {LookupStatus.FULL: TOO_MANY, LookupStatus.MISMATCH: OTHER_REQUEST}.get(told, MAY_HAVE_RUN)
 
     def settle(
         self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None
@@ -66,12 +66,12 @@
         key, exchange.key = exchange.key, ""
         if answer:
             whole = b"".join(answer)
-            return self._answers.done(key, whole), Replay(whole)
+            return self._answers.handle_answered(key, whole), Replay(whole)
         ran = verdict is not Verdict.REJECTED
-        return self._answers.failed(key, ran), MAY_HAVE_RUN if ran else FIRST_REJECTED
+        return self._answers.handle_failed(key, ran), MAY_HAVE_RUN if ran else FIRST_REJECTED
 
     def release(self, exchange: Exchange) -> None:
         """It no longer waits for the first one."""
         if exchange.key:
-            self._answers.gone(exchange.key, exchange.number)
+            self._answers.cancel_wait(exchange.key, exchange.number)
             exchange.key = ""
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -32,7 +32,7 @@
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import Loop
-from kestrelplank.state import answers
+from kestrelplank.state import idempotency_cache
 from kestrelplank.state.sealed import sealed, unsealed
 from kestrelplank.state.tables import Refused, Tables
 
@@ -136,8 +136,10 @@
             self.tables,
             self.attempts,
             Admission(admission_settings(file)),
-            answers.Answers(
-                answers.Terms(clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns)
+            idempotency_cache.IdempotencyCache(
+                idempotency_cache.CacheLimits(
+                    clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns
+                )
             ),
             pool_settings(file),
             self.addresses,
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -1,7 +1,7 @@
 """The proxy: clients on one side, nodes on the other, and between them one exchange an op.
 
 What is decided comes from the cores: `Admission` holds client connections, `Attempts` ops and their attempts, a
-`ConnectionPool` a node's connections, `Answers` the answers of deduplicated ops. Here ops are led from their request to
+`ConnectionPool` a node's connections, `IdempotencyCache` the answers of deduplicated ops. Here ops are led from their request to
 their answer; bytes are moved by `client`, `exchange` and `upstream`, bounded on both sides: who does not read holds up
 who writes.
 """
@@ -25,7 +25,7 @@
 from kestrelplank.reference_proxy.upstream import Upstream
 from kestrelplank.sockets.buffers import Pool as Buffers
 from kestrelplank.sockets.loop import Loop
-from kestrelplank.state.answers import Answers
+from kestrelplank.state.idempotency_cache import IdempotencyCache
 from kestrelplank.state.tables import Tables
 
 SWEEP = 100_000_000  # ns between looks for connections that are late
@@ -49,7 +49,7 @@
         tables: Tables,
         attempts: Attempts,
         admission: Admission,
-        answers: Answers,
+        answers: IdempotencyCache,
         pool_settings: PoolSettings,
         addresses: dict[int, str],
         table_of: Callable[[Request], int],
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("name", values("journals/values.json"))
 def test_a_journal_is_read_to_the_same_values(name):
-    found = journal.recovered((DATA / "journals" / name).read_bytes())
+    found = journal.recover((DATA / "journals" / name).read_bytes())
     assert by_position(list(found)) == values("journals/values.json")[name]
 
 
@@ -159,9 +159,9 @@
     made = journal.Journal()
     for value in records:
         made.add(value)
-    assert made.write() == (DATA / "journals/appended").read_bytes()
+    assert made.take_unwritten() == (DATA / "journals/appended").read_bytes()
     (first, _), *_ = compacted = values("journals/values.json")["compacted"][0]
-    assert journal.snapshot([value for _, value in compacted], first) == (DATA / "journals/compacted").read_bytes()
+    assert journal.compacted([value for _, value in compacted], first) == (DATA / "journals/compacted").read_bytes()
 
 
 def test_a_node_lists_state_is_read_to_the_same_values_and_stored_as_the_same_bytes():
