--- a/kestrelplank/reference_proxy/keyed.py
+++ b/kestrelplank/reference_proxy/keyed.py
@@ -1,4 +1,4 @@
-"""Requests with a key, of deduplicated op types: one of them runs, the others get its answer (`state/idempotency_cache.py`)."""
+"""Requests with a key, of deduplicated op types: one of them runs, the others get its answer."""
 
 from dataclasses import dataclass
 
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -1,9 +1,9 @@
 """The proxy: clients on one side, nodes on the other, and between them one exchange an op.
 
 What is decided comes from the cores: `Admission` holds client connections, `Attempts` ops and their attempts, a
-`ConnectionPool` a node's connections, `IdempotencyCache` the answers of deduplicated ops. Here ops are led from their request to
-their answer; bytes are moved by `client`, `exchange` and `upstream`, bounded on both sides: who does not read holds up
-who writes.
+`ConnectionPool` a node's connections, `IdempotencyCache` the answers of deduplicated ops. Here ops are led from their
+request to their answer; bytes are moved by `client`, `exchange` and `upstream`, bounded on both sides: who does not
+read holds up who writes.
 """
 
 import socket
--- a/kestrelplank/state/idempotency_cache.py
+++ b/kestrelplank/state/idempotency_cache.py
@@ -97,8 +97,8 @@
     def handle_failed(self, key: str, may_have_run: bool) -> list[int]:
         """Take note that the op has no answer; return who waits for it.
 
-        :param may_have_run: the key stays taken, with an empty answer, until it expires: whoever asks again must not run
-            the op a second time by our doing.
+        :param may_have_run: the key stays taken, with an empty answer, until it expires: whoever asks again must not
+            run the op a second time by our doing.
         """
         entry = self._entries[key]
         waiting, entry.waiting = entry.waiting, []
--- a/kestrelplank/transport/wire.py
+++ b/kestrelplank/transport/wire.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Generic, TypeVar, cast
 
-from kestrelplank.http.stream import harden, resetting
+from kestrelplank.http.socket_options import harden, reset_on_close
 from kestrelplank.transport.messages import ToEdge, ToMember, encode
 
 HEADER_BYTES = 4
@@ -120,5 +120,5 @@
     def reset(self) -> None:
         """End it at once; bytes that the network holds up are lost."""
         if self.transport is not None:
-            resetting(self.transport.get_extra_info("socket"))
+            reset_on_close(self.transport.get_extra_info("socket"))
             self.transport.abort()
