--- a/kestrelplank/control/edge_updates.py
+++ b/kestrelplank/control/edge_updates.py
@@ -41,14 +41,15 @@
         """
         answers: list[ToEdge] = [self._member_heartbeat(now, heartbeat, edge_count)]
         configuration = self._replica.state.configuration
-        if configuration is not None and (heartbeat.version is None or heartbeat.version < configuration.version):
+        edge_version = heartbeat.configuration_version
+        if configuration is not None and (edge_version is None or edge_version < configuration.version):
             answers.append(ConfigurationUpdate(configuration.version, configuration.text))
         for service in self._replica.sharded_services():
-            update = self._key_ranges(now, service, heartbeat.lines.get(service, KeyRangesVersion()))
+            update = self._key_ranges(now, service, heartbeat.key_ranges.get(service, KeyRangesVersion()))
             if update is not None:
                 answers.append(update)
-        if self._servers.fetched_at is not None and heartbeat.servers != self._servers.digest():
-            answers.append(self._servers.news(now))
+        if self._servers.fetched_at is not None and heartbeat.server_list_digest != self._servers.digest():
+            answers.append(self._servers.update_message(now))
         return answers
 
     def _key_ranges(self, now: int, service: str, known: KeyRangesVersion) -> KeyRangesUpdate | None:
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -48,8 +48,7 @@
 from kestrelplank.sharding.effects import ServerCallResult
 from kestrelplank.state.control_state import ControlState
 from kestrelplank.transport.messages import ConfigurationUpdate, EdgeHeartbeat, LoadReport, ToEdge
-from kestrelplank.transport.server_list import Entry as ListedServer
-from kestrelplank.transport.server_list import ServerList
+from kestrelplank.transport.server_list import ListedServer, ServerList
 
 
 class ControlMember:
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -11,7 +11,7 @@
 from kestrelplank.consensus.identity import address_of
 from kestrelplank.consensus.member_messages import Message
 from kestrelplank.settings.platform import parse_address
-from kestrelplank.transport.messages import Envelope, decode_at_member
+from kestrelplank.transport.messages import Envelope, ToMember, decode_at_member
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import FrameConnection
 
@@ -21,6 +21,8 @@
 REDIAL_AFTER_END_S = REDIAL_INTERVAL_S / 2
 """From the end of a connection to the next dial."""
 
+MemberConnection = FrameConnection[ToMember]
+"""A connection on which a control member receives."""
 MessageHandler = Callable[[str, Message], None]
 
 
@@ -36,8 +38,8 @@
         self._identity = identity
         self._port = port
         self._handle_message = handle_message
-        self._inbound = Sessions()
-        self._dialled: dict[str, FrameConnection] = {}  # by control address
+        self._inbound: Sessions[MemberConnection] = Sessions()
+        self._dialled: dict[str, MemberConnection] = {}  # by control address
         self._dialling: dict[str, asyncio.Task[None]] = {}  # by control address
 
     def dial(self, addresses: list[str]) -> None:
@@ -55,10 +57,10 @@
         """Send to the member of that identity; lost where there is no session."""
         wire = self._dialled.get(address_of(to))
         session = self._inbound.by_name.get(to)
-        if wire is not None and wire.open:
+        if wire is not None and wire.is_open:
             wire.send(Envelope(self._identity, to, message))
         elif session is not None:
-            session.wire.send(Envelope(self._identity, to, message))
+            session.connection.send(Envelope(self._identity, to, message))
 
     def send_to_address(self, address: str, message: Message) -> None:
         """Send to whoever is at that control address; lost where we have no connection to it."""
@@ -66,20 +68,20 @@
         if wire is not None:
             wire.send(Envelope(self._identity, "", message))
 
-    def handle_inbound(self, wire: FrameConnection, envelope: Envelope) -> None:
+    def handle_inbound(self, wire: MemberConnection, envelope: Envelope) -> None:
         """Deliver a message on a connection that came in."""
-        if self._inbound.heard(time.monotonic_ns(), wire, envelope.sender) is not None:
+        if self._inbound.on_message(time.monotonic_ns(), wire, envelope.sender) is not None:
             self._deliver(envelope)
 
-    def handle_inbound_ended(self, wire: FrameConnection) -> None:
+    def handle_inbound_ended(self, wire: MemberConnection) -> None:
         """Forget a connection that came in and has ended."""
-        self._inbound.ended(wire)
+        self._inbound.on_closed(wire)
 
     def close(self) -> None:
         """End all connections that we dialled."""
         self.dial([])
 
-    def _handle_dialled(self, wire: FrameConnection, envelope: object) -> None:
+    def _handle_dialled(self, wire: MemberConnection, envelope: ToMember) -> None:
         """Deliver a message on a connection that we dialled.
 
         `wire.peer` has the address that we dialled, and who has spoken there first: None before anybody has.
@@ -94,7 +96,7 @@
         self._deliver(envelope)
 
     def _deliver(self, envelope: Envelope) -> None:
-        if envelope.to in ("", self._identity) and envelope.sender != self._identity:
+        if envelope.receiver in ("", self._identity) and envelope.sender != self._identity:
             self._handle_message(envelope.sender, envelope.message)
 
     async def _keep_connected(self, address: str) -> None:
@@ -116,7 +118,7 @@
                     del self._dialled[address]
             await asyncio.sleep(REDIAL_AFTER_END_S)
 
-    async def _connect(self, address: str, ended: asyncio.Event) -> FrameConnection:
+    async def _connect(self, address: str, ended: asyncio.Event) -> MemberConnection:
         """Return a new connection, which sets `ended` when it has ended.
 
         :raises OSError: it is refused.
--- a/kestrelplank/control/platform_client.py
+++ b/kestrelplank/control/platform_client.py
@@ -10,7 +10,7 @@
 from kestrelplank.http.connection import Connection, dial
 from kestrelplank.settings.platform import parse_address
 from kestrelplank.time_units import seconds_to_ns
-from kestrelplank.transport.server_list import Entry
+from kestrelplank.transport.server_list import ListedServer
 
 DIAL_TIMEOUT_S = 0.6
 FETCH_TIMEOUT_S = 1.5
@@ -53,7 +53,7 @@
         self._address = parse_address(address)
         self._connection: Connection | None = None
 
-    async def fetch_servers(self) -> list[Entry] | None:
+    async def fetch_servers(self) -> list[ListedServer] | None:
         """Return the complete list; None where it could not be fetched."""
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
@@ -65,8 +65,8 @@
             self._reset()
             return None
 
-    async def _fetch_pages(self) -> list[Entry] | None:
-        entries: list[Entry] = []
+    async def _fetch_pages(self) -> list[ListedServer] | None:
+        entries: list[ListedServer] = []
         token: str | None = None
         while True:
             page = await self._fetch_page(token)
@@ -91,9 +91,9 @@
         self._connection = None
 
 
-def server_entry(instance: Instance) -> Entry:
+def server_entry(instance: Instance) -> ListedServer:
     """Return the server as our processes send it to each other."""
-    return Entry(
+    return ListedServer(
         instance.server_id,
         instance.target_service,
         instance.address,
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -34,7 +34,7 @@
 from kestrelplank.control.log_writer import LogWriter
 from kestrelplank.control.member import ControlMember
 from kestrelplank.control.member_profile import MemberProfile
-from kestrelplank.control.member_sessions import MemberSessions
+from kestrelplank.control.member_sessions import MemberConnection, MemberSessions
 from kestrelplank.control.operator_api import application
 from kestrelplank.control.platform_client import PlatformClient
 from kestrelplank.control.server_calls import ServerCalls
@@ -48,7 +48,7 @@
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.time_units import SECOND, seconds_to_ns
 from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, LoadReport, ToMember, decode_at_member
-from kestrelplank.transport.wire import FrameConnection, packed
+from kestrelplank.transport.wire import FrameConnection, encode_frame
 
 TICK_INTERVAL_S = 0.05
 SERVER_FETCH_CHECK_INTERVAL_S = 0.5
@@ -224,7 +224,7 @@
             case SendToAddress():
                 self._sessions.send_to_address(effect.address, effect.message)
             case PushToEdges():
-                self._inbound.send_to_edges(packed(effect.message))
+                self._inbound.send_to_edges(encode_frame(effect.message))
             case CallServer():
                 self._call_server(effect)
             case AnswerOrder():
@@ -257,7 +257,7 @@
         """Take a message of the member `sender`, whoever of us dialled."""
         self._carry_out(self._member.handle_message(time.monotonic_ns(), sender, message))
 
-    def _handle_message(self, wire: FrameConnection, message: ToMember) -> None:
+    def _handle_message(self, wire: MemberConnection, message: ToMember) -> None:
         """Take a message on a connection that came in."""
         now = time.monotonic_ns()
         self._inbound.handle_heard(now, wire)
@@ -271,13 +271,13 @@
             case _:
                 assert_never(message)
 
-    def _handle_edge_heartbeat(self, now: int, wire: FrameConnection, heartbeat: EdgeHeartbeat) -> None:
-        if not self._inbound.handle_edge_heard(now, wire, heartbeat.edge, heartbeat.version):
+    def _handle_edge_heartbeat(self, now: int, wire: MemberConnection, heartbeat: EdgeHeartbeat) -> None:
+        if not self._inbound.handle_edge_heard(now, wire, heartbeat.edge, heartbeat.configuration_version):
             return
         for answer in self._member.handle_edge_heartbeat(now, heartbeat, self._inbound.edge_count):
             wire.send(answer)
 
-    def _handle_connection_ended(self, wire: FrameConnection) -> None:
+    def _handle_connection_ended(self, wire: MemberConnection) -> None:
         self._inbound.handle_ended(wire)
         self._sessions.handle_inbound_ended(wire)
 
--- a/kestrelplank/control/server_discovery.py
+++ b/kestrelplank/control/server_discovery.py
@@ -11,8 +11,7 @@
 from kestrelplank.control.replica import Replica
 from kestrelplank.control.shard_assigners import ShardAssigners
 from kestrelplank.time_units import SECOND
-from kestrelplank.transport.server_list import Entry as ListedServer
-from kestrelplank.transport.server_list import ServerList
+from kestrelplank.transport.server_list import ListedServer, ServerList
 
 FETCH_INTERVAL_NS = SECOND // 2
 """How old the list may become at the leader."""
@@ -39,13 +38,13 @@
         if own != leader and own not in other_voters:
             return None
         rank = 0 if own == leader else other_voters.index(own) + 1
-        age = self._servers.age(now)
+        age = self._servers.age_ns(now)
         return 0 if age is None else max(0, FETCH_INTERVAL_NS + rank * FETCH_STAGGER_NS - age)
 
     def handle_fetched(self, now: int, entries: list[ListedServer]) -> None:
         """Take the list that we have just fetched, and send it to the other voters and, if it changed, to edges."""
         changed = self._take(now, 0, entries)
-        update = self._servers.news(now)
+        update = self._servers.update_message(now)
         for voter in self._replica.voters():
             if voter != self._node.identity:
                 self._replica.send(voter, update)
@@ -57,7 +56,7 @@
         self._take(now, update.age_ns, update.entries)
 
     def _take(self, now: int, age_ns: int, entries: Sequence[tuple[str, str, str, str, int, str, int]]) -> bool:
-        changed = self._servers.take(now, age_ns, entries)
+        changed = self._servers.update(now, age_ns, entries)
         if changed:
             self._assigners.handle_server_list(now)
         return changed
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -137,7 +137,7 @@
         configuration_version=f"{configuration.version:08x}" if configuration else None,
         peers={name: peer_status(now, peer, node.commit_index) for name, peer in sorted(node.peers.items())},
         server_count=len(servers.entries),
-        server_list_age_s=seconds(servers.age(now)),
+        server_list_age_s=seconds(servers.age_ns(now)),
         services={
             service: service_status(now, assigners.leading_assigner(now, service), replica.record(service))
             for service in replica.sharded_services()
--- a/kestrelplank/forwarding/endpoint.py
+++ b/kestrelplank/forwarding/endpoint.py
@@ -7,7 +7,7 @@
 import math
 
 from kestrelplank.time_units import MILLISECOND, SECOND
-from kestrelplank.transport.server_list import READY, Entry
+from kestrelplank.transport.server_list import READY, ListedServer
 
 LOAD_HALF_LIFE_NS = 300 * MILLISECOND  # in which what a server reported of its load loses half of its meaning
 INITIAL_LATENCY_S = 0.15  # of a request at a server that has not answered yet
@@ -53,7 +53,7 @@
         "unqueued_answers",
     )
 
-    def __init__(self, number: int, entry: Entry) -> None:
+    def __init__(self, number: int, entry: ListedServer) -> None:
         self.number, self.server, self.service, self.address = number, entry.server, entry.service, entry.address
         self.zone, self.slots = entry.zone, max(1, entry.slots)
         self.ready, self.listed, self.warm_at = entry.state == READY, True, 0
--- a/tests/assigner/test_extras.py
+++ b/tests/assigner/test_operator_features.py
@@ -5,11 +5,11 @@
 
 import pytest
 from click.testing import CliRunner
-from parties import Kit, until
+from parties import until
 from test_program import SETTINGS, Program, closed_port
 
-from kestrelplank.assigner.members import Members
-from kestrelplank.assigner.status import Status, asked
+from kestrelplank.assigner.membership_gossip import MembershipGossip
+from kestrelplank.assigner.status_socket import StatusSocket, read_status
 from kestrelplank.cli.group import group
 from kestrelplank.state.digest import Seen
 from kestrelplank.state.membership import Membership, Terms
@@ -21,13 +21,6 @@
         return "127.0.0.1:%d" % sock.getsockname()[1]
 
 
-@pytest.fixture
-def kit():
-    made = Kit()
-    yield made
-    made.loop.close()
-
-
 def ask(kit, path):
     """What stands at the socket, while our own loop plays its owner."""
     link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -71,7 +64,7 @@
     until(kit.loop, lambda: all(program.lines("alive=0,1") or program.lines('alive="0,1"') for program in programs))
     done = CliRunner().invoke(group, ["zones", "--socket", f"{tmp_path}/s0"])
     assert done.exit_code == 0 and "conductors 0, 1 alive" in done.output
-    assert asked(f"{tmp_path}/s1", 5)["members"]["alive"] == [0, 1]
+    assert read_status(f"{tmp_path}/s1", 5)["members"]["alive"] == [0, 1]
     programs[0].end(signal.SIGKILL)
     until(kit.loop, lambda: programs[1].lines("alive=1"))
     code, said = programs[1].end(signal.SIGTERM)
@@ -93,7 +86,7 @@
     sent = []
     nodes = [Seen(0, True, 10.0, 9.0)]
     made = [
-        Members(
+        MembershipGossip(
             kit.loop,
             Counts(),
             Membership(kit.loop.now(), number, 5, 2, Terms(every=10_000_000)),
@@ -108,7 +101,7 @@
     for number, body in sent:
         made[1 - number].take(number, body)
     made[0].take(1, b"junk")
-    assert made[0].shown() == {
+    assert made[0].status() == {
         "view": 2,
         "alive": (0, 1),
         "zones": {0: {"demand": 20, "capacity": 20, "ready": 1, "told_by": 2}},
@@ -134,13 +127,13 @@
 
 def test_who_asks_and_reads_nothing_holds_nobody_up(kit, tmp_path):
     path = str(tmp_path / "s")
-    status = Status(kit.loop, path, lambda: {"much": "x" * 5_000_000})
+    status = StatusSocket(kit.loop, path, lambda: {"much": "x" * 5_000_000})
     silent = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     silent.connect(path)
     until(kit.loop, lambda: True)
     kit.loop.at(kit.loop.now(), lambda: None)
     kit.loop.turn()
-    status.shown = lambda: {"little": 1}
+    status.status = lambda: {"little": 1}
     assert ask(kit, path) == {"little": 1} and os.stat(path).st_mode & 0o777 == 0o600
     silent.close()
     status.close()
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -200,7 +200,7 @@
     )
     request, _ = begin(found)
     for edges, most in ((1, 88), (12, 7), (52, 2), (55, 2), (56, 1), (200, 1)):  # two, if they fit: one comes up
-        found.view.edges = edges
+        found.view.edge_count = edges
         assert found.max_connections(request) == most
 
 
@@ -252,7 +252,7 @@
     found = forwarder()
     assert [type(begin(found)[1]) for _ in range(7)] == [Send] * 6 + [Wait]  # alone it may take what the server can
     found = forwarder()
-    found.view.edges = 12
+    found.view.edge_count = 12
     requests = [begin(found) for _ in range(3)]
     assert [type(step) for _, step in requests] == [Send, Send, Wait]
     found.attempt_ended(NOW, requests[0][0], CallOutcome.ANSWERED, (1, 0, 2))
@@ -262,7 +262,7 @@
 
 def test_where_no_server_has_capacity_a_request_waits_here_and_is_refused_while_it_can_come_back():
     found = forwarder(servers=2)
-    found.view.edges = 12
+    found.view.edge_count = 12
     steps = [begin(found, key=None, host="pay.example")[1] for _ in range(4)]
     assert sorted(step.endpoint.server for step in steps) == ["orders-0", "orders-0", "orders-1", "orders-1"]
     request, step = begin(found, key=None, host="pay.example")
@@ -307,7 +307,7 @@
     random = Random(3)
     for _ in range(2000):
         found, now = forwarder(keys=random.random() < 0.9), NOW
-        found.view.edges = random.choice([1, 12])
+        found.view.edge_count = random.choice([1, 12])
         for _ in range(random.randrange(6)):
             begin(found)
         request, step = begin(found, random.choice(["/a/x", "/a/b/x"]), "5", within=random.choice([20 * MS, 2 * S]))
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -2,8 +2,10 @@
 
 import json
 
+import pytest
+
 from kestrelplank.assigner.counters import Counters, logger
-from kestrelplank.assigner.orders import Orders
+from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.decode import Ids, text
 from kestrelplank.rehearsal import parties
 from kestrelplank.rehearsal.parties import MS, attach, fail, instance, news, node_list
@@ -16,10 +18,12 @@
     "attach",
     "fail",
     "instance",
+    "kit",
     "names",
     "news",
     "node_list",
     "orders",
+    "received",
     "until",
 ]
 
@@ -41,6 +45,14 @@
         self.events = []
 
 
+@pytest.fixture
+def kit():
+    """A kit, whose loop is closed after the test."""
+    made = Kit()
+    yield made
+    made.loop.close()
+
+
 class StubServer(parties.StubServer):
     """One that remembers what it was asked."""
 
@@ -53,6 +65,14 @@
         super().asked(visitor, path, body)
 
 
+def received(sock):
+    """What has come on a socket that does not block; None where nothing has."""
+    try:
+        return sock.recv(1 << 20)
+    except BlockingIOError:
+        return None
+
+
 def names():
     ids = Ids(text)
     for name in ("s-1", "s-2"):
@@ -76,7 +96,7 @@
 
 
 def orders(kit, first_mark=0):
-    made = Orders(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), ["look", "buy"], first_mark)
+    made = OrderQueue(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), ["look", "buy"], first_mark)
     made._client = Calls()
-    made.hold(False)
+    made.resume()
     return made
