--- a/benchmarks/catch_up.py
+++ b/benchmarks/catch_up.py
@@ -28,12 +28,12 @@
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.replica import COMPACTION_MIN_BYTES
 from kestrelplank.state.control_state import ControlState
+from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.messages import Envelope
 from kestrelplank.transport.wire import encode_frame
 
-MS, S = 1_000_000, 1_000_000_000
 KB, MB = 1_000, 1_000_000
-STEP = 5 * MS  # of the clock; what is sent in one step arrives in the next
+STEP = 5 * MILLISECOND  # of the clock; what is sent in one step arrives in the next
 LINK = 2_000_000 / 8  # bytes a second
 LEADER, OTHER, AWAY = "a:1/first", "b:1/first", "c:1/first"
 MOST_STEPS = 20_000  # without what is waited for, then it does not come
@@ -77,7 +77,7 @@
 
     def __init__(self) -> None:
         membership = Membership(1, (LEADER, OTHER, AWAY))
-        self.now = 100 * S
+        self.now = 100 * SECOND
         self.states = {name: ControlState() for name in membership.voters}
         self.nodes = {
             name: ConsensusNode(self.now, Random(number), name, membership, HardState(), (), None, True)
@@ -178,7 +178,7 @@
         f"{sent.content / KB:.0f}",
         f"{sent.wire / KB:.0f}",
         f"{sent.wire / LINK:.1f} s",
-        (members.now - began) // MS,
+        (members.now - began) // MILLISECOND,
         f"{log_bytes / MB:.1f}",
     )
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -8,10 +8,10 @@
 from random import Random
 
 from kestrelplank.state.membership import DEAD, Membership, Sums, Terms
+from kestrelplank.time_units import MILLISECOND, SECOND
 
-MS, S = 1_000_000, 1_000_000_000
-STEP = 10 * MS
-LATE = 3 * MS, 25 * MS
+STEP = 10 * MILLISECOND
+LATE = 3 * MILLISECOND, 25 * MILLISECOND
 
 
 def run(count: int, loss: float, seed: int, quiet: int) -> tuple[list[int], int, float]:
@@ -22,8 +22,8 @@
     for member in members.values():
         member.told([Sums(zone, 100, 200, 5) for zone in range(3)])
     under_way: list[tuple] = []
-    false, seen, dead_at, thought = 0, {}, 3 * S + quiet, {}
-    while len(seen) < count - 1 and now < dead_at + 60 * S:
+    false, seen, dead_at, thought = 0, {}, 3 * SECOND + quiet, {}
+    while len(seen) < count - 1 and now < dead_at + 60 * SECOND:
         now += STEP
         for number, member in members.items():
             body = member.tick(now) if number or now < dead_at else None
@@ -37,17 +37,17 @@
         under_way = [one for one in under_way if one[0] > now]
         for _, _, to, body in due:
             members[to].take(now, body)
-        if now % (50 * MS):
+        if now % (50 * MILLISECOND):
             continue
         for number, member in members.items():
             if now < dead_at:
                 for other in members:
                     is_dead = member.judge(now, other) == DEAD
-                    false += is_dead and not thought.get((number, other), False) and now > 3 * S
+                    false += is_dead and not thought.get((number, other), False) and now > 3 * SECOND
                     thought[number, other] = is_dead
             elif number and number not in seen and member.judge(now, 0) == DEAD:
                 seen[number] = now - dead_at
-    return sorted(seen.values()), false, sent / count / (dead_at / S)
+    return sorted(seen.values()), false, sent / count / (dead_at / SECOND)
 
 
 def main(runs: int) -> None:
@@ -57,15 +57,15 @@
     )
     for count in (2, 3, 8, 40):
         for loss in (0.0, 0.1, 0.2, 0.3, 0.4):
-            times, false, rate, quiet = [], 0, 0.0, 30 * S
+            times, false, rate, quiet = [], 0, 0.0, 30 * SECOND
             tries = max(1, runs if count < 40 else runs // 10)
             for seed in range(tries):
-                seen, wrong, rate = run(count, loss, seed, quiet if count < 40 else 5 * S)
+                seen, wrong, rate = run(count, loss, seed, quiet if count < 40 else 5 * SECOND)
                 times += seen
                 false += wrong
             times.sort()
-            hours = tries * (quiet if count < 40 else 5 * S) / 3600 / S
-            pick = [times[min(len(times) - 1, len(times) * part // 100)] / S for part in (50, 90, 100)]
+            hours = tries * (quiet if count < 40 else 5 * SECOND) / 3600 / SECOND
+            pick = [times[min(len(times) - 1, len(times) * part // 100)] / SECOND for part in (50, 90, 100)]
             print(
                 f"{count:>10} {loss:>5.0%}  {pick[0]:>14.2f} s {pick[1]:>4.2f} s {pick[2]:>5.2f} s  "
                 f"{false / hours:>14.1f} {rate:>8.0f}",
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -13,15 +13,15 @@
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.sharding.effects import ServerCallResult
 from kestrelplank.sharding.key_range import KEY_COUNT
+from kestrelplank.time_units import SECOND
 from kestrelplank.transport.edge_view import EdgeView
 from kestrelplank.transport.messages import LoadReport, decode_at_edge, decode_at_member
 from kestrelplank.transport.server_list import ListedServer
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import COMPRESSED_FLAG, encode_frame, uncompressed_body
 
-S = 1_000_000_000
 ME, PER_S, SECONDS = "10.0.0.1:80", 125, 10
-BEAT, REPORT = 2 * S // 5, S // 2
+HEARTBEAT_INTERVAL_NS, REPORT_INTERVAL_NS = 2 * SECOND // 5, SECOND // 2
 TEXT = b"""{"config_version": "00000007", "service_table": [{"name": "views", "sharded": true}], "virtual_hosts": [
 {"host_name": "shop.example", "host_routes": [{"path_prefix": "/a/", "route_type": "idempotent", "timeout_s": 1.5,
 "target_service": "views"}]}], "limits": {}}"""
@@ -54,9 +54,9 @@
 def alone(now, random, servers):
     """A member that leads alone, with so many servers, and its disk."""
     disk = MemoryLog()
-    member = start_member(now, random, ME, MemberProfile("z", True, (ME,), 0, 6 * S), disk, True)
+    member = start_member(now, random, ME, MemberProfile("z", True, (ME,), 0, 6 * SECOND), disk, True)
     for _ in range(20):
-        now += S // 20
+        now += SECOND // 20
         settled(member, disk, now, member.tick(now))
     entries = [
         ListedServer(f"i-{number}", "views", f"10.1.0.{number}:80", "z", 2, "ready", 0) for number in range(servers)
@@ -64,7 +64,7 @@
     settled(member, disk, now, member.handle_servers_fetched(now, entries))
     settled(member, disk, now, member.handle_replace_call(now, 1, parse_configuration(TEXT).unwrap()))
     for _ in range(80):
-        now += S // 20
+        now += SECOND // 20
         settled(member, disk, now, member.tick(now))
     return member, disk, now
 
@@ -72,13 +72,13 @@
 def play(edges, servers=23):
     """Milliseconds of processor and bytes, in and out, a second."""
     random = Random(1)
-    member, disk, now = alone(100 * S, random, servers)
+    member, disk, now = alone(100 * SECOND, random, servers)
     sessions, views, ends = Sessions(), [EdgeView(f"edge-{number}", (ME,)) for number in range(edges)], {}
     into, out, spent = [0], [0], 0.0
     for step in range(20 * SECONDS):
-        now += S // 20
+        now += SECOND // 20
         for number, view in enumerate(views):
-            if not (step + number) * S // 20 % BEAT:
+            if not (step + number) * SECOND // 20 % HEARTBEAT_INTERVAL_NS:
                 beat = over(view.heartbeat(now), decode_at_member, into)
                 began = time.process_time()
                 session = sessions.on_message(now, ends.setdefault(number, End()), beat.edge)
@@ -89,8 +89,11 @@
                 spent += time.process_time() - began
                 for answer in answers:
                     view.receive(now, ME, answer)
-            if not (step + number) * S // 20 % REPORT:
-                keys = [random.randrange(KEY_COUNT) for _ in range(round(PER_S * REPORT / S / edges + random.random()))]
+            if not (step + number) * SECOND // 20 % REPORT_INTERVAL_NS:
+                keys = [
+                    random.randrange(KEY_COUNT)
+                    for _ in range(round(PER_S * REPORT_INTERVAL_NS / SECOND / edges + random.random()))
+                ]
                 servers_met = {f"i-{random.randrange(servers)}": (1, 0, 1.0, 1, 0.0, 0) for _ in keys}
                 report = over(LoadReport("views", keys, servers_met), decode_at_member, into)
                 began = time.process_time()
