--- a/kestrelplank/policy/evacuation.py
+++ b/kestrelplank/policy/evacuation.py
@@ -6,7 +6,7 @@
 from kestrelplank.interface import SECOND
 from kestrelplank.policy.fleet_load import FleetLoad
 from kestrelplank.policy.node import Node, NodeState
-from kestrelplank.policy.parameters import CHANCE_DEVIATIONS, PERIODS, ROUND_INTERVAL_NS
+from kestrelplank.policy.parameters import CHANCE_DEVIATIONS, PEER_LOADS_VALID_NS, PERIODS, ROUND_INTERVAL_NS
 from kestrelplank.policy.slices import Slice
 from kestrelplank.policy.state import AssignerState
 
@@ -25,7 +25,7 @@
     # Slices of a take-over count like the mean until reports are in: else all go to the idlest node.
     mean = sum(owned.load(state.period_ns) for owned in state.slices.values()) / len(state.slices) or 1.0
     # Every peer is told of the same loss and does the same now, unseen as yet: each slice stands for theirs too.
-    assigners = 1 + state.peers_heard(now)
+    assigners = 1 + sum(now - heard_at < PEER_LOADS_VALID_NS for heard_at in state.peers_heard_at.values())
     state.share_loads_at = min(state.share_loads_at, now + ROUND_INTERVAL_NS)
     for owned in movers:
         owned.desired = {index: weight for index, weight in owned.desired.items() if index not in unfit}
--- a/kestrelplank/policy/fleet_load.py
+++ b/kestrelplank/policy/fleet_load.py
@@ -27,17 +27,22 @@
         }
         self.loads = {index: ops + state.nodes[index].peer_load(now) for index, ops in own.items()}
         usable = [node for node in state.nodes.values() if node.usable(now)]
-        self.overload_rate = -1.0  # ops a second and weight that surely tip no cold node over; below 0: not known
-        cold_rate = -1.0
+        # Ops a second and weight that surely tip no cold node over (rule 4), and that one may be given; -1: not known.
+        self.overload_rate = cold_rate = -1.0
         if usable and now >= state.moves_from_at:
             weight, total, total_own = sum(node.weight for node in usable), sum(self.loads.values()), sum(own.values())
             acknowledged = sum(sums[node.index].attempts - sums[node.index].failures for node in usable)
             acknowledged = acknowledged / parameters.PERIODS / seconds * (total / total_own if total_own else 1.0)
             self.overload_rate = acknowledged * state.settings.overload_multiple * parameters.OVERLOAD_SHARE / weight
             cold_rate = min(self.overload_rate, total / weight)
-        speeds = relative_speeds(state.nodes, sums)
         self.weights: dict[int, float] = {}  # what a node is surely worth by now
         self.limits: dict[int, float] = {}  # ops a second that a node may be given in all
+        self._weigh(state, now, usable, relative_speeds(state.nodes, sums), cold_rate)
+
+    def _weigh(
+        self, state: AssignerState, now: int, usable: list[Node], speeds: Mapping[int, float], cold_rate: float
+    ) -> None:
+        """Set weights and limits."""
         for node in usable:
             capacity_share = state.capacity_share(node, now)
             self.weights[node.index] = node.weight * capacity_share * speeds.get(node.index, 1.0)
--- a/kestrelplank/policy/state.py
+++ b/kestrelplank/policy/state.py
@@ -49,7 +49,3 @@
             for index in owned.desired:
                 loads[index] += owned.load(self.period_ns) / len(owned.desired)
         return loads
-
-    def peers_heard(self, now: int) -> int:
-        """Return how many other assigners have told their loads lately."""
-        return sum(now - heard_at < parameters.PEER_LOADS_VALID_NS for heard_at in self.peers_heard_at.values())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("fresh, stale", [(True, False), (False, True)])
-def test_a_proxy_that_rejoins_is_told_of_withdrawals_it_may_hold(fresh, stale):
+def test_a_proxy_that_rejoins_gets_orders_for_withdrawals_it_may_hold(fresh, stale):
     policy = fleet(["up"], {})
     policy.handle(0, ProxyJoined(4, 0, 1.0, fresh))
     assert policy.nodes[0].joined_order_due is stale
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize(
     "room, lines", [(9000, {("set_endpoint", 3, 1, 1.0), ("set_withdrawn", 0, True)}), (25, set())]
 )
-def test_a_withdrawal_waits_for_the_slice_it_would_leave_bare(room, lines):
+def test_a_withdrawal_waits_for_the_slice_it_would_leave_without_an_endpoint(room, lines):
     policy, out = fleet(["up", "up"], {3: {0: 1.0}}), Orders()
     policy.channel.queue_limit = room
     policy.channel.unacknowledged = {proxy: deque() for proxy in (4, 5, 6)}
@@ -116,12 +116,12 @@
     assert {order for order in out if order[0] != "request_acknowledgement"} == lines
 
 
-@pytest.mark.parametrize("trouble", ["restarted", "barred"])
-def test_the_last_nodes_are_never_taken_out(trouble):
+@pytest.mark.parametrize("trouble", ["restarted", "ejected"])
+def test_the_last_nodes_are_never_withdrawn(trouble):
     policy = fleet(["up"], {3: {0: 1.0}})
     for node in policy.nodes.values():
         node.emptied = trouble != "restarted"
-        node.ejected_until = S if trouble == "barred" else 0
+        node.ejected_until = S if trouble == "ejected" else 0
     evacuate(policy.state, 0)
     assert not any(node.must_withdraw(0) for node in policy.nodes.values())
 
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("fresh, owners", [(True, [1, 0, 0]), (False, [0, 0, 0])])
-def test_a_fresh_node_gains_one_slice_in_a_turn(fresh, owners):
+def test_a_fresh_node_gains_one_slice_in_a_pass(fresh, owners):
     policy = fleet(["up", "up"], {number: {0: 1.0} for number in range(3)}, exclusive_slices=True)
     for owned in policy.slices.values():
         owned.ops_by_period.extend([1.0] * 5)
@@ -188,7 +188,7 @@
         (0.45, 0.1, 9.0, [1]),
     ],
 )
-def test_a_slice_too_hot_to_be_moved_is_split_and_folded_back(split, heat, other, parts):
+def test_a_slice_too_hot_to_be_moved_is_split_and_joined_again(split, heat, other, parts):
     policy = fleet(["up", "up", "up"], {3: {0: 1.0}, 4: {2: 1.0}, 5: {0: 1.0}})
     policy.state.split_threshold = split
     for number, ops in ((3, heat), (4, 4.0), (5, other)):
@@ -234,7 +234,7 @@
 
 
 @pytest.mark.parametrize("moves_from, owner", [(9 * S, 2), (0, 1)])
-def test_a_conductor_that_knows_no_heat_yet_gives_cold_nodes_nothing(moves_from, owner):
+def test_an_assigner_that_knows_no_load_yet_gives_cold_nodes_nothing(moves_from, owner):
     policy = fleet(["removed", "up", "up"], {3: {0: 1.0}, 4: {2: 1.0}})
     policy.nodes[1].started_at, policy.state.moves_from_at = 0, moves_from
     for number, ops in ((3, 1.0), (4, 9.0)):
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize("proofs, lines", [([], 60), ([(4, 2)], 20), ([(4, 2), (5, 2), (6, 2)], 0)])
-def test_one_proxys_proof_shows_that_all_older_messages_have_left(proofs, lines):
+def test_one_proxys_acknowledgement_shows_that_all_older_messages_have_left(proofs, lines):
     channel = Channel(with_settings(message_overhead=4, queue_limit=600, message_window_ns=S, orders_per_s=100))
     channel.unacknowledged = {4: deque([1, 2]), 5: deque([1, 2]), 6: deque([1, 2])}
     channel.in_flight = {1: MessageInFlight(10, 3), 2: MessageInFlight(10, 3)}
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("waiting, due, enough", [(0, 40, True), (0, 5, True), (20, 40, False), (20, 9, True)])
-def test_orders_are_gathered_until_their_envelopes_pay(waiting, due, enough):
+def test_orders_are_gathered_until_their_overhead_pays(waiting, due, enough):
     channel = Channel(with_settings(message_overhead=8, queue_limit=100, message_window_ns=S, orders_per_s=100))
     channel.unacknowledged[4] = deque()
     channel.in_flight = {1: MessageInFlight(waiting, 1)}
@@ -281,7 +281,7 @@
 
 
 @pytest.mark.parametrize("slices, told", [({3: {1: 1.0}}, True), ({}, False)])
-def test_a_conductor_without_slices_tells_nothing_that_no_proxy_would_prove(slices, told):
+def test_an_assigner_without_slices_orders_nothing_that_no_proxy_would_acknowledge(slices, told):
     policy, out = fleet(["removed", "up"], slices), Orders()
     policy.channel.unacknowledged[4] = deque()
     policy.nodes[0].withdrawn = policy.nodes[0].order_due = True
@@ -292,7 +292,7 @@
 @pytest.mark.parametrize(
     "state, late, told", [("draining", False, False), ("draining", True, True), ("up", False, True)]
 )
-def test_late_drains_and_restarted_nodes_do_not_wait_for_bare_slices(state, late, told):
+def test_late_drains_and_restarted_nodes_do_not_wait_for_slices_without_other_endpoints(state, late, told):
     policy, out = fleet([state, "up"], {3: {0: 1.0}}), Orders()
     policy.nodes[0].emptied = state == "draining"
     policy.nodes[0].withdrawn = policy.nodes[0].order_due = True
@@ -310,7 +310,7 @@
 
 
 @pytest.mark.parametrize("acked, let_in, shed", [(5.0, 5.0, 0.55), (1.0, 1.0, 0.568), (5.0, 20.0, 0.8)])
-def test_what_a_node_acked_at_best_and_what_is_let_in_bound_what_is_shed(acked, let_in, shed):
+def test_what_a_node_acknowledged_at_best_and_what_is_admitted_bound_what_is_shed(acked, let_in, shed):
     node, shedder = Node(0, 0), LoadShedder(with_settings(admission="share", op_types=(OpTypeSettings(S, 1.0),)))
     node.state, shedder.ops = NodeState.UP, [50.0]
     shedder.best_acknowledged = 5.0 / 0.98 if acked == 5.0 else 4.92
@@ -320,7 +320,7 @@
 
 
 @pytest.mark.parametrize("failed, strained, barred", [(20.0, False, True), (20.0, True, False), (9.0, False, False)])
-def test_only_a_node_that_fails_most_of_its_ops_is_barred(failed, strained, barred):
+def test_only_a_node_that_fails_most_of_its_ops_is_ejected(failed, strained, barred):
     policy = fleet(["up"] * 5, {})
     for node in policy.nodes.values():
         node.periods.append(ReportSums(20.0, failed if node.index == 3 else 0.0, 9.0, 0.0, 0.0, 0.0, 0.0, 0.0))
@@ -343,7 +343,7 @@
 
 
 @pytest.mark.parametrize("state, first", [("up", 4), ("removed", 3)])
-def test_lines_that_keep_a_node_from_being_let_in_go_first(state, first):
+def test_endpoints_that_keep_a_node_from_being_let_in_go_first(state, first):
     policy, out = fleet(["removed", state, "up"], {3: {0: 1.0, 2: 1.0}, 4: {1: 1.0, 2: 1.0}}), Orders()
     for number in (3, 4):
         policy.slices[number].desired = {2: 1.0}
@@ -362,7 +362,7 @@
 
 
 @pytest.mark.parametrize("most, lines, parts", [(2, [0, 1], 2), (4, [0, 1], 3), (4, [0, 1, 2, 3], 4)])
-def test_a_slice_gets_more_lines_where_proxies_pick_from_two(most, lines, parts):
+def test_a_slice_gets_more_endpoints_where_proxies_pick_from_two(most, lines, parts):
     policy = fleet(["up"] * 6, {3: dict.fromkeys(lines, 1.0), 4: {0: 1.0}})
     policy.state.split_threshold, policy.state.most_endpoints = 0.3, most
     for owned in policy.slices.values():
@@ -376,7 +376,7 @@
     [(9 * S, ("up", 8 * S), "up", True), (9 * S, ("up", None), "up", True), (8 * S, ("up", 9 * S), "up", False)],
 )
 @pytest.mark.parametrize("before", ["up", "draining"])
-def test_an_older_list_takes_back_no_drain_and_strips_no_node(before, known, listed, state, stripped):
+def test_an_older_list_takes_back_no_drain_and_empties_no_node(before, known, listed, state, stripped):
     policy = fleet([before], {3: {0: 1.0}})
     policy.nodes[0].started_at = known
     policy.handle(10 * S, node_list((0, listed[0], 0, 0, 1.0, listed[1])))
@@ -386,7 +386,7 @@
 
 
 @pytest.mark.parametrize("nodes, barred", [(6, 1), (24, 3)])
-def test_no_more_than_a_seventh_is_barred_when_a_zone_is_lost(nodes, barred):
+def test_no_more_than_a_seventh_is_ejected_when_a_zone_is_lost(nodes, barred):
     policy = fleet(["up"] * nodes, {})
     for node in policy.nodes.values():
         node.periods.append(ReportSums(20.0, 20.0 if node.index % 3 == 0 else 0.0, 9.0, 0.0, 0.0, 0.0, 0.0, 0.0))
@@ -436,13 +436,13 @@
 
 
 @pytest.mark.parametrize("told_at, loads", [(0, {0: 20, 1: 5, 2: 30}), (-10 * S, {0: 20, 1: 0, 2: 0})])
-def test_what_other_conductors_bring_to_a_node_counts_while_it_is_new(told_at, loads):
+def test_what_peers_bring_to_a_node_counts_while_it_is_new(told_at, loads):
     policy = meeting(["up", "up", "up"], {3: {0: 1.0}, 4: {0: 1.0}}, {3: 10, 4: 10})
     policy.handle(told_at, PeerLoads(7, [(0, 0.0), (1, 5.0), (2, 30.0), (99, 1.0)]))
     assert FleetLoad(policy.state, 0).loads == loads
 
 
-def test_slices_that_all_conductors_evacuate_at_once_do_not_all_go_to_the_idlest_node():
+def test_slices_that_all_assigners_evacuate_at_once_do_not_all_go_to_the_idlest_node():
     policy = meeting(["removed", *["up"] * 4], {number: {0: 1.0} for number in range(8)}, dict.fromkeys(range(8), 2))
     for sender in range(4):
         policy.handle(0, PeerLoads(sender, [(1, 0.0), (2, 1.0), (3, 2.0), (4, 4.0)]))
@@ -451,7 +451,7 @@
     assert max(map(owners.count, owners)) <= 3  # alone it would give the idlest five of the eight
 
 
-def test_fresh_nodes_are_filled_though_the_fullest_node_has_no_line_that_fits():
+def test_fresh_nodes_are_filled_though_the_fullest_node_has_no_endpoint_that_fits():
     # Node 0 has one slice that is too hot for any; the others' slices fit.
     policy = meeting(
         ["up"] * 6, {0: {0: 1.0}, 1: {1: 1.0}, 2: {1: 1.0}, 3: {2: 1.0}, 4: {2: 1.0}}, {0: 40, 1: 9, 2: 9, 3: 9, 4: 9}
@@ -464,7 +464,7 @@
 
 
 @pytest.mark.parametrize("may_tell, conductors, shared", [(True, 2, 1), (True, 1, 0), (False, 2, 0)])
-def test_loads_are_told_once_a_turn_where_there_is_somebody_to_hear_them(may_tell, conductors, shared):
+def test_loads_are_shared_once_a_pass_where_there_are_peers(may_tell, conductors, shared):
     policy = Policy(0, 1, with_settings(peers_may_talk=may_tell, assigners=conductors))
     policy.state.node(0, 0).state, out = "up", Orders()
     for now in range(0, S, S // 50):
@@ -498,7 +498,7 @@
         (False, False, 2 * S, True),
     ],
 )
-def test_a_proxy_that_was_here_is_told_of_no_more_than_it_may_have_missed(answered, left, told_at, untold):
+def test_a_proxy_that_was_here_gets_orders_for_no_more_than_it_may_have_missed(answered, left, told_at, untold):
     policy = fleet(["up"], {})
     policy.handle(0, ProxyJoined(4, 0, 1.0, True))
     policy.channel.send(2 * S, 1, Orders())
@@ -512,7 +512,7 @@
 
 
 @pytest.mark.parametrize("fresh, at, untold", [(False, 1, True), (True, 1, False), (False, 9, False)])
-def test_a_node_first_heard_of_while_a_restart_settles_is_told_too(fresh, at, untold):
+def test_a_node_first_known_while_a_restart_settles_is_ordered_too(fresh, at, untold):
     policy = fleet([], {})
     policy.handle(0, ProxyJoined(4, 0, 1.0, fresh))
     policy.handle(0, SliceOwnership(3, True))
