--- a/kestrelplank/assigner/telemetry_messages.py
+++ b/kestrelplank/assigner/telemetry_messages.py
@@ -48,7 +48,9 @@
     return kind, fields
 
 
-def read_index(kind: str, fields: Mapping[str, str], name: str, indices: Mapping[str, int]) -> int:
+def read_index(
+    kind: str, fields: Mapping[str, str], name: str, indices: Mapping[str, int] | Mapping[str | int, int]
+) -> int:
     """Return the index of what a field names."""
     value = fields.get(name)
     if value is None or value not in indices:
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from kestrelplank.cli.rehearse import encoded, kept
+from kestrelplank.cli.rehearsal_report import encoded_report, rules_kept
 from kestrelplank.emulator.clock import Clock
 from kestrelplank.emulator.conductors import Standing
 from kestrelplank.emulator.rehearsal import play
@@ -67,8 +67,8 @@
 
 def test_the_same_script_and_seed_give_the_same_bytes_and_another_seed_others():
     made = read("kind = lost, who = zone windsor, start = 4s, length = 4s")
-    first = encoded(play(made, 3))
-    assert encoded(play(made, 3)) == first and encoded(play(made, 4)) != first
+    first = encoded_report(play(made, 3))
+    assert encoded_report(play(made, 3)) == first and encoded_report(play(made, 4)) != first
 
 
 def test_the_same_bytes_from_another_folder_and_under_another_hash_seed(tmp_path):
@@ -109,7 +109,7 @@
     for policy, found in services.items():
         for seed in range(4):
             played = play(made, seed, policy)
-            assert played["broken"] == [] and played["duplicates"]["order-place"] == 0 and kept(played)
+            assert played["broken"] == [] and played["duplicates"]["order-place"] == 0 and rules_kept(played)
             assert [what for _, what, _ in played["events"]] == ["windsor: lost begins", "back"]
             found.append(played["service"])
     assert sum(services[Policy]) > sum(services[Standing]) and min(services[Policy]) > 0.95
