--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -69,7 +69,7 @@
         """Do what a leader does in each tick; begin with services that it has not decided for yet."""
         if self._servers.fetched_at is None:
             return
-        for service in self._replica.sharded():
+        for service in self._replica.sharded_services():
             assigner = self.by_service.get(service)
             if assigner is None:
                 assigner = self._begin(now, service)
--- a/tests/control/test_disk.py
+++ b/tests/control/test_log_writer.py
@@ -6,8 +6,8 @@
 import pytest
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.control import disk
-from kestrelplank.control.disk import LogWriter
+from kestrelplank.control import log_writer
+from kestrelplank.control.log_writer import LogWriter
 
 
 class File:
@@ -54,7 +54,7 @@
         await asyncio.sleep(0)
 
 
-def test_writes_that_wait_are_made_in_one_and_told_in_order():
+def test_writes_that_wait_are_made_in_one_and_reported_in_order():
     file = File()
 
     async def play(writer, told):
@@ -70,7 +70,7 @@
 
 
 def test_a_refused_write_is_made_again_with_the_same_and_nothing_passes_it(monkeypatch):
-    monkeypatch.setattr(disk, "AGAIN", 0)
+    monkeypatch.setattr(log_writer, "RETRY_INTERVAL_S", 0)
     file = File(refusals=2)
     file.let.set()
 
@@ -91,7 +91,7 @@
         writer.write(Persist(1))
         await until(file.begun.is_set)
         for version in (5, 6):
-            writer.copy(version, b"")
+            writer.write_copy(version, b"")
         writer.write(Persist(2))
         file.let.set()
         await until(lambda: file.copies)
@@ -107,6 +107,6 @@
     file.size_bytes = size
 
     async def play(writer, told):
-        assert writer.size == size
+        assert writer.log_size_bytes == size
 
     played(file, play)
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("commands", HISTORIES)
-def test_a_snapshot_holds_the_whole_state(commands):
+def test_a_snapshot_holds_the_complete_state(commands):
     state, _ = applied(*commands)
     for target in (ControlState(), applied(BOTH, VIEWS, PutRecord("orders", b"stale"))[0]):
         target.restore(state.snapshot())
@@ -185,7 +185,7 @@
 
 
 @given(some.integers(0, 1 << 32), some.integers(0, 30))
-def test_any_history_is_bounded_by_what_is_in_force_and_never_goes_back(seed, cut):
+def test_the_version_never_falls_and_the_state_stays_bounded(seed, cut):
     chance = Random(seed)
     choices = [Noop(), MEMBERS, VIEWS, VIEWS_2, ORDERS, PutRecord("carts", b"c"), FIVE, OTHER_FIVE, BOTH, SEVEN, NONE]
     commands = [chance.choice(choices) for _ in range(30)]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,9 +6,9 @@
 import pytest
 from configuration.test_parsing import configuration, route
 
-from kestrelplank.control.calls import Shown, application
-from kestrelplank.control.effects import AnswerOrder
-from kestrelplank.control.status import EdgeStatus, LineStatus, MemberStatus, PeerStatus, ServiceStatus
+from kestrelplank.control.effects import AnswerOrder, AnswerRead
+from kestrelplank.control.operator_api import application
+from kestrelplank.control.status import EdgeStatus, KeyRangeStatus, MemberStatus, PeerStatus, ServiceStatus
 from kestrelplank.gateway.command_line import main
 from kestrelplank.http.server import create_server
 from kestrelplank.http.socket_options import listening_socket
@@ -24,12 +24,12 @@
         self.configuration, self.lag, self.majority, self.log_lag = None, lag, majority, log_lag
         self.in_force = in_force
 
-    async def put(self, configuration):
+    async def replace_configuration(self, configuration):
         self.configuration = configuration if self.majority else None
         return AnswerOrder(1, self.majority, self.majority and self.in_force)
 
-    async def show(self):
-        return Shown(True, self.configuration.text if self.configuration else None)
+    async def show_configuration(self):
+        return AnswerRead(0, True, self.configuration.text if self.configuration else None)
 
     def status(self):
         version = f"{self.configuration.key.version:08x}" if self.configuration else None
@@ -45,21 +45,21 @@
             voters=["a:1/first", "b:1/first"],
             standbys=["c:1/5f2c09d1"],
             stopping=False,
-            commit=8,
-            applied=8,
-            last=9,
-            in_force=version,
-            peers={"b:1/first": PeerStatus(match=8 - self.log_lag, heard_s=0.1, caught_up=True)},
-            servers=4,
-            list_age_s=0.2,
+            commit_index=8,
+            applied_index=8,
+            last_index=9,
+            configuration_version=version,
+            peers={"b:1/first": PeerStatus(match_index=8 - self.log_lag, last_heard_s=0.1, caught_up=True)},
+            server_count=4,
+            server_list_age_s=0.2,
             services={
                 "views": ServiceStatus(
-                    decides=True,
-                    term=3,
-                    record=7,
-                    bare_s=0.0,
-                    lines=[LineStatus(0, 65535, "s", 3000001, "held", 3.1)],
-                    learnt={"s": [1.5, 2.0, 0.0, 0.0]},
+                    assigned_here=True,
+                    record_term=3,
+                    record_number=7,
+                    unowned_s=0.0,
+                    key_ranges=[KeyRangeStatus(0, 65535, "s", 3000001, "held", 3.1)],
+                    learned_speeds={"s": [1.5, 2.0, 0.0, 0.0]},
                 )
             },
             edges={
@@ -142,20 +142,20 @@
     assert out[:4] == [
         "member a:1/first: current",
         "term 3: led by a:1/first, this member",
-        "epoch 2: a:1/first, b:1/first count",
-        "standing by: c:1/5f2c09d1",
+        "epoch 2: voters a:1/first, b:1/first",
+        "standbys: c:1/5f2c09d1",
     ]
-    assert "log: 9 entries, 8 committed, 8 applied" in out and "servers: 4, list 0.2 s old" in out
-    assert "peer b:1/first: has 8, last word 0.1 s ago" in out
-    assert "edge edge-2: version None, last word 0.2 s ago" in out
-    assert "views: record 7 of term 3, decided here" in out
-    assert "      0-65535 held     s fence 3000001 runs out in 3.1 s" in out
-    assert "  learnt of s: 1.5, 2.0, 0.0, 0.0" in out
+    assert "log: last index 9, commit index 8, applied index 8" in out and "servers: 4, list 0.2 s old" in out
+    assert "peer b:1/first: match index 8, last heard 0.1 s ago" in out
+    assert "edge edge-2: configuration None, last heard 0.2 s ago" in out
+    assert "views: record 7 of term 3, assigned here" in out
+    assert "      0-65535 held     s fencing token 3000001, lease ends in 3.1 s" in out
+    assert "  learned speeds of s: 1.5, 2.0, 0.0, 0.0" in out
 
 
 def test_status_as_json_is_what_the_member_answered(capsys):
     assert exit_code(StubMember(), "status", "ADDRESS", "--json") == 0
-    assert json.loads(capsys.readouterr().out)["services"]["views"]["lines"][0]["server"] == "s"
+    assert json.loads(capsys.readouterr().out)["services"]["views"]["key_ranges"][0]["server"] == "s"
 
 
 def test_a_difference_is_printed_route_by_route_and_field_by_field(configuration_file, capsys):
