--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -107,7 +107,7 @@
             "Specifics": {"Shards": 1, "MostWaiting": 9e6},
             "Rules": {"ColdFrom": 1.0, "FallMultiple": 3.0},
         }
-        settings = decode.settings(conf, Ids(text), "bench")
+        settings = decode.read_settings(conf, Ids(text), "bench")
         policy, orders = Policy(kit.loop.now(), 1, PolicySettings.from_mapping(settings)), Orders(kit.loop.now)
         policy.handle(0, SliceOwnership(0, True))
         heard = orders.at
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -17,7 +17,7 @@
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 from kestrelplank.assigner.rounds import RoundRunner
 from kestrelplank.assigner.telemetry_server import TelemetryServer
-from kestrelplank.decode import Ids, Malformed, listed, mapping, parsed, settings, text
+from kestrelplank.decode import Ids, Malformed, list_value, object_value, parse_json, read_settings, text
 from kestrelplank.interface import Event, PeerMessage, PolicySettings
 from kestrelplank.policy import Policy
 from kestrelplank.sockets.buffers import Pool
@@ -48,7 +48,7 @@
     all_peers_address: str
     seed: int
     known_nodes: object  # as discovery tells them, from an earlier run
-    settings: dict[str, Any]  # as `decode.settings` returns them
+    settings: dict[str, Any]  # as `decode.read_settings` returns them
 
 
 def read_configuration(ids: Ids) -> AssignerConfiguration:
@@ -64,7 +64,7 @@
     hub_address = hub.get("address") if isinstance(hub, dict) else None
     if "settings" not in document:
         raise Malformed(f"{path}, field settings: missing")
-    peers = _read_field(path, "peers", listed, document.get("peers") or [])
+    peers = _read_field(path, "peers", list_value, document.get("peers") or [])
     values = {"listen": document.get("listen"), "discovery": document.get("discovery"), "hub": hub_address}
     values.update({name: document[name] for name in ("peer_listen", "peers_all") if document.get(name)})
     addresses = {name: _read_field(path, name, _read_address, value) for name, value in values.items()}
@@ -79,14 +79,14 @@
         all_peers_address=addresses.get("peers_all", ""),
         seed=_read_field(path, "seed", lambda value: int(text(value), 16), document.get("seed")),
         known_nodes=document.get("known"),
-        settings=settings(document["settings"], ids, "settings"),
+        settings=read_settings(document["settings"], ids, "settings"),
     )
 
 
 def _read_document(path: str) -> dict[str, object]:
     """Return the configuration file's JSON object."""
     try:
-        return mapping(parsed(Path(path).read_bytes()))
+        return object_value(parse_json(Path(path).read_bytes()))
     except OSError as err:
         raise Malformed(f"{path} can't be read: {err.strerror}") from None
     except Malformed as err:
--- a/kestrelplank/assigner/node_discovery.py
+++ b/kestrelplank/assigner/node_discovery.py
@@ -7,14 +7,26 @@
 from collections.abc import Callable, Mapping
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, listed, mapping, parsed, time, whole, word
+from kestrelplank.decode import (
+    NS_PER_MS,
+    Ids,
+    Malformed,
+    duration_from_ms,
+    list_value,
+    non_negative,
+    object_value,
+    one_of,
+    parse_json,
+    truth_value,
+    whole_number,
+)
 from kestrelplank.interface import Event, NodeCondition, NodeEntry, NodeListKind, NodeListUpdate
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL_TIMEOUT_NS, Client, Stream, StreamLimits
 from kestrelplank.sockets.loop import Loop, Timer
 
 PATH = "/v1/endpoints"
-read_condition = word(
+read_condition = one_of(
     {
         "in_service": NodeCondition.UP,
         "terminating": NodeCondition.DRAINING,
@@ -56,7 +68,7 @@
         """Take the list that is remembered, then watch what the agent says has changed since."""
         if remembered is not None:
             try:
-                self._take(mapping(remembered), NodeListKind.CACHED)
+                self._take(object_value(remembered), NodeListKind.CACHED)
             except Malformed as err:
                 self._counters.trouble("lists_skipped", err)
         self._watch = Stream(self._loop, self._pool, self._address, self, WATCH_LIMITS)
@@ -100,12 +112,12 @@
         try:
             if status != HTTP_OK:
                 raise Malformed(f"status {status}")
-            self._take_answer(mapping(parsed(body)))
+            self._take_answer(object_value(parse_json(body)))
         except Malformed as err:
             self.on_broken(str(err))
 
     def _take_answer(self, message: Mapping[str, object]) -> None:
-        ahead = whole(message.get("generation")) - self._version
+        ahead = whole_number(message.get("generation")) - self._version
         if self._fetch_wanted:
             self._take(message, None)
             self._fetch_wanted = False
@@ -140,7 +152,7 @@
         if not line.strip():
             return
         try:
-            self._take(mapping(parsed(line)), None)
+            self._take(object_value(parse_json(line)), None)
         except Malformed as err:  # the next would go on from changes that are lost: they must be told anew
             self._counters.trouble("lists_skipped", err)
             if self._watch:
@@ -149,13 +161,13 @@
     # Lists.
 
     def _take(self, message: Mapping[str, object], kind: NodeListKind | None) -> None:
-        instances, version = listed(message.get("instances")), whole(message.get("generation"))
+        instances, version = list_value(message.get("instances")), whole_number(message.get("generation"))
         if kind is None:
-            kind = NodeListKind.FULL if flag(message.get("reset")) else NodeListKind.DELTA
+            kind = NodeListKind.FULL if truth_value(message.get("reset")) else NodeListKind.DELTA
         entries = []
         for instance in instances:
             try:
-                entries.append(self._read_entry(mapping(instance)))
+                entries.append(self._read_entry(object_value(instance)))
             except Malformed as err:  # the others still hold
                 self._counters.trouble("entries_skipped", err)
         self._version, self._list_received = version, kind is not NodeListKind.CACHED
@@ -170,9 +182,9 @@
             node=self._ids.node(instance.get("instanceId")),
             condition=condition,
             zone=None if zone is None else self._ids.zone(zone),
-            cell=None if cell is None else whole(cell),
-            weight=1.0 if weight is None else count(weight),
-            started_at=self._loop.from_unix(time(started)) if started else None,
+            cell=None if cell is None else whole_number(cell),
+            weight=1.0 if weight is None else non_negative(weight),
+            started_at=self._loop.from_unix(duration_from_ms(started)) if started else None,
         )
         if isinstance(address, str):
             self.addresses[entry.node] = address
--- a/kestrelplank/assigner/order_queue.py
+++ b/kestrelplank/assigner/order_queue.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import NS_PER_MS, Ids, Malformed, parsed
+from kestrelplank.decode import NS_PER_MS, Ids, Malformed, parse_json
 from kestrelplank.interface import ALL_TABLES
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL_TIMEOUT_NS, Client
@@ -277,7 +277,7 @@
 
     def _take_answer(self, status: int, body: bytes) -> None:
         try:
-            answer = parsed(body)
+            answer = parse_json(body)
         except Malformed:
             answer = None
         fields = answer if isinstance(answer, dict) else {}
--- a/kestrelplank/assigner/peer_datagrams.py
+++ b/kestrelplank/assigner/peer_datagrams.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Mapping
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import Ids, shared, shares
+from kestrelplank.decode import Ids, decode_peer_loads, encode_peer_loads
 from kestrelplank.interface import Event, PeerLoads, PeerMessage
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import READ, Loop
@@ -54,7 +54,7 @@
 
     def share_loads(self, loads: Mapping[int, float]) -> None:
         """Send loads, ops a second by node, to all."""
-        for body in shares(loads, self._ids.node_ids):
+        for body in encode_peer_loads(loads, self._ids.node_ids):
             self.send(None, body)
 
     def _ready(self, events: int) -> None:  # noqa: ARG002  the loop's callback
@@ -73,7 +73,7 @@
             self._counters.trouble("datagrams_skipped", f"{len(body)} bytes from {sender}")
             return
         self._counters.add("peer_in")
-        loads, number = shared(body, self._ids), self._peers.index(sender)
+        loads, number = decode_peer_loads(body, self._ids), self._peers.index(sender)
         self._on_event(PeerMessage(number, body) if loads is None else PeerLoads(number, loads))
 
     def close(self) -> None:
--- a/kestrelplank/assigner/proxy_updates.py
+++ b/kestrelplank/assigner/proxy_updates.py
@@ -9,7 +9,18 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.assigner.order_queue import OrderQueue
-from kestrelplank.decode import NS_PER_MS, Ids, Malformed, count, flag, mapping, parsed, text, time, whole
+from kestrelplank.decode import (
+    NS_PER_MS,
+    Ids,
+    Malformed,
+    duration_from_ms,
+    non_negative,
+    object_value,
+    parse_json,
+    text,
+    truth_value,
+    whole_number,
+)
 from kestrelplank.interface import (
     EndpointStored,
     Event,
@@ -126,7 +137,7 @@
         if not line.strip():
             return
         try:
-            message = mapping(parsed(line))
+            message = object_value(parse_json(line))
         except Malformed as err:  # whatever it told is lost: what holds must be told anew
             self._counters.trouble("news_unreadable", err)
             self._stream.drop("unreadable")
@@ -136,7 +147,7 @@
             self._emit_new_slice()
         try:
             if message:
-                self._take(kind, mapping(message.get("object")))
+                self._take(kind, object_value(message.get("object")))
             else:  # a sign of life is no part of what holds
                 self._reconcile()
         except Malformed as err:
@@ -234,8 +245,8 @@
 
     def _take_joined_proxy(self, fields: Mapping[str, object]) -> None:
         proxy = read_below(fields.get("node"), self._proxies)
-        zone, ops_per_s = self._ids.zone(fields.get("locality")), count(fields.get("w"))
-        fresh, told = flag(fields.get("cold")), self._reconciliation
+        zone, ops_per_s = self._ids.zone(fields.get("locality")), non_negative(fields.get("w"))
+        fresh, told = truth_value(fields.get("cold")), self._reconciliation
         if told and proxy in self._applied:
             told.proxies[proxy] = ProxyJoined(proxy, zone, ops_per_s, False)
             return
@@ -252,16 +263,16 @@
             self._emit(ProxyLeft(proxy))
 
     def _take_acknowledgement(self, fields: Mapping[str, object]) -> None:
-        proxy, mark = read_below(fields.get("node"), self._proxies), whole(fields.get("nonce"))
+        proxy, mark = read_below(fields.get("node"), self._proxies), whole_number(fields.get("nonce"))
         watermark = self._orders.watermark_of(mark)
         self._orders.mark_acknowledged(mark)
         # A call that was sent again puts its mark into two messages; the second answer would count twice.
         if self._applied.get(proxy, watermark) != watermark:
             self._applied[proxy] = watermark
-            self._emit(WatermarkAcknowledged(proxy, watermark, time(fields.get("latency"))))
+            self._emit(WatermarkAcknowledged(proxy, watermark, duration_from_ms(fields.get("latency"))))
 
     def _take_ownership(self, fields: Mapping[str, object]) -> None:
-        number, owned = read_below(fields.get("shard"), self._slices), flag(fields.get("set"))
+        number, owned = read_below(fields.get("shard"), self._slices), truth_value(fields.get("set"))
         known, told = number in self._owned, self._reconciliation
         if owned and told:
             told.slices[number] = {} if known else None
@@ -271,7 +282,7 @@
             self._take_back(number)
 
     def _take_endpoint(self, fields: Mapping[str, object]) -> None:
-        number, weight = read_below(fields.get("shard"), self._slices), count(fields.get("w"))
+        number, weight = read_below(fields.get("shard"), self._slices), non_negative(fields.get("w"))
         if number not in self._owned:
             raise Malformed(f"a line of slice {number}, which is not ours")
         node, told = self._ids.node(fields.get("endpoint")), self._reconciliation
@@ -284,7 +295,7 @@
 
 def read_below(value: object, most: int) -> int:
     """Read a number from 0 that is below `most`."""
-    number = whole(value)
+    number = whole_number(value)
     if number >= most:
         raise Malformed(f"{number} is not below {most}")
     return number
--- a/kestrelplank/assigner/telemetry_messages.py
+++ b/kestrelplank/assigner/telemetry_messages.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Literal
 
-from kestrelplank.decode import Ids, Malformed, time, told
+from kestrelplank.decode import Ids, Malformed, duration_from_ms, reported_number
 from kestrelplank.interface import NodeLoad, NodeReport, SliceReport
 
 LoadName = Literal["in_flight", "queued", "utilization", "service_ms", "acknowledged_per_s", "aborted_per_s"]
@@ -24,7 +24,7 @@
     """Read one figure of a report."""
     if not FIGURE.fullmatch(value):
         raise Malformed(f"expected a number, got {value[:40]!r}")
-    return told(float(value))
+    return reported_number(float(value))
 
 
 def read_load(pairs: Iterable[Sequence[str]]) -> NodeLoad:
@@ -78,7 +78,7 @@
     if kind not in ("upstream_stats", "range_stats"):
         raise Malformed(f"no message is called {kind[:40]!r}")
     total, errors = _figure_of(kind, fields, "total"), _figure_of(kind, fields, "errors")
-    window_ns = time(_figure_of(kind, fields, "interval"))
+    window_ns = duration_from_ms(_figure_of(kind, fields, "interval"))
     if not window_ns:
         raise Malformed(f"{kind}: in no time")
     if kind == "range_stats":
@@ -104,7 +104,7 @@
     if read_index(kind, fields, "locality", ids.zones) != zone:
         raise Malformed(f"{kind}, field locality: not this collector's")
     timed = attempts > failures or "rtt" in fields
-    mean_latency_ns = time(_figure_of(kind, fields, "rtt")) if timed else None
+    mean_latency_ns = duration_from_ms(_figure_of(kind, fields, "rtt")) if timed else None
     metrics = (pair.split(":") for pair in fields.get("metrics", "").split(","))
     node = read_index(kind, fields, "endpoint", ids.nodes)
     return NodeReport(node, zone, attempts, failures, mean_latency_ns, window_ns, read_load(metrics))
--- a/kestrelplank/decode.py
+++ b/kestrelplank/decode.py
@@ -101,7 +101,7 @@
         return self.op_types[name]
 
 
-def parsed(data: bytes) -> object:
+def parse_json(data: bytes) -> object:
     """Return JSON as plain values.
 
     :raises Malformed: it is none, or nested too deeply.
@@ -119,14 +119,14 @@
     return value
 
 
-def whole(value: object) -> int:
+def whole_number(value: object) -> int:
     """Return a whole number of 0 or more."""
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         refuse("a whole number", value)
     return value
 
 
-def count(value: object) -> float:
+def non_negative(value: object) -> float:
     """Return a number of 0 or more."""
     read = number(value)
     if read < 0:
@@ -134,17 +134,17 @@
     return read
 
 
-def told(value: object) -> float:
+def reported_number(value: object) -> float:
     """Return a number that one report may hold."""
-    read = count(value)
+    read = non_negative(value)
     if read > LARGEST_REPORTED:
         refuse("a figure of one report", value)
     return read
 
 
-def time(value: object) -> int:
-    """Return a time in ms, as the wire has them, in ns."""
-    return round(count(value) * NS_PER_MS)
+def duration_from_ms(value: object) -> int:
+    """Return in ns a time of 0 or more that the wire has in ms."""
+    return round(non_negative(value) * NS_PER_MS)
 
 
 def text(value: object) -> str:
@@ -154,28 +154,28 @@
     return value
 
 
-def listed(value: object) -> list[object]:
+def list_value(value: object) -> list[object]:
     """Return a list."""
     if not isinstance(value, list):
         refuse("a list", value)
     return value
 
 
-def mapping(value: object) -> dict[str, object]:
+def object_value(value: object) -> dict[str, object]:
     """Return an object, whose keys are texts as in all JSON."""
     if not isinstance(value, dict):
         refuse("an object", value)
     return value
 
 
-def flag(value: object) -> bool:
+def truth_value(value: object) -> bool:
     """Return a truth value."""
     if not isinstance(value, bool):
         refuse("true or false", value)
     return value
 
 
-def word(choices: Mapping[str, str] | Set[str]) -> Callable[[object], str]:
+def one_of(choices: Mapping[str, str] | Set[str]) -> Callable[[object], str]:
     """Return a reader of one of the words, or of a mapping's keys, for which it returns the values."""
 
     def read(value: object) -> str:
@@ -209,7 +209,7 @@
             raise Malformed(f"{self._where}.{path}: {err}") from None
 
 
-def settings(conf: object, ids: Ids, where: str) -> dict[str, object]:
+def read_settings(conf: object, ids: Ids, where: str) -> dict[str, object]:
     """Return the wire's settings as one flat mapping in our words and units; what is not known here is skipped.
 
     Zones and op types are added to `ids` in the order of the settings.
@@ -220,9 +220,10 @@
     if not isinstance(conf, dict):
         raise Malformed(f"{where}: expected an object, got {conf!r}")
     read = _SettingsReader(conf, where)
-    for zone in read("Areas", listed, ()):
+    for zone in read("Areas", list_value, ()):
         ids.zone(zone)
-    op_types = [_op_type(op_type, index, ids, where) for index, op_type in enumerate(read("Categories", listed, ()))]
+    categories = read("Categories", list_value, ())
+    op_types = [_op_type(op_type, index, ids, where) for index, op_type in enumerate(categories)]
     return {
         "op_types": op_types,
         **_site_settings(read, ids),
@@ -239,54 +240,54 @@
         raise Malformed(f"{where}.Categories: entry {index}: expected an object, got {value!r}")
     ids.op_types[text(value.get("Name"))] = index
     return {
-        "target_latency": time(value.get("Target") or 0),
-        "op_timeout": time(value.get("Deadline") or 0),
-        "value": count(value.get("Importance") or 0),
+        "target_latency": duration_from_ms(value.get("Target") or 0),
+        "op_timeout": duration_from_ms(value.get("Deadline") or 0),
+        "value": non_negative(value.get("Importance") or 0),
         "group": value.get("Group") or "",
         "effect": EFFECTS.get(value.get("Effect"), "once-only"),
-        "repeat_window": time(value.get("DedupWindow") or 0),
+        "repeat_window": duration_from_ms(value.get("DedupWindow") or 0),
     }
 
 
 def _site_settings(read: _SettingsReader, ids: Ids) -> dict[str, object]:
     """Return who this assigner is, and what there is of assigners, zones, proxies and slices."""
     return {
-        "ordinal": read("Ordinal", whole, 0),
-        "conductors": read("Balancers", whole, 1),
+        "ordinal": read("Ordinal", whole_number, 0),
+        "conductors": read("Balancers", whole_number, 1),
         "zone": read("Az", ids.zone, None),
         "zones": len(ids.zones),
-        "proxies": read("Specifics.DataPlaneSize", whole, 1),
-        "slices": read("Specifics.Shards", whole, 0),
-        "exclusive": read("Specifics.Exclusive", flag, False),
-        "write_life": read("Specifics.WriteLife", time, 0),
-        "lease": read("Specifics.Tenure", time, 0),
-        "bare_limit": read("Specifics.Blackhole", time, 0),
+        "proxies": read("Specifics.DataPlaneSize", whole_number, 1),
+        "slices": read("Specifics.Shards", whole_number, 0),
+        "exclusive": read("Specifics.Exclusive", truth_value, False),
+        "write_life": read("Specifics.WriteLife", duration_from_ms, 0),
+        "lease": read("Specifics.Tenure", duration_from_ms, 0),
+        "bare_limit": read("Specifics.Blackhole", duration_from_ms, 0),
     }
 
 
 def _channel_settings(read: _SettingsReader) -> dict[str, object]:
     """Return what the channel to the proxies takes, and how long."""
     return {
-        "envelope": read("Specifics.Envelope", count, 0),
-        "lines_per_s": read("Specifics.EgressPerS", count, 0),
-        "most_waiting": read("Specifics.MostWaiting", count, 0),
-        "most_messages": read("Specifics.PushesAllowed", whole, 0),
-        "messages_span": read("Specifics.MessagesOver", time, 0),
-        "transit": read("Specifics.Transit", time, 0),
-        "longest_transit": read("Specifics.WorstTransit", time, 0),
+        "envelope": read("Specifics.Envelope", non_negative, 0),
+        "lines_per_s": read("Specifics.EgressPerS", non_negative, 0),
+        "most_waiting": read("Specifics.MostWaiting", non_negative, 0),
+        "most_messages": read("Specifics.PushesAllowed", whole_number, 0),
+        "messages_span": read("Specifics.MessagesOver", duration_from_ms, 0),
+        "transit": read("Specifics.Transit", duration_from_ms, 0),
+        "longest_transit": read("Specifics.WorstTransit", duration_from_ms, 0),
     }
 
 
 def _load_settings(read: _SettingsReader) -> dict[str, object]:
     """Return how proxies report and choose, and how nodes are listed."""
     return {
-        "report_every": read("Specifics.ReportEvery", time, NS_PER_MS * 1000),
-        "strikes": read("Specifics.Strikes", whole, 0),
+        "report_every": read("Specifics.ReportEvery", duration_from_ms, NS_PER_MS * 1000),
+        "strikes": read("Specifics.Strikes", whole_number, 0),
         "pick": read("Specifics.Pick", _pick, "random"),
         "levels": read("Specifics.LevelKind", _level_kind, ""),
-        "usual_again": read("Specifics.BaseMode", whole, 0),
-        "first_wait": read("Specifics.FirstWait", count, 1.0),
-        "warm_keys": read("Specifics.WarmKeys", flag, False),
+        "usual_again": read("Specifics.BaseMode", whole_number, 0),
+        "first_wait": read("Specifics.FirstWait", non_negative, 1.0),
+        "warm_keys": read("Specifics.WarmKeys", truth_value, False),
         "subscribe": read("MembershipMode", text, "automatic") == "subscribe",
     }
 
@@ -294,13 +295,13 @@
 def _rule_settings(read: _SettingsReader) -> dict[str, object]:
     """Return the rules that decisions are held to."""
     return {
-        "ask_within": read("Rules.AskWithin", time, 0),
-        "cold_from": read("Rules.ColdFrom", count, 1.0),
-        "warm_up": read("Rules.WarmUp", time, 0),
-        "fall_multiple": read("Rules.FallMultiple", count, 1.0),
-        "tip_after": read("Rules.TipAfter", time, 0),
-        "grace": read("Rules.StopSendingWithin", time, 0),
-        "only_draining_binds": read("Rules.OnlyDrainingBinds", flag, False),
+        "ask_within": read("Rules.AskWithin", duration_from_ms, 0),
+        "cold_from": read("Rules.ColdFrom", non_negative, 1.0),
+        "warm_up": read("Rules.WarmUp", duration_from_ms, 0),
+        "fall_multiple": read("Rules.FallMultiple", non_negative, 1.0),
+        "tip_after": read("Rules.TipAfter", duration_from_ms, 0),
+        "grace": read("Rules.StopSendingWithin", duration_from_ms, 0),
+        "only_draining_binds": read("Rules.OnlyDrainingBinds", truth_value, False),
     }
 
 
@@ -308,11 +309,11 @@
     """Return what this assigner may do of itself, and where weights and loads come from."""
     return {
         "weights": read("WeightSource", text, "none"),
-        "tick": read("Tick", time, NS_PER_MS),
-        "dial_timeout": read("Permissions.DialTimeout", time, 250 * NS_PER_MS),
+        "tick": read("Tick", duration_from_ms, NS_PER_MS),
+        "dial_timeout": read("Permissions.DialTimeout", duration_from_ms, 250 * NS_PER_MS),
         "load_by": read("LoadReport.Source", text, "none"),
-        "may_probe": read("Permissions.Probes", flag, False),
-        "may_tell": read("Permissions.MayTell", flag, False),
+        "may_probe": read("Permissions.Probes", truth_value, False),
+        "may_tell": read("Permissions.MayTell", truth_value, False),
     }
 
 
@@ -326,7 +327,7 @@
     return LEVELS.get(value, "")
 
 
-def shares(loads: Mapping[int, float], names: Mapping[int, NodeName]) -> list[bytes]:
+def encode_peer_loads(loads: Mapping[int, float], names: Mapping[int, NodeName]) -> list[bytes]:
     """Return datagrams of at most 256 bytes that tell other assigners the loads of nodes.
 
     Each stands for itself, as any may be lost: it names some nodes, and says nothing of the others.
@@ -341,7 +342,7 @@
     ]
 
 
-def shared(body: bytes, ids: Ids) -> list[tuple[int, float]] | None:
+def decode_peer_loads(body: bytes, ids: Ids) -> list[tuple[int, float]] | None:
     """Return the loads in such a datagram, ops a second by node; None for what is none.
 
     Nodes that are not known and loads that can't be are passed over.
--- a/kestrelplank/emulator/conductors.py
+++ b/kestrelplank/emulator/conductors.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from kestrelplank.decode import Ids, settings, whole
+from kestrelplank.decode import Ids, read_settings, whole_number
 from kestrelplank.emulator.clock import chance
 from kestrelplank.emulator.part import Actor
 from kestrelplank.emulator.script import conf
@@ -59,8 +59,8 @@
     def start(self) -> None:
         world = self.world
         self.alive, self.life, self._events, self._due = True, self.life + 1, [], False
-        self.ids = Ids(whole)
-        found = settings(conf(world.script, self.number), self.ids, "script")
+        self.ids = Ids(whole_number)
+        found = read_settings(conf(world.script, self.number), self.ids, "script")
         seed = chance(world.seed, "conductor", self.number, self.life).getrandbits(64)
         self.policy = world.policy(world.clock.now(), seed, PolicySettings.from_mapping(found))
 
--- a/kestrelplank/interface.py
+++ b/kestrelplank/interface.py
@@ -225,7 +225,7 @@
     "ownership_lease_ns": "lease",
     "peers_may_talk": "may_tell",
     "assigners": "conductors",
-}  # fields of PolicySettings, and what `kestrelplank.decode.settings` calls them where it has another name
+}  # fields of PolicySettings, and what `kestrelplank.decode.read_settings` calls them where it has another name
 
 
 class PolicySettings(msgspec.Struct, frozen=True, kw_only=True, rename=SETTING_NAMES):
@@ -275,7 +275,7 @@
 
     @classmethod
     def from_mapping(cls, settings: Mapping[str, object]) -> "PolicySettings":
-        """Return the settings that concern decisions out of those that `kestrelplank.decode.settings` has read."""
+        """Return the settings that concern decisions out of those that `kestrelplank.decode.read_settings` has read."""
         return msgspec.convert(settings, cls)
 
 
--- a/kestrelplank/reference_proxy/hub.py
+++ b/kestrelplank/reference_proxy/hub.py
@@ -15,7 +15,17 @@
 import msgspec
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import Ids, Malformed, count, flag, listed, mapping, parsed, text, whole
+from kestrelplank.decode import (
+    Ids,
+    Malformed,
+    list_value,
+    non_negative,
+    object_value,
+    parse_json,
+    text,
+    truth_value,
+    whole_number,
+)
 from kestrelplank.load_balancing.operations import Verdict
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.http import DIAL_TIMEOUT_NS, Client, Stream, StreamLimits
@@ -84,9 +94,9 @@
         if not line.strip():
             return
         try:
-            message = mapping(parsed(line))
+            message = object_value(parse_json(line))
             if message:
-                self._take(message.get("type"), mapping(message.get("object")))
+                self._take(message.get("type"), object_value(message.get("object")))
         except Refused as err:
             self._counters.trouble("tables_refused", err)
             self._stream.drop("a message that can't be applied")
@@ -101,18 +111,19 @@
             if fields.get("zone") is not None:
                 self._on_node(node, self._ids.zone(fields["zone"]))
         elif kind == "joined":
-            self._tables.joined(whole(fields.get("source")))
+            self._tables.joined(whole_number(fields.get("source")))
         elif kind == "table":
-            table = whole(fields.get("table"))
+            table = whole_number(fields.get("table"))
             if table >= self._tables.size:
                 raise Malformed(f"no table has the number {table}")
-            lines = {self._ids.node(name): count(weight) for name, weight in mapping(fields.get("lines")).items()}
+            weights = object_value(fields.get("lines"))
+            lines = {self._ids.node(name): non_negative(weight) for name, weight in weights.items()}
             lines = {node: weight for node, weight in lines.items() if weight}
-            self._tables.read(table, whole(fields.get("source")), lines)
+            self._tables.read(table, whole_number(fields.get("source")), lines)
             self._on_change([table])
         elif kind == "orders":
-            source, number = whole(fields.get("source")), whole(fields.get("number"))
-            orders = [self._order(order) for order in listed(fields.get("orders"))]
+            source, number = whole_number(fields.get("source")), whole_number(fields.get("number"))
+            orders = [self._order(order) for order in list_value(fields.get("orders"))]
             changed, marks = self._tables.apply(source, number, orders)
             self._counters.add("tables_messages")
             if changed:
@@ -123,16 +134,16 @@
             raise Malformed(f"nothing is called {str(kind)[:40]!r}")
 
     def _order(self, order: Any) -> tuple:
-        word, *fields = listed(order) or [None]
+        word, *fields = list_value(order) or [None]
         if word == "line" and len(fields) == 3:
-            return word, whole(fields[0]), self._ids.node(fields[1]), count(fields[2])
+            return word, whole_number(fields[0]), self._ids.node(fields[1]), non_negative(fields[2])
         if word == "take_out" and len(fields) == 2:
-            return word, self._ids.node(fields[0]), flag(fields[1])
+            return word, self._ids.node(fields[0]), truth_value(fields[1])
         if word == "level" and len(fields) == 4:
-            table = fields[0] if fields[0] == -1 else whole(fields[0])
-            return word, table, whole(fields[1]), count(fields[2]), whole(fields[3])
+            table = fields[0] if fields[0] == -1 else whole_number(fields[0])
+            return word, table, whole_number(fields[1]), non_negative(fields[2]), whole_number(fields[3])
         if word in ("clear", "mark") and len(fields) == 1:
-            return word, whole(fields[0])
+            return word, whole_number(fields[0])
         raise Malformed(f"no order is {str(order)[:60]!r}")
 
     # What it met.
--- a/kestrelplank/simulator_protocol/events.py
+++ b/kestrelplank/simulator_protocol/events.py
@@ -8,16 +8,16 @@
 from kestrelplank.decode import (
     Ids,
     Malformed,
-    count,
-    flag,
-    mapping,
+    decode_peer_loads,
+    duration_from_ms,
+    non_negative,
     number,
-    shared,
+    object_value,
+    one_of,
+    reported_number,
     text,
-    time,
-    told,
-    whole,
-    word,
+    truth_value,
+    whole_number,
 )
 from kestrelplank.interface import (
     EndpointStored,
@@ -51,9 +51,9 @@
     "served_ps": "acknowledged_per_s",
     "failed_ps": "aborted_per_s",
 }
-read_condition = word({condition.value for condition in NodeCondition})
-read_list_kind = word({kind.value for kind in NodeListKind})
-read_verdict = word(
+read_condition = one_of({condition.value for condition in NodeCondition})
+read_list_kind = one_of({kind.value for kind in NodeListKind})
+read_verdict = one_of(
     {
         "success": HealthVerdict.OK,
         "failure": HealthVerdict.FAILED,
@@ -105,9 +105,9 @@
 def read_load(value: object) -> NodeLoad:
     """Read what a node reports of its own load; what is not known here is skipped."""
     load = NodeLoad()
-    for name, figure in mapping(value).items() if value is not None else ():
+    for name, figure in object_value(value).items() if value is not None else ():
         if name in LOAD_NAMES and figure is not None:
-            load[LOAD_NAMES[name]] = told(figure)
+            load[LOAD_NAMES[name]] = reported_number(figure)
     return load
 
 
@@ -135,9 +135,9 @@
         node=ids.node(node),
         condition=read_condition(condition),
         zone=None if zone is None else ids.zone(zone),
-        cell=None if cell is None else whole(cell),
-        weight=1.0 if weight is None else count(weight),
-        started_at=time(started) if started else None,
+        cell=None if cell is None else whole_number(cell),
+        weight=1.0 if weight is None else non_negative(weight),
+        started_at=duration_from_ms(started) if started else None,
     )
 
 
@@ -153,65 +153,68 @@
 
 def read_ownership(fields: FieldReader) -> Event:
     """Read TENURE."""
-    return SliceOwnership(fields.take("SetId", whole), fields.take("Yes", flag))
+    return SliceOwnership(fields.take("SetId", whole_number), fields.take("Yes", truth_value))
 
 
 def read_stored_endpoint(fields: FieldReader) -> Event:
     """Read CURRENT_OWNER."""
-    node, number = fields.take("Node", fields.ids.node), fields.take("SetId", whole)
-    return EndpointStored(number, node, fields.take("Size", count))
+    node, number = fields.take("Node", fields.ids.node), fields.take("SetId", whole_number)
+    return EndpointStored(number, node, fields.take("Size", non_negative))
 
 
 def read_joined_proxy(fields: FieldReader) -> Event:
     """Read SUBSCRIBED."""
-    proxy, zone = fields.take("Proxy", whole), fields.take_optional("FailureDomain", fields.ids.zone)
-    return ProxyJoined(proxy, zone, fields.take_optional("Size", count), fields.take("Yes", flag))
+    proxy, zone = fields.take("Proxy", whole_number), fields.take_optional("FailureDomain", fields.ids.zone)
+    return ProxyJoined(proxy, zone, fields.take_optional("Size", non_negative), fields.take("Yes", truth_value))
 
 
 def read_left_proxy(fields: FieldReader) -> Event:
     """Read LOST_STREAM."""
-    return ProxyLeft(fields.take("Proxy", whole))
+    return ProxyLeft(fields.take("Proxy", whole_number))
 
 
 def read_acknowledgement(fields: FieldReader) -> Event:
     """Read INSTALLED."""
-    proxy, watermark = fields.take("Proxy", whole), fields.take("Version", whole)
-    return WatermarkAcknowledged(proxy, watermark, fields.take_optional("WaitTime", time))
+    proxy, watermark = fields.take("Proxy", whole_number), fields.take("Version", whole_number)
+    return WatermarkAcknowledged(proxy, watermark, fields.take_optional("WaitTime", duration_from_ms))
 
 
 def read_node_report(fields: FieldReader) -> Event:
     """Read ROUNDUP."""
-    attempts, failures = fields.take("N", told), fields.take("Bad", told)
-    mean_latency_ns, window_ns = fields.take_optional("WaitTime", time), fields.take("Window", time)
+    attempts, failures = fields.take("N", reported_number), fields.take("Bad", reported_number)
+    mean_latency_ns, window_ns = (
+        fields.take_optional("WaitTime", duration_from_ms),
+        fields.take("Window", duration_from_ms),
+    )
     zone, node = fields.take_optional("FailureDomain", fields.ids.zone), fields.take("Node", fields.ids.node)
     return NodeReport(node, zone, attempts, failures, mean_latency_ns, window_ns, fields.take("Stats", read_load))
 
 
 def read_slice_report(fields: FieldReader) -> Event:
     """Read WEIGHT_SEEN."""
-    window_ns, op_type = fields.take("Window", time), fields.take("Cls", fields.ids.op_type)
-    number, aborted = fields.take("SetId", whole), fields.take("Bad", told)
-    return SliceReport(number, op_type, fields.take("N", told), aborted, window_ns)
+    window_ns, op_type = fields.take("Window", duration_from_ms), fields.take("Cls", fields.ids.op_type)
+    number, aborted = fields.take("SetId", whole_number), fields.take("Bad", reported_number)
+    return SliceReport(number, op_type, fields.take("N", reported_number), aborted, window_ns)
 
 
 def read_proxy_report(fields: FieldReader) -> Event:
     """Read DEMAND."""
-    ops, op_type = fields.take("N", told), fields.take("Cls", fields.ids.op_type)
-    proxy, aborted = fields.take("Proxy", whole), fields.take("Bad", told)
-    return ProxyReport(proxy, op_type, ops, aborted, fields.take("Window", time))
+    ops, op_type = fields.take("N", reported_number), fields.take("Cls", fields.ids.op_type)
+    proxy, aborted = fields.take("Proxy", whole_number), fields.take("Bad", reported_number)
+    return ProxyReport(proxy, op_type, ops, aborted, fields.take("Window", duration_from_ms))
 
 
 def read_health_check(fields: FieldReader) -> Event:
     """Read ECHO."""
     node, verdict = fields.take("Node", fields.ids.node), fields.take("Verdict", read_verdict)
-    duration_ns = fields.take_optional("WaitTime", time)
+    duration_ns = fields.take_optional("WaitTime", duration_from_ms)
     return HealthChecked(node, verdict, duration_ns, fields.take("Stats", read_load))
 
 
 def read_datagram(fields: FieldReader) -> Event:
     """Read DATAGRAM, which may tell loads."""
-    sender, body = fields.take("Sender", whole), fields.take_optional("Body", read_body)
-    loads = shared(body or b"", fields.ids)
+    sender, body = fields.take("Sender", whole_number), fields.take_optional("Body", read_body)
+    loads = decode_peer_loads(body or b"", fields.ids)
     return PeerMessage(sender, body) if loads is None else PeerLoads(sender, loads)
 
 
--- a/kestrelplank/simulator_protocol/host.py
+++ b/kestrelplank/simulator_protocol/host.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from kestrelplank.decode import Ids, Malformed, parsed, settings, time, whole
+from kestrelplank.decode import Ids, Malformed, duration_from_ms, parse_json, read_settings, whole_number
 from kestrelplank.interface import Event, PolicySettings
 from kestrelplank.policy import Policy
 from kestrelplank.simulator_protocol.events import EVENT_READERS, read_event
@@ -45,7 +45,7 @@
         return None
 
     def _read(self, raw: bytes) -> list[bytes] | None:
-        message = parsed(raw)
+        message = parse_json(raw)
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
             raise Malformed(f"expected an array that begins with a name, got {raw[:60]!r}")
         name = message[0]
@@ -64,7 +64,7 @@
     def _begin_batch(self, message: Sequence[object]) -> None:
         self._events = {}
         try:
-            self._now = time(field_at(message, 1))
+            self._now = duration_from_ms(field_at(message, 1))
         except Malformed as err:
             raise Malformed(f"ROUND, field clock: {err}") from None
 
@@ -72,7 +72,7 @@
         """Take one line that concerns one instance."""
         name = message[0]
         try:
-            number = whole(field_at(message, 1))
+            number = whole_number(field_at(message, 1))
         except Malformed as err:
             raise Malformed(f"{name}, field Conductor: {err}") from None
         if name == "CREATE":
@@ -88,11 +88,11 @@
 
     def _create(self, now: int, number: int, message: Sequence[object]) -> None:
         try:
-            seed = whole(field_at(message, 2))
+            seed = whole_number(field_at(message, 2))
         except Malformed as err:
             raise Malformed(f"CREATE, field RandomSeed: {err}") from None
-        ids = Ids(whole)
-        found = settings(field_at(message, 3), ids, "CREATE, field Conf")
+        ids = Ids(whole_number)
+        found = read_settings(field_at(message, 3), ids, "CREATE, field Conf")
         self.instances[number] = Instance(Policy(now, seed, PolicySettings.from_mapping(found)), ids)
         self._events[number] = []
 
--- a/kestrelplank/simulator_protocol/orders.py
+++ b/kestrelplank/simulator_protocol/orders.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from kestrelplank.decode import NS_PER_MS, Ids, shares
+from kestrelplank.decode import NS_PER_MS, Ids, encode_peer_loads
 from kestrelplank.interface import ALL_TABLES
 
 EVERY_TABLE = 65535
@@ -54,7 +54,7 @@
 
     def share_loads(self, loads: Mapping[int, float]) -> None:
         """Write as many BROADCAST_TO as the loads need."""
-        for datagram in shares(loads, self._ids.node_ids):
+        for datagram in encode_peer_loads(loads, self._ids.node_ids):
             self.send_to_peers(None, datagram)
 
     def watch_nodes(self, enabled: bool) -> None:
--- a/kestrelplank/state/sealed.py
+++ b/kestrelplank/state/sealed.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from kestrelplank.decode import Malformed, parsed
+from kestrelplank.decode import Malformed, parse_json
 
 
 def digest_of(data: bytes) -> str:
@@ -25,7 +25,7 @@
     body, _, rest = data.rstrip(b"\n").rpartition(b"\n")
     if not body or digest_of(body) != rest.decode(errors="replace"):
         raise Malformed("torn or changed: its checksum does not hold")
-    found = parsed(body)
+    found = parse_json(body)
     if not isinstance(found, dict) or found.get("form") != form:
         raise Malformed(f"form {found.get('form') if isinstance(found, dict) else None} is not known, {form} is")
     return found
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -14,7 +14,7 @@
 from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 from kestrelplank.assigner.rounds import RoundRunner
-from kestrelplank.decode import Ids, settings, text
+from kestrelplank.decode import Ids, read_settings, text
 from kestrelplank.file_discovery.node_files import NodeFiles
 from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.interface import NodeListKind, NodeListUpdate, PolicySettings
@@ -61,7 +61,7 @@
         self.hub = StubServer(self.kit, self.asked)
         self.agent = StubServer(self.kit)  # says nothing
         ids = self.ids = Ids(text)
-        found = settings(CONF, ids, "settings")
+        found = read_settings(CONF, ids, "settings")
         kit = self.kit
         self.events = []
         orders = OrderQueue(kit.loop, kit.pool, kit.counters, self.hub.at, ids, ["look"], 7)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,7 +11,7 @@
 from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 from kestrelplank.assigner.rounds import RoundRunner
-from kestrelplank.decode import Ids, settings, text
+from kestrelplank.decode import Ids, read_settings, text
 from kestrelplank.interface import PolicySettings
 from kestrelplank.policy import Policy
 
@@ -138,7 +138,7 @@
         visitor.tell(whole) if "follow" in path else visitor.reply(whole)
 
     agent, ids = StubServer(kit, agent_does), Ids(text)
-    found = settings(CONF, ids, "settings")
+    found = read_settings(CONF, ids, "settings")
 
     def on_event(event):
         conductor.on_event(event)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -529,7 +529,9 @@
 
 def test_the_settings_that_decisions_need_are_read_from_those_of_the_wire():
     settings = PolicySettings.from_mapping(
-        decode.settings({"Categories": [{"Name": "look", "Target": 250.0, "Importance": 3.0}]}, decode.Ids(str), "test")
+        decode.read_settings(
+            {"Categories": [{"Name": "look", "Target": 250.0, "Importance": 3.0}]}, decode.Ids(str), "test"
+        )
     )
     assert settings.op_types == (OpTypeSettings(S // 4, 3.0),) and settings.report_interval_ns == S
     assert settings.load_window_ns is None and settings.assigners == 1
