--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -25,7 +25,7 @@
 from kestrelplank.sharding.placement import Placement
 from kestrelplank.sharding.shard_server import ShardServer
 from kestrelplank.time_units import MILLISECOND, SECOND
-from kestrelplank.transport.edge_view import KeyRangeTable
+from kestrelplank.transport.key_range_table import KeyRangeTable
 from kestrelplank.transport.messages import KeyRangesDelta, KeyRangesUpdate, KeyRangesVersion, RangeHolder
 
 FIRST_RANGES_PER_SERVER = 4
@@ -175,10 +175,10 @@
         recorded = KeyRangeTable(self._version, range_holders(self._committed.ranges))
         releasing = []
         for key_range in self.key_ranges.ranges:
-            holder = recorded.of(key_range.first)
+            holder = recorded.holder_of(key_range.first)
             if holder is not None and (key_range.state is not KeyRangeState.HELD or key_range.server != holder.server):
                 releasing.append(without_holder(key_range))
-        return KeyRangesUpdate(self.service, self._version, recorded.lines, releasing)
+        return KeyRangesUpdate(self.service, self._version, recorded.key_ranges, releasing)
 
 
 def without_holder(key_range: KeyRange | RecordedKeyRange) -> RangeHolder:
--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -6,7 +6,7 @@
 from kestrelplank.forwarding.endpoint import Endpoint, ServerLoad
 from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
 from kestrelplank.time_units import SECOND
-from kestrelplank.transport.server_list import READY, Entry
+from kestrelplank.transport.server_list import READY, ListedServer
 
 EJECTION_TIME_NS = (1 * SECOND, 2 * SECOND)  # least and most, drawn at each ejection
 CONSECUTIVE_FAILURES = 2  # after which a server is ejected
@@ -34,7 +34,7 @@
         self._ejection = OutlierEjection(random, CONSECUTIVE_FAILURES, EJECTION_TIME_NS)
         self._last_number = UNUSED_NUMBER
 
-    def update(self, fetched_at: int, entries: Iterable[Entry]) -> None:
+    def update(self, fetched_at: int, entries: Iterable[ListedServer]) -> None:
         """Take a new list of servers: those that are gone or draining get nothing new.
 
         :param fetched_at: when the list was fetched from the platform.
@@ -50,14 +50,14 @@
         for endpoint in listed.values():
             self.services.setdefault(endpoint.service, []).append(endpoint)
 
-    def _listed(self, fetched_at: int, entry: Entry) -> Endpoint:
+    def _listed(self, fetched_at: int, entry: ListedServer) -> Endpoint:
         endpoint = self.by_name.get(entry.server)
         if endpoint is None:
             self._last_number += 1
             endpoint = Endpoint(self._last_number, entry)
         if endpoint.ready and entry.state != READY:
             endpoint.drain_listed_at = fetched_at
-        endpoint.ready, endpoint.warm_at = entry.state == READY, fetched_at + entry.warm
+        endpoint.ready, endpoint.warm_at = entry.state == READY, fetched_at + entry.warm_up_ns
         return endpoint
 
     def choose(self, now: int, service: str, excluded: tuple[str, ...], body_bytes: int = 0) -> Endpoint | None:
