--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -23,7 +23,7 @@
 from kestrelplank.transport.messages import ConfigurationUpdate
 
 IP, CLIENTS = "127.0.0.1", 8
-BESIDE, OTHERS = 34, 179  # servers of the service that is asked, and the other services
+ASKED_SERVERS, OTHER_SERVICES = 34, 179  # servers of the service that is asked, and the other services
 CONFIGURATION = json.dumps(
     {
         "config_version": "00000007",
@@ -62,23 +62,23 @@
             self.transport.write(ANSWER % next(lines).split(b": ")[1])
 
 
-def listed(servers, behind):
+def listed(servers, server_port):
     """The platform's list: the servers that are asked, each at an address of its own, and those of other services."""
-    asked = min(servers, BESIDE)
-    found = [(f"views-{at}", "views", f"127.0.0.{at + 1}:{behind}", "hall", 64, "ready", 0) for at in range(asked)]
+    asked = min(servers, ASKED_SERVERS)
+    found = [(f"views-{at}", "views", f"127.0.0.{at + 1}:{server_port}", "hall", 64, "ready", 0) for at in range(asked)]
     for at in range(servers - asked):
         address = f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:80"
-        found.append((f"i-{at:08x}", f"other-{at % OTHERS}", address, "hall", 2, "ready", 0))
+        found.append((f"i-{at:08x}", f"other-{at % OTHER_SERVICES}", address, "hall", 2, "ready", 0))
     return found
 
 
 async def serve(port, servers):
-    hosts = [f"127.0.0.{at + 1}" for at in range(min(servers, BESIDE))]
+    hosts = [f"127.0.0.{at + 1}" for at in range(min(servers, ASKED_SERVERS))]
     server = await asyncio.get_running_loop().create_server(Serving, hosts, port)
     await server.serve_forever()
 
 
-async def edge(port, behind, servers, seconds, profile, told):
+async def edge(port, server_port, servers, seconds, profile, results):
     from kestrelplank.edge.program import EdgeProgram
 
     program = EdgeProgram(
@@ -91,39 +91,39 @@
     )
     program.listen()
     program.receive("member", ConfigurationUpdate(7, CONFIGURATION))
-    program.receive("member", ServerListUpdate(0, listed(servers, behind)))
+    program.receive("member", ServerListUpdate(0, listed(servers, server_port)))
     await asyncio.sleep(1)
-    profiler, spent = cProfile.Profile(), time.process_time()
+    profiler, processor_s = cProfile.Profile(), time.process_time()
     if profile:
         profiler.enable()
     await asyncio.sleep(seconds)
     profiler.disable()
-    told.send((time.process_time() - spent, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss))
+    results.send((time.process_time() - processor_s, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss))
     if profile:
         pstats.Stats(profiler).sort_stats("tottime").print_stats(45)
 
 
-async def ask(port, seconds, told):
+async def ask(port, seconds, results):
     await asyncio.sleep(0.9)
     until, counts = time.monotonic() + seconds, [0] * CLIENTS
 
-    async def client(place):
+    async def client(index):
         reader, writer = await asyncio.open_connection(IP, port)
-        number = place << 32
+        number = index << 32
         while time.monotonic() < until:
             number += 1
             writer.write(ASK % number)
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200"), head
             await reader.readexactly(400)
-            counts[place] += 1
+            counts[index] += 1
         writer.close()
 
     await asyncio.gather(*map(client, range(CLIENTS)))
-    told.send(sum(counts))
+    results.send(sum(counts))
 
 
-async def pace(ports, seconds, rate, told):
+async def pace(ports, seconds, rate, results):
     """Requests at random times to each of the ports by turns; milliseconds that each took, by port."""
     await asyncio.sleep(0.9)
     spare, took, number = {port: [] for port in ports}, {port: [] for port in ports}, 0
@@ -145,7 +145,7 @@
         tasks.append(asyncio.create_task(one(ports[number % len(ports)], number)))
         due += random.expovariate(rate * len(ports))
     await asyncio.gather(*tasks)
-    told.send([took[port] for port in ports])
+    results.send([took[port] for port in ports])
 
 
 def option(name, usual):
@@ -169,25 +169,25 @@
     seconds = float(next((word for word in sys.argv[1:] if not word.startswith("-")), "5"))
     rate, servers = option("rate", 0), option("servers", 1)
     port = free_ports()
-    ends = [multiprocessing.Pipe(False) for _ in range(2)]
+    pipes = [multiprocessing.Pipe(False) for _ in range(2)]
     work = [
         (serve, (port + 9, servers)),
-        (edge, (port, port + 9, servers, seconds, "--profile" in sys.argv, ends[0][1])),
-        (pace, ((port, port + 9), seconds, rate, ends[1][1])) if rate else (ask, (port, seconds, ends[1][1])),
+        (edge, (port, port + 9, servers, seconds, "--profile" in sys.argv, pipes[0][1])),
+        (pace, ((port, port + 9), seconds, rate, pipes[1][1])) if rate else (ask, (port, seconds, pipes[1][1])),
     ]
     processes = [multiprocessing.Process(target=run, args=one, daemon=True) for one in work]
     for process in processes:
         process.start()
-    if not all(end.poll(seconds + 10) for end, _ in ends):
+    if not all(end.poll(seconds + 10) for end, _ in pipes):
         sys.exit("one of the processes failed")
-    (spent, memory), count = ends[0][0].recv(), ends[1][0].recv()
+    (processor_s, memory), count = pipes[0][0].recv(), pipes[1][0].recv()
     if rate:
         through, straight = ([quantiles(took, n=1000)[at] for at in (499, 899, 989)] for took in count)
         for name, one, other in zip(("half", "9 in 10", "99 in 100"), through, straight):
             print(f"{name}: {one:.2f} ms, straight to the server {other:.2f}, added {one - other:.2f}")
         count = len(count[0])
     print(
-        f"{count / seconds:.0f} requests a second, {1e6 * spent / count:.0f} us of processor each, "
+        f"{count / seconds:.0f} requests a second, {1e6 * processor_s / count:.0f} us of processor each, "
         f"{memory / 1024:.0f} MB at most"
     )
     processes[1].join(5)
