--- a/benchmarks/key_ranges.py
+++ b/benchmarks/key_ranges.py
@@ -20,7 +20,7 @@
 from kestrelplank.sharding.shard_server import ShardServer
 from kestrelplank.time_units import SECOND
 from kestrelplank.transport.messages import KeyRangesUpdate, KeyRangesVersion
-from kestrelplank.transport.wire import packed
+from kestrelplank.transport.wire import encode_frame
 
 SIZES = (23, 230, 2300)
 TICK_NS = SECOND // 20
@@ -86,7 +86,7 @@
                 record = ShardRecord(1, self.records, effect.ranges, self.placement.learned_speeds())
                 command = PutRecord("views", msgspec.msgpack.encode(record))
                 self.records += 1
-                self.record_bytes += len(packed(command))
+                self.record_bytes += len(encode_frame(command))
                 self.key_ranges.handle_recorded(self.now)
         self.spent["pass"] += passed - began
         self.spent["renewals"] += renewed - passed
@@ -117,8 +117,8 @@
         "records/s": sum(one.records for one in services) / seconds,
         "a record, KB": sum(one.record_bytes for one in services) / 1000 / max(1, sum(one.records for one in services)),
         "records, KB/s": sum(one.record_bytes for one in services) / 1000 / seconds,
-        "complete update, ms": spent(lambda: [packed(complete_update(one)) for one in services]),
-        "complete update, KB": sum(len(packed(complete_update(one))) for one in services) / 1000,
+        "complete update, ms": spent(lambda: [encode_frame(complete_update(one)) for one in services]),
+        "complete update, KB": sum(len(encode_frame(complete_update(one))) for one in services) / 1000,
     }
 
 
--- a/kestrelplank/edge/control_sessions.py
+++ b/kestrelplank/edge/control_sessions.py
@@ -7,7 +7,7 @@
 
 from kestrelplank.settings.platform import parse_address
 from kestrelplank.time_units import MILLISECOND
-from kestrelplank.transport.edge_view import SILENT, EdgeView
+from kestrelplank.transport.edge_view import SESSION_TIMEOUT_NS, EdgeView
 from kestrelplank.transport.messages import LoadReport, ToEdge, decode_at_edge
 from kestrelplank.transport.wire import FrameConnection
 
@@ -78,7 +78,7 @@
 
     async def _send_heartbeats(self, connection: FrameConnection) -> None:
         """Say where we stand until the session has ended or is silent."""
-        while connection.open and time.monotonic_ns() - self._heard_at[connection] < SILENT:
+        while connection.is_open and time.monotonic_ns() - self._heard_at[connection] < SESSION_TIMEOUT_NS:
             connection.send(self._view.heartbeat(time.monotonic_ns()))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
--- a/tests/file_discovery/test_source.py
+++ b/tests/file_discovery/test_node_files.py
@@ -9,15 +9,16 @@
 import pytest
 from parties import MS, Kit, StubServer, attach, news, until
 
-from kestrelplank.assigner.conductor import Conductor
-from kestrelplank.assigner.discovery import Discovery
-from kestrelplank.assigner.news import News
-from kestrelplank.assigner.orders import Orders
-from kestrelplank.assigner.probes import Probes
+from kestrelplank.assigner.health_checks import HealthChecks
+from kestrelplank.assigner.node_discovery import NodeDiscovery
+from kestrelplank.assigner.order_queue import OrderQueue
+from kestrelplank.assigner.proxy_updates import ProxyUpdates
+from kestrelplank.assigner.rounds import RoundRunner
 from kestrelplank.decode import Ids, settings, text
-from kestrelplank.file_discovery.nodelist import read, written
-from kestrelplank.file_discovery.source import Source
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.file_discovery.node_files import NodeFiles
+from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
+from kestrelplank.interface import NodeListKind, NodeListUpdate, PolicySettings
+from kestrelplank.policy import Policy
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.state.nodeset import Listed, NodeSet
@@ -42,7 +43,7 @@
 
 
 def text_of(numbers, **more):
-    return written(NodeSet({name(number): listed(number, **more) for number in numbers}))
+    return format_node_list(NodeSet({name(number): listed(number, **more) for number in numbers}))
 
 
 class Site:
@@ -63,11 +64,13 @@
         found = settings(CONF, ids, "settings")
         kit = self.kit
         self.events = []
-        orders = Orders(kit.loop, kit.pool, kit.counters, self.hub.at, ids, ["look"], 7)
-        discovery = Discovery(kit.loop, kit.pool, kit.counters, self.agent.at, ids, self.source_event)
-        probes = Probes(kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event)
-        self.policy = Policy(kit.loop.now(), 5, found)
-        self.conductor = Conductor(kit.loop, kit.counters, self.policy, found["tick"], orders, discovery, probes, None)
+        orders = OrderQueue(kit.loop, kit.pool, kit.counters, self.hub.at, ids, ["look"], 7)
+        discovery = NodeDiscovery(kit.loop, kit.pool, kit.counters, self.agent.at, ids, self.source_event)
+        probes = HealthChecks(kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event)
+        self.policy = Policy(kit.loop.now(), 5, PolicySettings.from_mapping(found))
+        self.conductor = RoundRunner(
+            kit.loop, kit.counters, self.policy, found["tick"], orders, discovery, probes, None
+        )
         nodes = NodeFileSettings(
             **{
                 "files": (str(folder / "*.ini"),),
@@ -79,9 +82,9 @@
                 **fields,
             }
         )
-        self.source = Source(kit.loop, kit.counters, nodes, 40 * MS, ids, discovery.addresses, self.on_event)
+        self.source = NodeFiles(kit.loop, kit.counters, nodes, 40 * MS, ids, discovery.addresses, self.on_event)
         self.conductor.holders.append(self.source)
-        told = News(kit.loop, kit.pool, kit.counters, self.hub.at, ids, RELAYS, SLICES, orders, self.on_event)
+        told = ProxyUpdates(kit.loop, kit.pool, kit.counters, self.hub.at, ids, RELAYS, SLICES, orders, self.on_event)
         self.parts = [told, orders, self.source, probes, self.hub, self.agent]
 
     def on_event(self, event):
@@ -147,9 +150,9 @@
         """Name to condition, as a fold of what the module was told."""
         found = {}
         for event in self.events:
-            if event[0] == "roster":
-                found = {} if event[1] != "delta" else found
-                found.update({entry[0]: entry[1] for entry in event[2]})
+            if isinstance(event, NodeListUpdate):
+                found = {} if event.kind != NodeListKind.DELTA else found
+                found.update({entry.node: entry.condition for entry in event.entries})
         return {self.ids.node_ids[node]: condition for node, condition in found.items() if node in self.ids.node_ids}
 
     def close(self):
@@ -172,7 +175,7 @@
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_a_saved_file_is_in_force_and_told_and_what_vanished_drains_first(site, events):
+def test_a_saved_file_is_in_force_and_nodes_that_vanished_drain_first(site, events):
     here = site(text_of(range(1, 9)), events=events)
     here.wait(lambda: len(here.in_force()) == 8)
     here.write("a.ini", text_of([*range(1, 8), 9]))
@@ -197,7 +200,7 @@
         (lambda data: "[zone toronto]\n# end 0 nodes\n", "it lists no node"),
     ],
 )
-def test_what_cannot_be_used_changes_nothing_and_is_said_with_its_place(site, capfd, spoil, says):
+def test_an_invalid_list_changes_nothing_and_is_logged_with_its_line(site, capfd, spoil, says):
     here = site(text_of(range(1, 9)), trailer_required=True)
     here.wait(lambda: len(here.in_force()) == 8)
     before, calls = here.in_force(), len(here.calls)
@@ -209,7 +212,7 @@
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_a_file_deleted_deleted_and_made_again_replaced_by_a_folder_or_unreadable_keeps_what_stands(site, events):
+def test_a_file_deleted_made_again_replaced_by_a_directory_or_unreadable_keeps_the_set_in_force(site, events):
     here = site(text_of(range(1, 9)), events=events)
     here.wait(lambda: len(here.in_force()) == 8)
     path, before = here.folder / "a.ini", here.in_force()
@@ -242,7 +245,7 @@
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_an_edit_in_place_of_the_same_size_and_a_touch_without_a_change(site, events):
+def test_an_edit_in_place_of_the_same_size_is_seen_and_a_touch_changes_nothing(site, events):
     here = site(text_of(range(1, 9)), events=events)
     here.wait(lambda: len(here.in_force()) == 8)
     path = here.folder / "a.ini"
@@ -256,7 +259,7 @@
     assert here.count("files_read") == reads + 1
 
 
-def test_a_link_that_is_swapped_as_orchestrators_do(site, tmp_path):
+def test_a_symbolic_link_that_is_swapped_is_read_anew(site, tmp_path):
     """A file behind a link to a folder behind another link, which is replaced whole."""
     for number, nodes in enumerate((range(1, 9), range(1, 10))):
         (tmp_path / f"v{number}").mkdir()
@@ -266,7 +269,7 @@
     here.wait(lambda: len(here.in_force()) == 8)
     (tmp_path / "data.new").symlink_to("v1")
     os.replace(tmp_path / "data.new", tmp_path / "data")
-    here.source._watch.look()  # the link's own folder is not the file's: found by looking
+    here.source._watcher.look()  # the link's own folder is not the file's: found by looking
     here.wait(lambda: len(here.in_force()) == 9)
 
 
@@ -280,7 +283,7 @@
     assert here.source.intake.version == 2 and not here.count("files_refused")
 
 
-def test_a_set_that_waits_is_taken_with_its_marker(site):
+def test_a_set_that_waits_is_in_force_with_its_marker(site):
     here = site(text_of(range(1, 9)))
     here.wait(lambda: len(here.in_force()) == 8)
     here.write("a.ini", text_of(range(1, 5)))
@@ -290,7 +293,7 @@
     here.wait(lambda: len(here.in_force()) == 4)
 
 
-def test_a_set_that_stands_is_taken_though_no_file_changes_any_more(site):
+def test_a_set_that_stays_the_same_for_the_confirmation_period_is_in_force(site):
     here = site(text_of(range(1, 9)), confirmation_period_ns=120 * MS)
     here.wait(lambda: len(here.in_force()) == 8)
     here.write("a.ini", text_of(range(1, 5)))
@@ -298,7 +301,7 @@
     assert here.count("files_waiting") == 1
 
 
-def test_after_a_restart_with_a_broken_list_what_stood_holds(site):
+def test_after_a_restart_with_an_invalid_list_the_former_set_is_in_force(site):
     here = site(text_of(range(1, 9)))
     here.wait(lambda: len(here.in_force()) == 8)
     again = site("[zone toronto\n")
@@ -307,31 +310,31 @@
     assert sorted(again.told()) == sorted(map(name, range(1, 9)))
 
 
-def test_a_torn_state_file_is_named_and_the_files_hold(site, tmp_path, capfd):
+def test_a_torn_state_file_is_logged_and_the_lists_are_in_force(site, tmp_path, capfd):
     (tmp_path / "state").write_text("{")
     here = site(text_of(range(1, 9)))
     here.wait(lambda: len(here.in_force()) == 8)
     assert here.count("files_state_refused") == 1 and f"{tmp_path}/state: torn or changed" in capfd.readouterr().err
 
 
-def test_a_change_during_the_start_is_the_one_that_holds(site):
+def test_a_change_during_the_start_is_in_force(site):
     here = site(text_of(range(1, 9)))
     here.write("a.ini", text_of(range(1, 10)))
     here.wait(lambda: here.in_force())
     assert len(here.in_force()) == 9 and here.source.intake.version == 1
 
 
-def test_a_file_that_is_gone_goes_from_the_set_when_the_operators_file_is_read_anew(site):
+def test_a_file_that_is_gone_leaves_the_set_when_the_operators_file_is_reloaded(site):
     here = site(text_of(range(1, 9)))
     here.write("b.ini", text_of(range(9, 11)))
     here.wait(lambda: len(here.in_force()) == 10)
     (here.folder / "b.ini").unlink()
     here.wait(lambda: here.count("files_refused"))
-    here.source.reload(here.source._nodes)
+    here.source.reload(here.source._settings)
     here.wait(lambda: len(here.in_force()) == 8)
 
 
-def test_a_thousand_changes_in_a_row_come_to_the_last(site):
+def test_of_a_thousand_changes_in_a_row_the_last_is_in_force(site):
     here = site(text_of(range(1, 9)))
     here.wait(lambda: len(here.in_force()) == 8)
     for turn in range(1000):
@@ -359,7 +362,10 @@
             at = random.randrange(len(data))
             data = data[:at] + random.choice("\x00=[]#\n") + data[at + 1 :]
             try:
-                names.update(line.name for line in read("a.ini", data.encode(), 99, True).lines)
+                names.update(
+                    line.name
+                    for line in parse_node_list("a.ini", data.encode(), max_nodes=99, trailer_required=True).lines
+                )
             except InvalidSettingsError:
                 pass
         elif how == "twice":
@@ -373,7 +379,9 @@
         else:
             here.write("a.ini", "" if how == "empty" else data)
         if how == "valid":  # it is taken, or waits for a second word
-            here.wait(lambda data=data: written(NodeSet(here.in_force())) == data or here.source.intake.waiting)
+            here.wait(
+                lambda data=data: format_node_list(NodeSet(here.in_force())) == data or here.source.intake.waiting
+            )
         else:
             end = here.kit.loop.now() + random.randrange(6) * MS
             here.wait(lambda end=end: here.kit.loop.now() >= end)
@@ -382,7 +390,7 @@
 
 
 @pytest.mark.parametrize("seed, events", [(1, True), (2, False)])
-def test_relays_only_see_whole_valid_tables_over_a_thousand_rewrites(site, seed, events):
+def test_relays_only_see_complete_valid_tables_over_a_thousand_rewrites(site, seed, events):
     here = site(
         text_of(range(1, 17)), trailer_required=True, events=events, quiet_period_ns=2 * MS, poll_interval_ns=3 * MS
     )
@@ -390,7 +398,7 @@
     nodes = rewrites(here, Random(seed), int(os.environ.get("REWRITES", 500)))
     last = text_of(range(1, 17))
     here.write("a.ini", f"[list]\nconfirm = {here.source.intake.force.short}\n{last}")
-    here.wait(lambda: written(NodeSet(here.in_force())) == last)
+    here.wait(lambda: format_node_list(NodeSet(here.in_force())) == last)
     for _, orders in here.calls:
         for order in orders:
             assert order[0] == "mark" or order[2 if order[0] == "line" else 1] in nodes
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -19,7 +19,7 @@
 from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import READ
-from kestrelplank.state import answers
+from kestrelplank.state import idempotency_cache
 from kestrelplank.state.tables import Tables
 
 S = 1000 * MS
@@ -156,7 +156,7 @@
             self.tables,
             self.attempts,
             Admission(fields.get("admission", AdmissionSettings())),
-            answers.Answers(answers.Terms()),
+            idempotency_cache.IdempotencyCache(idempotency_cache.CacheLimits()),
             fields.get("pools", PoolSettings()),
             self.addresses,
             fields.get("table_of", lambda request: 0),
