--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -69,6 +69,7 @@
         self._headers: Headers = scope["headers"]
         self._fields = dict(self._headers)
         self._received_at = time.monotonic_ns()
+        self._client_timeout_ns = client_timeout_ns(self._fields)  # since the request began to come
         self._body_memory = 0  # bytes that its body takes of all bodies'
         self._request: ForwardedRequest | None = None  # once it is admitted
         self._last_result: AttemptResult | None = None
@@ -125,7 +126,7 @@
         if is_ambiguous(self._headers, self._fields):
             raise BadRequestError
         try:
-            async with asyncio.timeout(client_timeout_ns(self._fields) / SECOND):
+            async with asyncio.timeout(self._client_timeout_ns / SECOND):
                 return await self._read_body(self._context.max_body_bytes())
         except TimeoutError as err:
             raise BodyTimeoutError(RETRY_AFTER_NS) from err
@@ -154,7 +155,7 @@
             host=fields.get(b"host", b"").decode("latin-1"),
             path=self._scope["path"],
             shard_key=fields.get(SHARD_KEY, b"").decode("latin-1") or None,
-            client_timeout_ns=client_timeout_ns(fields) - (now - self._received_at),
+            client_timeout_ns=self._client_timeout_ns - (now - self._received_at),
             body_bytes=len(body),
         )
 
@@ -258,7 +259,11 @@
         """Pass on a server's answer, as it came."""
         assert self._last_result is not None and self._last_result.answer is not None  # the step says so
         answer: Answer = self._last_result.answer
-        headers = [(name.lower(), value) for name, value in answer.headers if name.lower() not in HOP_BY_HOP_HEADERS]
+        headers = [
+            (lower_name, value)
+            for name, value in answer.headers
+            if (lower_name := name.lower()) not in HOP_BY_HOP_HEADERS
+        ]
         length = answer.fields.get(b"content-length") if self._scope["method"] == "HEAD" else None
         await self.answer(answer.status, headers, answer.body, length)
 
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -133,7 +133,7 @@
             self.forwarder.endpoints.update(self.view.servers.fetched_at, self.view.servers.entries.values())
         elif change is Change.MEMBERS:
             self.sessions.reconcile()
-        self.forwarder.retry_budget.edges = self.view.edge_count
+        self.forwarder.retry_budget.edge_count = self.view.edge_count
         self.context.wake_pending()
 
     def set_limits(self, configuration: Configuration) -> None:
--- a/kestrelplank/forwarding/endpoint.py
+++ b/kestrelplank/forwarding/endpoint.py
@@ -73,17 +73,17 @@
             others = self.load_of_others * 0.5 ** ((now - self.load_reported_at) / LOAD_HALF_LIFE_NS)
         return self.in_flight + others
 
-    def has_capacity(self, now: int, edges: int) -> bool:
+    def has_capacity(self, now: int, edge_count: int) -> bool:
         """Whether it can take one more request and keep its queue short.
 
         All edges may send there at once: one that has not heard lately what the server has in hand, or never will,
         sends no more than its part until it has.
 
-        :param edges: how many edge machines there are.
+        :param edge_count: how many edge machines there are.
         """
         capacity = self.slots + MAX_QUEUED
         if now - self.load_reported_at > LOAD_FRESH_NS:
-            return self.in_flight < max(MIN_UNREPORTED_IN_FLIGHT, capacity / edges)
+            return self.in_flight < max(MIN_UNREPORTED_IN_FLIGHT, capacity / edge_count)
         return self.load(now) < capacity
 
     def expected_wait_s(self, now: int) -> float:
--- a/kestrelplank/forwarding/request.py
+++ b/kestrelplank/forwarding/request.py
@@ -52,6 +52,7 @@
         "max_connections",
         "key",
         "body_bytes",
+        "call_kind",
         "received_at",
         "deadline_at",
         "state",
@@ -75,6 +76,8 @@
     ) -> None:
         self.route, self.service, self.max_connections = route, service, max_connections
         self.key, self.body_bytes, self.received_at, self.deadline_at = key, body_bytes, received_at, deadline_at
+        # Its kind in the table of retries.
+        self.call_kind = CallKind.IDEMPOTENT_REQUEST if route.idempotent else CallKind.NON_IDEMPOTENT_REQUEST
         self.state = RequestState.ADMITTED
         self.attempted_servers: tuple[str, ...] = ()  # servers that something was sent to
         self.unsent_attempts = 0  # attempts of which no byte was sent
@@ -83,11 +86,6 @@
         self.last_outcome: CallOutcome | None = None  # of the last attempt that was begun
         self.may_have_run = False  # an attempt has ended without proof that it has not run
 
-    @property
-    def call_kind(self) -> CallKind:
-        """Its kind in the table of retries."""
-        return CallKind.IDEMPOTENT_REQUEST if self.route.idempotent else CallKind.NON_IDEMPOTENT_REQUEST
-
     # Transitions.
 
     def wait(self) -> None:
--- a/kestrelplank/forwarding/retry_budget.py
+++ b/kestrelplank/forwarding/retry_budget.py
@@ -21,11 +21,11 @@
     def __init__(self, ratio: float, allowance: float) -> None:
         self._ratio, self._allowance = ratio, allowance
         self._balance: dict[str, float] = {}
-        self.edges = 1
+        self.edge_count = 1
 
     def capacity(self) -> float:
         """Return how many retries may be saved up for one service."""
-        return max(1.0, min(self.MAX_BALANCE, self.ALLOWANCE_SHARE * self._allowance / self.edges))
+        return max(1.0, min(self.MAX_BALANCE, self.ALLOWANCE_SHARE * self._allowance / self.edge_count))
 
     def deposit(self, service: str) -> None:
         """Credit the service with one client's request."""
--- a/tests/forwarding/test_forwarder.py
+++ b/tests/forwarding/test_forwarder.py
@@ -171,11 +171,11 @@
 
 
 def test_the_retry_budget_keeps_all_edges_together_within_the_operators_bound():
-    edges, ratio, allowance = 12, 0.2, 64
+    edge_count, ratio, allowance = 12, 0.2, 64
     retries, requests = 0, 0
-    for _ in range(edges):
+    for _ in range(edge_count):
         budget = RetryBudget(ratio, allowance)
-        budget.edges = edges
+        budget.edge_count = edge_count
         for _ in range(100):
             budget.deposit("orders")
             requests += 1
