--- a/kestrelplank/sharding/greedy_pass.py
+++ b/kestrelplank/sharding/greedy_pass.py
@@ -1,11 +1,10 @@
 """The decision module's greedy pass (`policy.Policy`) over one service's key ranges.
 
-It is told of them in its own words: ranges are its slices, servers its nodes, the leader its only conductor. What
+It is told of them in its own words: ranges are its slices, servers its nodes, the leader its only assigner. What
 happened is gathered as its events; `run` hands them over, and calls back for each range that it wants elsewhere.
 """
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
 
 from kestrelplank.interface import (
     EndpointStored,
@@ -34,7 +33,11 @@
 
 
 class PlacementOrders:
-    """What the pass orders, gathered: the node that each slice is to be at. All else has no meaning here."""
+    """Takes the pass's orders, of which only the node that each slice is to be at has a meaning here.
+
+    Edge machines get the ranges' record and ask for what they lack, so there is no channel to them, nothing to
+    acknowledge and nobody to keep from a node.
+    """
 
     def __init__(self) -> None:
         self.nodes: dict[int, int] = {}
@@ -44,8 +47,8 @@
         if weight:
             self.nodes[table] = node
 
-    def ignore(self, *order: Any) -> None:
-        """Do nothing: edge machines get the ranges' record, and ask for what they lack."""
+    def ignore(self, *_: object, **__: object) -> None:
+        """Do nothing."""
 
     clear_table = set_withdrawn = set_admission = request_acknowledgement = bind_proxy = check_health = ignore
     send_to_peers = share_loads = watch_nodes = fetch_nodes = set_timer = forget_node = log = ignore
