--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -22,8 +22,8 @@
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.rehearsal.parties import Kit
 from kestrelplank.settings.operator import NodeFileSettings
-from kestrelplank.state.guards import Terms, judge
-from kestrelplank.state.nodeset import Listed, NodeSet, assemble
+from kestrelplank.state.change_guard import ChangeLimits, judge
+from kestrelplank.state.node_set import ListedNode, NodeSet, assemble
 from kestrelplank.state.roster import Roster
 from kestrelplank.state.roster import Terms as Pace
 from kestrelplank.time_units import MILLISECOND as MS
@@ -38,10 +38,10 @@
 
 
 def texts(nodes: int, files: int) -> list[str]:
-    made: list[dict[str, Listed]] = [{} for _ in range(files)]
+    made: list[dict[str, ListedNode]] = [{} for _ in range(files)]
     for number in range(nodes):
         zone = f"zone{number % 3}"
-        made[number % files][f"order-{number}.{zone}.example.org"] = Listed(
+        made[number % files][f"order-{number}.{zone}.example.org"] = ListedNode(
             zone, f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:9000", 1.0 + number % 4 / 2
         )
     return [format_node_list(NodeSet(part)) for part in made]
@@ -75,7 +75,7 @@
     )
     timed("all parts checked and put together, with the hash", lambda: assemble(parts))
     fewer = NodeSet(dict(list(made.nodes.items())[: -nodes // 100]))
-    timed("the difference of two sets, judged", lambda: judge(made, fewer, (), 0, Terms(0.25, 0, False)))
+    timed("the difference of two sets, judged", lambda: judge(made, fewer, (), 0, ChangeLimits(0.25, 0, False)))
     roster = Roster(Pace(1000 * MS, 0.1))
     roster.accept(0, made)
     timed("what to tell of a set that lacks a hundredth", lambda: (roster.accept(1, fewer), roster.advance(1)), 1)
@@ -125,7 +125,7 @@
         )
         source = NodeFiles(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
         took = []
-        while source.intake.force is None:
+        while source.intake.node_set is None:
             kit.loop.at(kit.loop.now() + MS, lambda: None)
             kit.loop.turn()
         heard.clear()
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -10,7 +10,7 @@
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.operator import NodeFileSettings, read_operator_settings
 from kestrelplank.settings.reference_proxy import read_reference_proxy_settings
-from kestrelplank.state.nodeset import Part, Refused, assemble
+from kestrelplank.state.node_set import InvalidNodeSetError, NodeList, assemble
 
 
 class FileKind(StrEnum):
@@ -41,7 +41,7 @@
     sys.exit(ExitCode.UNUSABLE_INPUT if unusable else ExitCode.DONE)
 
 
-def check_file(path: str) -> tuple[FileKind, Part | None]:
+def check_file(path: str) -> tuple[FileKind, NodeList | None]:
     """Read a file as what it is; of a node list also what it holds.
 
     :raises InvalidSettingsError: it cannot be used.
@@ -74,15 +74,16 @@
     return FileKind.NODE_LIST if section_kinds & {"zone", "list"} else FileKind.OPERATOR
 
 
-def check_together(node_lists: list[Part]) -> bool:
+def check_together(node_lists: list[NodeList]) -> bool:
     """Whether node lists go together as one set; print what it holds, or each conflict."""
     try:
         node_set = assemble(node_lists)
-    except Refused as err:
+    except InvalidNodeSetError as err:
         for conflict in err.conflicts:
             print_refusal(conflict)
         return False
     print(
-        f"{len(node_set)} nodes, {len(node_set.ready())} ready, in {len(node_set.zones)} zones; hash {node_set.short}"
+        f"{len(node_set)} nodes, {len(node_set.ready_nodes())} ready, in {len(node_set.zones)} zones; "
+        f"hash {node_set.short_hash}"
     )
     return True
--- a/kestrelplank/cli/nodes/check.py
+++ b/kestrelplank/cli/nodes/check.py
@@ -13,8 +13,8 @@
 )
 from kestrelplank.cli.options import ini_option
 from kestrelplank.cli.output import ExitCode
-from kestrelplank.state.guards import ACCEPTED, Terms, judge
-from kestrelplank.state.nodeset import assemble
+from kestrelplank.state.change_guard import ChangeLimits, Decision, judge
+from kestrelplank.state.node_set import assemble
 
 
 @click.command()
@@ -26,8 +26,8 @@
         node_lists = read_node_lists(paths_of(settings), settings)
         node_set = assemble(node_lists)
         state = read_state(settings)
-    confirmations = tuple(node_list.confirms for node_list in node_lists if node_list.confirms)
-    terms = Terms(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
+    confirmations = tuple(node_list.confirmed_hash for node_list in node_lists if node_list.confirmed_hash)
+    terms = ChangeLimits(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
     verdict = judge(state[0] if state else None, node_set, confirmations, 0, terms)
-    print(f"{verdict.how}: {verdict.why}")
-    sys.exit(ExitCode.DONE if verdict.how == ACCEPTED else ExitCode.FOUND_WANTING)
+    print(f"{verdict.decision}: {verdict.reason}")
+    sys.exit(ExitCode.DONE if verdict.decision is Decision.ACCEPTED else ExitCode.FOUND_WANTING)
--- a/kestrelplank/cli/nodes/diff.py
+++ b/kestrelplank/cli/nodes/diff.py
@@ -8,7 +8,7 @@
 from kestrelplank.cli.options import json_option
 from kestrelplank.cli.output import ExitCode, print_json
 from kestrelplank.settings.operator import NodeFileSettings
-from kestrelplank.state.nodeset import assemble, difference
+from kestrelplank.state.node_set import assemble, difference
 
 
 @click.command(help="What one node list changes of another. Exit 1: something.")
--- a/kestrelplank/cli/nodes/files.py
+++ b/kestrelplank/cli/nodes/files.py
@@ -6,12 +6,13 @@
 from contextlib import contextmanager
 
 from kestrelplank.cli.output import ExitCode, print_refusal, refusing_invalid_settings
-from kestrelplank.file_discovery.node_files import StoredState, load_state, read_bounded_file
+from kestrelplank.file_discovery.node_files import load_state, read_bounded_file
 from kestrelplank.file_discovery.node_list import parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.operator import INI_VARIABLE, NodeFileSettings, read_operator_settings
-from kestrelplank.state.nodeset import Part, Refused
+from kestrelplank.state.node_set import InvalidNodeSetError, NodeList
+from kestrelplank.state.node_set_in_force import StoredNodeSet
 
 
 @contextmanager
@@ -20,7 +21,7 @@
     try:
         with refusing_invalid_settings():
             yield
-    except Refused as err:
+    except InvalidNodeSetError as err:
         for conflict in err.conflicts:
             print_refusal(conflict)
         sys.exit(ExitCode.UNUSABLE_INPUT)
@@ -39,7 +40,7 @@
     return read_operator_settings(IniFile.load(path)).nodes
 
 
-def read_node_lists(paths: Iterable[str], settings: NodeFileSettings) -> list[Part]:
+def read_node_lists(paths: Iterable[str], settings: NodeFileSettings) -> list[NodeList]:
     """Return the node lists in these files, each of which the settings' bounds hold for."""
     return [
         parse_node_list(
@@ -63,6 +64,6 @@
     return list(paths)
 
 
-def read_state(settings: NodeFileSettings) -> StoredState | None:
+def read_state(settings: NodeFileSettings) -> StoredNodeSet | None:
     """Return the set in force, its version and the versions before it; None where no state is kept."""
     return load_state(settings.state_path) if settings.state_path else None
--- a/kestrelplank/cli/nodes/list.py
+++ b/kestrelplank/cli/nodes/list.py
@@ -13,7 +13,7 @@
 )
 from kestrelplank.cli.options import ini_option, json_option
 from kestrelplank.cli.output import ExitCode, print_json, print_refusal
-from kestrelplank.state.nodeset import NodeSet, assemble
+from kestrelplank.state.node_set import NodeSet, assemble
 
 
 @click.command(name="list")
@@ -45,4 +45,4 @@
             f"{name:<40} {listed.zone:<12} {listed.address:<22} {listed.weight:<8g} "
             f"{'ready' if listed.ready else 'draining'}"
         )
-    print(f"{len(node_set)} nodes, {len(node_set.ready())} ready; hash {node_set.short}")
+    print(f"{len(node_set)} nodes, {len(node_set.ready_nodes())} ready; hash {node_set.short_hash}")
--- a/kestrelplank/edge/control_sessions.py
+++ b/kestrelplank/edge/control_sessions.py
@@ -26,8 +26,8 @@
     def __init__(self, view: EdgeView, port: int, random: Random, on_message: Callable[[str, ToEdge], None]) -> None:
         self._view, self._port, self._random, self._on_message = view, port, random, on_message
         self._tasks: dict[str, asyncio.Task[None]] = {}  # by the member's address, as all below
-        self._connections: dict[str, FrameConnection] = {}
-        self._heard_at: dict[FrameConnection, int] = {}
+        self._connections: dict[str, FrameConnection[ToEdge]] = {}
+        self._heard_at: dict[FrameConnection[ToEdge], int] = {}
 
     # Whom a session is wanted with.
 
@@ -66,7 +66,7 @@
                     self._forget(member, connection)
             await asyncio.sleep(RECONNECT_INTERVAL_S * (1 + self._random.random()))
 
-    async def _connect(self, member: str) -> FrameConnection:
+    async def _connect(self, member: str) -> FrameConnection[ToEdge]:
         host = parse_address(member)[0]
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, connection = await asyncio.get_running_loop().create_connection(
@@ -76,17 +76,17 @@
         self._heard_at[connection] = time.monotonic_ns()
         return connection
 
-    async def _send_heartbeats(self, connection: FrameConnection) -> None:
+    async def _send_heartbeats(self, connection: FrameConnection[ToEdge]) -> None:
         """Say where we stand until the session has ended or is silent."""
         while connection.is_open and time.monotonic_ns() - self._heard_at[connection] < SESSION_TIMEOUT_NS:
             connection.send(self._view.heartbeat(time.monotonic_ns()))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    def _received(self, connection: FrameConnection, message: ToEdge) -> None:
+    def _received(self, connection: FrameConnection[ToEdge], message: ToEdge) -> None:
         self._heard_at[connection] = time.monotonic_ns()
         self._on_message(connection.peer, message)
 
-    def _forget(self, member: str, connection: FrameConnection) -> None:
+    def _forget(self, member: str, connection: FrameConnection[ToEdge]) -> None:
         connection.reset()
         self._heard_at.pop(connection, None)
         if self._connections.get(member) is connection:
@@ -109,5 +109,5 @@
         }
 
 
-def _on_end(connection: FrameConnection) -> None:
+def _on_end(connection: FrameConnection[ToEdge]) -> None:
     """Do nothing: the task of the session sees that its connection has ended."""
--- a/kestrelplank/emulator/discovery.py
+++ b/kestrelplank/emulator/discovery.py
@@ -6,9 +6,11 @@
 from kestrelplank.emulator.script import Fault
 from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
-from kestrelplank.state import guards, roster
-from kestrelplank.state.intake import SETTLED, Debounce, Intake
-from kestrelplank.state.nodeset import Listed, NodeSet
+from kestrelplank.state import roster
+from kestrelplank.state.change_guard import ChangeLimits
+from kestrelplank.state.debounce import Debounce, Reading
+from kestrelplank.state.node_set import ListedNode, NodeSet
+from kestrelplank.state.node_set_in_force import NodeSetInForce
 from kestrelplank.state.sealed import digest_of
 
 
@@ -73,10 +75,10 @@
         super().__init__(world)
         script, terms = world.script, world.script.files
         self._nodes = {
-            f"n{node}": Listed(script.site.zones[world.zone_of(node)], f"127.0.0.1:{9000 + node}")
+            f"n{node}": ListedNode(script.site.zones[world.zone_of(node)], f"127.0.0.1:{9000 + node}")
             for node in range(script.site.nodes)
         }
-        self.intake = Intake(guards.Terms(terms.most_closed, terms.stand, False))
+        self.intake = NodeSetInForce(ChangeLimits(terms.most_closed, terms.stand, False))
         self._debounce, self._roster = (
             Debounce(terms.quiet),
             roster.Roster(roster.Terms(script.rules.grace, terms.weight_step)),
@@ -84,7 +86,7 @@
         self._text: bytes | None = format_node_list(NodeSet(self._nodes)).encode()
         self._read_at(self.clock.now())
         self._read_at(self.clock.now() + terms.quiet)
-        self._roster.accept(self.clock.now(), self.intake.force)
+        self._roster.accept(self.clock.now(), self.intake.node_set)
         self._roster.whole()
         self._weights = [1.0] * len(self._nodes)
 
@@ -126,20 +128,20 @@
         if isinstance(outcome, int):
             clock.at(outcome, self._read)
         elif outcome is not None:
-            self.world.score.event(clock.now(), f"list {outcome.how}: {outcome.why}", [])
-            if outcome.how == "accepted":
-                self._roster.accept(clock.now(), self.intake.force)
+            self.world.score.event(clock.now(), f"list {outcome.decision}: {outcome.reason}", [])
+            if outcome.decision == "accepted":
+                self._roster.accept(clock.now(), self.intake.node_set)
                 self._advance()
-        if self.intake.due is not None:
-            clock.at(self.intake.due, self._read)
+        if self.intake.decide_at is not None:
+            clock.at(self.intake.decide_at, self._read)
 
     def _read_at(self, now: int) -> Any:
         """When to read again, or what has been decided."""
         step = self._debounce.see(now, "nodes.ini", None if self._text is None else digest_of(self._text))
         if isinstance(step, int):
             return step
-        if step == SETTLED:
-            self.intake.take("nodes.ini", self._parsed())
+        if step == Reading.SETTLED:
+            self.intake.update_file("nodes.ini", self._parsed())
         return self.intake.decide(now)
 
     def _parsed(self) -> Any:
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -1,7 +1,7 @@
 """Nodes from watched files: reads them, hands what they say to the cores in `state/`, and tells the policy.
 
-It decides nothing: `Debounce` says when a reading counts, `Intake` whether the set that it makes may be in force;
-`NodeListReporter` tells what follows from the set.
+It decides nothing: `Debounce` says when a reading counts, `NodeSetInForce` whether the set that it makes may
+be in force; `NodeListReporter` tells what follows from the set.
 """
 
 import os
@@ -16,14 +16,13 @@
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.sockets.loop import Loop, Timer
-from kestrelplank.state import guards, roster
-from kestrelplank.state.guards import ACCEPTED, REFUSED
-from kestrelplank.state.intake import SAME, SETTLED, Debounce, Intake, restored
-from kestrelplank.state.nodeset import NodeSet, Part
+from kestrelplank.state import roster
+from kestrelplank.state.change_guard import ChangeLimits, Decision
+from kestrelplank.state.debounce import Debounce, Reading
+from kestrelplank.state.node_set import NodeList
+from kestrelplank.state.node_set_in_force import NodeSetInForce, StoredNodeSet, restored
 from kestrelplank.state.sealed import digest_of
 
-StoredState = tuple[NodeSet, int, tuple[tuple[int, str, str], ...]]  # the set in force, its version, former versions
-
 
 def read_bounded_file(path: str, max_bytes: int) -> bytes:
     """Return a file's bytes.
@@ -39,7 +38,7 @@
     return data
 
 
-def load_state(path: str) -> StoredState | None:
+def load_state(path: str) -> StoredNodeSet | None:
     """Return the state that a file keeps; None where there is no such file yet.
 
     :raises InvalidSettingsError: it cannot be read.
@@ -96,7 +95,7 @@
     def reload(self, settings: NodeFileSettings) -> None:
         """Take the operator's file as it was read anew; files that it no longer names are no longer waited for."""
         self._settings = settings
-        self.intake.terms = self._guard_terms()
+        self.intake.limits = self._guard_terms()
         self._reporter.set_terms(self._roster_terms())
         former_paths = self._watcher.paths()
         self._watcher.close()
@@ -105,7 +104,7 @@
         for path in former_paths:
             if path not in self._watcher.paths():
                 self._debounce.forget(path)
-                self.intake.drop(path)
+                self.intake.remove_file(path)
         self._decide()
 
     def close(self) -> None:
@@ -121,9 +120,9 @@
         grace_ns = self._settings.grace_ns
         return roster.Terms(self._default_grace_ns if grace_ns is None else grace_ns, self._settings.weight_step)
 
-    def _guard_terms(self) -> guards.Terms:
+    def _guard_terms(self) -> ChangeLimits:
         settings = self._settings
-        return guards.Terms(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
+        return ChangeLimits(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
 
     def _new_watcher(self) -> FileWatcher:
         return FileWatcher(
@@ -135,19 +134,19 @@
             on_trouble=lambda reason: self._counters.trouble("files_watch_troubles", reason),
         )
 
-    def _restored_intake(self) -> Intake:
+    def _restored_intake(self) -> NodeSetInForce:
         if not self._settings.state_path:
-            return Intake(self._guard_terms())
+            return NodeSetInForce(self._guard_terms())
         try:
             state = load_state(self._settings.state_path)
         except InvalidSettingsError as err:  # the set in force is lost; the files still say what shall be
             self._counters.trouble("files_state_refused", err)
-            return Intake(self._guard_terms())
+            return NodeSetInForce(self._guard_terms())
         if state is None:
-            return Intake(self._guard_terms())
+            return NodeSetInForce(self._guard_terms())
         node_set, version, _ = state
-        self._counters.info("files_restored", version=version, hash=node_set.short, nodes=len(node_set))
-        return Intake(self._guard_terms(), *state)
+        self._counters.info("files_restored", version=version, hash=node_set.short_hash, nodes=len(node_set))
+        return NodeSetInForce(self._guard_terms(), *state)
 
     # Reading.
 
@@ -164,15 +163,15 @@
         except InvalidSettingsError as err:
             digest, problem = "!size", str(err)
         outcome = self._debounce.see(now, path, digest)
-        if outcome == SETTLED:
+        if outcome is Reading.SETTLED:
             self._counters.add("files_read")
-            self.intake.take(path, problem or self._parsed(path, data))
+            self.intake.update_file(path, problem or self._parsed(path, data))
         elif isinstance(outcome, int):
             self._read_again_at(path, outcome)
-        if outcome in (SETTLED, SAME) and self._debounce.at_rest(now):
+        if outcome in (Reading.SETTLED, Reading.SAME) and self._debounce.at_rest(now):
             self._decide()
 
-    def _parsed(self, path: str, data: bytes) -> Part | str:
+    def _parsed(self, path: str, data: bytes) -> NodeList | str:
         """Return what the file lists, or why it cannot be used."""
         settings = self._settings
         try:
@@ -189,18 +188,18 @@
 
     def _decide(self) -> None:
         outcome = self.intake.decide(self._loop.now())
-        if self.intake.due is not None:
-            self._decide_timer = self._replaced(self._decide_timer, self.intake.due, self._decide)
+        if self.intake.decide_at is not None:
+            self._decide_timer = self._replaced(self._decide_timer, self.intake.decide_at, self._decide)
         if outcome is None:
             return
-        if outcome.how == ACCEPTED:
+        if outcome.decision is Decision.ACCEPTED:
             self._counters.add("files_accepted")
-            self._counters.info("files_accepted", why=outcome.why, version=outcome.version, hash=outcome.short)
+            self._counters.info("files_accepted", why=outcome.reason, version=outcome.version, hash=outcome.short_hash)
             self._save()
             self._report_accepted()
         else:
-            name = "files_refused" if outcome.how == REFUSED else "files_waiting"
-            self._counters.trouble(name, outcome.why, in_force=outcome.version, hash=outcome.short)
+            name = "files_refused" if outcome.decision is Decision.REFUSED else "files_waiting"
+            self._counters.trouble(name, outcome.reason, in_force=outcome.version, hash=outcome.short_hash)
 
     def _save(self) -> None:
         path = self._settings.state_path
@@ -212,8 +211,8 @@
 
     def _report_accepted(self) -> None:
         """Tell the policy of the set that is in force now, if there is one."""
-        if self.intake.force is not None:
-            self._reporter.accept(self._loop.now(), self.intake.force)
+        if self.intake.node_set is not None:
+            self._reporter.accept(self._loop.now(), self.intake.node_set)
             self._report()
 
     def _report(self) -> None:
--- a/kestrelplank/file_discovery/node_list.py
+++ b/kestrelplank/file_discovery/node_list.py
@@ -19,7 +19,7 @@
 from kestrelplank.settings.ini_fields import parse_count, parse_number
 from kestrelplank.settings.ini_syntax import Section
 from kestrelplank.sockets.connection import address as check_address
-from kestrelplank.state.nodeset import Line, Listed, NodeSet, Part
+from kestrelplank.state.node_set import ListedNode, NodeList, NodeListEntry, NodeSet
 
 NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9._-]{0,251}[A-Za-z0-9])?", re.ASCII)
 TRAILER = re.compile(r"#\s*end (\d{1,9}) nodes?\s*")
@@ -33,7 +33,7 @@
     confirm: str = ""
 
 
-def parse_node_list(path: str, data: bytes, *, max_nodes: int, trailer_required: bool) -> Part:
+def parse_node_list(path: str, data: bytes, *, max_nodes: int, trailer_required: bool) -> NodeList:
     """Return what a file's bytes list.
 
     :param path: the file's path, for messages.
@@ -52,12 +52,12 @@
     lines = _parse_zones(ini, max_nodes)
     ini.reject_unread_sections()
     _check_trailer(path, text, len(lines), trailer_required=trailer_required)
-    return Part(path, tuple(lines), header.confirm)
+    return NodeList(path, tuple(lines), header.confirm)
 
 
-def _parse_zones(ini: IniFile, max_nodes: int) -> list[Line]:
+def _parse_zones(ini: IniFile, max_nodes: int) -> list[NodeListEntry]:
     """Return the nodes of all zones in the order of the file."""
-    lines: list[Line] = []
+    lines: list[NodeListEntry] = []
     for section in ini.named_sections("zone"):
         if not NAME.fullmatch(section.name):
             raise ini.error(section, None, f"{section.name[:LONGEST_QUOTED_NAME]!r} is no name for a zone")
@@ -67,7 +67,7 @@
     return lines
 
 
-def _parse_node(ini: IniFile, section: Section, name: str) -> Line:
+def _parse_node(ini: IniFile, section: Section, name: str) -> NodeListEntry:
     """Return one line of a zone: an address, and after it `weight W`, `cell N` and `draining` in any order."""
     text, line = section.fields[name]
     try:
@@ -75,12 +75,12 @@
             raise ValueError(f"{name[:LONGEST_QUOTED_NAME]!r} is no name for a node")
         address, *words = text.split()
         check_address(address)
-        return Line(name, _with_attributes(Listed(section.name, address), words), line)
+        return NodeListEntry(name, _with_attributes(ListedNode(section.name, address), words), line)
     except ValueError as err:
         raise ini.error(section, name, str(err) if text.strip() else "an address is missing") from None
 
 
-def _with_attributes(listed: Listed, words: list[str]) -> Listed:
+def _with_attributes(listed: ListedNode, words: list[str]) -> ListedNode:
     """Return a node with what the words after its address say; raises ValueError where they say nothing."""
     seen: set[str] = set()
     remaining = iter(words)
--- a/kestrelplank/file_discovery/node_list_reporter.py
+++ b/kestrelplank/file_discovery/node_list_reporter.py
@@ -5,7 +5,7 @@
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids
 from kestrelplank.state import roster, sources
-from kestrelplank.state.nodeset import NodeSet
+from kestrelplank.state.node_set import NodeSet
 from kestrelplank.state.sources import DISCOVERY, FILES, Blend
 
 Event = tuple  # until the policy's events have types
--- a/kestrelplank/state/roster.py
+++ b/kestrelplank/state/roster.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from kestrelplank.state.nodeset import Listed, NodeSet
+from kestrelplank.state.node_set import ListedNode, NodeSet
 
 SECOND = 1_000_000_000
 
@@ -26,7 +26,7 @@
 
     __slots__ = ("listed", "condition", "weight", "boot", "gone_at")
 
-    def __init__(self, listed: Listed, boot: int | None) -> None:
+    def __init__(self, listed: ListedNode, boot: int | None) -> None:
         self.listed, self.boot = listed, boot
         self.condition, self.weight = "up" if listed.ready else "draining", listed.weight
         self.gone_at: int | None = None
@@ -66,11 +66,11 @@
                 self._changed[name] = None
         self._first = False
 
-    def _moved(self, old: Listed, new: Listed) -> bool:
+    def _moved(self, old: ListedNode, new: ListedNode) -> bool:
         """Another process under the same name."""
         return (old.zone, old.address) != (new.zone, new.address)
 
-    def _follow(self, now: int, name: str, told: Told, listed: Listed) -> None:
+    def _follow(self, now: int, name: str, told: Told, listed: ListedNode) -> None:
         back = told.condition == "draining" and listed.ready
         told.listed, told.gone_at = listed, None
         if back:
--- a/kestrelplank/state/sealed.py
+++ b/kestrelplank/state/sealed.py
@@ -1,31 +1,36 @@
-"""State that is kept in a file: a form, a body, and a checksum, so that a torn or changed one is told from a whole."""
+"""State that is kept in a file, with a checksum, so that a torn or changed file is told from an intact one."""
 
 import hashlib
+from collections.abc import Mapping
 from typing import Any
 
 import msgspec
 
 from kestrelplank.decode import Malformed, parsed
 
+DIGEST_BYTES = 16
+
 
 def digest_of(data: bytes) -> str:
-    """What tells one content from another; 32 hexadecimal digits."""
-    return hashlib.blake2b(data, digest_size=16).hexdigest()
+    """Return what tells one content from another; 32 hexadecimal digits."""
+    return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def sealed(form: int, found: dict[str, Any]) -> bytes:
-    """The bytes to keep: JSON on one line, its checksum on the next."""
-    body = msgspec.json.encode({"form": form, **found})
+def sealed(form: int, state: Mapping[str, object]) -> bytes:
+    """Return the bytes to keep: JSON on one line, its checksum on the next."""
+    body = msgspec.json.encode({"form": form, **state})
     return body + b"\n" + digest_of(body).encode() + b"\n"
 
 
-def unsealed(form: int, data: bytes) -> dict[str, Any]:
-    """What `sealed` was given. Raises Malformed where it is torn, changed, or of a form that is not known here; half of
-    it is never used."""
-    body, _, rest = data.rstrip(b"\n").rpartition(b"\n")
-    if not body or digest_of(body) != rest.decode(errors="replace"):
+def unsealed(form: int, data: bytes) -> dict[str, Any]:  # its users know the form's fields and their types
+    """Return what `sealed` was given, and the form.
+
+    :raises Malformed: it is torn, changed, or of a form that is not known here; half of it is never used.
+    """
+    body, _, checksum = data.rstrip(b"\n").rpartition(b"\n")
+    if not body or digest_of(body) != checksum.decode(errors="replace"):
         raise Malformed("torn or changed: its checksum does not hold")
-    found = parsed(body)
-    if not isinstance(found, dict) or found.get("form") != form:
-        raise Malformed(f"form {found.get('form') if isinstance(found, dict) else None} is not known, {form} is")
-    return found
+    state = parsed(body)
+    if not isinstance(state, dict) or state.get("form") != form:
+        raise Malformed(f"form {state.get('form') if isinstance(state, dict) else None} is not known, {form} is")
+    return state
--- a/kestrelplank/state/sums.py
+++ b/kestrelplank/state/sums.py
@@ -1,18 +1,21 @@
-"""Sums for reports: what tries met at a node, and what became of ops of a slice."""
+"""Sums for reports: what attempts met at a node, and what became of ops of a slice."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class TrySum:
-    """`time` is that of the good tries, in ns."""
+    """`time` is that of the good attempts, in ns."""
 
     count: int = 0
     failed: int = 0
     time: int = 0
 
     def add(self, good: bool, time: int) -> None:
-        """A try has ended after that time (ns)."""
+        """Count an attempt that has ended.
+
+        :param time: ns that it took.
+        """
         self.count += 1
         if good:
             self.time += time
@@ -20,7 +23,7 @@
             self.failed += 1
 
     def mean(self) -> float | None:
-        """The mean time (ns) of the good tries; None where there was none."""
+        """Return the mean time (ns) of the good attempts; None where there was none."""
         good = self.count - self.failed
         return self.time / good if good else None
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -10,8 +10,8 @@
 from kestrelplank.cli import COMMANDS
 from kestrelplank.cli.group import group
 from kestrelplank.file_discovery.node_list import parse_node_list
-from kestrelplank.state.guards import Terms
-from kestrelplank.state.intake import Intake
+from kestrelplank.state.change_guard import ChangeLimits
+from kestrelplank.state.node_set_in_force import NodeSetInForce
 
 ROOT = Path(__file__).parents[2]
 SCRIPT = """[site]
@@ -113,11 +113,11 @@
 
 def keep(site):
     """A state file, as a conductor that has read these lists leaves it."""
-    intake = Intake(Terms(0.25, 0, False))
-    intake.take("a", parse_node_list("a", NODES.encode(), max_nodes=9, trailer_required=True))
+    intake = NodeSetInForce(ChangeLimits(0.25, 0, False))
+    intake.update_file("a", parse_node_list("a", NODES.encode(), max_nodes=9, trailer_required=True))
     intake.decide(0)
     (site / "state").write_bytes(intake.stored())
-    return intake.force.short
+    return intake.node_set.short_hash
 
 
 def test_check_prints_what_each_file_is_and_names_conflicts(site, path):
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -20,7 +20,7 @@
 from kestrelplank.policy import Conductor as Policy
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.operator import NodeFileSettings
-from kestrelplank.state.nodeset import Listed, NodeSet
+from kestrelplank.state.node_set import ListedNode, NodeSet
 from kestrelplank.state.tables import Tables
 
 RELAYS, SLICES = 2, 12
@@ -38,7 +38,7 @@
 
 
 def listed(number, **more):
-    return Listed("toronto" if number % 2 else "windsor", f"10.1.0.1:{9000 + number}", **more)
+    return ListedNode("toronto" if number % 2 else "windsor", f"10.1.0.1:{9000 + number}", **more)
 
 
 def text_of(numbers, **more):
@@ -141,7 +141,7 @@
         return self.kit.counters.counts[counter]
 
     def in_force(self):
-        return {} if self.source.intake.force is None else dict(self.source.intake.force.nodes)
+        return {} if self.source.intake.node_set is None else dict(self.source.intake.node_set.nodes)
 
     def told(self):
         """Name to condition, as a fold of what the module was told."""
@@ -286,7 +286,7 @@
     here.write("a.ini", text_of(range(1, 5)))
     here.wait(lambda: here.count("files_waiting"))
     assert len(here.in_force()) == 8
-    here.write("a.ini", f"[list]\nconfirm = {here.source.intake.force.short}\n" + text_of(range(1, 5)))
+    here.write("a.ini", f"[list]\nconfirm = {here.source.intake.node_set.short_hash}\n" + text_of(range(1, 5)))
     here.wait(lambda: len(here.in_force()) == 4)
 
 
@@ -361,7 +361,7 @@
             try:
                 names.update(
                     line.name
-                    for line in parse_node_list("a.ini", data.encode(), max_nodes=99, trailer_required=True).lines
+                    for line in parse_node_list("a.ini", data.encode(), max_nodes=99, trailer_required=True).entries
                 )
             except InvalidSettingsError:
                 pass
@@ -394,7 +394,7 @@
     here.wait(lambda: len(here.in_force()) == 16 and len(here.policy.slices) == SLICES)
     nodes = rewrites(here, Random(seed), int(os.environ.get("REWRITES", 500)))
     last = text_of(range(1, 17))
-    here.write("a.ini", f"[list]\nconfirm = {here.source.intake.force.short}\n{last}")
+    here.write("a.ini", f"[list]\nconfirm = {here.source.intake.node_set.short_hash}\n{last}")
     here.wait(lambda: format_node_list(NodeSet(here.in_force())) == last)
     for _, orders in here.calls:
         for order in orders:
--- a/tests/file_discovery/test_node_list.py
+++ b/tests/file_discovery/test_node_list.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
-from kestrelplank.state.nodeset import Line, Listed, NodeSet, Refused, assemble
+from kestrelplank.state.node_set import InvalidNodeSetError, ListedNode, NodeListEntry, NodeSet, assemble
 
 TEXT = """# toronto and windsor
 [list]
@@ -29,9 +29,9 @@
     assert part() == (
         "n.ini",
         (
-            Line("order-4.toronto.example.org", Listed("toronto", "10.1.0.18:9000"), 6),
-            Line("order-5.toronto.example.org", Listed("toronto", "10.1.0.19:9000", 1.5, False, 3), 7),
-            Line("order-1.windsor.example.org", Listed("windsor", "10.2.0.1:9000", 1.0, True), 10),
+            NodeListEntry("order-4.toronto.example.org", ListedNode("toronto", "10.1.0.18:9000"), 6),
+            NodeListEntry("order-5.toronto.example.org", ListedNode("toronto", "10.1.0.19:9000", 1.5, False, 3), 7),
+            NodeListEntry("order-1.windsor.example.org", ListedNode("windsor", "10.2.0.1:9000", 1.0, True), 10),
         ),
         "3f9a21c4",
     )
@@ -96,7 +96,7 @@
 
 
 def test_a_trailer_that_is_not_required_must_be_true_all_the_same():
-    assert len(part(TEXT.replace("# end 3 nodes\n", ""), trailer=False).lines) == 3
+    assert len(part(TEXT.replace("# end 3 nodes\n", ""), trailer=False).entries) == 3
     with pytest.raises(InvalidSettingsError, match="4 nodes are announced"):
         part(TEXT.replace("# end 3", "# end 4"), trailer=False)
 
@@ -110,7 +110,7 @@
 
 def test_one_node_in_two_zones_of_one_file_is_refused_with_both_lines():
     with pytest.raises(
-        Refused,
+        InvalidNodeSetError,
         match="n.ini, line 10: order-4.toronto.example.org stands in zone windsor and in zone toronto .n.ini, line 6.",
     ):
         assemble([part(TEXT.replace("order-1.windsor", "order-4.toronto"))])
@@ -120,7 +120,7 @@
 sets = some.dictionaries(
     names,
     some.builds(
-        Listed,
+        ListedNode,
         names,
         some.integers(0, 65535).map(lambda port: f"10.0.0.1:{port}"),
         some.floats(0, 1e6),
@@ -134,7 +134,7 @@
 
 @given(sets)
 def test_a_set_that_is_formatted_is_read_back_as_it_was(made):
-    lines = part(format_node_list(made)).lines
+    lines = part(format_node_list(made)).entries
     assert NodeSet({line.name: line.listed for line in lines}) == made and len(lines) == len(made)
 
 
--- /dev/null
+++ b/tests/state/test_change_guard.py
@@ -0,0 +1,70 @@
+import pytest
+
+from kestrelplank.state.change_guard import ChangeLimits, Decision, judge
+from kestrelplank.state.node_set import ListedNode, NodeSet
+
+S = 1_000_000_000
+LIMITS = ChangeLimits(0.25, 60 * S, False)
+
+
+def nodes(x=4, y=4, draining=()):
+    names = [f"x{n}" for n in range(x)] + [f"y{n}" for n in range(y)]
+    return NodeSet(
+        {name: ListedNode(name[0], f"10.0.{ord(name[0]) - 120}.{name[1:]}:1", 1.0, name in draining) for name in names}
+    )
+
+
+@pytest.mark.parametrize(
+    "new, how, says",
+    [
+        (nodes(5, 4), Decision.ACCEPTED, "1 added"),
+        (nodes(3, 3), Decision.ACCEPTED, "2 gone"),
+        (nodes(4, 4, ("x0", "y0")), Decision.ACCEPTED, "2 closed"),
+        (nodes(2, 3), Decision.WAITING, "it would close 3 of 8 ready nodes, over 25%; to confirm, put `confirm = "),
+        (nodes(4, 4, ("x0", "x1", "y0")), Decision.WAITING, "3 of 8"),
+        (nodes(3, 4, ("x0", "y0")), Decision.WAITING, "3 of 8"),
+        (nodes(0, 4), Decision.REFUSED, "zone x would be left without a ready node"),
+        (nodes(4, 4, ("x0", "x1", "x2", "x3")), Decision.REFUSED, "zone x would be left without a ready node"),
+        (nodes(0, 0), Decision.REFUSED, "it lists no node"),
+        (nodes(1, 0, ("x0",)), Decision.REFUSED, "it lists no node that is ready"),
+    ],
+)
+def test_what_may_follow_a_set_of_eight(new, how, says):
+    verdict = judge(nodes(), new, (), 0, LIMITS)
+    assert verdict.decision == how and says in verdict.reason
+
+
+@pytest.mark.parametrize(
+    "confirms, unchanged_ns, limits, how",
+    [
+        ((nodes().short_hash,), 0, LIMITS, Decision.ACCEPTED),
+        ((nodes().hash,), 0, LIMITS, Decision.ACCEPTED),
+        ((nodes(9).short_hash,), 0, LIMITS, Decision.WAITING),  # a marker for another list is stale
+        ((nodes().hash[:4],), 0, LIMITS, Decision.WAITING),
+        (("",), 0, LIMITS, Decision.WAITING),
+        ((), 60 * S, LIMITS, Decision.ACCEPTED),
+        ((), 60 * S - 1, LIMITS, Decision.WAITING),
+        ((), 900 * S, ChangeLimits(0.25, 0, False), Decision.WAITING),
+    ],
+)
+def test_a_large_closure_needs_a_marker_that_names_the_set_in_force_or_time(confirms, unchanged_ns, limits, how):
+    assert judge(nodes(), nodes(2, 3), confirms, unchanged_ns, limits).decision == how
+
+
+def test_who_waits_is_told_how_long_yet_unless_waiting_does_not_help():
+    assert judge(nodes(), nodes(2, 3), (), 20 * S, LIMITS).remaining_ns == 40 * S
+    assert judge(nodes(), nodes(2, 3), (), 20 * S, ChangeLimits(0.25, 0, False)).remaining_ns is None
+
+
+def test_a_zone_may_be_emptied_where_the_operator_says_so_and_then_counts_as_a_removal():
+    limits = ChangeLimits(0.25, 60 * S, True)
+    assert judge(nodes(), nodes(0, 4), (), 0, limits).decision == Decision.WAITING
+    assert judge(nodes(), nodes(0, 4), (nodes().short_hash,), 0, limits).decision == Decision.ACCEPTED
+    assert (
+        judge(nodes(), nodes(0, 0), (nodes().short_hash,), 900 * S, limits).decision == Decision.REFUSED
+    )  # never the last
+
+
+def test_the_first_set_of_all_needs_no_second_word():
+    assert judge(None, nodes(1, 0), (), 0, LIMITS).decision == Decision.ACCEPTED
+    assert judge(None, nodes(0, 0), (), 0, LIMITS).decision == Decision.REFUSED
--- a/tests/state/test_nodeset.py
+++ b/tests/state/test_node_set.py
@@ -2,15 +2,25 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.state.nodeset import Line, Listed, NodeSet, Part, Refused, assemble, difference
+from kestrelplank.state.node_set import (
+    InvalidNodeSetError,
+    ListedNode,
+    NodeList,
+    NodeListEntry,
+    NodeSet,
+    assemble,
+    difference,
+)
 
 
 def part(path, *lines, confirms=""):
-    return Part(path, tuple(Line(name, listed, number) for number, (name, listed) in enumerate(lines, 1)), confirms)
+    return NodeList(
+        path, tuple(NodeListEntry(name, listed, number) for number, (name, listed) in enumerate(lines, 1)), confirms
+    )
 
 
 def at(zone, port, **more):
-    return Listed(zone, f"10.1.0.1:{port}", **more)
+    return ListedNode(zone, f"10.1.0.1:{port}", **more)
 
 
 def test_a_set_is_the_same_in_whatever_files_and_order_it_was_written():
@@ -36,19 +46,19 @@
 @pytest.mark.parametrize("apart", [False, True])
 def test_what_speaks_against_a_set_is_named_with_both_places(first, second, says, apart):
     parts = [part("a.ini", first), part("b.ini", second)] if apart else [part("a.ini", first, second)]
-    with pytest.raises(Refused) as found:
+    with pytest.raises(InvalidNodeSetError) as found:
         assemble(parts)
     assert str(found.value) == ("b.ini, line 1: " if apart else "a.ini, line 2: ") + says
 
 
 def test_a_zone_whose_weights_sum_to_nothing_is_refused_and_one_that_drains_is_not():
-    with pytest.raises(Refused, match="zone x: the weights of its 2 open nodes sum to nothing"):
+    with pytest.raises(InvalidNodeSetError, match="zone x: the weights of its 2 open nodes sum to nothing"):
         assemble([part("a", ("n", at("x", 1, weight=0.0)), ("m", at("x", 2, weight=0.0)), ("o", at("y", 3)))])
     assert len(assemble([part("a", ("n", at("x", 1, weight=0.0, draining=True)), ("o", at("y", 3)))])) == 2
 
 
 def test_of_many_conflicts_the_first_are_told_and_the_rest_counted():
-    with pytest.raises(Refused) as found:
+    with pytest.raises(InvalidNodeSetError) as found:
         assemble([part("a", *(("n", at("x", 1)) for _ in range(9)))])
     assert len(found.value.conflicts) == 8 and str(found.value).endswith("; and 5 more")
 
@@ -69,7 +79,7 @@
 
 
 listed = some.builds(
-    Listed,
+    ListedNode,
     some.sampled_from("xyz"),
     some.integers(1, 40).map(lambda port: f"10.0.0.1:{port}"),
     some.sampled_from((0.0, 0.5, 1.0)),
@@ -81,12 +91,12 @@
 def test_what_is_assembled_has_every_node_once_at_an_address_of_its_own_in_any_split(lines, cut):
     try:
         made = assemble([part("a", *lines[:cut]), part("b", *lines[cut:])])
-    except Refused as err:
+    except InvalidNodeSetError as err:
         names, addresses = [name for name, _ in lines], [listed.address for _, listed in lines]
         assert (
             len(set(names)) < len(names)
             or len(set(addresses)) < len(addresses)
-            or any("sum to nothing" in conflict.why for conflict in err.conflicts)
+            or any("sum to nothing" in conflict.reason for conflict in err.conflicts)
         )
         return
     assert dict(made.nodes) == dict(lines) and len({listed.address for _, listed in lines}) == len(lines)
--- a/tests/state/test_roster.py
+++ b/tests/state/test_roster.py
@@ -2,14 +2,16 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.state.nodeset import Listed, NodeSet
+from kestrelplank.state.node_set import ListedNode, NodeSet
 from kestrelplank.state.roster import Roster, Terms
 
 S = 1_000_000_000
 
 
 def nodes(**listed):
-    return NodeSet({name: Listed("x", f"10.0.0.1:{port}", *more) for port, (name, more) in enumerate(listed.items())})
+    return NodeSet(
+        {name: ListedNode("x", f"10.0.0.1:{port}", *more) for port, (name, more) in enumerate(listed.items())}
+    )
 
 
 def made(*steps, grace=2 * S, weight_step=0.0):
@@ -52,8 +54,8 @@
 
 
 def test_a_node_at_another_address_or_in_another_zone_is_another_process():
-    one = NodeSet({"a": Listed("x", "10.0.0.1:1")})
-    for other in (Listed("x", "10.0.0.1:2"), Listed("y", "10.0.0.1:1")):
+    one = NodeSet({"a": ListedNode("x", "10.0.0.1:1")})
+    for other in (ListedNode("x", "10.0.0.1:2"), ListedNode("y", "10.0.0.1:1")):
         assert made((0, one), (S, NodeSet({"a": other})))[1][1] == [("a", "up", 1.0, S)]
 
 
@@ -103,7 +105,7 @@
     roster, now, told, drains = Roster(Terms(S, 0.5)), 0, {}, {}
     for wait, fields in steps:
         now += wait
-        new = NodeSet({name: Listed("x", f"10.0.0.1:{ord(name)}", *more) for name, more in fields.items()})
+        new = NodeSet({name: ListedNode("x", f"10.0.0.1:{ord(name)}", *more) for name, more in fields.items()})
         roster.accept(now, new)
         for name, condition, _, _, weight, boot in roster.advance(now):
             before = told.get(name)
@@ -120,7 +122,7 @@
                         before[1] / 1.5 ** (wait / S + 1) - 1e-9 <= weight <= before[1] * 1.5 ** (wait / S + 1) + 1e-9
                     )
             told[name] = condition, weight, boot
-        assert {name for name, (condition, *_) in told.items() if condition == "up"} == set(new.ready())
+        assert {name for name, (condition, *_) in told.items() if condition == "up"} == set(new.ready_nodes())
         assert sorted(entry[:1] for entry in roster.whole()) == sorted(
             (name,) for name, (condition, *_) in told.items() if condition != "removed"
         )
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -16,9 +16,9 @@
 from kestrelplank.control.shard_record import read_record
 from kestrelplank.decode import Malformed
 from kestrelplank.state import journal
+from kestrelplank.state.change_guard import ChangeLimits
 from kestrelplank.state.control_state import ControlState
-from kestrelplank.state.guards import Terms
-from kestrelplank.state.intake import Intake, restored
+from kestrelplank.state.node_set_in_force import NodeSetInForce, restored
 from kestrelplank.state.sealed import sealed, unsealed
 from kestrelplank.state.tables import Tables
 from kestrelplank.storage.log_file import LogFile
@@ -173,7 +173,7 @@
         "version": version,
         "history": [list(entry) for entry in history],
     } == values("node_list_state.values.json")
-    assert Intake(Terms(0.25, 0, False), nodes, version, history).stored() == data
+    assert NodeSetInForce(ChangeLimits(0.25, 0, False), nodes, version, history).stored() == data
     with pytest.raises(Malformed):
         restored(data[:-3])
 
