--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -9,8 +9,8 @@
 
 import click
 
-from kestrelplank.cli.output import ExitCode, print_refusal, refusing_invalid_settings
 from kestrelplank.cli.rehearsal_report import Report, encoded_report, report_lines, rules_kept
+from kestrelplank.command_output import ExitCode, print_refusal, refusing_invalid_settings
 from kestrelplank.emulator.script import Script, script
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.settings.ini import IniFile
@@ -52,9 +52,9 @@
     """Play in simulated time."""
     from kestrelplank.emulator import rehearsal
     from kestrelplank.emulator.conductors import Standing
-    from kestrelplank.policy import Conductor
+    from kestrelplank.policy import Policy
 
-    policy = Standing if baseline else Conductor
+    policy = Standing if baseline else Policy
     with progress_bar() as progress:
         return rehearsal.play(incident, seed, policy, progress=progress, knowing=knowing)
 
--- a/kestrelplank/file_discovery/node_list_reporter.py
+++ b/kestrelplank/file_discovery/node_list_reporter.py
@@ -4,12 +4,11 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids
+from kestrelplank.interface import Event, NodeEntry, NodeListKind, NodeListUpdate
 from kestrelplank.state import roster, sources
 from kestrelplank.state.node_set import NodeSet
 from kestrelplank.state.sources import DISCOVERY, FILES, Blend
 
-Event = tuple  # until the policy's events have types
-
 
 class NodeListReporter:
     """Tells the policy of nodes. `Roster` says what a set comes to over time, `Blend` how it goes with discovery.
@@ -47,16 +46,16 @@
         """Tell the policy what is due, at first everything. Returns the time at which more is due, if any."""
         entries = self._roster.advance(now)
         if self._reported:
-            self._report_list(FILES, "delta", self._indexed(entries))
+            self._report_list(FILES, NodeListKind.DELTA, self._indexed(entries))
         else:
             self._reported = True
-            self._report_list(FILES, "full", self._indexed(self._roster.whole()))
+            self._report_list(FILES, NodeListKind.FULL, self._indexed(self._roster.whole()))
         return self._roster.due(now)
 
     def on_discovery_event(self, event: Event) -> None:
         """Pass an event of discovery on; a list of nodes together with what the files say."""
-        if event[0] == "roster" and event[1] != "failed":
-            self._report_list(DISCOVERY, event[1], event[2])
+        if isinstance(event, NodeListUpdate) and event.kind != NodeListKind.FAILED:
+            self._report_list(DISCOVERY, event.kind, list(event.entries))
         else:
             self._on_event(event)
 
@@ -78,6 +77,6 @@
     def _report_list(self, side: str, kind: str, entries: list[sources.Entry]) -> None:
         """Tell the policy what a list of one side (`kind`: full, delta, cached) changes."""
         kind, entries = self._blend.take(side, kind, entries)
-        if entries or kind != "delta":
+        if entries or kind != NodeListKind.DELTA:
             self._counters.add("files_told")
-            self._on_event(("roster", kind, entries))
+            self._on_event(NodeListUpdate(kind, [NodeEntry(*entry) for entry in entries]))
--- a/tests/state/test_membership.py
+++ b/tests/state/test_membership.py
@@ -4,22 +4,17 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.state.membership import (
-    ALIVE,
-    DEAD,
-    MOST_BYTES,
-    SUSPECTED,
-    UNKNOWN,
-    Malformed,
-    Membership,
-    Sums,
-    Terms,
+from kestrelplank.state.membership import DetectorSettings, Liveness, Membership
+from kestrelplank.state.membership_datagram import (
+    MAX_DATAGRAM_BYTES,
+    MalformedDatagramError,
+    ZoneSums,
     decode,
     encode,
 )
 
 MS, S = 1_000_000, 1_000_000_000
-EVERY = Terms().every
+EVERY = DetectorSettings().heartbeat_interval_ns
 
 
 class Net:
@@ -28,7 +23,7 @@
     def __init__(self, count, seed=1, loss=0.0, late=(3 * MS, 25 * MS), twice=0.0):
         self.random, self.loss, self.late, self.twice, self.now = Random(seed), loss, late, twice, 0
         self.count, self.cut = count, set()  # (from, to) that nothing passes
-        self.members = {number: Membership(0, number, 1, count, Terms()) for number in range(count)}
+        self.members = {number: Membership(0, number, 1, count, DetectorSettings()) for number in range(count)}
         self.under_way, self.order, self.bytes = [], 0, 0
 
     def run(self, until, step=10 * MS):
@@ -42,7 +37,7 @@
             self.under_way = [one for one in self.under_way if one[0] > self.now]
             for _, _, to, body in sorted(due):
                 if to in self.members:
-                    self.members[to].take(self.now, body)
+                    self.members[to].receive(self.now, body)
 
     def send(self, number, body):
         for to in range(self.count):
@@ -54,7 +49,7 @@
                         self.under_way.append((self.now + self.random.randint(*self.late), self.order, to, body))
 
     def restart(self, number, incarnation):
-        self.members[number] = Membership(self.now, number, incarnation, self.count, Terms())
+        self.members[number] = Membership(self.now, number, incarnation, self.count, DetectorSettings())
 
 
 @pytest.mark.parametrize("count", [2, 3, 12, 40])
@@ -64,15 +59,19 @@
     assert all(member.view(net.now).alive == tuple(range(count)) for member in net.members.values())
     del net.members[0]
     net.run(10 * S)
-    assert all(member.judge(net.now, 0) == DEAD for member in net.members.values())
+    assert all(member.liveness(net.now, 0) == Liveness.DEAD for member in net.members.values())
     assert all(member.view(net.now).alive == tuple(range(1, count)) for member in net.members.values())
 
 
 def test_with_nothing_coming_at_all_a_conductor_knows_itself():
-    alone = Membership(0, 1, 1, 3, Terms())
+    alone = Membership(0, 1, 1, 3, DetectorSettings())
     for at in range(0, 60):
         alone.tick(at * S)
-    assert alone.view(60 * S) == (1, (1,)) and alone.judge(60 * S, 0) == UNKNOWN and alone.zones(60 * S, S) == {}
+    assert (
+        alone.view(60 * S) == (1, (1,))
+        and alone.liveness(60 * S, 0) == Liveness.UNKNOWN
+        and alone.zone_sums(60 * S, S) == {}
+    )
 
 
 def test_a_way_that_is_cut_one_way_makes_no_death_while_a_third_hears_both():
@@ -80,7 +79,9 @@
     net.run(5 * S)
     net.cut = {(0, 1)}
     net.run(30 * S)
-    assert net.members[1].judge(net.now, 0) == ALIVE and net.members[0].judge(net.now, 1) == ALIVE
+    assert (
+        net.members[1].liveness(net.now, 0) == Liveness.ALIVE and net.members[0].liveness(net.now, 1) == Liveness.ALIVE
+    )
 
 
 def test_messages_lost_exactly_during_a_loss_are_a_death_and_its_end_a_return_in_the_same_life():
@@ -96,30 +97,30 @@
     assert all(net.members[number].view(net.now).version > versions[number].version for number in range(2))
 
 
-def test_a_former_life_is_never_believed_and_a_new_one_at_once():
+def test_a_former_incarnation_is_never_believed_and_a_new_one_at_once():
     net = Net(2)
     net.run(3 * S)
-    old = encode(0, [(0, 1, 10_000)], [Sums(0, 99, 99, 9)])
+    old = encode(0, [(0, 1, 10_000)], [ZoneSums(0, 99, 99, 9)])
     net.restart(0, 7)
     net.run(4 * S)
     seen = net.members[1]
-    assert seen._members[0].incarnation == 7 and not seen.take(net.now, old)
-    assert seen._members[0].incarnation == 7 and seen.zones(net.now, S) == {}
+    assert seen._members[0].incarnation == 7 and not seen.receive(net.now, old)
+    assert seen._members[0].incarnation == 7 and seen.zone_sums(net.now, S) == {}
 
 
 def test_what_comes_twice_or_late_is_nothing_new_and_sums_do_not_go_back():
-    first, second = (encode(0, [(0, 1, beat)], [Sums(0, beat, 1, 1)]) for beat in (1, 2))
-    member = Membership(0, 1, 1, 2, Terms())
-    assert member.take(0, second) and not member.take(1, first) and not member.take(2, second)
-    assert member.zones(2, S) == {0: [Sums(0, 2, 1, 1)]} and member.zones(2 * S, S) == {}
+    first, second = (encode(0, [(0, 1, heartbeat)], [ZoneSums(0, heartbeat, 1, 1)]) for heartbeat in (1, 2))
+    member = Membership(0, 1, 1, 2, DetectorSettings())
+    assert member.receive(0, second) and not member.receive(1, first) and not member.receive(2, second)
+    assert member.zone_sums(2, S) == {0: [ZoneSums(0, 2, 1, 1)]} and member.zone_sums(2 * S, S) == {}
 
 
 def test_a_steady_member_is_suspected_before_it_is_dead():
     net = Net(2)
     net.run(10 * S)
     del net.members[0]
-    seen = {net.members[1].judge(net.now + at * MS, 0): at for at in range(3000, 0, -5)}
-    assert seen[ALIVE] < seen[SUSPECTED] < seen[DEAD] < 2000
+    seen = {net.members[1].liveness(net.now + at * MS, 0): at for at in range(3000, 0, -5)}
+    assert seen[Liveness.ALIVE] < seen[Liveness.SUSPECTED] < seen[Liveness.DEAD] < 2000
 
 
 @pytest.mark.parametrize("loss", [0.1, 0.2, 0.3])
@@ -128,20 +129,26 @@
         net, false = Net(3, seed, loss=loss, twice=0.1, late=(3 * MS, 400 * MS)), 0
         for at in range(5, 40):
             net.run(at * S)
-            false += sum(member.judge(net.now, other) == DEAD for member in net.members.values() for other in range(3))
+            false += sum(
+                member.liveness(net.now, other) == Liveness.DEAD
+                for member in net.members.values()
+                for other in range(3)
+            )
         assert false <= (1 if loss < 0.3 else 3)
 
 
 @pytest.mark.parametrize("count", [2, 40])
 def test_datagrams_are_short_and_everybody_is_named_in_turn(count):
     net = Net(count)
-    zones = [Sums(zone, 70_000, -3, 5) for zone in range(9)]
+    zones = [ZoneSums(zone, 70_000, -3, 5) for zone in range(9)]
     for member in net.members.values():
-        member.told(zones)
+        member.set_zone_sums(zones)
     net.run(10 * S)
     body = net.members[0].tick(net.now + S)
     sender, members, sums = decode(body)
-    assert len(body) <= MOST_BYTES and sender == 0 and members[0][0] == 0 and sums[0] == Sums(0, 65535, 0, 5)
+    assert (
+        len(body) <= MAX_DATAGRAM_BYTES and sender == 0 and members[0][0] == 0 and sums[0] == ZoneSums(0, 65535, 0, 5)
+    )
     named = {
         number for _ in range(50) for number, _, _ in decode(net.members[0].tick(net.now + (2 + _) * S) or body)[1]
     }
@@ -162,22 +169,22 @@
     ],
 )
 def test_what_is_no_message_is_refused_and_nothing_is_taken(body, says):
-    member = Membership(0, 1, 1, 3, Terms())
-    with pytest.raises(Malformed, match=says):
-        member.take(0, body)
-    assert member.judge(0, 0) == UNKNOWN
+    member = Membership(0, 1, 1, 3, DetectorSettings())
+    with pytest.raises(MalformedDatagramError, match=says):
+        member.receive(0, body)
+    assert member.liveness(0, 0) == Liveness.UNKNOWN
 
 
 @given(some.binary(max_size=80))
 def test_no_bytes_raise_anything_but_malformed(body):
     try:
-        Membership(0, 1, 1, 3, Terms()).take(0, body)
-    except Malformed:
+        Membership(0, 1, 1, 3, DetectorSettings()).receive(0, body)
+    except MalformedDatagramError:
         pass
 
 
 messages = some.builds(
-    lambda life, beat, others: encode(0, [(0, life, beat), *others], []),
+    lambda life, heartbeat, others: encode(0, [(0, life, heartbeat), *others], []),
     some.integers(1, 3),
     some.integers(1, 9),
     some.lists(some.tuples(some.integers(1, 3), some.integers(1, 3), some.integers(1, 9)), max_size=3),
@@ -185,14 +192,14 @@
 
 
 @given(some.lists(some.tuples(messages, some.integers(0, 3 * S)), max_size=30))
-def test_views_never_go_back_and_neither_do_lives_nor_beats(steps):
-    member, now, version, known = Membership(0, 1, 1, 4, Terms()), 0, 0, {}
+def test_views_incarnations_and_heartbeats_never_go_back(steps):
+    member, now, version, known = Membership(0, 1, 1, 4, DetectorSettings()), 0, 0, {}
     for body, wait in steps:
         now += wait
-        member.take(now, body)
+        member.receive(now, body)
         view = member.view(now)
         assert view.version >= version and 1 in view.alive
         version = view.version
         for number, held in member._members.items():
-            assert (held.incarnation, held.beat) >= known.get(number, (0, 0)) and number != 1
-            known[number] = held.incarnation, held.beat
+            assert (held.incarnation, held.heartbeat) >= known.get(number, (0, 0)) and number != 1
+            known[number] = held.incarnation, held.heartbeat
--- a/tests/transport/test_wire_of_4f929ce.py
+++ b/tests/transport/test_wire_of_4f929ce.py
@@ -8,7 +8,7 @@
 import pytest
 from by_position import by_position
 
-from kestrelplank.state import membership
+from kestrelplank.state import membership_datagram
 from kestrelplank.transport.messages import Envelope, ToEdge, ToMember, decode_at_edge, decode_at_member, encode
 from kestrelplank.transport.server_list import READY, ServerList
 from kestrelplank.transport.wire import COMPRESSED_FLAG, encode_frame, uncompressed_body
@@ -77,9 +77,11 @@
 def test_an_assigners_datagram_has_the_same_bytes_for_the_same_value():
     example = json.loads((DATA / "membership_datagram.json").read_text())
     sender, members, zones = example["given"]
-    body = membership.encode(sender, [tuple(member) for member in members], [membership.Sums(*zone) for zone in zones])
+    body = membership_datagram.encode(
+        sender, [tuple(member) for member in members], [membership_datagram.ZoneSums(*zone) for zone in zones]
+    )
     assert body.hex() == example["bytes"]
-    assert by_position(membership.decode(body)) == example["value"]
+    assert by_position(membership_datagram.decode(body)) == example["value"]
 
 
 def test_a_list_of_servers_has_the_same_digest():
