--- a/kestrelplank/emulator/discovery.py
+++ b/kestrelplank/emulator/discovery.py
@@ -6,11 +6,11 @@
 from kestrelplank.emulator.script import Fault
 from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
-from kestrelplank.state import roster
 from kestrelplank.state.change_guard import ChangeLimits
 from kestrelplank.state.debounce import Debounce, Reading
 from kestrelplank.state.node_set import ListedNode, NodeSet
 from kestrelplank.state.node_set_in_force import NodeSetInForce
+from kestrelplank.state.reported_nodes import ReportedNodes, ReportSettings
 from kestrelplank.state.sealed import digest_of
 
 
@@ -81,13 +81,13 @@
         self.intake = NodeSetInForce(ChangeLimits(terms.most_closed, terms.stand, False))
         self._debounce, self._roster = (
             Debounce(terms.quiet),
-            roster.Roster(roster.Terms(script.rules.grace, terms.weight_step)),
+            ReportedNodes(ReportSettings(script.rules.grace, terms.weight_step)),
         )
         self._text: bytes | None = format_node_list(NodeSet(self._nodes)).encode()
         self._read_at(self.clock.now())
         self._read_at(self.clock.now() + terms.quiet)
         self._roster.accept(self.clock.now(), self.intake.node_set)
-        self._roster.whole()
+        self._roster.all_entries()
         self._weights = [1.0] * len(self._nodes)
 
     def entry(self, node: int) -> tuple:
@@ -163,6 +163,6 @@
         entries = [self.entry(node) for node, *_ in told]
         for conductor in self.world.conductors:
             self._tell(conductor, conductor.life, entries, told)
-        due = self._roster.due(now)
+        due = self._roster.due_at(now)
         if due is not None:
             self.clock.at(due, self._advance)
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -17,11 +17,11 @@
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.sockets.loop import Loop, Timer
-from kestrelplank.state import roster
 from kestrelplank.state.change_guard import ChangeLimits, Decision
 from kestrelplank.state.debounce import Debounce, Reading
 from kestrelplank.state.node_set import NodeList
 from kestrelplank.state.node_set_in_force import NodeSetInForce, StoredNodeSet, restored
+from kestrelplank.state.reported_nodes import ReportSettings
 from kestrelplank.state.sealed import digest_of
 
 
@@ -77,7 +77,9 @@
         self._loop, self._counters, self._settings = loop, counters, settings
         self._default_grace_ns = default_grace_ns
         self._debounce = Debounce(settings.quiet_period_ns)
-        self._reporter = NodeListReporter(counters, ids, addresses, self._roster_terms(), settings.authority, on_event)
+        self._reporter = NodeListReporter(
+            counters, ids, addresses, self._report_settings(), settings.authority, on_event
+        )
         self._read_timers: dict[str, Timer] = {}  # of files that are to be read again
         self._decide_timer: Timer | None = None
         self._report_timer: Timer | None = None
@@ -97,7 +99,7 @@
         """Take the operator's file as it was read anew; files that it no longer names are no longer waited for."""
         self._settings = settings
         self.intake.limits = self._guard_terms()
-        self._reporter.set_terms(self._roster_terms())
+        self._reporter.set_terms(self._report_settings())
         former_paths = self._watcher.paths()
         self._watcher.close()
         self._watcher = self._new_watcher()
@@ -117,9 +119,9 @@
 
     # What the cores and the watcher are made with.
 
-    def _roster_terms(self) -> roster.Terms:
+    def _report_settings(self) -> ReportSettings:
         grace_ns = self._settings.grace_ns
-        return roster.Terms(self._default_grace_ns if grace_ns is None else grace_ns, self._settings.weight_step)
+        return ReportSettings(self._default_grace_ns if grace_ns is None else grace_ns, self._settings.weight_step)
 
     def _guard_terms(self) -> ChangeLimits:
         settings = self._settings
--- a/kestrelplank/file_discovery/node_list_reporter.py
+++ b/kestrelplank/file_discovery/node_list_reporter.py
@@ -5,13 +5,15 @@
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids
 from kestrelplank.interface import Event, NodeEntry, NodeListKind, NodeListUpdate
-from kestrelplank.state import roster, sources
+from kestrelplank.state.node_list_merge import NodeListMerge, NodeSource
 from kestrelplank.state.node_set import NodeSet
-from kestrelplank.state.sources import DISCOVERY, FILES, Blend
+from kestrelplank.state.reported_nodes import ReportedEntry, ReportedNodes, ReportSettings
 
 
 class NodeListReporter:
-    """Tells the policy of nodes. `Roster` says what a set comes to over time, `Blend` how it goes with discovery.
+    """Tells the policy of nodes.
+
+    `ReportedNodes` says what a set comes to over time, `NodeListMerge` how it goes with discovery.
 
     :param addresses: discovery's addresses by node index; those of the set in force are added.
     :param terms: how long a node that has vanished is kept, and how fast weights move.
@@ -23,60 +25,60 @@
         counters: Counters,
         ids: Ids,
         addresses: dict[int, str],
-        terms: roster.Terms,
+        terms: ReportSettings,
         authority: str,
         on_event: Callable[[Event], None],
     ) -> None:
         self._counters, self._ids, self._addresses, self._on_event = counters, ids, addresses, on_event
-        self._roster = roster.Roster(terms)
-        self._blend = Blend(authority)
+        self._nodes = ReportedNodes(terms)
+        self._merge = NodeListMerge(authority)
         self._node_set: NodeSet | None = None
         self._reported = False
 
-    def set_terms(self, terms: roster.Terms) -> None:
+    def set_terms(self, terms: ReportSettings) -> None:
         """Let other terms hold from now on."""
-        self._roster.terms = terms
+        self._nodes.settings = terms
 
     def accept(self, now: int, node_set: NodeSet) -> None:
         """Take the set that is in force now; `report` tells what follows."""
         self._node_set = node_set
-        self._roster.accept(now, node_set)
+        self._nodes.accept(now, node_set)
 
     def report(self, now: int) -> int | None:
         """Tell the policy what is due, at first everything. Returns the time at which more is due, if any."""
-        entries = self._roster.advance(now)
+        entries = self._nodes.advance(now)
         if self._reported:
-            self._report_list(FILES, NodeListKind.DELTA, self._indexed(entries))
+            self._report_list(NodeSource.FILES, NodeListKind.DELTA, self._indexed(entries))
         else:
             self._reported = True
-            self._report_list(FILES, NodeListKind.FULL, self._indexed(self._roster.whole()))
-        return self._roster.due(now)
+            self._report_list(NodeSource.FILES, NodeListKind.FULL, self._indexed(self._nodes.all_entries()))
+        return self._nodes.due_at(now)
 
     def on_discovery_event(self, event: Event) -> None:
         """Pass an event of discovery on; a list of nodes together with what the files say."""
         if isinstance(event, NodeListUpdate) and event.kind != NodeListKind.FAILED:
-            self._report_list(DISCOVERY, event.kind, list(event.entries))
+            self._report_list(NodeSource.DISCOVERY, event.kind, list(event.entries))
         else:
             self._on_event(event)
 
     def forget(self, node: int) -> None:
         """Forget a node that the policy has forgotten."""
-        self._blend.forget(node)
+        self._merge.forget(node)
 
-    def _indexed(self, entries: list[roster.Entry]) -> list[sources.Entry]:
+    def _indexed(self, entries: list[ReportedEntry]) -> list[NodeEntry]:
         """Return entries with indices in place of names, and note the nodes' addresses."""
         listed = self._node_set.nodes if self._node_set is not None else {}
-        indexed: list[sources.Entry] = []
-        for name, condition, zone, cell, weight, boot in entries:
+        indexed: list[NodeEntry] = []
+        for name, condition, zone, cell, weight, started_at in entries:
             index = self._ids.node(name)
-            indexed.append((index, condition, self._ids.zone(zone), cell, weight, boot))
+            indexed.append(NodeEntry(index, condition, self._ids.zone(zone), cell, weight, started_at))
             if name in listed:
                 self._addresses[index] = listed[name].address
         return indexed
 
-    def _report_list(self, side: str, kind: str, entries: list[sources.Entry]) -> None:
-        """Tell the policy what a list of one side (`kind`: full, delta, cached) changes."""
-        kind, entries = self._blend.take(side, kind, entries)
+    def _report_list(self, source: NodeSource, kind: str, entries: list[NodeEntry]) -> None:
+        """Tell the policy what a list of one source (`kind`: full, delta, cached) changes."""
+        kind, entries = self._merge.update(source, kind, entries)
         if entries or kind != NodeListKind.DELTA:
             self._counters.add("files_told")
-            self._on_event(NodeListUpdate(kind, [NodeEntry(*entry) for entry in entries]))
+            self._on_event(NodeListUpdate(kind, entries))
--- a/tests/state/test_roster.py
+++ b/tests/state/test_reported_nodes.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as some
 
 from kestrelplank.state.node_set import ListedNode, NodeSet
-from kestrelplank.state.roster import Roster, Terms
+from kestrelplank.state.reported_nodes import ReportedNodes, ReportSettings
 
 S = 1_000_000_000
 
@@ -16,12 +16,12 @@
 
 def made(*steps, grace=2 * S, weight_step=0.0):
     """What each step told: a step is (now, set or None)."""
-    roster, told = Roster(Terms(grace, weight_step)), []
+    reported, told = ReportedNodes(ReportSettings(grace, weight_step)), []
     for now, new in steps:
         if new is not None:
-            roster.accept(now, new)
-        told.append([(name, condition, weight, boot) for name, condition, _, _, weight, boot in roster.advance(now)])
-    return roster, told
+            reported.accept(now, new)
+        told.append([(name, condition, weight, boot) for name, condition, _, _, weight, boot in reported.advance(now)])
+    return reported, told
 
 
 def test_the_first_nodes_have_long_been_there_and_later_ones_come_cold():
@@ -30,9 +30,9 @@
 
 
 def test_a_node_that_vanished_drains_for_the_grace_and_is_gone_then():
-    roster, told = made((0, nodes(a=(), b=())), (S, nodes(a=())), (3 * S - 1, None), (3 * S, None), (9 * S, None))
+    reported, told = made((0, nodes(a=(), b=())), (S, nodes(a=())), (3 * S - 1, None), (3 * S, None), (9 * S, None))
     assert told[1:] == [[("b", "draining", 1.0, None)], [], [("b", "removed", 1.0, None)], []]
-    assert roster.due(9 * S) is None and [entry[0] for entry in roster.whole()] == ["a"]
+    assert reported.due_at(9 * S) is None and [entry[0] for entry in reported.all_entries()] == ["a"]
 
 
 @pytest.mark.parametrize("back_at, boot", [(2 * S, 2 * S), (7 * S, 7 * S)])
@@ -42,7 +42,7 @@
 
 
 def test_a_drain_in_the_list_is_no_departure_and_its_end_is_a_cold_return():
-    roster, told = made(
+    reported, told = made(
         (0, nodes(a=(), b=())), (S, nodes(a=(), b=(1.0, True))), (9 * S, None), (10 * S, nodes(a=(), b=()))
     )
     assert told[1:] == [[("b", "draining", 1.0, None)], [], [("b", "up", 1.0, 10 * S)]]
@@ -60,7 +60,7 @@
 
 
 def test_a_weight_moves_by_its_step_a_second_and_stops_where_it_shall():
-    roster, told = made(
+    reported, told = made(
         (0, nodes(a=(1.0,))),
         (S, nodes(a=(1.5,))),
         (2 * S, None),
@@ -71,7 +71,7 @@
         weight_step=0.2,
     )
     weights = [[weight for _, _, weight, _ in step] for step in told]
-    assert weights == [[1.0], [1.0], [1.2], [], [pytest.approx(1.5)], [], []] and roster.due(19 * S) is None
+    assert weights == [[1.0], [1.0], [1.2], [], [pytest.approx(1.5)], [], []] and reported.due_at(19 * S) is None
 
 
 def test_a_weight_falls_no_faster_than_it_rises():
@@ -80,12 +80,12 @@
 
 
 def test_changes_that_come_all_the_time_do_not_hold_a_step_up():
-    roster = Roster(Terms(S, 0.5))
-    roster.accept(0, nodes(a=(1.0,)))
+    reported = ReportedNodes(ReportSettings(S, 0.5))
+    reported.accept(0, nodes(a=(1.0,)))
     for at in range(0, 3 * S, S // 10):
-        roster.accept(at, nodes(a=(9.0 + at / S,)))
-        roster.advance(at)
-    assert roster.whole()[0][4] == pytest.approx(1.5**2)
+        reported.accept(at, nodes(a=(9.0 + at / S,)))
+        reported.advance(at)
+    assert reported.all_entries()[0][4] == pytest.approx(1.5**2)
 
 
 @given(
@@ -102,12 +102,12 @@
 def test_any_sequence_of_sets_keeps_the_invariants(steps):
     """Told as a fold of what advance says: who is listed ready is up, no one goes without draining for the grace, no
     one comes back without a later start, and a weight never moves by more than its step between two seconds."""
-    roster, now, told, drains = Roster(Terms(S, 0.5)), 0, {}, {}
+    reported, now, told, drains = ReportedNodes(ReportSettings(S, 0.5)), 0, {}, {}
     for wait, fields in steps:
         now += wait
         new = NodeSet({name: ListedNode("x", f"10.0.0.1:{ord(name)}", *more) for name, more in fields.items()})
-        roster.accept(now, new)
-        for name, condition, _, _, weight, boot in roster.advance(now):
+        reported.accept(now, new)
+        for name, condition, _, _, weight, boot in reported.advance(now):
             before = told.get(name)
             if condition == "draining":
                 drains.setdefault(name, now)
@@ -123,6 +123,6 @@
                     )
             told[name] = condition, weight, boot
         assert {name for name, (condition, *_) in told.items() if condition == "up"} == set(new.ready_nodes())
-        assert sorted(entry[:1] for entry in roster.whole()) == sorted(
+        assert sorted(entry[:1] for entry in reported.all_entries()) == sorted(
             (name,) for name, (condition, *_) in told.items() if condition != "removed"
         )
