--- /dev/null
+++ b/tests/state/test_zone_load.py
@@ -0,0 +1,36 @@
+from hypothesis import given
+from hypothesis import strategies as some
+
+from kestrelplank.state.membership_datagram import ZoneSums
+from kestrelplank.state.zone_load import ObservedNode, ZoneTotals, combined, zone_sums
+
+
+def test_sums_are_by_zone_and_leave_out_whoever_has_none():
+    nodes = [
+        ObservedNode(1, True, 30.2, 30.0),
+        ObservedNode(1, False, 9.0, 0.0),
+        ObservedNode(0, True, 20.0, 20.0),
+        ObservedNode(None, True, 99.0, 99.0),
+    ]
+    assert zone_sums(nodes, 40.0) == [ZoneSums(0, 20, 40, 1), ZoneSums(1, 39, 40, 1)]
+
+
+def test_demand_adds_up_over_members_and_of_capacity_the_least_counts():
+    own, others = (
+        [ZoneSums(0, 20, 80, 2), ZoneSums(1, 5, 80, 2)],
+        {3: [ZoneSums(0, 30, 40, 1)], 2: [ZoneSums(2, 1, 1, 1)]},
+    )
+    assert combined(own, others) == {0: ZoneTotals(50, 40, 1, 2), 1: ZoneTotals(5, 80, 2, 1), 2: ZoneTotals(1, 1, 1, 1)}
+    assert combined(own, {}) == {0: ZoneTotals(20, 80, 2, 1), 1: ZoneTotals(5, 80, 2, 1)}
+
+
+sums = some.lists(
+    some.builds(ZoneSums, some.integers(0, 3), some.integers(0, 99), some.integers(0, 99), some.integers(0, 9)),
+    max_size=4,
+    unique_by=lambda one: one.zone,
+)
+
+
+@given(some.dictionaries(some.integers(0, 9), sums, max_size=5), sums)
+def test_it_does_not_matter_who_was_heard_first(others, own):
+    assert combined(own, others) == combined(own, dict(reversed(others.items())))
--- a/tests/test_decode.py
+++ b/tests/test_decode.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 
 from kestrelplank.decode import PEER_LOAD, PEER_LOADS, Ids, checksum, decode_peer_loads, encode_peer_loads, text
-from kestrelplank.state import membership
+from kestrelplank.state import membership_datagram
 
 
 def known(names):
@@ -28,7 +28,9 @@
     assert set(arrived) != set(bodies) or len(found) == len(figures)
 
 
-@pytest.mark.parametrize("body", [b"", b"hello", bytes([PEER_LOADS, 1, 2, 3]), membership.encode(1, [(1, 2, 3)], [])])
+@pytest.mark.parametrize(
+    "body", [b"", b"hello", bytes([PEER_LOADS, 1, 2, 3]), membership_datagram.encode(1, [(1, 2, 3)], [])]
+)
 def test_a_datagram_of_another_kind_is_left_to_others(body):
     assert decode_peer_loads(body, known([])) is None
 
