--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -7,7 +7,8 @@
 import argparse
 from random import Random
 
-from kestrelplank.state.membership import DEAD, Membership, Sums, Terms
+from kestrelplank.state.membership import DetectorSettings, Liveness, Membership
+from kestrelplank.state.membership_datagram import ZoneSums
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 STEP = 10 * MILLISECOND
@@ -18,9 +19,9 @@
     """Until each of the others has seen the death of member 0 (ns after it); false deaths seen by anybody in the
     `quiet` ns before, counted once a judgement that begins; and bytes a second that one member sends to one other."""
     random, now, order, sent = Random(seed), 0, 0, 0
-    members = {number: Membership(0, number, 1, count, Terms()) for number in range(count)}
+    members = {number: Membership(0, number, 1, count, DetectorSettings()) for number in range(count)}
     for member in members.values():
-        member.told([Sums(zone, 100, 200, 5) for zone in range(3)])
+        member.told([ZoneSums(zone, 100, 200, 5) for zone in range(3)])
     under_way: list[tuple] = []
     false, seen, dead_at, thought = 0, {}, 3 * SECOND + quiet, {}
     while len(seen) < count - 1 and now < dead_at + 60 * SECOND:
@@ -36,16 +37,16 @@
         due = sorted(one for one in under_way if one[0] <= now)
         under_way = [one for one in under_way if one[0] > now]
         for _, _, to, body in due:
-            members[to].take(now, body)
+            members[to].receive(now, body)
         if now % (50 * MILLISECOND):
             continue
         for number, member in members.items():
             if now < dead_at:
                 for other in members:
-                    is_dead = member.judge(now, other) == DEAD
+                    is_dead = member.liveness(now, other) == Liveness.DEAD
                     false += is_dead and not thought.get((number, other), False) and now > 3 * SECOND
                     thought[number, other] = is_dead
-            elif number and number not in seen and member.judge(now, 0) == DEAD:
+            elif number and number not in seen and member.liveness(now, 0) == Liveness.DEAD:
                 seen[number] = now - dead_at
     return sorted(seen.values()), false, sent / count / (dead_at / SECOND)
 
--- a/kestrelplank/assigner/membership_gossip.py
+++ b/kestrelplank/assigner/membership_gossip.py
@@ -4,8 +4,9 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.sockets.loop import Loop
-from kestrelplank.state.digest import Seen, together, zone_sums
-from kestrelplank.state.membership import Malformed, Membership
+from kestrelplank.state.membership import Membership
+from kestrelplank.state.membership_datagram import MalformedDatagramError
+from kestrelplank.state.zone_load import ObservedNode, combined, zone_sums
 
 SUMS_VALID_NS = 3_000_000_000  # of other assigners, in what is shown
 
@@ -25,7 +26,7 @@
         membership: Membership,
         interval_ns: int,
         send: Callable[[None, bytes], None],
-        nodes: Callable[[], list[Seen]],
+        nodes: Callable[[], list[ObservedNode]],
         best: Callable[[], float],
     ) -> None:
         self._loop, self._counters, self._membership = loop, counters, membership
@@ -35,7 +36,7 @@
 
     def _tick(self) -> None:
         now = self._loop.now()
-        self._membership.told(zone_sums(self._nodes(), self._best()))
+        self._membership.set_zone_sums(zone_sums(self._nodes(), self._best()))
         body = self._membership.tick(now)
         if body is not None:
             self._send(None, body)
@@ -48,15 +49,15 @@
     def take(self, sender: int, body: bytes) -> None:  # noqa: ARG002  the body names the sender
         """Take a datagram."""
         try:
-            self._counters.add("members_news" if self._membership.take(self._loop.now(), body) else "members_old")
-        except Malformed as err:
+            self._counters.add("members_news" if self._membership.receive(self._loop.now(), body) else "members_old")
+        except MalformedDatagramError as err:
             self._counters.trouble("members_unreadable", err)
 
     def status(self) -> dict[str, object]:
         """Return who is alive, and the zones as all assigners see them together."""
         now = self._loop.now()
         view = self._membership.view(now)
-        zones = together(zone_sums(self._nodes(), self._best()), self._membership.zones(now, SUMS_VALID_NS))
+        zones = combined(zone_sums(self._nodes(), self._best()), self._membership.zone_sums(now, SUMS_VALID_NS))
         return {
             "view": view.version,
             "alive": view.alive,
--- a/kestrelplank/assigner/operator_features.py
+++ b/kestrelplank/assigner/operator_features.py
@@ -13,18 +13,18 @@
 from kestrelplank.policy.node import Node, NodeState
 from kestrelplank.settings.operator import MembershipSettings, StatusSocketSettings
 from kestrelplank.sockets.loop import Loop
-from kestrelplank.state.digest import Seen, zone_sums
-from kestrelplank.state.membership import Membership, Terms
+from kestrelplank.state.membership import DetectorSettings, Membership
+from kestrelplank.state.zone_load import ObservedNode, zone_sums
 
 
-def observed_nodes(policy: Policy, now: int) -> list[Seen]:
+def observed_nodes(policy: Policy, now: int) -> list[ObservedNode]:
     """Return the module's nodes, as means over its reports."""
     observed = []
     for node in policy.nodes.values():
         seconds = max(1, len(node.periods)) * policy.state.period_ns / SECOND
         sums = node.sums()
         acknowledged = (sums.attempts - sums.failures) / seconds
-        observed.append(Seen(node.zone, node.usable(now), sums.attempts / seconds, acknowledged))
+        observed.append(ObservedNode(node.zone, node.usable(now), sums.attempts / seconds, acknowledged))
     return observed
 
 
@@ -47,7 +47,7 @@
     if peers is None:
         counters.trouble("members_off", "the settings allow no datagrams between conductors")
         return None
-    terms = Terms(file.heartbeat_interval_ns, file.suspect_phi, file.dead_phi, file.min_missed_heartbeats)
+    terms = DetectorSettings(file.heartbeat_interval_ns, file.suspect_phi, file.dead_phi, file.min_missed_heartbeats)
     incarnation = int(time.time()) & 0xFFFFFFFF  # grows with each start, unless the clock has been set back past it
     core = Membership(loop.now(), settings["ordinal"], incarnation, settings["conductors"], terms)
     return MembershipGossip(
--- a/tests/assigner/test_operator_features.py
+++ b/tests/assigner/test_operator_features.py
@@ -11,8 +11,8 @@
 from kestrelplank.assigner.membership_gossip import MembershipGossip
 from kestrelplank.assigner.status_socket import StatusSocket, read_status
 from kestrelplank.cli.group import group
-from kestrelplank.state.digest import Seen
-from kestrelplank.state.membership import Membership, Terms
+from kestrelplank.state.membership import DetectorSettings, Membership
+from kestrelplank.state.zone_load import ObservedNode
 
 
 def free_udp():
@@ -84,12 +84,12 @@
 
 def test_members_tick_take_and_show_whatever_comes(kit):
     sent = []
-    nodes = [Seen(0, True, 10.0, 9.0)]
+    nodes = [ObservedNode(0, True, 10.0, 9.0)]
     made = [
         MembershipGossip(
             kit.loop,
             Counts(),
-            Membership(kit.loop.now(), number, 5, 2, Terms(every=10_000_000)),
+            Membership(kit.loop.now(), number, 5, 2, DetectorSettings(heartbeat_interval_ns=10_000_000)),
             10_000_000,
             lambda to, body, number=number: sent.append((number, body)),
             lambda: nodes,
