--- a/kestrelplank/edge/control_sessions.py
+++ b/kestrelplank/edge/control_sessions.py
@@ -70,7 +70,7 @@
         host = parse_address(member)[0]
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, connection = await asyncio.get_running_loop().create_connection(
-                lambda: FrameConnection(decode_at_edge, self._received, _on_end), host, self._port
+                lambda: FrameConnection[ToEdge](decode_at_edge, self._received, _on_end), host, self._port
             )
         connection.peer, self._connections[member] = member, connection
         self._heard_at[connection] = time.monotonic_ns()
