--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,7 +21,7 @@
     random, now, order, sent = Random(seed), 0, 0, 0
     members = {number: Membership(0, number, 1, count, DetectorSettings()) for number in range(count)}
     for member in members.values():
-        member.told([ZoneSums(zone, 100, 200, 5) for zone in range(3)])
+        member.set_zone_sums([ZoneSums(zone, 100, 200, 5) for zone in range(3)])
     under_way: list[tuple] = []
     false, seen, dead_at, thought = 0, {}, 3 * S + quiet, {}
     while len(seen) < count - 1 and now < dead_at + 60 * S:
--- a/kestrelplank/state/change_merge.py
+++ b/kestrelplank/state/change_merge.py
@@ -37,9 +37,9 @@
 
     :param closed: those nodes, to what is said of them now.
     """
-    content, still_closed = dict(before), []
+    content, kept_closed = dict(before), []
     for node in sorted(closed):
         if content.get(node) != closed[node]:
             content[node] = closed[node]
-            still_closed.append(node)
-    return content, still_closed
+            kept_closed.append(node)
+    return content, kept_closed
