--- a/kestrelplank/state/sealed.py
+++ b/kestrelplank/state/sealed.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from kestrelplank.decode import Malformed, parsed
+from kestrelplank.decode import Malformed, parse_json
 
 DIGEST_BYTES = 16
 
@@ -30,7 +30,7 @@
     body, _, checksum = data.rstrip(b"\n").rpartition(b"\n")
     if not body or digest_of(body) != checksum.decode(errors="replace"):
         raise Malformed("torn or changed: its checksum does not hold")
-    state = parsed(body)
+    state = parse_json(body)
     if not isinstance(state, dict) or state.get("form") != form:
         raise Malformed(f"form {state.get('form') if isinstance(state, dict) else None} is not known, {form} is")
     return state
--- a/tests/consensus/test_membership_planning.py
+++ b/tests/consensus/test_membership_planning.py
@@ -213,7 +213,7 @@
         assert (planned and names(planned.voters)) == expected
 
 
-def test_replaced_twice_in_ten_seconds():
+def test_a_member_replaced_twice_in_ten_seconds_loses_nothing():
     """c dies and d takes its place; d dies and e takes that; then c is back, and e stays."""
     membership = group("a b c")
     for known, expected in (("a b c:silent d", "a b d"), ("a b c:silent d:silent e", "a b e"), ("a b c d e", None)):
--- a/tests/consensus/test_replacement.py
+++ b/tests/consensus/test_replacement.py
@@ -179,7 +179,7 @@
         play.cluster.serves(3)
 
 
-def test_replaced_twice_in_ten_seconds():
+def test_a_member_replaced_twice_in_ten_seconds_loses_nothing():
     """c is lost, d replaces it and is lost too, e takes that; then c is back with its old disk and does not count."""
     cluster, _, _ = seeded()
     begun_at = cluster.time
--- a/tests/control/test_operator_wire.py
+++ b/tests/control/test_operator_api.py
@@ -5,8 +5,8 @@
 import pytest
 from configuration.test_parsing import encoded
 
-from kestrelplank.control.calls import application
 from kestrelplank.control.effects import AnswerOrder
+from kestrelplank.control.operator_api import application
 from kestrelplank.http.server import create_server
 from kestrelplank.http.socket_options import listening_socket, reset_on_close
 
@@ -20,7 +20,7 @@
         self.asked, self.kept, self.majority = [], [], asyncio.Event()
         self.arrived = asyncio.Event()
 
-    async def put(self, configuration):
+    async def replace_configuration(self, configuration):
         self.asked.append(configuration.text)
         self.arrived.set()
         await self.majority.wait()
