--- a/tests/configuration/test_parsing.py
+++ b/tests/configuration/test_parsing.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from kestrelplank.configuration.errors import InvalidFieldError, MalformedDocumentError
 from kestrelplank.configuration.parsing import parse_configuration
 
 
@@ -138,3 +139,20 @@
     one, other = parse_configuration(encoded()).unwrap(), parse_configuration(encoded(limits={})).unwrap()
     assert one.key.version == other.key.version and one.key != other.key
     assert parse_configuration(encoded(version="00000010")).unwrap().key > max(one.key, other.key)
+
+
+@pytest.mark.parametrize(
+    "changes, field",
+    [
+        ({"service_table": None}, "service_table"),
+        (with_route(timeout_s="1"), "virtual_hosts[0].host_routes[0].timeout_s"),
+        (with_route(timeout_s=601), "virtual_hosts[0].host_routes[0].timeout_s"),
+    ],
+)
+def test_a_refusal_knows_its_field_whether_form_or_value_is_wrong(changes, field):
+    refusal = parse_configuration(encoded(**changes)).failure()
+    assert isinstance(refusal, InvalidFieldError) and refusal.field == field
+
+
+def test_bytes_that_are_no_json_are_a_malformed_document():
+    assert isinstance(parse_configuration(b"{").failure(), MalformedDocumentError)
--- a/tests/settings/test_ini.py
+++ b/tests/settings/test_ini.py
@@ -153,3 +153,11 @@
         ini.reject_unread_sections()
     except InvalidSettingsError as err:
         assert str(err).startswith("k.ini")
+
+
+def test_a_refusal_knows_file_line_section_and_field_apart():
+    with pytest.raises(InvalidSettingsError) as raised:
+        IniFile("k.ini", GOOD.replace("most = 9", "most = 10")).read_section("watch", Watch)
+    error = raised.value
+    assert (error.file, error.line, error.section, error.field) == ("k.ini", 8, "[watch]", "most")
+    assert error.reason == "expected `int` <= 9, got '10'"
