--- a/kestrelplank/gateway.py
+++ b/kestrelplank/gateway.py
@@ -96,11 +96,11 @@
     """A small gateway on loopback through losses; prints what was seen, and fails where a rule was broken."""
     import json
 
-    from kestrelplank.rehearsal.yard import play
+    from kestrelplank.rehearsal.gateway_rehearsal import play
 
     if not requests.isdecimal():
         raise Unusable(f"--requests: {requests!r} is no whole number")
-    seen = play(int(requests), log=level)
+    seen = play(int(requests), log_level=level)
     if as_json:
         print(json.dumps(seen))
     else:
--- a/kestrelplank/rehearsal/__init__.py
+++ b/kestrelplank/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals with real processes on loopback, and stand-ins for the outside parties."""
+"""Rehearsals with real processes on loopback: of a small gateway, and of the assigner among emulated nodes."""
--- /dev/null
+++ b/kestrelplank/rehearsal/gateway_rehearsal.py
@@ -0,0 +1,191 @@
+"""A small gateway on loopback through a scenario of faults: its real programs, and stand-ins for all others.
+
+The stand-ins are the platform, the servers, the operator and clients; they count what the rules are judged by.
+"""
+
+import asyncio
+import tempfile
+import time
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import asynccontextmanager
+from http import HTTPStatus
+from pathlib import Path
+from random import Random
+
+import msgspec
+
+from kestrelplank.http.serve import listener, server
+from kestrelplank.rehearsal.gateway_processes import GatewayProcesses, LoopbackNetwork, Machine, Role
+from kestrelplank.rehearsal.gateway_report import GatewayReport
+from kestrelplank.rehearsal.loopback import call
+from kestrelplank.rehearsal.observations import Observations
+from kestrelplank.rehearsal.services import SERVICES
+from kestrelplank.rehearsal.stand_in_clients import KEYS, StandInClients
+from kestrelplank.rehearsal.stand_in_operator import StandInOperator
+from kestrelplank.rehearsal.stand_in_platform import StandInPlatform
+from kestrelplank.rehearsal.stand_in_server import GRACE_S, IDLE_TIMEOUT_S, StandInServer
+
+READY_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.1
+KEY_SAMPLE_STEP = 512  # one key in so many is looked at for whether all have an owner
+
+
+class GatewayRehearsal:
+    """A gateway of so many control members and edge machines, and one control member more as a replacement.
+
+    :param folder: for settings files and the data of control members.
+    :param seed: of what clients ask.
+    :param log_level: of the gateway's processes.
+    """
+
+    def __init__(
+        self, folder: Path, seed: int = 1, control_members: int = 3, edges: int = 2, log_level: str = "WARNING"
+    ) -> None:
+        network = LoopbackNetwork(control_members + edges + 1)
+        self._processes = GatewayProcesses(folder, network, control_members, log_level)
+        self._observations = Observations()
+        self._servers: list[StandInServer] = []
+        for service in SERVICES:
+            for number in range(service.servers):
+                name, address = f"{service.name}-{number}", network.server_address(len(self._servers))
+                self._servers.append(StandInServer(name, service.name, address, self._observations, self._servers))
+        self._operator = StandInOperator(self._processes)
+        self._clients = StandInClients(Random(seed), self._processes, self._observations)
+
+    async def run(self, requests: int, per_s: float) -> GatewayReport:
+        """Play the scenario while clients send requests; return what was seen."""
+        async with self._platform():
+            try:
+                return await self._run(requests, per_s)
+            finally:
+                await self._processes.stop_all()
+
+    async def _run(self, requests: int, per_s: float) -> GatewayReport:
+        for stand_in in self._servers:
+            await stand_in.start()
+        started_at = time.monotonic()
+        for machine in self._processes.machines:
+            await self._processes.start(machine)
+        if not await self._operator.configure(1) or not await self._becomes_ready():
+            return GatewayReport(ready=False, replaced=False)
+        ready_s = time.monotonic() - started_at
+        sending = asyncio.create_task(self._clients.send_requests(requests, per_s))
+        faults = await self._play_faults()
+        await sending
+        replaced = await self._becomes_true(lambda: self._operator.is_voter(self._processes.replacement))
+        return self._report(ready_s, faults, replaced)
+
+    @asynccontextmanager
+    async def _platform(self) -> AsyncIterator[None]:
+        """Serve the list of servers; in the end, when no request runs any more, stop them too."""
+        http_server = server(StandInPlatform(self._servers).app, IDLE_TIMEOUT_S, GRACE_S)
+        address = self._processes.network.platform_address
+        serving = asyncio.create_task(http_server.serve([listener(*address)]))
+        try:
+            yield
+        finally:
+            http_server.should_exit = True
+            await serving
+            for stand_in in self._servers:
+                await stand_in.stop()
+
+    # Readiness.
+
+    async def _becomes_ready(self) -> bool:
+        return await self._becomes_true(self._is_ready)
+
+    async def _is_ready(self) -> bool:
+        """Whether all edges say so, and all keys have an owner."""
+        port = self._processes.network.readiness_port
+        edges = self._processes.running(Role.EDGE)
+        answers = [await call((edge.ip, port), "GET", "/api/readiness") for edge in edges]
+        now = time.monotonic()
+        all_owned = all(
+            any(stand_in.holds_key(key, now) for stand_in in self._servers) for key in range(0, KEYS, KEY_SAMPLE_STEP)
+        )
+        return (
+            all_owned
+            and bool(answers)
+            and all(answer is not None and answer.status == HTTPStatus.OK for answer in answers)
+        )
+
+    async def _becomes_true(self, condition: Callable[[], Awaitable[bool]]) -> bool:
+        """Wait for the condition; return whether it came true in time."""
+        until = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < until:
+            if await condition():
+                return True
+            await asyncio.sleep(POLL_INTERVAL_S)
+        return False
+
+    # The scenario.
+
+    async def _play_faults(self) -> list[str]:
+        """Lose parts of the gateway one after the other; return what was done."""
+        members, edges = self._processes.with_role(Role.CONTROL), self._processes.with_role(Role.EDGE)
+        assigning = [member for member in members if await self._operator.assigns_shards(member)]
+        killed = (assigning or members)[0]
+        faults = [self._kill_assigning_member(killed)]
+        await asyncio.sleep(0.5)
+        faults.append(self._drain(self._servers[0]))
+        await asyncio.sleep(1.0)
+        faults.append(self._terminate_edge(edges[0]))
+        await asyncio.sleep(1.0)
+        await self._processes.restart(killed)
+        faults.append(await self._lose_server(self._servers[1]))
+        await self._becomes_true(lambda: self._operator.is_current(killed))
+        faults.append(await self._replace(next(member for member in members if member is not killed)))
+        return faults
+
+    def _kill_assigning_member(self, member: Machine) -> str:
+        self._processes.kill(member)
+        return f"killed {member.ip}, which decided"
+
+    def _drain(self, stand_in: StandInServer) -> str:
+        stand_in.state = "draining"
+        return f"{stand_in.name} drains"
+
+    def _terminate_edge(self, edge: Machine) -> str:
+        self._processes.terminate(edge)
+        return f"{edge.ip} is told to stop"
+
+    async def _lose_server(self, stand_in: StandInServer) -> str:
+        stand_in.state = "gone"
+        await stand_in.stop()
+        return f"{stand_in.name} is lost"
+
+    async def _replace(self, member: Machine) -> str:
+        self._processes.kill(member)
+        await self._processes.restart(self._processes.replacement)
+        return f"{member.ip} is lost for good, {self._processes.replacement.ip} comes empty"
+
+    # The report.
+
+    def _report(self, ready_s: float, faults: list[str], replaced: bool) -> GatewayReport:
+        seen, now = self._observations, time.monotonic()
+        return GatewayReport(
+            ready=True,
+            ready_s=round(ready_s, 2),
+            faults=faults,
+            replaced=replaced,
+            requests=seen.requests,
+            served=seen.served,
+            answers=dict(sorted(seen.answers.items())),
+            run_twice=seen.run_twice(),
+            rejected_but_ran=seen.rejected_but_ran,
+            keys_with_two_owners=seen.keys_with_two_owners,
+            keys_by_server={
+                stand_in.name: stand_in.keys_held(now)
+                for stand_in in self._servers
+                if stand_in.is_running and stand_in.service == "views"
+            },
+        )
+
+
+def play(requests: int = 300, per_s: float = 60.0, log_level: str = "WARNING") -> dict[str, object]:
+    """Play the scenario on a small gateway; return the report by the names under which it is printed."""
+    with tempfile.TemporaryDirectory() as folder:
+        rehearsal = GatewayRehearsal(Path(folder), log_level=log_level)
+        report = asyncio.run(rehearsal.run(requests, per_s))
+    printed: dict[str, object] = msgspec.to_builtins(report)
+    return printed
--- /dev/null
+++ b/kestrelplank/rehearsal/stand_in_platform.py
@@ -0,0 +1,35 @@
+"""The platform, played on loopback: it lists the servers."""
+
+from collections.abc import Sequence
+
+import msgspec
+
+from kestrelplank.rehearsal.asgi import Message, Receive, Send, send_answer
+from kestrelplank.rehearsal.stand_in_server import SLOTS, StandInServer
+
+ZONE = "hall"
+
+
+class StandInPlatform:
+    """Answers every call with the list of servers that are not gone."""
+
+    def __init__(self, servers: Sequence[StandInServer]) -> None:
+        self._servers = servers
+
+    async def app(self, scope: Message, receive: Receive, send: Send) -> None:  # noqa: ARG002 - as ASGI calls it
+        """Answer a call for the list."""
+        await receive()
+        instances = [self._entry(server) for server in self._servers if server.state != "gone"]
+        await send_answer(send, 200, [], msgspec.json.encode({"instances": instances, "next_token": None}))
+
+    @staticmethod
+    def _entry(server: StandInServer) -> dict[str, str | int]:
+        return {
+            "server_id": server.name,
+            "target_service": server.service,
+            "address": "%s:%d" % server.address,
+            "zone": ZONE,
+            "slots": SLOTS,
+            "state": server.state,
+            "warmup_left_s": 0,
+        }
--- a/tests/control/test_member_sessions.py
+++ b/tests/control/test_member_sessions.py
@@ -5,7 +5,7 @@
 from kestrelplank.consensus.member_messages import MembershipQuery, MembershipUpdate
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.control.member_sessions import MemberSessions
-from kestrelplank.rehearsal.yard import free_port
+from kestrelplank.rehearsal.loopback import free_port
 from kestrelplank.transport.messages import EdgeHeartbeat, Envelope, decode_at_member
 from kestrelplank.transport.wire import FrameConnection
 
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -11,7 +11,7 @@
 from kestrelplank.configuration.plan import read
 from kestrelplank.edge.program import EdgeProgram
 from kestrelplank.http.stream import resetting
-from kestrelplank.rehearsal.yard import free_port
+from kestrelplank.rehearsal.loopback import free_port
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.server_list import Entry
 
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -8,7 +8,9 @@
 from configuration.test_plan import encoded
 
 from kestrelplank.edge.program import EdgeProgram
-from kestrelplank.rehearsal.yard import StandIn, Tally, free_port
+from kestrelplank.rehearsal.loopback import free_port
+from kestrelplank.rehearsal.observations import Observations
+from kestrelplank.rehearsal.stand_in_server import StandInServer
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.messages import ConfigurationUpdate, ServerListUpdate
 
@@ -16,7 +18,7 @@
 LIMITS = {"max_body_bytes": 100_000}
 
 
-class Slow(StandIn):
+class Slow(StandInServer):
     """A server that answers when it is let."""
 
     def __init__(self, *given):
@@ -39,8 +41,8 @@
         CloudApi("127.0.0.1:9"),
         Bounds(),
     )
-    tally = Tally()
-    behind = Slow("orders-0", "orders", (IP, free_port([IP])), tally, [])
+    observations = Observations()
+    behind = Slow("orders-0", "orders", (IP, free_port([IP])), observations, [])
     await behind.start()
     found = EdgeProgram(settings)
     found.listen()
@@ -178,9 +180,9 @@
         writer.close()
         await writer.wait_closed()
         behind.let.set()
-        while not behind.tally.runs or found.front.server_state.tasks:
+        while not behind.observations.runs or found.front.server_state.tasks:
             await asyncio.sleep(0)
-        assert behind.tally.runs == {"me": runs}
+        assert behind.observations.runs == {"me": runs}
         assert [endpoint.in_flight for endpoint in found.forwarder.endpoints.by_name.values()] == [0]
 
     run(play)
@@ -266,7 +268,7 @@
 
             async def request(fields, body):
                 met.append((fields, body))
-                return await StandIn.request(behind, fields, body)
+                return await StandInServer.request(behind, fields, body)
 
             behind.request = request
             served = 0
--- a/tests/rehearsal/test_yard.py
+++ b/tests/rehearsal/test_gateway_rehearsal.py
@@ -1,6 +1,6 @@
 """The gateway as a whole, in real processes on loopback, through losses."""
 
-from kestrelplank.rehearsal.yard import play
+from kestrelplank.rehearsal.gateway_rehearsal import play
 
 
 def test_a_small_gateway_keeps_the_rules_through_losses():
