--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -19,7 +19,7 @@
 import httptools
 from hdrh.histogram import HdrHistogram
 
-from kestrelplank.rehearsal.parties import Kit, Party, fail
+from kestrelplank.rehearsal.stub_server import SocketKit, StubServer, fail
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
 
@@ -30,7 +30,7 @@
 class NodeVisitor:
     """Answers every request with as many bytes as its path says."""
 
-    def __init__(self, kit: Kit, sock: object) -> None:
+    def __init__(self, kit: SocketKit, sock: object) -> None:
         self.parser, self.size = httptools.HttpRequestParser(self), 0
         self.connection = Connection(kit.loop, kit.pool, sock, self, 1 << 24)
 
@@ -71,7 +71,7 @@
 
 def serve(what: str, to: str) -> None:
     """Runs the nodes or the pass-through, and prints where."""
-    kit = Kit()
+    kit = SocketKit()
     kit.pool = Pool(1 << 16, 64)
     if what == "node":
 
@@ -94,7 +94,7 @@
 class Asker:
     """One connection that asks, waits for the whole answer, and asks again."""
 
-    def __init__(self, kit: Kit, to: str, path: bytes, times: HdrHistogram) -> None:
+    def __init__(self, kit: SocketKit, to: str, path: bytes, times: HdrHistogram) -> None:
         self.kit, self.times = kit, times
         self.request = b"GET %s HTTP/1.1\r\nHost: a\r\n\r\n" % path
         self.parser, self.done, self.bad = httptools.HttpResponseParser(self), 0, 0
@@ -126,7 +126,7 @@
 
 def load(to: str, connections: int, size: int, seconds: float) -> tuple[float, list[float]]:
     """Ops a second, and the time at percentiles in ms."""
-    kit, times = Kit(), HdrHistogram(1, 60_000_000, 3)
+    kit, times = SocketKit(), HdrHistogram(1, 60_000_000, 3)
     kit.pool = Pool(1 << 16, 64)
     askers = [Asker(kit, to, b"/look/%d" % size, times) for _ in range(connections)]
     end = time.monotonic() + 0.5
@@ -171,7 +171,7 @@
 
 
 def main(seconds: float) -> None:
-    hub_kit, nodes, started = Kit(), 4, []
+    hub_kit, nodes, started = SocketKit(), 4, []
 
     def start(*words: str) -> subprocess.Popen:
         started.append(
@@ -188,18 +188,18 @@
         if not path.startswith("/v1/tables"):
             visitor.reply({})
             return
-        visitor.begin()
+        visitor.begin_stream()
         for number in range(nodes):
-            visitor.tell({"type": "node", "object": {"name": f"s-{number}", "address": node_at}})
-        visitor.tell({"type": "joined", "object": {"source": 0}})
+            visitor.send({"type": "node", "object": {"name": f"s-{number}", "address": node_at}})
+        visitor.send({"type": "joined", "object": {"source": 0}})
         for table in range(64):
             lines = {f"s-{table % nodes}": 1.0}
-            visitor.tell({"type": "table", "object": {"table": table, "source": 0, "lines": lines}})
+            visitor.send({"type": "table", "object": {"table": table, "source": 0, "lines": lines}})
 
     try:
         node_at = start(__file__, "--serve", "node").stdout.readline().decode().strip()
         plain_at = start(__file__, "--serve", "plain", "--to", node_at).stdout.readline().decode().strip()
-        hub = Party(hub_kit, told)
+        hub = StubServer(hub_kit, told)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "relay.ini"
             path.write_text(FILE % hub.at)
--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -21,7 +21,7 @@
 from kestrelplank.file_discovery.whole import write_whole
 from kestrelplank.interface import Event, PolicySettings, SliceOwnership
 from kestrelplank.policy import Policy
-from kestrelplank.rehearsal.parties import Kit
+from kestrelplank.rehearsal.stub_server import SocketKit
 from kestrelplank.settings.operator import MS, Nodes
 from kestrelplank.state.guards import Terms, judge
 from kestrelplank.state.nodeset import Listed, NodeSet, assemble
@@ -94,7 +94,7 @@
     """From the end of a save that drains a node, or ends its drain, to the module's order for it, less the quiet
     time."""
     with tempfile.TemporaryDirectory() as folder:
-        kit = Kit()
+        kit = SocketKit()
         conf = {
             "Areas": ["zone0", "zone1", "zone2"],
             "Categories": [{"Name": "look"}],
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -30,9 +30,9 @@
             ini = Ini.of(path)
             what = kind(ini)
             if what == "script":
-                from kestrelplank.emulator.script import script
+                from kestrelplank.emulator.script import read_script
 
-                script(ini)
+                read_script(ini)
             elif what == "relay's file":
                 relay.read(ini)
             elif what == "node list":
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -62,14 +62,14 @@
 def command(path: str, seed: int, live: bool, baseline: bool, knowing: bool, to: str | None) -> None:
     """Play a scripted incident with the real decisions, and hold the rules against it."""
     from kestrelplank.emulator import rehearsal
-    from kestrelplank.emulator.conductors import Standing
-    from kestrelplank.emulator.script import script
+    from kestrelplank.emulator.baseline_policies import StaticPolicy
+    from kestrelplank.emulator.script import read_script
     from kestrelplank.policy import Policy
 
     if live + baseline + knowing > 1:
         raise click.UsageError("--live, --baseline and --knowing exclude each other")
     try:
-        read = script(Ini.of(path))
+        read = read_script(Ini.of(path))
     except Unusable as err:
         click.echo(f"kestrelplank: {err}", err=True)
         sys.exit(2)
@@ -79,11 +79,13 @@
             bar.update(int(done * 1000) - bar.pos)
 
         if live:
-            from kestrelplank.rehearsal.live import play as play_live
+            from kestrelplank.rehearsal.live_rehearsal import play as play_live
 
             found = play_live(read, seed, progress)
         else:
-            found = rehearsal.play(read, seed, Standing if baseline else Policy, progress=progress, knowing=knowing)
+            found = rehearsal.play(
+                read, seed, StaticPolicy if baseline else Policy, on_progress=progress, ideal_placement=knowing
+            )
     click.echo("\n".join(table(found)))
     if to:
         try:
--- a/kestrelplank/emulator/discovery.py
+++ b/kestrelplank/emulator/discovery.py
@@ -1,166 +1,95 @@
-"""What conductors of a rehearsal are told of nodes: by discovery, or from node lists in files."""
+"""What assigners of a simulation learn of nodes by discovery."""
 
-from typing import Any
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import NamedTuple
 
-from kestrelplank.emulator.part import Part
-from kestrelplank.emulator.script import Fault
-from kestrelplank.file_discovery import nodelist
-from kestrelplank.settings.ini import Unusable
-from kestrelplank.state import guards, roster
-from kestrelplank.state.intake import SETTLED, Debounce, Intake
-from kestrelplank.state.nodeset import Listed, NodeSet
-from kestrelplank.state.sealed import digest_of
+from kestrelplank.emulator.assigners import Assigner
+from kestrelplank.emulator.environment import Environment
+from kestrelplank.interface import NodeCondition, NodeEntry, NodeListKind, NodeListUpdate
 
 
-class Discovery(Part):
-    """Knows whether processes run, late; each conductor is told in order, a little apart. `listed` holds by node its
-    condition, and when it last started (None: long ago)."""
+class ListedNode(NamedTuple):
+    """A node as it is listed, and when its process last started (None: long ago)."""
 
-    def __init__(self, world) -> None:
-        super().__init__(world, "discovery")
-        self.listed: list[tuple[str, int | None]] = [("up", None)] * world.script.site.nodes
-        self._last = [0] * world.script.site.conductors
+    condition: str
+    started_at: int | None
 
-    def entry(self, node: int) -> tuple:
-        """A node as the roster's events have it."""
-        condition, boot = self.listed[node]
-        return node, condition, self.world.zone_of(node), 0, 1.0, boot
 
-    def tell_all(self, conductor: int, how: str) -> None:
-        """Tells a conductor the whole roster."""
-        now = self.clock.now()
-        self.world.conductors[conductor].tell(("roster", how, [self.entry(node) for node in range(len(self.listed))]))
-        for node, (condition, boot) in enumerate(self.listed):
-            self.world.rules.told(now, conductor, node, condition, boot is not None)
+@dataclass(frozen=True, slots=True)
+class NodeChange:
+    """A node whose listed condition has changed."""
 
-    def change(self, nodes: list[int], condition: str, boot: int | None, after: tuple[int, int]) -> None:
-        """So many nodes are found to be so, after a time drawn from a range."""
-        now = self.clock.now()
-        self.clock.at(now + self.random.randint(*after), lambda: self._list(nodes, condition, boot))
+    node: int
+    condition: str
+    started_at: int | None
+
+
+class Discovery:
+    """Knows whether processes run, late; each assigner learns of it in order, a little apart."""
 
-    def _list(self, nodes: list[int], condition: str, boot: int | None) -> None:
-        world = self.world
-        nodes = [
-            node
+    def __init__(self, environment: Environment, assigners: Sequence[Assigner]) -> None:
+        self.environment, self.assigners, self.clock = environment, assigners, environment.clock
+        self.random = environment.random("discovery")
+        site = environment.script.site
+        self.listed = [ListedNode(NodeCondition.UP, None) for _ in range(site.nodes)]
+        self._last_notified_at = [0] * site.conductors
+
+    def entry(self, node: int) -> NodeEntry:
+        """Return a node as assigners learn of it."""
+        listed = self.listed[node]
+        return NodeEntry(node, listed.condition, self.environment.zone_of_node(node), 0, 1.0, listed.started_at)
+
+    def send_list(self, assigner: Assigner, kind: NodeListKind) -> None:
+        """Send an assigner the complete list."""
+        now = self.clock.now()
+        assigner.notify(NodeListUpdate(kind, [self.entry(node) for node in range(len(self.listed))]))
+        for node, listed in enumerate(self.listed):
+            started = listed.started_at is not None
+            self.environment.rules.assigner_learned(now, assigner.number, node, listed.condition, started)
+
+    def change(
+        self, nodes: list[int], condition: NodeCondition, started_at: int | None, delay_range_ns: tuple[int, int]
+    ) -> None:
+        """Let nodes be found to be so, after a time drawn from a range."""
+        found_at = self.clock.now() + self.random.randint(*delay_range_ns)
+        self.clock.at(found_at, lambda: self._list(nodes, condition, started_at))
+
+    def _list(self, nodes: list[int], condition: NodeCondition, started_at: int | None) -> None:
+        changes = [
+            NodeChange(node, condition, started_at)
             for node in nodes
-            if boot is not None or self.listed[node][1] in (None, world.boots[node]) or condition == "draining"
+            if started_at is not None or condition == NodeCondition.DRAINING or self._is_of_last_start(node)
         ]
-        for node in nodes:
-            self.listed[node] = condition, boot if boot is not None else self.listed[node][1]
-        entries, now = [self.entry(node) for node in nodes], self.clock.now()
-        told = [(node, condition, boot) for node in nodes]
-        for conductor in world.conductors:
-            late = self.random.randint(*world.script.discovery.spread)
-            self._last[conductor.number] = max(self._last[conductor.number], now + late)
-            self.clock.at(
-                self._last[conductor.number],
-                lambda conductor=conductor, life=conductor.life: self._tell(conductor, life, entries, told),
-            )
-
-    def _tell(self, conductor: Any, life: int, entries: list[tuple], told: list[tuple]) -> None:
-        """`told`: node, condition and start, as the rules hold them."""
-        if conductor.alive and conductor.life == life and entries:
-            conductor.tell(("roster", "delta", entries))
-            for node, condition, boot in told:
-                self.world.rules.told(self.clock.now(), conductor.number, node, condition, boot is not None)
-
-
-class NodeFiles(Discovery):
-    """Node lists in files in place of discovery, edited by the script: the cores of `state/` over texts, no disk. What
-    runs and what does not, nobody tells."""
-
-    def __init__(self, world) -> None:
-        super().__init__(world)
-        script, terms = world.script, world.script.files
-        self._nodes = {
-            f"n{node}": Listed(script.site.zones[world.zone_of(node)], f"127.0.0.1:{9000 + node}")
-            for node in range(script.site.nodes)
-        }
-        self.intake = Intake(guards.Terms(terms.most_closed, terms.stand, False))
-        self._debounce, self._roster = (
-            Debounce(terms.quiet),
-            roster.Roster(roster.Terms(script.rules.grace, terms.weight_step)),
-        )
-        self._text: bytes | None = nodelist.written(NodeSet(self._nodes)).encode()
-        self._read_at(self.clock.now())
-        self._read_at(self.clock.now() + terms.quiet)
-        self._roster.accept(self.clock.now(), self.intake.force)
-        self._roster.whole()
-        self._weights = [1.0] * len(self._nodes)
-
-    def entry(self, node: int) -> tuple:
-        return (*super().entry(node)[:4], self._weights[node], self.listed[node][1])
-
-    def change(self, nodes: list[int], condition: str, boot: int | None, after: tuple[int, int]) -> None:
-        """A file does not know of processes."""
-
-    def save(self, fault: Fault, nodes: list[int]) -> None:
-        """The file is saved as the script says."""
-        held = dict(self._nodes)
-        for name in (f"n{node}" for node in nodes):
-            if fault.how == "remove":
-                del held[name]
-            elif fault.how == "drain":
-                held[name] = held[name]._replace(draining=True)
-            elif fault.how == "weight":
-                held[name] = held[name]._replace(weight=held[name].weight * fault.strength)
-        text = nodelist.written(NodeSet(held))
-        if fault.how == "torn":
-            text = text[: self.random.randrange(1, len(text) - 1)]
-        elif fault.how == "twice":
-            first = next(iter(held))
-            text = text.replace(f"# end {len(held)}", f"{first} = 127.0.0.1:1\n# end {len(held) + 1}")
-        self._put(None if fault.how == "gone" else b"" if fault.how == "empty" else text.encode())
-
-    def restore(self) -> None:
-        """The whole list is saved again."""
-        self._put(nodelist.written(NodeSet(self._nodes)).encode())
-
-    def _put(self, text: bytes | None) -> None:
-        self._text = text
-        self._read()
-
-    def _read(self) -> None:
-        clock = self.clock
-        outcome = self._read_at(clock.now())
-        if isinstance(outcome, int):
-            clock.at(outcome, self._read)
-        elif outcome is not None:
-            self.world.score.event(clock.now(), f"list {outcome.how}: {outcome.why}", [])
-            if outcome.how == "accepted":
-                self._roster.accept(clock.now(), self.intake.force)
-                self._advance()
-        if self.intake.due is not None:
-            clock.at(self.intake.due, self._read)
-
-    def _read_at(self, now: int) -> Any:
-        """When to read again, or what has been decided."""
-        step = self._debounce.see(now, "nodes.ini", None if self._text is None else digest_of(self._text))
-        if isinstance(step, int):
-            return step
-        if step == SETTLED:
-            self.intake.take("nodes.ini", self._parsed())
-        return self.intake.decide(now)
-
-    def _parsed(self) -> Any:
-        """The list, or why it can't be used."""
-        if self._text is None:
-            return "nodes.ini: there is no such file"
-        try:
-            return nodelist.read("nodes.ini", self._text, 2 * len(self._nodes), True)
-        except Unusable as err:
-            return str(err)
-
-    def _advance(self) -> None:
+        for change in changes:
+            last_start = started_at if started_at is not None else self.listed[change.node].started_at
+            self.listed[change.node] = ListedNode(condition, last_start)
+        entries, now = [self.entry(change.node) for change in changes], self.clock.now()
+        for assigner in self.assigners:
+            delay_ns = self.random.randint(*self.environment.script.discovery.spread)
+            notified_at = max(self._last_notified_at[assigner.number], now + delay_ns)
+            self._last_notified_at[assigner.number] = notified_at
+            self._notify_at(notified_at, assigner, entries, changes)
+
+    def _is_of_last_start(self, node: int) -> bool:
+        """Whether what is listed is of the node's last start."""
+        return self.listed[node].started_at in (None, self.environment.node_started_at[node])
+
+    def _notify_at(self, at: int, assigner: Assigner, entries: list[NodeEntry], changes: list[NodeChange]) -> None:
+        incarnation = assigner.incarnation
+
+        def notify() -> None:
+            if assigner.incarnation == incarnation:
+                self.notify_changes(assigner, entries, changes)
+
+        self.clock.at(at, notify)
+
+    def notify_changes(self, assigner: Assigner, entries: list[NodeEntry], changes: list[NodeChange]) -> None:
+        """Let an assigner that is alive learn of changes."""
+        if not assigner.alive or not entries:
+            return
+        assigner.notify(NodeListUpdate(NodeListKind.DELTA, entries))
         now = self.clock.now()
-        told = []
-        for name, condition, _, _, weight, boot in self._roster.advance(now):
-            node = int(name[1:])
-            self.listed[node], self._weights[node] = (condition, boot), weight
-            told.append((node, condition, boot))
-        entries = [self.entry(node) for node, *_ in told]
-        for conductor in self.world.conductors:
-            self._tell(conductor, conductor.life, entries, told)
-        due = self._roster.due(now)
-        if due is not None:
-            self.clock.at(due, self._advance)
+        for change in changes:
+            started = change.started_at is not None
+            self.environment.rules.assigner_learned(now, assigner.number, change.node, change.condition, started)
--- a/kestrelplank/emulator/network.py
+++ b/kestrelplank/emulator/network.py
@@ -1,112 +1,163 @@
-"""The network of a rehearsal, without sockets: tries on their way to nodes, and how they end."""
+"""The network of a simulation, without sockets: attempts on their way to nodes, and how they end."""
 
-from typing import Any
+from dataclasses import dataclass
 
-from kestrelplank.emulator.node import NOT_STARTED as FULL
-from kestrelplank.emulator.node import TAKEN
-from kestrelplank.emulator.part import Part
-from kestrelplank.emulator.relays import ClientOp, Relay
+from kestrelplank.emulator.client_op import ClientOp
+from kestrelplank.emulator.clients import EmulatedClients
+from kestrelplank.emulator.environment import Environment
+from kestrelplank.emulator.node import OfferResult
+from kestrelplank.emulator.proxies import EmulatedProxy
+from kestrelplank.emulator.slice_store import SliceStore
 from kestrelplank.load_balancing.operations import AttemptOutcome, Op
-
-
-class Network(Part):
-    """`first` counts first tries, `cross` tries to another zone."""
-
-    def __init__(self, world) -> None:
-        super().__init__(world, "network")
-        self.cross = self.first = 0
-        self.lives = [0] * world.script.site.nodes  # of each node's connections
-        self._timers: list[Any] = [None] * world.script.site.nodes
-
-    def way(self, one: int, other: int) -> int:
-        """The time that a message takes from one zone to another (ns)."""
-        net = self.world.script.network
-        return self.random.randint(*(net.same if one == other else net.cross))
-
-    def way_to(self, relay: Relay, node: int) -> int:
-        """The same between a relay and a node."""
-        return self.way(relay.zone, self.world.zone_of(node))
-
-    def carry(self, relay: Relay, op: Op, asked: ClientOp, node: int) -> None:
-        """A relay sends an op to a node; each end of it is told through `relay.ended`."""
-        world, now, owner = self.world, self.clock.now(), relay.tables.source(op.table)
-        way = self.way_to(relay, node)
-        self.first += len(op.attempted_nodes) == 1
-        self.cross += relay.zone != world.zone_of(node)
-        knowing = False
-        stream = relay.streams.get(owner)
-        if stream is not None and owner == world.hub.owner[op.table]:
-            since = max(stream.joined_at, world.hub.assigned_at[op.table])
-            world.rules.sent(now, relay.number, owner, node, since)
-            knowing = world.rules.knowing(now, owner, node, relay.ordered_at[owner])
-        self.reach(relay, op.number, asked, node, way, knowing)
-
-    def end(self, relay: Relay, number: int, node: int, outcome: AttemptOutcome, after: int) -> None:
-        """The relay hears after that time (ns) how a try has ended."""
-        clock = self.clock
-        clock.at(clock.now() + after, lambda: relay.when_awake(relay.ended, number, node, outcome))
-
-    def reach(self, relay: Relay, number: int, asked: ClientOp, node: int, way: int, knowing: bool) -> None:
-        """What a dial and a send meet."""
-        target, clock = self.world.nodes[node], self.clock
-        known = relay.connected.get(node) == self.lives[node]
-        if not known and target.silent:
-            self.end(relay, number, node, AttemptOutcome.REFUSED, self.world.script.relays.dial)
-        elif target.down and not target.silent:
-            self.end(relay, number, node, AttemptOutcome.REFUSED, 2 * way)
+from kestrelplank.sockets.loop import Timer
+
+OUTCOMES = {OfferResult.NOT_STARTED: AttemptOutcome.NOT_STARTED, OfferResult.FAILED: AttemptOutcome.FAILED}
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptInTransit:
+    """An attempt on its way to a node.
+
+    :param delay_ns: of the way there.
+    :param knowing: whether the proxy could know of the node's last start.
+    """
+
+    proxy: EmulatedProxy
+    number: int
+    client_op: ClientOp
+    node: int
+    delay_ns: int
+    knowing: bool
+
+
+class EmulatedNetwork:
+    """Carries attempts to nodes and their ends back."""
+
+    def __init__(self, environment: Environment, store: SliceStore, clients: EmulatedClients) -> None:
+        self._environment, self._store, self._clients = environment, store, clients
+        self._clock, self._random = environment.clock, environment.random("network")
+        self.first_attempts = self.cross_zone_attempts = 0
+        nodes = environment.script.site.nodes
+        self.generations = [0] * nodes  # of each node's connections: all of one end together
+        self._steps: list[tuple[int, Timer] | None] = [None] * nodes  # when a node is stepped next
+
+    # Delays.
+
+    def delay_ns(self, zone: int, other: int) -> int:
+        """Draw the time that a message takes from one zone to another."""
+        delays = self._environment.script.network
+        return self._random.randint(*(delays.same if zone == other else delays.cross))
+
+    def delay_to_node_ns(self, proxy: EmulatedProxy, node: int) -> int:
+        """Draw the time that a message takes between a proxy and a node."""
+        return self.delay_ns(proxy.zone, self._environment.zone_of_node(node))
+
+    # Attempts.
+
+    def send_attempt(self, proxy: EmulatedProxy, op: Op, client_op: ClientOp, node: int) -> None:
+        """Send an op to a node."""
+        delay_ns = self.delay_to_node_ns(proxy, node)
+        self.first_attempts += len(op.attempted_nodes) == 1
+        self.cross_zone_attempts += proxy.zone != self._environment.zone_of_node(node)
+        knowing = self._check_rules(proxy, op, node)
+        self.begin_attempt(AttemptInTransit(proxy, op.number, client_op, node, delay_ns, knowing))
+
+    def _check_rules(self, proxy: EmulatedProxy, op: Op, node: int) -> bool:
+        """Check the rule on drains; return whether the proxy could know of the node's last start."""
+        owner = proxy.tables.source(op.table)
+        stream = proxy.streams.get(owner) if owner is not None else None
+        if owner is None or stream is None or owner != self._store.owner[op.table]:
+            return False
+        now, rules = self._clock.now(), self._environment.rules
+        rules.attempt_sent(now, proxy.number, owner, node, max(stream.joined_at, self._store.assigned_at[op.table]))
+        return rules.knows_last_start(now, owner, node, proxy.ordered_at[owner])
+
+    def begin_attempt(self, attempt: AttemptInTransit) -> None:
+        """Dial and send, as far as the node lets either."""
+        node, proxy = self._environment.nodes[attempt.node], attempt.proxy
+        connected = proxy.connected.get(attempt.node) == self.generations[attempt.node]
+        if not connected and node.silent:
+            self.end_attempt(attempt, AttemptOutcome.REFUSED, self._environment.script.proxies.dial)
+        elif node.down and not node.silent:
+            self.end_attempt(attempt, AttemptOutcome.REFUSED, 2 * attempt.delay_ns)
         else:
-            relay.connected[node] = self.lives[node]
-            clock.at(clock.now() + way, lambda: self._offer(relay, number, asked, node, way, not known, knowing))
-
-    def _offer(self, relay: Relay, number: int, asked: ClientOp, node: int, way: int, new: bool, knowing: bool) -> None:
-        target, now = self.world.nodes[node], self.clock.now()
-        if target.down and not target.silent:
-            self.end(relay, number, node, AttemptOutcome.RESET, way)
+            proxy.connected[attempt.node] = self.generations[attempt.node]
+            arrives_at = self._clock.now() + attempt.delay_ns
+            self._clock.at(arrives_at, lambda: self._offer(attempt, new_connection=not connected))
+
+    def _offer(self, attempt: AttemptInTransit, *, new_connection: bool) -> None:
+        node, client_op = self._environment.nodes[attempt.node], attempt.client_op
+        if node.down and not node.silent:
+            self.end_attempt(attempt, AttemptOutcome.RESET, attempt.delay_ns)
             return
-        told = target.offer(now, number, asked.op_type, asked.work, asked.key, new, knowing)
-        self.world.rules.pushed(node, target.worst_push)
-        if target.silent:
+        result = node.offer(
+            self._clock.now(),
+            attempt.number,
+            client_op.op_type,
+            client_op.work,
+            client_op.key,
+            new_connection=new_connection,
+            knowing=attempt.knowing,
+        )
+        self._environment.rules.cold_node_loaded(attempt.node, node.worst_overload)
+        if node.silent:
             return
-        if told == TAKEN:
-            self.look_at(node)
+        if result is OfferResult.TAKEN:
+            self.schedule_step(attempt.node)
         else:
-            self.end(relay, number, node, AttemptOutcome.NOT_STARTED if told == FULL else AttemptOutcome.FAILED, way)
-
-    def hang_up(self, relay: Relay, number: int, node: int) -> None:
-        """The relay no longer wants that try."""
-        clock = self.clock
-        clock.at(clock.now() + self.way_to(relay, node), lambda: self.cancel(node, number))
-
-    def cancel(self, node: int, number: int) -> None:
-        """A node hears that nobody waits for an op."""
-        if not self.world.nodes[node].silent:
-            self.world.nodes[node].cancel(self.clock.now(), number)
-            self.look_at(node)
-
-    def look_at(self, node: int) -> None:
-        """Sees to it that the node is stepped when its next op ends; never later than was asked before."""
-        due, timer = self.world.nodes[node].due(self.clock.now()), self._timers[node]
-        if due is None or timer is not None and timer[0] <= due:
+            self.end_attempt(attempt, OUTCOMES[result], attempt.delay_ns)
+
+    def end_attempt(self, attempt: AttemptInTransit, outcome: AttemptOutcome, after_ns: int) -> None:
+        """Let the proxy learn after that time how an attempt has ended."""
+        self.notify_proxy(attempt.proxy, attempt.number, attempt.node, outcome, after_ns)
+
+    def notify_proxy(
+        self, proxy: EmulatedProxy, number: int, node: int, outcome: AttemptOutcome, after_ns: int
+    ) -> None:
+        """Let the proxy learn after that time how the attempt of an op at that node has ended."""
+        self._clock.at(
+            self._clock.now() + after_ns,
+            lambda: proxy.when_awake(lambda: proxy.attempt_ended(number, node, outcome)),
+        )
+
+    def cancel_attempt(self, proxy: EmulatedProxy, number: int, node: int) -> None:
+        """Let the node learn that the proxy no longer wants an attempt."""
+        arrives_at = self._clock.now() + self.delay_to_node_ns(proxy, node)
+        self._clock.at(arrives_at, lambda: self.cancel_at_node(node, number))
+
+    # Nodes.
+
+    def cancel_at_node(self, node: int, number: int) -> None:
+        """Tell a node that nobody waits for an op any more."""
+        if not self._environment.nodes[node].silent:
+            self._environment.nodes[node].cancel(self._clock.now(), number)
+            self.schedule_step(node)
+
+    def schedule_step(self, node: int) -> None:
+        """See to it that the node is stepped when its next op ends; never later than was scheduled before."""
+        due, scheduled = self._environment.nodes[node].next_step_at(self._clock.now()), self._steps[node]
+        if due is None or scheduled is not None and scheduled[0] <= due:
             return
-        if timer is not None:
-            timer[1].cancel()
-        self._timers[node] = due, self.clock.at(due, lambda: self._step(node))
+        if scheduled is not None:
+            scheduled[1].cancel()
+        self._steps[node] = due, self._clock.at(due, lambda: self._step(node))
 
     def _step(self, node: int) -> None:
-        self._timers[node] = None
-        for number, _ in self.world.nodes[node].step(self.clock.now()):
-            self.done(node, number)
-        self.look_at(node)
-
-    def done(self, node: int, number: int) -> None:
-        """A node answers an op."""
-        relay = self.world.clients.relay_of.get(number)
-        if relay is not None:
-            self.end(relay, number, node, AttemptOutcome.SUCCEEDED, self.way_to(relay, node))
-
-    def drop(self, node: int) -> None:
-        """All connections to a node end, and so do the tries on them; whether it takes new ones is its own state."""
-        self.lives[node] += 1
-        for number, relay in list(self.world.clients.relay_of.items()):
-            if number in relay.ops and relay.ops[number].op.node == node:
-                self.end(relay, number, node, AttemptOutcome.RESET, self.way_to(relay, node))
+        self._steps[node] = None
+        for number in self._environment.nodes[node].step(self._clock.now()):
+            self.op_done(node, number)
+        self.schedule_step(node)
+
+    def op_done(self, node: int, number: int) -> None:
+        """Send a node's answer to an op."""
+        proxy = self._clients.proxy_of.get(number)
+        if proxy is not None:
+            delay_ns = self.delay_to_node_ns(proxy, node)
+            self.notify_proxy(proxy, number, node, AttemptOutcome.SUCCEEDED, delay_ns)
+
+    def drop_connections(self, node: int) -> None:
+        """End all connections to a node, and the attempts on them; whether it takes new ones is its own state."""
+        self.generations[node] += 1
+        for number, proxy in list(self._clients.proxy_of.items()):
+            if number in proxy.ops and proxy.ops[number].op.node == node:
+                self.notify_proxy(proxy, number, node, AttemptOutcome.RESET, self.delay_to_node_ns(proxy, node))
--- a/kestrelplank/emulator/node.py
+++ b/kestrelplank/emulator/node.py
@@ -1,207 +1,216 @@
-"""An emulated order node without I/O: cores, slots, a waiting room, warm-up, a cache of keys, and faults.
+"""An emulated order node without I/O: cores, slots, a queue, warm-up, a cache of keys, and faults.
 
-Time goes in with each call, in whole ns. All running ops share the cores evenly, so each advances at one pace; `V` is
-what an op that ran throughout would have had done by now, and an op ends when V has grown by its work. That makes a
+All running ops share the cores evenly, so each advances at one pace (processor sharing); the progress is what an op
+that ran throughout would have had done by now, and an op ends when the progress has grown by its work. That makes a
 step cost the logarithm of what runs, and the sum of work done is the pace times who shared it, never over cores x time.
 """
 
 import heapq
 from collections import Counter, deque
 from collections.abc import Callable
+from enum import Enum
 from random import Random
 
-from msgspec import Struct
+from kestrelplank.emulator.node_faults import NodeFaultKind, NodeFaults
+from kestrelplank.emulator.script_sections import NodeKind
+from kestrelplank.time_units import MILLISECOND
 
-from kestrelplank.settings.ini import Count, Number, Share, Span
+COLD_STEP_NS = 50 * MILLISECOND  # a cold node's pace grows: it is looked at anew that often
+OVERLOAD_TOLERANCE = 1.1  # of what makes a cold node fall, for chance
+COMPLETION_TOLERANCE = 0.5  # ns of work that may be missing at an op's end
 
-GLIDE = 50_000_000  # a cold node's pace grows: it is looked at anew so often
-SLACK = 1.1  # of what pushes a cold node over, for chance
-TAKEN, NOT_STARTED, FAILED, ACKED = "taken", "not started", "failed", "acked"
 
+class OfferResult(Enum):
+    """What becomes of an op that is offered to a node."""
 
-class Kind(Struct, frozen=True, kw_only=True):
-    """What a node is. `speed` is work done a core and second; of work and warm-up see the fields' units."""
+    TAKEN = "taken"
+    NOT_STARTED = "not started"
+    FAILED = "failed"
 
-    cores: Count = 3
-    slots: Count = 6  # ops that run at once
-    room: Count = 36  # ops that wait; one more is told that it is not started
-    speed: Number = 1.0
-    warm_up: Span = 10_000_000_000
-    warm_work: Span = 0  # above 0: warm by so much work done instead of by time
-    cold_from: Share = 0.3
-    fall_multiple: Number = 3.0  # sent more than so many times its present capacity
-    tip_after: Span = 3_000_000_000  # over so long, a cold node falls and stays down
-    connection: Span = 2_500_000  # work that a new connection costs
-    keys: Count = 600  # remembered
-    key_for: Span = 16_000_000_000
-    key_gain: Share = 0.5  # less work for a key it remembers
-    cancel: str = "waiting"  # what an op's cancel ends: waiting, all or none
 
+class NodeOp:
+    """An op at a node; it ends when the node's progress has come to `ends_at`."""
 
-class Run:
     __slots__ = ("number", "op_type", "work", "ends_at")
 
     def __init__(self, number: int, op_type: int, work: float) -> None:
         self.number, self.op_type, self.work, self.ends_at = number, op_type, work, 0.0
 
 
-class Node:
-    """`on_run(number, op_type)` is called when an op begins to run: from then on its effect counts as made.
-    `on_fall()` when it was pushed over. `down` nodes refuse connections, `silent` ones swallow all."""
+class EmulatedNode:
+    """One node.
+
+    A node that is `down` refuses connections, one that is `silent` swallows all.
+
+    Invariants: no more ops run than there are slots, and no more work is done than the cores can do (test
+    `test_work_is_never_over_cores_times_time_and_nothing_acked_has_not_run`).
+
+    :param on_run: called with number and op type when an op begins to run: from then on its effect counts as made.
+    :param on_fall: called when the node fell as it was sent too much while cold.
+    """
 
     def __init__(
-        self, kind: Kind, random: Random, now: int, on_run: Callable[[int, int], None], on_fall: Callable[[], None]
+        self, kind: NodeKind, random: Random, now: int, on_run: Callable[[int, int], None], on_fall: Callable[[], None]
     ) -> None:
         self.kind, self._random, self._on_run, self._on_fall = kind, random, on_run, on_fall
-        self._base, self._looked, self._started, self._warm_from = 0.0, now, now, None
-        self._running: list[tuple[float, int, Run]] = []
-        self._waiting: dict[int, Run] = {}
+        self._progress, self._advanced_at, self._started_at = 0.0, now, now
+        self._warming_from: float | None = None  # the work done when it started; None: it is warm
+        self._running: list[tuple[float, int, NodeOp]] = []
+        self._waiting: dict[int, NodeOp] = {}
         self._sent: deque[tuple[int, float, float]] = deque()  # while cold: when, work, and work sent knowingly
-        self._sent_sum, self._known_sum, self._order = 0.0, 0.0, 0
-        self._keys: dict[int, int] = {}
-        self._faults: dict[object, tuple[str, float]] = {}
+        self._sent_work, self._knowing_work, self._last_order = 0.0, 0.0, 0
+        self._key_seen_at: dict[int, int] = {}
+        self.faults = NodeFaults()
         self.down, self.fallen, self.work_done = False, False, 0.0
-        self.worst_push = 0.0  # of what was mostly sent knowingly, against the budget: over 1 breaks the rule
+        self.worst_overload = 0.0  # of what was mostly sent knowingly, against the budget: over 1 breaks the rule
         self.counts: Counter[str] = Counter()
 
-    # Faults. Several may hold at once; each is taken away by the name under which it was set.
+    # Faults and the process.
 
-    def fault(self, now: int, name: object, kind: str, strength: float) -> None:
-        """kinds: stall, silent, slow (times slower), fail (share of ops at once), mute (share of answers lost)."""
+    def add_fault(self, now: int, name: object, kind: NodeFaultKind, strength: float) -> None:
+        """Let a fault hold, until it is removed by its name."""
         self._advance(now)
-        self._faults[name] = kind, strength
+        self.faults.add(name, kind, strength)
 
-    def mend(self, now: int, name: object) -> None:
+    def remove_fault(self, now: int, name: object) -> None:
+        """Let a fault end."""
         self._advance(now)
-        self._faults.pop(name, None)
-        self._fill()
-
-    def faults(self) -> list[tuple[str, float]]:
-        """Kind and strength of what holds now."""
-        return list(self._faults.values())
-
-    def _has(self, *kinds: str) -> bool:
-        return any(kind in kinds for kind, _ in self._faults.values())
-
-    def _most(self, kind: str) -> float:
-        return max((strength for name, strength in self._faults.values() if name == kind), default=0.0)
+        self.faults.remove(name)
+        self._fill_slots()
 
     @property
     def silent(self) -> bool:
-        return self._has("silent")
+        """Whether it is out of reach."""
+        return self.faults.has(NodeFaultKind.SILENT)
 
     def kill(self, now: int) -> None:
-        """The process ends: all that it had is lost."""
+        """End the process: all that it had is lost."""
         self._advance(now)
         self.down = True
         self._running, self._waiting = [], {}
-        self._keys.clear()
+        self._key_seen_at.clear()
+
+    def start(self, now: int, *, keeps_queue: bool = False) -> None:
+        """Start the process, cold, unless it has fallen.
 
-    def start(self, now: int, keeps_queue: bool = False) -> None:
-        """It comes (back) cold, unless it has fallen; with what waited, where its machine had only been out of
-        reach."""
+        :param keeps_queue: with what waited, as its machine had only been out of reach.
+        """
         if self.fallen:
             return
         self._advance(now)
         waiting = self._waiting if keeps_queue else {}
         self.kill(now)
-        self.down, self._started, self._warm_from, self._waiting = False, now, self.work_done, waiting
+        self.down, self._started_at, self._warming_from, self._waiting = False, now, self.work_done, waiting
         self._sent.clear()
-        self._sent_sum = self._known_sum = 0.0
-        self._fill()
+        self._sent_work = self._knowing_work = 0.0
+        self._fill_slots()
 
-    # Work.
+    # Progress.
 
-    def warmth(self, now: int) -> float:
-        """The share of its capacity that it has by now."""
+    def capacity_share(self, now: int) -> float:
+        """Return the share of its capacity that it has by now."""
         kind = self.kind
-        if self._warm_from is None:
+        if self._warming_from is None:
             return 1.0
         if kind.warm_work:
-            part = (self.work_done - self._warm_from) / kind.warm_work
+            warmed = (self.work_done - self._warming_from) / kind.warm_work
         else:
-            part = (now - self._started) / kind.warm_up if kind.warm_up else 1.0
-        return min(1.0, kind.cold_from + (1 - kind.cold_from) * part)
+            warmed = (now - self._started_at) / kind.warm_up if kind.warm_up else 1.0
+        return min(1.0, kind.cold_from + (1 - kind.cold_from) * warmed)
 
-    def _pace(self, warmth: float) -> float:
-        if not self._running or self.down or self._has("stall", "silent"):
+    def _pace(self, capacity_share: float) -> float:
+        """Return the work that each running op has done in 1 ns."""
+        if not self._running or self.down or self.faults.stands_still:
             return 0.0
-        slow = 1.0
-        for kind, strength in self._faults.values():
-            if kind == "slow":
-                slow *= strength
-        return self.kind.speed * warmth * min(1.0, self.kind.cores / len(self._running)) / slow
+        share_of_cores = min(1.0, self.kind.cores / len(self._running))
+        return self.kind.speed * capacity_share * share_of_cores / self.faults.slowdown()
 
     def _advance(self, now: int) -> None:
-        if now <= self._looked:
+        if now <= self._advanced_at:
             return
-        warmth = 1.0 if self._warm_from is None else (self.warmth(self._looked) + self.warmth(now)) / 2
-        done = self._pace(warmth) * (now - self._looked)
-        self._base += done
+        share = 1.0
+        if self._warming_from is not None:
+            share = (self.capacity_share(self._advanced_at) + self.capacity_share(now)) / 2
+        done = self._pace(share) * (now - self._advanced_at)
+        self._progress += done
         self.work_done += done * len(self._running)
-        self._looked = now
-        if self._warm_from is not None and self.warmth(now) >= 1.0:
-            self._warm_from = None
+        self._advanced_at = now
+        if self._warming_from is not None and self.capacity_share(now) >= 1.0:
+            self._warming_from = None
+
+    # Ops.
 
     def offer(
-        self, now: int, number: int, op_type: int, work: float, key: int, new_connection: bool, knowing: bool = True
-    ) -> str:
-        """One try of an op comes in, with the work (ns of one core at speed 1) that it would be to a node that
-        does not know its key; `knowing`: whoever sent it could know of the node's last start. Returns taken, not
-        started or failed."""
+        self, now: int, number: int, op_type: int, work: float, key: int, *, new_connection: bool, knowing: bool = True
+    ) -> OfferResult:
+        """Take one attempt of an op, or not.
+
+        :param work: what the op is to a node that does not know its key, in ns of one core at speed 1.
+        :param knowing: whether the sender could know of the node's last start.
+        """
         self._advance(now)
-        self._push(now, work, work if knowing else 0.0)
+        self._count_cold_load(now, work, work if knowing else 0.0)
         if self.down:
-            return NOT_STARTED
-        if self._has("fail") and self._random.random() < self._most("fail"):
-            self.counts[FAILED] += 1
-            return FAILED
-        if len(self._waiting) >= self.kind.room and not self._has("stall", "silent"):
-            self.counts[NOT_STARTED] += 1
-            return NOT_STARTED
-        if now - self._keys.pop(key, -self.kind.key_for) < self.kind.key_for:
+            return OfferResult.NOT_STARTED
+        if self.faults.has(NodeFaultKind.FAIL) and self._random.random() < self.faults.strongest(NodeFaultKind.FAIL):
+            return self._counted(OfferResult.FAILED)
+        if len(self._waiting) >= self.kind.room and not self.faults.stands_still:
+            return self._counted(OfferResult.NOT_STARTED)
+        work = self._work_with_key(now, work, key) + (self.kind.connection if new_connection else 0)
+        self._waiting[number] = NodeOp(number, op_type, work)
+        self._fill_slots()
+        return self._counted(OfferResult.TAKEN)
+
+    def _counted(self, result: OfferResult) -> OfferResult:
+        self.counts[result.value] += 1
+        return result
+
+    def _work_with_key(self, now: int, work: float, key: int) -> float:
+        """Return the op's work, which is less for a key that is remembered; the key is remembered from now on."""
+        if now - self._key_seen_at.pop(key, -self.kind.key_for) < self.kind.key_for:
             work *= 1 - self.kind.key_gain
-        self._keys[key] = now
-        if len(self._keys) > self.kind.keys:
-            del self._keys[next(iter(self._keys))]
-        self._waiting[number] = Run(number, op_type, work + (self.kind.connection if new_connection else 0))
-        self.counts[TAKEN] += 1
-        self._fill()
-        return TAKEN
-
-    def _push(self, now: int, work: float, known: float) -> None:
-        """A cold node has a budget: what is sent in any span must stay under the multiple of what it can do by
-        then. Any work pushes it over; the rule is broken where two thirds of it was sent knowingly."""
-        if self._warm_from is None or self.down:
+        self._key_seen_at[key] = now
+        if len(self._key_seen_at) > self.kind.keys:
+            del self._key_seen_at[next(iter(self._key_seen_at))]
+        return work
+
+    def _count_cold_load(self, now: int, work: float, knowing_work: float) -> None:
+        """Let a cold node fall if it was sent more than its budget.
+
+        What is sent in any `tip_after` must stay under the multiple of what the node can do by then. Any work makes it
+        fall; the rule is broken where two thirds of it were sent knowingly.
+        """
+        if self._warming_from is None or self.down:
             return
-        span = self.kind.tip_after
-        self._sent.append((now, work, known))
-        self._sent_sum += work
-        self._known_sum += known
-        while self._sent[0][0] <= now - span:
-            _, old, old_known = self._sent.popleft()
-            self._sent_sum -= old
-            self._known_sum -= old_known
-        capacity = self.kind.cores * self.kind.speed * self.warmth(now)
-        push = self._sent_sum / (self.kind.fall_multiple * capacity * span * SLACK) if span else 0.0
-        if self._known_sum * 3 >= self._sent_sum * 2:
-            self.worst_push = max(self.worst_push, push)
-        if push > 1:
+        kind = self.kind
+        self._sent.append((now, work, knowing_work))
+        self._sent_work += work
+        self._knowing_work += knowing_work
+        while self._sent[0][0] <= now - kind.tip_after:
+            _, old_work, old_knowing_work = self._sent.popleft()
+            self._sent_work -= old_work
+            self._knowing_work -= old_knowing_work
+        capacity = kind.cores * kind.speed * self.capacity_share(now)
+        budget = kind.fall_multiple * capacity * kind.tip_after * OVERLOAD_TOLERANCE
+        overload = self._sent_work / budget if kind.tip_after else 0.0
+        if self._knowing_work * 3 >= self._sent_work * 2:
+            self.worst_overload = max(self.worst_overload, overload)
+        if overload > 1:
             self.kill(now)
             self.fallen = True
             self._on_fall()
 
-    def _fill(self) -> None:
-        """Free slots go to who waits longest. A node that stands still reads nothing."""
-        while self._waiting and len(self._running) < self.kind.slots and not self._has("stall", "silent"):
-            run = self._waiting.pop(next(iter(self._waiting)))
-            run.ends_at = self._base + run.work
-            self._order += 1
-            heapq.heappush(self._running, (run.ends_at, self._order, run))
-            self._on_run(run.number, run.op_type)
+    def _fill_slots(self) -> None:
+        """Give free slots to who waits longest. A node that stands still reads nothing."""
+        while self._waiting and len(self._running) < self.kind.slots and not self.faults.stands_still:
+            op = self._waiting.pop(next(iter(self._waiting)))
+            op.ends_at = self._progress + op.work
+            self._last_order += 1
+            heapq.heappush(self._running, (op.ends_at, self._last_order, op))
+            self._on_run(op.number, op.op_type)
 
     def cancel(self, now: int, number: int) -> None:
-        """Whoever asked has gone."""
+        """Take note that nobody waits for an op any more."""
         self._advance(now)
         if self.kind.cancel == "none":
             return
@@ -210,29 +219,30 @@
             if len(kept) < len(self._running):
                 heapq.heapify(kept)
                 self._running = kept
-                self._fill()
+                self._fill_slots()
 
-    def due(self, now: int) -> int | None:
-        """When to call `step` next, if nothing else happens; None while nothing advances."""
+    def next_step_at(self, now: int) -> int | None:
+        """Return when to call `step`, if nothing else happens; None while nothing advances."""
         self._advance(now)
-        pace = self._pace(self.warmth(now))
+        pace = self._pace(self.capacity_share(now))
         if not pace:
             return None
-        ends = now + max(1, int((self._running[0][0] - self._base) / pace) + 1)
-        return ends if self._warm_from is None else min(ends, now + GLIDE)
+        ends_at = now + max(1, int((self._running[0][0] - self._progress) / pace) + 1)
+        return ends_at if self._warming_from is None else min(ends_at, now + COLD_STEP_NS)
 
-    def step(self, now: int) -> list[tuple[int, str]]:
-        """Ops that have ended by now, with how; none of those whose answer a fault swallows."""
+    def step(self, now: int) -> list[int]:
+        """Return the ops that have ended by now, but for those whose answer a fault swallows."""
         self._advance(now)
         ended = []
-        while self._running and self._running[0][0] <= self._base + 0.5:
-            run = heapq.heappop(self._running)[2]
-            self.counts[ACKED] += 1
-            if not (self._has("mute") and self._random.random() < self._most("mute")):
-                ended.append((run.number, ACKED))
-        self._fill()
+        while self._running and self._running[0][0] <= self._progress + COMPLETION_TOLERANCE:
+            op = heapq.heappop(self._running)[2]
+            self.counts["acked"] += 1
+            mute = self.faults.has(NodeFaultKind.MUTE)
+            if not (mute and self._random.random() < self.faults.strongest(NodeFaultKind.MUTE)):
+                ended.append(op.number)
+        self._fill_slots()
         return ended
 
     def load(self) -> tuple[int, int]:
-        """Ops that run, and that wait."""
+        """Return how many ops run, and how many wait."""
         return len(self._running), len(self._waiting)
--- /dev/null
+++ b/kestrelplank/emulator/node_files.py
@@ -0,0 +1,145 @@
+"""Node lists in files in place of discovery, edited by the script: the cores of `state/` over texts, without a disk."""
+
+from collections.abc import Sequence
+
+from kestrelplank.emulator.assigners import Assigner
+from kestrelplank.emulator.discovery import Discovery, ListedNode, NodeChange
+from kestrelplank.emulator.environment import Environment
+from kestrelplank.emulator.script_sections import Fault, NodeFileGuards
+from kestrelplank.file_discovery import nodelist
+from kestrelplank.interface import NodeCondition, NodeEntry
+from kestrelplank.settings.ini import Unusable
+from kestrelplank.state import guards, roster
+from kestrelplank.state.intake import SETTLED, Debounce, Intake, Outcome
+from kestrelplank.state.nodeset import Listed, NodeSet, Part
+from kestrelplank.state.sealed import digest_of
+
+FILE_NAME = "nodes.ini"
+FIRST_PORT = 9000
+
+
+class NodeFiles(Discovery):
+    """A list that the operator edits. Which processes run, nobody tells."""
+
+    def __init__(self, environment: Environment, assigners: Sequence[Assigner], settings: NodeFileGuards) -> None:
+        super().__init__(environment, assigners)
+        self._nodes = {f"n{node}": self._listed(node) for node in range(environment.script.site.nodes)}
+        self._intake = Intake(guards.Terms(settings.most_closed, settings.stand, False))
+        self._debounce = Debounce(settings.quiet)
+        self._roster = roster.Roster(roster.Terms(environment.script.rules.grace, settings.weight_step))
+        self._text: bytes | None = self._complete_text()
+        self._weights = [1.0] * len(self._nodes)
+        self._read_first_list(settings.quiet)
+
+    def _listed(self, node: int) -> Listed:
+        zone = self.environment.script.site.zones[self.environment.zone_of_node(node)]
+        return Listed(zone, f"127.0.0.1:{FIRST_PORT + node}")
+
+    def _complete_text(self) -> bytes:
+        return nodelist.written(NodeSet(self._nodes)).encode()
+
+    def _read_first_list(self, quiet_ns: int) -> None:
+        now = self.clock.now()
+        self._read_at(now)
+        self._read_at(now + quiet_ns)
+        self._accept(now)
+        self._roster.whole()
+
+    def entry(self, node: int) -> NodeEntry:
+        """Return a node as assigners learn of it, with its weight."""
+        return super().entry(node)._replace(weight=self._weights[node])
+
+    def change(
+        self, nodes: list[int], condition: NodeCondition, started_at: int | None, delay_range_ns: tuple[int, int]
+    ) -> None:
+        """Do nothing: a file does not know of processes."""
+
+    # Edits.
+
+    def save_edit(self, fault: Fault, nodes: list[int]) -> None:
+        """Save the file as the script says."""
+        if fault.how == "gone":
+            self._save(None)
+        elif fault.how == "empty":
+            self._save(b"")
+        else:
+            self._save(self._edited_text(fault, nodes).encode())
+
+    def _edited_text(self, fault: Fault, nodes: list[int]) -> str:
+        edited = dict(self._nodes)
+        for name in (f"n{node}" for node in nodes):
+            if fault.how == "remove":
+                del edited[name]
+            elif fault.how == "drain":
+                edited[name] = edited[name]._replace(draining=True)
+            elif fault.how == "weight":
+                edited[name] = edited[name]._replace(weight=edited[name].weight * (fault.strength or 0.0))
+        text: str = nodelist.written(NodeSet(edited))
+        if fault.how == "torn":
+            return text[: self.random.randrange(1, len(text) - 1)]
+        if fault.how == "twice":
+            first = next(iter(edited))
+            return text.replace(f"# end {len(edited)}", f"{first} = 127.0.0.1:1\n# end {len(edited) + 1}")
+        return text
+
+    def restore(self) -> None:
+        """Save the complete list again."""
+        self._save(self._complete_text())
+
+    def _save(self, text: bytes | None) -> None:
+        self._text = text
+        self._read()
+
+    # Reading.
+
+    def _read(self) -> None:
+        now = self.clock.now()
+        outcome = self._read_at(now)
+        if isinstance(outcome, int):
+            self.clock.at(outcome, self._read)
+        elif outcome is not None:
+            self.environment.score.event(now, f"list {outcome.how}: {outcome.why}", [])
+            if outcome.how == "accepted":
+                self._accept(now)
+                self._advance()
+        if self._intake.due is not None:
+            self.clock.at(self._intake.due, self._read)
+
+    def _accept(self, now: int) -> None:
+        """Let the list that is in force be the one to come to, step by step."""
+        accepted = self._intake.force
+        assert accepted is not None, "a list is in force once it has been decided"
+        self._roster.accept(now, accepted)
+
+    def _read_at(self, now: int) -> int | Outcome | None:
+        """Return when to read again, or what has been decided."""
+        step = self._debounce.see(now, FILE_NAME, None if self._text is None else digest_of(self._text))
+        if isinstance(step, int):
+            return step
+        if step == SETTLED:
+            self._intake.take(FILE_NAME, self._parsed())
+        decided: Outcome | None = self._intake.decide(now)
+        return decided
+
+    def _parsed(self) -> Part | str:
+        """Return the list, or why it can't be used."""
+        if self._text is None:
+            return f"{FILE_NAME}: there is no such file"
+        try:
+            return nodelist.read(FILE_NAME, self._text, 2 * len(self._nodes), True)
+        except Unusable as err:
+            return str(err)
+
+    def _advance(self) -> None:
+        """Let assigners learn of the next step towards the list that was accepted."""
+        now, changes = self.clock.now(), []
+        for name, condition, _, _, weight, started_at in self._roster.advance(now):
+            node = int(name[1:])
+            self.listed[node], self._weights[node] = ListedNode(condition, started_at), weight
+            changes.append(NodeChange(node, condition, started_at))
+        entries = [self.entry(change.node) for change in changes]
+        for assigner in self.assigners:
+            self.notify_changes(assigner, entries, changes)
+        due = self._roster.due(now)
+        if due is not None:
+            self.clock.at(due, self._advance)
--- a/kestrelplank/emulator/rehearsal.py
+++ b/kestrelplank/emulator/rehearsal.py
@@ -1,55 +1,68 @@
-"""One rehearsal from script and seed, on the virtual clock, as a report that is equal byte for byte each time."""
+"""One rehearsal from script and seed, on the virtual clock, with a report that is equal byte for byte each time."""
 
 from collections.abc import Callable
-from typing import Any
 
-from kestrelplank.emulator.clock import Clock
-from kestrelplank.emulator.oracle import OracleWorld
-from kestrelplank.emulator.script import MS, Script
-from kestrelplank.emulator.world import World
+import msgspec
+
+from kestrelplank.emulator.assigners import PolicyFactory
+from kestrelplank.emulator.ideal_placement import IdealPlacementSimulation
+from kestrelplank.emulator.script import Script
+from kestrelplank.emulator.simulation import Simulation
+from kestrelplank.emulator.virtual_clock import VirtualClock
 from kestrelplank.load_balancing.operations import PROOFS_NOT_EXECUTED, AttemptOutcome
 from kestrelplank.policy import Policy
+from kestrelplank.time_units import MILLISECOND
 
-FORM = 1  # of the report
-STEP = 500 * MS  # of virtual time between two calls of progress
+REPORT_FORMAT = 1
+STEP_NS = 500 * MILLISECOND  # of virtual time between two calls of progress
+FIRST_INSTANT = 1_000_000_000_000  # a node's start is never 0, which would mean long ago
 
 
 def play(
     script: Script,
     seed: int,
-    policy: Callable[..., Any] = Policy,
+    make_policy: PolicyFactory = Policy,
     proofs: tuple[AttemptOutcome, ...] = PROOFS_NOT_EXECUTED,
-    progress: Callable[[float], None] = lambda done: None,
-    knowing: bool = False,
-) -> dict:
-    """Plays it, tells progress as shares of its length, and returns the report. `knowing`: slices are placed by who
-    knows the truth, the upper mark."""
-    clock = Clock(1_000_000_000_000)  # a node's start is never 0, which would mean long ago
-    world = OracleWorld(script, seed, clock) if knowing else World(script, seed, clock, policy, proofs)
-    world.start()
-    while clock.now() < world.over:
-        clock.run(min(world.over, clock.now() + STEP))
-        progress((clock.now() - world.begun) / (world.over - world.begun))
-    return report(world, "virtual")
-
-
-def report(world: World, how: str) -> dict:
-    """What a played world has shown. The module has no part in any figure here."""
-    world.rules.close(world.clock.now())
-    site = world.script.site
+    on_progress: Callable[[float], None] = lambda _share: None,
+    *,
+    ideal_placement: bool = False,
+) -> dict[str, object]:
+    """Play a script and return the report.
+
+    :param on_progress: called now and then with the share of its length that has passed.
+    :param ideal_placement: slices are placed by who knows the truth, the upper mark.
+    """
+    clock = VirtualClock(FIRST_INSTANT)
+    if ideal_placement:
+        simulation: Simulation = IdealPlacementSimulation(script, seed, clock)
+    else:
+        simulation = Simulation(script, seed, clock, make_policy, proofs)
+    simulation.play(clock.run, STEP_NS, on_progress)
+    return report(simulation, "virtual")
+
+
+def report(simulation: Simulation, how: str) -> dict[str, object]:
+    """Return what a played simulation has shown. The policies have no part in any figure here."""
+    environment, store, network = simulation.environment, simulation.store, simulation.network
+    rules, score, site = environment.rules, environment.score, simulation.script.site
+    rules.close(simulation.clock.now())
     return {
-        "form": FORM,
+        "form": REPORT_FORMAT,
         "how": how,
-        "seed": world.seed,
+        "seed": simulation.seed,
         "site": {"nodes": site.nodes, "relays": site.relays, "conductors": site.conductors, "slices": site.slices},
-        **world.score.report(),
-        "rules": world.rules.report(),
-        "broken": world.rules.broken(),
-        "duplicates": {name: world.rules.duplicates[name] for name in world.names},
-        "acked_without_a_run": world.score.unproved,
-        "second_tries": sum(relay.attempts.counts["second_tries"] for relay in world.relays),
-        "channel": {"messages": world.hub.messages, "lines": world.hub.line_count, "moves": world.hub.moves},
-        "cross_zone": round(world.network.cross / world.network.first, 4) if world.network.first else 0.0,
-        "events": world.score.events,
-        "timelines": world.score.timelines(),
+        **score.report(),
+        "rules": msgspec.to_builtins(rules.report()),
+        "broken": rules.broken(),
+        "duplicates": {name: rules.duplicates[name] for name in environment.op_type_names},
+        "acked_without_a_run": score.acked_without_a_run,
+        "second_tries": sum(proxy.attempts.counts["second_tries"] for proxy in simulation.proxies),
+        "channel": {"messages": store.messages, "lines": store.orders_sent, "moves": store.moves},
+        "cross_zone": _share(network.cross_zone_attempts, network.first_attempts),
+        "events": score.events,
+        "timelines": score.timelines(),
     }
+
+
+def _share(part: int, total: int) -> float:
+    return round(part / total, 4) if total else 0.0
--- a/kestrelplank/emulator/script.py
+++ b/kestrelplank/emulator/script.py
@@ -1,294 +1,163 @@
-"""A rehearsal's script: the site, its load over time, and faults, from an INI file. Whole and checked, or Unusable."""
+"""A rehearsal's script: the site, its load over time, and faults, from an INI file; checked, or refused."""
 
-import re
-from typing import Annotated, Literal
+from msgspec import Struct
 
-from msgspec import Meta, Struct
+from kestrelplank.emulator.fault_selector import FaultSelector, parse_selector
+from kestrelplank.emulator.script_sections import (
+    Channel,
+    ClientBehaviour,
+    DiscoveryDelays,
+    Fault,
+    Load,
+    NetworkDelays,
+    NodeFileGuards,
+    NodeKind,
+    OpType,
+    ProxyBehaviour,
+    Reports,
+    RuleLimits,
+    Site,
+)
+from kestrelplank.settings.ini import Ini, Section
 
-from kestrelplank.emulator.node import Kind
-from kestrelplank.settings.ini import Count, Flag, Ini, Number, Section, Share, Span, Spans, Words
+CANCEL_MODES = ("waiting", "all", "none")
+SHARE_TOLERANCE = 1e-6
 
-MS = 1_000_000
-Some = Annotated[Count, Meta(ge=1)]
 
+class ScheduledFault(Struct, frozen=True):
+    """A fault of the script, with its end (ns from the beginning) and whom it is for."""
 
-class Site(Struct, frozen=True, kw_only=True):
-    zones: Words
-    nodes: Some = 30
-    slices: Some = 180
-    relays: Some = 60
-    conductors: Annotated[Count, Meta(ge=1, le=40)] = 2
-    length: Span = 60_000 * MS
-    settle: Span = 6_000 * MS  # ops before that are played and not counted
-    load: Share = 0.45  # work asked for over what all nodes can do
+    name: str
+    fault: Fault
+    end_ns: int
+    selectors: tuple[FaultSelector, ...]
 
 
-class OpType(Struct, frozen=True, kw_only=True):
-    share: Share
-    work: Span
-    spread: Number = 0.6  # deviation over mean; drawn lognormal
-    target: Span
-    timeout: Span
-    value: Number = 1.0
-    effect: Literal["retryable", "deduplicated", "once-only"] = "once-only"
-
-
-class Clients(Struct, frozen=True, kw_only=True):
-    retries: Annotated[Count, Meta(le=7)] = 1  # by themselves, of what was rejected, or may run again
-    wait: Span = 100 * MS
-    slice_spread: Number = 0.7
-    keys: Some = 40  # of a slice; the first are the most asked for
-
-
-class Relays(Struct, frozen=True, kw_only=True):
-    pick: Literal["random", "rotate", "two"] = "random"
-    strikes: Count = 5
-    avoid: Spans = (4_000 * MS, 7_000 * MS)
-    hold: Span = 500 * MS
-    dial: Span = 250 * MS
-    redial: Spans = (200 * MS, 2_300 * MS)
-    notice: Spans = (370 * MS, 1_900 * MS)  # until a conductor's or relay's end is known where nothing was reset
-    apply_line: Span = 25_000
-
-
-class Channel(Struct, frozen=True, kw_only=True):
-    lines_per_s: Number = 7500.0
-    envelope: Count = 16
-    backlog: Span = 1_500 * MS  # of lines at that pace may wait
-    transit: Spans = (85 * MS, 330 * MS)
-
-
-class Reports(Struct, frozen=True, kw_only=True):
-    every: Annotated[Span, Meta(ge=10 * MS)] = 1_000 * MS
-    late: Spans = (530 * MS, 1_200 * MS)
-    intake_per_s: Some = 500
-    noise: Share = 0.1
-
-
-class Discovery(Struct, frozen=True, kw_only=True):
-    notice: Spans = (1_600 * MS, 4_400 * MS)  # that a process has ended
-    silent: Spans = (4_600 * MS, 11_000 * MS)  # that a machine is out of reach
-    add: Spans = (1_200 * MS, 2_500 * MS)
-    spread: Spans = (40 * MS, 390 * MS)  # among conductors
-
-
-class Network(Struct, frozen=True, kw_only=True):
-    same: Spans = (100_000, 320_000)
-    cross: Spans = (1_400_000, 2_600_000)
-
-
-class Rules(Struct, frozen=True, kw_only=True):
-    grace: Span = 1_500 * MS
-    bare: Span = 2_500 * MS
-    takeover: Spans = (1_000 * MS, 3_000 * MS)
-    rehome: Spans = (3_000 * MS, 12_000 * MS)
-    tick: Span = 4 * MS
-
-
-class Files(Struct, frozen=True, kw_only=True):
-    """[files]: node lists in files in place of discovery, with the operator's terms."""
-
-    quiet: Span = 200 * MS
-    most_closed: Share = 0.25
-    stand: Span = 60_000 * MS
-    weight_step: Share = 0.1
-
-
-class Load(Struct, frozen=True, kw_only=True):
-    at: Span
-    load: Share
-
-
-class Fault(Struct, frozen=True, kw_only=True):
-    kind: Literal["stall", "slow", "silent", "fail", "mute", "lost", "drain", "edit"]
-    who: Words
-    start: Span
-    length: Span | None = None
-    end: Span | None = None
-    strength: Number | None = None  # slow: times slower; fail, mute: a share; edit: times the weight
-    how: Literal["torn", "twice", "gone", "empty", "remove", "drain", "weight"] = "torn"  # edit: what is saved
-    pause: Span = 300 * MS  # stall: stands still for so long,
-    every: Span = 2_000 * MS  # so often
-    keeps_queue: Flag = False  # silent: what waited is still there when it comes back
-
-
-class Selector(Struct, frozen=True):
-    """Whom a fault is for: nodes, relays or conductors; of a zone, by number, or a share of them drawn by chance."""
-
-    kind: str
-    zone: int | None = None
-    number: int | None = None
-    share: float = 1.0
-
-    def has(self, number: int, zones: int) -> bool:
-        """Whether the one with that number, one of so many zones, may be meant."""
-        return self.zone in (None, number % zones) and self.number in (None, number)
+class Script(Struct, frozen=True, kw_only=True):
+    """All that a script says.
 
+    :param loads: from when on (ns from the beginning) the load is what, in order.
+    """
 
-class Script(Struct, frozen=True, kw_only=True):
     site: Site
-    kind: Kind
+    node_kind: NodeKind
     op_types: dict[str, OpType]
-    clients: Clients
-    relays: Relays
+    clients: ClientBehaviour
+    proxies: ProxyBehaviour
     channel: Channel
     reports: Reports
-    discovery: Discovery
-    network: Network
-    rules: Rules
-    files: Files | None
-    loads: tuple[tuple[int, float], ...]  # from when on, in order
-    faults: tuple[tuple[str, Fault, int, tuple[Selector, ...]], ...]  # name, fault, end, whom
+    discovery: DiscoveryDelays
+    network: NetworkDelays
+    rules: RuleLimits
+    node_files: NodeFileGuards | None
+    loads: tuple[tuple[int, float], ...]
+    faults: tuple[ScheduledFault, ...]
 
 
-def selector(word: str, site: Site) -> Selector:
-    """`zone Z` (its nodes), `nodes`, `relays` or `conductors` followed by `of Z`, a share or a number."""
-    found = re.fullmatch(r"(zone|node|relay|conductor)s?(?: (?:of )?(\S+))?", word)
-    if not found:
-        raise ValueError(f"expected zone, nodes, relays or conductors, got {word!r}")
-    kind, which = found.groups()
-    kind = "node" if kind == "zone" else kind
-    most = {"node": site.nodes, "relay": site.relays, "conductor": site.conductors}[kind]
-    if which is None:
-        if word.startswith("zone"):
-            raise ValueError(f"{word!r} names no zone")
-        return Selector(kind)
-    if which in site.zones:
-        return Selector(kind, zone=site.zones.index(which))
-    share = re.fullmatch(r"(\d+(?:\.\d+)?)%", which)
-    if share and 0 < float(share[1]) <= 100 and not word.startswith("zone"):
-        return Selector(kind, share=float(share[1]) / 100)
-    if which.isascii() and which.isdigit() and not word.startswith("zone"):
-        if int(which) >= most:
-            raise ValueError(f"there is no {kind} {which}: there are {most}, counted from 0")
-        return Selector(kind, number=int(which))
-    raise ValueError(f"no zone is called {which!r}; there are {', '.join(site.zones)}")
+def read_script(ini: Ini) -> Script:
+    """Return the script that a file holds.
 
-
-def fault(ini: Ini, section: Section, read: Fault, site: Site) -> tuple[str, Fault, int, tuple[Selector, ...]]:
-    if (read.length is None) == (read.end is None):
-        raise ini.fail(section, None, "give either length or end")
-    end = read.end if read.end is not None else read.start + read.length
-    if end <= read.start:
-        raise ini.fail(section, "end" if read.end is not None else "length", "the fault ends before it begins")
-    if read.start >= site.length:
-        raise ini.fail(section, "start", "the rehearsal is over by then")
-    try:
-        whom = tuple(selector(word, site) for word in read.who)
-    except ValueError as err:
-        raise ini.fail(section, "who", str(err)) from None
-    if not whom:
-        raise ini.fail(section, "who", "names nobody")
-    if any(one.kind != "node" for one in whom) and read.kind not in ("stall", "lost"):
-        raise ini.fail(section, "who", f"{read.kind} is for nodes alone")
-    if read.kind in ("fail", "mute") and not 0 < (read.strength or 0) <= 1:
-        raise ini.fail(section, "strength", "expected a share over 0 and up to 1")
-    if read.kind == "edit" and ini.find("files") is None:
-        raise ini.fail(section, "kind", "there are no node files: the script has no section [files]")
-    if read.kind == "edit" and read.how == "weight" and not read.strength:
-        raise ini.fail(section, "strength", "expected by how much weights are multiplied")
-    if read.kind == "slow" and not (read.strength or 0) > 1:
-        raise ini.fail(section, "strength", "expected how many times slower, over 1")
-    if read.kind == "stall" and not 0 < read.pause < read.every:
-        raise ini.fail(section, "pause", "a pause is shorter than the time from one to the next")
-    return section.name, read, end, whom
+    :raises Unusable: saying where, and what can't be used.
+    """
+    site = _read_site(ini)
+    script = Script(
+        site=site,
+        op_types=_read_op_types(ini),
+        loads=_read_loads(ini, site),
+        node_kind=_read_node_kind(ini),
+        clients=ini.one("clients", ClientBehaviour),
+        proxies=ini.one("relays", ProxyBehaviour),
+        channel=ini.one("channel", Channel),
+        reports=ini.one("reports", Reports),
+        discovery=ini.one("discovery", DiscoveryDelays),
+        network=ini.one("network", NetworkDelays),
+        rules=ini.one("rules", RuleLimits),
+        node_files=ini.one("files", NodeFileGuards) if ini.find("files") else None,
+        faults=tuple(_schedule(ini, section, fault, site) for section, fault in ini.each("fault", Fault)),
+    )
+    ini.finish()
+    return script
 
 
-def script(ini: Ini) -> Script:
-    """The script that a file holds; Unusable says what can't be used."""
-    site = ini.one("site", Site)
-    here = ini.find("site")
+def _read_site(ini: Ini) -> Site:
+    site, section = ini.one("site", Site), ini.find("site")
     if not site.zones or len(set(site.zones)) < len(site.zones):
-        raise ini.fail(here, "zones", "expected names of zones, each once")
+        raise ini.fail(section, "zones", "expected names of zones, each once")
     if site.settle >= site.length:
-        raise ini.fail(here, "settle", "nothing is left of the rehearsal to be counted")
+        raise ini.fail(section, "settle", "nothing is left of the rehearsal to be counted")
+    return site
+
+
+def _read_op_types(ini: Ini) -> dict[str, OpType]:
     op_types = ini.each("op", OpType)
     if not op_types:
         raise ini.fail(None, None, "no section [op NAME]")
-    if abs(sum(op.share for _, op in op_types) - 1) > 1e-6:
+    if abs(sum(op_type.share for _, op_type in op_types) - 1) > SHARE_TOLERANCE:
         raise ini.fail(op_types[-1][0], "share", "the shares of all op types do not sum to 100%")
-    for section, op in op_types:
-        if not 0 < op.target <= op.timeout:
+    for section, op_type in op_types:
+        if not 0 < op_type.target <= op_type.timeout:
             raise ini.fail(section, "target", "expected above 0 and within the op timeout")
-        if not op.work:
+        if not op_type.work:
             raise ini.fail(section, "work", "expected some")
+    return {section.name: op_type for section, op_type in op_types}
+
+
+def _read_loads(ini: Ini, site: Site) -> tuple[tuple[int, float], ...]:
     loads = [(0, site.load)]
     for section, load in ini.each("load", Load):
         if load.at < loads[-1][0]:
             raise ini.fail(section, "at", "loads stand in the order of time")
         loads.append((load.at, load.load))
-    kind = ini.one("nodes", Kind)
-    if kind.cancel not in ("waiting", "all", "none"):
+    return tuple(loads)
+
+
+def _read_node_kind(ini: Ini) -> NodeKind:
+    kind = ini.one("nodes", NodeKind)
+    if kind.cancel not in CANCEL_MODES:
         raise ini.fail(ini.find("nodes"), "cancel", f"expected waiting, all or none, got {kind.cancel!r}")
     if not (kind.cores and kind.slots and kind.speed):
         raise ini.fail(ini.find("nodes"), None, "cores, slots and speed are above 0")
-    made = Script(
-        site=site,
-        kind=kind,
-        op_types={section.name: op for section, op in op_types},
-        clients=ini.one("clients", Clients),
-        relays=ini.one("relays", Relays),
-        channel=ini.one("channel", Channel),
-        reports=ini.one("reports", Reports),
-        discovery=ini.one("discovery", Discovery),
-        network=ini.one("network", Network),
-        rules=ini.one("rules", Rules),
-        loads=tuple(loads),
-        files=ini.one("files", Files) if ini.find("files") else None,
-        faults=tuple(fault(ini, section, read, site) for section, read in ini.each("fault", Fault)),
-    )
-    ini.finish()
-    return made
+    return kind
 
 
-def conf(made: Script, ordinal: int) -> dict:
-    """The settings that a conductor of this site is given, in the form that both adapters read."""
-    ms = 1 / MS
-    site, kind, rules, channel = made.site, made.kind, made.rules, made.channel
-    return {
-        "Areas": list(site.zones),
-        "Az": site.zones[ordinal % len(site.zones)],
-        "Balancers": site.conductors,
-        "Ordinal": ordinal,
-        "Tick": rules.tick * ms,
-        "WeightSource": "nominal",
-        "Categories": [
-            {
-                "Name": name,
-                "Target": op.target * ms,
-                "Deadline": op.timeout * ms,
-                "Importance": op.value,
-                "Effect": {"retryable": "pure", "deduplicated": "token", "once-only": "side_effect"}[op.effect],
-            }
-            for name, op in made.op_types.items()
-        ],
-        "Specifics": {
-            "BaseMode": 1,
-            "Blackhole": rules.bare * ms,
-            "DataPlaneSize": site.relays,
-            "Shards": site.slices,
-            "EgressPerS": channel.lines_per_s,
-            "Envelope": channel.envelope,
-            "LevelKind": "none",
-            "MostWaiting": most_waiting(made),
-            "Pick": {"two": "p2c", "rotate": "rotate"}.get(made.relays.pick, "random"),
-            "ReportEvery": made.reports.every * ms,
-            "Strikes": made.relays.strikes,
-            "WarmKeys": kind.key_gain > 0,
-            "Transit": sum(channel.transit) / 2 * ms,
-            "WorstTransit": channel.transit[1] * ms,
-        },
-        "Rules": {
-            "ColdFrom": kind.cold_from,
-            "FallMultiple": kind.fall_multiple,
-            "WarmUp": kind.warm_up * ms,
-            "StopSendingWithin": rules.grace * ms,
-            "TipAfter": kind.tip_after * ms,
-        },
-        "Permissions": {"DialTimeout": made.relays.dial * ms, "Probes": False, "MayTell": False},
-    }
+def _schedule(ini: Ini, section: Section, fault: Fault, site: Site) -> ScheduledFault:
+    end_ns = _end_of(ini, section, fault, site)
+    try:
+        selectors = tuple(parse_selector(text, site) for text in fault.who)
+    except ValueError as err:
+        raise ini.fail(section, "who", str(err)) from None
+    if not selectors:
+        raise ini.fail(section, "who", "names nobody")
+    if any(selector.kind != "node" for selector in selectors) and fault.kind not in ("stall", "lost"):
+        raise ini.fail(section, "who", f"{fault.kind} is for nodes alone")
+    _check_fields(ini, section, fault)
+    return ScheduledFault(section.name, fault, end_ns, selectors)
+
+
+def _end_of(ini: Ini, section: Section, fault: Fault, site: Site) -> int:
+    if fault.length is not None and fault.end is None:
+        end_ns, field = fault.start + fault.length, "length"
+    elif fault.end is not None and fault.length is None:
+        end_ns, field = fault.end, "end"
+    else:
+        raise ini.fail(section, None, "give either length or end")
+    if end_ns <= fault.start:
+        raise ini.fail(section, field, "the fault ends before it begins")
+    if fault.start >= site.length:
+        raise ini.fail(section, "start", "the rehearsal is over by then")
+    return end_ns
 
 
-def most_waiting(made: Script) -> float:
-    """Lines that may wait in a conductor's channel."""
-    return made.channel.lines_per_s * made.channel.backlog / 1e9
+def _check_fields(ini: Ini, section: Section, fault: Fault) -> None:
+    """Refuse a fault whose fields don't suit its kind."""
+    strength = fault.strength or 0
+    if fault.kind in ("fail", "mute") and not 0 < strength <= 1:
+        raise ini.fail(section, "strength", "expected a share over 0 and up to 1")
+    if fault.kind == "edit" and ini.find("files") is None:
+        raise ini.fail(section, "kind", "there are no node files: the script has no section [files]")
+    if fault.kind == "edit" and fault.how == "weight" and not strength:
+        raise ini.fail(section, "strength", "expected by how much weights are multiplied")
+    if fault.kind == "slow" and not strength > 1:
+        raise ini.fail(section, "strength", "expected how many times slower, over 1")
+    if fault.kind == "stall" and not 0 < fault.pause < fault.every:
+        raise ini.fail(section, "pause", "a pause is shorter than the time from one to the next")
--- /dev/null
+++ b/kestrelplank/emulator/slice_orders.py
@@ -0,0 +1,3 @@
+"""The orders of assigners, in the form that `state.tables.Tables.apply` takes."""
+
+Order = tuple[object, ...]
--- /dev/null
+++ b/kestrelplank/emulator/slice_store.py
@@ -0,0 +1,137 @@
+"""The users' store of slices: which nodes each slice has, which assigner owns it, and each assigner's channel."""
+
+from collections.abc import Sequence
+from typing import cast
+
+from kestrelplank.emulator.assigners import Assigner
+from kestrelplank.emulator.environment import Environment
+from kestrelplank.emulator.load_profile import LoadProfile
+from kestrelplank.emulator.proxies import EmulatedProxy, OrderMessage, OrderStream
+from kestrelplank.emulator.slice_orders import Order
+from kestrelplank.interface import EndpointStored, ProxyJoined, ProxyLeft, SliceOwnership
+from kestrelplank.state.tables import with_line
+from kestrelplank.time_units import SECOND
+
+
+class SliceStore:
+    """The store and the channels.
+
+    Invariant: a slice has one owner or none; orders of others for it change nothing.
+    """
+
+    def __init__(
+        self,
+        environment: Environment,
+        load: LoadProfile,
+        proxies: Sequence[EmulatedProxy],
+        assigners: Sequence[Assigner],
+    ) -> None:
+        self._environment, self._load = environment, load
+        self._proxies, self._assigners = proxies, assigners
+        self._clock = environment.clock
+        self.random = environment.random("hub")
+        site = environment.script.site
+        self.weights: list[dict[int, float]] = [{} for _ in range(site.slices)]  # by slice, of its nodes
+        self.owner: list[int | None] = [None] * site.slices
+        self.home = [number % site.conductors for number in range(site.slices)]  # the owner when all assigners live
+        self.assigned_at = [0] * site.slices
+        self._channel_free_at = [0] * site.conductors  # when the channel will have sent all that waits
+        self.messages = self.orders_sent = self.moves = self._last_stream = 0
+
+    # Orders.
+
+    def execute(self, assigner: int, orders: list[Order]) -> None:
+        """Store one call's orders, and send them as one message to each joined proxy.
+
+        What is for a slice that the assigner does not own changes nothing.
+        """
+        valid = [order for order in orders if order[0] not in ("line", "clear") or self._owner_of(order) == assigner]
+        for order in valid:
+            self._store(order)
+        if valid:
+            self._send(assigner, valid)
+
+    def _owner_of(self, order: Order) -> int | None:
+        return self.owner[cast(int, order[1])]
+
+    def _store(self, order: Order) -> None:
+        match order:
+            case ("line", int(slice_), int(node), weight):
+                self.moves += bool(weight) and node not in self.weights[slice_]
+                self.weights[slice_] = with_line(self.weights[slice_], node, cast(float, weight))
+            case ("clear", int(slice_)):
+                self.weights[slice_] = {}
+
+    def _send(self, assigner: int, orders: list[Order]) -> None:
+        script, now = self._environment.script, self._clock.now()
+        channel = script.channel
+        cost = len(orders) + channel.envelope
+        leaves_at = max(now, self._channel_free_at[assigner])
+        self.messages += 1
+        for proxy in self._proxies:
+            stream = proxy.streams.get(assigner)
+            if stream is None:
+                continue
+            leaves_at += round(cost / channel.lines_per_s * SECOND)
+            transit_ns = self.random.randint(*channel.transit) + len(orders) * script.proxies.apply_line
+            stream.delivered_at = max(stream.delivered_at, leaves_at + transit_ns)
+            self.orders_sent += cost
+            self._deliver(proxy, stream, OrderMessage(assigner, stream.number, stream.next_message, orders, now))
+            stream.next_message += 1
+        self._channel_free_at[assigner] = leaves_at
+        self._environment.rules.channel_queued(assigner, (leaves_at - now) / SECOND * channel.lines_per_s)
+
+    def _deliver(self, proxy: EmulatedProxy, stream: OrderStream, message: OrderMessage) -> None:
+        self._clock.at(stream.delivered_at, lambda: proxy.when_awake(lambda: proxy.apply(message)))
+
+    # Owners.
+
+    def assign(self, slice_: int, assigner: int) -> None:
+        """Give a slice to an assigner, with its nodes; proxies joined to it read them from the store."""
+        now, rules = self._clock.now(), self._environment.rules
+        old, self.owner[slice_] = self.owner[slice_], assigner
+        if old is not None and self._assigners[old].alive:
+            self._assigners[old].notify(SliceOwnership(slice_, False))
+        self.assigned_at[slice_] = now
+        rules.owner_changed(now, slice_, range(self._environment.script.site.relays))
+        self._assigners[assigner].notify(SliceOwnership(slice_, True))
+        for node, weight in self.weights[slice_].items():
+            self._assigners[assigner].notify(EndpointStored(slice_, node, weight))
+        for proxy in self._proxies:
+            if assigner in proxy.streams:
+                self._read(proxy, assigner, [slice_])
+
+    def take_from(self, assigner: int) -> list[int]:
+        """Take its slices from an assigner that has ended; return them, as nobody owns them."""
+        now = self._clock.now()
+        slices = [slice_ for slice_, owner in enumerate(self.owner) if owner == assigner]
+        for slice_ in slices:
+            self.owner[slice_] = None
+            self._environment.rules.owner_changed(now, slice_, range(len(self._proxies)))
+        return slices
+
+    # Streams.
+
+    def join(self, proxy: EmulatedProxy, assigner: int) -> None:
+        """Connect a proxy to an assigner's stream, if both are alive and it is not."""
+        if not proxy.alive or not self._assigners[assigner].alive or assigner in proxy.streams:
+            return
+        self._last_stream += 1
+        proxy.streams[assigner] = OrderStream(self._last_stream, self._clock.now())
+        proxy.ordered_at[assigner] = 0
+        fresh = not proxy.tables.known(assigner)
+        proxy.tables.joined(assigner)
+        ops_per_s = self._load.ops_per_s(self._clock.now()) / len(self._proxies)
+        self._assigners[assigner].notify(ProxyJoined(proxy.number, proxy.zone, ops_per_s, fresh))
+        self._read(proxy, assigner, [slice_ for slice_, owner in enumerate(self.owner) if owner == assigner])
+
+    def leave(self, proxy: EmulatedProxy, assigner: int, notice_ns: int) -> None:
+        """Break a proxy's stream; the assigner learns of it after that time."""
+        proxy.streams.pop(assigner, None)
+        self._assigners[assigner].notify(ProxyLeft(proxy.number), notice_ns)
+
+    def _read(self, proxy: EmulatedProxy, assigner: int, slices: list[int]) -> None:
+        """Let the proxy read these slices by itself, at once, with all that is on its way behind it."""
+        for slice_ in slices:
+            proxy.tables.read(slice_, assigner, self.weights[slice_])
+        proxy.when_awake(lambda: proxy.tables_changed(slices))
--- a/kestrelplank/rehearsal/gateway_processes.py
+++ b/kestrelplank/rehearsal/gateway_processes.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from kestrelplank.rehearsal.loopback import free_port
-from kestrelplank.rehearsal.stand_in_platform import ZONE
+from kestrelplank.rehearsal.simulated_platform import ZONE
 
 STOP_TIMEOUT_S = 8.0  # for a process to end after SIGTERM
 PLATFORM_HOST, FIRST_SERVER_HOST = 99, 100  # last parts of addresses
--- a/kestrelplank/rehearsal/gateway_rehearsal.py
+++ b/kestrelplank/rehearsal/gateway_rehearsal.py
@@ -20,10 +20,10 @@
 from kestrelplank.rehearsal.loopback import call
 from kestrelplank.rehearsal.observations import Observations
 from kestrelplank.rehearsal.services import SERVICES
-from kestrelplank.rehearsal.stand_in_clients import KEYS, StandInClients
-from kestrelplank.rehearsal.stand_in_operator import StandInOperator
-from kestrelplank.rehearsal.stand_in_platform import StandInPlatform
-from kestrelplank.rehearsal.stand_in_server import GRACE_S, IDLE_TIMEOUT_S, StandInServer
+from kestrelplank.rehearsal.simulated_clients import KEYS, SimulatedClients
+from kestrelplank.rehearsal.simulated_operator import SimulatedOperator
+from kestrelplank.rehearsal.simulated_platform import SimulatedPlatform
+from kestrelplank.rehearsal.simulated_server import GRACE_S, IDLE_TIMEOUT_S, SimulatedServer
 
 READY_TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.1
@@ -44,13 +44,13 @@
         network = LoopbackNetwork(control_members + edges + 1)
         self._processes = GatewayProcesses(folder, network, control_members, log_level)
         self._observations = Observations()
-        self._servers: list[StandInServer] = []
+        self._servers: list[SimulatedServer] = []
         for service in SERVICES:
             for number in range(service.servers):
                 name, address = f"{service.name}-{number}", network.server_address(len(self._servers))
-                self._servers.append(StandInServer(name, service.name, address, self._observations, self._servers))
-        self._operator = StandInOperator(self._processes)
-        self._clients = StandInClients(Random(seed), self._processes, self._observations)
+                self._servers.append(SimulatedServer(name, service.name, address, self._observations, self._servers))
+        self._operator = SimulatedOperator(self._processes)
+        self._clients = SimulatedClients(Random(seed), self._processes, self._observations)
 
     async def run(self, requests: int, per_s: float) -> GatewayReport:
         """Play the scenario while clients send requests; return what was seen."""
@@ -61,8 +61,8 @@
                 await self._processes.stop_all()
 
     async def _run(self, requests: int, per_s: float) -> GatewayReport:
-        for stand_in in self._servers:
-            await stand_in.start()
+        for simulated in self._servers:
+            await simulated.start()
         started_at = time.monotonic()
         for machine in self._processes.machines:
             await self._processes.start(machine)
@@ -78,7 +78,7 @@
     @asynccontextmanager
     async def _platform(self) -> AsyncIterator[None]:
         """Serve the list of servers; in the end, when no request runs any more, stop them too."""
-        http_server = server(StandInPlatform(self._servers).app, IDLE_TIMEOUT_S, GRACE_S)
+        http_server = server(SimulatedPlatform(self._servers).app, IDLE_TIMEOUT_S, GRACE_S)
         address = self._processes.network.platform_address
         serving = asyncio.create_task(http_server.serve([listener(*address)]))
         try:
@@ -86,8 +86,8 @@
         finally:
             http_server.should_exit = True
             await serving
-            for stand_in in self._servers:
-                await stand_in.stop()
+            for simulated in self._servers:
+                await simulated.stop()
 
     # Readiness.
 
@@ -101,7 +101,7 @@
         answers = [await call((edge.ip, port), "GET", "/api/readiness") for edge in edges]
         now = time.monotonic()
         all_owned = all(
-            any(stand_in.holds_key(key, now) for stand_in in self._servers) for key in range(0, KEYS, KEY_SAMPLE_STEP)
+            any(simulated.holds_key(key, now) for simulated in self._servers) for key in range(0, KEYS, KEY_SAMPLE_STEP)
         )
         return (
             all_owned
@@ -141,18 +141,18 @@
         self._processes.kill(member)
         return f"killed {member.ip}, which decided"
 
-    def _drain(self, stand_in: StandInServer) -> str:
-        stand_in.state = "draining"
-        return f"{stand_in.name} drains"
+    def _drain(self, simulated: SimulatedServer) -> str:
+        simulated.state = "draining"
+        return f"{simulated.name} drains"
 
     def _terminate_edge(self, edge: Machine) -> str:
         self._processes.terminate(edge)
         return f"{edge.ip} is told to stop"
 
-    async def _lose_server(self, stand_in: StandInServer) -> str:
-        stand_in.state = "gone"
-        await stand_in.stop()
-        return f"{stand_in.name} is lost"
+    async def _lose_server(self, simulated: SimulatedServer) -> str:
+        simulated.state = "gone"
+        await simulated.stop()
+        return f"{simulated.name} is lost"
 
     async def _replace(self, member: Machine) -> str:
         self._processes.kill(member)
@@ -175,9 +175,9 @@
             rejected_but_ran=seen.rejected_but_ran,
             keys_with_two_owners=seen.keys_with_two_owners,
             keys_by_server={
-                stand_in.name: stand_in.keys_held(now)
-                for stand_in in self._servers
-                if stand_in.is_running and stand_in.service == "views"
+                simulated.name: simulated.keys_held(now)
+                for simulated in self._servers
+                if simulated.is_running and simulated.service == "views"
             },
         )
 
--- a/kestrelplank/rehearsal/node_server.py
+++ b/kestrelplank/rehearsal/node_server.py
@@ -1,80 +1,100 @@
 """A node of a live rehearsal: the emulated one behind HTTP/1.1 on loopback."""
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 from urllib.parse import parse_qsl, urlsplit
 
-from kestrelplank.emulator.node import FAILED, NOT_STARTED
-from kestrelplank.rehearsal.parties import StubConnection, StubServer
+from kestrelplank.emulator.environment import Environment
+from kestrelplank.emulator.node import OfferResult
+from kestrelplank.rehearsal.stub_server import SocketKit, StubConnection, StubServer
 from kestrelplank.sockets.connection import address
 
-if TYPE_CHECKING:
-    from kestrelplank.rehearsal.live import LiveWorld
+
+class NodeStepper(Protocol):
+    """Who steps nodes when their ops end."""
+
+    def schedule_step(self, node: int) -> None:
+        """See to it that the node is stepped when its next op ends."""
+        ...
+
+    def cancel_at_node(self, node: int, number: int) -> None:
+        """Tell a node that nobody waits for an op any more."""
+        ...
 
 
 class NodeServer:
-    """Answers `/op` with the op's figures in its query, and `/health`."""
-
-    def __init__(self, world: "LiveWorld", node: int) -> None:
-        self._world, self._number = world, node
-        self._node = world.nodes[node]
-        self._asking: dict[int, StubConnection] = {}
-        self._party: StubServer | None = None
-        self._listen(("127.0.0.1", 0))
-        self.address = self._party.at
-
-    def _listen(self, at: tuple[str, int]) -> None:
-        self._party = StubServer(self._world.kit, self._asked, at)
-        self._party.left = self._left
-
-    def _asked(self, visitor: StubConnection, path: str, body: bytes) -> None:
-        health = path.startswith("/health")
+    """Answers `/op`, with the op's figures in its query, and `/health`."""
+
+    def __init__(self, environment: Environment, kit: SocketKit, number: int, stepper: NodeStepper) -> None:
+        self._environment, self._kit, self._number, self._stepper = environment, kit, number, stepper
+        self._node = environment.nodes[number]
+        self._connection_of: dict[int, StubConnection] = {}  # by op in progress
+        self._server: StubServer | None = self._listen(("127.0.0.1", 0))
+        self.address = self._server.at
+
+    def _listen(self, at: tuple[str, int]) -> StubServer:
+        server = StubServer(self._kit, self._answer, at)
+        server.connection_closed = self._connection_closed  # type: ignore[method-assign]
+        return server
+
+    def _answer(self, connection: StubConnection, path: str, body: bytes) -> None:  # noqa: ARG002 - a callback
+        is_health_check = path.startswith("/health")
         if self._node.silent:
-            if not health:
-                self._offer(visitor, path)
+            if not is_health_check:
+                self._offer(connection, path)
             return
-        if health:
-            visitor.reply(b"ok\n" if not self._node.fallen else b"fallen\n", 503 if self._node.fallen else 200)
+        if is_health_check:
+            fallen = self._node.fallen
+            connection.reply(b"fallen\n" if fallen else b"ok\n", 503 if fallen else 200)
             return
-        told = self._offer(visitor, path)
-        if told == NOT_STARTED:
-            visitor.reply(b"not started\n", 503)
-        elif told == FAILED:
-            visitor.reply(b"failed\n", 500)
-        else:
-            self._world.network.look_at(self._number)
-
-    def _offer(self, visitor: StubConnection, path: str) -> str:
+        match self._offer(connection, path):
+            case OfferResult.NOT_STARTED:
+                connection.reply(b"not started\n", 503)
+            case OfferResult.FAILED:
+                connection.reply(b"failed\n", 500)
+            case OfferResult.TAKEN:
+                self._stepper.schedule_step(self._number)
+
+    def _offer(self, connection: StubConnection, path: str) -> OfferResult:
         op = dict(parse_qsl(urlsplit(path).query))
         number = int(op["number"])
-        self._asking[number] = visitor
-        visitor.op = number
-        now, work, key = self._world.kit.loop.now(), float(op["work"]), int(op["key"])
-        told = self._node.offer(now, number, int(op["type"]), work, key, op["new"] == "1", op["knowing"] == "1")
-        self._world.rules.pushed(self._number, self._node.worst_push)
-        return told
-
-    def done(self, number: int) -> None:
-        """The op has run."""
-        visitor = self._asking.pop(number, None)
-        if visitor is not None and visitor.gone is None:
-            visitor.op = None
-            visitor.reply(b"done\n")
-
-    def _left(self, visitor: StubConnection) -> None:
-        if self._party and visitor in self._party.visitors:
-            self._party.visitors.remove(visitor)
-        if visitor.op is not None and self._party:
-            self._asking.pop(visitor.op, None)
-            self._world.network.cancel(self._number, visitor.op)
+        self._connection_of[number] = connection
+        connection.op = number
+        result = self._node.offer(
+            self._kit.loop.now(),
+            number,
+            int(op["type"]),
+            float(op["work"]),
+            int(op["key"]),
+            new_connection=op["new"] == "1",
+            knowing=op["knowing"] == "1",
+        )
+        self._environment.rules.cold_node_loaded(self._number, self._node.worst_overload)
+        return result
+
+    def op_done(self, number: int) -> None:
+        """Answer an op that has run."""
+        connection = self._connection_of.pop(number, None)
+        if connection is not None and connection.closed_because is None:
+            connection.op = None
+            connection.reply(b"done\n")
+
+    def _connection_closed(self, connection: StubConnection) -> None:
+        if self._server is None:
+            return
+        if connection in self._server.connections:
+            self._server.connections.remove(connection)
+        if connection.op is not None:
+            self._connection_of.pop(connection.op, None)
+            self._stepper.cancel_at_node(self._number, connection.op)
 
     def close(self) -> None:
-        """Its process ends, and every connection with it."""
-        if self._party:
-            self._asking.clear()
-            party, self._party = self._party, None
-            party.close()
+        """End the node's process, and every connection with it."""
+        if self._server:
+            self._connection_of.clear()
+            server, self._server = self._server, None
+            server.close()
 
     def open(self) -> None:
-        """It listens again where it did."""
-        if self._party is None:
-            self._listen(address(self.address))
+        """Listen again where it did."""
+        if self._server is None:
+            self._server = self._listen(address(self.address))
--- /dev/null
+++ b/kestrelplank/rehearsal/program_process.py
@@ -0,0 +1,74 @@
+"""A program of ours as a process, for rehearsals and tests that play the other side."""
+
+import os
+import signal
+import subprocess
+import sys
+from typing import IO
+
+from kestrelplank.sockets.connection import address
+from kestrelplank.sockets.loop import READ, Loop
+
+STOP_TIMEOUT_S = 5.0  # for a process to end after SIGTERM
+ASSIGNER = ("-m", "kestrelplank")
+
+
+class ProgramProcess:
+    """A running program whose log is read by our loop: nothing here blocks while it runs.
+
+    :param arguments: those of the interpreter.
+    :param variables: added to the environment.
+    """
+
+    def __init__(self, loop: Loop, arguments: tuple[str, ...], **variables: str) -> None:
+        self._loop, self.log = loop, b""
+        command = [sys.executable, *arguments]
+        self.process = subprocess.Popen(command, stderr=subprocess.PIPE, env=os.environ | variables)
+        assert self.process.stderr is not None
+        self._stderr: IO[bytes] = self.process.stderr
+        os.set_blocking(self._stderr.fileno(), False)
+        loop.watch(self._stderr, READ, self._read)
+
+    def _read(self, events: int) -> None:  # noqa: ARG002 - as the loop calls it
+        data = self._stderr.read()
+        self.log += data or b""
+        if data == b"":
+            self._close_log()
+
+    def _close_log(self) -> None:
+        self._loop.forget(self._stderr)
+        self._stderr.close()
+
+    def log_lines(self, text: str) -> list[str]:
+        """Return the complete lines of its log so far that contain the text."""
+        complete = self.log[: self.log.rfind(b"\n") + 1].decode()
+        return [line for line in complete.splitlines() if text in line]
+
+    def address(self) -> tuple[str, int] | None:
+        """Return where it listens, once it has said so."""
+        started = self.log_lines("event=started")
+        if not started:
+            return None
+        host, port = address(started[0].split("listen=")[1].split()[0])
+        return host, port
+
+    def has_ended(self) -> bool:
+        """Whether it has ended and its log is read."""
+        return self.process.poll() is not None and self._stderr.closed
+
+    def kill(self, number: int = signal.SIGKILL) -> None:
+        """Send it a signal, if it runs."""
+        if self.process.poll() is None:
+            self.process.send_signal(number)
+
+    def close(self) -> None:
+        """End it in order, or else at once."""
+        self.kill(signal.SIGCONT)
+        self.kill(signal.SIGTERM)
+        try:
+            self.process.wait(STOP_TIMEOUT_S)
+        except subprocess.TimeoutExpired:
+            self.kill()
+            self.process.wait()
+        if not self._stderr.closed:
+            self._close_log()
--- a/kestrelplank/rehearsal/stand_in_clients.py
+++ b/kestrelplank/rehearsal/simulated_clients.py
@@ -15,7 +15,7 @@
 REJECTIONS = (408, 421, 429, 503)  # each promises that the request has not run
 
 
-class StandInClients:
+class SimulatedClients:
     """Clients that each send one request, and again where it was promised that it has not run."""
 
     def __init__(self, random: Random, processes: GatewayProcesses, observations: Observations) -> None:
--- a/kestrelplank/rehearsal/stand_in_operator.py
+++ b/kestrelplank/rehearsal/simulated_operator.py
@@ -27,7 +27,7 @@
     }
 
 
-class StandInOperator:
+class SimulatedOperator:
     """Calls the control members of a rehearsal."""
 
     def __init__(self, processes: GatewayProcesses) -> None:
--- a/kestrelplank/rehearsal/stand_in_platform.py
+++ b/kestrelplank/rehearsal/simulated_platform.py
@@ -5,15 +5,15 @@
 import msgspec
 
 from kestrelplank.rehearsal.asgi import Message, Receive, Send, send_answer
-from kestrelplank.rehearsal.stand_in_server import SLOTS, StandInServer
+from kestrelplank.rehearsal.simulated_server import SLOTS, SimulatedServer
 
 ZONE = "hall"
 
 
-class StandInPlatform:
+class SimulatedPlatform:
     """Answers every call with the list of servers that are not gone."""
 
-    def __init__(self, servers: Sequence[StandInServer]) -> None:
+    def __init__(self, servers: Sequence[SimulatedServer]) -> None:
         self._servers = servers
 
     async def app(self, scope: Message, receive: Receive, send: Send) -> None:  # noqa: ARG002 - as ASGI calls it
@@ -23,7 +23,7 @@
         await send_answer(send, 200, [], msgspec.json.encode({"instances": instances, "next_token": None}))
 
     @staticmethod
-    def _entry(server: StandInServer) -> dict[str, str | int]:
+    def _entry(server: SimulatedServer) -> dict[str, str | int]:
         return {
             "server_id": server.name,
             "target_service": server.service,
--- a/kestrelplank/rehearsal/stand_in_server.py
+++ b/kestrelplank/rehearsal/simulated_server.py
@@ -42,7 +42,7 @@
     hold_s: float = 0.0
 
 
-class StandInServer:
+class SimulatedServer:
     """One server of a service.
 
     :param peers: all servers of the rehearsal, by which a key that two of them hold is found.
@@ -54,7 +54,7 @@
         service: str,
         address: tuple[str, int],
         observations: Observations,
-        peers: Sequence["StandInServer"],
+        peers: Sequence["SimulatedServer"],
     ) -> None:
         self.name, self.service, self.address = name, service, address
         self.observations, self.peers = observations, peers
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -65,9 +65,9 @@
 
 
 def test_a_broken_rule_is_exit_code_1(path, monkeypatch):
-    from kestrelplank.emulator import world
+    from kestrelplank.emulator import environment
 
-    monkeypatch.setattr(world, "SLACK", -(10**12))  # so that no time is short enough
+    monkeypatch.setattr(environment, "TIME_LIMIT_TOLERANCE_NS", -(10**12))  # so that no time is short enough
     done = run("rehearse", path)
     assert done.exit_code == 1 and "BROKEN" in done.output
 
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -10,7 +10,7 @@
 from kestrelplank.edge.program import EdgeProgram
 from kestrelplank.rehearsal.loopback import free_port
 from kestrelplank.rehearsal.observations import Observations
-from kestrelplank.rehearsal.stand_in_server import StandInServer
+from kestrelplank.rehearsal.simulated_server import SimulatedServer
 from kestrelplank.settings.platform import Bounds, CloudApi, Local, Network, Settings
 from kestrelplank.transport.messages import ConfigurationUpdate, ServerListUpdate
 
@@ -18,7 +18,7 @@
 LIMITS = {"max_body_bytes": 100_000}
 
 
-class Slow(StandInServer):
+class Slow(SimulatedServer):
     """A server that answers when it is let."""
 
     def __init__(self, *given):
@@ -268,7 +268,7 @@
 
             async def request(fields, body):
                 met.append((fields, body))
-                return await StandInServer.request(behind, fields, body)
+                return await SimulatedServer.request(behind, fields, body)
 
             behind.request = request
             served = 0
--- a/tests/emulator/test_recorded_reports.py
+++ b/tests/emulator/test_recorded_reports.py
@@ -11,7 +11,7 @@
 
 from kestrelplank.cli.rehearse import encoded
 from kestrelplank.emulator.rehearsal import play
-from kestrelplank.emulator.script import script
+from kestrelplank.emulator.script import read_script
 from kestrelplank.settings.ini import Ini
 
 SCRIPTS = Path(__file__).parents[2] / "rehearsals"
@@ -20,7 +20,9 @@
 
 def report_digest(name, seed, more, knowing):
     text = (SCRIPTS / f"{name}.ini").read_text() + more
-    return hashlib.sha256(encoded(play(script(Ini(f"{name}.ini", text)), seed, knowing=knowing))).hexdigest()
+    return hashlib.sha256(
+        encoded(play(read_script(Ini(f"{name}.ini", text)), seed, ideal_placement=knowing))
+    ).hexdigest()
 
 
 @pytest.mark.parametrize(
--- a/tests/file_discovery/test_source.py
+++ b/tests/file_discovery/test_source.py
@@ -7,7 +7,7 @@
 from random import Random
 
 import pytest
-from parties import MS, Kit, StubServer, attach, news, until
+from parties import MS, Kit, StubServer, attach, message, until
 
 from kestrelplank.assigner.conductor import Conductor
 from kestrelplank.assigner.discovery import Discovery
@@ -94,17 +94,17 @@
 
     def asked(self, visitor, path, body):
         if path == "/api/stream":
-            visitor.begin()
-            visitor.tell(*(attach(relay) | {"type": "attach"} for relay in range(RELAYS)))
+            visitor.begin_stream()
+            visitor.send(*(attach(relay) | {"type": "attach"} for relay in range(RELAYS)))
             for table in range(SLICES):
-                visitor.tell(
-                    news("owner", shard=table, set=True),
+                visitor.send(
+                    message("owner", shard=table, set=True),
                     *(
-                        news("entry", shard=table, endpoint=node, w=weight)
+                        message("entry", shard=table, endpoint=node, w=weight)
                         for node, weight in self.relays[0].lines(table).items()
                     ),
                 )
-            visitor.tell({})
+            visitor.send({})
             return
         ops = json.loads(body)["ops"]
         orders = [
@@ -124,9 +124,11 @@
         visitor.reply({"ok_count": len(ops)})
         for order in orders:
             if order[0] == "mark":
-                for stream in self.hub.visitors:
-                    if stream.path == "/api/stream" and stream.gone is None:
-                        stream.tell(*(news("done", node=relay, nonce=order[1], latency=1.0) for relay in range(RELAYS)))
+                for stream in self.hub.connections:
+                    if stream.path == "/api/stream" and stream.closed_because is None:
+                        stream.send(
+                            *(message("done", node=relay, nonce=order[1], latency=1.0) for relay in range(RELAYS))
+                        )
 
     def write(self, file, data):
         """As an editor does that renames, and as one that does not."""
--- a/tests/load_balancing/test_recorded_decisions.py
+++ b/tests/load_balancing/test_recorded_load_balancing.py
@@ -1,6 +1,6 @@
 """The decisions of this package on drawn inputs are those of 4f929ce, the last commit before its code was rewritten.
 
-The digests in `recorded_decisions.json` were made by this file's `play_...` functions in a clone at 4f929ce. Each covers
+The digests in `recorded_load_balancing.json` were made by this file's `play_...` functions in a clone at 4f929ce. Each covers
 thousands of decisions, so that a change of one of them, or of the order in which chance is asked, shows.
 """
 
@@ -32,7 +32,7 @@
 from kestrelplank.time_units import MILLISECOND as MS
 from kestrelplank.time_units import SECOND as S
 
-RECORDED = json.loads((Path(__file__).parent / "recorded_decisions.json").read_text())
+RECORDED = json.loads((Path(__file__).parent / "recorded_load_balancing.json").read_text())
 TABLES, NODES = 3, 9
 OUTCOMES = (*[AttemptOutcome.SUCCEEDED] * 3, *AttemptOutcome)
 
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -1,12 +1,14 @@
-"""What tests of the network side are made with, over the lab's stand-ins."""
+"""What tests of the network side are made with, over the stand-ins of rehearsals."""
 
 import json
 
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.assigner.orders import Orders
 from kestrelplank.decode import Ids, text
-from kestrelplank.rehearsal import parties
-from kestrelplank.rehearsal.parties import MS, attach, fail, instance, news, node_list
+from kestrelplank.rehearsal import stub_server
+from kestrelplank.rehearsal.relay_messages import attach, instance, message, node_list
+from kestrelplank.rehearsal.stub_server import fail
+from kestrelplank.time_units import MILLISECOND as MS
 
 __all__ = [
     "MS",
@@ -16,8 +18,8 @@
     "attach",
     "fail",
     "instance",
+    "message",
     "names",
-    "news",
     "node_list",
     "orders",
     "until",
@@ -32,7 +34,7 @@
         loop.turn()
 
 
-class Kit(parties.Kit):
+class Kit(stub_server.SocketKit):
     """What every part of the network side is made with."""
 
     def __init__(self):
@@ -41,16 +43,16 @@
         self.events = []
 
 
-class StubServer(parties.StubServer):
+class StubServer(stub_server.StubServer):
     """One that remembers what it was asked."""
 
-    def __init__(self, kit, answer=lambda visitor, path, body: None):
+    def __init__(self, kit, answer=lambda connection, path, body: None):
         super().__init__(kit, answer)
         self.requests = []
 
-    def asked(self, visitor, path, body):
-        self.requests.append((visitor, path, body))
-        super().asked(visitor, path, body)
+    def request_received(self, connection, path, body):
+        self.requests.append((connection, path, body))
+        super().request_received(connection, path, body)
 
 
 def names():
--- a/tests/reference_proxy/test_hub.py
+++ b/tests/reference_proxy/test_hub.py
@@ -31,8 +31,8 @@
 
     def asked(self, visitor, path, body):
         if path.startswith("/v1/tables"):
-            visitor.begin()
-            visitor.tell(*self.standing)
+            visitor.begin_stream()
+            visitor.send(*self.standing)
         elif self.fails:
             self.fails -= 1
             visitor.connection.close("broken off")
@@ -40,13 +40,13 @@
             visitor.reply({})
 
     def streams(self):
-        return [visitor for visitor in self.hub.visitors if visitor.path.startswith("/v1/tables")]
+        return [visitor for visitor in self.hub.connections if visitor.path.startswith("/v1/tables")]
 
     def posts(self, path):
         return [json.loads(body) for _, to, body in self.hub.requests if to == path]
 
     def tell(self, *lines):
-        self.streams()[-1].tell(*lines)
+        self.streams()[-1].send(*lines)
 
     def wait(self, condition):
         until(self.kit.loop, condition)
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -9,7 +9,7 @@
 from parties import MS, Kit, StubServer, until
 from test_proxy import GET, OK, Client, Node, answers_with
 
-from kestrelplank.rehearsal.process import Process
+from kestrelplank.rehearsal.program_process import ProgramProcess
 from kestrelplank.settings import relay as config
 from kestrelplank.settings.ini import Ini, Unusable
 
@@ -51,8 +51,8 @@
         if not path.startswith("/v1/tables"):
             visitor.reply({})
             return
-        visitor.begin()
-        visitor.tell(
+        visitor.begin_stream()
+        visitor.send(
             {"type": "node", "object": {"name": "s-1", "address": self.node.at}},
             {"type": "joined", "object": {"source": 0}},
             *({"type": "table", "object": {"table": table, "source": 0, "lines": {"s-1": 1.0}}} for table in range(4)),
@@ -60,7 +60,7 @@
         )
 
     def start(self):
-        program = Process(self.kit.loop, WORDS + (str(self.path),))
+        program = ProgramProcess(self.kit.loop, WORDS + (str(self.path),))
         self.programs.append(program)
         until(self.kit.loop, lambda: program.address() or program.process.poll() is not None)
         assert program.address(), program.log
@@ -94,11 +94,14 @@
     site.wait(lambda: any(path == "/v1/reports" for _, path, _ in site.hub.requests))
     site.wait(lambda: (site.folder / "state").exists())
     first.kill(signal.SIGTERM)
-    site.wait(first.ended)
+    site.wait(first.has_ended)
     assert first.process.returncode == 0 and "ops_acked=1" in first.log.decode() and "defects" not in first.log.decode()
     site.hub.close()
     second = site.start()
-    assert "tables=kept" in second.lines("event=started")[0] and "age_s=" in second.lines("event=tables_restored")[0]
+    assert (
+        "tables=kept" in second.log_lines("event=started")[0]
+        and "age_s=" in second.log_lines("event=tables_restored")[0]
+    )
     again = site.client(second, GET)
     site.wait(lambda: again.data == OK)
 
@@ -106,7 +109,7 @@
 def test_tables_that_were_kept_and_are_torn_are_named_and_the_hub_tells_anew(site):
     (site.folder / "state").write_text("{")
     program = site.start()
-    assert "torn or changed" in program.lines("event=tables_not_restored")[0]
+    assert "torn or changed" in program.log_lines("event=tables_not_restored")[0]
     client = site.client(program, GET)
     site.wait(lambda: client.data == OK)
 
@@ -122,10 +125,10 @@
     ):
         site.path.write_text(bad)
         program.kill(signal.SIGHUP)
-        site.wait(lambda says=says: program.lines(says))
+        site.wait(lambda says=says: program.log_lines(says))
     site.path.write_text(text.replace("prefix = /look", "prefix = /see"))
     program.kill(signal.SIGHUP)
-    site.wait(lambda: program.lines("event=reloaded"))
+    site.wait(lambda: program.log_lines("event=reloaded"))
     client.send(GET)
     site.wait(lambda: client.data.count(b"HTTP/1.1") == 2)
     assert client.data.endswith(b"no op type has this method and target\n") and not client.ended
@@ -145,9 +148,9 @@
         clients = [site.client(program) for _ in range(4)]
         for client in clients:
             ask(client)
-        successor = Process(site.kit.loop, WORDS + (str(site.path),))
+        successor = ProgramProcess(site.kit.loop, WORDS + (str(site.path),))
         site.programs.append(successor)
-        while not program.ended():
+        while not program.has_ended():
             for place, client in enumerate(clients):
                 if client.data.endswith(b"\r\n\r\nok"):
                     if client.ended:  # it was told so with its answer
@@ -173,9 +176,9 @@
     office = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     office.bind(str(site.folder / "successor"))
     office.listen(1)
-    program = Process(site.kit.loop, WORDS + (str(site.path),))
+    program = ProgramProcess(site.kit.loop, WORDS + (str(site.path),))
     site.programs.append(program)
-    site.wait(program.ended)
+    site.wait(program.has_ended)
     assert program.process.returncode == 1 and "can't listen" in program.log.decode()
     office.close()
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from parties import MS, Kit, StubServer, attach, instance, news, node_list, until
+from parties import MS, Kit, StubServer, attach, instance, message, node_list, until
 
 from kestrelplank.assigner.conductor import Conductor
 from kestrelplank.assigner.discovery import Discovery
@@ -46,13 +46,13 @@
             visitor.connection.close("away")
             return
         if path == "/api/stream":
-            visitor.begin()
-            lines = [attach(proxy, False) for proxy in sorted(self.joined)]
+            visitor.begin_stream()
+            lines = [attach(proxy, cold=False) for proxy in sorted(self.joined)]
             for number in sorted(self.held):
                 lines += self.giving(number)
             data = b"".join(json.dumps(line).encode() + b"\n" for line in lines)
             half = self.random.randrange(len(data) + 1)  # in pieces
-            visitor.tell(*(piece for piece in (data[:half], data[half:]) if piece))
+            visitor.send(*(piece for piece in (data[:half], data[half:]) if piece))
             self.streams.append(visitor)
             return
         fault = (
@@ -80,17 +80,17 @@
             for proxy in sorted(self.joined):
                 (self.out[proxy].add if op["verb"] == "eject" else self.out[proxy].discard)(op["endpoint"])
         elif op["verb"] == "fence":
-            self.tell(*(news("done", node=proxy, nonce=op["stamp"], latency=1.0) for proxy in sorted(self.joined)))
+            self.tell(*(message("done", node=proxy, nonce=op["stamp"], latency=1.0) for proxy in sorted(self.joined)))
 
     def tell(self, *lines):
-        self.streams = [stream for stream in self.streams if stream.gone is None]
+        self.streams = [stream for stream in self.streams if stream.closed_because is None]
         for stream in self.streams:
-            stream.tell(*lines)
+            stream.send(*lines)
 
     def giving(self, number):
         return [
-            news("owner", shard=number, set=True),
-            *(news("entry", shard=number, endpoint=name, w=weight) for name, weight in self.lines[number].items()),
+            message("owner", shard=number, set=True),
+            *(message("entry", shard=number, endpoint=name, w=weight) for name, weight in self.lines[number].items()),
         ]
 
     def trouble(self):
@@ -108,12 +108,12 @@
             self.random.choice(self.streams).connection.close("broken off")
         elif kind == "leave" and proxy in self.joined:
             self.joined.discard(proxy)
-            self.tell(news("detach", node=proxy))
+            self.tell(message("detach", node=proxy))
         elif kind == "join" and proxy not in self.joined:
             self.join(proxy)
         elif kind == "take" and number in self.held:
             self.held.discard(number)
-            self.tell(news("owner", shard=number, set=False))
+            self.tell(message("owner", shard=number, set=False))
             self.lines[number] = {self.random.choice(NODES): 1.0}  # another conductor's orders
         elif kind == "give" and number not in self.held:
             self.held.add(number)
@@ -121,7 +121,7 @@
 
     def join(self, proxy):
         self.joined.add(proxy)
-        self.tell(attach(proxy, False))
+        self.tell(attach(proxy, cold=False))
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -133,9 +133,9 @@
 
     def agent_does(visitor, path, body):
         if "follow" in path:
-            visitor.begin()
+            visitor.begin_stream()
         whole = node_list(version, *(instance(name, states[name]) for name in NODES), reset=True)
-        visitor.tell(whole) if "follow" in path else visitor.reply(whole)
+        visitor.send(whole) if "follow" in path else visitor.reply(whole)
 
     agent, ids = StubServer(kit, agent_does), Ids(text)
     found = settings(CONF, ids, "settings")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,7 +5,7 @@
 import tracemalloc
 
 import pytest
-from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
+from parties import MS, Kit, StubServer, attach, instance, message, names, node_list, orders, until
 
 from kestrelplank.assigner.conductor import Conductor
 from kestrelplank.assigner.discovery import Discovery
@@ -441,7 +441,7 @@
     for number in (1, 2):
         client.call("GET", "/", b"", (100 if outcome == "silent" else 20_000) * MS)
         until(kit.loop, lambda number=number: len(asker.outcomes) == number)
-    assert asker.outcomes == [outcome] * 2 and len(party.visitors) == (1 if kept else 2)
+    assert asker.outcomes == [outcome] * 2 and len(party.connections) == (1 if kept else 2)
     client.close()
     party.close()
 
@@ -467,14 +467,14 @@
     until(kit.loop, lambda: old.requests)
     client.move(new.at)
     if outcome == GOOD:
-        old.visitors[0].connection.write(GOOD)
+        old.connections[0].connection.write(GOOD)
     elif outcome == "ended":
-        old.visitors[0].connection.close("over")
+        old.connections[0].connection.close("over")
     until(kit.loop, lambda: asker.outcomes)
     client.call("GET", "/", b"", 20_000 * MS)
     until(kit.loop, lambda: len(asker.outcomes) == 2)
     assert asker.outcomes == [(200, b"yes") if outcome == GOOD else outcome, (200, b"yes")]
-    assert len(old.requests) == len(old.visitors) == len(new.requests) == 1
+    assert len(old.requests) == len(old.connections) == len(new.requests) == 1
     client.close()
     old.close()
     new.close()
@@ -531,7 +531,7 @@
     ordered(made, 7, behind=behind)
     ordered(made, 8)
     end(made, None)
-    relay.visitors[-1].tell(news("done", node=1, nonce=answered, latency=1.0))
+    relay.connections[-1].send(message("done", node=1, nonce=answered, latency=1.0))
     until(kit.loop, lambda: isinstance(kit.events[-1], WatermarkAcknowledged))
     assert len(made._client.bodies) == (1 if answered == 6 else 2) and made._client.bodies[-1] == [
         ("put", 7 + (answered == 7)),
@@ -640,11 +640,11 @@
 
 
 def relayed(kit, *known):
-    relay = StubServer(kit, lambda visitor, path, body: visitor.begin() if path == "/api/stream" else None)
+    relay = StubServer(kit, lambda visitor, path, body: visitor.begin_stream() if path == "/api/stream" else None)
     made = orders(kit)
     told = News(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, made, kit.events.append)
     until(kit.loop, lambda: kit.counters.counts["news_started"])
-    relay.visitors[-1].tell(*known, {})
+    relay.connections[-1].send(*known, {})
     until(kit.loop, lambda: told._picture is None)
     return relay, told, made
 
@@ -652,33 +652,33 @@
 STANDING = (
     attach(1),
     attach(2),
-    news("owner", shard=3, set=True),
-    news("entry", shard=3, endpoint="s-1", w=1.0),
-    news("owner", shard=4, set=True),
-    news("entry", shard=4, endpoint="s-1", w=1.0),
+    message("owner", shard=3, set=True),
+    message("entry", shard=3, endpoint="s-1", w=1.0),
+    message("owner", shard=4, set=True),
+    message("entry", shard=4, endpoint="s-1", w=1.0),
 )
 
 
 def again(kit, relay, *lines):
     kit.events.clear()
-    relay.visitors[-1].connection.close("broken off")
+    relay.connections[-1].connection.close("broken off")
     until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
-    relay.visitors[-1].tell(*lines)
+    relay.connections[-1].send(*lines)
 
 
 def test_news_become_events_and_nobody_writes_there(kit):
     relay, told, _ = relayed(kit, *STANDING)
-    asked = relay.visitors[-1].bytes_in
+    asked = relay.connections[-1].bytes_received
     for line in (
         b'{"type":"moon","object":{}}\n',
-        news("attach", node=99, locality="a", w=1, cold=True),
-        news("entry", shard=8, endpoint="s-1", w=1.0),
-        news("done", node=1, nonce=7, latency=2.5),
-        news("done", node=1, nonce=7, latency=9.5),
-        news("owner", shard=3, set=False),
-        news("detach", node=2),
+        message("attach", node=99, locality="a", w=1, cold=True),
+        message("entry", shard=8, endpoint="s-1", w=1.0),
+        message("done", node=1, nonce=7, latency=2.5),
+        message("done", node=1, nonce=7, latency=9.5),
+        message("owner", shard=3, set=False),
+        message("detach", node=2),
     ):
-        relay.visitors[-1].tell(line)
+        relay.connections[-1].send(line)
     until(kit.loop, lambda: kit.events[-1:] == [ProxyLeft(2)])
     assert kit.events == [
         ProxyJoined(1, 0, 2.0, True),
@@ -691,25 +691,25 @@
         SliceOwnership(3, False),
         ProxyLeft(2),
     ]
-    assert kit.counters.counts["news_skipped"] == 3 and relay.visitors[-1].bytes_in == asked
+    assert kit.counters.counts["news_skipped"] == 3 and relay.connections[-1].bytes_received == asked
     told.close()
     relay.close()
 
 
 @pytest.mark.parametrize(
-    "after", [None, news("entry", shard=3, endpoint="s-1", w=1.0), news("owner", shard=4, set=True)]
+    "after", [None, message("entry", shard=3, endpoint="s-1", w=1.0), message("owner", shard=4, set=True)]
 )
 def test_a_slice_is_given_with_its_lines_however_late_they_come(kit, monkeypatch, after):
     """Also where nothing follows: then it is bare."""
     monkeypatch.setattr("kestrelplank.assigner.news.QUIET", 1000 * MS)
     relay, told, _ = relayed(kit)
-    relay.visitors[-1].tell(news("owner", shard=3, set=True))
+    relay.connections[-1].send(message("owner", shard=3, set=True))
     until(kit.loop, lambda: told._giving)
     for _ in range(5):
         kit.loop.at(kit.loop.now() + MS, lambda: None)
         kit.loop.turn()
     assert not kit.events
-    relay.visitors[-1].tell(*[after] if after else [])
+    relay.connections[-1].send(*[after] if after else [])
     until(kit.loop, lambda: kit.events and not (after and after["type"] == "entry" and told._giving))
     assert kit.events[:2] == [SliceOwnership(3, True)] + [EndpointStored(3, 0, 1.0)] * bool(
         after and after["type"] == "entry"
@@ -721,9 +721,9 @@
 @pytest.mark.parametrize("line", [b"{\n", b"[]\n", b'{"type":"\xff"}\n', b"7\n"])
 def test_a_line_of_news_that_cannot_be_read_makes_all_that_stands_be_told_anew(kit, line):
     relay, told, _ = relayed(kit, *STANDING)
-    relay.visitors[-1].tell(line + json.dumps(news("detach", node=1)).encode() + b"\n")
+    relay.connections[-1].send(line + json.dumps(message("detach", node=1)).encode() + b"\n")
     until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
-    relay.visitors[-1].tell(*STANDING[1:], {})
+    relay.connections[-1].send(*STANDING[1:], {})
     until(kit.loop, lambda: told._picture is None)
     assert kit.events[6:] == [ProxyLeft(1), ProxyJoined(2, 0, 2.0, False)]
     told.close()
@@ -748,7 +748,7 @@
 
 def test_a_slice_taken_back_right_after_what_stands_stays_taken_back(kit):
     relay, told, made = relayed(kit, *STANDING)
-    again(kit, relay, *STANDING, news("owner", shard=3, set=False))
+    again(kit, relay, *STANDING, message("owner", shard=3, set=False))
     until(kit.loop, lambda: told._picture is None and kit.events)
     assert [event for event in kit.events if isinstance(event, SliceOwnership)] == [SliceOwnership(3, False)]
     told.close()
@@ -759,7 +759,7 @@
     relay, told, made = relayed(kit, *STANDING)
     made.hold(True)
     ordered(made, 3, 4)
-    again(kit, relay, *STANDING[:3], news("entry", shard=3, endpoint="s-2", w=1.0), *STANDING[4:], {})
+    again(kit, relay, *STANDING[:3], message("entry", shard=3, endpoint="s-2", w=1.0), *STANDING[4:], {})
     until(kit.loop, lambda: told._picture is None)
     assert kit.events[:3] == [SliceOwnership(3, False), SliceOwnership(3, True), EndpointStored(3, 1, 1.0)]
     assert made._client.bodies == [[("put", 4), ("fence", 4)]]
@@ -772,7 +772,7 @@
     relay, told, made = relayed(kit, *STANDING)
     ordered(made, 6)
     end(made, b'{"ok_count":2}')
-    relay.visitors[-1].tell(*(news("done", node=proxy, nonce=6, latency=1.0) for proxy in answered))
+    relay.connections[-1].send(*(message("done", node=proxy, nonce=6, latency=1.0) for proxy in answered))
     until(kit.loop, lambda: [type(event) for event in kit.events].count(WatermarkAcknowledged) == len(answered))
     again(kit, relay, *STANDING, {})
     until(kit.loop, lambda: told._picture is None)
@@ -784,7 +784,7 @@
 def test_a_stream_that_falls_silent_is_dialled_again(kit, monkeypatch):
     monkeypatch.setattr("kestrelplank.assigner.news.SILENCE", 50 * MS)
     relay, told, _ = relayed(kit, *STANDING)
-    until(kit.loop, lambda: len(relay.visitors) > 1)
+    until(kit.loop, lambda: len(relay.connections) > 1)
     assert kit.counters.counts["news_broken"] >= 1 and not any(isinstance(event, ProxyLeft) for event in kit.events)
     told.close()
     relay.close()
@@ -798,8 +798,8 @@
 
     def answer(visitor, path, body):
         if "follow" in path:
-            visitor.begin()
-            visitor.tell(*watch.pop(0) if watch else ())
+            visitor.begin_stream()
+            visitor.send(*watch.pop(0) if watch else ())
         else:
             visitor.reply(node_list(5, instance("s-1"), reset=True))
 
@@ -926,7 +926,7 @@
     assert (checked.node, checked.verdict, checked.load) == (0, verdict, load)
     probes.probe(0)
     until(kit.loop, lambda: len(kit.events) == 2)
-    assert len(node.visitors) == (1 if status else 2) and node.requests[0][1] == "/status/load"
+    assert len(node.connections) == (1 if status else 2) and node.requests[0][1] == "/status/load"
     probes.probe(1)
     assert kit.counters.counts["probes_not_sent"] == 1
     probes.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,13 +9,13 @@
 from random import Random
 
 import pytest
-from parties import MS, Kit, StubServer, attach, instance, names, news, node_list, orders, until
+from parties import MS, Kit, StubServer, attach, instance, message, names, node_list, orders, until
 
 from kestrelplank.assigner.counters import Output
 from kestrelplank.assigner.discovery import Discovery
 from kestrelplank.assigner.front import Front
 from kestrelplank.assigner.news import News
-from kestrelplank.rehearsal.process import CONDUCTOR, Process
+from kestrelplank.rehearsal.program_process import ASSIGNER, ProgramProcess
 from kestrelplank.sockets import resp
 from kestrelplank.sockets.loop import READ
 
@@ -34,7 +34,12 @@
     "Rules": {"StopSendingWithin": 1500.0},
     "Tick": 4.0,
 }
-STANDING = [attach(1, False), news("owner", shard=2, set=True), news("entry", shard=2, endpoint="s-1", w=1.0), {}]
+STANDING = [
+    attach(1, cold=False),
+    message("owner", shard=2, set=True),
+    message("entry", shard=2, endpoint="s-1", w=1.0),
+    {},
+]
 
 
 @pytest.fixture
@@ -44,13 +49,13 @@
     made.loop.close()
 
 
-class Program(Process):
+class Program(ProgramProcess):
     """A conductor, waited for until it listens, and a collector of ours connected to it."""
 
     def __init__(self, kit, path, **config):
         config = {"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "settings": SETTINGS, **config}
         path.write_text(json.dumps(config))
-        super().__init__(kit.loop, CONDUCTOR, NODE_CONFIG=str(path))
+        super().__init__(kit.loop, ASSIGNER, NODE_CONFIG=str(path))
         self.loop, self.answers = kit.loop, b""
         until(self.loop, lambda: self.address() or self.process.poll() is not None)
         assert self.address(), f"the program ended before it listened: {self.log}"
@@ -80,7 +85,7 @@
 
     def end(self, number):
         self.kill(number)
-        until(self.loop, self.ended)
+        until(self.loop, self.has_ended)
         self._leave()
         return self.process.returncode, self.log.decode()
 
@@ -88,8 +93,8 @@
 def relay_does(visitor, path, body):
     """A relay that tells what stands and takes every order."""
     if path == "/api/stream":
-        visitor.begin()
-        visitor.tell(*STANDING)
+        visitor.begin_stream()
+        visitor.send(*STANDING)
     else:
         visitor.reply({"ok_count": len(json.loads(body)["ops"])})
 
@@ -149,8 +154,8 @@
 
     def relay_does(visitor, path, body):
         if path == "/api/stream":
-            visitor.begin()
-            visitor.tell(*STANDING)
+            visitor.begin_stream()
+            visitor.send(*STANDING)
         elif len(lost) < 3:  # silent, broken off, unreadable
             lost.append(body)
             [lambda: None, lambda: visitor.connection.close("broken off"), lambda: visitor.reply(b"\xff{")][
@@ -162,8 +167,8 @@
 
     def agent_does(visitor, path, body):
         if "follow" in path:
-            visitor.begin()
-            visitor.tell(node_list(2, instance("s-1", "terminating")))
+            visitor.begin_stream()
+            visitor.send(node_list(2, instance("s-1", "terminating")))
 
     calls = []
     relay, agent = StubServer(kit, relay_does), StubServer(kit, agent_does)
@@ -176,7 +181,7 @@
         assert {"verb": "put", "cluster": 2, "endpoint": "s-2", "w": 1.0} in orders
         assert {"verb": "eject", "endpoint": "s-1"} in orders
         program.process.send_signal(signal.SIGUSR1)
-        until(kit.loop, lambda lines=program.lines: lines("event=counters"))
+        until(kit.loop, lambda lines=program.log_lines: lines("event=counters"))
         code, _ = program.end(number)
         assert code == (0 if number == signal.SIGTERM else -signal.SIGKILL)
     assert len(lost) == 3 and lost[0] == lost[1] == lost[2]
@@ -187,11 +192,11 @@
 def test_a_new_configuration_moves_all_parties_and_a_bad_one_changes_nothing(kit, tmp_path):
     def agent_does(visitor, path, body):
         if "follow" in path:
-            visitor.begin()
-            visitor.tell(
+            visitor.begin_stream()
+            visitor.send(
                 node_list(
-                    1 + agents.index(visitor.party),
-                    instance("s-1", "in_service" if visitor.party is agents[0] else "terminating"),
+                    1 + agents.index(visitor.server),
+                    instance("s-1", "in_service" if visitor.server is agents[0] else "terminating"),
                 )
             )
 
@@ -208,7 +213,7 @@
 
     def settled(place):
         return lambda: all(
-            [v.gone for v in party.visitors].count(None) == number
+            [v.closed_because for v in party.connections].count(None) == number
             for parties, number in ((relays, 2), (agents, 2))
             for party, number in ((parties[place], number), (parties[1 - place], 0))
         )
@@ -219,7 +224,7 @@
         ("{", json.dumps(good | {"hub": {}}), json.dumps(good | {"settings": {"Tick": "soon"}})), 1
     ):
         reload(bad)
-        until(kit.loop, lambda number=number: len(program.lines("event=reloads_refused")) == number)
+        until(kit.loop, lambda number=number: len(program.log_lines("event=reloads_refused")) == number)
     assert settled(0)()
     for turn in range(6):
         reload(json.dumps(good | places[1 - turn % 2]))  # also while the last move is under way
@@ -245,19 +250,19 @@
     ini.write_text(good)
     monkeypatch.setenv("KESTRELPLANK_INI", str(ini))
     program = Program(kit, tmp_path / "c.json", discovery=closed_port(), hub={"address": relay.at})
-    until(kit.loop, lambda: program.lines("event=files_accepted"))
+    until(kit.loop, lambda: program.log_lines("event=files_accepted"))
     (tmp_path / "nodes.ini").write_text(NODES.replace("\n", " draining\n") % "")
-    until(kit.loop, lambda: program.lines("event=files_refused"))
+    until(kit.loop, lambda: program.log_lines("event=files_refused"))
     (tmp_path / "nodes.ini").write_text(NODES % " draining")
     until(kit.loop, lambda: any(b'"eject","endpoint":"s-1"' in body for _, _, body in relay.requests))
     ini.write_text(good.replace("quiet", "quite"))
     program.process.send_signal(signal.SIGHUP)
-    until(kit.loop, lambda: program.lines("is quiet meant?"))
+    until(kit.loop, lambda: program.log_lines("is quiet meant?"))
     ini.write_text(good + "most_closed = 100%\n")
     program.process.send_signal(signal.SIGHUP)
-    until(kit.loop, lambda: program.lines("event=reloaded"))
+    until(kit.loop, lambda: program.log_lines("event=reloaded"))
     (tmp_path / "nodes.ini").write_text(NODES.split("s-3")[0] % " draining")
-    until(kit.loop, lambda: len(program.lines("event=files_accepted")) == 3)
+    until(kit.loop, lambda: len(program.log_lines("event=files_accepted")) == 3)
     code, said = program.end(signal.SIGTERM)
     assert code == 0 and "defects" not in said and b'"version":3' in (tmp_path / "state").read_bytes()
     relay.close()
@@ -290,10 +295,10 @@
         sock = socket.create_connection(front.at)
         sock.send([b"", b"*2\r\n$1000\r\nx", b"junk\r\n\r\n", resp.encode(b"hb")][turn % 4])
         before = kit.counters.counts["news_started"]
-        relay.visitors[-1].connection.close("broken off")
-        del relay.visitors[:-1], relay.requests[:]
+        relay.connections[-1].connection.close("broken off")
+        del relay.connections[:-1], relay.requests[:]
         until(kit.loop, lambda before=before: kit.counters.counts["news_started"] > before)
-        relay.visitors[-1].tell(*STANDING)
+        relay.connections[-1].send(*STANDING)
         sock.close()
         until(kit.loop, lambda: not front._strangers)
     kit.events.clear()
@@ -312,7 +317,7 @@
 
 def test_connects_and_breaks_leave_nothing_behind(kit, monkeypatch):
     monkeypatch.setattr("kestrelplank.assigner.news.PAUSES", (MS, 10 * MS))
-    relay = StubServer(kit, lambda visitor, path, body: visitor.begin() if path == "/api/stream" else None)
+    relay = StubServer(kit, lambda visitor, path, body: visitor.begin_stream() if path == "/api/stream" else None)
     front = Front(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
     told = News(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, orders(kit), kit.events.append)
     until(kit.loop, lambda: relay.requests)
