--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_policy.py
@@ -1,6 +1,6 @@
 """The decision module orders byte for byte what 4f929ce ordered on the same recorded days.
 
-The recording is the project's own: `benchmarks/record_decisions.py record` at a checkout of 4f929ce, its days being
+The recording is the project's own: `benchmarks/record_policy.py record` at a checkout of 4f929ce, its days being
 small models of a site with drains, restarts, failures, lost streams, take-overs and hot slices.
 """
 
@@ -13,7 +13,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-RECORDING = Path(__file__).parent / "recordings" / "decisions.txt.xz"
+RECORDING = Path(__file__).parent / "recordings" / "policy_decisions.txt.xz"
 
 
 def recorded_days() -> dict[str, list[str]]:
