--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -1,7 +1,7 @@
 """Operators' orders and reads: confirmed and answered by the leader, passed on to it by a member that is current,
 refused at once by any other. No I/O."""
 
-from kestrelplank.configuration.plan import Configuration
+from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.consensus.log_entries import Entry, PutConfiguration
 from kestrelplank.consensus.member_messages import OrderResult, ReadConfiguration, ReadResult, SubmitOrder
 from kestrelplank.control.effects import AnswerOrder, AnswerRead
--- a/kestrelplank/emulator/node_files.py
+++ b/kestrelplank/emulator/node_files.py
@@ -8,7 +8,7 @@
 from kestrelplank.emulator.script_sections import Fault, NodeFileGuards
 from kestrelplank.file_discovery import nodelist
 from kestrelplank.interface import NodeCondition, NodeEntry
-from kestrelplank.settings.ini import Unusable
+from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.state import guards, roster
 from kestrelplank.state.intake import SETTLED, Debounce, Intake, Outcome
 from kestrelplank.state.nodeset import Listed, NodeSet, Part
@@ -127,7 +127,7 @@
             return f"{FILE_NAME}: there is no such file"
         try:
             return nodelist.read(FILE_NAME, self._text, 2 * len(self._nodes), True)
-        except Unusable as err:
+        except InvalidSettingsError as err:
             return str(err)
 
     def _advance(self) -> None:
--- a/kestrelplank/emulator/script.py
+++ b/kestrelplank/emulator/script.py
@@ -18,7 +18,8 @@
     RuleLimits,
     Site,
 )
-from kestrelplank.settings.ini import Ini, Section
+from kestrelplank.settings.ini import IniFile
+from kestrelplank.settings.ini_syntax import Section
 
 CANCEL_MODES = ("waiting", "all", "none")
 SHARE_TOLERANCE = 1e-6
@@ -54,10 +55,10 @@
     faults: tuple[ScheduledFault, ...]
 
 
-def read_script(ini: Ini) -> Script:
+def read_script(ini: IniFile) -> Script:
     """Return the script that a file holds.
 
-    :raises Unusable: saying where, and what can't be used.
+    :raises InvalidSettingsError: saying where, and what can't be used.
     """
     site = _read_site(ini)
     script = Script(
@@ -65,99 +66,106 @@
         op_types=_read_op_types(ini),
         loads=_read_loads(ini, site),
         node_kind=_read_node_kind(ini),
-        clients=ini.one("clients", ClientBehaviour),
-        proxies=ini.one("relays", ProxyBehaviour),
-        channel=ini.one("channel", Channel),
-        reports=ini.one("reports", Reports),
-        discovery=ini.one("discovery", DiscoveryDelays),
-        network=ini.one("network", NetworkDelays),
-        rules=ini.one("rules", RuleLimits),
-        node_files=ini.one("files", NodeFileGuards) if ini.find("files") else None,
-        faults=tuple(_schedule(ini, section, fault, site) for section, fault in ini.each("fault", Fault)),
+        clients=ini.read_section("clients", ClientBehaviour),
+        proxies=ini.read_section("relays", ProxyBehaviour),
+        channel=ini.read_section("channel", Channel),
+        reports=ini.read_section("reports", Reports),
+        discovery=ini.read_section("discovery", DiscoveryDelays),
+        network=ini.read_section("network", NetworkDelays),
+        rules=ini.read_section("rules", RuleLimits),
+        node_files=ini.read_section("files", NodeFileGuards) if ini.find_section("files") else None,
+        faults=tuple(
+            _schedule(ini, section, fault, site) for section, fault in ini.read_named_sections("fault", Fault)
+        ),
     )
-    ini.finish()
+    ini.reject_unread_sections()
     return script
 
 
-def _read_site(ini: Ini) -> Site:
-    site, section = ini.one("site", Site), ini.find("site")
+def _read_site(ini: IniFile) -> Site:
+    site, section = ini.read_section("site", Site), ini.find_section("site")
     if not site.zones or len(set(site.zones)) < len(site.zones):
-        raise ini.fail(section, "zones", "expected names of zones, each once")
+        raise ini.error(section, "zones", "expected names of zones, each once")
     if site.settle >= site.length:
-        raise ini.fail(section, "settle", "nothing is left of the rehearsal to be counted")
+        raise ini.error(section, "settle", "nothing is left of the rehearsal to be counted")
     return site
 
 
-def _read_op_types(ini: Ini) -> dict[str, OpType]:
-    op_types = ini.each("op", OpType)
+def _read_op_types(ini: IniFile) -> dict[str, OpType]:
+    op_types = ini.read_named_sections("op", OpType)
     if not op_types:
-        raise ini.fail(None, None, "no section [op NAME]")
+        raise ini.error(None, None, "no section [op NAME]")
     if abs(sum(op_type.share for _, op_type in op_types) - 1) > SHARE_TOLERANCE:
-        raise ini.fail(op_types[-1][0], "share", "the shares of all op types do not sum to 100%")
+        raise ini.error(op_types[-1][0], "share", "the shares of all op types do not sum to 100%")
     for section, op_type in op_types:
         if not 0 < op_type.target <= op_type.timeout:
-            raise ini.fail(section, "target", "expected above 0 and within the op timeout")
+            raise ini.error(section, "target", "expected above 0 and within the op timeout")
         if not op_type.work:
-            raise ini.fail(section, "work", "expected some")
+            raise ini.error(section, "work", "expected some")
     return {section.name: op_type for section, op_type in op_types}
 
 
-def _read_loads(ini: Ini, site: Site) -> tuple[tuple[int, float], ...]:
+def _read_loads(ini: IniFile, site: Site) -> tuple[tuple[int, float], ...]:
     loads = [(0, site.load)]
-    for section, load in ini.each("load", Load):
+    for section, load in ini.read_named_sections("load", Load):
         if load.at < loads[-1][0]:
-            raise ini.fail(section, "at", "loads stand in the order of time")
+            raise ini.error(section, "at", "loads stand in the order of time")
         loads.append((load.at, load.load))
     return tuple(loads)
 
 
-def _read_node_kind(ini: Ini) -> NodeKind:
-    kind = ini.one("nodes", NodeKind)
+def _read_node_kind(ini: IniFile) -> NodeKind:
+    kind = ini.read_section("nodes", NodeKind)
     if kind.cancel not in CANCEL_MODES:
-        raise ini.fail(ini.find("nodes"), "cancel", f"expected waiting, all or none, got {kind.cancel!r}")
+        raise ini.error(ini.find_section("nodes"), "cancel", f"expected waiting, all or none, got {kind.cancel!r}")
     if not (kind.cores and kind.slots and kind.speed):
-        raise ini.fail(ini.find("nodes"), None, "cores, slots and speed are above 0")
+        raise ini.error(ini.find_section("nodes"), None, "cores, slots and speed are above 0")
     return kind
 
 
-def _schedule(ini: Ini, section: Section, fault: Fault, site: Site) -> ScheduledFault:
+def _read_faults(ini: IniFile, site: Site) -> tuple[ScheduledFault, ...]:
+    faults = ini.read_named_sections("fault", Fault)
+    return tuple(_schedule(ini, section, fault, site) for section, fault in faults)
+
+
+def _schedule(ini: IniFile, section: Section, fault: Fault, site: Site) -> ScheduledFault:
     end_ns = _end_of(ini, section, fault, site)
     try:
         selectors = tuple(parse_selector(text, site) for text in fault.who)
     except ValueError as err:
-        raise ini.fail(section, "who", str(err)) from None
+        raise ini.error(section, "who", str(err)) from None
     if not selectors:
-        raise ini.fail(section, "who", "names nobody")
+        raise ini.error(section, "who", "names nobody")
     if any(selector.kind != "node" for selector in selectors) and fault.kind not in ("stall", "lost"):
-        raise ini.fail(section, "who", f"{fault.kind} is for nodes alone")
+        raise ini.error(section, "who", f"{fault.kind} is for nodes alone")
     _check_fields(ini, section, fault)
     return ScheduledFault(section.name, fault, end_ns, selectors)
 
 
-def _end_of(ini: Ini, section: Section, fault: Fault, site: Site) -> int:
+def _end_of(ini: IniFile, section: Section, fault: Fault, site: Site) -> int:
     if fault.length is not None and fault.end is None:
         end_ns, field = fault.start + fault.length, "length"
     elif fault.end is not None and fault.length is None:
         end_ns, field = fault.end, "end"
     else:
-        raise ini.fail(section, None, "give either length or end")
+        raise ini.error(section, None, "give either length or end")
     if end_ns <= fault.start:
-        raise ini.fail(section, field, "the fault ends before it begins")
+        raise ini.error(section, field, "the fault ends before it begins")
     if fault.start >= site.length:
-        raise ini.fail(section, "start", "the rehearsal is over by then")
+        raise ini.error(section, "start", "the rehearsal is over by then")
     return end_ns
 
 
-def _check_fields(ini: Ini, section: Section, fault: Fault) -> None:
+def _check_fields(ini: IniFile, section: Section, fault: Fault) -> None:
     """Refuse a fault whose fields don't suit its kind."""
     strength = fault.strength or 0
     if fault.kind in ("fail", "mute") and not 0 < strength <= 1:
-        raise ini.fail(section, "strength", "expected a share over 0 and up to 1")
-    if fault.kind == "edit" and ini.find("files") is None:
-        raise ini.fail(section, "kind", "there are no node files: the script has no section [files]")
+        raise ini.error(section, "strength", "expected a share over 0 and up to 1")
+    if fault.kind == "edit" and ini.find_section("files") is None:
+        raise ini.error(section, "kind", "there are no node files: the script has no section [files]")
     if fault.kind == "edit" and fault.how == "weight" and not strength:
-        raise ini.fail(section, "strength", "expected by how much weights are multiplied")
+        raise ini.error(section, "strength", "expected by how much weights are multiplied")
     if fault.kind == "slow" and not strength > 1:
-        raise ini.fail(section, "strength", "expected how many times slower, over 1")
+        raise ini.error(section, "strength", "expected how many times slower, over 1")
     if fault.kind == "stall" and not 0 < fault.pause < fault.every:
-        raise ini.fail(section, "pause", "a pause is shorter than the time from one to the next")
+        raise ini.error(section, "pause", "a pause is shorter than the time from one to the next")
--- a/kestrelplank/emulator/script_sections.py
+++ b/kestrelplank/emulator/script_sections.py
@@ -1,13 +1,14 @@
 """The sections of a rehearsal's script, as msgspec structs whose fields are the users' keys.
 
-Each `Span` is read from text with a unit and is whole ns; each `Spans` is a least and a most, between which is drawn.
+Each `Duration` is read from text with a unit and is whole ns; each `DurationRange` is a least and a most, between which
+is drawn.
 """
 
 from typing import Annotated, Literal
 
 from msgspec import Meta, Struct
 
-from kestrelplank.settings.ini import Count, Flag, Number, Share, Span, Spans, Words
+from kestrelplank.settings.ini_fields import Count, Duration, DurationRange, Flag, Fraction, Number, Words
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 AtLeastOne = Annotated[Count, Meta(ge=1)]
@@ -25,9 +26,9 @@
     slices: AtLeastOne = 180
     relays: AtLeastOne = 60
     conductors: Annotated[Count, Meta(ge=1, le=40)] = 2
-    length: Span = 60 * SECOND
-    settle: Span = 6 * SECOND
-    load: Share = 0.45
+    length: Duration = 60 * SECOND
+    settle: Duration = 6 * SECOND
+    load: Fraction = 0.45
 
 
 class NodeKind(Struct, frozen=True, kw_only=True):
@@ -48,26 +49,26 @@
     slots: Count = 6
     room: Count = 36
     speed: Number = 1.0
-    warm_up: Span = 10 * SECOND
-    warm_work: Span = 0
-    cold_from: Share = 0.3
+    warm_up: Duration = 10 * SECOND
+    warm_work: Duration = 0
+    cold_from: Fraction = 0.3
     fall_multiple: Number = 3.0
-    tip_after: Span = 3 * SECOND
-    connection: Span = 2_500_000
+    tip_after: Duration = 3 * SECOND
+    connection: Duration = 2_500_000
     keys: Count = 600
-    key_for: Span = 16 * SECOND
-    key_gain: Share = 0.5
+    key_for: Duration = 16 * SECOND
+    key_gain: Fraction = 0.5
     cancel: str = "waiting"
 
 
 class OpType(Struct, frozen=True, kw_only=True):
     """[op NAME]; `spread` is the deviation of its work over the mean, drawn lognormal."""
 
-    share: Share
-    work: Span
+    share: Fraction
+    work: Duration
     spread: Number = 0.6
-    target: Span
-    timeout: Span
+    target: Duration
+    timeout: Duration
     value: Number = 1.0
     effect: Literal["retryable", "deduplicated", "once-only"] = "once-only"
 
@@ -80,7 +81,7 @@
     """
 
     retries: Annotated[Count, Meta(le=7)] = 1
-    wait: Span = 100 * MILLISECOND
+    wait: Duration = 100 * MILLISECOND
     slice_spread: Number = 0.7
     keys: AtLeastOne = 40
 
@@ -94,12 +95,12 @@
 
     pick: Literal["random", "rotate", "two"] = "random"
     strikes: Count = 5
-    avoid: Spans = (4 * SECOND, 7 * SECOND)
-    hold: Span = 500 * MILLISECOND
-    dial: Span = 250 * MILLISECOND
-    redial: Spans = (200 * MILLISECOND, 2_300 * MILLISECOND)
-    notice: Spans = (370 * MILLISECOND, 1_900 * MILLISECOND)
-    apply_line: Span = 25_000
+    avoid: DurationRange = (4 * SECOND, 7 * SECOND)
+    hold: Duration = 500 * MILLISECOND
+    dial: Duration = 250 * MILLISECOND
+    redial: DurationRange = (200 * MILLISECOND, 2_300 * MILLISECOND)
+    notice: DurationRange = (370 * MILLISECOND, 1_900 * MILLISECOND)
+    apply_line: Duration = 25_000
 
 
 class Channel(Struct, frozen=True, kw_only=True):
@@ -107,17 +108,17 @@
 
     lines_per_s: Number = 7500.0
     envelope: Count = 16
-    backlog: Span = 1_500 * MILLISECOND
-    transit: Spans = (85 * MILLISECOND, 330 * MILLISECOND)
+    backlog: Duration = 1_500 * MILLISECOND
+    transit: DurationRange = (85 * MILLISECOND, 330 * MILLISECOND)
 
 
 class Reports(Struct, frozen=True, kw_only=True):
     """[reports]: what assigners learn of attempts and ops, and how late."""
 
-    every: Annotated[Span, Meta(ge=10 * MILLISECOND)] = 1 * SECOND
-    late: Spans = (530 * MILLISECOND, 1_200 * MILLISECOND)
+    every: Annotated[Duration, Meta(ge=10 * MILLISECOND)] = 1 * SECOND
+    late: DurationRange = (530 * MILLISECOND, 1_200 * MILLISECOND)
     intake_per_s: AtLeastOne = 500
-    noise: Share = 0.1
+    noise: Fraction = 0.1
 
 
 class DiscoveryDelays(Struct, frozen=True, kw_only=True):
@@ -128,43 +129,43 @@
     :param spread: between assigners.
     """
 
-    notice: Spans = (1_600 * MILLISECOND, 4_400 * MILLISECOND)
-    silent: Spans = (4_600 * MILLISECOND, 11 * SECOND)
-    add: Spans = (1_200 * MILLISECOND, 2_500 * MILLISECOND)
-    spread: Spans = (40 * MILLISECOND, 390 * MILLISECOND)
+    notice: DurationRange = (1_600 * MILLISECOND, 4_400 * MILLISECOND)
+    silent: DurationRange = (4_600 * MILLISECOND, 11 * SECOND)
+    add: DurationRange = (1_200 * MILLISECOND, 2_500 * MILLISECOND)
+    spread: DurationRange = (40 * MILLISECOND, 390 * MILLISECOND)
 
 
 class NetworkDelays(Struct, frozen=True, kw_only=True):
     """[network]: the time of a message within a zone and between two."""
 
-    same: Spans = (100_000, 320_000)
-    cross: Spans = (1_400_000, 2_600_000)
+    same: DurationRange = (100_000, 320_000)
+    cross: DurationRange = (1_400_000, 2_600_000)
 
 
 class RuleLimits(Struct, frozen=True, kw_only=True):
     """[rules]: limits that the rules set, and how slices pass to another assigner."""
 
-    grace: Span = 1_500 * MILLISECOND
-    bare: Span = 2_500 * MILLISECOND
-    takeover: Spans = (1 * SECOND, 3 * SECOND)
-    rehome: Spans = (3 * SECOND, 12 * SECOND)
-    tick: Span = 4 * MILLISECOND
+    grace: Duration = 1_500 * MILLISECOND
+    bare: Duration = 2_500 * MILLISECOND
+    takeover: DurationRange = (1 * SECOND, 3 * SECOND)
+    rehome: DurationRange = (3 * SECOND, 12 * SECOND)
+    tick: Duration = 4 * MILLISECOND
 
 
 class NodeFileGuards(Struct, frozen=True, kw_only=True):
     """[files]: node lists in files in place of discovery, with the operator's guards."""
 
-    quiet: Span = 200 * MILLISECOND
-    most_closed: Share = 0.25
-    stand: Span = 60 * SECOND
-    weight_step: Share = 0.1
+    quiet: Duration = 200 * MILLISECOND
+    most_closed: Fraction = 0.25
+    stand: Duration = 60 * SECOND
+    weight_step: Fraction = 0.1
 
 
 class Load(Struct, frozen=True, kw_only=True):
     """[load NAME]: the load from that time on."""
 
-    at: Span
-    load: Share
+    at: Duration
+    load: Fraction
 
 
 class Fault(Struct, frozen=True, kw_only=True):
@@ -178,11 +179,11 @@
 
     kind: Literal["stall", "slow", "silent", "fail", "mute", "lost", "drain", "edit"]
     who: Words
-    start: Span
-    length: Span | None = None
-    end: Span | None = None
+    start: Duration
+    length: Duration | None = None
+    end: Duration | None = None
     strength: Number | None = None
     how: Literal["torn", "twice", "gone", "empty", "remove", "drain", "weight"] = "torn"
-    pause: Span = 300 * MILLISECOND
-    every: Span = 2 * SECOND
+    pause: Duration = 300 * MILLISECOND
+    every: Duration = 2 * SECOND
     keeps_queue: Flag = False
--- a/kestrelplank/rehearsal/asgi.py
+++ b/kestrelplank/rehearsal/asgi.py
@@ -1,11 +1,8 @@
-"""The parts of ASGI that stand-ins need."""
+"""Whole ASGI messages, for the servers of a rehearsal."""
 
-from collections.abc import Awaitable, Callable, MutableMapping, Sequence
-from typing import Any
+from collections.abc import Sequence
 
-Message = MutableMapping[str, Any]  # as ASGI 3.0 defines it
-Receive = Callable[[], Awaitable[Message]]
-Send = Callable[[Message], Awaitable[None]]
+from kestrelplank.http.asgi import Receive, Send
 
 
 async def receive_body(receive: Receive) -> bytes | None:
--- a/kestrelplank/rehearsal/gateway_rehearsal.py
+++ b/kestrelplank/rehearsal/gateway_rehearsal.py
@@ -14,7 +14,8 @@
 
 import msgspec
 
-from kestrelplank.http.serve import listener, server
+from kestrelplank.http.server import create_server
+from kestrelplank.http.socket_options import listening_socket
 from kestrelplank.rehearsal.gateway_processes import GatewayProcesses, LoopbackNetwork, Machine, Role
 from kestrelplank.rehearsal.gateway_report import GatewayReport
 from kestrelplank.rehearsal.loopback import call
@@ -78,9 +79,9 @@
     @asynccontextmanager
     async def _platform(self) -> AsyncIterator[None]:
         """Serve the list of servers; in the end, when no request runs any more, stop them too."""
-        http_server = server(SimulatedPlatform(self._servers).app, IDLE_TIMEOUT_S, GRACE_S)
+        http_server = create_server(SimulatedPlatform(self._servers).app, IDLE_TIMEOUT_S, GRACE_S)
         address = self._processes.network.platform_address
-        serving = asyncio.create_task(http_server.serve([listener(*address)]))
+        serving = asyncio.create_task(http_server.serve([listening_socket(*address)]))
         try:
             yield
         finally:
--- a/kestrelplank/rehearsal/loopback.py
+++ b/kestrelplank/rehearsal/loopback.py
@@ -5,7 +5,8 @@
 import socket
 from collections.abc import Iterable, Sequence
 
-from kestrelplank.http.call import Answer, dial
+from kestrelplank.http.answer import Answer
+from kestrelplank.http.connection import dial
 
 HOST_NAME = "shop.example"
 CALL_TIMEOUT_S = 2.0
--- a/kestrelplank/rehearsal/program_process.py
+++ b/kestrelplank/rehearsal/program_process.py
@@ -4,7 +4,8 @@
 import signal
 import subprocess
 import sys
-from typing import IO
+from socket import socket
+from typing import IO, cast
 
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import READ, Loop
@@ -16,6 +17,8 @@
 class ProgramProcess:
     """A running program whose log is read by our loop: nothing here blocks while it runs.
 
+    The loop takes whatever has a descriptor, a pipe as well as a socket.
+
     :param arguments: those of the interpreter.
     :param variables: added to the environment.
     """
@@ -27,7 +30,7 @@
         assert self.process.stderr is not None
         self._stderr: IO[bytes] = self.process.stderr
         os.set_blocking(self._stderr.fileno(), False)
-        loop.watch(self._stderr, READ, self._read)
+        loop.watch(cast(socket, self._stderr), READ, self._read)
 
     def _read(self, events: int) -> None:  # noqa: ARG002 - as the loop calls it
         data = self._stderr.read()
@@ -36,7 +39,7 @@
             self._close_log()
 
     def _close_log(self) -> None:
-        self._loop.forget(self._stderr)
+        self._loop.forget(cast(socket, self._stderr))
         self._stderr.close()
 
     def log_lines(self, text: str) -> list[str]:
--- a/kestrelplank/rehearsal/simulated_clients.py
+++ b/kestrelplank/rehearsal/simulated_clients.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 from random import Random
 
-from kestrelplank.http.call import Answer
+from kestrelplank.http.answer import Answer
 from kestrelplank.rehearsal.gateway_processes import GatewayProcesses, Role
 from kestrelplank.rehearsal.loopback import call
 from kestrelplank.rehearsal.observations import Observations
--- a/kestrelplank/rehearsal/simulated_platform.py
+++ b/kestrelplank/rehearsal/simulated_platform.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from kestrelplank.rehearsal.asgi import Message, Receive, Send, send_answer
+from kestrelplank.http.asgi import Receive, Scope, Send
+from kestrelplank.rehearsal.asgi import send_answer
 from kestrelplank.rehearsal.simulated_server import SLOTS, SimulatedServer
 
 ZONE = "hall"
@@ -16,7 +17,7 @@
     def __init__(self, servers: Sequence[SimulatedServer]) -> None:
         self._servers = servers
 
-    async def app(self, scope: Message, receive: Receive, send: Send) -> None:  # noqa: ARG002 - as ASGI calls it
+    async def app(self, scope: Scope, receive: Receive, send: Send) -> None:  # noqa: ARG002 - as ASGI calls it
         """Answer a call for the list."""
         await receive()
         instances = [self._entry(server) for server in self._servers if server.state != "gone"]
--- a/kestrelplank/rehearsal/simulated_server.py
+++ b/kestrelplank/rehearsal/simulated_server.py
@@ -8,8 +8,10 @@
 
 import msgspec
 
-from kestrelplank.http.serve import Server, listener, server
-from kestrelplank.rehearsal.asgi import Message, Receive, Send, receive_body, send_answer
+from kestrelplank.http.asgi import Headers, Receive, Scope, Send
+from kestrelplank.http.server import Server, create_server
+from kestrelplank.http.socket_options import listening_socket
+from kestrelplank.rehearsal.asgi import receive_body, send_answer
 from kestrelplank.rehearsal.observations import Observations
 
 WORK_RANGE_S = (0.01, 0.03)  # spent on a request
@@ -17,8 +19,6 @@
 IDLE_TIMEOUT_S, GRACE_S = 10, 1
 GRANT_PATH, RELEASE_PATH = "/api/grant", "/api/release"
 
-Headers = list[tuple[bytes, bytes]]
-
 
 class KeyGrant(NamedTuple):
     """A range of keys that the server holds until that time (s)."""
@@ -70,8 +70,8 @@
 
     async def start(self) -> None:
         """Serve on its address."""
-        self._http_server = server(self.app, IDLE_TIMEOUT_S, GRACE_S)
-        self._serving = asyncio.create_task(self._http_server.serve([listener(*self.address)]))
+        self._http_server = create_server(self.app, IDLE_TIMEOUT_S, GRACE_S)
+        self._serving = asyncio.create_task(self._http_server.serve([listening_socket(*self.address)]))
 
     async def stop(self) -> None:
         """Stop serving; requests that run are answered."""
@@ -79,7 +79,7 @@
             self._http_server.should_exit, self._http_server = True, None
             await self._serving
 
-    async def app(self, scope: Message, receive: Receive, send: Send) -> None:
+    async def app(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer a call of the control side, or a request."""
         body = await receive_body(receive)
         if body is None:
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership_planning.py
@@ -12,18 +12,18 @@
 from kestrelplank.consensus.identity import identity_of
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.membership_planning import (
-    NEWCOMER_HEARD_WITHIN,
-    REPLACE_AFTER,
-    SECOND,
+    STANDBY_TIMEOUT_NS,
+    VOTER_TIMEOUT_NS,
     Candidate,
     finish,
     plan_membership,
     successor,
 )
+from kestrelplank.time_units import SECOND
 
 NOW = 100 * SECOND
 RECENTLY = 50_000_000  # ns since a member in touch was heard
-HEARD_BEFORE = {"silent": REPLACE_AFTER, "fading": NEWCOMER_HEARD_WITHIN}
+HEARD_BEFORE = {"silent": VOTER_TIMEOUT_NS, "fading": STANDBY_TIMEOUT_NS}
 
 
 def identity(name):
@@ -31,17 +31,17 @@
 
 
 def names(identities):
-    return " ".join(sorted(one.partition("/")[2] for one in identities))
+    return " ".join(sorted(identity.partition("/")[2] for identity in identities))
 
 
 def candidates(text, now=NOW):
-    found = []
-    for place, word in enumerate(text.split()):
-        member, _, states = word.partition(":")
+    known = []
+    for written in text.split():
+        member, _, states = written.partition(":")
         name, _, zone = member.partition("@")
         states = states.split("+") if states else []
         age = max([HEARD_BEFORE.get(state, 0) for state in states] + [RECENTLY])
-        found.append(
+        known.append(
             Candidate(
                 identity=identity(name),
                 zone=zone,
@@ -51,7 +51,7 @@
                 caught_up="behind" not in states,
             )
         )
-    return found
+    return known
 
 
 def group(text, epoch=7, outgoing=""):
@@ -199,15 +199,15 @@
 
 def test_a_newcomer_counts_up_to_a_second_after_it_was_heard():
     a, b, c, d = candidates("a b c:silent d")
-    fresh = Candidate(d.identity, "", True, False, NOW - NEWCOMER_HEARD_WITHIN + 1, True)
-    stale = Candidate(d.identity, "", True, False, NOW - NEWCOMER_HEARD_WITHIN, True)
+    fresh = Candidate(d.identity, "", True, False, NOW - STANDBY_TIMEOUT_NS + 1, True)
+    stale = Candidate(d.identity, "", True, False, NOW - STANDBY_TIMEOUT_NS, True)
     assert plan_membership(NOW, group("a b c"), [a, b, c, fresh], identity("a"), 3) is not None
     assert plan_membership(NOW, group("a b c"), [a, b, c, stale], identity("a"), 3) is None
 
 
 def test_a_voter_is_silent_from_two_seconds_on():
     a, b, c, d = candidates("a b c d")
-    for silence, expected in ((REPLACE_AFTER - 1, None), (REPLACE_AFTER, "a b d")):
+    for silence, expected in ((VOTER_TIMEOUT_NS - 1, None), (VOTER_TIMEOUT_NS, "a b d")):
         quiet = Candidate(c.identity, "", True, False, NOW - silence, True)
         planned = plan_membership(NOW, group("a b c"), [a, b, quiet, d], identity("a"), 3)
         assert (planned and names(planned.voters)) == expected
@@ -275,10 +275,10 @@
 def test_every_set_of_tolerated_losses_is_replaced(count, losses):
     """Of `count` machines the first 2 * losses + 1 count. Whichever of them fall silent, and however many: what the
     others can replace is replaced, and no plan leaves a silent voter in while a standby is out."""
-    all_voters = "abcdefghijk"[:count]
-    voters, standbys = all_voters[: 2 * losses + 1], all_voters[2 * losses + 1 :]
+    machines = "abcdefghijk"[:count]
+    voters, standbys = machines[: 2 * losses + 1], machines[2 * losses + 1 :]
     for lost in permutations(voters[1:], losses):
-        known = " ".join(f"{name}:silent" if name in lost else name for name in all_voters)
+        known = " ".join(f"{name}:silent" if name in lost else name for name in machines)
         planned = plan(" ".join(voters), known, 2 * losses + 1)
         replaced = min(losses, len(standbys))
         if replaced == 0:
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -16,7 +16,8 @@
 from kestrelplank.emulator.virtual_clock import VirtualClock
 from kestrelplank.load_balancing.operations import PROOFS_NOT_EXECUTED, AttemptOutcome
 from kestrelplank.policy import Policy
-from kestrelplank.settings.ini import Ini, Unusable
+from kestrelplank.settings.errors import InvalidSettingsError
+from kestrelplank.settings.ini import IniFile
 
 SCRIPTS = Path(__file__).parents[2] / "rehearsals"
 SITE = """[site]
@@ -53,7 +54,7 @@
         lines = [line for line in site.splitlines() if line.startswith(f"{old} =")]
         site = site.replace(lines[0], f"{old} = {new}", 1)
     return read_script(
-        Ini(
+        IniFile(
             "s.ini",
             site
             + "\n"
@@ -100,12 +101,12 @@
 
 @pytest.mark.parametrize("name", sorted(path.name for path in SCRIPTS.glob("*.ini")))
 def test_every_script_of_the_repository_can_be_used(name):
-    made = read_script(Ini.of(str(SCRIPTS / name)))
+    made = read_script(IniFile.load(str(SCRIPTS / name)))
     Simulation(made, 1, VirtualClock(10**12)).start()
 
 
 def test_a_zone_lost_with_its_proxies_and_an_assigner_keeps_the_rules_and_beats_the_static_policy():
-    made, services = read_script(Ini.of(str(SCRIPTS / "windsor-lost.ini"))), {Policy: [], StaticPolicy: []}
+    made, services = read_script(IniFile.load(str(SCRIPTS / "windsor-lost.ini"))), {Policy: [], StaticPolicy: []}
     for policy, found in services.items():
         for seed in range(4):
             played = play(made, seed, policy)
@@ -253,7 +254,7 @@
     ],
 )
 def test_a_fault_that_cannot_be_played_is_refused_with_its_line(fault, says):
-    with pytest.raises(Unusable) as found:
+    with pytest.raises(InvalidSettingsError) as found:
         site_with(fault)
     assert says in str(found.value) and str(found.value).startswith("s.ini")
 
@@ -277,13 +278,13 @@
     ],
 )
 def test_a_site_that_cannot_be_played_is_refused(old, new, says):
-    with pytest.raises(Unusable) as found:
-        read_script(Ini("s.ini", SITE.replace(old, new, 1)))
+    with pytest.raises(InvalidSettingsError) as found:
+        read_script(IniFile("s.ini", SITE.replace(old, new, 1)))
     assert says in str(found.value)
 
 
 def test_a_midnight_edit_never_empties_a_key_block_and_each_refusal_names_its_line():
-    found = play(read_script(Ini.of(str(SCRIPTS / "midnight-edit.ini"))), 3)
+    found = play(read_script(IniFile.load(str(SCRIPTS / "midnight-edit.ini"))), 3)
     said = [what for _, what, _ in found["events"] if what.startswith("list")]
     assert [what.split(":")[0] for what in said] == ["list refused"] * 4 + ["list waiting"] + ["list accepted"] * 4
     assert "stands in zone" in said[1] and all("nodes.ini" in what for what in said[:4])
@@ -291,7 +292,7 @@
 
 
 def test_an_edit_needs_node_files():
-    with pytest.raises(Unusable, match="there are no node files"):
+    with pytest.raises(InvalidSettingsError, match="there are no node files"):
         site_with("kind = edit, who = nodes, start = 3s, length = 3s")
 
 
@@ -312,7 +313,9 @@
 
 
 def test_load_follows_the_script_over_time():
-    made = read_script(Ini("s.ini", SITE + "\n[load more]\nat = 5s\nload = 100%\n[load none]\nat = 10s\nload = 0\n"))
+    made = read_script(
+        IniFile("s.ini", SITE + "\n[load more]\nat = 5s\nload = 100%\n[load none]\nat = 10s\nload = 0\n")
+    )
     simulation = Simulation(made, 1, VirtualClock(10**12))
     rates = [simulation.load.ops_per_s(10**12 + at * 10**9) for at in (0, 5, 10)]
     assert rates[1] == pytest.approx(2 * rates[0]) and rates[2] == 0
