--- a/benchmarks/fuzz_relay.py
+++ b/benchmarks/fuzz_relay.py
@@ -34,7 +34,7 @@
     client.send(GET[: data[0] % len(GET)] + sent)
     here.pass_time(2 * MS)
     client.close()
-    here.wait(lambda: not here.proxy._clients and not here.proxy._exchanges)
+    here.wait(lambda: not here.proxy.clients.connections and not here.proxy.exchanges)
     counts = here.attempts.counts
     assert counts["asked"] == sum(counts[word] for word in ("acked", "rejected", "aborted")) == len(here.ops)
     here.close()
--- /dev/null
+++ b/kestrelplank/reference_proxy/core_settings.py
@@ -0,0 +1,106 @@
+"""The settings of a proxy's file, as its parts take them."""
+
+from kestrelplank.load_balancing.admission import AdmissionSettings
+from kestrelplank.load_balancing.attempts import AttemptSettings
+from kestrelplank.load_balancing.concurrency_limits import ConcurrencyLimitSettings
+from kestrelplank.load_balancing.connection_pool import PoolSettings
+from kestrelplank.load_balancing.flap_damping import FlapDampingSettings
+from kestrelplank.load_balancing.selection import SelectionMethod
+from kestrelplank.load_balancing.zone_preference import ZonePreferenceSettings
+from kestrelplank.reference_proxy.client_request import OpType
+from kestrelplank.reference_proxy.exchange import ExchangeLimits
+from kestrelplank.settings.ini_fields import parse_fraction
+from kestrelplank.settings.reference_proxy import ReferenceProxySettings
+from kestrelplank.state.answers import Terms as AnswerSettings
+
+
+def op_types(settings: ReferenceProxySettings) -> list[OpType]:
+    """Return the op types, in the order in which requests are matched."""
+    return [
+        OpType(name, op.method.upper().encode(), op.path_prefix.encode(), op.effect == "deduplicated", op.timeout_ns)
+        for name, op in settings.op_types.items()
+    ]
+
+
+def exchange_limits(settings: ReferenceProxySettings) -> ExchangeLimits:
+    """Return the limits of one exchange."""
+    clients = settings.clients
+    return ExchangeLimits(
+        head_bytes=clients.max_header_bytes,
+        kept_body_bytes=clients.kept_body_bytes,
+        body_bytes=clients.max_body_bytes,
+        dial_timeout_ns=settings.attempts.connect_timeout_ns,
+        key_header=clients.idempotency_header.lower().encode(),
+    )
+
+
+def admission_settings(settings: ReferenceProxySettings) -> AdmissionSettings:
+    """Return how many connections of clients are held, and for how long."""
+    clients = settings.clients
+    return AdmissionSettings(
+        max_connections=clients.max_connections,
+        max_per_client=clients.max_connections_per_client,
+        head_timeout_ns=clients.header_timeout_ns,
+        idle_timeout_ns=clients.idle_timeout_ns,
+    )
+
+
+def pool_settings(settings: ReferenceProxySettings) -> PoolSettings:
+    """Return the bounds of a node's connections."""
+    nodes = settings.nodes
+    return PoolSettings(
+        max_connections=nodes.max_connections,
+        idle_timeout_ns=nodes.idle_timeout_ns,
+        max_uses=nodes.max_requests_per_connection,
+        withdrawal_grace_ns=nodes.grace_ns,
+        warm_up_ns=nodes.slow_start_ns,
+        cold_share=nodes.slow_start_from,
+    )
+
+
+def answer_settings(settings: ReferenceProxySettings) -> AnswerSettings:
+    """Return how many answers of deduplicated ops are kept."""
+    clients = settings.clients
+    return AnswerSettings(clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns)
+
+
+def attempt_settings(settings: ReferenceProxySettings) -> AttemptSettings:
+    """Return how ops are attempted."""
+    attempts = settings.attempts
+    timeouts_ns = [op_type.timeout_ns for op_type in settings.op_types.values()]
+    return AttemptSettings(timeouts_ns, SelectionMethod(attempts.pick), attempts.hold_ns)
+
+
+def concurrency_limit_settings(settings: ReferenceProxySettings) -> ConcurrencyLimitSettings:
+    """Return how the limits of ops in flight at a node move."""
+    attempts = settings.attempts
+    return ConcurrencyLimitSettings(
+        initial=attempts.first_limit,
+        minimum=attempts.least_limit,
+        maximum=attempts.greatest_limit,
+        tolerance=attempts.latency_tolerance,
+    )
+
+
+def zone_preference_settings(settings: ReferenceProxySettings) -> ZonePreferenceSettings:
+    """Return when other zones are used."""
+    zones = settings.zones
+    return ZonePreferenceSettings(
+        spill_shares=tuple(map(parse_fraction, zones.spill_fractions)),
+        tier_width_ns=zones.tier_width_ns,
+        spill_begin_share=zones.spill_begins_at,
+        spill_end_share=zones.spill_ends_at,
+        panic_share=zones.panic_threshold,
+    )
+
+
+def flap_damping_settings(settings: ReferenceProxySettings) -> FlapDampingSettings:
+    """Return how long a zone that comes and goes is held down."""
+    zones = settings.zones
+    return FlapDampingSettings(
+        window_ns=zones.loss_window_ns,
+        free_losses=zones.free_losses,
+        first_hold_ns=zones.first_hold_ns,
+        max_hold_ns=zones.longest_hold_ns,
+        reset_after_ns=zones.forget_after_ns,
+    )
--- /dev/null
+++ b/kestrelplank/reference_proxy/http_messages.py
@@ -0,0 +1,106 @@
+"""HTTP/1.1 messages on both sides of the proxy: heads, framing, and what is never forwarded.
+
+httptools parses, and refuses what could be read in two ways: two lengths, a length beside chunks, a bare LF, a folded
+line, white space before a colon. What it lets through and we do not is rejected here.
+"""
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+HOP_BY_HOP = frozenset(
+    (  # looked up, never walked
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+    )
+)
+REASONS = {
+    100: "Continue",
+    200: "OK",
+    400: "Bad Request",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    417: "Expectation Failed",
+    431: "Request Header Fields Too Large",
+    501: "Not Implemented",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
+STATUSES_WITHOUT_BODY = (204, 304)
+
+Header = tuple[bytes, bytes]
+CLOSE_HEADER: Header = (b"Connection", b"close")
+
+
+def first_value(headers: Iterable[Header], name: bytes) -> bytes | None:
+    """Return the first value of a header, by its name in lower case."""
+    return next((value for held, value in headers if held.lower() == name), None)
+
+
+def list_values(headers: Iterable[Header], name: bytes) -> list[bytes]:
+    """Return the members of a list header, in lower case (RFC 9110, section 5.6.1)."""
+    return [word.strip().lower() for held, value in headers if held.lower() == name for word in value.split(b",")]
+
+
+def end_to_end(headers: list[Header]) -> list[Header]:
+    """Return the headers that are for the other end: none that belong to one connection (RFC 9110, section 7.6.1)."""
+    named = list_values(headers, b"connection")
+    return [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP and name.lower() not in named]
+
+
+class Framing(NamedTuple):
+    """How a message's body is delimited; `problem` says why it can't be read, and is empty where it can."""
+
+    length: int | None
+    chunked: bool
+    problem: str = ""
+
+
+def framing(headers: list[Header]) -> Framing:
+    """Return the framing of a head that the parser let through."""
+    coding = list_values(headers, b"transfer-encoding")
+    length = first_value(headers, b"content-length")
+    if coding and coding != [b"chunked"]:
+        return Framing(None, True, "a transfer coding other than chunked")
+    return Framing(int(length) if length is not None else None, bool(coding))
+
+
+def render_head(
+    first_line: bytes, headers: Iterable[Header], length: int | None, *, chunked: bool, more: Iterable[Header] = ()
+) -> bytes:
+    """Return a head as it goes out, with framing of its own."""
+    lines = [first_line, *(name + b": " + value for name, value in (*headers, *more))]
+    if chunked:
+        lines.append(b"Transfer-Encoding: chunked")
+    elif length is not None:
+        lines.append(b"Content-Length: %d" % length)
+    return b"\r\n".join(lines) + b"\r\n\r\n"
+
+
+def render_chunk(data: bytes) -> bytes:
+    """Return a piece of a body in the chunked coding (RFC 9112, section 7.1)."""
+    return b"%x\r\n%s\r\n" % (len(data), data)
+
+
+LAST_CHUNK = b"0\r\n\r\n"
+
+
+def own_answer(status: int, text: str, *, keep: bool, more: Iterable[Header] = ()) -> bytes:
+    """Return an answer of the proxy's own: a line of text.
+
+    :param keep: whether the client's connection is kept after it.
+    """
+    body = text.encode() + b"\n"
+    extra = (*more, *(() if keep else (CLOSE_HEADER,)))
+    first_line = f"HTTP/1.1 {status} {REASONS.get(status, 'Error')}".encode()
+    return render_head(first_line, [(b"Content-Type", b"text/plain")], len(body), chunked=False, more=extra) + body
--- /dev/null
+++ b/kestrelplank/reference_proxy/keyed_requests.py
@@ -0,0 +1,79 @@
+"""Requests with a key, of deduplicated op types: one of them runs, the others get its answer (`state/answers.py`)."""
+
+from dataclasses import dataclass
+
+from kestrelplank.assigner.counters import Counters
+from kestrelplank.load_balancing.operations import Verdict
+from kestrelplank.reference_proxy.client_request import Rejection
+from kestrelplank.reference_proxy.exchange import Exchange
+from kestrelplank.state.answers import BUSY, FULL, KNOWN, NEW, OTHER, Answers
+
+UNKNOWN = "the first may have run, and its end is not known"
+TOO_LONG = Rejection(413, "too long for an op with a key")
+TOO_MANY = Rejection(503, "too many keys in hand", may_retry=True)
+OTHER_REQUEST = Rejection(409, "the key was used with another request")
+MAY_HAVE_RUN = Rejection(409, UNKNOWN)
+FIRST_REJECTED = Rejection(503, "the first was rejected", may_retry=True)
+
+
+@dataclass(frozen=True, slots=True)
+class Forward:
+    """The request is the first with its key: its op is asked for."""
+
+
+@dataclass(frozen=True, slots=True)
+class AwaitFirst:
+    """The first with its key is in progress: the request gets what that one gets."""
+
+
+@dataclass(frozen=True, slots=True)
+class Replay:
+    """The request gets this answer, which the first one got."""
+
+    answer: bytes
+
+
+KeyDecision = Forward | AwaitFirst | Replay | Rejection
+
+
+class KeyedRequests:
+    """The exchanges that hold a key: each from `look_up` until it is settled or released."""
+
+    def __init__(self, answers: Answers, counters: Counters) -> None:
+        self._answers, self._counters = answers, counters
+
+    def look_up(self, now: int, exchange: Exchange, max_body_bytes: int) -> KeyDecision:
+        """Return what becomes of a request that has come in full."""
+        if exchange.request.size > max_body_bytes:
+            exchange.key = ""
+            return TOO_LONG
+        state, answer = self._answers.ask(now, exchange.key, exchange.request.digest(), exchange.number)
+        self._counters.add(f"keys_{state}")
+        if state == BUSY:
+            return AwaitFirst()
+        if state == NEW:
+            return Forward()
+        exchange.key = ""
+        if state == KNOWN and answer:
+            return Replay(answer)
+        return {FULL: TOO_MANY, OTHER: OTHER_REQUEST}.get(state, MAY_HAVE_RUN)
+
+    def settle(
+        self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None
+    ) -> tuple[list[int], Replay | Rejection]:
+        """Take the end of the first one's op; return the numbers of those who wait for it, and what they get.
+
+        :param answer: the one that it had, if any.
+        """
+        key, exchange.key = exchange.key, ""
+        if answer:
+            complete = b"".join(answer)
+            return self._answers.done(key, complete), Replay(complete)
+        may_have_run = verdict is not Verdict.REJECTED
+        return self._answers.failed(key, may_have_run), MAY_HAVE_RUN if may_have_run else FIRST_REJECTED
+
+    def release(self, exchange: Exchange) -> None:
+        """Let an exchange no longer wait for the first one."""
+        if exchange.key:
+            self._answers.gone(exchange.key, exchange.number)
+            exchange.key = ""
--- a/kestrelplank/reference_proxy/upstream.py
+++ b/kestrelplank/reference_proxy/node_connections.py
@@ -7,35 +7,38 @@
 from kestrelplank.load_balancing.connection_pool import ConnectionPool, NoConnection, PoolSettings
 from kestrelplank.load_balancing.operations import AttemptOutcome
 from kestrelplank.reference_proxy.exchange import Exchange
-from kestrelplank.reference_proxy.node import NodeConnection
-from kestrelplank.sockets.buffers import Pool as Buffers
+from kestrelplank.reference_proxy.node_connection import NodeConnection
+from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.loop import Loop
 
 
-class Upstream:
-    """`addresses`: node to address; `dial_within` in ns. `on_failed(exchange, outcome)` hears of a try that ended
-    before anything of it was sent."""
+class NodeConnections:
+    """All connections to nodes.
+
+    :param addresses: by node.
+    :param on_failed: called with an exchange and the outcome of an attempt that ended before anything of it was sent.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        buffers: Buffers,
+        buffers: Pool,
         counters: Counters,
         settings: PoolSettings,
         addresses: dict[int, str],
-        dial_within: int,
+        dial_timeout_ns: int,
         on_failed: Callable[[Exchange, AttemptOutcome], None],
     ) -> None:
         self._loop, self._buffers, self._counters = loop, buffers, counters
-        self._settings, self._addresses, self.dial_within = settings, addresses, dial_within
+        self._settings, self._addresses, self.dial_timeout_ns = settings, addresses, dial_timeout_ns
         self._on_failed = on_failed
-        self._given = 0
+        self._last_number = 0
         self.pools: dict[int, ConnectionPool] = {}  # by node
         self.connections: dict[int, NodeConnection] = {}  # those that are up, by number
         self.waiting: dict[int, deque[Exchange]] = {}  # for a connection, by node
 
     def send(self, exchange: Exchange, node: int) -> None:
-        """Opens a try of the exchange at that node, on a connection kept or new; it waits where all are busy."""
+        """Begin an attempt of the exchange at that node, on a connection kept or new; it waits where all are busy."""
         exchange.node = node
         now = self._loop.now()
         pool = self.pools.get(node)
@@ -52,14 +55,16 @@
             exchange.send(self.connections[connection])
 
     def release(self, node: int, connection: NodeConnection, keep: bool) -> None:
-        """The try on it has ended; `keep`: the connection may be used again."""
+        """Take back a connection whose attempt has ended; `keep`: it may be used again."""
         if not connection.closed and connection.number in self.connections:
-            connection.let_go()
+            connection.finish_op()
             self._give_back(node, connection, keep)
 
     def detach(self, exchange: Exchange) -> NodeConnection | None:
-        """The exchange wants nothing more of its try. Returns the connection that it is on, if it still stands: to be
-        closed, as an answer may yet come on it."""
+        """Part an exchange from its attempt.
+
+        Return the connection that the attempt is on, if it is still open: to be closed, as an answer may yet come.
+        """
         connection, exchange.connection = exchange.connection, None
         if exchange.node is not None and exchange in self.waiting.get(exchange.node, ()):
             self.waiting[exchange.node].remove(exchange)
@@ -69,8 +74,8 @@
         connection.sink = None
         return None if connection.closed else connection
 
-    def reach_only(self, nodes: dict[int, None]) -> None:
-        """Only these get new tries from now on; what is out at others may end by itself."""
+    def use_only(self, nodes: dict[int, None]) -> None:
+        """Let only these nodes get new attempts; those in flight at others may end by themselves."""
         now = self._loop.now()
         for node, pool in self.pools.items():
             if node in nodes:
@@ -82,7 +87,7 @@
                     self._on_failed(exchange, AttemptOutcome.UNSENT)
 
     def close_late(self) -> None:
-        """Closes connections that have been idle too long, or whose ops outlive the grace of a withdrawn node."""
+        """Close connections that have been idle too long, or whose ops outlive the grace of a withdrawn node."""
         now = self._loop.now()
         for pool in self.pools.values():
             for number in pool.expire_idle(now) + pool.overdue(now):
@@ -90,6 +95,7 @@
                     self.connections[number].close("idle, or past the grace")
 
     def close(self) -> None:
+        """Close all connections."""
         for connection in list(self.connections.values()):
             connection.close("we end")
 
@@ -98,15 +104,15 @@
             pool.dial_failed()
             self._on_failed(exchange, AttemptOutcome.REFUSED)
             return
-        self._given += 1
+        self._last_number += 1
         try:
             connection = NodeConnection(
                 self._loop,
                 self._buffers,
                 self._addresses[node],
-                self.dial_within,
-                self._given,
-                lambda connection: self._up(exchange, node, connection),
+                self.dial_timeout_ns,
+                self._last_number,
+                lambda connection: self._dialled(exchange, node, connection),
                 lambda connection: self._ended(exchange, node, connection),
             )
             connection.on_drained(lambda: self._drained(connection))
@@ -115,22 +121,21 @@
             pool.dial_failed()
             self._on_failed(exchange, AttemptOutcome.REFUSED)
 
-    def _up(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
-        """A connection that was dialled for the exchange can be written to."""
+    def _dialled(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
+        """Take a connection that was dialled for the exchange, now that it can be written to."""
         pool = self.pools[node]
         pool.dial_succeeded(connection.number)
         self.connections[connection.number] = connection
-        wanted = self._is_tried_at(exchange, node)
-        if wanted and pool.withdrawn_at is None:
+        if self._is_attempted_at(exchange, node) and pool.withdrawn_at is None:
             exchange.send(connection)
             return
-        # Given up meanwhile, or the node was withdrawn while it was dialled: nothing has been sent.
+        # Abandoned meanwhile, or the node was withdrawn while it was dialled: nothing has been sent.
         self._give_back(node, connection, True)
-        if self._is_tried_at(exchange, node):
+        if self._is_attempted_at(exchange, node):
             self._on_failed(exchange, AttemptOutcome.UNSENT)
 
     def _ended(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
-        """A connection has closed, or did not come up for the exchange that it was dialled for."""
+        """Take the end of a connection, or that it did not come up for the exchange that it was dialled for."""
         pool = self.pools[node]
         if connection.is_up:
             if self.connections.pop(connection.number, None) is not None:
@@ -138,15 +143,15 @@
                 self._next_waiting(node)
             return
         pool.dial_failed()
-        if self._is_tried_at(exchange, node):
+        if self._is_attempted_at(exchange, node):
             self._on_failed(exchange, AttemptOutcome.REFUSED)
         self._next_waiting(node)
 
     def _drained(self, connection: NodeConnection) -> None:
-        """A node has taken what waited for it: its client is read again."""
-        if connection.number in self.connections and connection.sink is not None:
-            if not connection.sink.request.whole:
-                connection.sink.client.hold(False)
+        """Read the client again, as the node has taken what waited for it."""
+        sink = connection.sink
+        if connection.number in self.connections and isinstance(sink, Exchange) and not sink.request.complete:
+            sink.client.hold(False)
 
     def _give_back(self, node: int, connection: NodeConnection, keep: bool) -> None:
         if not self.pools[node].release(self._loop.now(), connection.number, keep):
@@ -155,7 +160,7 @@
         self._next_waiting(node)
 
     def _next_waiting(self, node: int) -> None:
-        """A connection to the node may be had: for who waits longest."""
+        """Begin the attempt that waits longest, as there may be a connection to the node."""
         waiting = self.waiting.get(node)
         if waiting:
             exchange = waiting.popleft()
@@ -164,5 +169,5 @@
             self.send(exchange, node)
 
     @staticmethod
-    def _is_tried_at(exchange: Exchange, node: int) -> bool:
+    def _is_attempted_at(exchange: Exchange, node: int) -> bool:
         return exchange.op is not None and exchange.node == node
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -2,189 +2,222 @@
 
 What is decided comes from the cores: `Admission` holds client connections, `Attempts` ops and their attempts, a
 `ConnectionPool` a node's connections, `Answers` the answers of deduplicated ops. Here ops are led from their request to
-their answer; bytes are moved by `client`, `exchange` and `upstream`, bounded on both sides: who does not read holds up
-who writes.
+their answer; bytes are moved by `client_connection`, `exchange` and `node_connections`, bounded on both sides: who does
+not read holds up who writes.
 """
 
 import socket
 from collections import Counter
 from collections.abc import Callable
+from dataclasses import dataclass
+from http import HTTPStatus
 
-from kestrelplank.assigner.counters import Counters
 from kestrelplank.load_balancing.admission import Admission
 from kestrelplank.load_balancing.attempts import Attempts
 from kestrelplank.load_balancing.connection_pool import PoolSettings
 from kestrelplank.load_balancing.operations import AttemptOutcome, EndReason, Op, Send, Step, Verdict, Wait
 from kestrelplank.load_balancing.waiting_queue import retry_after_s
-from kestrelplank.reference_proxy.client import ClientConnection, Clients
-from kestrelplank.reference_proxy.exchange import Bounds, Exchange, Stage
-from kestrelplank.reference_proxy.keyed import Forward, Found, KeyedRequests, Replay
-from kestrelplank.reference_proxy.message import own_answer
-from kestrelplank.reference_proxy.node import NodeConnection
-from kestrelplank.reference_proxy.request import OpType, Refusal, Request
-from kestrelplank.reference_proxy.upstream import Upstream
-from kestrelplank.sockets.buffers import Pool as Buffers
-from kestrelplank.sockets.loop import Loop
+from kestrelplank.reference_proxy.client_connection import ClientConnection
+from kestrelplank.reference_proxy.client_connections import ClientConnections
+from kestrelplank.reference_proxy.client_request import ClientRequest, OpType, Rejection
+from kestrelplank.reference_proxy.exchange import Exchange, ExchangeLimits, Stage
+from kestrelplank.reference_proxy.http_messages import Header, own_answer
+from kestrelplank.reference_proxy.keyed_requests import Forward, KeyDecision, KeyedRequests, Replay
+from kestrelplank.reference_proxy.node_connection import NodeConnection
+from kestrelplank.reference_proxy.node_connections import NodeConnections
+from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.state.answers import Answers
 from kestrelplank.state.tables import Tables
+from kestrelplank.time_units import MILLISECOND
 
-SWEEP = 100_000_000  # ns between looks for connections that are late
-MANY_WAITING = 1 << 10  # ops that wait, at which who is turned away is told to come again twice as late
-NO_OP_TYPE = Refusal(501, "no op type has this method and target")
+SWEEP_INTERVAL_NS = 100 * MILLISECOND  # between looks for connections that are late
+LONG_QUEUE = 1 << 10  # ops that wait, at which who is rejected is told to come again twice as late
+NO_OP_TYPE = Rejection(501, "no op type has this method and target")
+HEALTH_TARGET = b"/health"
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyCores:
+    """What decides for a proxy, without I/O."""
+
+    tables: Tables
+    attempts: Attempts
+    admission: Admission
+    answers: Answers
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyHooks:
+    """What a proxy asks and tells its owner.
+
+    :param table_of: returns the table of a request.
+    :param on_attempt: called at each attempt's end with table, node, op type, success and ns.
+    :param on_op: called at each op's end with table, op type and verdict.
+    """
+
+    table_of: Callable[[ClientRequest], int]
+    on_attempt: Callable[[int, int, int, bool, int], None]
+    on_op: Callable[[int, int, Verdict], None]
 
 
 class Proxy:
-    """`addresses`: node to address; `table_of(request)`: its table; `tables` and `attempts` are this relay's cores.
-    `on_try` hears of each try's end as (table, node, op type, good, ns), `on_op` of each op as (table, op type,
-    verdict)."""
+    """A proxy; it is what its clients' connections call `RequestHandler`.
+
+    Invariant: every op that was asked for ends once, and nothing is held after it (`Site.close` in the tests).
+
+    :param at: the address to listen at, or a listening socket.
+    :param addresses: of nodes, by number; may change.
+    """
 
     def __init__(
         self,
-        loop: Loop,
-        buffers: Buffers,
-        counters: Counters,
+        io: ProxyIo,
         at: tuple[str, int] | socket.socket,
         op_types: list[OpType],
-        bounds: Bounds,
-        tables: Tables,
-        attempts: Attempts,
-        admission: Admission,
-        answers: Answers,
+        limits: ExchangeLimits,
+        cores: ProxyCores,
         pool_settings: PoolSettings,
         addresses: dict[int, str],
-        table_of: Callable[[Request], int],
-        on_try: Callable[..., None] = lambda *_: None,
-        on_op: Callable[..., None] = lambda *_: None,
+        hooks: ProxyHooks,
     ) -> None:
-        self.loop, self.buffers, self.counters = loop, buffers, counters
-        self.tables, self.attempts, self.admission = tables, attempts, admission
-        self._table_of, self._on_try, self._on_op = table_of, on_try, on_op
-        self.stopping = False
+        self._io, self._loop, self._hooks = io, io.loop, hooks
+        self._tables, self._attempts, self.admission = cores.tables, cores.attempts, cores.admission
+        self._op_types, self.limits, self.stopping = op_types, limits, False
         self.outcomes: Counter[str] = Counter()
         self.exchanges: dict[int, Exchange] = {}  # by number
-        self._given = 0
-        self._keyed = KeyedRequests(answers, counters)
-        self.upstream = Upstream(loop, buffers, counters, pool_settings, addresses, bounds.dial, self._end_try)
-        self.reconfigure(op_types, bounds)
-        self.clients = Clients(self, at)
+        self._last_number = 0
+        self._keyed = KeyedRequests(cores.answers, io.counters)
+        self.nodes = NodeConnections(
+            io.loop, io.buffers, io.counters, pool_settings, addresses, limits.dial_timeout_ns, self._end_attempt
+        )
+        self.clients = ClientConnections(io, cores.admission, self, at)
         self.at = self.clients.listener.at
-        self._timer = loop.at(loop.now() + SWEEP, self._sweep)
+        self._timer = io.loop.at(io.loop.now() + SWEEP_INTERVAL_NS, self._sweep)
+
+    def reconfigure(self, op_types: list[OpType], limits: ExchangeLimits) -> None:
+        """Use these for what comes from now on."""
+        self._op_types, self.limits = op_types, limits
+        self.nodes.dial_timeout_ns = limits.dial_timeout_ns
 
-    def reconfigure(self, op_types: list[OpType], bounds: Bounds) -> None:
-        """These hold for what comes from now on."""
-        self.op_types, self.bounds = op_types, bounds
-        self.upstream.dial_within = bounds.dial
+    def now(self) -> int:
+        """Return the present instant (ns)."""
+        return self._loop.now()
 
-    def changed(self, tables: list[int]) -> None:
-        """The relay's tables have changed: who waits may go, and nodes that no open line names get nothing more."""
-        for op, step in self.attempts.tables_changed(self.loop.now(), tables):
+    def tables_changed(self, tables: list[int]) -> None:
+        """Let ops go that wait for a node of these tables; nodes that no table names get nothing more."""
+        for op, step in self._attempts.tables_changed(self._loop.now(), tables):
             self._act(self.exchanges[op.number], step)
         self._settle()
         named: dict[int, None] = {}
-        for table in range(self.tables.size):
-            named.update((node, None) for node, _ in self.tables.open(table))
-        self.upstream.reach_only(named)
+        for table in range(self._tables.size):
+            named.update((node, None) for node, _ in self._tables.open(table))
+        self.nodes.use_only(named)
 
-    # Requests.
+    # Requests (`RequestHandler`).
 
     def begin(self, exchange: Exchange) -> None:
-        """A request's head is whole, and it is the first on its connection."""
+        """Take a request whose head is complete, and which is the first on its connection."""
         request = exchange.request
         exchange.stage = Stage.ASKED
-        self._given += 1
-        exchange.number = self._given
-        if request.method == b"GET" and request.target == b"/health":
-            self._answer(exchange, 200, "ok")
+        self._last_number += 1
+        exchange.number = self._last_number
+        if request.method == b"GET" and request.target == HEALTH_TARGET:
+            self._answer(exchange, HTTPStatus.OK, "ok")
             return
-        found = next((place for place, op_type in enumerate(self.op_types) if op_type.matches(request)), None)
-        if found is None:
-            self._refuse(exchange, NO_OP_TYPE)
+        op_type = next((index for index, op_type in enumerate(self._op_types) if op_type.matches(request)), None)
+        if op_type is None:
+            self._reject(exchange, NO_OP_TYPE)
             return
         if request.expects_continue():
             exchange.client.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        op_type = self.op_types[found]
-        exchange.op_type = found
-        exchange.deadline = self.loop.now() + op_type.timeout
-        exchange.timer = self.loop.at(exchange.deadline, lambda: self._late(exchange))
+        self._begin_op(exchange, op_type)
+
+    def _begin_op(self, exchange: Exchange, op_type: int) -> None:
+        request, settings = exchange.request, self._op_types[op_type]
+        exchange.op_type = op_type
+        exchange.deadline = self._loop.now() + settings.timeout_ns
+        exchange.timer = self._loop.at(exchange.deadline, lambda: self._time_out(exchange))
         self.exchanges[exchange.number] = exchange
-        exchange.key = (request.header(self.bounds.key) or b"").decode("latin-1") if op_type.deduplicated else ""
+        if settings.deduplicated:
+            exchange.key = (request.header(self.limits.key_header) or b"").decode("latin-1")
         if not exchange.key:
-            self._ask(exchange)
-        elif request.whole:
+            self._submit(exchange)
+        elif request.complete:
             self._look_up(exchange)
 
-    def body_came(self, exchange: Exchange) -> None:
-        """Its body has come whole: a request with a key is held against kept answers by it."""
+    def body_received(self, exchange: Exchange) -> None:
+        """Look a request with a key up, now that its body has come in full."""
         if exchange.stage is Stage.ASKED and exchange.key and exchange.op is None:
             self._look_up(exchange)
 
-    def client_gone(self, client: ClientConnection) -> None:
-        """A client's connection has ended: nobody waits for its requests."""
-        self.clients.gone(client)
+    def client_closed(self, client: ClientConnection) -> None:
+        """Withdraw the requests of a client whose connection has ended."""
+        self.clients.forget(client)
         for exchange in list(client.queue):
-            self.withdrawn(exchange)
+            self.withdraw(exchange)
         client.queue.clear()
 
-    def withdrawn(self, exchange: Exchange) -> None:
-        """Nobody waits for it any more, or the rest of it will never come."""
+    def withdraw(self, exchange: Exchange) -> None:
+        """Abandon a request for which nobody waits any more, or of which the rest will never come."""
         if exchange.op is not None:
             self.outcomes["gone"] += 1
-            self._abandon_try(exchange, EndReason.CALLER_GONE)
-            end = self.attempts.abandon(self.loop.now(), exchange.op, EndReason.CALLER_GONE)
-            self._done(exchange, end.verdict, None)
+            self._abandon_attempt(exchange, EndReason.CALLER_GONE)
+            end = self._attempts.abandon(self._loop.now(), exchange.op, EndReason.CALLER_GONE)
+            self._finish_op(exchange, end.verdict, None)
             self._settle()
         else:
-            self._leave(exchange)
+            self._release(exchange)
         exchange.client.finished(exchange)
 
     def _look_up(self, exchange: Exchange) -> None:
-        found = self._keyed.look_up(self.loop.now(), exchange, self.bounds.kept)
-        if isinstance(found, Forward):
+        decision = self._keyed.look_up(self._loop.now(), exchange, self.limits.kept_body_bytes)
+        if isinstance(decision, Forward):
             exchange.record = []
-            self._ask(exchange)
+            self._submit(exchange)
         else:
-            self._give(exchange, found)
+            self._answer_by_key(exchange, decision)
 
-    def _late(self, exchange: Exchange) -> None:
-        """Its op timeout: whoever asked hears so now."""
+    def _time_out(self, exchange: Exchange) -> None:
+        """Answer that the op has timed out."""
         if exchange.number not in self.exchanges:
             return
         if exchange.op is None:
-            self._leave(exchange)
-            self._answer(exchange, 504, EndReason.OP_TIMEOUT)
+            self._release(exchange)
+            self._answer(exchange, HTTPStatus.GATEWAY_TIMEOUT, EndReason.OP_TIMEOUT)
             return
-        self._abandon_try(exchange, EndReason.OP_TIMEOUT)
-        self._act(exchange, self.attempts.abandon(self.loop.now(), exchange.op))
+        self._abandon_attempt(exchange, EndReason.OP_TIMEOUT)
+        self._act(exchange, self._attempts.abandon(self._loop.now(), exchange.op))
         self._settle()
 
     # Answers that are not a node's.
 
-    def _give(self, exchange: Exchange, found: Found) -> None:
-        if isinstance(found, Replay):
-            self._replay(exchange, found.answer)
-        elif isinstance(found, Refusal):
-            self._refuse(exchange, found)
+    def _answer_by_key(self, exchange: Exchange, decision: KeyDecision) -> None:
+        if isinstance(decision, Replay):
+            self._replay(exchange, decision.answer)
+        elif isinstance(decision, Rejection):
+            self._reject(exchange, decision)
 
     def _replay(self, exchange: Exchange, answer: bytes) -> None:
-        self._leave(exchange)
+        self._release(exchange)
         self.outcomes["kept"] += 1
         exchange.answer(answer)
         exchange.client.finished(exchange)
 
-    def _refuse(self, exchange: Exchange, refusal: Refusal) -> None:
-        self._answer(exchange, refusal.status, refusal.why, refusal.retry)
-
-    def _answer(self, exchange: Exchange, status: int, why: str, retry: bool = False) -> None:
-        exchange.keep = exchange.keep and exchange.request.whole and not self.stopping
-        more = []
-        if retry:
-            more.append((b"Retry-After", b"%d" % retry_after_s(0, self.attempts.waiting_count(), MANY_WAITING)))
-        self._leave(exchange)
-        exchange.answer(own_answer(status, why, exchange.keep, more))
+    def _reject(self, exchange: Exchange, rejection: Rejection) -> None:
+        self._answer(exchange, rejection.status, rejection.reason, may_retry=rejection.may_retry)
+
+    def _answer(self, exchange: Exchange, status: int, text: str, *, may_retry: bool = False) -> None:
+        exchange.keep = exchange.keep and exchange.request.complete and not self.stopping
+        more: list[Header] = []
+        if may_retry:
+            wait_s = retry_after_s(0, self._attempts.waiting_count(), LONG_QUEUE)
+            more.append((b"Retry-After", b"%d" % wait_s))
+        self._release(exchange)
+        exchange.answer(own_answer(status, text, keep=exchange.keep, more=more))
         exchange.client.finished(exchange)
 
-    def _leave(self, exchange: Exchange) -> None:
-        """It waits no longer for another's answer, or for its own body."""
+    def _release(self, exchange: Exchange) -> None:
+        """Let an exchange wait no longer for another's answer, or for its own body."""
         self.exchanges.pop(exchange.number, None)
         if exchange.timer is not None:
             exchange.timer.cancel()
@@ -192,9 +225,9 @@
 
     # Ops.
 
-    def _ask(self, exchange: Exchange) -> None:
-        now, table = self.loop.now(), self._table_of(exchange.request)
-        exchange.op, step = self.attempts.submit(
+    def _submit(self, exchange: Exchange) -> None:
+        now, table = self._loop.now(), self._hooks.table_of(exchange.request)
+        exchange.op, step = self._attempts.submit(
             now, exchange.number, exchange.op_type, table, exchange.deadline - now, exchange.key
         )
         self._act(exchange, step)
@@ -202,91 +235,109 @@
 
     def _act(self, exchange: Exchange, step: Step) -> None:
         if isinstance(step, Send):
-            self.upstream.send(exchange, step.node)
+            self.nodes.send(exchange, step.node)
         elif isinstance(step, Wait):
-            self.loop.at(step.until, lambda: self._expire(exchange, step.until))
+            self._expire_at(step.until, exchange)
         else:
             self._end(exchange, step.verdict, step.reason)
 
     def _settle(self) -> None:
-        """Acts on what the last calls of `attempts` have settled of other ops."""
-        for op, step in self.attempts.take_settled(self.loop.now()):
+        """Act on what the last calls of `Attempts` have settled of other ops."""
+        for op, step in self._attempts.take_settled(self._loop.now()):
             if op.number in self.exchanges:
                 self._act(self.exchanges[op.number], step)
 
-    def _expire(self, exchange: Exchange, until: int) -> None:
-        if exchange.op is not None and exchange.op.waits_until == until:
-            self._act(exchange, self.attempts.wait_expired(exchange.op))
+    def _expire_at(self, until: int, exchange: Exchange) -> None:
+        def expire() -> None:
+            if exchange.op is not None and exchange.op.waits_until == until:
+                self._act(exchange, self._attempts.wait_expired(exchange.op))
+
+        self._loop.at(until, expire)
 
     def _end(self, exchange: Exchange, verdict: Verdict, reason: EndReason | AttemptOutcome) -> None:
-        """The op has ended; unless its answer is on its way, the relay gives one."""
+        """End an op; unless its answer is on its way, the proxy gives one."""
         self.outcomes[verdict] += 1
-        whole = exchange.stage is Stage.ANSWERING and (verdict is Verdict.ACKED or reason is AttemptOutcome.FAILED)
-        self._done(exchange, verdict, exchange.record if whole else None)
-        if whole:
+        answered = verdict is Verdict.ACKED or reason is AttemptOutcome.FAILED
+        complete = exchange.stage is Stage.ANSWERING and answered
+        self._finish_op(exchange, verdict, exchange.record if complete else None)
+        if complete:
             exchange.client.finished(exchange)
         elif exchange.stage is Stage.ANSWERING:
-            exchange.client.close("cut short")  # the one way to say that an answer is not whole
+            exchange.client.close("cut short")  # the one way to say that an answer is not complete
         else:
-            status = 504 if reason is EndReason.OP_TIMEOUT else 502 if verdict is Verdict.ABORTED else 503
-            self._answer(exchange, status, f"{verdict}: {reason}", verdict is Verdict.REJECTED)
+            may_retry = verdict is Verdict.REJECTED
+            self._answer(exchange, self._status_of(verdict, reason), f"{verdict}: {reason}", may_retry=may_retry)
 
-    def _done(self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None) -> None:
-        """Nothing more comes of the op: its timer, its key and its place are given back. `answer`: it had this one,
-        which whoever waits for the same key gets too."""
+    @staticmethod
+    def _status_of(verdict: Verdict, reason: EndReason | AttemptOutcome) -> HTTPStatus:
+        """Return the status of an op that has ended without a node's answer."""
+        if reason is EndReason.OP_TIMEOUT:
+            return HTTPStatus.GATEWAY_TIMEOUT
+        return HTTPStatus.BAD_GATEWAY if verdict is Verdict.ABORTED else HTTPStatus.SERVICE_UNAVAILABLE
+
+    def _finish_op(self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None) -> None:
+        """Give back the op's timer and its key, as nothing more comes of it.
+
+        :param answer: the one that it had, which whoever waits for the same key gets too.
+        """
         self.exchanges.pop(exchange.number, None)
-        exchange.timer.cancel()
         op, exchange.op = exchange.op, None
-        self._on_op(op.table, exchange.op_type, verdict)
+        assert op is not None and exchange.timer is not None, "the op was asked for"
+        exchange.timer.cancel()
+        self._hooks.on_op(op.table, exchange.op_type, verdict)
         if not exchange.key:
             return
-        waiting, found = self._keyed.settle(exchange, verdict, answer)
+        waiting, decision = self._keyed.settle(exchange, verdict, answer)
         for other in [self.exchanges[number] for number in waiting if number in self.exchanges]:
             other.key = ""
-            self._give(other, found)
-
-    # Tries.
+            self._answer_by_key(other, decision)
 
-    def tried(self, exchange: Exchange, connection: NodeConnection, keep: bool, outcome: AttemptOutcome) -> None:
-        """A try has ended by the node's doing."""
-        self.upstream.release(exchange.node, connection, keep)
-        self._end_try(exchange, outcome)
+    # Attempts.
 
-    def _abandon_try(self, exchange: Exchange, why: str) -> None:
-        """Its try, if one is out, is given up."""
-        connection = self.upstream.detach(exchange)
-        if connection is not None:
-            self._report(exchange.op, False)
+    def attempt_ended(
+        self, exchange: Exchange, connection: NodeConnection, *, keep: bool, outcome: AttemptOutcome
+    ) -> None:
+        """Take the end of an attempt by the node's doing."""
+        assert exchange.node is not None, "an attempt is at some node"
+        self.nodes.release(exchange.node, connection, keep)
+        self._end_attempt(exchange, outcome)
+
+    def _abandon_attempt(self, exchange: Exchange, why: str) -> None:
+        """Abandon the attempt, if one is in flight."""
+        connection = self.nodes.detach(exchange)
+        if connection is not None and exchange.op is not None:
+            self._report(exchange.op, succeeded=False)
             connection.close(why)
 
-    def _end_try(self, exchange: Exchange, outcome: AttemptOutcome) -> None:
+    def _end_attempt(self, exchange: Exchange, outcome: AttemptOutcome) -> None:
         op = exchange.op
         if op is None or op.node is None:
             return
         exchange.node = None
         if outcome is not AttemptOutcome.UNSENT:
-            self._report(op, outcome is AttemptOutcome.SUCCEEDED)
-        if exchange.stage is Stage.ANSWERING or exchange.repeatable():
-            exchange.forget_try()
-            step = self.attempts.attempt_ended(self.loop.now(), op, outcome)
+            self._report(op, succeeded=outcome is AttemptOutcome.SUCCEEDED)
+        if exchange.stage is Stage.ANSWERING or exchange.is_repeatable():
+            exchange.forget_attempt()
+            step = self._attempts.attempt_ended(self._loop.now(), op, outcome)
         else:  # proof or not, the request can't be sent again
-            step = self.attempts.abandon(self.loop.now(), op, outcome)
+            step = self._attempts.abandon(self._loop.now(), op, outcome)
         self._act(exchange, step)
         self._settle()
 
-    def _report(self, op: Op, good: bool) -> None:
+    def _report(self, op: Op, *, succeeded: bool) -> None:
         if op.node is not None:
-            self._on_try(op.table, op.node, op.op_type, good, self.loop.now() - op.sent_at)
+            latency_ns = self._loop.now() - op.sent_at
+            self._hooks.on_attempt(op.table, op.node, op.op_type, succeeded, latency_ns)
 
     # Late connections, and the end.
 
     def _sweep(self) -> None:
         self.clients.close_late()
-        self.upstream.close_late()
-        self._timer = self.loop.at(self.loop.now() + SWEEP, self._sweep)
+        self.nodes.close_late()
+        self._timer = self._loop.at(self._loop.now() + SWEEP_INTERVAL_NS, self._sweep)
 
     def stop(self) -> None:
-        """No new connection is taken; requests are answered, and each connection then closed."""
+        """Take no new connection; requests are answered, and each connection then closed."""
         if not self.stopping:
             self.stopping = True
             self.clients.listener.close()  # connections at rest end by and by, see `Admission.late_connections`
@@ -296,15 +347,12 @@
         return not self.clients.connections
 
     def descriptor(self) -> int:
-        """The listening socket's, to be passed to a successor."""
+        """Return the listening socket's descriptor, to be passed to a successor."""
         return self.clients.listener.fileno()
 
     def close(self) -> None:
-        """Closes every connection at once."""
+        """Close every connection at once."""
         self.stop()
         self._timer.cancel()
         self.clients.close()
-        self.upstream.close()
-
-
-__all__ = ["Bounds", "Exchange", "OpType", "Proxy"]
+        self.nodes.close()
--- /dev/null
+++ b/kestrelplank/reference_proxy/tables_file.py
@@ -0,0 +1,57 @@
+"""A proxy's tables and node addresses in a file, from which it serves again after a restart without a hub."""
+
+import time
+from pathlib import Path
+
+from kestrelplank.assigner.counters import Counters
+from kestrelplank.decode import Ids, Malformed
+from kestrelplank.file_discovery.atomic_write import write_atomically
+from kestrelplank.state.sealed import sealed, unsealed
+from kestrelplank.state.tables import Refused, Tables
+
+FORMAT_VERSION = 1
+
+
+class TablesFile:
+    """The file, written only when something has changed; with an empty path nothing is kept."""
+
+    def __init__(self, path: str, counters: Counters, ids: Ids, tables: Tables, addresses: dict[int, str]) -> None:
+        self._path, self._counters = path, counters
+        self._ids, self._tables, self._addresses = ids, tables, addresses
+        self._has_changes = False
+
+    def note_change(self) -> None:
+        """Take note that the tables have changed since they were written."""
+        self._has_changes = True
+
+    def restore(self) -> bool:
+        """Read tables and addresses back; return whether there were any that can be used."""
+        if not self._path:
+            return False
+        try:
+            kept = unsealed(FORMAT_VERSION, Path(self._path).read_bytes())
+            self._tables.restore(kept["tables"], self._ids.node)
+            self._addresses.update((self._ids.node(name), at) for name, at in kept["addresses"].items())
+        except FileNotFoundError:
+            return False
+        except (OSError, Malformed, Refused) as err:
+            self._counters.trouble("tables_not_restored", f"{self._path}: {err}")
+            return False
+        self._counters.info("tables_restored", age_s=round(time.time() - kept["at"], 1))
+        return bool(kept["at"])
+
+    def save(self) -> None:
+        """Write the tables that hold, if any have changed since."""
+        if not (self._has_changes and self._path):
+            return
+        self._has_changes = False
+        names = self._ids.node_ids
+        content = {
+            "at": time.time(),
+            "tables": self._tables.kept(names.__getitem__),
+            "addresses": {names[node]: at for node, at in self._addresses.items()},
+        }
+        try:
+            write_atomically(self._path, sealed(FORMAT_VERSION, content))
+        except OSError as err:
+            self._counters.trouble("tables_not_kept", f"{self._path}: {err.strerror}")
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -16,7 +16,10 @@
 from kestrelplank.load_balancing.retry_budget import RetryBudget
 from kestrelplank.load_balancing.selection import SelectionMethod
 from kestrelplank.load_balancing.waiting_queue import WaitingQueue
-from kestrelplank.reference_proxy.proxy import Bounds, OpType, Proxy
+from kestrelplank.reference_proxy.client_request import OpType
+from kestrelplank.reference_proxy.exchange import ExchangeLimits
+from kestrelplank.reference_proxy.proxy import Proxy, ProxyCores, ProxyHooks
+from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import READ
 from kestrelplank.state import answers
@@ -147,21 +150,23 @@
             OpType("keyed", b"", b"/keyed", True, timeouts[2]),
         ]
         self.proxy = Proxy(
-            self.kit.loop,
-            self.kit.pool,
-            self.kit.counters,
+            ProxyIo(self.kit.loop, self.kit.pool, self.kit.counters),
             ("127.0.0.1", 0),
             op_types,
-            fields.get("bounds", Bounds()),
-            self.tables,
-            self.attempts,
-            Admission(fields.get("admission", AdmissionSettings())),
-            answers.Answers(answers.Terms()),
+            fields.get("limits_of_exchanges", ExchangeLimits()),
+            ProxyCores(
+                self.tables,
+                self.attempts,
+                Admission(fields.get("admission", AdmissionSettings())),
+                answers.Answers(answers.Terms()),
+            ),
             fields.get("pools", PoolSettings()),
             self.addresses,
-            fields.get("table_of", lambda request: 0),
-            lambda *told: self.tries.append(told),
-            lambda *told: self.ops.append(told),
+            ProxyHooks(
+                fields.get("table_of", lambda request: 0),
+                lambda *attempt: self.tries.append(attempt),
+                lambda *op: self.ops.append(op),
+            ),
         )
 
     def client(self, data=b""):
@@ -181,7 +186,7 @@
 
     def order(self, *orders):
         self.number = getattr(self, "number", -1) + 1
-        self.proxy.changed(self.tables.apply(0, self.number, orders)[0])
+        self.proxy.tables_changed(self.tables.apply(0, self.number, orders)[0])
 
     def close(self):
         self.proxy.close()
@@ -296,7 +301,7 @@
 def test_a_node_withdrawn_while_its_connection_is_dialled_gets_nothing(site):
     here = site(answers_with(OK), answers_with(OK), lines={0: 1e9, 1: 1e-9})
     client = here.client(GET)
-    here.wait(lambda: here.proxy.upstream.pools)  # the dial is out, its answer has not been looked at
+    here.wait(lambda: here.proxy.nodes.pools)  # the dial is out, its answer has not been looked at
     here.order(("take_out", 0, True))
     here.wait(lambda: client.data == OK)
     assert b"GET" not in here.nodes[0].seen() and here.nodes[1].seen().count(b"GET") == 1
@@ -535,7 +540,9 @@
 
 
 def test_a_request_too_long_to_be_sent_again_is_not(site):
-    here = site(answers_with(NOT_STARTED), answers_with(NOT_STARTED), bounds=Bounds(kept=100))
+    here = site(
+        answers_with(NOT_STARTED), answers_with(NOT_STARTED), limits_of_exchanges=ExchangeLimits(kept_body_bytes=100)
+    )
     client = here.client(post(body=b"x" * 1000))
     here.wait(lambda: client.data)
     assert client.data.startswith(b"HTTP/1.1 502") and here.requests() == 1
@@ -609,7 +616,7 @@
 def test_connections_to_a_node_are_bounded_and_who_waits_for_one_gets_it(site):
     here = site(None, pools=PoolSettings(max_connections=1))
     first, second = here.client(GET), here.client(GET)
-    here.wait(lambda: here.proxy.upstream.waiting and here.nodes[0].peers and here.nodes[0].peers[0].data)
+    here.wait(lambda: here.proxy.nodes.waiting and here.nodes[0].peers and here.nodes[0].peers[0].data)
     here.nodes[0].peers[0].write(OK)
     here.wait(lambda: here.nodes[0].seen().count(b"GET") == 2)
     here.nodes[0].peers[0].write(OK)
@@ -663,7 +670,7 @@
             pass
         here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
         here.kit.loop.turn()
-    assert sent < 25_000_000 and all(to.waiting() < 1 << 20 for to in here.proxy.upstream.connections.values())
+    assert sent < 25_000_000 and all(to.waiting() < 1 << 20 for to in here.proxy.nodes.connections.values())
 
 
 def test_second_tries_are_bounded_by_their_budget_when_half_the_nodes_refuse_for_being_full(site):
