--- a/tests/parties.py
+++ b/tests/parties.py
@@ -3,7 +3,7 @@
 import json
 
 from kestrelplank.assigner.counters import Counters, logger
-from kestrelplank.assigner.orders import Orders
+from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.decode import Ids, text
 from kestrelplank.rehearsal import stub_server
 from kestrelplank.rehearsal.relay_messages import attach, instance, message, node_list
@@ -78,7 +78,7 @@
 
 
 def orders(kit, first_mark=0):
-    made = Orders(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), ["look", "buy"], first_mark)
+    made = OrderQueue(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), ["look", "buy"], first_mark)
     made._client = Calls()
-    made.hold(False)
+    made.resume()
     return made
