--- a/kestrelplank/assigner/status_socket.py
+++ b/kestrelplank/assigner/status_socket.py
@@ -2,6 +2,7 @@
 
 import socket
 from collections.abc import Callable, Mapping
+from typing import Any
 
 import msgspec
 
@@ -34,7 +35,7 @@
         self._listener.close()
 
 
-def read_status(path: str, timeout_s: float) -> dict[str, object]:
+def read_status(path: str, timeout_s: float) -> dict[str, Any]:
     """Return what the assigner at that path shows.
 
     :raises OSError: it can't be reached.
@@ -46,4 +47,4 @@
         data = bytearray()
         while chunk := link.recv(READ_BYTES):
             data += chunk
-    return msgspec.json.decode(data, type=dict[str, object])
+    return msgspec.json.decode(data, type=dict[str, Any])
--- a/kestrelplank/emulator/node_files.py
+++ b/kestrelplank/emulator/node_files.py
@@ -6,7 +6,7 @@
 from kestrelplank.emulator.discovery import Discovery, ListedNode, NodeChange
 from kestrelplank.emulator.environment import Environment
 from kestrelplank.emulator.script_sections import Fault, NodeFileGuards
-from kestrelplank.file_discovery import nodelist
+from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.interface import NodeCondition, NodeEntry
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.state import guards, roster
@@ -36,7 +36,7 @@
         return Listed(zone, f"127.0.0.1:{FIRST_PORT + node}")
 
     def _complete_text(self) -> bytes:
-        return nodelist.written(NodeSet(self._nodes)).encode()
+        return format_node_list(NodeSet(self._nodes)).encode()
 
     def _read_first_list(self, quiet_ns: int) -> None:
         now = self.clock.now()
@@ -74,7 +74,7 @@
                 edited[name] = edited[name]._replace(draining=True)
             elif fault.how == "weight":
                 edited[name] = edited[name]._replace(weight=edited[name].weight * (fault.strength or 0.0))
-        text: str = nodelist.written(NodeSet(edited))
+        text: str = format_node_list(NodeSet(edited))
         if fault.how == "torn":
             return text[: self.random.randrange(1, len(text) - 1)]
         if fault.how == "twice":
@@ -126,7 +126,8 @@
         if self._text is None:
             return f"{FILE_NAME}: there is no such file"
         try:
-            return nodelist.read(FILE_NAME, self._text, 2 * len(self._nodes), True)
+            max_nodes = 2 * len(self._nodes)
+            return parse_node_list(FILE_NAME, self._text, max_nodes=max_nodes, trailer_required=True)
         except InvalidSettingsError as err:
             return str(err)
 
--- a/tests/emulator/test_recorded_reports.py
+++ b/tests/emulator/test_recorded_reports.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from kestrelplank.cli.rehearse import encoded
+from kestrelplank.cli.rehearsal_report import encoded_report
 from kestrelplank.emulator.rehearsal import play
 from kestrelplank.emulator.script import read_script
 from kestrelplank.settings.ini import IniFile
@@ -21,7 +21,7 @@
 def report_digest(name, seed, more, knowing):
     text = (SCRIPTS / f"{name}.ini").read_text() + more
     return hashlib.sha256(
-        encoded(play(read_script(IniFile(f"{name}.ini", text)), seed, ideal_placement=knowing))
+        encoded_report(play(read_script(IniFile(f"{name}.ini", text)), seed, ideal_placement=knowing))
     ).hexdigest()
 
 
