--- a/kestrelplank/assigner/status_socket.py
+++ b/kestrelplank/assigner/status_socket.py
@@ -2,7 +2,7 @@
 
 import socket
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import TypedDict, cast
 
 import msgspec
 
@@ -12,6 +12,21 @@
 READ_BYTES = 1 << 16
 
 
+class MembersStatus(TypedDict):
+    """Which members the assigner that was asked counts as alive."""
+
+    view: int
+    alive: list[int]
+
+
+class AssignerStatus(TypedDict):
+    """What an assigner shows: figures of each zone by name, members where they talk to each other."""
+
+    slices: int
+    zones: dict[str, dict[str, float]]
+    members: MembersStatus | None
+
+
 class StatusSocket:
     """Shows what `status()` returns, made anew for each who asks, at `path`.
 
@@ -35,7 +50,7 @@
         self._listener.close()
 
 
-def read_status(path: str, timeout_s: float) -> dict[str, Any]:
+def read_status(path: str, timeout_s: float) -> AssignerStatus:
     """Return what the assigner at that path shows.
 
     :raises OSError: it can't be reached.
@@ -47,4 +62,4 @@
         data = bytearray()
         while chunk := link.recv(READ_BYTES):
             data += chunk
-    return msgspec.json.decode(data, type=dict[str, Any])
+    return cast(AssignerStatus, msgspec.json.decode(data, type=dict[str, object]))
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -1,11 +1,12 @@
 """`kestrelplank zones`: a running conductor's zones, from its status socket."""
 
 import sys
+from typing import cast
 
 import click
 
 from kestrelplank.cli.options import ini_option, json_option
-from kestrelplank.cli.output import ExitCode, print_json, print_refusal, refusing_invalid_settings
+from kestrelplank.command_output import ExitCode, print_json, print_refusal, refusing_invalid_settings
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.operator import read_operator_settings
 
@@ -35,9 +36,15 @@
     if as_json:
         print_json(status)
         return
+    print_zones(cast("dict[str, dict[str, object]]", status["zones"]))
+    members = cast("dict[str, list[int]] | None", status["members"])
+    if members:
+        alive = ", ".join(map(str, members["alive"]))
+        print(f"view {members['view']}: conductors {alive} alive")
+
+
+def print_zones(zones: dict[str, dict[str, object]]) -> None:
+    """Print a table with a line for each zone."""
     print(f"{'zone':<16}" + "".join(f"{column:>10}" for column in COLUMNS))
-    for name, zone in status["zones"].items():
+    for name, zone in zones.items():
         print(f"{name:<16}" + "".join(f"{zone.get(column, 0):>10}" for column in COLUMNS))
-    if status["members"]:
-        alive = ", ".join(map(str, status["members"]["alive"]))
-        print(f"view {status['members']['view']}: conductors {alive} alive")
--- a/kestrelplank/decode.py
+++ b/kestrelplank/decode.py
@@ -29,7 +29,7 @@
 NodeName = str | int  # as the wire has it
 
 
-class Malformed(ValueError):
+class Malformed(ValueError):  # noqa: N818 - every adapter raises and catches it by this name
     """A line, or one field of it, that the wire does not allow; the text says which and why."""
 
 
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -12,7 +12,8 @@
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.file_discovery.file_watcher import FileWatcher
 from kestrelplank.file_discovery.node_list import parse_node_list
-from kestrelplank.file_discovery.node_list_reporter import Event, NodeListReporter
+from kestrelplank.file_discovery.node_list_reporter import NodeListReporter
+from kestrelplank.interface import Event
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.sockets.loop import Loop, Timer
--- a/kestrelplank/file_discovery/node_list_reporter.py
+++ b/kestrelplank/file_discovery/node_list_reporter.py
@@ -46,10 +46,10 @@
         """Tell the policy what is due, at first everything. Returns the time at which more is due, if any."""
         entries = self._roster.advance(now)
         if self._reported:
-            self._report_list(FILES, "delta", self._indexed(entries))
+            self._report_list(FILES, NodeListKind.DELTA, self._indexed(entries))
         else:
             self._reported = True
-            self._report_list(FILES, "full", self._indexed(self._roster.whole()))
+            self._report_list(FILES, NodeListKind.FULL, self._indexed(self._roster.whole()))
         return self._roster.due(now)
 
     def on_discovery_event(self, event: Event) -> None:
@@ -77,6 +77,6 @@
     def _report_list(self, side: str, kind: str, entries: list[sources.Entry]) -> None:
         """Tell the policy what a list of one side (`kind`: full, delta, cached) changes."""
         kind, entries = self._blend.take(side, kind, entries)
-        if entries or kind != "delta":
+        if entries or kind != NodeListKind.DELTA:
             self._counters.add("files_told")
             self._on_event(NodeListUpdate(kind, [NodeEntry(*entry) for entry in entries]))
--- a/kestrelplank/reference_proxy/assembly.py
+++ b/kestrelplank/reference_proxy/assembly.py
@@ -22,7 +22,7 @@
 from kestrelplank.reference_proxy.tables_file import TablesFile
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.reference_proxy import ReferenceProxySettings
-from kestrelplank.state.answers import Answers
+from kestrelplank.state.idempotency_cache import IdempotencyCache
 from kestrelplank.state.tables import Tables
 
 SLICE_BY_PATH = "path"
@@ -94,7 +94,7 @@
             self._tables,
             self.attempts,
             Admission(core_settings.admission_settings(settings)),
-            Answers(core_settings.answer_settings(settings)),
+            IdempotencyCache(core_settings.answer_cache_limits(settings)),
         )
         return Proxy(
             self._io,
--- a/kestrelplank/reference_proxy/core_settings.py
+++ b/kestrelplank/reference_proxy/core_settings.py
@@ -11,7 +11,7 @@
 from kestrelplank.reference_proxy.exchange import ExchangeLimits
 from kestrelplank.settings.ini_fields import parse_fraction
 from kestrelplank.settings.reference_proxy import ReferenceProxySettings
-from kestrelplank.state.answers import Terms as AnswerSettings
+from kestrelplank.state.idempotency_cache import CacheLimits
 
 
 def op_types(settings: ReferenceProxySettings) -> list[OpType]:
@@ -58,10 +58,10 @@
     )
 
 
-def answer_settings(settings: ReferenceProxySettings) -> AnswerSettings:
+def answer_cache_limits(settings: ReferenceProxySettings) -> CacheLimits:
     """Return how many answers of deduplicated ops are kept."""
     clients = settings.clients
-    return AnswerSettings(clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns)
+    return CacheLimits(clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns)
 
 
 def attempt_settings(settings: ReferenceProxySettings) -> AttemptSettings:
--- a/kestrelplank/reference_proxy/keyed_requests.py
+++ b/kestrelplank/reference_proxy/keyed_requests.py
@@ -1,4 +1,4 @@
-"""Requests with a key, of deduplicated op types: one of them runs, the others get its answer (`state/answers.py`)."""
+"""Requests with a key, of deduplicated op types: one of them runs, the others get its answer."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 from kestrelplank.load_balancing.operations import Verdict
 from kestrelplank.reference_proxy.client_request import Rejection
 from kestrelplank.reference_proxy.exchange import Exchange
-from kestrelplank.state.answers import BUSY, FULL, KNOWN, NEW, OTHER, Answers
+from kestrelplank.state.idempotency_cache import IdempotencyCache, LookupStatus
 
 UNKNOWN = "the first may have run, and its end is not known"
 TOO_LONG = Rejection(413, "too long for an op with a key")
@@ -39,7 +39,7 @@
 class KeyedRequests:
     """The exchanges that hold a key: each from `look_up` until it is settled or released."""
 
-    def __init__(self, answers: Answers, counters: Counters) -> None:
+    def __init__(self, answers: IdempotencyCache, counters: Counters) -> None:
         self._answers, self._counters = answers, counters
 
     def look_up(self, now: int, exchange: Exchange, max_body_bytes: int) -> KeyDecision:
@@ -47,16 +47,16 @@
         if exchange.request.size > max_body_bytes:
             exchange.key = ""
             return TOO_LONG
-        state, answer = self._answers.ask(now, exchange.key, exchange.request.digest(), exchange.number)
+        state, answer = self._answers.look_up(now, exchange.key, exchange.request.digest(), exchange.number)
         self._counters.add(f"keys_{state}")
-        if state == BUSY:
+        if state == LookupStatus.PENDING:
             return AwaitFirst()
-        if state == NEW:
+        if state == LookupStatus.NEW:
             return Forward()
         exchange.key = ""
-        if state == KNOWN and answer:
+        if state == LookupStatus.ANSWERED and answer:
             return Replay(answer)
-        return {FULL: TOO_MANY, OTHER: OTHER_REQUEST}.get(state, MAY_HAVE_RUN)
+        return {LookupStatus.FULL: TOO_MANY, LookupStatus.MISMATCH: OTHER_REQUEST}.get(state, MAY_HAVE_RUN)
 
     def settle(
         self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None
@@ -68,12 +68,12 @@
         key, exchange.key = exchange.key, ""
         if answer:
             complete = b"".join(answer)
-            return self._answers.done(key, complete), Replay(complete)
+            return self._answers.handle_answered(key, complete), Replay(complete)
         may_have_run = verdict is not Verdict.REJECTED
-        return self._answers.failed(key, may_have_run), MAY_HAVE_RUN if may_have_run else FIRST_REJECTED
+        return self._answers.handle_failed(key, may_have_run), MAY_HAVE_RUN if may_have_run else FIRST_REJECTED
 
     def release(self, exchange: Exchange) -> None:
         """Let an exchange no longer wait for the first one."""
         if exchange.key:
-            self._answers.gone(exchange.key, exchange.number)
+            self._answers.cancel_wait(exchange.key, exchange.number)
             exchange.key = ""
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -1,9 +1,9 @@
 """The proxy: clients on one side, nodes on the other, and between them one exchange an op.
 
 What is decided comes from the cores: `Admission` holds client connections, `Attempts` ops and their attempts, a
-`ConnectionPool` a node's connections, `Answers` the answers of deduplicated ops. Here ops are led from their request to
-their answer; bytes are moved by `client_connection`, `exchange` and `node_connections`, bounded on both sides: who does
-not read holds up who writes.
+`ConnectionPool` a node's connections, `IdempotencyCache` the answers of deduplicated ops. Here ops are led from their
+request to their answer; bytes are moved by `client_connection`, `exchange` and `node_connections`, bounded on both
+sides: who does not read holds up who writes.
 """
 
 import socket
@@ -26,7 +26,7 @@
 from kestrelplank.reference_proxy.node_connection import NodeConnection
 from kestrelplank.reference_proxy.node_connections import NodeConnections
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
-from kestrelplank.state.answers import Answers
+from kestrelplank.state.idempotency_cache import IdempotencyCache
 from kestrelplank.state.tables import Tables
 from kestrelplank.time_units import MILLISECOND
 
@@ -43,7 +43,7 @@
     tables: Tables
     attempts: Attempts
     admission: Admission
-    answers: Answers
+    answers: IdempotencyCache
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -1,7 +1,9 @@
-"""What tests of the network side are made with, over the stand-ins of rehearsals."""
+"""What tests of the network side are made with, over the stub servers of rehearsals."""
 
 import json
 
+import pytest
+
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.decode import Ids, text
@@ -18,10 +20,12 @@
     "attach",
     "fail",
     "instance",
+    "kit",
     "message",
     "names",
     "node_list",
     "orders",
+    "received",
     "until",
 ]
 
@@ -43,6 +47,14 @@
         self.events = []
 
 
+@pytest.fixture
+def kit():
+    """A kit, whose loop is closed after the test."""
+    made = Kit()
+    yield made
+    made.loop.close()
+
+
 class StubServer(stub_server.StubServer):
     """One that remembers what it was asked."""
 
@@ -55,6 +67,14 @@
         super().request_received(connection, path, body)
 
 
+def received(sock):
+    """What has come on a socket that does not block; None where nothing has."""
+    try:
+        return sock.recv(1 << 20)
+    except BlockingIOError:
+        return None
+
+
 def names():
     ids = Ids(text)
     for name in ("s-1", "s-2"):
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -22,7 +22,7 @@
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import READ
-from kestrelplank.state import answers
+from kestrelplank.state import idempotency_cache
 from kestrelplank.state.tables import Tables
 
 S = 1000 * MS
@@ -158,7 +158,7 @@
                 self.tables,
                 self.attempts,
                 Admission(fields.get("admission", AdmissionSettings())),
-                answers.Answers(answers.Terms()),
+                idempotency_cache.IdempotencyCache(idempotency_cache.CacheLimits()),
             ),
             fields.get("pools", PoolSettings()),
             self.addresses,
