--- a/kestrelplank/reference_proxy/assembly.py
+++ b/kestrelplank/reference_proxy/assembly.py
@@ -16,7 +16,7 @@
 from kestrelplank.load_balancing.zone_preference import ZonePreference
 from kestrelplank.reference_proxy import core_settings
 from kestrelplank.reference_proxy.client_request import ClientRequest
-from kestrelplank.reference_proxy.hub import PERIOD, HubClient
+from kestrelplank.reference_proxy.hub_client import REPORT_INTERVAL_NS, HubClient, HubSettings
 from kestrelplank.reference_proxy.proxy import Proxy, ProxyCores, ProxyHooks
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.reference_proxy.tables_file import TablesFile
@@ -54,7 +54,7 @@
         self.has_kept_tables = self._tables_file.restore()
         self.proxy = self._make_proxy(listening)
         self._hub = self._make_hub_client() if process.update_source_address else None
-        self._distances_timer = io.loop.at(io.loop.now() + PERIOD, self._update_distances)
+        self._distances_timer = io.loop.at(io.loop.now() + REPORT_INTERVAL_NS, self._update_distances)
         self._save_timer = io.loop.at(io.loop.now() + process.state_interval_ns, self._save_regularly)
 
     # The parts.
@@ -110,15 +110,10 @@
     def _make_hub_client(self) -> HubClient:
         process = self._settings.process
         return HubClient(
-            self._io.loop,
-            self._io.buffers,
-            self._io.counters,
-            process.update_source_address,
-            process.number,
-            process.zone,
+            self._io,
+            HubSettings(process.update_source_address, process.number, process.zone, list(self._settings.op_types)),
             self._ids,
             self._tables,
-            list(self._settings.op_types),
             self._addresses,
             self._tables_changed,
             self._set_node_zone,
@@ -142,16 +137,16 @@
         key = request.header(self._slice_header) if self._slice_header else request.target.partition(b"?")[0]
         return crc32(key or b"") % self._tables.size
 
-    def _attempt_ended(self, table: int, node: int, op_type: int, succeeded: bool, latency_ns: int) -> None:
+    def _attempt_ended(self, table: int, node: int, _op_type: int, succeeded: bool, latency_ns: int) -> None:
         if self._hub:
-            self._hub.on_try(table, node, op_type, succeeded, latency_ns)
+            self._hub.attempt_ended(table, node, succeeded, latency_ns)
         if self.zones and succeeded and node in self._zone_of:
             own_zone = self._ids.zone(self._settings.process.zone)
             self._distances.add(own_zone, self._zone_of[node], 1, latency_ns)
 
     def _op_ended(self, table: int, op_type: int, verdict: Verdict) -> None:
         if self._hub:
-            self._hub.on_op(table, op_type, verdict)
+            self._hub.op_ended(table, op_type, verdict)
 
     def _weight_factor(self, node: int) -> float:
         pool = self.proxy.nodes.pools.get(node)
@@ -162,7 +157,7 @@
     def _update_distances(self) -> None:
         """Take what the last period's answers say of how far zones are."""
         loop = self._io.loop
-        self._distances_timer = loop.at(loop.now() + PERIOD, self._update_distances)
+        self._distances_timer = loop.at(loop.now() + REPORT_INTERVAL_NS, self._update_distances)
         self._distances.close_period()
         own_zone = self._ids.zones.get(self._settings.process.zone, 0)
         for zone in self._ids.zones.values() if self.zones else ():
--- /dev/null
+++ b/kestrelplank/reference_proxy/hub_client.py
@@ -0,0 +1,146 @@
+"""The proxy's client of a hub: tables from it, acknowledgements of watermarks, and what it met, each second.
+
+    GET /v1/tables?relay=17&zone=a          chunked, one JSON object a line, never ends
+    POST /v1/done {"relay":17,"source":0,"mark":905}
+    POST /v1/reports {"relay":17,"zone":"a","span":1000.0,"tries":[...],"heat":[...]}
+
+A stream first tells all that holds. A message that is missing, or can't be used, ends the stream, and all is told anew:
+what was applied stays in force until then.
+"""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from kestrelplank.decode import Ids, Malformed
+from kestrelplank.load_balancing.operations import Verdict
+from kestrelplank.reference_proxy.hub_posts import ACKNOWLEDGEMENT_PATH, REPORT_PATH, HubPosts
+from kestrelplank.reference_proxy.proxy_io import ProxyIo
+from kestrelplank.reference_proxy.table_messages import TableMessages
+from kestrelplank.sockets.http import Stream, StreamLimits
+from kestrelplank.state.sums import OpSum, TrySum
+from kestrelplank.state.tables import Refused, Tables
+from kestrelplank.time_units import MILLISECOND, SECOND
+
+REPORT_INTERVAL_NS = 1 * SECOND
+STREAM_LIMITS = StreamLimits(
+    silence_ns=3 * SECOND,  # a heartbeat comes each second
+    first_pause_ns=20 * MILLISECOND,
+    longest_pause_ns=2 * SECOND,
+    most_line_bytes=1 << 22,
+)
+NO_SOURCE = -1  # in reports: a table that no assigner owns
+
+
+class HubSettings(NamedTuple):
+    """Where the hub is, and which proxy this is; op types by their index."""
+
+    address: str
+    proxy_number: int
+    zone: str
+    op_types: list[str]
+
+
+class HubClient:
+    """One proxy's client.
+
+    :param addresses: by node, kept up to date.
+    :param on_tables_changed: called with tables that may have other open nodes now.
+    :param on_node_zone: called with a node and its zone.
+    """
+
+    def __init__(
+        self,
+        io: ProxyIo,
+        settings: HubSettings,
+        ids: Ids,
+        tables: Tables,
+        addresses: dict[int, str],
+        on_tables_changed: Callable[[list[int]], None],
+        on_node_zone: Callable[[int, int], None] = lambda _node, _zone: None,
+    ) -> None:
+        self._loop, self._counters, self._settings = io.loop, io.counters, settings
+        self._ids, self._tables, self.addresses = ids, tables, addresses
+        self._joined_at: int | None = None
+        self._attempts: dict[tuple[int, int], TrySum] = {}  # by node and assigner
+        self._ops: dict[tuple[int, int], OpSum] = {}  # by table and op type
+        self._messages = TableMessages(ids, tables, addresses, on_tables_changed, on_node_zone, self._acknowledge)
+        self._posts = HubPosts(io, settings.address)
+        self._stream = Stream(io.loop, io.buffers, settings.address, self, STREAM_LIMITS)
+        self._timer = io.loop.at(io.loop.now() + REPORT_INTERVAL_NS, self._report)
+
+    def close(self) -> None:
+        """End the stream and the posts."""
+        self._timer.cancel()
+        self._stream.close()
+        self._posts.close()
+
+    # The stream of tables.
+
+    def stream_path(self) -> str:
+        """Return the path to ask for."""
+        return f"/v1/tables?relay={self._settings.proxy_number}&zone={self._settings.zone}"
+
+    def on_stream_start(self) -> None:
+        """Take note that a stream begins."""
+        self._joined_at = self._loop.now()
+        self._counters.add("tables_streams")
+
+    def on_stream_end(self, why: str) -> None:
+        """Take note that the stream has ended; it is dialled again."""
+        self._joined_at = None
+        self._counters.trouble("tables_broken", why)
+
+    def on_stream_line(self, line: bytes) -> None:
+        """Apply a message; one that can't be used ends the stream."""
+        if not line.strip():
+            return
+        try:
+            if self._messages.apply(line):
+                self._counters.add("tables_messages")
+        except Refused as err:
+            self._counters.trouble("tables_refused", err)
+            self._stream.drop("a message that can't be applied")
+        except Malformed as err:
+            self._counters.trouble("tables_unreadable", err)
+            self._stream.drop("unreadable")
+
+    def _acknowledge(self, source: int, watermark: int) -> None:
+        body = {"relay": self._settings.proxy_number, "source": source, "mark": watermark}
+        self._posts.add(ACKNOWLEDGEMENT_PATH, body)
+
+    # Reports.
+
+    def attempt_ended(self, table: int, node: int, succeeded: bool, latency_ns: int) -> None:
+        """Count an attempt for the next report."""
+        source = self._tables.source(table)
+        key = node, NO_SOURCE if source is None else source
+        self._attempts.setdefault(key, TrySum()).add(succeeded, latency_ns)
+
+    def op_ended(self, table: int, op_type: int, verdict: Verdict) -> None:
+        """Count an op for the next report."""
+        sums = self._ops.setdefault((table, op_type), OpSum())
+        sums.count += 1
+        sums.aborted += verdict is Verdict.ABORTED
+
+    def _report(self) -> None:
+        self._timer = self._loop.at(self._loop.now() + REPORT_INTERVAL_NS, self._report)
+        attempts, self._attempts = self._attempts, {}
+        ops, self._ops = self._ops, {}
+        if not (attempts or ops) or self._joined_at is None:
+            return
+        names, op_types = self._ids.node_ids, self._settings.op_types
+        attempt_rows = [
+            [names[node], source, sums.count, sums.failed, (sums.mean() or 0.0) / MILLISECOND]
+            for (node, source), sums in attempts.items()
+        ]
+        op_rows = [[table, op_types[op_type], op_sum.count, op_sum.aborted] for (table, op_type), op_sum in ops.items()]
+        self._posts.add(
+            REPORT_PATH,
+            {
+                "relay": self._settings.proxy_number,
+                "zone": self._settings.zone,
+                "span": REPORT_INTERVAL_NS / MILLISECOND,
+                "tries": attempt_rows,
+                "heat": op_rows,
+            },
+        )
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -2,12 +2,13 @@
 
 import signal
 import sys
+from collections.abc import Callable
 
 from kestrelplank.__main__ import Signals
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.reference_proxy.assembly import ReferenceProxy
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
-from kestrelplank.reference_proxy.takeover import SuccessorListener, confirm_listening, receive_socket
+from kestrelplank.reference_proxy.socket_handover import SuccessorListener, confirm_listening, receive_socket
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.reference_proxy import ReferenceProxySettings, read_reference_proxy_settings
@@ -43,7 +44,7 @@
 
     def run(self) -> None:
         """Run until told to stop, and then until requests in progress have their answers."""
-        handlers = {
+        handlers: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self.stop,
             signal.SIGINT: self.stop,
             signal.SIGHUP: self._reload,
--- a/kestrelplank/reference_proxy/takeover.py
+++ b/kestrelplank/reference_proxy/socket_handover.py
@@ -1,5 +1,6 @@
-"""A listening socket handed from a relay to its successor over a Unix socket, so that no connection is refused between
-them: both hold the same queue of connections until the first has let go.
+"""A listening socket handed from a proxy to its successor over a Unix socket.
+
+No connection is refused between them: both hold the same queue of connections until the first has closed it.
 
 The successor connects, gets the descriptor with one byte, and says one byte once it listens; then the first stops.
 """
@@ -11,14 +12,19 @@
 from kestrelplank.sockets.loop import READ, Loop
 from kestrelplank.sockets.unix_listener import UnixListener
 
-WITHIN = 2.0  # s for a predecessor to hand over; it may be gone, or hang
+LISTENING = b"1"  # says the successor once it listens
+HANDOVER_TIMEOUT_S = 2.0  # for a predecessor, which may be gone, or hang
 
 
 def receive_socket(path: str) -> tuple[socket.socket, socket.socket] | None:
-    """The predecessor's listening socket, and the connection over which to say that we listen; None where there is no
-    predecessor. Raises OSError where there is one that does not hand over."""
+    """Return the predecessor's listening socket, and the connection over which to say that we listen.
+
+    None where there is no predecessor.
+
+    :raises OSError: where there is one that does not hand over.
+    """
     link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    link.settimeout(WITHIN)
+    link.settimeout(HANDOVER_TIMEOUT_S)
     try:
         link.connect(path)
         _, fds, _, _ = socket.recv_fds(link, 1, 1)
@@ -35,14 +41,18 @@
 
 
 def confirm_listening(link: socket.socket) -> None:
-    """Tells the predecessor to stop."""
-    link.sendall(b"1")
+    """Tell the predecessor to stop."""
+    link.sendall(LISTENING)
     link.close()
 
 
 class SuccessorListener:
-    """Waits at `path` for a successor. `descriptor` is the listening socket's; `on_taken` is called once a successor
-    listens, and this closes. Who connects and says nothing changes nothing."""
+    """Waits for a successor; who connects and says nothing changes nothing.
+
+    :param path: of the Unix socket.
+    :param descriptor: returns the listening socket's.
+    :param on_taken: called once a successor listens; then this is closed.
+    """
 
     def __init__(self, loop: Loop, path: str, descriptor: Callable[[], int], on_taken: Callable[[], None]) -> None:
         self._loop, self._descriptor, self._on_taken = loop, descriptor, on_taken
@@ -56,9 +66,9 @@
             link.close()
             return
         self._links.append(link)
-        self._loop.watch(link, READ, lambda events: self._said(link))
+        self._loop.watch(link, READ, lambda _events: self._receive(link))
 
-    def _said(self, link: socket.socket) -> None:
+    def _receive(self, link: socket.socket) -> None:
         try:
             data = link.recv(1)
         except BlockingIOError:
@@ -68,11 +78,12 @@
         self._loop.forget(link)
         self._links.remove(link)
         link.close()
-        if data == b"1":
+        if data == LISTENING:
             self.close()
             self._on_taken()
 
     def close(self) -> None:
+        """Stop waiting."""
         self._listener.close()
         for link in self._links:
             self._loop.forget(link)
--- a/kestrelplank/reference_proxy/tables_file.py
+++ b/kestrelplank/reference_proxy/tables_file.py
@@ -48,7 +48,7 @@
         names = self._ids.node_ids
         content = {
             "at": time.time(),
-            "tables": self._tables.kept(names.__getitem__),
+            "tables": self._tables.kept(lambda node: str(names[node])),
             "addresses": {names[node]: at for node, at in self._addresses.items()},
         }
         try:
--- a/tests/reference_proxy/test_hub.py
+++ b/tests/reference_proxy/test_hub_client.py
@@ -4,7 +4,9 @@
 from parties import MS, Kit, StubServer, until
 
 from kestrelplank.decode import Ids, text
-from kestrelplank.reference_proxy.hub import HubClient
+from kestrelplank.load_balancing.operations import Verdict
+from kestrelplank.reference_proxy.hub_client import HubClient, HubSettings
+from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.state.tables import Tables
 
 
@@ -16,15 +18,10 @@
         self.hub = StubServer(self.kit, self.asked)
         self.tables, self.ids = Tables(4, 2, 1), Ids(text)
         self.control = HubClient(
-            self.kit.loop,
-            self.kit.pool,
-            self.kit.counters,
-            self.hub.at,
-            17,
-            "a",
+            ProxyIo(self.kit.loop, self.kit.pool, self.kit.counters),
+            HubSettings(self.hub.at, 17, "a", ["look", "place"]),
             self.ids,
             self.tables,
-            ["look", "place"],
             {},
             self.changed.append,
         )
@@ -156,8 +153,8 @@
     here.wait(lambda: here.changed)
     node = here.ids.node("s-1")
     for good in (True, True, False):
-        here.control.on_try(1, node, 0, good, 30 * MS)
-        here.control.on_op(1, 0, "acked" if good else "aborted")
+        here.control.attempt_ended(1, node, good, 30 * MS)
+        here.control.op_ended(1, 0, Verdict.ACKED if good else Verdict.ABORTED)
     here.wait(lambda: here.posts("/v1/reports"))
     assert here.posts("/v1/reports")[0] == {
         "relay": 17,
@@ -173,9 +170,9 @@
     here.wait(lambda: here.changed)
     here.fails = 10**9
     for turn in range(200):
-        here.control._post("/v1/reports" if turn % 2 else "/v1/done", {"turn": turn})
-    assert len(here.control._posts) == 64 and here.count("posts_dropped") == 136
-    assert all(path == "/v1/done" for path, _ in here.control._posts)
+        here.control._posts.add("/v1/reports" if turn % 2 else "/v1/done", {"turn": turn})
+    assert len(here.control._posts._posts) == 64 and here.count("posts_dropped") == 136
+    assert all(path == "/v1/done" for path, _ in here.control._posts._posts)
 
 
 def test_a_relay_without_a_hub_keeps_its_tables(site):
@@ -183,4 +180,4 @@
     here.wait(lambda: here.changed)
     here.hub.close()
     here.wait(lambda: here.count("tables_broken") >= 2)
-    assert here.lines(1) == {"s-1": 1.0, "s-2": 2.0} and here.control.joined_at is None
+    assert here.lines(1) == {"s-1": 1.0, "s-2": 2.0} and here.control._joined_at is None
