--- a/kestrelplank/emulator/fault_injector.py
+++ b/kestrelplank/emulator/fault_injector.py
@@ -55,7 +55,7 @@
             "lost": self._lose,
             "edit": self._edit,
             "drain": self._drain,
-            "silent": self._silence,
+            "silent": self._cut_off,
             "stall": self._stall,
         }
 
@@ -111,7 +111,7 @@
         self._discovery.change(nodes, NodeCondition.DRAINING, None, (0, 0))
         self._clock.at(active.ends_at, lambda: self._start_nodes(nodes))
 
-    def _silence(self, active: ActiveFault) -> None:
+    def _cut_off(self, active: ActiveFault) -> None:
         nodes = active.targets.nodes
         for node in nodes:
             self._environment.nodes[node].add_fault(self._clock.now(), active.name, NodeFaultKind.SILENT, 1.0)
--- a/kestrelplank/emulator/node.py
+++ b/kestrelplank/emulator/node.py
@@ -120,7 +120,7 @@
 
     def _pace(self, capacity_share: float) -> float:
         """Return the work that each running op has done in 1 ns."""
-        if not self._running or self.down or self.faults.stands_still:
+        if not self._running or self.down or self.faults.is_frozen:
             return 0.0
         share_of_cores = min(1.0, self.kind.cores / len(self._running))
         return self.kind.speed * capacity_share * share_of_cores / self.faults.slowdown()
@@ -154,7 +154,7 @@
             return OfferResult.NOT_STARTED
         if self.faults.has(NodeFaultKind.FAIL) and self._random.random() < self.faults.strongest(NodeFaultKind.FAIL):
             return self._counted(OfferResult.FAILED)
-        if len(self._waiting) >= self.kind.room and not self.faults.stands_still:
+        if len(self._waiting) >= self.kind.room and not self.faults.is_frozen:
             return self._counted(OfferResult.NOT_STARTED)
         work = self._work_with_key(now, work, key) + (self.kind.connection if new_connection else 0)
         self._waiting[number] = NodeOp(number, op_type, work)
@@ -201,8 +201,8 @@
             self._on_fall()
 
     def _fill_slots(self) -> None:
-        """Give free slots to who waits longest. A node that stands still reads nothing."""
-        while self._waiting and len(self._running) < self.kind.slots and not self.faults.stands_still:
+        """Give free slots to who waits longest. A frozen node reads nothing."""
+        while self._waiting and len(self._running) < self.kind.slots and not self.faults.is_frozen:
             op = self._waiting.pop(next(iter(self._waiting)))
             op.ends_at = self._progress + op.work
             self._last_order += 1
--- a/kestrelplank/emulator/node_faults.py
+++ b/kestrelplank/emulator/node_faults.py
@@ -32,7 +32,7 @@
         return any(other is kind for other, _ in self._faults.values())
 
     @property
-    def stands_still(self) -> bool:
+    def is_frozen(self) -> bool:
         """Whether nothing advances."""
         return any(kind in (NodeFaultKind.STALL, NodeFaultKind.SILENT) for kind, _ in self._faults.values())
 
--- a/kestrelplank/reference_proxy/assembly.py
+++ b/kestrelplank/reference_proxy/assembly.py
@@ -16,10 +16,10 @@
 from kestrelplank.load_balancing.zone_preference import ZonePreference
 from kestrelplank.reference_proxy import core_settings
 from kestrelplank.reference_proxy.client_request import ClientRequest
-from kestrelplank.reference_proxy.hub_client import REPORT_INTERVAL_NS, HubClient, HubSettings
 from kestrelplank.reference_proxy.proxy import Proxy, ProxyCores, ProxyHooks
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.reference_proxy.tables_file import TablesFile
+from kestrelplank.reference_proxy.update_client import REPORT_INTERVAL_NS, UpdateClient, UpdateSourceSettings
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.reference_proxy import ReferenceProxySettings
 from kestrelplank.state.idempotency_cache import IdempotencyCache
@@ -53,7 +53,7 @@
         self._tables_file = TablesFile(process.state_path, io.counters, self._ids, self._tables, self._addresses)
         self.has_kept_tables = self._tables_file.restore()
         self.proxy = self._make_proxy(listening)
-        self._hub = self._make_hub_client() if process.update_source_address else None
+        self._update_client = self._make_update_client() if process.update_source_address else None
         self._distances_timer = io.loop.at(io.loop.now() + REPORT_INTERVAL_NS, self._update_distances)
         self._save_timer = io.loop.at(io.loop.now() + process.state_interval_ns, self._save_regularly)
 
@@ -107,11 +107,13 @@
             ProxyHooks(self._table_of, self._attempt_ended, self._op_ended),
         )
 
-    def _make_hub_client(self) -> HubClient:
+    def _make_update_client(self) -> UpdateClient:
         process = self._settings.process
-        return HubClient(
+        return UpdateClient(
             self._io,
-            HubSettings(process.update_source_address, process.number, process.zone, list(self._settings.op_types)),
+            UpdateSourceSettings(
+                process.update_source_address, process.number, process.zone, list(self._settings.op_types)
+            ),
             self._ids,
             self._tables,
             self._addresses,
@@ -138,15 +140,15 @@
         return crc32(key or b"") % self._tables.size
 
     def _attempt_ended(self, table: int, node: int, _op_type: int, succeeded: bool, latency_ns: int) -> None:
-        if self._hub:
-            self._hub.attempt_ended(table, node, succeeded, latency_ns)
+        if self._update_client:
+            self._update_client.attempt_ended(table, node, succeeded, latency_ns)
         if self.zones and succeeded and node in self._zone_of:
             own_zone = self._ids.zone(self._settings.process.zone)
             self._distances.add(own_zone, self._zone_of[node], 1, latency_ns)
 
     def _op_ended(self, table: int, op_type: int, verdict: Verdict) -> None:
-        if self._hub:
-            self._hub.op_ended(table, op_type, verdict)
+        if self._update_client:
+            self._update_client.op_ended(table, op_type, verdict)
 
     def _weight_factor(self, node: int) -> float:
         pool = self.proxy.nodes.pools.get(node)
@@ -192,6 +194,6 @@
         self._save_timer.cancel()
         self._distances_timer.cancel()
         self._tables_file.save()
-        if self._hub:
-            self._hub.close()
+        if self._update_client:
+            self._update_client.close()
         self.proxy.close()
--- a/kestrelplank/reference_proxy/hub_client.py
+++ b/kestrelplank/reference_proxy/update_client.py
@@ -1,4 +1,4 @@
-"""The proxy's client of a hub: tables from it, acknowledgements of watermarks, and what it met, each second.
+"""The proxy's client of the users' hub: updates of tables, acknowledgements of watermarks, and reports, each second.
 
     GET /v1/tables?relay=17&zone=a          chunked, one JSON object a line, never ends
     POST /v1/done {"relay":17,"source":0,"mark":905}
@@ -13,9 +13,9 @@
 
 from kestrelplank.decode import Ids, Malformed
 from kestrelplank.load_balancing.operations import Verdict
-from kestrelplank.reference_proxy.hub_posts import ACKNOWLEDGEMENT_PATH, REPORT_PATH, HubPosts
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.reference_proxy.table_messages import TableMessages
+from kestrelplank.reference_proxy.update_posts import ACKNOWLEDGEMENT_PATH, REPORT_PATH, UpdatePosts
 from kestrelplank.sockets.http import Stream, StreamLimits
 from kestrelplank.state.sums import OpSum, TrySum
 from kestrelplank.state.tables import Refused, Tables
@@ -31,8 +31,8 @@
 NO_SOURCE = -1  # in reports: a table that no assigner owns
 
 
-class HubSettings(NamedTuple):
-    """Where the hub is, and which proxy this is; op types by their index."""
+class UpdateSourceSettings(NamedTuple):
+    """Where updates come from, and which proxy this is; op types by their index."""
 
     address: str
     proxy_number: int
@@ -40,7 +40,7 @@
     op_types: list[str]
 
 
-class HubClient:
+class UpdateClient:
     """One proxy's client.
 
     :param addresses: by node, kept up to date.
@@ -51,7 +51,7 @@
     def __init__(
         self,
         io: ProxyIo,
-        settings: HubSettings,
+        settings: UpdateSourceSettings,
         ids: Ids,
         tables: Tables,
         addresses: dict[int, str],
@@ -64,7 +64,7 @@
         self._attempts: dict[tuple[int, int], TrySum] = {}  # by node and assigner
         self._ops: dict[tuple[int, int], OpSum] = {}  # by table and op type
         self._messages = TableMessages(ids, tables, addresses, on_tables_changed, on_node_zone, self._acknowledge)
-        self._posts = HubPosts(io, settings.address)
+        self._posts = UpdatePosts(io, settings.address)
         self._stream = Stream(io.loop, io.buffers, settings.address, self, STREAM_LIMITS)
         self._timer = io.loop.at(io.loop.now() + REPORT_INTERVAL_NS, self._report)
 
--- a/kestrelplank/reference_proxy/hub_posts.py
+++ b/kestrelplank/reference_proxy/update_posts.py
@@ -20,13 +20,13 @@
 OK = 200
 
 
-class HubPosts:
+class UpdatePosts:
     """Posts that wait, the first of them in progress."""
 
-    def __init__(self, io: ProxyIo, hub_address: str) -> None:
+    def __init__(self, io: ProxyIo, source_address: str) -> None:
         self._loop, self._counters = io.loop, io.counters
         self._posts: deque[tuple[str, bytes]] = deque()  # path and body
-        self._client = Client(io.loop, io.buffers, hub_address, self, DIAL_TIMEOUT_NS, MAX_ANSWER_BYTES)
+        self._client = Client(io.loop, io.buffers, source_address, self, DIAL_TIMEOUT_NS, MAX_ANSWER_BYTES)
 
     def add(self, path: str, body: Mapping[str, object]) -> None:
         """Post that after all that waits."""
--- a/tests/reference_proxy/test_hub_client.py
+++ b/tests/reference_proxy/test_update_client.py
@@ -5,8 +5,8 @@
 
 from kestrelplank.decode import Ids, text
 from kestrelplank.load_balancing.operations import Verdict
-from kestrelplank.reference_proxy.hub_client import HubClient, HubSettings
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
+from kestrelplank.reference_proxy.update_client import UpdateClient, UpdateSourceSettings
 from kestrelplank.state.tables import Tables
 
 
@@ -17,9 +17,9 @@
         self.kit, self.standing, self.changed, self.fails = Kit(), standing, [], 0
         self.hub = StubServer(self.kit, self.asked)
         self.tables, self.ids = Tables(4, 2, 1), Ids(text)
-        self.control = HubClient(
+        self.control = UpdateClient(
             ProxyIo(self.kit.loop, self.kit.pool, self.kit.counters),
-            HubSettings(self.hub.at, 17, "a", ["look", "place"]),
+            UpdateSourceSettings(self.hub.at, 17, "a", ["look", "place"]),
             self.ids,
             self.tables,
             {},
