--- /dev/null
+++ b/kestrelplank/control/log_writer.py
@@ -0,0 +1,79 @@
+"""Writes of the replicated log to disk: by one thread, in order, several that wait in one write."""
+
+import asyncio
+import logging
+from collections.abc import Callable
+from concurrent.futures import ThreadPoolExecutor
+
+from kestrelplank.consensus.effects import Persist
+from kestrelplank.storage.log_file import LogFile
+
+RETRY_INTERVAL_S = 0.3
+"""Until a write that the disk refused is tried again."""
+
+log = logging.getLogger("storage")
+
+
+class LogWriter:
+    """The writes of one member. It owns the thread that alone touches the file once the member has started.
+
+    What holds at all times, and the test of each (`tests/control/test_log_writer.py`):
+
+    - Writes are made in the order in which they were taken, and reported durable in that order:
+      `test_writes_that_wait_are_made_in_one_and_reported_in_order`.
+    - No write passes one that the disk refuses:
+      `test_a_refused_write_is_made_again_with_the_same_and_nothing_passes_it`.
+
+    :param handle_persisted: called in the loop's thread with the number of each `Persist` that is durable.
+    """
+
+    def __init__(self, file: LogFile, handle_persisted: Callable[[int], None]) -> None:
+        self._file = file
+        self._handle_persisted = handle_persisted
+        self._thread = ThreadPoolExecutor(1)
+        self._pending: list[Persist] = []
+        self._pending_copy: tuple[int, bytes] | None = None
+        self._work_pending = asyncio.Event()
+
+    @property
+    def log_size_bytes(self) -> int:
+        """Of the log on disk."""
+        return self._file.size_bytes
+
+    def write(self, persist: Persist) -> None:
+        """Take a write; it is made after all that were taken before it."""
+        self._pending.append(persist)
+        self._work_pending.set()
+
+    def write_copy(self, version: int, text: bytes) -> None:
+        """Take a readable copy of a configuration, made when no write waits. Only the last of several is made."""
+        self._pending_copy = (version, text)
+        self._work_pending.set()
+
+    async def run(self) -> None:
+        """Write until cancelled."""
+        while True:
+            await self._work_pending.wait()
+            if self._pending:
+                await self._write_pending()
+            elif self._pending_copy is not None:
+                version, text = self._pending_copy
+                self._pending_copy = None
+                await asyncio.get_running_loop().run_in_executor(self._thread, self._file.keep_copy, version, text)
+            else:
+                self._work_pending.clear()
+
+    async def _write_pending(self) -> None:
+        batch, self._pending = self._pending, []
+        await self._write_until_done(batch)
+        for persist in batch:
+            self._handle_persisted(persist.number)
+
+    async def _write_until_done(self, batch: list[Persist]) -> None:
+        while True:
+            try:
+                await asyncio.get_running_loop().run_in_executor(self._thread, self._file.write, batch)
+                return
+            except OSError as err:
+                log.warning("Storage: can't write the log, trying again in %s s: %s", RETRY_INTERVAL_S, err)
+                await asyncio.sleep(RETRY_INTERVAL_S)
--- a/kestrelplank/gateway/replace.py
+++ b/kestrelplank/gateway/replace.py
@@ -66,9 +66,10 @@
 
 def names_behind(status: MemberStatus, version: int) -> list[str]:
     """Return who has not got this version yet: edges in session, the member itself, and, if it leads, its peers."""
-    names = [name for name, edge in status.edges.items() if _is_before(edge.version, version)]
-    names += [name for name, peer in status.peers.items() if peer.heard_s is not None and peer.match < status.commit]
-    if _is_before(status.in_force, version):
+    names = [name for name, edge in status.edges.items() if _is_before(edge.configuration_version, version)]
+    in_touch = {name: peer for name, peer in status.peers.items() if peer.last_heard_s is not None}
+    names += [name for name, peer in in_touch.items() if peer.match_index < status.commit_index]
+    if _is_before(status.configuration_version, version):
         names.append(status.member)
     return sorted(names)
 
--- a/kestrelplank/reference_proxy/table_messages.py
+++ b/kestrelplank/reference_proxy/table_messages.py
@@ -6,7 +6,17 @@
 
 from collections.abc import Callable, Mapping
 
-from kestrelplank.decode import Ids, Malformed, count, flag, listed, mapping, parsed, text, whole
+from kestrelplank.decode import (
+    Ids,
+    Malformed,
+    list_value,
+    non_negative,
+    object_value,
+    parse_json,
+    text,
+    truth_value,
+    whole_number,
+)
 from kestrelplank.state.tables import Tables
 
 ORDER_FIELDS = {"line": 3, "take_out": 2, "level": 4, "clear": 1, "mark": 1}  # how many follow the word
@@ -42,15 +52,15 @@
         :raises Malformed: where it is no message.
         :raises Refused: where it can't be applied; nothing of it has taken effect.
         """
-        message = mapping(parsed(line))
+        message = object_value(parse_json(line))
         if not message:
             return False
-        kind, fields = message.get("type"), mapping(message.get("object"))
+        kind, fields = message.get("type"), object_value(message.get("object"))
         match kind:
             case "node":
                 self._take_node(fields)
             case "joined":
-                self._tables.joined(whole(fields.get("source")))
+                self._tables.joined(whole_number(fields.get("source")))
             case "table":
                 self._take_table(fields)
             case "orders":
@@ -67,17 +77,17 @@
             self._on_node_zone(node, self._ids.zone(text(zone)))
 
     def _take_table(self, fields: Mapping[str, object]) -> None:
-        table = whole(fields.get("table"))
+        table = whole_number(fields.get("table"))
         if table >= self._tables.size:
             raise Malformed(f"no table has the number {table}")
-        weights = {self._node(name): count(weight) for name, weight in mapping(fields.get("lines")).items()}
+        weights = {self._node(name): non_negative(weight) for name, weight in object_value(fields.get("lines")).items()}
         nonzero = {node: weight for node, weight in weights.items() if weight}
-        self._tables.read(table, whole(fields.get("source")), nonzero)
+        self._tables.read(table, whole_number(fields.get("source")), nonzero)
         self._on_tables_changed([table])
 
     def _take_orders(self, fields: Mapping[str, object]) -> None:
-        source, number = whole(fields.get("source")), whole(fields.get("number"))
-        orders = [self._read_order(order) for order in listed(fields.get("orders"))]
+        source, number = whole_number(fields.get("source")), whole_number(fields.get("number"))
+        orders = [self._read_order(order) for order in list_value(fields.get("orders"))]
         changed, watermarks = self._tables.apply(source, number, orders)
         if changed:
             self._on_tables_changed(changed)
@@ -85,19 +95,19 @@
             self._acknowledge(source, watermark)
 
     def _read_order(self, order: object) -> Order:
-        word, *fields = listed(order) or [None]
+        word, *fields = list_value(order) or [None]
         if not isinstance(word, str) or len(fields) != ORDER_FIELDS.get(word):
             raise Malformed(f"no order is {str(order)[:60]!r}")
         match word:
             case "line":
-                return word, whole(fields[0]), self._node(fields[1]), count(fields[2])
+                return word, whole_number(fields[0]), self._node(fields[1]), non_negative(fields[2])
             case "take_out":
-                return word, self._node(fields[0]), flag(fields[1])
+                return word, self._node(fields[0]), truth_value(fields[1])
             case "level":
-                table = ALL_TABLES if fields[0] == ALL_TABLES else whole(fields[0])
-                return word, table, whole(fields[1]), count(fields[2]), whole(fields[3])
+                table = ALL_TABLES if fields[0] == ALL_TABLES else whole_number(fields[0])
+                return word, table, whole_number(fields[1]), non_negative(fields[2]), whole_number(fields[3])
             case _:
-                return word, whole(fields[0])
+                return word, whole_number(fields[0])
 
     def _node(self, name: object) -> int:
         return self._ids.node(name)
--- a/kestrelplank/rehearsal/simulated_operator.py
+++ b/kestrelplank/rehearsal/simulated_operator.py
@@ -62,7 +62,7 @@
     async def assigns_shards(self, machine: Machine) -> bool:
         """Whether that member assigns the keys of a service."""
         status = await self.status(machine)
-        return status is not None and any(service.decides for service in status.services.values())
+        return status is not None and any(service.assigned_here for service in status.services.values())
 
     async def is_current(self, machine: Machine) -> bool:
         """Whether that member has all that is agreed."""
