--- a/kestrelplank/emulator/node_files.py
+++ b/kestrelplank/emulator/node_files.py
@@ -9,9 +9,12 @@
 from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.interface import NodeCondition, NodeEntry
 from kestrelplank.settings.errors import InvalidSettingsError
-from kestrelplank.state import guards, roster
-from kestrelplank.state.intake import SETTLED, Debounce, Intake, Outcome
-from kestrelplank.state.nodeset import Listed, NodeSet, Part
+from kestrelplank.state.change_guard import ChangeLimits
+from kestrelplank.state.debounce import Debounce, Reading
+from kestrelplank.state.node_set import ListedNode as FileNode
+from kestrelplank.state.node_set import NodeList, NodeSet
+from kestrelplank.state.node_set_in_force import NodeSetInForce, Outcome
+from kestrelplank.state.reported_nodes import ReportedNodes, ReportSettings
 from kestrelplank.state.sealed import digest_of
 
 FILE_NAME = "nodes.ini"
@@ -24,16 +27,16 @@
     def __init__(self, environment: Environment, assigners: Sequence[Assigner], settings: NodeFileGuards) -> None:
         super().__init__(environment, assigners)
         self._nodes = {f"n{node}": self._listed(node) for node in range(environment.script.site.nodes)}
-        self._intake = Intake(guards.Terms(settings.most_closed, settings.stand, False))
+        self._in_force = NodeSetInForce(ChangeLimits(settings.most_closed, settings.stand, False))
         self._debounce = Debounce(settings.quiet)
-        self._roster = roster.Roster(roster.Terms(environment.script.rules.grace, settings.weight_step))
+        self._reported = ReportedNodes(ReportSettings(environment.script.rules.grace, settings.weight_step))
         self._text: bytes | None = self._complete_text()
         self._weights = [1.0] * len(self._nodes)
         self._read_first_list(settings.quiet)
 
-    def _listed(self, node: int) -> Listed:
+    def _listed(self, node: int) -> FileNode:
         zone = self.environment.script.site.zones[self.environment.zone_of_node(node)]
-        return Listed(zone, f"127.0.0.1:{FIRST_PORT + node}")
+        return FileNode(zone, f"127.0.0.1:{FIRST_PORT + node}")
 
     def _complete_text(self) -> bytes:
         return format_node_list(NodeSet(self._nodes)).encode()
@@ -43,7 +46,7 @@
         self._read_at(now)
         self._read_at(now + quiet_ns)
         self._accept(now)
-        self._roster.whole()
+        self._reported.all_entries()
 
     def entry(self, node: int) -> NodeEntry:
         """Return a node as assigners learn of it, with its weight."""
@@ -98,30 +101,30 @@
         if isinstance(outcome, int):
             self.clock.at(outcome, self._read)
         elif outcome is not None:
-            self.environment.score.event(now, f"list {outcome.how}: {outcome.why}", [])
-            if outcome.how == "accepted":
+            self.environment.score.event(now, f"list {outcome.decision}: {outcome.reason}", [])
+            if outcome.decision == "accepted":
                 self._accept(now)
                 self._advance()
-        if self._intake.due is not None:
-            self.clock.at(self._intake.due, self._read)
+        if self._in_force.decide_at is not None:
+            self.clock.at(self._in_force.decide_at, self._read)
 
     def _accept(self, now: int) -> None:
         """Let the list that is in force be the one to come to, step by step."""
-        accepted = self._intake.force
+        accepted = self._in_force.node_set
         assert accepted is not None, "a list is in force once it has been decided"
-        self._roster.accept(now, accepted)
+        self._reported.accept(now, accepted)
 
     def _read_at(self, now: int) -> int | Outcome | None:
         """Return when to read again, or what has been decided."""
         step = self._debounce.see(now, FILE_NAME, None if self._text is None else digest_of(self._text))
         if isinstance(step, int):
             return step
-        if step == SETTLED:
-            self._intake.take(FILE_NAME, self._parsed())
-        decided: Outcome | None = self._intake.decide(now)
+        if step == Reading.SETTLED:
+            self._in_force.update_file(FILE_NAME, self._parsed())
+        decided: Outcome | None = self._in_force.decide(now)
         return decided
 
-    def _parsed(self) -> Part | str:
+    def _parsed(self) -> NodeList | str:
         """Return the list, or why it can't be used."""
         if self._text is None:
             return f"{FILE_NAME}: there is no such file"
@@ -134,13 +137,13 @@
     def _advance(self) -> None:
         """Let assigners learn of the next step towards the list that was accepted."""
         now, changes = self.clock.now(), []
-        for name, condition, _, _, weight, started_at in self._roster.advance(now):
+        for name, condition, _, _, weight, started_at in self._reported.advance(now):
             node = int(name[1:])
             self.listed[node], self._weights[node] = ListedNode(condition, started_at), weight
             changes.append(NodeChange(node, condition, started_at))
         entries = [self.entry(change.node) for change in changes]
         for assigner in self.assigners:
             self.notify_changes(assigner, entries, changes)
-        due = self._roster.due(now)
+        due = self._reported.due_at(now)
         if due is not None:
             self.clock.at(due, self._advance)
