--- a/tests/assigner/test_operator_features.py
+++ b/tests/assigner/test_operator_features.py
@@ -61,12 +61,15 @@
                 peers_all=at[1 - number],
             )
         )
-    until(kit.loop, lambda: all(program.lines("alive=0,1") or program.lines('alive="0,1"') for program in programs))
+    until(
+        kit.loop,
+        lambda: all(program.log_lines("alive=0,1") or program.log_lines('alive="0,1"') for program in programs),
+    )
     done = CliRunner().invoke(group, ["zones", "--socket", f"{tmp_path}/s0"])
     assert done.exit_code == 0 and "conductors 0, 1 alive" in done.output
     assert read_status(f"{tmp_path}/s1", 5)["members"]["alive"] == [0, 1]
     programs[0].end(signal.SIGKILL)
-    until(kit.loop, lambda: programs[1].lines("alive=1"))
+    until(kit.loop, lambda: programs[1].log_lines("alive=1"))
     code, said = programs[1].end(signal.SIGTERM)
     assert code == 0 and "defects" not in said and not os.path.exists(f"{tmp_path}/s1")
 
@@ -77,7 +80,7 @@
     program = Program(
         kit, tmp_path / "c.json", discovery=closed_port(), hub={"address": closed_port()}, peer_listen=free_udp()
     )
-    assert program.lines("event=members_off")
+    assert program.log_lines("event=members_off")
     code, said = program.end(signal.SIGTERM)
     assert code == 0 and "datagrams_sent" not in said
 
