--- a/tests/consensus/test_effects_recorded.py
+++ b/tests/consensus/test_effects_recorded.py
@@ -14,7 +14,7 @@
 import pytest
 
 from consensus.replacing_cluster import ReplacingCluster
-from consensus.simulated_cluster import Cluster
+from consensus.simulated_cluster import Cluster, Conditions
 from consensus.test_histories import History
 from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
 from kestrelplank.time_units import SECOND
@@ -28,6 +28,7 @@
     "five members, seed 4": "318a2dadb339180cdf16cb9a602008ba",
     "replacements, seed 5": "ff5bf8229384c58f950d1b2055311ceb",
     "replacements with snapshots in several chunks, seed 6": "90b375ef42639af9ca92153ce628ef07",
+    "slow links, seed 7": "54a2adc077361b0de699973517ce000f",
 }
 
 
@@ -116,6 +117,38 @@
     return recorder
 
 
+def slow_links(seed: int) -> Recorder:
+    """Large orders over slow links that lose messages, with a follower that is away again and again: chunks are retried."""
+    cluster = Cluster(3, seed)
+    recorder = Recorder(cluster)
+    for machine in cluster.machines.values():
+        machine.compact_after = 4
+    cluster.conditions = Conditions(bytes_per_s=200_000, loss=0.05)
+
+    def leave() -> None:
+        leader = cluster.leader()
+        name = cluster.random.choice([name for name in cluster.machines if leader is None or name != leader.address])
+        cluster.freeze(name)
+        cluster.at(cluster.random.randrange(16 * SECOND), lambda: cluster.thaw(name))
+        cluster.at(20 * SECOND, leave)
+
+    def operate(version: int) -> None:
+        running = [machine.address for machine in cluster.running()]
+        cluster.order(cluster.random.choice(running), version, (b"%d" % version).ljust(100_000))
+        cluster.at(2 * SECOND, lambda: operate(version + 1))
+
+    def record(number: int) -> None:
+        leader = cluster.leader()
+        if leader is not None:
+            cluster.propose(leader, b"%d" % number)
+        cluster.at(SECOND // 20, lambda: record(number + 1))
+
+    cluster.at(2 * SECOND, leave)
+    cluster.at(SECOND, lambda: operate(1))
+    cluster.at(SECOND, lambda: record(1))
+    return recorder
+
+
 PLAYED = {
     "three members, seed 1": lambda: history(1, 3),
     "three members, seed 2": lambda: history(2, 3),
@@ -123,6 +156,7 @@
     "five members, seed 4": lambda: history(4, 5),
     "replacements, seed 5": lambda: replacements(5),
     "replacements with snapshots in several chunks, seed 6": lambda: replacements(6, text_bytes=100_000),
+    "slow links, seed 7": lambda: slow_links(7),
 }
 
 
