--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -16,10 +16,11 @@
 from kestrelplank import decode
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, text
-from kestrelplank.file_discovery import nodelist
 from kestrelplank.file_discovery.atomic_write import write_atomically
-from kestrelplank.file_discovery.source import Source
-from kestrelplank.policy import Conductor as Policy
+from kestrelplank.file_discovery.node_files import NodeFiles
+from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
+from kestrelplank.interface import Event, PolicySettings, SliceOwnership
+from kestrelplank.policy import Policy
 from kestrelplank.rehearsal.parties import Kit
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.state.guards import Terms, judge
@@ -44,7 +45,7 @@
         made[number % files][f"order-{number}.{zone}.example.org"] = Listed(
             zone, f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:9000", 1.0 + number % 4 / 2
         )
-    return [nodelist.written(NodeSet(part)) for part in made]
+    return [format_node_list(NodeSet(part)) for part in made]
 
 
 def timed(what: str, call: object, times: int = 9) -> object:
@@ -60,14 +61,19 @@
 def cores(nodes: int, files: int) -> None:
     lists = [data.encode() for data in texts(nodes, files)]
     tracemalloc.start()
-    parts = [nodelist.read(f"{place}.ini", data, nodes, True) for place, data in enumerate(lists)]
+    parts = [
+        parse_node_list(f"{place}.ini", data, max_nodes=nodes, trailer_required=True)
+        for place, data in enumerate(lists)
+    ]
     made = assemble(parts)
     print(
         f"{nodes} nodes in {files} files: {tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB held, "
         f"{tracemalloc.get_traced_memory()[1] / 1e6:.1f} MB at most"
     )
     tracemalloc.stop()
-    timed("one file read and parsed", lambda: nodelist.read("0.ini", lists[0], nodes, True))
+    timed(
+        "one file read and parsed", lambda: parse_node_list("0.ini", lists[0], max_nodes=nodes, trailer_required=True)
+    )
     timed("all parts checked and put together, with the hash", lambda: assemble(parts))
     fewer = NodeSet(dict(list(made.nodes.items())[: -nodes // 100]))
     timed("the difference of two sets, judged", lambda: judge(made, fewer, (), 0, Terms(0.25, 0, False)))
@@ -83,7 +89,7 @@
         self.at: list[int] = []
         self._clock = clock
 
-    def take_out(self, node: int, out: bool) -> None:
+    def set_withdrawn(self, node: int, withdrawn: bool) -> None:
         self.at.append(self._clock())
 
     def __getattr__(self, word: str) -> Callable[..., None]:
@@ -102,14 +108,14 @@
             "Rules": {"ColdFrom": 1.0, "FallMultiple": 3.0},
         }
         settings = decode.settings(conf, Ids(text), "bench")
-        policy, orders = Policy(kit.loop.now(), 1, settings), Orders(kit.loop.now)
-        policy.on_tenure(0, 0, True)
+        policy, orders = Policy(kit.loop.now(), 1, PolicySettings.from_mapping(settings)), Orders(kit.loop.now)
+        policy.handle(0, SliceOwnership(0, True))
         heard = orders.at
         whole = texts(300, 1)[0]
         lines = whole.splitlines()
         drained = "\n".join([lines[0], lines[1] + " draining", *lines[2:]]) + "\n"
 
-        def on_event(event: tuple) -> None:
+        def on_event(event: Event) -> None:
             policy.round(kit.loop.now(), [event], orders)
             policy.round(kit.loop.now(), [], orders)  # a node let back is told a round after its lines are away
 
@@ -118,7 +124,7 @@
         nodes = NodeFileSettings(
             files=(path,), quiet_period_ns=quiet, poll_interval_ns=100 * MS, events=events, weight_step=0.0
         )
-        source = Source(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
+        source = NodeFiles(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
         took = []
         while source.intake.force is None:
             kit.loop.at(kit.loop.now() + MS, lambda: None)
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -153,7 +153,12 @@
         fetched_at = self._servers.fetched_at or 0
         return [
             ShardServer(
-                entry.server, entry.address, entry.zone, entry.slots, entry.state == READY, fetched_at + entry.warm
+                entry.server,
+                entry.address,
+                entry.zone,
+                entry.slots,
+                entry.state == READY,
+                fetched_at + entry.warm_up_ns,
             )
             for entry in self._servers.entries.values()
             if entry.service == service
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -133,7 +133,7 @@
             self.forwarder.endpoints.update(self.view.servers.fetched_at, self.view.servers.entries.values())
         elif change is Change.MEMBERS:
             self.sessions.reconcile()
-        self.forwarder.retry_budget.edges = self.view.edges
+        self.forwarder.retry_budget.edges = self.view.edge_count
         self.context.wake_pending()
 
     def set_limits(self, configuration: Configuration) -> None:
@@ -156,7 +156,7 @@
         """Tell the member that assigns each sharded service's keys what was met there."""
         for service, (keys, servers) in self.forwarder.take_load_reports().items():
             if keys or servers:
-                self.sessions.send_report(self.view.decider(service), LoadReport(service, keys, servers))
+                self.sessions.send_report(self.view.assigner_address(service), LoadReport(service, keys, servers))
 
     def _close_idle_connections(self) -> None:
         endpoints = self.forwarder.endpoints.by_name.values()
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -144,17 +144,17 @@
         endpoint = self.endpoints.choose(now, request.service, request.attempted_servers, request.body_bytes)
         if endpoint is None:
             return self._refuse(request, NoServerError, request.route.latency_target_ns // 2)
-        if not endpoint.has_capacity(now, self.view.edges):
+        if not endpoint.has_capacity(now, self.view.edge_count):
             return self._wait_for_capacity(now, request, endpoint)
         return self._start_attempt(now, request, endpoint)
 
     def _to_key_holder(self, now: int, request: ForwardedRequest, key: int) -> Step:
-        ranges = self.view.holders.get(request.service)
-        holder = ranges.of(key) if ranges else None
+        ranges = self.view.key_ranges.get(request.service)
+        holder = ranges.holder_of(key) if ranges else None
         endpoint = self.endpoints.by_name.get(holder.server) if holder else None
         if endpoint is None or self._is_unusable_holder(now, request, endpoint):
             return self._wait_for_holder(now, request)
-        if not endpoint.has_capacity(now, self.view.edges):
+        if not endpoint.has_capacity(now, self.view.edge_count):
             return self._wait_for_capacity(now, request, endpoint)
         return self._start_attempt(now, request, endpoint)
 
@@ -214,8 +214,8 @@
 
     def max_connections(self, request: ForwardedRequest) -> int:
         """Return how many connections to one server of its service this edge may have, with all edges alike."""
-        share = int(CONNECTION_SHARE * request.max_connections / self.view.edges)
-        least = WANTED_CONNECTIONS if WANTED_CONNECTIONS * self.view.edges <= request.max_connections else 1
+        share = int(CONNECTION_SHARE * request.max_connections / self.view.edge_count)
+        least = WANTED_CONNECTIONS if WANTED_CONNECTIONS * self.view.edge_count <= request.max_connections else 1
         return max(least, share)
 
     @staticmethod
@@ -305,7 +305,7 @@
         The keys that were asked for, and `Endpoint.stats` of each server where anything was met.
         """
         reports = {}
-        for service in self.view.holders:
+        for service in self.view.key_ranges:
             servers = {}
             for endpoint in self.endpoints.services.get(service, ()):
                 if endpoint.attempts or endpoint.load_reports:
