--- a/kestrelplank/edge/readiness.py
+++ b/kestrelplank/edge/readiness.py
@@ -6,7 +6,7 @@
 
 
 class ReadinessState(Enum):
-    """What the platform is told of this edge."""
+    """What the platform learns of this edge."""
 
     STARTING = "starting"  # no configuration or list of servers yet that may be served by
     READY = "ready"
