--- a/kestrelplank/emulator/service_score.py
+++ b/kestrelplank/emulator/service_score.py
@@ -5,7 +5,7 @@
 from math import isfinite
 
 from kestrelplank.emulator.script import Script
-from kestrelplank.state.sums import TrySum
+from kestrelplank.state.sums import AttemptSum
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 WINDOW_NS = 5 * SECOND
@@ -24,7 +24,7 @@
         self._counts: dict[str, Counter[str]] = {name: Counter() for name in self._names}
         self._latencies_ns: list[list[int]] = [[] for _ in self._names]
         self.lost_by_reason: Counter[str] = Counter()
-        self._attempts: list[dict[int, TrySum]] = [{} for _ in range(script.site.nodes)]  # by node and second
+        self._attempts: list[dict[int, AttemptSum]] = [{} for _ in range(script.site.nodes)]  # by node and second
         self.events: list[list[object]] = []
         self.fallen_nodes: list[int] = []
         self.ended_ops = 0
@@ -73,7 +73,7 @@
 
     def attempt_ended(self, now: int, node: int, succeeded: bool, latency_ns: int) -> None:
         """Count an attempt at a node."""
-        self._attempts[node].setdefault((now - self._started_at) // SECOND, TrySum()).add(succeeded, latency_ns)
+        self._attempts[node].setdefault((now - self._started_at) // SECOND, AttemptSum()).add(succeeded, latency_ns)
 
     def event(self, now: int, text: str, nodes: Sequence[int]) -> None:
         """Keep an event for the report."""
@@ -116,8 +116,8 @@
         ]
 
     @staticmethod
-    def _timeline_row(second: int, sums: TrySum) -> list[object]:
-        mean_ns = sums.mean()
+    def _timeline_row(second: int, sums: AttemptSum) -> list[object]:
+        mean_ns = sums.mean_latency_ns()
         return [second, sums.count, sums.failed, None if mean_ns is None else round(mean_ns / MILLISECOND, 3)]
 
 
--- a/kestrelplank/emulator/usage_reports.py
+++ b/kestrelplank/emulator/usage_reports.py
@@ -5,7 +5,7 @@
 from kestrelplank.emulator.assigners import Assigner
 from kestrelplank.emulator.environment import Environment
 from kestrelplank.interface import NodeReport, SliceReport
-from kestrelplank.state.sums import OpSum, TrySum
+from kestrelplank.state.sums import AttemptSum, OpSum
 from kestrelplank.time_units import SECOND
 
 
@@ -16,13 +16,13 @@
         self._environment, self._assigners = environment, assigners
         self._random = environment.random("reports")
         count = environment.script.site.conductors
-        self._attempts: list[dict[tuple[int, int], TrySum]] = [{} for _ in range(count)]
+        self._attempts: list[dict[tuple[int, int], AttemptSum]] = [{} for _ in range(count)]
         self._ops: list[dict[tuple[int, int], OpSum]] = [{} for _ in range(count)]
         self._queues: list[list[NodeReport | SliceReport]] = [[] for _ in range(count)]
 
     def record_attempt(self, owner: int, zone: int, node: int, succeeded: bool, latency_ns: int) -> None:
         """Count an attempt for a slice of that assigner."""
-        self._attempts[owner].setdefault((zone, node), TrySum()).add(succeeded, latency_ns)
+        self._attempts[owner].setdefault((zone, node), AttemptSum()).add(succeeded, latency_ns)
 
     def op_sum(self, owner: int, slice_: int, op_type: int) -> OpSum:
         """Return the sum that such an op counts in."""
@@ -43,13 +43,13 @@
         clock.at(clock.now() + settings.every, self.close_window)
 
     def _reports(
-        self, attempts: dict[tuple[int, int], TrySum], ops: dict[tuple[int, int], OpSum]
+        self, attempts: dict[tuple[int, int], AttemptSum], ops: dict[tuple[int, int], OpSum]
     ) -> list[NodeReport | SliceReport]:
         settings = self._environment.script.reports
         reports: list[NodeReport | SliceReport] = []
         for (zone, node), sums in attempts.items():
             noise = 1 + settings.noise * self._random.uniform(-1, 1)
-            mean_ns = round((sums.mean() or 0) * noise) or None
+            mean_ns = round((sums.mean_latency_ns() or 0) * noise) or None
             reports.append(NodeReport(node, zone, sums.count, sums.failed, mean_ns, settings.every, {}))
         for (slice_, op_type), op_sum in ops.items():
             reports.append(SliceReport(slice_, op_type, op_sum.count, op_sum.aborted, settings.every))
--- a/kestrelplank/reference_proxy/update_client.py
+++ b/kestrelplank/reference_proxy/update_client.py
@@ -17,7 +17,7 @@
 from kestrelplank.reference_proxy.table_messages import TableMessages
 from kestrelplank.reference_proxy.update_posts import ACKNOWLEDGEMENT_PATH, REPORT_PATH, UpdatePosts
 from kestrelplank.sockets.http import Stream, StreamLimits
-from kestrelplank.state.sums import OpSum, TrySum
+from kestrelplank.state.sums import AttemptSum, OpSum
 from kestrelplank.state.tables import Refused, Tables
 from kestrelplank.time_units import MILLISECOND, SECOND
 
@@ -61,7 +61,7 @@
         self._loop, self._counters, self._settings = io.loop, io.counters, settings
         self._ids, self._tables, self.addresses = ids, tables, addresses
         self._joined_at: int | None = None
-        self._attempts: dict[tuple[int, int], TrySum] = {}  # by node and assigner
+        self._attempts: dict[tuple[int, int], AttemptSum] = {}  # by node and assigner
         self._ops: dict[tuple[int, int], OpSum] = {}  # by table and op type
         self._messages = TableMessages(ids, tables, addresses, on_tables_changed, on_node_zone, self._acknowledge)
         self._posts = UpdatePosts(io, settings.address)
@@ -114,7 +114,7 @@
         """Count an attempt for the next report."""
         source = self._tables.source(table)
         key = node, NO_SOURCE if source is None else source
-        self._attempts.setdefault(key, TrySum()).add(succeeded, latency_ns)
+        self._attempts.setdefault(key, AttemptSum()).add(succeeded, latency_ns)
 
     def op_ended(self, table: int, op_type: int, verdict: Verdict) -> None:
         """Count an op for the next report."""
@@ -130,7 +130,7 @@
             return
         names, op_types = self._ids.node_ids, self._settings.op_types
         attempt_rows = [
-            [names[node], source, sums.count, sums.failed, (sums.mean() or 0.0) / MILLISECOND]
+            [names[node], source, sums.count, sums.failed, (sums.mean_latency_ns() or 0.0) / MILLISECOND]
             for (node, source), sums in attempts.items()
         ]
         op_rows = [[table, op_types[op_type], op_sum.count, op_sum.aborted] for (table, op_type), op_sum in ops.items()]
--- a/kestrelplank/state/sums.py
+++ b/kestrelplank/state/sums.py
@@ -4,28 +4,28 @@
 
 
 @dataclass(slots=True)
-class TrySum:
-    """`time` is that of the good attempts, in ns."""
+class AttemptSum:
+    """Attempts that have ended.
+
+    :param latency_ns: the sum of those that succeeded.
+    """
 
     count: int = 0
     failed: int = 0
-    time: int = 0
-
-    def add(self, good: bool, time: int) -> None:
-        """Count an attempt that has ended.
+    latency_ns: int = 0
 
-        :param time: ns that it took.
-        """
+    def add(self, succeeded: bool, latency_ns: int) -> None:
+        """Count an attempt that has ended."""
         self.count += 1
-        if good:
-            self.time += time
+        if succeeded:
+            self.latency_ns += latency_ns
         else:
             self.failed += 1
 
-    def mean(self) -> float | None:
-        """Return the mean time (ns) of the good attempts; None where there was none."""
-        good = self.count - self.failed
-        return self.time / good if good else None
+    def mean_latency_ns(self) -> float | None:
+        """Return the mean of the attempts that succeeded; None where there was none."""
+        succeeded = self.count - self.failed
+        return self.latency_ns / succeeded if succeeded else None
 
 
 @dataclass(slots=True)
