--- a/kestrelplank/emulator/assigners.py
+++ b/kestrelplank/emulator/assigners.py
@@ -10,9 +10,9 @@
 from kestrelplank.emulator.environment import Environment
 from kestrelplank.emulator.order_collector import OrderCollector
 from kestrelplank.emulator.process_actor import ProcessActor
-from kestrelplank.emulator.slice_orders import Order
 from kestrelplank.interface import EndpointStored, Event, NodeListUpdate, NodeReport, PolicySettings, TimerFired
 from kestrelplank.policy import Policy
+from kestrelplank.state.table_orders import TableOrder
 
 PolicyFactory = Callable[[int, int, PolicySettings], Policy]  # now, seed, settings
 
@@ -20,7 +20,7 @@
 class OrderReceiver(Protocol):
     """Who carries out the orders of assigners."""
 
-    def execute(self, assigner: int, orders: list[Order]) -> None:
+    def execute(self, assigner: int, orders: list[TableOrder]) -> None:
         """Carry out one call's orders."""
         ...
 
--- a/kestrelplank/emulator/ideal_placement.py
+++ b/kestrelplank/emulator/ideal_placement.py
@@ -139,5 +139,5 @@
                 self._update_table(proxy, slice_)
 
     def _update_table(self, proxy: EmulatedProxy, slice_: int) -> None:
-        proxy.tables.read(slice_, self.store.owner[slice_] or 0, self.store.weights[slice_])
+        proxy.tables.set_table(slice_, self.store.owner[slice_] or 0, self.store.weights[slice_])
         proxy.when_awake(lambda: proxy.tables_changed([slice_]))
--- a/kestrelplank/emulator/network.py
+++ b/kestrelplank/emulator/network.py
@@ -64,7 +64,7 @@
 
     def _check_rules(self, proxy: EmulatedProxy, op: Op, node: int) -> bool:
         """Check the rule on drains; return whether the proxy could know of the node's last start."""
-        owner = proxy.tables.source(op.table)
+        owner = proxy.tables.owner(op.table)
         stream = proxy.streams.get(owner) if owner is not None else None
         if owner is None or stream is None or owner != self._store.owner[op.table]:
             return False
--- a/kestrelplank/emulator/order_collector.py
+++ b/kestrelplank/emulator/order_collector.py
@@ -1,10 +1,18 @@
 """What a policy orders in one round."""
 
 from collections.abc import Callable
+from typing import cast
 
 from kestrelplank.decode import Ids
-from kestrelplank.emulator.slice_orders import Order
 from kestrelplank.interface import OrderWriter
+from kestrelplank.state.table_orders import (
+    ClearTable,
+    RequestAcknowledgement,
+    SetAdmission,
+    SetEndpoint,
+    SetWithdrawn,
+    TableOrder,
+)
 
 
 class OrderCollector(OrderWriter):
@@ -15,27 +23,27 @@
 
     def __init__(self, ids: Ids, set_timer: Callable[[int, str], None]) -> None:
         self._ids, self._set_timer = ids, set_timer
-        self.orders: list[Order] = []
+        self.orders: list[TableOrder] = []
 
     def set_endpoint(self, table: int, node: int, weight: float) -> None:
-        """Order the weight of a node in a slice's table."""
-        self.orders.append(("line", table, self._ids.node_ids[node], weight))
+        """TableOrder the weight of a node in a slice's table."""
+        self.orders.append(SetEndpoint(table, self._number(node), weight))
 
     def clear_table(self, table: int) -> None:
-        """Order that a slice's table has no nodes."""
-        self.orders.append(("clear", table))
+        """TableOrder that a slice's table has no nodes."""
+        self.orders.append(ClearTable(table))
 
     def set_withdrawn(self, node: int, withdrawn: bool) -> None:
-        """Order that no proxy sends to a node, or that it may again."""
-        self.orders.append(("take_out", self._ids.node_ids[node], withdrawn))
+        """TableOrder that no proxy sends to a node, or that it may again."""
+        self.orders.append(SetWithdrawn(self._number(node), withdrawn))
 
     def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
-        """Order the share of ops that is admitted."""
-        self.orders.append(("level", table, op_types, share, retry_mode))
+        """TableOrder the share of ops that is admitted."""
+        self.orders.append(SetAdmission(table, op_types, share, retry_mode))
 
     def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002 - interface
-        """Order that proxies acknowledge when they have come to here."""
-        self.orders.append(("mark", watermark))
+        """TableOrder that proxies acknowledge when they have come to here."""
+        self.orders.append(RequestAcknowledgement(watermark))
 
     def set_timer(self, at: int, name: str) -> None:
         """Fire a timer at that instant."""
@@ -45,6 +53,9 @@
         """Take the number of a node back."""
         self._ids.forget(node)
 
+    def _number(self, node: int) -> int:
+        return cast(int, self._ids.node_ids[node])
+
     # What a rehearsal has no use for.
 
     def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:
--- a/kestrelplank/emulator/proxies.py
+++ b/kestrelplank/emulator/proxies.py
@@ -7,12 +7,12 @@
 from kestrelplank.emulator.client_op import ClientOp
 from kestrelplank.emulator.environment import Environment
 from kestrelplank.emulator.process_actor import ProcessActor
-from kestrelplank.emulator.slice_orders import Order
 from kestrelplank.load_balancing.attempts import Attempts, AttemptSettings
 from kestrelplank.load_balancing.operations import AttemptOutcome, EndReason, Op, Send, Step, Verdict, Wait
 from kestrelplank.load_balancing.outlier_ejection import OutlierEjection
 from kestrelplank.load_balancing.selection import SelectionMethod
 from kestrelplank.sockets.loop import Timer
+from kestrelplank.state.table_orders import TableOrder
 from kestrelplank.state.tables import Tables
 
 EndReasonOrOutcome = EndReason | AttemptOutcome | str
@@ -44,7 +44,7 @@
     assigner: int
     stream: int
     number: int
-    orders: list[Order]
+    orders: list[TableOrder]
     ordered_at: int
 
 
@@ -200,7 +200,7 @@
         """Let ops go that wait for a node of these slices, and check the rule on slices without one."""
         now = self.clock.now()
         for slice_ in slices:
-            has_node = bool(self.tables.open(slice_))
+            has_node = bool(self.tables.available(slice_))
             self._environment.rules.slice_changed(
                 now, self.number, slice_, has_node, self._surroundings.slice_needs_node
             )
--- a/kestrelplank/emulator/simulation.py
+++ b/kestrelplank/emulator/simulation.py
@@ -143,7 +143,7 @@
         self, proxy: EmulatedProxy, client_op: ClientOp, node: int, succeeded: bool, latency_ns: int
     ) -> None:
         """Take note of an attempt's end: for the score, and for reports to whoever owns the slice."""
-        owner = proxy.tables.source(client_op.slice)
+        owner = proxy.tables.owner(client_op.slice)
         if owner is not None:
             self.reports.record_attempt(owner, proxy.zone, node, succeeded, latency_ns)
         self.environment.score.attempt_ended(self.clock.now(), node, succeeded, latency_ns)
--- a/kestrelplank/emulator/slice_store.py
+++ b/kestrelplank/emulator/slice_store.py
@@ -1,15 +1,14 @@
 """The users' store of slices: which nodes each slice has, which assigner owns it, and each assigner's channel."""
 
 from collections.abc import Sequence
-from typing import cast
 
 from kestrelplank.emulator.assigners import Assigner
 from kestrelplank.emulator.environment import Environment
 from kestrelplank.emulator.load_profile import LoadProfile
 from kestrelplank.emulator.proxies import EmulatedProxy, OrderMessage, OrderStream
-from kestrelplank.emulator.slice_orders import Order
 from kestrelplank.interface import EndpointStored, ProxyJoined, ProxyLeft, SliceOwnership
-from kestrelplank.state.tables import with_line
+from kestrelplank.state.table_orders import ClearTable, SetEndpoint, TableOrder
+from kestrelplank.state.tables import with_weight
 from kestrelplank.time_units import SECOND
 
 
@@ -40,29 +39,29 @@
 
     # Orders.
 
-    def execute(self, assigner: int, orders: list[Order]) -> None:
+    def execute(self, assigner: int, orders: list[TableOrder]) -> None:
         """Store one call's orders, and send them as one message to each joined proxy.
 
         What is for a slice that the assigner does not own changes nothing.
         """
-        valid = [order for order in orders if order[0] not in ("line", "clear") or self._owner_of(order) == assigner]
+        valid = [order for order in orders if self._may_order(assigner, order)]
         for order in valid:
             self._store(order)
         if valid:
             self._send(assigner, valid)
 
-    def _owner_of(self, order: Order) -> int | None:
-        return self.owner[cast(int, order[1])]
+    def _may_order(self, assigner: int, order: TableOrder) -> bool:
+        return not isinstance(order, SetEndpoint | ClearTable) or self.owner[order.table] == assigner
 
-    def _store(self, order: Order) -> None:
+    def _store(self, order: TableOrder) -> None:
         match order:
-            case ("line", int(slice_), int(node), weight):
+            case SetEndpoint(slice_, node, weight):
                 self.moves += bool(weight) and node not in self.weights[slice_]
-                self.weights[slice_] = with_line(self.weights[slice_], node, cast(float, weight))
-            case ("clear", int(slice_)):
+                self.weights[slice_] = with_weight(self.weights[slice_], node, weight)
+            case ClearTable(slice_):
                 self.weights[slice_] = {}
 
-    def _send(self, assigner: int, orders: list[Order]) -> None:
+    def _send(self, assigner: int, orders: list[TableOrder]) -> None:
         script, now = self._environment.script, self._clock.now()
         channel = script.channel
         cost = len(orders) + channel.envelope
@@ -119,8 +118,8 @@
         self._last_stream += 1
         proxy.streams[assigner] = OrderStream(self._last_stream, self._clock.now())
         proxy.ordered_at[assigner] = 0
-        fresh = not proxy.tables.known(assigner)
-        proxy.tables.joined(assigner)
+        fresh = not proxy.tables.knows(assigner)
+        proxy.tables.begin_stream(assigner)
         ops_per_s = self._load.ops_per_s(self._clock.now()) / len(self._proxies)
         self._assigners[assigner].notify(ProxyJoined(proxy.number, proxy.zone, ops_per_s, fresh))
         self._read(proxy, assigner, [slice_ for slice_, owner in enumerate(self.owner) if owner == assigner])
@@ -133,5 +132,5 @@
     def _read(self, proxy: EmulatedProxy, assigner: int, slices: list[int]) -> None:
         """Let the proxy read these slices by itself, at once, with all that is on its way behind it."""
         for slice_ in slices:
-            proxy.tables.read(slice_, assigner, self.weights[slice_])
+            proxy.tables.set_table(slice_, assigner, self.weights[slice_])
         proxy.when_awake(lambda: proxy.tables_changed(slices))
--- a/kestrelplank/load_balancing/attempts.py
+++ b/kestrelplank/load_balancing/attempts.py
@@ -111,13 +111,13 @@
         op = Op(number, op_type, table, now + timeout_ns, key)
         if self._retry_budget:
             self._retry_budget.earn(op_type)
-        admitted_share = self._tables.share(table, op_type)
+        admitted_share = self._tables.admitted_share(table, op_type)
         if admitted_share < 1.0 and self._random.random() >= admitted_share:
             return op, self._end(Verdict.REJECTED, EndReason.ADMISSION_LEVEL)
         node = self._choose(now, op)
         if node is not None:
             return op, self._send(now, op, node)
-        if self._limits is not None and self._tables.open(table):
+        if self._limits is not None and self._tables.available(table):
             return op, self._enqueue(now, op)
         return op, self._wait_for_node(now, op)
 
@@ -128,7 +128,7 @@
             return self._end(Verdict.ACKED, EndReason.NONE)
         if outcome not in self._settings.proofs:
             return self._end(Verdict.ABORTED, outcome)
-        if len(op.attempted_nodes) > 1 or not self._tables.again(op.table):
+        if len(op.attempted_nodes) > 1 or not self._tables.retry_mode(op.table):
             return self._end(Verdict.REJECTED, outcome)
         return self._retry(now, op)
 
@@ -249,7 +249,7 @@
 
     def _candidates(self, now: int, op: Op) -> WeightedNodes:
         """Return the nodes that the op may go to now: not attempted yet, with capacity, preferably not ejected."""
-        candidates: WeightedNodes = self._tables.open(op.table)
+        candidates: WeightedNodes = self._tables.available(op.table)
         if op.attempted_nodes:
             candidates = [candidate for candidate in candidates if candidate[0] not in op.attempted_nodes]
         if self._zones is not None and candidates:
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -110,7 +110,7 @@
         self._settle()
         named: dict[int, None] = {}
         for table in range(self._tables.size):
-            named.update((node, None) for node, _ in self._tables.open(table))
+            named.update((node, None) for node, _ in self._tables.available(table))
         self.nodes.use_only(named)
 
     # Requests (`RequestHandler`).
--- a/kestrelplank/reference_proxy/table_messages.py
+++ b/kestrelplank/reference_proxy/table_messages.py
@@ -17,12 +17,18 @@
     truth_value,
     whole_number,
 )
+from kestrelplank.interface import ALL_TABLES
+from kestrelplank.state.table_orders import (
+    ClearTable,
+    RequestAcknowledgement,
+    SetAdmission,
+    SetEndpoint,
+    SetWithdrawn,
+    TableOrder,
+)
 from kestrelplank.state.tables import Tables
 
 ORDER_FIELDS = {"line": 3, "take_out": 2, "level": 4, "clear": 1, "mark": 1}  # how many follow the word
-ALL_TABLES = -1
-
-Order = tuple[object, ...]  # as `Tables.apply` takes it
 
 
 class TableMessages:
@@ -50,7 +56,7 @@
         """Apply a line of the stream; return whether it held orders. An empty object is a heartbeat.
 
         :raises Malformed: where it is no message.
-        :raises Refused: where it can't be applied; nothing of it has taken effect.
+        :raises RefusedError: where it can't be applied; nothing of it has taken effect.
         """
         message = object_value(parse_json(line))
         if not message:
@@ -60,7 +66,7 @@
             case "node":
                 self._take_node(fields)
             case "joined":
-                self._tables.joined(whole_number(fields.get("source")))
+                self._tables.begin_stream(whole_number(fields.get("source")))
             case "table":
                 self._take_table(fields)
             case "orders":
@@ -82,7 +88,7 @@
             raise Malformed(f"no table has the number {table}")
         weights = {self._node(name): non_negative(weight) for name, weight in object_value(fields.get("lines")).items()}
         nonzero = {node: weight for node, weight in weights.items() if weight}
-        self._tables.read(table, whole_number(fields.get("source")), nonzero)
+        self._tables.set_table(table, whole_number(fields.get("source")), nonzero)
         self._on_tables_changed([table])
 
     def _take_orders(self, fields: Mapping[str, object]) -> None:
@@ -94,20 +100,23 @@
         for watermark in watermarks:
             self._acknowledge(source, watermark)
 
-    def _read_order(self, order: object) -> Order:
+    def _read_order(self, order: object) -> TableOrder:
         word, *fields = list_value(order) or [None]
         if not isinstance(word, str) or len(fields) != ORDER_FIELDS.get(word):
             raise Malformed(f"no order is {str(order)[:60]!r}")
         match word:
             case "line":
-                return word, whole_number(fields[0]), self._node(fields[1]), non_negative(fields[2])
+                return SetEndpoint(whole_number(fields[0]), self._node(fields[1]), non_negative(fields[2]))
             case "take_out":
-                return word, self._node(fields[0]), truth_value(fields[1])
+                return SetWithdrawn(self._node(fields[0]), truth_value(fields[1]))
             case "level":
                 table = ALL_TABLES if fields[0] == ALL_TABLES else whole_number(fields[0])
-                return word, table, whole_number(fields[1]), non_negative(fields[2]), whole_number(fields[3])
-            case _:
-                return word, whole_number(fields[0])
+                op_types, share = whole_number(fields[1]), non_negative(fields[2])
+                return SetAdmission(table, op_types, share, whole_number(fields[3]))
+            case "clear":
+                return ClearTable(whole_number(fields[0]))
+            case _:  # "mark": no other word is in ORDER_FIELDS
+                return RequestAcknowledgement(whole_number(fields[0]))
 
     def _node(self, name: object) -> int:
         return self._ids.node(name)
--- a/kestrelplank/reference_proxy/tables_file.py
+++ b/kestrelplank/reference_proxy/tables_file.py
@@ -7,7 +7,7 @@
 from kestrelplank.decode import Ids, Malformed
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.state.sealed import sealed, unsealed
-from kestrelplank.state.tables import Refused, Tables
+from kestrelplank.state.tables import RefusedError, Tables
 
 FORMAT_VERSION = 1
 
@@ -34,7 +34,7 @@
             self._addresses.update((self._ids.node(name), at) for name, at in kept["addresses"].items())
         except FileNotFoundError:
             return False
-        except (OSError, Malformed, Refused) as err:
+        except (OSError, Malformed, RefusedError) as err:
             self._counters.trouble("tables_not_restored", f"{self._path}: {err}")
             return False
         self._counters.info("tables_restored", age_s=round(time.time() - kept["at"], 1))
@@ -48,7 +48,7 @@
         names = self._ids.node_ids
         content = {
             "at": time.time(),
-            "tables": self._tables.kept(lambda node: str(names[node])),
+            "tables": self._tables.content(lambda node: str(names[node])),
             "addresses": {names[node]: at for node, at in self._addresses.items()},
         }
         try:
--- a/kestrelplank/reference_proxy/update_client.py
+++ b/kestrelplank/reference_proxy/update_client.py
@@ -18,7 +18,7 @@
 from kestrelplank.reference_proxy.update_posts import ACKNOWLEDGEMENT_PATH, REPORT_PATH, UpdatePosts
 from kestrelplank.sockets.http import Stream, StreamLimits
 from kestrelplank.state.sums import AttemptSum, OpSum
-from kestrelplank.state.tables import Refused, Tables
+from kestrelplank.state.tables import RefusedError, Tables
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 REPORT_INTERVAL_NS = 1 * SECOND
@@ -97,7 +97,7 @@
         try:
             if self._messages.apply(line):
                 self._counters.add("tables_messages")
-        except Refused as err:
+        except RefusedError as err:
             self._counters.trouble("tables_refused", err)
             self._stream.drop("a message that can't be applied")
         except Malformed as err:
@@ -112,7 +112,7 @@
 
     def attempt_ended(self, table: int, node: int, succeeded: bool, latency_ns: int) -> None:
         """Count an attempt for the next report."""
-        source = self._tables.source(table)
+        source = self._tables.owner(table)
         key = node, NO_SOURCE if source is None else source
         self._attempts.setdefault(key, AttemptSum()).add(succeeded, latency_ns)
 
--- a/kestrelplank/rehearsal/assigner_process.py
+++ b/kestrelplank/rehearsal/assigner_process.py
@@ -13,7 +13,6 @@
 from kestrelplank.emulator.environment import Environment
 from kestrelplank.emulator.load_profile import LoadProfile
 from kestrelplank.emulator.proxies import EmulatedProxy
-from kestrelplank.emulator.slice_orders import Order
 from kestrelplank.emulator.slice_store import SliceStore
 from kestrelplank.interface import (
     ALL_TABLES,
@@ -34,6 +33,14 @@
 from kestrelplank.rehearsal.stub_server import SocketKit, StubConnection, StubServer
 from kestrelplank.rehearsal.telemetry_connection import TelemetryConnection
 from kestrelplank.sockets.loop import Timer
+from kestrelplank.state.table_orders import (
+    ClearTable,
+    RequestAcknowledgement,
+    SetAdmission,
+    SetEndpoint,
+    SetWithdrawn,
+    TableOrder,
+)
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 HEARTBEAT_INTERVAL_NS = 1 * SECOND
@@ -218,21 +225,21 @@
         connection.send(b"".join(json.dumps(line).encode() + b"\n" for line in lines))
         self._streams = [stream for stream in self._streams if stream.closed_because is None] + [connection]
 
-    def _read_order(self, order: dict[str, Any]) -> Order:
+    def _read_order(self, order: dict[str, Any]) -> TableOrder:
         """Return an order of the process's as the store takes it."""
         verb = order["verb"]
         if verb == "put":
-            return "line", order["cluster"], int(order["endpoint"][2:]), order["w"]
+            return SetEndpoint(order["cluster"], int(order["endpoint"][2:]), order["w"])
         if verb == "wipe":
-            return "clear", order["cluster"]
+            return ClearTable(order["cluster"])
         if verb in ("eject", "uneject"):
-            return "take_out", int(order["endpoint"][2:]), verb == "eject"
+            return SetWithdrawn(int(order["endpoint"][2:]), verb == "eject")
         if verb == "fence":
-            return "mark", order["stamp"]
+            return RequestAcknowledgement(order["stamp"])
         table = ALL_TABLES if order.get("cluster", "*") == "*" else order["cluster"]
         names = self.environment.op_type_names
         op_types = sum(1 << names.index(name) for name in order.get("for", ()))
-        return "level", table, op_types, order["gate"], order["again"]
+        return SetAdmission(table, op_types, order["gate"], order["again"])
 
     # Its agent.
 
--- a/kestrelplank/state/tables.py
+++ b/kestrelplank/state/tables.py
@@ -1,212 +1,287 @@
-"""Tables as one relay holds them, told by several conductors, and what they let it send to.
+"""Tables as one proxy holds them, ordered by several assigners, and what they let it send to.
 
-Each conductor's orders come as numbered messages over a stream. A message takes effect whole, once, and in order; one
-that comes again changes nothing and is answered again, as its answer may be lost. What a table holds outlives the
-stream it came on, as do withdrawals: a relay that has lost its conductor goes on with what it has.
+Each assigner's orders come as numbered messages over a stream. A message takes effect completely, once, and in order;
+one that comes again changes nothing and is acknowledged again, as its acknowledgement may be lost. What a table holds
+outlives the stream it came on, as do withdrawals: a proxy that has lost its assigner goes on with what it has.
 """
 
 from collections.abc import Callable, Sequence
 from math import isfinite
-from typing import Any
+from typing import TypedDict, assert_never
 
 from kestrelplank.interface import ALL_TABLES
+from kestrelplank.state.table_orders import (
+    ClearTable,
+    RequestAcknowledgement,
+    SetAdmission,
+    SetEndpoint,
+    SetWithdrawn,
+    TableOrder,
+)
 
-AGAIN = (0, 1)  # ways of trying again that a relay of ours follows: not at all; once, with proof
+RETRY_MODES = (0, 1)  # that a proxy of ours follows: no retry; one retry, with proof
 
 
-class Refused(ValueError):
-    """A message that can't be applied; the text says why. Nothing of it has taken effect."""
+class RefusedError(ValueError):
+    """What came can't be applied; the text says why. Nothing of it has taken effect."""
 
 
-class Gap(Refused):
+class GapError(RefusedError):
     """A message came before the one ahead of it: the stream has lost something and must begin anew."""
 
 
-class Source:
-    """One conductor as this relay knows it: `expects` is the number of the next message on its present stream."""
+class TablesContent(TypedDict):
+    """All that tables hold, as it is kept in a file; the keys are those of the file.
+
+    :param lines: by table, the weight of each node by name.
+    :param sources: assigner, names of nodes that it withdrew, shares by op type, retry mode.
+    :param charge: by table, its owner.
+    :param levels: table, shares by op type.
+    :param again: table, retry mode.
+    """
+
+    lines: list[dict[str, float]]
+    sources: list[tuple[int, list[str], list[tuple[int, float]], int | None]]
+    charge: list[int | None]
+    levels: list[tuple[int, list[tuple[int, float]]]]
+    again: list[tuple[int, int]]
+
+
+class AssignerOrders:
+    """What one assigner has ordered for all of its tables.
+
+    `next_message` is the number of the next message on its present stream.
+    """
 
     def __init__(self) -> None:
-        self.expects = 0
-        self.out: dict[int, None] = {}  # nodes withdrawn, in order
-        self.shares: dict[int, float] = {}  # op type to the share let in, for all its tables
-        self.again: int | None = None
+        self.next_message = 0
+        self.withdrawn: dict[int, None] = {}  # nodes, in order
+        self.shares: dict[int, float] = {}  # by op type
+        self.retry_mode: int | None = None
 
 
-def with_line(lines: dict[int, float], node: int, weight: float) -> dict[int, float]:
-    """A table's lines with that one set; a weight of 0 takes it away. `lines` stays as it is."""
-    found = dict(lines)
+def with_weight(weights: dict[int, float], node: int, weight: float) -> dict[int, float]:
+    """Return a copy of a table's weights with the node's set; a weight of 0 removes the node."""
+    changed = dict(weights)
     if weight:
-        found[node] = weight
+        changed[node] = weight
     else:
-        found.pop(node, None)
-    return found
+        changed.pop(node, None)
+    return changed
 
 
 class Tables:
-    """`tables` tables numbered from 0, `op_types` kinds of op. `usual_again` holds until a conductor orders another
-    way of trying again. What may be picked is worked out once a change, not once an op."""
-
-    def __init__(self, tables: int, op_types: int, usual_again: int) -> None:
-        self.size, self._op_types, self._usual = tables, op_types, usual_again
-        self._lines: list[dict[int, float]] = [{}] * tables  # never changed in place: relays may share them
-        self._open: list[tuple[tuple[int, float], ...] | None] = [None] * tables
-        self._source: list[int | None] = [None] * tables  # who has charge of the table
-        self._levels: dict[int, dict[int, float]] = {}
-        self._again: dict[int, int] = {}
-        self._sources: dict[int, Source] = {}
+    """All tables of a proxy, numbered from 0.
+
+    Which nodes are available is worked out once a change, not once an op.
+
+    What holds at all times, and the test of each (`tests/state/test_tables.py`):
+
+    - A message with an order that can't be used changes nothing:
+      `test_a_message_with_an_order_that_cannot_be_used_changes_nothing_at_all`.
+    - The available nodes are those of the table that its owner has not withdrawn:
+      `test_available_nodes_are_those_that_a_plain_replay_of_the_orders_leaves`.
+
+    :param tables: how many there are.
+    :param op_types: how many there are.
+    :param initial_retry_mode: holds until an assigner orders another.
+    """
+
+    def __init__(self, tables: int, op_types: int, initial_retry_mode: int) -> None:
+        self.size, self._op_types, self._initial_retry_mode = tables, op_types, initial_retry_mode
+        self._weights: list[dict[int, float]] = [{}] * tables  # never changed in place: proxies may share them
+        self._available: list[tuple[tuple[int, float], ...] | None] = [None] * tables
+        self._owners: list[int | None] = [None] * tables
+        self._shares: dict[int, dict[int, float]] = {}  # by table and op type
+        self._retry_modes: dict[int, int] = {}  # by table
+        self._assigners: dict[int | None, AssignerOrders] = {}  # looked up by owner, of which None has no orders
 
     # What comes in.
 
-    def joined(self, source: int) -> None:
-        """A stream to that conductor begins: its messages are numbered from 0 again."""
-        self._sources.setdefault(source, Source()).expects = 0
-
-    def read(self, table: int, source: int, lines: dict[int, float]) -> None:
-        """What the store holds for a table that is given into a conductor's charge; its levels begin anew."""
-        self._lines[table], self._source[table], self._open[table] = lines, source, None
-        self._levels.pop(table, None)
-        self._again.pop(table, None)
-
-    def apply(self, source: int, number: int, orders: Sequence[tuple]) -> tuple[list[int], list[int]]:
-        """Takes a message of orders (`line`, `clear`, `take_out`, `level`, `mark` with the fields of the interface's
-        writer). Returns the tables whose open lines may have changed, and the marks to be answered. A message
-        known already only has its marks answered again. Raises Refused, with nothing changed."""
-        known = self._sources.get(source)
-        if known is None:
-            raise Refused(f"conductor {source} has no stream here")
-        marks = [order[1] for order in orders if order[0] == "mark"]
-        if number < known.expects:
-            return [], marks
-        if number > known.expects:
-            raise Gap(f"message {number} came where {known.expects} is due")
-        for place, order in enumerate(orders):
-            why = self._unusable(order)
+    def begin_stream(self, assigner: int) -> None:
+        """Begin an assigner's stream: its messages are numbered from 0 again."""
+        self._assigners.setdefault(assigner, AssignerOrders()).next_message = 0
+
+    def set_table(self, table: int, owner: int, weights: dict[int, float]) -> None:
+        """Give a table to an assigner, with the nodes that the store holds; shares and retry mode of its own end."""
+        self._weights[table], self._owners[table], self._available[table] = weights, owner, None
+        self._shares.pop(table, None)
+        self._retry_modes.pop(table, None)
+
+    def apply(self, assigner: int, number: int, orders: Sequence[TableOrder]) -> tuple[list[int], list[int]]:
+        """Apply a message of orders; of a message applied already, only the watermarks are returned again.
+
+        :returns: the tables whose available nodes may have changed, and the watermarks to be acknowledged.
+        :raises RefusedError: an order can't be used; nothing has changed.
+        :raises GapError: a message before this one is missing; nothing has changed.
+        """
+        ordered = self._assigners.get(assigner)
+        if ordered is None:
+            raise RefusedError(f"conductor {assigner} has no stream here")
+        watermarks = [order.watermark for order in orders if isinstance(order, RequestAcknowledgement)]
+        if number < ordered.next_message:
+            return [], watermarks
+        if number > ordered.next_message:
+            raise GapError(f"message {number} came where {ordered.next_message} is due")
+        for index, order in enumerate(orders):
+            why = self._why_unusable(order)
             if why:
-                raise Refused(f"order {place}: {why}")
-        known.expects += 1
-        changed = self._carry_out(source, known, orders)
+                raise RefusedError(f"order {index}: {why}")
+        ordered.next_message += 1
+        changed = self._carry_out(assigner, ordered, orders)
         for table in changed:
-            self._open[table] = None
-        return list(changed), marks
+            self._available[table] = None
+        return list(changed), watermarks
 
-    def _carry_out(self, source: int, known: Source, orders: Sequence[tuple]) -> dict[int, None]:
-        """Orders that have been checked take effect. Returns the tables whose open lines may have changed, in order."""
+    def _carry_out(self, assigner: int, ordered: AssignerOrders, orders: Sequence[TableOrder]) -> dict[int, None]:
+        """Carry out checked orders; return the tables whose available nodes may have changed, in order."""
         changed: dict[int, None] = {}
-        turned: dict[int, None] = {}  # nodes withdrawn or let in again
-        for word, *fields in orders:
-            if word == "line":
-                table, node, weight = fields
-                self._lines[table] = with_line(self._lines[table], node, weight)
-                changed[table] = None
-            elif word == "clear":
-                self.read(fields[0], source, {})
-                changed[fields[0]] = None
-            elif word == "take_out":
-                self._set_withdrawn(known, *fields)
-                turned[fields[0]] = None
-            elif word == "level":
-                self._set_level(known, *fields)
-        if turned:  # one walk a message, however many nodes a zone's loss withdraws
+        nodes: dict[int, None] = {}  # withdrawn or let in again
+        for order in orders:
+            match order:
+                case SetEndpoint(table=table):
+                    self._weights[table] = with_weight(self._weights[table], order.node, order.weight)
+                    changed[table] = None
+                case ClearTable(table=table):
+                    self.set_table(table, assigner, {})
+                    changed[table] = None
+                case SetWithdrawn():
+                    self._set_withdrawn(ordered, order)
+                    nodes[order.node] = None
+                case SetAdmission():
+                    self._set_admission(ordered, order)
+                case RequestAcknowledgement():
+                    pass  # `apply` returns its watermark
+                case _:
+                    assert_never(order)
+        if nodes:  # one walk a message, however many nodes a zone's loss withdraws
             changed.update(
                 (table, None)
-                for table, lines in enumerate(self._lines)
-                if self._source[table] == source and not turned.keys().isdisjoint(lines)
+                for table, weights in enumerate(self._weights)
+                if self._owners[table] == assigner and not nodes.keys().isdisjoint(weights)
             )
         return changed
 
-    def _unusable(self, order: tuple) -> str:
-        word, *fields = order
-        if word in ("line", "clear") and not 0 <= fields[0] < len(self._lines):
-            return f"no table has the number {fields[0]}"
-        if word == "line" and not (isfinite(fields[2]) and fields[2] >= 0):
-            return f"{fields[2]} is no weight"
-        if word == "level":
-            table, _, share, again = fields
-            if table != ALL_TABLES and not 0 <= table < len(self._lines):
-                return f"no table has the number {table}"
-            if not (isfinite(share) and share >= 0):
-                return f"{share} is no level"
-            if again not in AGAIN:
-                return f"way {again} of trying again needs no proof"
-        return "" if word in ("line", "clear", "take_out", "level", "mark") else f"no order is called {word!r}"
-
-    def _set_withdrawn(self, known: Source, node: int, out: bool) -> None:
-        if out:
-            known.out[node] = None
+    def _why_unusable(self, order: TableOrder) -> str:
+        """Return why an order can't be used; an empty text where it can."""
+        match order:
+            case SetEndpoint():
+                if not self._has(order.table):
+                    return f"no table has the number {order.table}"
+                return "" if isfinite(order.weight) and order.weight >= 0 else f"{order.weight} is no weight"
+            case ClearTable():
+                return "" if self._has(order.table) else f"no table has the number {order.table}"
+            case SetAdmission():
+                return self._why_unusable_admission(order)
+            case SetWithdrawn() | RequestAcknowledgement():
+                return ""
+            case _:
+                assert_never(order)
+
+    def _why_unusable_admission(self, order: SetAdmission) -> str:
+        if order.table != ALL_TABLES and not self._has(order.table):
+            return f"no table has the number {order.table}"
+        if not (isfinite(order.share) and order.share >= 0):
+            return f"{order.share} is no level"
+        if order.retry_mode not in RETRY_MODES:
+            return f"way {order.retry_mode} of trying again needs no proof"
+        return ""
+
+    def _has(self, table: int) -> bool:
+        return 0 <= table < self.size
+
+    def _set_withdrawn(self, ordered: AssignerOrders, order: SetWithdrawn) -> None:
+        if order.withdrawn:
+            ordered.withdrawn[order.node] = None
         else:
-            known.out.pop(node, None)
-
-    def _set_level(self, known: Source, table: int, op_types: int, share: float, again: int) -> None:
-        shares = known.shares if table == ALL_TABLES else self._levels.setdefault(table, {})
-        for place in range(self._op_types):
-            if not op_types or op_types >> place & 1:
-                shares[place] = share
+            ordered.withdrawn.pop(order.node, None)
+
+    def _set_admission(self, ordered: AssignerOrders, order: SetAdmission) -> None:
+        table = order.table
+        shares = ordered.shares if table == ALL_TABLES else self._shares.setdefault(table, {})
+        for op_type in range(self._op_types):
+            if not order.op_types or order.op_types >> op_type & 1:
+                shares[op_type] = order.share
         if table == ALL_TABLES:
-            known.again = again
+            ordered.retry_mode = order.retry_mode
         else:
-            self._again[table] = again
+            self._retry_modes[table] = order.retry_mode
 
-    # What survives this relay's process.
+    # What survives this proxy's process.
 
-    def kept(self, name_of: Callable[[int], str]) -> dict[str, Any]:
-        """All that holds, with nodes by name: for a file. Streams and the numbers of messages are of one life only."""
+    def content(self, name_of: Callable[[int], str]) -> TablesContent:
+        """Return all that holds for a file, with nodes by name; streams and message numbers end with the process."""
         return {
-            "lines": [{name_of(node): weight for node, weight in lines.items()} for lines in self._lines],
+            "lines": [{name_of(node): weight for node, weight in weights.items()} for weights in self._weights],
             "sources": [
-                [source, [name_of(node) for node in known.out], list(known.shares.items()), known.again]
-                for source, known in self._sources.items()
+                (
+                    assigner,
+                    [name_of(node) for node in ordered.withdrawn],
+                    list(ordered.shares.items()),
+                    ordered.retry_mode,
+                )
+                for assigner, ordered in self._assigners.items()
+                if assigner is not None
             ],
-            "charge": self._source,
-            "levels": [[table, list(shares.items())] for table, shares in self._levels.items()],
-            "again": list(self._again.items()),
+            "charge": self._owners,
+            "levels": [(table, list(shares.items())) for table, shares in self._shares.items()],
+            "again": list(self._retry_modes.items()),
         }
 
-    def restore(self, kept: dict[str, Any], node_of: Callable[[str], int]) -> None:
-        """Takes what `kept` gave. Raises Refused where it is of another number of tables; nothing is taken then."""
-        if len(kept["lines"]) != self.size or len(kept["charge"]) != self.size:
-            raise Refused(f"{len(kept['lines'])} tables were kept, {self.size} are configured")
-        self._lines = [{node_of(name): weight for name, weight in lines.items()} for lines in kept["lines"]]
-        self._source, self._open = list(kept["charge"]), [None] * self.size
-        for source, out, shares, again in kept["sources"]:
-            known = self._sources[source] = Source()
-            known.out, known.shares, known.again = dict.fromkeys(map(node_of, out)), dict(shares), again
-        self._levels = {table: dict(shares) for table, shares in kept["levels"]}
-        self._again = dict(kept["again"])
+    def restore(self, content: TablesContent, node_of: Callable[[str], int]) -> None:
+        """Replace what holds by what `content` returned.
+
+        :raises RefusedError: it is of another number of tables; nothing has changed.
+        """
+        if len(content["lines"]) != self.size or len(content["charge"]) != self.size:
+            raise RefusedError(f"{len(content['lines'])} tables were kept, {self.size} are configured")
+        self._weights = [{node_of(name): weight for name, weight in weights.items()} for weights in content["lines"]]
+        self._owners, self._available = list(content["charge"]), [None] * self.size
+        for assigner, withdrawn, shares, retry_mode in content["sources"]:
+            ordered = self._assigners[assigner] = AssignerOrders()
+            ordered.withdrawn = dict.fromkeys(map(node_of, withdrawn))
+            ordered.shares, ordered.retry_mode = dict(shares), retry_mode
+        self._shares = {table: dict(shares) for table, shares in content["levels"]}
+        self._retry_modes = dict(content["again"])
 
     # What holds.
 
-    def known(self, source: int) -> bool:
-        """Whether a stream to that conductor has stood before."""
-        return source in self._sources
-
-    def lines(self, table: int) -> dict[int, float]:
-        return self._lines[table]
-
-    def source(self, table: int) -> int | None:
-        return self._source[table]
-
-    def withdrawn(self, source: int) -> list[int]:
-        return list(self._sources[source].out) if source in self._sources else []
-
-    def open(self, table: int) -> tuple[tuple[int, float], ...]:
-        """Lines that may be picked, as (node, weight): of those, none is withdrawn by who has charge."""
-        found = self._open[table]
-        if found is None:
-            known = self._sources.get(self._source[table])
-            out = known.out if known else {}
-            found = tuple((node, weight) for node, weight in self._lines[table].items() if node not in out)
-            self._open[table] = found
-        return found
-
-    def share(self, table: int, op_type: int) -> float:
-        """The share of such ops to let in: the lower of the table's own and that for all of its conductor's."""
-        known = self._sources.get(self._source[table])
-        own = self._levels.get(table, {}).get(op_type, 1.0) if self._levels else 1.0
-        return min(own, known.shares.get(op_type, 1.0) if known else 1.0)
-
-    def again(self, table: int) -> int:
-        """The way of trying again: the table's own, or its conductor's, or the usual one."""
-        if table in self._again:
-            return self._again[table]
-        known = self._sources.get(self._source[table])
-        return self._usual if known is None or known.again is None else known.again
+    def knows(self, assigner: int) -> bool:
+        """Whether a stream of that assigner has begun before."""
+        return assigner in self._assigners
+
+    def weights(self, table: int) -> dict[int, float]:
+        """Return the weight of each node of a table, withdrawn or not."""
+        return self._weights[table]
+
+    def owner(self, table: int) -> int | None:
+        """Return the assigner that owns a table; None before any does."""
+        return self._owners[table]
+
+    def withdrawn(self, assigner: int) -> list[int]:
+        """Return the nodes that an assigner has withdrawn, in the order of its orders."""
+        return list(self._assigners[assigner].withdrawn) if assigner in self._assigners else []
+
+    def available(self, table: int) -> tuple[tuple[int, float], ...]:
+        """Return (node, weight) of the table's nodes that its owner has not withdrawn."""
+        available = self._available[table]
+        if available is None:
+            ordered = self._assigners.get(self._owners[table])
+            withdrawn = ordered.withdrawn if ordered else {}
+            weights = self._weights[table].items()
+            available = tuple((node, weight) for node, weight in weights if node not in withdrawn)
+            self._available[table] = available
+        return available
+
+    def admitted_share(self, table: int, op_type: int) -> float:
+        """Return the share of such ops to let in: the lower of the table's own and that for all of its owner's."""
+        ordered = self._assigners.get(self._owners[table])
+        table_share = self._shares.get(table, {}).get(op_type, 1.0) if self._shares else 1.0
+        return min(table_share, ordered.shares.get(op_type, 1.0) if ordered else 1.0)
+
+    def retry_mode(self, table: int) -> int:
+        """Return the retry mode: the table's own, or its owner's, or the initial one."""
+        if table in self._retry_modes:
+            return self._retry_modes[table]
+        ordered = self._assigners.get(self._owners[table])
+        return self._initial_retry_mode if ordered is None or ordered.retry_mode is None else ordered.retry_mode
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -22,6 +22,7 @@
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.state.node_set import ListedNode, NodeSet
+from kestrelplank.state.table_orders import RequestAcknowledgement, SetEndpoint, SetWithdrawn
 from kestrelplank.state.tables import Tables
 
 RELAYS, SLICES = 2, 12
@@ -55,9 +56,9 @@
         self.relays = [Tables(SLICES, 1, 1) for _ in range(RELAYS)]
         self.numbers, self.calls, self.bare, self.at_orders = 0, [], 0, None
         for relay in self.relays:
-            relay.joined(0)
+            relay.begin_stream(0)
             for table in range(SLICES):
-                relay.read(table, 0, {name(1 + table % 2): 1.0})
+                relay.set_table(table, 0, {name(1 + table % 2): 1.0})
         self.hub = StubServer(self.kit, self.asked)
         self.agent = StubServer(self.kit)  # says nothing
         ids = self.ids = Ids(text)
@@ -103,33 +104,33 @@
                     message("owner", shard=table, set=True),
                     *(
                         message("entry", shard=table, endpoint=node, w=weight)
-                        for node, weight in self.relays[0].lines(table).items()
+                        for node, weight in self.relays[0].weights(table).items()
                     ),
                 )
             visitor.send({})
             return
         ops = json.loads(body)["ops"]
         orders = [
-            ("line", op["cluster"], op["endpoint"], op["w"])
+            SetEndpoint(op["cluster"], op["endpoint"], op["w"])
             if op["verb"] == "put"
-            else ("take_out", op["endpoint"], op["verb"] == "eject")
+            else SetWithdrawn(op["endpoint"], op["verb"] == "eject")
             if "eject" in op["verb"]
-            else ("mark", op["stamp"])
+            else RequestAcknowledgement(op["stamp"])
             for op in ops
             if op["verb"] != "gate"
         ]
         for relay in self.relays:
             relay.apply(0, self.numbers, orders)
-            self.bare += sum(not relay.open(table) for table in range(SLICES))
+            self.bare += sum(not relay.available(table) for table in range(SLICES))
         self.numbers += 1
         self.calls.append((self.kit.loop.now(), orders))
         visitor.reply({"ok_count": len(ops)})
         for order in orders:
-            if order[0] == "mark":
+            if isinstance(order, RequestAcknowledgement):
                 for stream in self.hub.connections:
                     if stream.path == "/api/stream" and stream.closed_because is None:
                         stream.send(
-                            *(message("done", node=relay, nonce=order[1], latency=1.0) for relay in range(RELAYS))
+                            *(message("done", node=relay, nonce=order.watermark, latency=1.0) for relay in range(RELAYS))
                         )
 
     def write(self, file, data):
@@ -403,11 +404,11 @@
     here.wait(lambda: format_node_list(NodeSet(here.in_force())) == last)
     for _, orders in here.calls:
         for order in orders:
-            assert order[0] == "mark" or order[2 if order[0] == "line" else 1] in nodes
+            assert isinstance(order, RequestAcknowledgement) or order.node in nodes
     force = set(here.in_force())
     here.wait(
         lambda: all(
-            set(dict(relay.open(table))) <= force and relay.open(table)
+            set(dict(relay.available(table))) <= force and relay.available(table)
             for relay in here.relays
             for table in range(SLICES)
         )
--- a/tests/load_balancing/test_attempts.py
+++ b/tests/load_balancing/test_attempts.py
@@ -19,6 +19,7 @@
 from kestrelplank.load_balancing.retry_budget import RetryBudget
 from kestrelplank.load_balancing.selection import SelectionMethod
 from kestrelplank.load_balancing.waiting_queue import WaitingQueue
+from kestrelplank.state.table_orders import SetAdmission, SetEndpoint
 from kestrelplank.state.tables import Tables
 from kestrelplank.time_units import SECOND as S
 
@@ -28,11 +29,11 @@
 
 def tables(*weights, again=1, share=None):
     made = Tables(len(weights), 2, again)
-    made.joined(0)
+    made.begin_stream(0)
     for table, held in enumerate(weights):
-        made.read(table, 0, held)
+        made.set_table(table, 0, held)
     if share is not None:
-        made.apply(0, 0, [("level", -1, 0, share, again)])
+        made.apply(0, 0, [SetAdmission(-1, 0, share, again)])
     return made
 
 
@@ -117,7 +118,7 @@
     ops = [made.submit(at, 5 + at, 0, 0) for at in range(3)]
     assert [step for _, step in ops] == [Wait(at + S // 2) for at in range(3)] and made.waiting_count() == 3
     assert made.wait_expired(ops[0][0]) == End(REJECTED, "no line")
-    made._tables.apply(0, 0, [("line", 0, 4, 1.0)])
+    made._tables.apply(0, 0, [SetEndpoint(0, 4, 1.0)])
     assert [(op.number, step) for op, step in made.tables_changed(S // 2, [0])] == [(6, Send(4)), (7, Send(4))]
     assert made.tables_changed(S // 2, [0]) == [] and made.waiting_count() == 0 and ops[1][0].waits_until is None
 
--- a/tests/load_balancing/test_recorded_load_balancing.py
+++ b/tests/load_balancing/test_recorded_load_balancing.py
@@ -28,6 +28,7 @@
 from kestrelplank.load_balancing.waiting_queue import WaitingQueue
 from kestrelplank.load_balancing.zone_distances import ZoneDistances, distance_tiers
 from kestrelplank.load_balancing.zone_preference import ZonePreference, ZonePreferenceSettings
+from kestrelplank.state.table_orders import SetEndpoint
 from kestrelplank.state.tables import Tables
 from kestrelplank.time_units import MILLISECOND as MS
 from kestrelplank.time_units import SECOND as S
@@ -57,9 +58,9 @@
 
 def made_attempts(seed, pick, extras):
     random, tables = Random(seed), Tables(TABLES, 2, 1)
-    tables.joined(0)
+    tables.begin_stream(0)
     for table in range(TABLES):
-        tables.read(table, 0, {node: 0.5 + node % 4 for node in range(table, NODES)})
+        tables.set_table(table, 0, {node: 0.5 + node % 4 for node in range(table, NODES)})
     settings = AttemptSettings((4 * S, 2 * S), SelectionMethod(pick), 0 if extras else S // 2)
     ejection = OutlierEjection(random, 3, (1 * S, 2 * S))
     if not extras:
@@ -96,7 +97,7 @@
 
     def change_tables(self):
         table, node = self.random.randrange(TABLES), self.random.randrange(NODES)
-        order = ("line", table, node, float(self.random.randrange(3)))
+        order = SetEndpoint(table, node, float(self.random.randrange(3)))
         changed, _ = self.tables.apply(0, self.messages, [order])
         self.messages += 1
         for op, step in self.made.tables_changed(self.now, changed):
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -23,6 +23,7 @@
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import READ
 from kestrelplank.state import idempotency_cache
+from kestrelplank.state.table_orders import SetEndpoint, SetWithdrawn
 from kestrelplank.state.tables import Tables
 
 S = 1000 * MS
@@ -126,9 +127,9 @@
         self.kit, self.clients = Kit(), []
         self.nodes = [Node(self.kit, does) for does in nodes]
         self.tables = Tables(tables, 3, 1)
-        self.tables.joined(0)
+        self.tables.begin_stream(0)
         for table in range(tables):
-            self.tables.read(table, 0, lines if lines is not None else {place: 1.0 for place in range(len(nodes))})
+            self.tables.set_table(table, 0, lines if lines is not None else {place: 1.0 for place in range(len(nodes))})
         random = Random(fields.get("seed", 1))
         timeouts = fields.get("timeouts", (2 * S, S, 2 * S))
         self.attempts = Attempts(
@@ -292,7 +293,7 @@
     here = site(answers_with(NOT_STARTED), None, lines={0: 1e9, 1: 1e-9})
     client = here.client(post())
     here.wait(lambda: here.nodes[1].peers and here.nodes[1].peers[0].data)
-    here.order(("line", 0, 1, 0), ("line", 0, 0, 0))
+    here.order(SetEndpoint(0, 1, 0), SetEndpoint(0, 0, 0))
     here.nodes[1].peers[0].write(OK)
     here.wait(lambda: client.data == OK)
     assert here.requests() == 2
@@ -302,7 +303,7 @@
     here = site(answers_with(OK), answers_with(OK), lines={0: 1e9, 1: 1e-9})
     client = here.client(GET)
     here.wait(lambda: here.proxy.nodes.pools)  # the dial is out, its answer has not been looked at
-    here.order(("take_out", 0, True))
+    here.order(SetWithdrawn(0, True))
     here.wait(lambda: client.data == OK)
     assert b"GET" not in here.nodes[0].seen() and here.nodes[1].seen().count(b"GET") == 1
 
@@ -311,7 +312,7 @@
     here = site(None, answers_with(OK), lines={0: 1e9, 1: 1e-9})
     first = here.client(post())
     here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data)
-    here.order(("take_out", 0, True))
+    here.order(SetWithdrawn(0, True))
     second = here.client(GET)
     here.wait(lambda: second.data == OK)
     here.nodes[0].peers[0].write(OK)
@@ -324,7 +325,7 @@
     here = site(None, lines={0: 1.0}, pools=PoolSettings(withdrawal_grace_ns=50 * MS), timeouts=(9 * S, 9 * S, S))
     client = here.client(post())
     here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data)
-    here.order(("take_out", 0, True))
+    here.order(SetWithdrawn(0, True))
     here.wait(lambda: client.data)
     assert client.data.startswith(b"HTTP/1.1 502")
 
@@ -599,7 +600,7 @@
     here = site(answers_with(OK), lines={}, hold=S)
     client = here.client(GET)
     here.wait(lambda: here.attempts.waiting_count())
-    here.order(("line", 0, 0, 1.0))
+    here.order(SetEndpoint(0, 0, 1.0))
     here.wait(lambda: client.data == OK)
 
 
--- a/tests/reference_proxy/test_update_client.py
+++ b/tests/reference_proxy/test_update_client.py
@@ -52,7 +52,7 @@
         return self.kit.counters.counts[name]
 
     def lines(self, table):
-        return {self.ids.node_ids[node]: weight for node, weight in self.tables.open(table)}
+        return {self.ids.node_ids[node]: weight for node, weight in self.tables.available(table)}
 
     def close(self):
         self.control.close()
@@ -111,6 +111,7 @@
         (message("orders", source=7, number=0, orders=[]), "tables_refused"),
         (message("orders", source=0, number=0, orders=[["line", 1, "s-1"]]), "tables_unreadable"),
         (message("orders", source=0, number=0, orders=[["erase", 1]]), "tables_unreadable"),
+        (message("orders", source=0, number=0, orders=[["line", 1, "s-1", 9.0], ["erase", 0]]), "tables_unreadable"),
         (message("orders", source=0, number=0, orders="all"), "tables_unreadable"),
         (message("table", table=4, source=0, lines={}), "tables_unreadable"),
         (message("table", table=1, source=0, lines={"s-1": -1}), "tables_unreadable"),
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -187,16 +187,16 @@
     tables = Tables(expected["tables"], expected["op_types"], expected["usual_again"])
     tables.restore(found["tables"], node_ids.__getitem__)
     every = range(expected["tables"])
-    assert [{names[node]: weight for node, weight in tables.lines(table).items()} for table in every] == expected[
+    assert [{names[node]: weight for node, weight in tables.weights(table).items()} for table in every] == expected[
         "lines"
     ]
-    assert [[[names[node], weight] for node, weight in tables.open(table)] for table in every] == expected["open"]
-    assert [tables.source(table) for table in every] == expected["source"]
-    shares = [[tables.share(table, op_type) for op_type in range(expected["op_types"])] for table in every]
+    assert [[[names[node], weight] for node, weight in tables.available(table)] for table in every] == expected["open"]
+    assert [tables.owner(table) for table in every] == expected["source"]
+    shares = [[tables.admitted_share(table, op_type) for op_type in range(expected["op_types"])] for table in every]
     assert shares == expected["share"]
-    assert [tables.again(table) for table in every] == expected["again"]
+    assert [tables.retry_mode(table) for table in every] == expected["again"]
     assert {
         source: [names[node] for node in tables.withdrawn(int(source))] for source in expected["withdrawn"]
     } == expected["withdrawn"]
-    kept = {"at": found["at"], "tables": tables.kept(names.__getitem__), "addresses": found["addresses"]}
+    kept = {"at": found["at"], "tables": tables.content(names.__getitem__), "addresses": found["addresses"]}
     assert sealed(1, kept) == data
