--- a/kestrelplank/consensus/consensus_messages.py
+++ b/kestrelplank/consensus/consensus_messages.py
@@ -48,7 +48,7 @@
     :param commit_index: log index up to which entries are committed, as far as the leader knows.
     :param heartbeat_round: number of the leader's newest heartbeat round, echoed in the reply: the lease counts from
         when that round was begun.
-    :param probe: the newest probe that the leader had from this follower (0: none). By it the follower knows how old
+    :param nonce: the newest nonce that the leader had from this follower (0: none). By it the follower knows how old
         this message is at most.
     :param lease_ns: for how long the leader's lease still ran when this was sent; 0 where it had none.
     """
@@ -60,7 +60,7 @@
     entries: tuple[Entry, ...]
     commit_index: int
     heartbeat_round: int
-    probe: int = 0
+    nonce: int = 0
     lease_ns: int = 0
 
 
@@ -70,7 +70,7 @@
     :param success: whether the follower's log matches the leader's up to `match_index`, durably.
     :param match_index: without `success`: an index up to which the logs may match.
     :param heartbeat_round: echoed; 0 where this answers no heartbeat.
-    :param probe: a number that the leader echoes; 0: none.
+    :param nonce: a number that the leader echoes; 0: none.
     """
 
     term: int
@@ -78,7 +78,7 @@
     success: bool
     match_index: int
     heartbeat_round: int
-    probe: int = 0
+    nonce: int = 0
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
--- a/kestrelplank/consensus/pending_writes.py
+++ b/kestrelplank/consensus/effect_queue.py
@@ -26,7 +26,7 @@
     messages: list[Send] = field(default_factory=list)
 
 
-class PendingWrites:
+class EffectQueue:
     """The effects of the call under way, and the writes that are not durable yet.
 
     `durable_index`: log index up to which the log in memory is on disk. Entries that a later write replaces do not
--- a/kestrelplank/consensus/election.py
+++ b/kestrelplank/consensus/election.py
@@ -96,7 +96,7 @@
         self._pre_vote, self._votes = True, {state.identity}
         request = self._vote_request(state.term + 1, transfer=False)
         for voter in self._other_voters():
-            state.writes.send(voter, request)
+            state.effects.send(voter, request)
         self._count_votes(now)
 
     def _begin_election(self, now: int, *, transfer: bool) -> None:
@@ -108,10 +108,10 @@
         state.remember(state.term + 1, state.identity, "")
         # Our own vote is asked for by nobody, and counts like any other: `ConsensusNode` hands it back once durable.
         own_vote = VoteReply(state.term, state.epoch, granted=True)
-        state.writes.send_when_durable(state.identity, own_vote)
+        state.effects.send_when_durable(state.identity, own_vote)
         request = self._vote_request(state.term, transfer=transfer)
         for voter in self._other_voters():
-            state.writes.send_when_durable(voter, request)
+            state.effects.send_when_durable(voter, request)
 
     def _schedule_retry(self, now: int) -> None:
         self._campaign_at = now + CAMPAIGN_RETRY_INTERVAL_NS + self._random.randrange(CAMPAIGN_STAGGER_NS)
@@ -153,7 +153,7 @@
         granted = self._would_vote(now, sender, request)
         if request.pre_vote:
             reply = VoteReply(request.term if granted else state.term, state.epoch, granted, pre_vote=True)
-            state.writes.send(sender, reply)
+            state.effects.send(sender, reply)
             return
         if request.term > state.term and (granted or self._free_to_vote(now, sender, request)):
             self._transitions.adopt_term(now, request.term, sender if granted else "")
@@ -162,7 +162,7 @@
         if granted:
             self.schedule_campaign(now)
             self._campaign_at = max(self._campaign_at, now + CAMPAIGN_RETRY_INTERVAL_NS)
-        state.writes.send_when_durable(sender, VoteReply(state.term, state.epoch, granted))
+        state.effects.send_when_durable(sender, VoteReply(state.term, state.epoch, granted))
 
     def _would_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
         state = self._state
--- a/kestrelplank/consensus/follower.py
+++ b/kestrelplank/consensus/follower.py
@@ -35,18 +35,18 @@
             self._refuse_former_leader(sender)
             return
         log = self._state.log
-        self.contact.take(message)
+        self.contact.update(message)
         if message.previous_index == 0 and not message.entries and log.base_index > 0:
             self._reply(now, sender, message.heartbeat_round, match_index=0)
             return
-        previous_index, previous_term, entries = self._without_dropped(message)
+        previous_index, previous_term, entries = self._after_base(message)
         if log.term_at(previous_index) != previous_term:
-            self._reply(now, sender, message.heartbeat_round, mismatch_after=self._likely_match(previous_index))
+            self._reply(now, sender, message.heartbeat_round, likely_match_index=self._likely_match(previous_index))
             return
         last_index = previous_index + len(entries)
         self._take_entries(now, sender, entries)
         self._state.commit(min(message.commit_index, last_index))
-        match_index = min(last_index, self._state.writes.durable_index)
+        match_index = min(last_index, self._state.effects.durable_index)
         self._reply(now, sender, message.heartbeat_round, match_index=match_index)
 
     def _follow(self, now: int, sender: str, term: int) -> bool:
@@ -64,7 +64,7 @@
         self._election.promise(now, sender)
         return True
 
-    def _without_dropped(self, message: Append) -> tuple[int, int, tuple[Entry, ...]]:
+    def _after_base(self, message: Append) -> tuple[int, int, tuple[Entry, ...]]:
         """Return index and term before the first entry, and the entries, from where our log is in memory.
 
         What our snapshot covers and is not in memory is committed, so it matches.
@@ -100,10 +100,10 @@
             raise CommittedEntryError(f"entry {first_index} differs, and {state.commit_index} is committed")
         if first_index <= state.log.last_index:
             state.log.truncate(first_index)
-            state.writes.truncate(first_index)
+            state.effects.truncate(first_index)
         state.log.append(differing)
         reply = self._durable_reply(differing[-1].index)
-        state.writes.persist_entries(differing, then=Send(sender, reply))
+        state.effects.persist_entries(differing, then=Send(sender, reply))
         self._election.schedule_campaign(now)
 
     def _differing(self, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
@@ -122,21 +122,21 @@
             return
         state = self._state
         if chunk.index <= state.commit_index:
-            match_index = min(chunk.index, state.writes.durable_index)
+            match_index = min(chunk.index, state.effects.durable_index)
             self._reply(now, sender, chunk.heartbeat_round, match_index=match_index)
             return
-        incoming = self._incoming(chunk)
+        incoming = self._incoming_for(chunk)
         incoming.add(chunk)
         if not incoming.complete:
             reply = SnapshotReply(state.term, state.epoch, chunk.digest, len(incoming.data), chunk.heartbeat_round)
-            state.writes.send_when_durable(sender, reply)
+            state.effects.send_when_durable(sender, reply)
             return
         self.incoming_snapshot = None
         snapshot = incoming.decode()
         if snapshot is not None:
             self._install(now, sender, snapshot)
 
-    def _incoming(self, chunk: SnapshotChunk) -> IncomingSnapshot:
+    def _incoming_for(self, chunk: SnapshotChunk) -> IncomingSnapshot:
         """Return what has come of the chunk's snapshot; another one is dropped."""
         if self.incoming_snapshot is None or self.incoming_snapshot.digest != chunk.digest:
             self.incoming_snapshot = IncomingSnapshot(chunk.digest, chunk.size_bytes)
@@ -147,29 +147,29 @@
         matches = state.log.term_at(snapshot.index) == snapshot.term
         matching_until = snapshot.index if matches else state.commit_index
         state.restore(snapshot)
-        state.writes.truncate(matching_until + 1)
+        state.effects.truncate(matching_until + 1)
         reply = self._durable_reply(snapshot.index)
         entries = state.log.entries_after_snapshot()
-        state.writes.persist_snapshot(snapshot, entries, state.hard_state, matching_until, then=Send(sender, reply))
-        state.writes.emit(Restored(snapshot))
+        state.effects.persist_snapshot(snapshot, entries, state.hard_state, matching_until, then=Send(sender, reply))
+        state.effects.emit(Restored(snapshot))
         self._election.schedule_campaign(now)
 
     # Replies.
 
     def _reply(
-        self, now: int, to: str, heartbeat_round: int, *, match_index: int = 0, mismatch_after: int | None = None
+        self, now: int, to: str, heartbeat_round: int, *, match_index: int = 0, likely_match_index: int | None = None
     ) -> None:
-        """Answer the leader, with a new probe.
+        """Answer the leader, with a new nonce.
 
         :param match_index: our log matches up to there, durably.
-        :param mismatch_after: our log does not match; it may up to there.
+        :param likely_match_index: our log does not match; it may up to there.
         """
         state = self._state
-        success = mismatch_after is None
-        index = match_index if mismatch_after is None else mismatch_after
-        probe = self.contact.next_probe(now)
-        reply = AppendReply(state.term, state.epoch, success, index, heartbeat_round, probe)
-        state.writes.send_when_durable(to, reply)
+        success = likely_match_index is None
+        index = match_index if likely_match_index is None else likely_match_index
+        nonce = self.contact.next_nonce(now)
+        reply = AppendReply(state.term, state.epoch, success, index, heartbeat_round, nonce)
+        state.effects.send_when_durable(to, reply)
 
     def _durable_reply(self, match_index: int) -> AppendReply:
         """Return what to send, to no heartbeat, once our log up to `match_index` is on disk."""
@@ -179,6 +179,6 @@
     def _refuse_former_leader(self, sender: str) -> None:
         """Answer one that leads no longer, so that it learns the newer term."""
         state = self._state
-        durable_index = state.writes.durable_index
+        durable_index = state.effects.durable_index
         reply = AppendReply(state.term, state.epoch, success=False, match_index=durable_index, heartbeat_round=0)
-        state.writes.send_when_durable(sender, reply)
+        state.effects.send_when_durable(sender, reply)
--- a/kestrelplank/consensus/leadership.py
+++ b/kestrelplank/consensus/leadership.py
@@ -29,8 +29,8 @@
         self._state = state
         self._lease = lease
         self._transitions = transitions
-        self._heartbeat_at = now
-        self._first_index = state.log.last_index + 1
+        self._next_heartbeat_at = now
+        self._first_index_of_term = state.log.last_index + 1
 
     def begin(self, now: int) -> None:
         """Append the first entry of the term, and ask for the first answers."""
@@ -43,9 +43,9 @@
         if self._lease.expired(now):
             self._transitions.step_down(now, "")
             return
-        if now < self._heartbeat_at:
+        if now < self._next_heartbeat_at:
             return
-        self._heartbeat_at = now + HEARTBEAT_INTERVAL_NS
+        self._next_heartbeat_at = now + HEARTBEAT_INTERVAL_NS
         self._lease.begin_round(now)
         self.replication.send_heartbeats(now)
 
@@ -57,14 +57,14 @@
 
     def handle_append_reply(self, now: int, sender: str, reply: AppendReply) -> None:
         """Take in how far a follower's log goes, and that it has answered a heartbeat."""
-        if self._heard(now, sender, reply.heartbeat_round):
+        if self._note_reply(now, sender, reply.heartbeat_round):
             self.replication.handle_append_reply(now, sender, reply)
             self._renew_lease(now)
             self.advance_commit(now)
 
     def handle_snapshot_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
         """Take in how much a follower has of a snapshot, and that it has answered a heartbeat."""
-        if self._heard(now, sender, reply.heartbeat_round):
+        if self._note_reply(now, sender, reply.heartbeat_round):
             self.replication.handle_snapshot_reply(now, sender, reply)
 
     def advance_commit(self, now: int) -> None:
@@ -76,7 +76,8 @@
         state.commit(reached)
         self._confirm_election(now)
         self.replication.send_new_entries(now)
-        self._heartbeat_at = min(self._heartbeat_at, now)  # the others learn the commit index with the next tick
+        # The others learn the commit index with the next tick.
+        self._next_heartbeat_at = min(self._next_heartbeat_at, now)
         self._finish_change(now)
 
     def best_successor(self, now: int) -> str | None:
@@ -92,7 +93,7 @@
         peers = self.replication.peers
         return [(voter, peers[voter]) for voter in voters if voter in peers]
 
-    def _heard(self, now: int, sender: str, heartbeat_round: int) -> bool:
+    def _note_reply(self, now: int, sender: str, heartbeat_round: int) -> bool:
         """Take in that a member has replied; return whether it is one that is sent the log."""
         peer = self.replication.peers.get(sender)
         if peer is None:
@@ -106,31 +107,31 @@
         state.log.append((entry,))
         if isinstance(command, ChangeMembership):
             self.replication.follow_membership()
-        state.writes.persist_entries((entry,))
+        state.effects.persist_entries((entry,))
         self.replication.send_new_entries(now)
         return entry.index
 
     # The lease.
 
     def _renew_lease(self, now: int) -> None:
-        def answered_at(voter: str) -> int:
+        def answered_round_begun_at(voter: str) -> int:
             if voter == self._state.identity:
                 return now
             peer = self.replication.peers.get(voter)
-            return peer.answered_at if peer else 0
+            return peer.answered_round_begun_at if peer else 0
 
-        self._lease.extend(reached_by_quorum(self._state.membership, answered_at))
+        self._lease.extend(reached_by_quorum(self._state.membership, answered_round_begun_at))
         self._confirm_election(now)
 
     def _confirm_election(self, now: int) -> None:
         lease = self._lease
-        if not lease.elected and self._state.commit_index >= self._first_index and now < lease.until:
+        if not lease.elected and self._state.commit_index >= self._first_index_of_term and now < lease.until:
             lease.elected = True
-            self._state.writes.emit(Elected(self._state.term))
+            self._state.effects.emit(Elected(self._state.term))
 
     def _durable_index_of(self, voter: str) -> int:
         if voter == self._state.identity:
-            return self._state.writes.durable_index
+            return self._state.effects.durable_index
         peer = self.replication.peers.get(voter)
         return peer.match_index if peer else 0
 
--- a/kestrelplank/consensus/lease.py
+++ b/kestrelplank/consensus/lease.py
@@ -9,8 +9,8 @@
 from kestrelplank.consensus.consensus_messages import Append
 from kestrelplank.consensus.timing import CURRENT_TIMEOUT_NS, LEASE_MARGIN_NS, LEASE_NS
 
-MAX_PENDING_PROBES = 1_024
-PROBE_PREFIX_BITS, PROBE_NUMBER_BITS = 40, 20  # probes of two processes differ in the prefix, which is drawn
+MAX_PENDING_NONCES = 1_024
+NONCE_PREFIX_BITS, NONCE_NUMBER_BITS = 40, 20  # nonces of two processes differ in the prefix, which is drawn
 
 
 class LeaderLease:
@@ -27,7 +27,7 @@
         self.until = 0
         self.elected = False
         self.round = 0
-        self._since = now
+        self._voted_for_at = now
         self._rounds_begun_at: dict[int, int] = {}
 
     def begin_round(self, now: int) -> None:
@@ -42,10 +42,10 @@
         """Return when that heartbeat round was begun; None for one that is not known any more."""
         return self._rounds_begun_at.get(number)
 
-    def extend(self, answered_at: int) -> None:
-        """Take in that a quorum has answered rounds begun at `answered_at` or later; 0: none."""
-        if answered_at:
-            self.until = max(self.until, answered_at + LEASE_NS - LEASE_MARGIN_NS)
+    def extend(self, begun_at: int) -> None:
+        """Take in that a quorum has answered rounds begun at `begun_at` or later; 0: none."""
+        if begun_at:
+            self.until = max(self.until, begun_at + LEASE_NS - LEASE_MARGIN_NS)
 
     def leads(self, now: int) -> bool:
         """Whether its holder may act as the leader."""
@@ -53,9 +53,9 @@
 
     def expired(self, now: int) -> bool:
         """Whether its holder must step down. Before the first answers it has `LEASE_NS` to get them."""
-        return now >= max(self.until, self._since + LEASE_NS)
+        return now >= max(self.until, self._voted_for_at + LEASE_NS)
 
-    def left_ns(self, now: int) -> int:
+    def remaining_ns(self, now: int) -> int:
         """Return for how long its holder may still act as the leader."""
         return max(0, self.until - now) if self.elected else 0
 
@@ -63,8 +63,8 @@
 class LeaderContact:
     """What a follower knows of the freshness of what its leader says.
 
-    Each reply of a follower carries a new probe, which the leader echoes. An echo shows that the message that has it
-    was sent after the probe was: it counts from then, whatever has held it up.
+    Each reply of a follower carries a new nonce, which the leader echoes. An echo shows that the message that has it
+    was sent after the nonce was: it counts from then, whatever has held it up.
 
     - `heard_at`: when the leader was heard; 0: never.
     - `commit_index`: the highest that the leader of this term has named.
@@ -74,21 +74,21 @@
         self.heard_at = 0
         self.commit_index = 0
         self._vouched_until = 0
-        self._probe = random.getrandbits(PROBE_PREFIX_BITS) << PROBE_NUMBER_BITS
-        self._probes_sent_at: dict[int, int] = {}
-
-    def next_probe(self, now: int) -> int:
-        """Return a new probe, for a reply that is sent now."""
-        self._probe += 1
-        self._probes_sent_at[self._probe] = now
-        while len(self._probes_sent_at) > MAX_PENDING_PROBES:
-            del self._probes_sent_at[next(iter(self._probes_sent_at))]
-        return self._probe
-
-    def take(self, message: Append) -> None:
+        self._nonce = random.getrandbits(NONCE_PREFIX_BITS) << NONCE_NUMBER_BITS
+        self._nonces_sent_at: dict[int, int] = {}
+
+    def next_nonce(self, now: int) -> int:
+        """Return a new nonce, for a reply that is sent now."""
+        self._nonce += 1
+        self._nonces_sent_at[self._nonce] = now
+        while len(self._nonces_sent_at) > MAX_PENDING_NONCES:
+            del self._nonces_sent_at[next(iter(self._nonces_sent_at))]
+        return self._nonce
+
+    def update(self, message: Append) -> None:
         """Take in what a message of the leader says of its commit index and its lease."""
         self.commit_index = max(self.commit_index, message.commit_index)
-        sent_at = self._probes_sent_at.get(message.probe)
+        sent_at = self._nonces_sent_at.get(message.nonce)
         if sent_at is not None and message.lease_ns > 0:
             self._vouched_until = max(self._vouched_until, sent_at + min(CURRENT_TIMEOUT_NS, message.lease_ns))
 
@@ -98,7 +98,7 @@
         :param commit_index: this member's own.
         """
         self._vouched_until, self.commit_index = 0, commit_index
-        self._probes_sent_at.clear()
+        self._nonces_sent_at.clear()
 
     def has_all(self, applied_index: int) -> bool:
         """Whether a follower that has applied so much has all that the leader said is committed."""
--- a/kestrelplank/consensus/member_messages.py
+++ b/kestrelplank/consensus/member_messages.py
@@ -31,12 +31,12 @@
     """The identity of a call that a member forwards to the leader, never used twice.
 
     :param member: identity of the calling member.
-    :param incarnation: of its process: drawn at each start, so an answer to a former process matches nothing.
+    :param start_id: drawn at each start of its process, so an answer to a former process matches nothing.
     :param number: of the call within that process.
     """
 
     member: str
-    incarnation: int
+    start_id: int
     number: int
 
 
--- a/kestrelplank/consensus/member_state.py
+++ b/kestrelplank/consensus/member_state.py
@@ -1,11 +1,11 @@
 """What all parts of one member share."""
 
+from kestrelplank.consensus.effect_queue import EffectQueue
 from kestrelplank.consensus.effects import Applied
 from kestrelplank.consensus.lease import LeaderLease
 from kestrelplank.consensus.log import ReplicatedLog
 from kestrelplank.consensus.log_entries import Entry, HardState, Snapshot
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.consensus.pending_writes import PendingWrites
 from kestrelplank.consensus.roles import Role
 
 
@@ -30,7 +30,7 @@
         self.identity = identity
         self.log = ReplicatedLog(membership, snapshot, entries)
         self.hard_state = hard_state
-        self.writes = PendingWrites(durable_index=self.log.last_index)
+        self.effects = EffectQueue(durable_index=self.log.last_index)
         self.commit_index = self.applied_index = self.log.snapshot_index
         self.role = Role.FOLLOWER
         self.leader = ""
@@ -70,7 +70,7 @@
         hard_state = HardState(term, voted_for, leader)
         if hard_state != self.hard_state:
             self.hard_state = hard_state
-            self.writes.persist_hard_state(hard_state)
+            self.effects.persist_hard_state(hard_state)
 
     def commit(self, index: int) -> None:
         """Take in that the entries up to `index` are committed, and hand out those that are new."""
@@ -79,7 +79,7 @@
         self.commit_index = index
         while self.applied_index < index:
             self.applied_index += 1
-            self.writes.emit(Applied(self.log.entry(self.applied_index)))
+            self.effects.emit(Applied(self.log.entry(self.applied_index)))
 
     def restore(self, snapshot: Snapshot) -> None:
         """Begin anew at a snapshot, which covers more than is committed here."""
--- a/kestrelplank/consensus/membership_planning.py
+++ b/kestrelplank/consensus/membership_planning.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Candidate:
+class KnownMember:
     """What the leader knows of one running member, voter or not, itself included.
 
     :param identity: address and incarnation.
@@ -51,15 +51,15 @@
 class Condition(IntEnum):
     """Why a voter should be replaced, least urgent first."""
 
-    SOUND = 0
+    HEALTHY = 0
     INELIGIBLE = 1
     LEAVING = 2
-    SILENT = 3
+    TIMED_OUT = 3
     DISK_LOST = 4
 
 
 def plan_membership(
-    now: int, membership: Membership, candidates: Iterable[Candidate], leader: str, target_voters: int
+    now: int, membership: Membership, known_members: Iterable[KnownMember], leader: str, target_voters: int
 ) -> Membership | None:
     """Return the joint membership that the leader should propose.
 
@@ -71,14 +71,14 @@
     """
     if membership.joint or leader not in membership.voters:
         return None
-    members = _Members(now, membership, candidates, leader)
+    members = _Members(now, membership, known_members, leader)
     voters = _without_surplus(membership.voters, members, target_voters)
     voters, standbys = _with_replacements(voters, members)
     voters = _with_additions(voters, standbys, members, target_voters)
     if set(voters) == set(membership.voters):
         return None
-    in_touch = members.in_touch()
-    if not has_majority(membership.voters, in_touch) or not has_majority(tuple(voters), in_touch):
+    reachable = members.reachable()
+    if not has_majority(membership.voters, reachable) or not has_majority(tuple(voters), reachable):
         return None
     return _joint(membership, voters, members)
 
@@ -97,13 +97,13 @@
     )
 
 
-def successor(now: int, membership: Membership, candidates: Iterable[Candidate], leader: str) -> str | None:
+def successor(now: int, membership: Membership, known_members: Iterable[KnownMember], leader: str) -> str | None:
     """Return whom the leader should transfer leadership to now, or None if it should go on leading.
 
     It hands over when it is leaving; when a change that it is no voter of awaits its end; and when it is not eligible
     while a standby could replace it. The successor is a voter that stays, has answered lately and is caught up.
     """
-    members = _Members(now, membership, candidates, leader)
+    members = _Members(now, membership, known_members, leader)
     if not members.leader_should_hand_over():
         return None
     able = [voter for voter in membership.voters if voter != leader and members.may_lead(voter)]
@@ -113,20 +113,20 @@
 class _Members:
     """What the leader knows of all members at one moment, by identity."""
 
-    def __init__(self, now: int, membership: Membership, candidates: Iterable[Candidate], leader: str) -> None:
+    def __init__(self, now: int, membership: Membership, known_members: Iterable[KnownMember], leader: str) -> None:
         self._now = now
         self._membership = membership
         self._leader = leader
-        self._known = {candidate.identity: candidate for candidate in candidates}
-        self._running = self._last_heard_by_address()
+        self._known = {member.identity: member for member in known_members}
+        self._identity_at = self._last_heard_by_address()
 
     def _last_heard_by_address(self) -> dict[str, str]:
         """Return which identity runs at each address: the last one heard there, as a former one can't return."""
         running: dict[str, str] = {}
         for identity in sorted(self._known):
             address = address_of(identity)
-            rival = running.get(address)
-            if rival is None or self._known[identity].heard_at > self._known[rival].heard_at:
+            other = running.get(address)
+            if other is None or self._known[identity].heard_at > self._known[other].heard_at:
                 running[address] = identity
         running[address_of(self._leader)] = self._leader
         return running
@@ -135,9 +135,9 @@
         return identity == self._leader
 
     def zone(self, identity: str) -> str:
-        candidate = self._known.get(identity)
-        if candidate is not None and candidate.zone:
-            return candidate.zone
+        member = self._known.get(identity)
+        if member is not None and member.zone:
+            return member.zone
         return self._membership.zones.get(identity, "")
 
     def order(self, identity: str) -> tuple[str, str]:
@@ -147,47 +147,47 @@
     def condition(self, voter: str) -> Condition:
         """Return why `voter` should be replaced. The leader is sound; `successor` looks after it."""
         if voter == self._leader:
-            return Condition.SOUND
-        if self._running.get(address_of(voter), voter) != voter:
+            return Condition.HEALTHY
+        if self._identity_at.get(address_of(voter), voter) != voter:
             return Condition.DISK_LOST
-        candidate = self._known.get(voter)
-        if candidate is None:
-            return Condition.SOUND
-        if self._now - candidate.heard_at >= VOTER_TIMEOUT_NS:
-            return Condition.SILENT
-        if candidate.leaving:
+        member = self._known.get(voter)
+        if member is None:
+            return Condition.HEALTHY
+        if self._now - member.heard_at >= VOTER_TIMEOUT_NS:
+            return Condition.TIMED_OUT
+        if member.leaving:
             return Condition.LEAVING
-        if not candidate.eligible:
+        if not member.eligible:
             return Condition.INELIGIBLE
-        return Condition.SOUND
+        return Condition.HEALTHY
 
     def should_be_replaced(self, voter: str) -> bool:
         if self.is_leader(voter):
             return self._leaves_no_voter_to_lead()
-        return self.condition(voter) is not Condition.SOUND
+        return self.condition(voter) is not Condition.HEALTHY
 
     def _leaves_no_voter_to_lead(self) -> bool:
         """Whether the leader is to hand over and is the one voter, so that nobody could take over."""
         return self._membership.voters == (self._leader,) and self.leader_should_hand_over()
 
-    def in_touch(self) -> frozenset[str]:
+    def reachable(self) -> frozenset[str]:
         """Return the leader and all running members that are not silent."""
         heard = [
             identity
             for identity in self._known
-            if self._running[address_of(identity)] == identity and self.condition(identity) < Condition.SILENT
+            if self._identity_at[address_of(identity)] == identity and self.condition(identity) < Condition.TIMED_OUT
         ]
         return frozenset([self._leader, *heard])
 
     def may_vote(self, identity: str) -> bool:
         """Whether this member may be made a voter."""
-        candidate = self._known[identity]
+        member = self._known[identity]
         return (
-            self._running[address_of(identity)] == identity
-            and candidate.eligible
-            and candidate.caught_up
-            and not candidate.leaving
-            and self._now - candidate.heard_at < STANDBY_TIMEOUT_NS
+            self._identity_at[address_of(identity)] == identity
+            and member.eligible
+            and member.caught_up
+            and not member.leaving
+            and self._now - member.heard_at < STANDBY_TIMEOUT_NS
         )
 
     def may_lead(self, voter: str) -> bool:
@@ -202,10 +202,10 @@
     def leader_should_hand_over(self) -> bool:
         if self._leader not in self._membership.voters:
             return True
-        candidate = self._known.get(self._leader)
-        if candidate is None:
+        member = self._known.get(self._leader)
+        if member is None:
             return False
-        return candidate.leaving or (not candidate.eligible and bool(self.standbys()))
+        return member.leaving or (not member.eligible and bool(self.standbys()))
 
 
 def _without_surplus(voters: tuple[str, ...], members: _Members, target_voters: int) -> list[str]:
@@ -232,14 +232,14 @@
     member does.
     """
     voters, standbys = list(voters), members.standbys()
-    unsound = [voter for voter in sorted(voters, key=members.order) if members.should_be_replaced(voter)]
-    unsound.sort(key=members.condition, reverse=True)
-    for voter in list(unsound):
+    to_replace = [voter for voter in sorted(voters, key=members.order) if members.should_be_replaced(voter)]
+    to_replace.sort(key=members.condition, reverse=True)
+    for voter in list(to_replace):
         replacement = _at_same_address(voter, standbys)
         if replacement is not None:
             _replace(voters, standbys, voter, replacement)
-            unsound.remove(voter)
-    for voter in unsound:
+            to_replace.remove(voter)
+    for voter in to_replace:
         if not standbys:
             break
         _replace(voters, standbys, voter, _best_replacement(voters, standbys, voter, members))
--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -150,7 +150,7 @@
     @property
     def durable_index(self) -> int:
         """Log index up to which the log is on disk."""
-        return self._state.writes.durable_index
+        return self._state.effects.durable_index
 
     @property
     def lease_until(self) -> int:
@@ -203,7 +203,7 @@
     def receive(self, now: int, sender: str, message: ConsensusMessage) -> list[Effect]:
         """Take in a message of another member."""
         self._dispatch(now, sender, message)
-        return self._state.writes.take_effects()
+        return self._state.effects.take_effects()
 
     def tick(self, now: int) -> list[Effect]:
         """Do what is due: heartbeats, campaigns, the end of a lease. To be called at least every 50 ms."""
@@ -211,7 +211,7 @@
             self._leadership.tick(now)
         else:
             self._election.tick(now)
-        return self._state.writes.take_effects()
+        return self._state.effects.take_effects()
 
     def propose(self, now: int, command: Command) -> tuple[int | None, list[Effect]]:
         """Append a command to the log, and return its log index.
@@ -222,18 +222,18 @@
         index = None
         if self._leadership is not None and self.leads(now):
             index = self._leadership.propose(now, command)
-        return index, self._state.writes.take_effects()
+        return index, self._state.effects.take_effects()
 
     def persisted(self, now: int, number: int) -> list[Effect]:
         """Take in that the `Persist` with that number is durable, and all before it."""
-        for held in self._state.writes.complete(number):
+        for held in self._state.effects.complete(number):
             if held.to == self._state.identity:
                 self._dispatch(now, held.to, held.message)  # our own vote, which counts from now on
             else:
-                self._state.writes.emit(held)
+                self._state.effects.emit(held)
         if self._leadership is not None:
             self._leadership.advance_commit(now)
-        return self._state.writes.take_effects()
+        return self._state.effects.take_effects()
 
     def compact(self, state: bytes) -> list[Effect]:
         """Replace what has been applied by a snapshot.
@@ -245,8 +245,8 @@
             snapshot = log.compact(applied_index, state)
             if snapshot is not None:
                 entries, hard_state = log.entries_after_snapshot(), self._state.hard_state
-                self._state.writes.persist_snapshot(snapshot, entries, hard_state, matching_until=snapshot.index)
-        return self._state.writes.take_effects()
+                self._state.effects.persist_snapshot(snapshot, entries, hard_state, matching_until=snapshot.index)
+        return self._state.effects.take_effects()
 
     def add_learner(self, identity: str) -> None:
         """Send the log to that member too, which is no voter, as long as this one leads."""
@@ -261,7 +261,7 @@
     def transfer_leadership(self, now: int) -> list[Effect]:
         """Give up leading, and ask the voter that has most of the log to campaign at once."""
         self.hand_over(now)
-        return self._state.writes.take_effects()
+        return self._state.effects.take_effects()
 
     def stop_campaigning(self) -> None:
         """Take in that this member is about to stop: it is no candidate any more."""
@@ -324,7 +324,7 @@
         """
         state = self._state
         if state.lease is not None and state.lease.elected:
-            state.writes.emit(Deposed())
+            state.effects.emit(Deposed())
         state.role, state.leader = Role.FOLLOWER, leader
         state.lease = None
         self._leadership = None
@@ -344,4 +344,4 @@
         self.step_down(now, "")
         self._election.postpone_campaign(now + LEASE_NS)
         if successor is not None:
-            state.writes.send(successor, TransferLeadership(state.term, state.epoch))
+            state.effects.send(successor, TransferLeadership(state.term, state.epoch))
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -35,8 +35,8 @@
     - `log_matches`: whether its log is known to match ours up to `next_index - 1`. Until then it is sent no entries,
       only asked for an index to go on from.
     - `heard_at`: when it last replied; 0: never in this term.
-    - `answered_at`: when the newest heartbeat round was begun that it has answered; 0: none.
-    - `probe`: its newest one, to be echoed.
+    - `answered_round_begun_at`: when the newest heartbeat round was begun that it has answered; 0: none.
+    - `nonce`: its newest one, to be echoed.
     - `outgoing_snapshot`: the snapshot that it is being sent, if any.
 
     :param next_index: log index of the leader's next entry.
@@ -47,8 +47,8 @@
         self.next_index = next_index
         self.log_matches = False
         self.heard_at = 0
-        self.answered_at = 0
-        self.probe = 0
+        self.answered_round_begun_at = 0
+        self.nonce = 0
         self.outgoing_snapshot: OutgoingSnapshot | None = None
         self._in_flight: deque[EntryInFlight] = deque()
         self._bytes_in_flight = 0
@@ -63,7 +63,7 @@
         """
         self.heard_at = now
         if round_begun_at is not None:
-            self.answered_at = max(self.answered_at, round_begun_at)
+            self.answered_round_begun_at = max(self.answered_round_begun_at, round_begun_at)
 
     def silent(self, now: int) -> bool:
         """Whether it has not replied for a while, or never."""
@@ -75,20 +75,20 @@
 
     def update(self, now: int, reply: AppendReply) -> None:
         """Take in what a reply says of the follower's log."""
-        self.probe = reply.probe or self.probe
+        self.nonce = reply.nonce or self.nonce
         if reply.success:
-            self._confirm(now, reply.match_index)
+            self._advance(now, reply.match_index)
         else:
-            self._refuse(reply.match_index)
+            self._go_back(reply.match_index)
 
-    def _refuse(self, likely_match_index: int) -> None:
+    def _go_back(self, likely_match_index: int) -> None:
         """Go back: what is known to match stays, as a refusal may be late."""
         self.log_matches = False
         self.next_index = max(self.match_index, likely_match_index) + 1
         self._in_flight.clear()
         self._bytes_in_flight = 0
 
-    def _confirm(self, now: int, match_index: int) -> None:
+    def _advance(self, now: int, match_index: int) -> None:
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
         if self.outgoing_snapshot is not None and self.match_index >= self.outgoing_snapshot.index:
--- a/kestrelplank/consensus/replication.py
+++ b/kestrelplank/consensus/replication.py
@@ -87,7 +87,7 @@
         if not self._needs_snapshot(peer):
             self._send_append(now, identity, peer, ())
             return
-        self._state.writes.send(identity, self._append(now, peer, 0, 0, ()))
+        self._state.effects.send(identity, self._append(now, peer, 0, 0, ()))
         if peer.silent(now):
             peer.drop_snapshot()
         elif peer.outgoing_snapshot is None or peer.chunk_overdue(now):
@@ -116,7 +116,7 @@
     def _send_append(self, now: int, identity: str, peer: Progress, entries: tuple[Entry, ...]) -> None:
         previous_index = peer.next_index - 1
         previous_term = self._state.log.term_at(previous_index) or 0
-        self._state.writes.send(identity, self._append(now, peer, previous_index, previous_term, entries))
+        self._state.effects.send(identity, self._append(now, peer, previous_index, previous_term, entries))
 
     def _append(
         self, now: int, peer: Progress, previous_index: int, previous_term: int, entries: tuple[Entry, ...]
@@ -130,8 +130,8 @@
             entries,
             state.commit_index,
             lease.round,
-            probe=peer.probe,
-            lease_ns=lease.left_ns(now),
+            nonce=peer.nonce,
+            lease_ns=lease.remaining_ns(now),
         )
 
     def _send_chunk(self, now: int, identity: str, peer: Progress) -> None:
@@ -143,4 +143,4 @@
             peer.outgoing_snapshot = OutgoingSnapshot(state.log.snapshot)
         peer.chunk_sent(now)
         chunk = peer.outgoing_snapshot.next_chunk(state.term, state.epoch, self._lease.round)
-        state.writes.send(identity, chunk)
+        state.effects.send(identity, chunk)
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -6,7 +6,7 @@
 
 from kestrelplank.consensus.log_entries import ChangeMembership
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.consensus.membership_planning import Candidate, plan_membership, successor
+from kestrelplank.consensus.membership_planning import KnownMember, plan_membership, successor
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.peer_directory import PeerDirectory, RequestingMember
 from kestrelplank.control.replica import Replica
@@ -43,27 +43,27 @@
         elif successor(now, membership, candidates, self._node.identity) is not None:
             self._hand_over(now, membership, stopping=stopping)
 
-    def candidates(self, now: int, *, stopping: bool) -> list[Candidate]:
+    def candidates(self, now: int, *, stopping: bool) -> list[KnownMember]:
         """Return what the leader knows of each member that is a voter or asks to be one, itself first."""
         own = self._node.identity
         requesting = {member.identity: member for member in self._directory.requesting(now)}
         others = [identity for identity in dict.fromkeys((*self._replica.voters(), *requesting)) if identity != own]
-        itself = Candidate(own, self._profile.zone, self._profile.eligible, stopping, now, caught_up=True)
+        itself = KnownMember(own, self._profile.zone, self._profile.eligible, stopping, now, caught_up=True)
         return [itself, *(self._candidate(identity, requesting.get(identity)) for identity in others)]
 
-    def _candidate(self, identity: str, requesting: RequestingMember | None) -> Candidate:
+    def _candidate(self, identity: str, requesting: RequestingMember | None) -> KnownMember:
         peer = self._node.peers.get(identity)
         heard_at = peer.heard_at if peer is not None else 0
         if identity in self._replica.voters():
             heard_at = max(heard_at, self._elected_at)
         caught_up = peer is not None and peer.caught_up(self._node.commit_index)
         if requesting is None:
-            return Candidate(identity, "", True, False, heard_at, caught_up)
+            return KnownMember(identity, "", True, False, heard_at, caught_up)
         request = requesting.request
         heard_at = max(heard_at, requesting.heard_at)
-        return Candidate(identity, request.zone, request.eligible, request.leaving, heard_at, caught_up)
+        return KnownMember(identity, request.zone, request.eligible, request.leaving, heard_at, caught_up)
 
-    def _propose(self, now: int, planned: Membership, candidates: list[Candidate]) -> None:
+    def _propose(self, now: int, planned: Membership, candidates: list[KnownMember]) -> None:
         if self._replica.propose(now, ChangeMembership(planned)) is None:
             return
         replaced = [candidate for candidate in candidates if candidate.identity not in planned.voters]
@@ -93,7 +93,7 @@
             self._node.remove_learner(identity)
 
 
-def describe(now: int, candidate: Candidate) -> str:
+def describe(now: int, candidate: KnownMember) -> str:
     """Return what a leader knows of a voter that it replaces, for a line of the log."""
     facts = [f"last heard {(now - candidate.heard_at) / SECOND:.1f} s ago"]
     if candidate.leaving:
--- a/kestrelplank/storage/frames.py
+++ b/kestrelplank/storage/frames.py
@@ -77,12 +77,12 @@
     while frame := frame_at(data, salt, offset):
         yield frame
         offset = frame.end
-    later = next_frame(data, salt, offset + 1)
+    later = first_intact_frame(data, salt, offset + 1)
     if later is not None:
         raise CorruptLogError(f"torn or changed at byte {offset}, before an intact frame at byte {later.start}")
 
 
-def next_frame(data: bytes, salt: bytes, start: int) -> Frame | None:
+def first_intact_frame(data: bytes, salt: bytes, start: int) -> Frame | None:
     """Return the first intact frame at `start` or behind it."""
     offset = data.find(MAGIC, start)
     while offset >= 0:
--- a/tests/consensus/replacing_cluster.py
+++ b/tests/consensus/replacing_cluster.py
@@ -8,7 +8,7 @@
 from consensus.simulated_cluster import IN_FORCE, Cluster, Machine
 from kestrelplank.consensus.identity import address_of
 from kestrelplank.consensus.log_entries import ChangeMembership
-from kestrelplank.consensus.membership_planning import Candidate, plan_membership, successor
+from kestrelplank.consensus.membership_planning import KnownMember, plan_membership, successor
 from kestrelplank.time_units import SECOND
 
 SYNC_TIMEOUT_NS = 4 * SECOND  # after which a newcomer has taken its place
@@ -84,13 +84,13 @@
                 self._followed[machine.identity] = (node.leader, node.heard_leader_at)
             return
         self._keep_learners(machine)
-        candidates = self._candidates(machine)
-        if successor(now, node.membership, candidates, machine.identity) is not None:
+        known_members = self._known_members(machine)
+        if successor(now, node.membership, known_members, machine.identity) is not None:
             self.transfer(machine)
             return
         if node.log.membership_index > node.commit_index:
             return
-        planned = plan_membership(now, node.membership, candidates, machine.identity, self.target)
+        planned = plan_membership(now, node.membership, known_members, machine.identity, self.target)
         if planned is not None:
             self._propose(machine, ChangeMembership(planned))
 
@@ -114,17 +114,17 @@
             if identity not in running:
                 node.remove_learner(identity)
 
-    def _candidates(self, machine: Machine) -> list[Candidate]:
+    def _known_members(self, machine: Machine) -> list[KnownMember]:
         """What the leader at `machine` knows of itself and the others."""
         node, now = machine.node, machine.clock(self.time)
         if self._led_since.get(machine.identity, (0, 0))[0] != node.term:
             self._led_since[machine.identity] = (node.term, now)
-        found = [self._candidate(machine.identity, now, caught_up=True)]
+        found = [self._known_member(machine.identity, now, caught_up=True)]
         for identity, peer in node.peers.items():
             heard_at = peer.heard_at
             if identity in node.membership.all_voters():
                 heard_at = max(heard_at, self._heard_before_election(machine, identity))
-            found.append(self._candidate(identity, heard_at, peer.caught_up(node.commit_index)))
+            found.append(self._known_member(identity, heard_at, peer.caught_up(node.commit_index)))
         return found
 
     def _heard_before_election(self, machine: Machine, voter: str) -> int:
@@ -132,10 +132,10 @@
         former, heard_at = self._followed.get(machine.identity, ("", 0))
         return heard_at if voter == former else self._led_since[machine.identity][1]
 
-    def _candidate(self, identity: str, heard_at: int, caught_up: bool) -> Candidate:
+    def _known_member(self, identity: str, heard_at: int, caught_up: bool) -> KnownMember:
         name = address_of(identity)
         zone = self.zones.get(name, "")
-        return Candidate(identity, zone, True, name in self.leaving, heard_at, caught_up)
+        return KnownMember(identity, zone, True, name in self.leaving, heard_at, caught_up)
 
     # What tests ask.
 
--- a/tests/consensus/test_membership_planning.py
+++ b/tests/consensus/test_membership_planning.py
@@ -14,7 +14,7 @@
 from kestrelplank.consensus.membership_planning import (
     STANDBY_TIMEOUT_NS,
     VOTER_TIMEOUT_NS,
-    Candidate,
+    KnownMember,
     finish,
     plan_membership,
     successor,
@@ -34,7 +34,7 @@
     return " ".join(sorted(identity.partition("/")[2] for identity in identities))
 
 
-def candidates(text, now=NOW):
+def known_members(text, now=NOW):
     known = []
     for written in text.split():
         member, _, states = written.partition(":")
@@ -42,7 +42,7 @@
         states = states.split("+") if states else []
         age = max([HEARD_BEFORE.get(state, 0) for state in states] + [RECENTLY])
         known.append(
-            Candidate(
+            KnownMember(
                 identity=identity(name),
                 zone=zone,
                 eligible="barred" not in states,
@@ -59,7 +59,7 @@
 
 
 def plan(voters, known, target=3, leader="a"):
-    return plan_membership(NOW, group(voters), candidates(known), identity(leader), target)
+    return plan_membership(NOW, group(voters), known_members(known), identity(leader), target)
 
 
 # what it shows, voters, what the leader knows, target, the voters proposed (None: nothing)
@@ -176,14 +176,14 @@
 
 def test_zones_of_all_who_count_are_kept():
     membership = Membership(3, (identity("a"), identity("b"), identity("c")), (), {identity("b"): "y"})
-    planned = plan_membership(NOW, membership, candidates("a@x b c@z:silent d@z"), identity("a"), 3)
+    planned = plan_membership(NOW, membership, known_members("a@x b c@z:silent d@z"), identity("a"), 3)
     assert planned.zones == {identity("b"): "y", identity("a"): "x", identity("c"): "z", identity("d"): "z"}
     assert finish(planned).zones == {identity("b"): "y", identity("a"): "x", identity("d"): "z"}
 
 
 def test_nothing_while_a_change_is_under_way():
     joint = group("a b d", outgoing="a b c")
-    assert plan_membership(NOW, joint, candidates("a b c:silent d:silent e"), identity("a"), 3) is None
+    assert plan_membership(NOW, joint, known_members("a b c:silent d:silent e"), identity("a"), 3) is None
 
 
 def test_nothing_from_a_leader_that_does_not_count():
@@ -198,17 +198,17 @@
 
 
 def test_a_newcomer_counts_up_to_a_second_after_it_was_heard():
-    a, b, c, d = candidates("a b c:silent d")
-    fresh = Candidate(d.identity, "", True, False, NOW - STANDBY_TIMEOUT_NS + 1, True)
-    stale = Candidate(d.identity, "", True, False, NOW - STANDBY_TIMEOUT_NS, True)
+    a, b, c, d = known_members("a b c:silent d")
+    fresh = KnownMember(d.identity, "", True, False, NOW - STANDBY_TIMEOUT_NS + 1, True)
+    stale = KnownMember(d.identity, "", True, False, NOW - STANDBY_TIMEOUT_NS, True)
     assert plan_membership(NOW, group("a b c"), [a, b, c, fresh], identity("a"), 3) is not None
     assert plan_membership(NOW, group("a b c"), [a, b, c, stale], identity("a"), 3) is None
 
 
 def test_a_voter_is_silent_from_two_seconds_on():
-    a, b, c, d = candidates("a b c d")
+    a, b, c, d = known_members("a b c d")
     for silence, expected in ((VOTER_TIMEOUT_NS - 1, None), (VOTER_TIMEOUT_NS, "a b d")):
-        quiet = Candidate(c.identity, "", True, False, NOW - silence, True)
+        quiet = KnownMember(c.identity, "", True, False, NOW - silence, True)
         planned = plan_membership(NOW, group("a b c"), [a, b, quiet, d], identity("a"), 3)
         assert (planned and names(planned.voters)) == expected
 
@@ -217,7 +217,7 @@
     """c dies and d takes its place; d dies and e takes that; then c is back, and e stays."""
     membership = group("a b c")
     for known, expected in (("a b c:silent d", "a b d"), ("a b c:silent d:silent e", "a b e"), ("a b c d e", None)):
-        planned = plan_membership(NOW, membership, candidates(known), identity("a"), 3)
+        planned = plan_membership(NOW, membership, known_members(known), identity("a"), 3)
         assert (planned and names(planned.voters)) == expected
         membership = finish(planned) if planned else membership
     assert membership.epoch == 11
@@ -229,7 +229,8 @@
     assert plan(voters, "a b2:behind c:silent d", target) is None  # a alone is no majority of a, b, c
     assert names(plan(voters, "a b2 c d:behind", target).voters) == "a b2 c"
     assert (
-        plan_membership(NOW, group("a b2 c", outgoing="a b c"), candidates("a b2 c:silent d"), identity("a"), 3) is None
+        plan_membership(NOW, group("a b2 c", outgoing="a b c"), known_members("a b2 c:silent d"), identity("a"), 3)
+        is None
     )
     assert names(plan("a b2 c", "a b2 c:silent d", target).voters) == "a b2 d"
 
@@ -260,14 +261,14 @@
     ],
 )
 def test_whom_leadership_is_transferred_to(voters, outgoing, known, expected):
-    found = successor(NOW, group(voters, outgoing=outgoing), candidates(known), identity("a"))
+    found = successor(NOW, group(voters, outgoing=outgoing), known_members(known), identity("a"))
     assert found == (expected and identity(expected))
 
 
 def test_a_leaving_leader_loses_its_place_after_the_transfer():
     known = "a@x:leaving b@y c@z d@x"
     assert plan("a b c", known) is None
-    assert successor(NOW, group("a b c"), candidates(known), identity("a")) == identity("b")
+    assert successor(NOW, group("a b c"), known_members(known), identity("a")) == identity("b")
     assert names(plan("a b c", known, leader="b").voters) == "b c d"
 
 
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -8,7 +8,7 @@
 from kestrelplank.consensus.consensus_messages import Append, AppendReply, VoteReply, VoteRequest
 from kestrelplank.consensus.effects import Persist, Send
 from kestrelplank.consensus.identity import FIRST_INCARNATION, identity_of
-from kestrelplank.consensus.lease import MAX_PENDING_PROBES
+from kestrelplank.consensus.lease import MAX_PENDING_NONCES
 from kestrelplank.consensus.log_entries import (
     ChangeMembership,
     Entry,
@@ -266,15 +266,15 @@
     assert peer.match_index == 10 and peer.next_index == 11 and not peer.log_matches
 
 
-@pytest.mark.parametrize("appends, is_current", [(MAX_PENDING_PROBES, True), (MAX_PENDING_PROBES + 1, False)])
-def test_a_follower_is_current_by_its_oldest_probe_that_is_kept(appends, is_current):
+@pytest.mark.parametrize("appends, is_current", [(MAX_PENDING_NONCES, True), (MAX_PENDING_NONCES + 1, False)])
+def test_a_follower_is_current_by_its_oldest_nonce_that_is_kept(appends, is_current):
     """More answers in flight than are kept leave it not current: the bound on appends during one way there and back."""
     node = member(B)
     heartbeat = Append(1, 1, 0, 0, (), 0, 1)
-    probe = 0
+    nonce = 0
     for offset in range(appends):
         (reply,) = written(node, START + offset, node.receive(START + offset, A, heartbeat))
-        probe = probe or reply.message.probe
+        nonce = nonce or reply.message.nonce
     now = START + 50 * MILLISECOND
-    written(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, probe=probe, lease_ns=LEASE_NS)))
+    written(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, nonce=nonce, lease_ns=LEASE_NS)))
     assert node.current(now) is is_current
