--- a/kestrelplank/consensus/consensus_messages.py
+++ b/kestrelplank/consensus/consensus_messages.py
@@ -48,8 +48,8 @@
     :param commit_index: log index up to which entries are committed, as far as the leader knows.
     :param heartbeat_round: number of the leader's newest heartbeat round, echoed in the reply: the lease counts from
         when that round was begun.
-    :param nonce: the newest nonce that the leader had from this follower (0: none). By it the follower knows how old
-        this message is at most.
+    :param nonce: echo of the newest nonce that the leader had from this follower (0: none). The follower knows when it
+        sent that nonce, so how old this message is at most.
     :param lease_ns: for how long the leader's lease still ran when this was sent; 0 where it had none.
     """
 
@@ -65,12 +65,12 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """The answer to an `Append`, and the news that entries or a snapshot have become durable.
+    """The answer to an `Append`, and the notice that entries or a snapshot have become durable.
 
     :param success: whether the follower's log matches the leader's up to `match_index`, durably.
     :param match_index: without `success`: an index up to which the logs may match.
     :param heartbeat_round: echoed; 0 where this answers no heartbeat.
-    :param nonce: a number that the leader echoes; 0: none.
+    :param nonce: a number that no other reply has, which the leader echoes in its next `Append`; 0: none.
     """
 
     term: int
@@ -82,7 +82,7 @@
 
 
 class SnapshotChunk(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
-    """A part of an encoded snapshot.
+    """A chunk of an encoded snapshot.
 
     :param index: log index of the last entry that the snapshot covers.
     :param size_bytes: of the complete encoded snapshot.
@@ -115,7 +115,10 @@
 
 
 class TransferLeadership(msgspec.Struct, frozen=True, array_like=True, tag="transfer"):
-    """The sender led this term and has let go of its lease; the receiver is to ask for votes at once."""
+    """The sender led this term and has given up its lease; the receiver is to ask for votes at once.
+
+    It is called TimeoutNow in Ongaro's dissertation, section 3.10.
+    """
 
     term: int
     epoch: int
--- a/kestrelplank/consensus/effect_queue.py
+++ b/kestrelplank/consensus/effect_queue.py
@@ -1,4 +1,4 @@
-"""What a member wants done, in order, and what it may send only once a write is durable."""
+"""The effects that a call returns, in order, and the messages that wait until a write is durable."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -29,6 +29,9 @@
 class EffectQueue:
     """The effects of the call under way, and the writes that are not durable yet.
 
+    All parts of a member add their effects here; `ConsensusNode` takes them at the end of each call. Writes become
+    durable in the order of their numbers, so a message waits for the last write that it depends on.
+
     `durable_index`: log index up to which the log in memory is on disk. Entries that a later write replaces do not
     count, even if they are on disk.
     """
@@ -40,16 +43,16 @@
         self._last_number = 0
 
     def emit(self, effect: Effect) -> None:
-        """Add an effect after those of this call."""
+        """Add an effect behind those that this call has already."""
         self._effects.append(effect)
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects of the call under way, which ends."""
+        """Return the effects of the call that ends, and begin the next one's with none."""
         effects, self._effects = self._effects, []
         return effects
 
     def send(self, to: str, message: ConsensusMessage) -> None:
-        """Send at once; only for what promises nothing."""
+        """Send without waiting for any write; only for messages that a restart may forget."""
         self._effects.append(Send(to, message))
 
     def send_when_durable(self, to: str, message: ConsensusMessage) -> None:
@@ -62,14 +65,14 @@
 
     def persist_hard_state(self, hard_state: HardState) -> None:
         """Write the hard state."""
-        write = self._begin(PendingWrite(self._next_number(), has_hard_state=True))
+        write = self._enqueue(PendingWrite(self._next_number(), has_hard_state=True))
         self._effects.append(Persist(write.number, hard_state))
 
     def persist_entries(self, entries: tuple[Entry, ...], then: Send | None = None) -> None:
         """Write entries, which replace those on disk from the first one's index on; once durable, send `then`."""
         messages = [] if then is None else [then]
         first_index, last_index = entries[0].index, entries[-1].index
-        write = self._begin(PendingWrite(self._next_number(), first_index, last_index, messages=messages))
+        write = self._enqueue(PendingWrite(self._next_number(), first_index, last_index, messages=messages))
         self._effects.append(Persist(write.number, entries=entries))
 
     def persist_snapshot(
@@ -88,7 +91,7 @@
         """
         messages = [] if then is None else [then]
         last_index = max(entries[-1].index if entries else 0, snapshot.index)
-        write = self._begin(PendingWrite(self._next_number(), matching_until + 1, last_index, messages=messages))
+        write = self._enqueue(PendingWrite(self._next_number(), matching_until + 1, last_index, messages=messages))
         self._effects.append(Persist(write.number, hard_state, snapshot, entries))
 
     def truncate(self, first_index: int) -> None:
@@ -96,7 +99,10 @@
         self.durable_index = min(self.durable_index, first_index - 1)
 
     def complete(self, number: int) -> Iterator[Send]:
-        """Take in, write by write, that all up to `number` are durable; yield what each of them held back."""
+        """Take in, write by write, that all up to `number` are durable; yield the messages that waited for each.
+
+        The caller acts on each message before the next write counts as durable.
+        """
         while self._writes and self._writes[0].number <= number:
             write = self._writes.popleft()
             if write.last_index:
@@ -107,11 +113,12 @@
         self._last_number += 1
         return self._last_number
 
-    def _begin(self, write: PendingWrite) -> PendingWrite:
+    def _enqueue(self, write: PendingWrite) -> PendingWrite:
         self._writes.append(write)
         return write
 
     def _count_durable(self, write: PendingWrite) -> None:
+        """Set `durable_index` after this write, not above what a later pending write is to replace."""
         with_entries = [later for later in self._writes if later.last_index]
         replaced_from = [later.first_index for later in with_entries if later.first_index <= write.last_index]
         self.durable_index = min([write.last_index, *(first_index - 1 for first_index in replaced_from)])
--- a/kestrelplank/consensus/election.py
+++ b/kestrelplank/consensus/election.py
@@ -1,4 +1,4 @@
-"""Votes: whom a member promises what, when it campaigns, and how it is elected.
+"""Votes: for whom a member may vote, when it campaigns, and how it is elected.
 
 Source: D. Ongaro, *Consensus: Bridging Theory and Practice* (2014), sections 3.4 (elections), 3.10 (leadership
 transfer), 9.6 (pre-vote). What departs from it stands in the docstring of `Election`.
@@ -16,9 +16,10 @@
 class Election:
     """One member's votes and campaigns.
 
-    - A member that has answered a leader votes for nobody else for `LEASE_NS`; after a restart for as long again, as it
-      may have answered just before. Two exceptions: it may vote at once for the leader that it followed last, which
-      surely leads no longer if it asks; and, for the very next term, for whom the leader asked to take over.
+    - A member that has answered a leader votes for nobody else for `LEASE_NS` (its promise, on which the leader's lease
+      rests); after a restart for as long again, as it may have answered just before. Two exceptions: it may vote at
+      once for the leader that it followed last, which surely leads no longer if it asks; and, for the very next term,
+      for whom the leader asked to take over.
     - A candidate first asks whether votes would be granted (pre-vote): a partitioned member raises no term.
     - A candidate that is no voter of the newest membership that a voter knows to be committed is denied, unless the
       candidate knows a newer one.
@@ -36,42 +37,49 @@
         self._random = random
         self._state = state
         self._transitions = transitions
+        # Whom this member may vote for before `_promised_until`: the leader heard last (after a restart the one
+        # followed, or else voted for, last), or itself if it led last.
         self._promised_to = state.hard_state.leader or state.hard_state.voted_for
         self._promised_until = now if first_start else now + LEASE_NS
         self._campaign_at = now
-        self._pre_vote = False
-        self._votes: set[str] = set()
+        self._pre_vote = False  # of the campaign under way: whether it only asks if votes would be granted
+        self._votes: set[str] = set()  # granted in the campaign under way
 
     # Promises.
 
     def promise(self, now: int, leader: str) -> None:
-        """Promise a leader that was just heard to vote for nobody else while its lease may run."""
+        """Vote for nobody but the leader that was just heard while its lease may run."""
         self._promised_to, self._promised_until = leader, now + LEASE_NS
         self.schedule_campaign(now)
 
     def promise_to_itself(self) -> None:
-        """Take in that this member leads: it need not wait for its own promise later."""
+        """Take in that this member leads: once it leads no longer, it may campaign without waiting for any promise."""
         self._promised_to = self._state.identity
 
     # Campaigns.
 
     def schedule_campaign(self, now: int) -> None:
-        """Set when this member campaigns if it hears no leader until then: voters one after the other."""
-        state = self._state
-        was_leader = self._promised_to == state.identity
-        free_at = now if was_leader else max(now, self._promised_until)
-        voters = state.all_voters
-        position = voters.index(state.identity) if state.identity in voters else len(voters)
-        if was_leader:
-            position = 0
+        """Set when this member campaigns if it hears no leader until then.
+
+        Voters campaign one after the other, in the order of the membership, so that they seldom split the votes. A
+        member that led last, or voted for itself, has promised nothing to another: it is free now, and the first.
+        """
+        promised_to_itself = self._promised_to == self._state.identity
+        free_at = now if promised_to_itself else max(now, self._promised_until)
+        position = 0 if promised_to_itself else self._position_among_voters()
         self._campaign_at = free_at + position * CAMPAIGN_STAGGER_NS + self._random.randrange(CAMPAIGN_STAGGER_NS)
 
+    def _position_among_voters(self) -> int:
+        """Return this member's position in the order of the membership, behind all where it is no voter."""
+        identity, voters = self._state.identity, self._state.all_voters
+        return voters.index(identity) if identity in voters else len(voters)
+
     def postpone_campaign(self, until: int) -> None:
-        """Leave the next campaign to others: this member has just handed over."""
+        """Campaign not before `until`, as this member has just handed leadership over."""
         self._campaign_at = until
 
     def tick(self, now: int) -> None:
-        """Campaign if it is due; not of a leader."""
+        """Campaign if it is due. Not to be called while this member leads."""
         if now >= self._campaign_at:
             self._begin_pre_vote(now)
 
@@ -86,7 +94,10 @@
         return self.may_campaign and self._state.is_voter
 
     def _begin_pre_vote(self, now: int) -> None:
-        """Ask whether votes would be granted: a term is begun only if they would."""
+        """Begin a campaign: ask whether votes would be granted; a term is begun only once a quorum would.
+
+        A member that may not be elected becomes a follower instead, and looks again at the next retry.
+        """
         state = self._state
         self._schedule_retry(now)
         if not self._may_be_elected():
@@ -100,13 +111,16 @@
         self._count_votes(now)
 
     def _begin_election(self, now: int, *, transfer: bool) -> None:
-        """Begin a term and ask for votes in it."""
+        """Begin a term and ask for votes in it.
+
+        :param transfer: the leader of the last term asked for it, so voters need not wait for that leader's lease.
+        """
         state = self._state
         state.role, state.leader = Role.CANDIDATE, ""
         self._pre_vote, self._votes = False, set()
         self._schedule_retry(now)
         state.remember(state.term + 1, state.identity, "")
-        # Our own vote is asked for by nobody, and counts like any other: `ConsensusNode` hands it back once durable.
+        # Our own vote is sent to ourselves, so that it counts only once durable: see `ConsensusNode.persisted`.
         own_vote = VoteReply(state.term, state.epoch, granted=True)
         state.effects.send_when_durable(state.identity, own_vote)
         request = self._vote_request(state.term, transfer=transfer)
@@ -152,31 +166,41 @@
         state = self._state
         granted = self._would_vote(now, sender, request)
         if request.pre_vote:
-            reply = VoteReply(request.term if granted else state.term, state.epoch, granted, pre_vote=True)
-            state.effects.send(sender, reply)
+            self._answer_pre_vote(sender, request, granted=granted)
             return
+        # A member that is not free to vote ignores the newer term, so that the candidate does not depose the leader.
         if request.term > state.term and (granted or self._free_to_vote(now, sender, request)):
             self._transitions.adopt_term(now, request.term, sender if granted else "")
         elif granted:
             state.remember(state.term, sender, state.hard_state.leader)
         if granted:
             self.schedule_campaign(now)
+            # The member that we vote for has this long to win before we compete with it.
             self._campaign_at = max(self._campaign_at, now + CAMPAIGN_RETRY_INTERVAL_NS)
         state.effects.send_when_durable(sender, VoteReply(state.term, state.epoch, granted))
 
+    def _answer_pre_vote(self, sender: str, request: VoteRequest, *, granted: bool) -> None:
+        """Say whether a vote would be granted; nothing is promised, so nothing need be durable first."""
+        state = self._state
+        reply = VoteReply(request.term if granted else state.term, state.epoch, granted, pre_vote=True)
+        state.effects.send(sender, reply)
+
     def _would_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
+        """Whether a vote may be given: of this or a newer term, once a term, to a log that is not older than ours."""
         state = self._state
         if request.term < state.term or not self._free_to_vote(now, sender, request):
             return False
         if request.term == state.term:
             voted_for = state.hard_state.voted_for
             voted_for_another = bool(voted_for) and voted_for != sender
+            # A pre-vote asks for the term after the candidate's: one for our own term comes too late.
             if request.pre_vote or voted_for_another or state.role is Role.LEADER:
                 return False
+        # Section 3.6.1, "at least as up-to-date".
         return (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
 
     def _free_to_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
-        """Whether no promise stands against a vote for that member, and it is a voter as far as is known here."""
+        """Whether neither the committed membership nor a lease or promise forbids a vote for that member."""
         state = self._state
         committed = state.log.membership_at(state.commit_index)
         if committed is not None and sender not in committed.all_voters() and request.epoch <= committed.epoch:
--- a/kestrelplank/consensus/errors.py
+++ b/kestrelplank/consensus/errors.py
@@ -1,8 +1,8 @@
-"""Errors of the consensus core: calls and messages that contradict what is agreed. None is expected in operation."""
+"""Errors of the consensus core: calls and messages that contradict the replicated log. None should come in service."""
 
 
 class ConsensusError(ValueError):
-    """What came in contradicts what is agreed."""
+    """The root of this package's errors: a call or message contradicts the replicated log."""
 
 
 class EntryGapError(ConsensusError):
@@ -14,4 +14,4 @@
 
 
 class NotJointError(ConsensusError):
-    """A change of membership is to be finished that is not under way."""
+    """The end of a change of membership was asked for, but the membership is not joint."""
--- a/kestrelplank/consensus/follower.py
+++ b/kestrelplank/consensus/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side: entries and snapshots of the leader, and replies that say only what is durable."""
+"""A follower's handling of the leader's entries and snapshots, with replies that acknowledge only what is durable."""
 
 from random import Random
 
@@ -14,7 +14,7 @@
 
 
 class Follower:
-    """What a member takes from a leader.
+    """Handles the messages that a leader sends to this member.
 
     - `contact`: how fresh the leader's messages are.
     - `incoming_snapshot`: what has come of a snapshot, None where none is under way.
@@ -36,7 +36,8 @@
             return
         log = self._state.log
         self.contact.update(message)
-        if message.previous_index == 0 and not message.entries and log.base_index > 0:
+        only_asks_for_reply = message.previous_index == 0 and not message.entries
+        if only_asks_for_reply and log.base_index > 0:  # with 0, the steps below reply the same
             self._reply(now, sender, message.heartbeat_round, match_index=0)
             return
         previous_index, previous_term, entries = self._after_base(message)
@@ -50,7 +51,10 @@
         self._reply(now, sender, message.heartbeat_round, match_index=match_index)
 
     def _follow(self, now: int, sender: str, term: int) -> bool:
-        """Follow the leader of that term and promise to vote for nobody else, unless it is a former leader."""
+        """Follow the leader of that term and promise to vote for nobody else, unless it is a former leader.
+
+        Return whether it is followed.
+        """
         state = self._state
         if term < state.term or (term == state.term and state.role is Role.LEADER):
             return False
@@ -58,6 +62,7 @@
             self._transitions.step_down(now, sender)
             if term > state.term:
                 self.contact.begin_term(state.commit_index)
+            # The vote of this very term must not be forgotten, or a second one could be given in it.
             voted_for = state.hard_state.voted_for if term == state.term else ""
             state.remember(term, voted_for, sender)
         self.contact.heard_at = now
@@ -65,9 +70,9 @@
         return True
 
     def _after_base(self, message: Append) -> tuple[int, int, tuple[Entry, ...]]:
-        """Return index and term before the first entry, and the entries, from where our log is in memory.
+        """Return the message's previous index, previous term and entries, from `base_index` on at the earliest.
 
-        What our snapshot covers and is not in memory is committed, so it matches.
+        Entries up to `base_index` are not in memory; they are committed, so they match.
         """
         log = self._state.log
         if message.previous_index >= log.base_index:
@@ -76,7 +81,10 @@
         return log.base_index, log.base_term, entries
 
     def _likely_match(self, mismatch_index: int) -> int:
-        """Return an index below `mismatch_index` up to which our log may match: before the term that differs."""
+        """Return an index below `mismatch_index` up to which our log may match: before the term that differs.
+
+        So the leader goes back a term with each question, not an entry (section 5.3 of the 2014 paper, last part).
+        """
         log, commit_index = self._state.log, self._state.commit_index
         if mismatch_index > log.last_index:
             return log.last_index
@@ -87,7 +95,7 @@
         return max(index, commit_index)
 
     def _take_entries(self, now: int, sender: str, entries: tuple[Entry, ...]) -> None:
-        """Replace our log from the first entry on that differs.
+        """Replace our log from the first entry on that differs, and acknowledge the new entries once they are durable.
 
         :raises CommittedEntryError: that entry is committed here.
         """
@@ -137,12 +145,16 @@
             self._install(now, sender, snapshot)
 
     def _incoming_for(self, chunk: SnapshotChunk) -> IncomingSnapshot:
-        """Return what has come of the chunk's snapshot; another one is dropped."""
+        """Return what has come of the chunk's snapshot; another one under way is dropped."""
         if self.incoming_snapshot is None or self.incoming_snapshot.digest != chunk.digest:
             self.incoming_snapshot = IncomingSnapshot(chunk.digest, chunk.size_bytes)
         return self.incoming_snapshot
 
     def _install(self, now: int, sender: str, snapshot: Snapshot) -> None:
+        """Replace our log by the snapshot, and acknowledge it once it is durable.
+
+        Entries after the snapshot stay where our log matches it.
+        """
         state = self._state
         matches = state.log.term_at(snapshot.index) == snapshot.term
         matching_until = snapshot.index if matches else state.commit_index
@@ -162,7 +174,8 @@
         """Answer the leader, with a new nonce.
 
         :param match_index: our log matches up to there, durably.
-        :param likely_match_index: our log does not match; it may up to there.
+        :param likely_match_index: given where our log does not match: an index up to which it may. `match_index` is
+            not used then.
         """
         state = self._state
         success = likely_match_index is None
@@ -172,12 +185,12 @@
         state.effects.send_when_durable(to, reply)
 
     def _durable_reply(self, match_index: int) -> AppendReply:
-        """Return what to send, to no heartbeat, once our log up to `match_index` is on disk."""
+        """Return the reply to be sent once our log up to `match_index` is on disk; it answers no heartbeat."""
         state = self._state
         return AppendReply(state.term, state.epoch, success=True, match_index=match_index, heartbeat_round=0)
 
     def _refuse_former_leader(self, sender: str) -> None:
-        """Answer one that leads no longer, so that it learns the newer term."""
+        """Answer a member that leads no longer with our term, so that it steps down."""
         state = self._state
         durable_index = state.effects.durable_index
         reply = AppendReply(state.term, state.epoch, success=False, match_index=durable_index, heartbeat_round=0)
--- a/kestrelplank/consensus/leadership.py
+++ b/kestrelplank/consensus/leadership.py
@@ -16,6 +16,8 @@
 from kestrelplank.consensus.roles import RoleTransitions
 from kestrelplank.consensus.timing import HEARTBEAT_INTERVAL_NS
 
+SUCCESSOR_TIMEOUT_NS = 2 * HEARTBEAT_INTERVAL_NS  # a voter that has not replied for longer is not asked to take over
+
 
 class Leadership:
     """What a member knows and does while it leads one term; made when it is voted for, dropped when it steps down.
@@ -38,7 +40,7 @@
         self.tick(now)
 
     def tick(self, now: int) -> None:
-        """Step down without a lease; begin a heartbeat round when it is due."""
+        """Step down once the lease has expired; else begin a heartbeat round when it is due."""
         self._renew_lease(now)
         if self._lease.expired(now):
             self._transitions.step_down(now, "")
@@ -68,7 +70,10 @@
             self.replication.handle_snapshot_reply(now, sender, reply)
 
     def advance_commit(self, now: int) -> None:
-        """Commit what a quorum has on disk, up to an entry of this term."""
+        """Commit what a quorum has on disk, if the last entry of it is of this term.
+
+        Entries of former terms are committed only by one of this term behind them (section 5.4.2).
+        """
         state = self._state
         reached = reached_by_quorum(state.membership, self._durable_index_of)
         if reached <= state.commit_index or state.log.term_at(reached) != state.term:
@@ -81,14 +86,25 @@
         self._finish_change(now)
 
     def best_successor(self, now: int) -> str | None:
-        """Return the voter that has most of the log, of those that answered lately."""
+        """Return the voter that has most of the log, of those that answered within `SUCCESSOR_TIMEOUT_NS`.
+
+        Whether to hand over is decided elsewhere: by `membership_planning.successor`, whose choice of a member is not
+        used, or by a change of membership that removes the leader.
+        """
         answering = [
             (peer.match_index, voter)
             for voter, peer in self._peers_of(self._state.membership.voters)
-            if now - peer.heard_at < 2 * HEARTBEAT_INTERVAL_NS
+            if now - peer.heard_at < SUCCESSOR_TIMEOUT_NS
         ]
         return max(answering)[1] if answering else None
 
+    def _durable_index_of(self, voter: str) -> int:
+        """Return the log index up to which that voter's log is known to match ours on its disk."""
+        if voter == self._state.identity:
+            return self._state.effects.durable_index
+        peer = self.replication.peers.get(voter)
+        return peer.match_index if peer else 0
+
     def _peers_of(self, voters: tuple[str, ...]) -> list[tuple[str, Progress]]:
         peers = self.replication.peers
         return [(voter, peers[voter]) for voter in voters if voter in peers]
@@ -102,6 +118,10 @@
         return True
 
     def _append(self, now: int, command: Command) -> int:
+        """Append a command to our log, persist it and send it; return its log index.
+
+        A change of membership counts from here on, before it is committed.
+        """
         state = self._state
         entry = Entry(state.log.last_index + 1, state.term, command)
         state.log.append((entry,))
@@ -114,6 +134,8 @@
     # The lease.
 
     def _renew_lease(self, now: int) -> None:
+        """Extend the lease by the newest heartbeat round that a quorum has answered; that may complete the election."""
+
         def answered_round_begun_at(voter: str) -> int:
             if voter == self._state.identity:
                 return now
@@ -124,21 +146,16 @@
         self._confirm_election(now)
 
     def _confirm_election(self, now: int) -> None:
+        """Emit `Elected`, once, when the first entry of the term is committed and the lease runs."""
         lease = self._lease
         if not lease.elected and self._state.commit_index >= self._first_index_of_term and now < lease.until:
             lease.elected = True
             self._state.effects.emit(Elected(self._state.term))
 
-    def _durable_index_of(self, voter: str) -> int:
-        if voter == self._state.identity:
-            return self._state.effects.durable_index
-        peer = self.replication.peers.get(voter)
-        return peer.match_index if peer else 0
-
     # Changes of membership.
 
     def _may_begin(self, proposed: Membership) -> bool:
-        """Whether no change is under way, and this one begins with all who vote, at the next epoch."""
+        """Whether no change is under way, and this one leads from the present voters to others, at the next epoch."""
         state = self._state
         membership = state.membership
         if state.log.membership_index > state.commit_index or membership.joint:
@@ -147,10 +164,10 @@
         return follows and bool(proposed.voters)
 
     def _finish_change(self, now: int) -> None:
-        """Append the new membership alone once the joint one is committed.
+        """Append the membership of the new voters alone once the joint one is committed.
 
-        A leader outside of it hands over first: were that last entry in its log alone, it could neither be elected nor
-        vote for those that lack it.
+        A leader that is none of the new voters hands over instead, and its successor appends that entry: were it in
+        this leader's log alone, this one could neither be elected nor vote for those that lack the entry.
         """
         state = self._state
         membership = state.membership
--- a/kestrelplank/consensus/log.py
+++ b/kestrelplank/consensus/log.py
@@ -11,7 +11,7 @@
 
 
 class LoggedMembership(NamedTuple):
-    """A membership, and the index of the entry from which on it counts."""
+    """A membership, and the log index of the entry that brought it; it counts from there on."""
 
     log_index: int
     membership: Membership
@@ -20,7 +20,8 @@
 class ReplicatedLog:
     """A snapshot, the entries since, some entries before it, and which membership counts.
 
-    The entries from `base_index + 1` to `last_index` are in memory. Invariants: their indexes follow one another; the
+    The entries from `base_index + 1` to `last_index` are in memory. Those up to `base_index`, the last of which is of
+    `base_term`, were dropped after a snapshot that covers them. Invariants: their indexes follow one another; the
     snapshot's index lies between `base_index` and `last_index`; the memberships are those of the entries in memory, and
     the newest one before them. Held by `tests/consensus/test_log_properties.py`.
 
@@ -100,7 +101,7 @@
         return tuple(entries)
 
     def entries_after_snapshot(self) -> tuple[Entry, ...]:
-        """Return the entries that a restart needs beside the snapshot."""
+        """Return the entries behind the snapshot: with it, all that a restart needs."""
         first = self.snapshot.index + 1 if self.snapshot else self.base_index + 1
         return tuple(self._entries[first - self.base_index - 1 :])
 
@@ -135,6 +136,7 @@
         return self.snapshot
 
     def _drop_entries_before(self, first: int) -> None:
+        """Drop the entries before index `first`, and the memberships before them but the last, which counts there."""
         if first > self.base_index + 1:
             term_before = self.term_at(first - 1)
             del self._entries[: first - 1 - self.base_index]
@@ -152,7 +154,7 @@
 
 
 def entry_size_bytes(entry: Entry) -> int:
-    """Return about how many bytes an entry takes on the wire."""
+    """Return about how many bytes an entry takes on the wire, for the bounds on what is sent at once."""
     match entry.command:
         case PutConfiguration(text=content) | PutRecord(record=content):
             return ENTRY_OVERHEAD_BYTES + len(content)
--- a/kestrelplank/consensus/log_entries.py
+++ b/kestrelplank/consensus/log_entries.py
@@ -1,4 +1,4 @@
-"""What the members agree on and keep on disk: commands, log entries, snapshots and the hard state.
+"""What the members replicate and keep on disk: commands, log entries, snapshots and the hard state.
 
 Tags and the order of fields decide the bytes on disk and on the wire; names of fields do not.
 """
@@ -61,7 +61,7 @@
     :param index: log index of the last entry that the snapshot covers.
     :param term: term of that entry.
     :param membership: the newest membership up to that entry.
-    :param state: opaque here.
+    :param state: the replicated state, encoded by `state/control_state`; opaque here.
     """
 
     index: int
@@ -71,7 +71,7 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What a member must not forget over a restart.
+    """What a member must not forget over a restart, besides its log ("HardState" as in etcd's raft).
 
     :param term: the newest term it knows.
     :param voted_for: whom it voted for in that term; "": nobody.
--- a/kestrelplank/consensus/member_messages.py
+++ b/kestrelplank/consensus/member_messages.py
@@ -48,7 +48,7 @@
 
 
 class ReadConfiguration(msgspec.Struct, frozen=True, array_like=True, tag="read"):
-    """A question for the configuration in force, forwarded to the leader by the member that an operator asked."""
+    """An operator's read of the configuration in force, forwarded to the leader by the member that was asked."""
 
     call: CallId
 
@@ -58,7 +58,7 @@
 
     :param acknowledged: the order is in force, or its version is not above the one in force. Else nothing is known of
         it, and the caller may try again.
-    :param in_force: whether the order's very text is in force.
+    :param in_force: whether the text of this order, and not another one of the same version, is in force.
     """
 
     call: CallId
@@ -69,7 +69,7 @@
 class ReadResult(msgspec.Struct, frozen=True, array_like=True, tag="found"):
     """The answer to `ReadConfiguration`.
 
-    :param known: whether the sender leads, so that its answer is the newest.
+    :param known: whether the sender leads, so that `text` is the newest; else `text` says nothing.
     :param text: of the configuration in force; None where none ever was.
     """
 
@@ -81,7 +81,10 @@
 class ServerListUpdate(msgspec.Struct, frozen=True, array_like=True, tag="servers"):
     """The platform's list of servers.
 
+    Members pass it on to each other and to edge machines; the consensus core does nothing with it.
+
     :param age_ns: time since the list was fetched, when this was sent.
+    :param entries: the fields of a `transport.server_list.ListedServer` each.
     """
 
     age_ns: int
@@ -89,7 +92,7 @@
 
 
 class MembershipQuery(msgspec.Struct, frozen=True, array_like=True, tag="who"):
-    """A member that looks for the others asks for the membership; anyone answers with a `MembershipUpdate`."""
+    """A member that does not know the others asks for the membership; any member answers with a `MembershipUpdate`."""
 
 
 class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True, tag="members"):
--- a/kestrelplank/consensus/member_state.py
+++ b/kestrelplank/consensus/member_state.py
@@ -1,4 +1,4 @@
-"""What all parts of one member share."""
+"""The state that all parts of one member share."""
 
 from kestrelplank.consensus.effect_queue import EffectQueue
 from kestrelplank.consensus.effects import Applied
@@ -10,11 +10,11 @@
 
 
 class MemberState:
-    """Identity, log, term and role of one member, and its effects.
+    """Identity, log, term and role of one member, and the effects that its parts add.
 
     - `leader`: identity of the leader of the current term as far as known; "": nobody.
     - `lease`: of a leader, None in any other role.
-    - `commit_index`, `applied_index`: the entries up to there are committed, and handed out as `Applied`.
+    - `commit_index`, `applied_index`: log indexes up to which entries are committed, and were emitted as `Applied`.
 
     :param membership: who votes before any entry; None for a member that learns it from the log.
     """
@@ -62,7 +62,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member is one of them."""
+        """Whether this member votes by the newest membership known."""
         return self.identity in self.all_voters
 
     def remember(self, term: int, voted_for: str, leader: str) -> None:
@@ -73,7 +73,7 @@
             self.effects.persist_hard_state(hard_state)
 
     def commit(self, index: int) -> None:
-        """Take in that the entries up to `index` are committed, and hand out those that are new."""
+        """Take in that the entries up to `index` are committed, and emit `Applied` for those that are new."""
         if index <= self.commit_index:
             return
         self.commit_index = index
@@ -82,6 +82,6 @@
             self.effects.emit(Applied(self.log.entry(self.applied_index)))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Begin anew at a snapshot, which covers more than is committed here."""
+        """Replace the log by a snapshot, which covers more than is committed here."""
         self.log.install(snapshot)
         self.commit_index = self.applied_index = snapshot.index
--- a/kestrelplank/consensus/membership_planning.py
+++ b/kestrelplank/consensus/membership_planning.py
@@ -1,8 +1,8 @@
 """Which membership a leader should propose: the policy for replacing, adding and dropping voters.
 
-Pure: the leader's side says what it knows of each member, `plan_membership` returns the joint membership to propose, or
-None. Once the joint one is committed, the new voters alone are the membership, and the change is over. The policy is
-asked only while the newest membership in the leader's log is committed.
+No I/O, no state: the caller, on the leader, says what it knows of each member, and `plan_membership` returns the joint
+membership to propose, or None. Once the joint one is committed, the new voters alone are the membership, and the change
+is over. The policy is asked only while the newest membership in the leader's log is committed.
 
 A leader never takes itself out while another voter can lead. `successor` says whom it should transfer leadership to
 first; the new leader then replaces the old one.
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownMember:
-    """What the leader knows of one running member, voter or not, itself included.
+    """What the leader knows of one member that is a voter or asks to be one, itself included.
 
     :param identity: address and incarnation.
     :param zone: failure domain; "": unknown.
@@ -49,7 +49,7 @@
 
 
 class Condition(IntEnum):
-    """Why a voter should be replaced, least urgent first."""
+    """Why a voter should be replaced. The order is that of urgency, the least urgent first, and is compared."""
 
     HEALTHY = 0
     INELIGIBLE = 1
@@ -63,7 +63,7 @@
 ) -> Membership | None:
     """Return the joint membership that the leader should propose.
 
-    None: nothing is to be changed, a change is under way, or too few voters are in touch to complete one.
+    None: nothing is to be changed, a change is under way, or too few voters are reachable to complete one.
 
     :param membership: the present one, which is committed.
     :param leader: identity of the leader, which asks.
@@ -84,7 +84,9 @@
 
 
 def finish(membership: Membership) -> Membership:
-    """Return the membership that ends a change, to be proposed once the joint one is committed.
+    """Return the membership that ends a change, with the zones of its voters only.
+
+    For tests of the policy: in operation `Leadership` appends the end of a change, and keeps all zones.
 
     :raises NotJointError: `membership` is not joint.
     """
@@ -102,6 +104,8 @@
 
     It hands over when it is leaving; when a change that it is no voter of awaits its end; and when it is not eligible
     while a standby could replace it. The successor is a voter that stays, has answered lately and is caught up.
+
+    `ConsensusNode.transfer_leadership` chooses by the length of the logs, so it may take another than the one returned.
     """
     members = _Members(now, membership, known_members, leader)
     if not members.leader_should_hand_over():
@@ -135,6 +139,7 @@
         return identity == self._leader
 
     def zone(self, identity: str) -> str:
+        """Return the failure domain that the member gave, else the one in the membership; "": unknown."""
         member = self._known.get(identity)
         if member is not None and member.zone:
             return member.zone
@@ -145,7 +150,7 @@
         return self.zone(identity), identity
 
     def condition(self, voter: str) -> Condition:
-        """Return why `voter` should be replaced. The leader is sound; `successor` looks after it."""
+        """Return why `voter` should be replaced. The leader never is; `successor` says whether it should hand over."""
         if voter == self._leader:
             return Condition.HEALTHY
         if self._identity_at.get(address_of(voter), voter) != voter:
@@ -162,16 +167,17 @@
         return Condition.HEALTHY
 
     def should_be_replaced(self, voter: str) -> bool:
+        """Whether a standby should take the place of `voter`."""
         if self.is_leader(voter):
             return self._leaves_no_voter_to_lead()
         return self.condition(voter) is not Condition.HEALTHY
 
     def _leaves_no_voter_to_lead(self) -> bool:
-        """Whether the leader is to hand over and is the one voter, so that nobody could take over."""
+        """Whether the leader should hand over and is the only voter, so that a standby must become a voter first."""
         return self._membership.voters == (self._leader,) and self.leader_should_hand_over()
 
     def reachable(self) -> frozenset[str]:
-        """Return the leader and all running members that are not silent."""
+        """Return the leader and all others that have replied lately and whose disk is not lost."""
         heard = [
             identity
             for identity in self._known
@@ -191,6 +197,7 @@
         )
 
     def may_lead(self, voter: str) -> bool:
+        """Whether leadership may be transferred to `voter`: by the same conditions as a new voter's."""
         return voter in self._known and self.may_vote(voter)
 
     def standbys(self) -> list[str]:
@@ -200,6 +207,7 @@
         return sorted(able, key=self.order)
 
     def leader_should_hand_over(self) -> bool:
+        """Whether the leader is no voter, is leaving, or is not eligible while a standby could replace it."""
         if self._leader not in self._membership.voters:
             return True
         member = self._known.get(self._leader)
--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -1,4 +1,4 @@
-"""One member's part in the replicated log. No I/O: each call returns effects, which an adapter carries out in order.
+"""One member of the replicated log. No I/O: each call returns effects, which an adapter carries out in order.
 
 Sources: D. Ongaro and J. Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014); D. Ongaro,
 *Consensus: Bridging Theory and Practice* (2014); C. Gray and D. Cheriton, *Leases* (1989). Where this departs from
@@ -52,7 +52,7 @@
       `test_a_leader_frozen_before_it_heard_of_its_first_entry_is_not_elected_by_old_answers`.
     - Messages that were held up make no follower current:
       `test_a_member_frozen_with_the_leaders_message_in_its_queue_is_not_current_by_it`.
-    - One change of membership at a time, which begins with all who vote:
+    - One change of membership at a time, which leads from all present voters:
       `test_a_change_of_membership_that_does_not_begin_with_all_voters_is_refused`.
     - Who is no voter is sent only what is committed:
       `test_a_member_that_is_no_voter_any_more_is_sent_only_what_is_committed`.
@@ -85,7 +85,7 @@
         self._leadership: Leadership | None = None
         self._election.schedule_campaign(now)
 
-    # What can be asked.
+    # The state, for adapters and status.
 
     @property
     def identity(self) -> str:
@@ -144,7 +144,7 @@
 
     @property
     def applied_index(self) -> int:
-        """Log index up to which entries were handed out as `Applied` or in `Restored`."""
+        """Log index up to which entries were emitted as `Applied` or covered by `Restored`."""
         return self._state.applied_index
 
     @property
@@ -188,7 +188,7 @@
         return self._follower.contact.current(now, self._state.applied_index)
 
     def catch_up_state(self, now: int) -> CatchUpState:
-        """Return how far this member has what is agreed."""
+        """Return how far this member has caught up with the committed log."""
         if self.current(now):
             return CatchUpState.CURRENT
         if self._follower.incoming_snapshot is not None:
@@ -198,7 +198,7 @@
         has_all = self._follower.contact.has_all(self._state.applied_index)
         return CatchUpState.FOLLOWING if has_all else CatchUpState.BEHIND
 
-    # What comes in.
+    # Events; each returns the effects to carry out.
 
     def receive(self, now: int, sender: str, message: ConsensusMessage) -> list[Effect]:
         """Take in a message of another member."""
@@ -226,11 +226,11 @@
 
     def persisted(self, now: int, number: int) -> list[Effect]:
         """Take in that the `Persist` with that number is durable, and all before it."""
-        for held in self._state.effects.complete(number):
-            if held.to == self._state.identity:
-                self._dispatch(now, held.to, held.message)  # our own vote, which counts from now on
+        for send in self._state.effects.complete(number):
+            if send.to == self._state.identity:
+                self._dispatch(now, send.to, send.message)  # our own vote, which counts from now on
             else:
-                self._state.effects.emit(held)
+                self._state.effects.emit(send)
         if self._leadership is not None:
             self._leadership.advance_commit(now)
         return self._state.effects.take_effects()
@@ -259,12 +259,12 @@
             self._leadership.replication.remove_learner(identity)
 
     def transfer_leadership(self, now: int) -> list[Effect]:
-        """Give up leading, and ask the voter that has most of the log to campaign at once."""
+        """Hand leadership over as an adapter asks for it; nothing where this member does not lead."""
         self.hand_over(now)
         return self._state.effects.take_effects()
 
     def stop_campaigning(self) -> None:
-        """Take in that this member is about to stop: it is no candidate any more."""
+        """Take in that this member is about to stop: it begins no campaign any more."""
         self._election.may_campaign = False
 
     # Messages.
@@ -299,7 +299,10 @@
             leadership.handle_snapshot_reply(now, sender, reply)
 
     def _leadership_of(self, now: int, term: int) -> Leadership | None:
-        """Return the leadership that a reply of that term is for; None where this member does not lead that term."""
+        """Return the leadership that a reply of that term is for; None where this member does not lead that term.
+
+        Where the term is newer than ours, adopt it first.
+        """
         if term > self._state.term:
             self.adopt_term(now, term)
         return self._leadership if term == self._state.term else None
@@ -318,9 +321,9 @@
         self._leadership.begin(now)
 
     def step_down(self, now: int, leader: str) -> None:
-        """Follow from now on.
+        """Become a follower; emit `Deposed` where this member was elected.
 
-        :param leader: whom; "": not known yet.
+        :param leader: identity of the leader to follow; "": not known yet.
         """
         state = self._state
         if state.lease is not None and state.lease.elected:
@@ -336,7 +339,7 @@
         self._state.remember(term, voted_for, "")
 
     def hand_over(self, now: int) -> None:
-        """Give up leading, and ask the voter that has most of the log to campaign at once."""
+        """Step down, and ask the voter that has most of the log to campaign at once; nothing where it does not lead."""
         state = self._state
         if self._leadership is None:
             return
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -35,7 +35,7 @@
     - `log_matches`: whether its log is known to match ours up to `next_index - 1`. Until then it is sent no entries,
       only asked for an index to go on from.
     - `heard_at`: when it last replied; 0: never in this term.
-    - `answered_round_begun_at`: when the newest heartbeat round was begun that it has answered; 0: none.
+    - `answered_round_begun_at`: when the newest heartbeat round that it has answered was begun; 0: none.
     - `nonce`: its newest one, to be echoed.
     - `outgoing_snapshot`: the snapshot that it is being sent, if any.
 
@@ -82,13 +82,14 @@
             self._go_back(reply.match_index)
 
     def _go_back(self, likely_match_index: int) -> None:
-        """Go back: what is known to match stays, as a refusal may be late."""
+        """Go back to an index up to which the logs may match, not below `match_index`, as the reply may be late."""
         self.log_matches = False
         self.next_index = max(self.match_index, likely_match_index) + 1
         self._in_flight.clear()
         self._bytes_in_flight = 0
 
     def _advance(self, now: int, match_index: int) -> None:
+        """Take in that the logs match up to `match_index`, which ends entries and a snapshot in flight up to there."""
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
         if self.outgoing_snapshot is not None and self.match_index >= self.outgoing_snapshot.index:
@@ -100,6 +101,7 @@
             self._adapt_window(now - confirmed.sent_at)
 
     def _adapt_window(self, confirmed_after_ns: int) -> None:
+        """Widen the window of bytes in flight where entries are confirmed fast, narrow it where they are not."""
         if confirmed_after_ns < FAST_CONFIRMATION_NS:
             self._window_bytes = min(2 * self._window_bytes, MAX_WINDOW_BYTES)
         elif confirmed_after_ns > SLOW_CONFIRMATION_NS:
@@ -139,9 +141,9 @@
         return True
 
     def drop_snapshot(self) -> None:
-        """Forget the snapshot in flight: once the follower is back it may need a newer one.
+        """Forget the snapshot that is being sent: once the follower is back it may need a newer one.
 
-        The follower keeps what it has, so the same snapshot goes on where it broke off.
+        The follower keeps the chunks that it has, so a transfer of the same snapshot goes on where it broke off.
         """
         self.outgoing_snapshot = None
         self._chunk_retry_at, self._chunk_retry_ns = 0, CHUNK_RETRY_INTERVAL_NS
--- a/kestrelplank/consensus/replication.py
+++ b/kestrelplank/consensus/replication.py
@@ -15,7 +15,7 @@
     """The replication of the leader's log in one term.
 
     - `peers`: the progress of each other member that is sent the log, by identity.
-    - `learners`: those of them that do not vote, in order; the values are None.
+    - `learners`: those of them that do not vote, as an ordered set (the values are None).
 
     A learner is sent only what is committed: a log that is newer than those of all who may lead would keep it from
     voting for them once it is a voter.
@@ -48,6 +48,7 @@
         self._update_peers()
 
     def _update_peers(self) -> None:
+        """Keep a `Progress` of each other voter and each learner, and begin one for those that are new."""
         identities = dict.fromkeys((*self._state.all_voters, *self.learners))
         identities.pop(self._state.identity, None)
         next_index = self._state.log.last_index + 1
@@ -56,12 +57,12 @@
     # What is sent.
 
     def send_heartbeats(self, now: int) -> None:
-        """Ask each for an answer in the heartbeat round that was begun."""
+        """Send each a heartbeat of the round that was just begun."""
         for identity, peer in self.peers.items():
             self._send_heartbeat(now, identity, peer)
 
     def send_new_entries(self, now: int) -> None:
-        """Send entries to each that may be sent more."""
+        """Send new entries to each peer whose log matches, as far as they may be in flight."""
         for identity, peer in self.peers.items():
             if peer.log_matches:
                 self._send_entries(now, identity, peer)
@@ -74,6 +75,7 @@
         if reply.success or self._needs_snapshot(peer):
             self._send_entries(now, sender, peer)
         elif peer.next_index < next_index_before:
+            # Ask about the lower index. A refusal that leads no lower is not answered: the next heartbeat asks again.
             self._send_append(now, sender, peer, ())
 
     def handle_snapshot_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
@@ -83,10 +85,14 @@
             self._send_chunk(now, sender, peer)
 
     def _send_heartbeat(self, now: int, identity: str, peer: Progress) -> None:
-        """Ask the follower to answer; if entries were lost on the way, it refuses, as its log ends before ours."""
+        """Ask the follower to answer, and send the snapshot on where it needs one.
+
+        If entries were lost on the way the follower refuses the heartbeat, as its log ends before `next_index`.
+        """
         if not self._needs_snapshot(peer):
             self._send_append(now, identity, peer, ())
             return
+        # What the entry before `next_index` is, is not known any more: `previous_index` 0 asks nothing about the log.
         self._state.effects.send(identity, self._append(now, peer, 0, 0, ()))
         if peer.silent(now):
             peer.drop_snapshot()
@@ -94,6 +100,7 @@
             self._send_chunk(now, identity, peer)
 
     def _needs_snapshot(self, peer: Progress) -> bool:
+        """Whether the peer is being sent a snapshot, or lacks entries that are not in memory any more."""
         return peer.outgoing_snapshot is not None or self._state.log.term_at(peer.next_index - 1) is None
 
     def _send_entries(self, now: int, identity: str, peer: Progress) -> None:
@@ -110,6 +117,7 @@
             peer.entries_sent(now, entries)
 
     def _last_index_for(self, identity: str) -> int:
+        """Return the log index up to which that peer is sent entries: a learner has only what is committed."""
         state = self._state
         return state.log.last_index if identity in state.all_voters else state.commit_index
 
@@ -135,7 +143,7 @@
         )
 
     def _send_chunk(self, now: int, identity: str, peer: Progress) -> None:
-        """Send the next chunk of the snapshot in flight, or the first one of the newest where none is."""
+        """Send the next chunk of the snapshot that the peer is being sent; with none under way, begin the newest."""
         state = self._state
         if peer.outgoing_snapshot is None:
             if state.log.snapshot is None:
--- a/kestrelplank/consensus/roles.py
+++ b/kestrelplank/consensus/roles.py
@@ -25,12 +25,12 @@
 
 
 class CatchUpState(StrEnum):
-    """How far a member has what is agreed; the values are shown to operators."""
+    """How far a member has caught up with the committed log; the values are shown to operators."""
 
     EMPTY = "empty"  # no entry, no snapshot
     BEHIND = "behind"  # the leader said that more is committed
     RECEIVING_SNAPSHOT = "receiving snapshot"
-    FOLLOWING = "following"  # all that the leader last said is committed, but that is not fresh
+    FOLLOWING = "following"  # has applied all that the leader last named as committed, which may be out of date
     CURRENT = "current"  # as `ConsensusNode.current` says
 
 
@@ -41,13 +41,13 @@
         """Lead the current term, for which a quorum has voted."""
 
     def step_down(self, now: int, leader: str) -> None:
-        """Follow from now on.
+        """Become a follower; emit `Deposed` where this member was elected.
 
-        :param leader: whom; "": not known yet.
+        :param leader: identity of the leader to follow; "": not known yet.
         """
 
     def adopt_term(self, now: int, term: int, voted_for: str = "") -> None:
         """Step down into a newer term, whose leader is not known yet, and remember the vote that was given in it."""
 
     def hand_over(self, now: int) -> None:
-        """Give up leading, and ask the voter that has most of the log to campaign at once."""
+        """Step down, and ask the voter that has most of the log to campaign at once; nothing where it does not lead."""
--- a/kestrelplank/consensus/snapshots.py
+++ b/kestrelplank/consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots on their way from the leader to a follower: in chunks, with a checksum of the whole, never half applied.
+"""Snapshots on their way from the leader to a follower: in chunks, installed complete or not at all.
 
 A follower keeps what it has of a snapshot while the checksum stays the same. So a transfer goes on where it broke off,
 also from another leader that has made the same snapshot.
@@ -19,7 +19,7 @@
 
 
 def checksum(data: bytes) -> bytes:
-    """Return what tells one snapshot's bytes from another's."""
+    """Return the checksum that identifies an encoded snapshot."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
@@ -40,7 +40,8 @@
     def confirm(self, digest: bytes, offset: int) -> bool:
         """Take in that the follower has all bytes before `offset` of the snapshot with that digest.
 
-        Return whether the follower has advanced and lacks more.
+        Return whether the next chunk is to be sent: `offset` has changed, and the follower lacks more. It may have gone
+        back, as a follower that restarted has none of the chunks.
         """
         if digest != self.digest or offset == self.offset or offset > len(self.data):
             return False
@@ -49,7 +50,7 @@
 
 
 class IncomingSnapshot:
-    """What a follower has of a snapshot.
+    """A snapshot that a follower has the first bytes of, or all.
 
     :param digest: checksum of the complete encoded snapshot.
     :param size_bytes: of the complete encoded snapshot.
--- a/kestrelplank/storage/entries.py
+++ b/kestrelplank/storage/entries.py
@@ -1,4 +1,4 @@
-"""How writes of entries add up: later ones replace those of the same index and all behind it."""
+"""Merging of writes: a later entry replaces that of the same index and all entries behind it."""
 
 from collections.abc import Sequence
 
@@ -8,9 +8,11 @@
 
 
 def merge_persists(persists: Sequence[Persist], snapshot_index: int) -> Persist:
-    """Return one Persist with the effect of all these in order. Entries that a snapshot contains are dropped.
+    """Return one Persist with the effect of all these in order. Entries that a snapshot covers are dropped.
 
-    :param snapshot_index: index of the snapshot held before them, 0 where there is none.
+    Its number is 0 and means nothing.
+
+    :param snapshot_index: index of the snapshot on disk before them, 0 where there is none.
     :raises MissingEntryError: entries do not follow each other.
     """
     hard_state: HardState | None = None
@@ -39,14 +41,14 @@
 
 
 def entries_after(index: int, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-    """Return those entries that a snapshot at `index` does not contain."""
+    """Return those entries that a snapshot at `index` does not cover."""
     if not entries or entries[0].index > index:
         return entries
     return tuple(entry for entry in entries if entry.index > index)
 
 
 def check_contiguous(entries: Sequence[Entry], last_index: int) -> None:
-    """Check that no index is missing between `last_index` and the first entry.
+    """Check that no index is missing between `last_index` and the first entry; later entries are not looked at.
 
     :raises MissingEntryError: one is.
     """
--- a/kestrelplank/storage/errors.py
+++ b/kestrelplank/storage/errors.py
@@ -1,4 +1,4 @@
-"""What goes wrong with a member's log file."""
+"""Errors of a member's log file, by what went wrong."""
 
 
 class StorageError(Exception):
@@ -28,7 +28,7 @@
 
 
 class OtherIncarnationError(StorageError, ValueError):
-    """The disk has the incarnation of another member already."""
+    """The disk keeps the incarnation of another member already."""
 
     def __init__(self, kept: str, given: str) -> None:
         super().__init__(f"this disk is {kept}'s, not {given}'s")
--- a/kestrelplank/storage/files.py
+++ b/kestrelplank/storage/files.py
@@ -1,4 +1,4 @@
-"""Calls to the file system that a log file is made of; all block, and raise OSError where the disk refuses."""
+"""Operations on files that the log file is built from. All block, and raise OSError where the disk refuses."""
 
 import logging
 import os
@@ -58,7 +58,7 @@
 
 
 def remove_if_possible(path: Path) -> None:
-    """Remove a temporary file if the disk lets it; the next start does otherwise."""
+    """Remove a temporary file; where the disk refuses, the next start removes it (`remove_leftovers`)."""
     try:
         path.unlink()
     except OSError as err:
--- a/kestrelplank/storage/frames.py
+++ b/kestrelplank/storage/frames.py
@@ -18,11 +18,11 @@
 CHECKSUMMED_HEADER = struct.Struct(">QI")
 CHECKSUM_BYTES = 16
 SALT_BYTES = 16
-HEAD_SALT = b""  # of the first frame, which contains the salt of all others
+HEAD_SALT = b""  # of the first frame, which contains the salt of all others: its checksum is not keyed
 
 
 class Frame(NamedTuple):
-    """An intact frame, and the offsets of its first byte and of the byte behind it."""
+    """The body of an intact frame, and the offsets of the frame's first byte and of the byte behind it."""
 
     start: int
     end: int
@@ -69,7 +69,7 @@
 
 
 def frames_after(data: bytes, salt: bytes, head: Frame) -> Iterator[Frame]:
-    """Yield the frames behind the first one, up to one at the end that is torn.
+    """Yield the intact frames behind the first one, up to the end or a last one that is torn.
 
     :raises CorruptLogError: a frame is not intact and an intact one follows, so something synced is missing.
     """
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -1,11 +1,11 @@
 """A member's durable state: one file that is appended to, and replaced when the log is compacted.
 
-    log                             what the member believes after a start
+    log                             the member's incarnation, hard state, snapshot and entries
     configuration-<version>.json    plain copies for operators (`readable_copies`), never read here
 
-`log` is a row of frames (`frames`). The first, the head, has the member's incarnation, hard state, snapshot and entries
-as they were when the file was made; each later one has one batch: a hard state, entries, or both (`records`). What a
-start makes of them, and of a file that is torn or damaged, is in `recovery`. No `log` at all is an empty disk: the
+`log` is a sequence of frames (`frames`). The first, the head, has the member's incarnation, hard state, snapshot and
+entries as they were when the file was made; each later one has one batch: a hard state, entries, or both (`records`).
+How a start reads them, and a file that is torn or damaged, is in `recovery`. No `log` at all is an empty disk: the
 member draws an incarnation and keeps it.
 """
 
@@ -49,12 +49,12 @@
 
     `load` comes first, then, where it found no incarnation, `keep_incarnation`, then `write`. All calls block, and
     raise OSError where the disk refuses: an adapter makes them in a thread of its own, one at a time. The file grows
-    with each batch; its owner compares `size_bytes` with a bound and writes a snapshot when that is exceeded. The
-    folder then holds at most the bound, one batch, and two files while one takes the other's place.
+    with each batch; its owner compares `size_bytes` with a bound and writes a snapshot when that is exceeded. So the
+    file is at most a batch larger than the bound; while a new file replaces it, the folder has both.
 
     Invariants, each with the test in `tests/storage/` that holds it:
 
-    - A write is durable as a whole or not at all, wherever power is lost
+    - A write is durable completely or not at all, wherever power is lost
       (`test_power_lost_at_each_call_of_a_write_leaves_all_of_it_or_none`), and after a refusal too
       (`test_power_lost_after_a_refusal_leaves_all_or_none`).
     - A batch is one write and one sync, however many `Persist` it joins
@@ -110,13 +110,13 @@
             raise OtherIncarnationError(self._incarnation, incarnation)
         if self._incarnation is None:
             self._replace(incarnation, LoadedLog(incarnation))
-        self._finish_replacing()
+        self._finish_replacing()  # also where a call before made the file, and failed to sync its name
 
     def write(self, persists: Sequence[Persist]) -> None:
         """Make all of these durable, or none.
 
         :raises OSError: the disk refuses; the next call must begin with the same ones.
-        :raises MissingEntryError: entries do not follow what is held.
+        :raises MissingEntryError: the entries do not follow those on disk.
         :raises NoIncarnationError: no incarnation is kept yet.
         """
         if self._incarnation is None:
@@ -167,12 +167,12 @@
         """
         if last_frame.start > 0:
             write_at(self._fd, data[last_frame.start : last_frame.end], last_frame.start)
-        os.ftruncate(self._fd, last_frame.end + 1)
+        os.ftruncate(self._fd, last_frame.end + 1)  # another length, so that the cut below is a change to be synced
         truncate_durably(self._fd, last_frame.end)
         sync_directory(str(self.folder))
 
     def _set_content(self, loaded: LoadedLog, salt: bytes, size_bytes: int, frame_count: int) -> None:
-        """Take what the open file contains as what is held."""
+        """Take note of what the open file contains, so that batches can be appended to it."""
         self._incarnation, self._hard_state, self._salt = loaded.incarnation, loaded.hard_state, salt
         self._first_index, self._last_index = loaded.first_index, loaded.last_index
         self.size_bytes, self.frame_count = size_bytes, frame_count
@@ -200,15 +200,15 @@
             self._last_index = batch.entries[-1].index
 
     def _cut_tail(self) -> None:
-        """Remove what a refused write may have left.
+        """Cut off what a refused write may have left.
 
-        After a failed sync the system may take for written what is not, so none of it is believed.
+        After a failed sync the system may hold pages for written that are not on disk, so the frame can't be kept.
         """
         truncate_durably(self._fd, self.size_bytes)
         self._tail_cut_due = False
 
     def _cut_tail_if_possible(self) -> None:
-        """Remove it now where the disk lets it; else the next write does it first."""
+        """Cut it off now where the disk lets us; else the next write does so first."""
         try:
             self._cut_tail()
         except OSError as err:
@@ -219,7 +219,7 @@
 
         By length and not by inode: some file systems number an open file and its name apart.
 
-        :raises LogReplacedError: it is not.
+        :raises LogReplacedError: it is another file.
         """
         if self.path.stat().st_size != self.size_bytes:
             raise LogReplacedError(errno.ESTALE, "the log was moved or replaced", str(self.path))
--- a/kestrelplank/storage/records.py
+++ b/kestrelplank/storage/records.py
@@ -1,6 +1,6 @@
-"""What the frames of a log file contain, in msgpack: a head, then batches.
+"""The bodies of a log file's frames, in msgpack: a head, then batches.
 
-The order of fields is what bytes on disks mean. A change of it needs another `FORMAT_VERSION`.
+The order of fields decides the bytes on disk. A change of it needs another `FORMAT_VERSION`.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
-    """The first frame's body: what the member believed when the file was made.
+    """The first frame's body: the member's complete durable state when the file was made.
 
     `format_version` comes first in every release.
     """
@@ -29,7 +29,7 @@
 
 
 class FormatVersionOnly(msgspec.Struct, frozen=True, array_like=True):
-    """What is read of a head of any format; the rest is passed over."""
+    """The first field of a head of any format; the others are not decoded."""
 
     format_version: int
 
@@ -43,7 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedLog:
-    """What a member's disk holds. `incarnation` None: nothing, or nothing that may be believed."""
+    """What a start finds on a member's disk.
+
+    :param incarnation: None for a disk that is empty, or counts as empty because its file is damaged.
+    """
 
     incarnation: str | None = None
     hard_state: HardState = HardState()
--- a/kestrelplank/storage/recovery.py
+++ b/kestrelplank/storage/recovery.py
@@ -1,6 +1,6 @@
-"""What the bytes of a log file mean at a start.
+"""Recovery of a log file's content from its bytes, at a start.
 
-- A last frame that is torn: a batch that power was lost in. It was never acknowledged, and is cut off.
+- A last frame that is torn: power was lost while it was written. It was never acknowledged, and is cut off.
 - A torn frame with an intact one behind it, or a torn head: the disk lost what it had synced. Nothing that the member
   promised can be relied on, so the disk counts as empty, and the member takes a new identity.
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLog:
-    """The intact part of a log file, and what it adds up to."""
+    """The content of a log file, and what appending to it needs to know of its frames."""
 
     loaded: LoadedLog
     salt: bytes
@@ -27,7 +27,7 @@
 
 
 def recover(data: bytes) -> RecoveredLog:
-    """Read a log file's bytes.
+    """Return what a log file's bytes contain.
 
     :raises CorruptLogError: the disk lost what it had synced.
     :raises LogFormatError: another release wrote the file.
--- a/kestrelplank/transport/__init__.py
+++ b/kestrelplank/transport/__init__.py
@@ -1,1 +1,1 @@
-"""What our processes send each other: messages, frames over TCP, sessions, and what an edge machine learns."""
+"""What our processes send each other: messages, frames over TCP, sessions, and an edge machine's view."""
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -19,12 +19,12 @@
 from kestrelplank.transport.server_list import ServerList
 
 SESSION_TIMEOUT_NS = 1500 * MILLISECOND  # a session on which nothing comes for so long is ended and begun anew
-VOUCH_MAX_AGE_NS = SECOND  # a member is believed if it answers a heartbeat that was sent no longer ago
-SEED_FALLBACK_DELAY_NS = SECOND  # after the last message of any member, until seeds are dialled besides the members
+VOUCH_MAX_AGE_NS = SECOND  # a vouch counts only in answer to a heartbeat that was sent no longer ago
+SEED_FALLBACK_DELAY_NS = SECOND  # from the last message of any member until the seeds are dialled, too
 
 
 class Change(Enum):
-    """What a message has changed."""
+    """The part of the view that a message has changed."""
 
     CONFIGURATION = "configuration"
     KEY_RANGES = "key ranges"
@@ -35,11 +35,13 @@
 class EdgeView:
     """One edge machine's view: members, the configuration in force, servers, who holds which keys. No I/O.
 
-    All of it lives in memory only: whoever lacks it is sent it again in full.
+    All of it is in memory only: a process that starts again is sent it in full.
+
+    A current member *vouches* for the configuration held here when it confirms that none newer is in force.
 
     Invariants, each with the test in `tests/transport/test_edge_view.py` that holds it:
 
-    - Nothing goes back within a process's life: neither a configuration, nor key ranges, nor the membership
+    - While a process runs nothing goes back to an older version: neither configuration, nor key ranges, nor membership
       (`test_a_process_never_goes_back_to_older_state`, `test_newcomers_are_found_and_those_that_left_let_go_of`).
     - The machine is ready only once a current member of the newest membership has vouched, in answer to a recent
       heartbeat, for the very configuration held (`test_ready_is_who_holds_what_a_current_member_vouches_for`,
@@ -63,7 +65,7 @@
         self.servers = ServerList()
         self.edge_count = 1  # edge machines that share servers, this one included
         self._member_heard_at: int | None = None
-        self._vouched = False  # whether a current member has vouched for what is held here
+        self._vouched = False  # whether a current member has ever vouched for the configuration held here
 
     def receive(self, now: int, member: str, message: ToEdge) -> Change | None:
         """Take a message of the member at that address; return what has changed by it, if anything."""
@@ -94,13 +96,13 @@
         if changed:
             self.epoch, self.members = heartbeat.epoch, heartbeat.voters
         if member in self.members:
-            self._member_heard_at = now
+            self._member_heard_at = now  # `receive` did not, where this very heartbeat made it a member
             if self._vouches(now, heartbeat):
                 self._vouched = True
         return Change.MEMBERS if changed else None
 
     def _vouches(self, now: int, heartbeat: MemberHeartbeat) -> bool:
-        """Whether a member confirms by this that nothing newer than what is held here is in force."""
+        """Whether a member confirms by this that no newer configuration than the one held here is in force."""
         recent = now - heartbeat.heartbeat_sent_at <= VOUCH_MAX_AGE_NS
         if not (heartbeat.may_vouch and recent) or self.configuration is None:
             return False
@@ -120,6 +122,7 @@
         table = self.key_ranges.get(update.service)
         if table is not None and update.version <= table.version:
             return None
+        # Ranges that are leaving name no server; they replace what the record says of their keys.
         recorded = KeyRangeTable(update.version, update.key_ranges)
         self.key_ranges[update.service] = recorded.updated(update.version, update.leaving)
         return Change.KEY_RANGES
@@ -135,7 +138,7 @@
         return Change.SERVERS if self.servers.update(now, update.age_ns, update.entries) else None
 
     def heartbeat(self, now: int) -> EdgeHeartbeat:
-        """Return what this machine has; what it lacks is sent in answer."""
+        """Return the versions that this machine has; members answer with what it lacks."""
         return EdgeHeartbeat(
             self.name,
             self.configuration.key.version if self.configuration else None,
@@ -147,13 +150,13 @@
     def ready(self) -> bool:
         """Whether requests may be taken.
 
-        A current member of the newest membership has vouched for what is held here, and a list of servers has come.
-        Once it is so it stays so: what comes later is newer.
+        A current member of the newest membership has vouched for the configuration held here, and a list of servers has
+        come. Once ready it stays ready: what comes later is newer.
         """
         return self._vouched and self.servers.fetched_at is not None
 
     def addresses_to_dial(self, now: int) -> tuple[str, ...]:
-        """Return the control addresses that a session is wanted with."""
+        """Return the control addresses to have sessions with: the members, and the seeds too if no member is heard."""
         if self._member_heard_at is not None and now - self._member_heard_at < SEED_FALLBACK_DELAY_NS:
             return self.members
         return tuple(dict.fromkeys((*self.members, *self.seeds)))
--- a/kestrelplank/transport/key_range_table.py
+++ b/kestrelplank/transport/key_range_table.py
@@ -17,27 +17,27 @@
         self._first_keys = [key_range.first for key_range in key_ranges]
 
     def updated(self, version: KeyRangesVersion, changes: list[RangeHolder]) -> "KeyRangeTable":
-        """Return the table of that version, in which `changes` cover what was there.
+        """Return the table of that version, in which `changes` replace what was there for their keys.
 
         :param changes: in the order of their keys, none overlapping another.
         """
         result, remaining = [], changes[::-1]  # the next change last
         for key_range in self.key_ranges:
-            first = key_range.first
+            first = key_range.first  # of the keys of this range that no change before covers
             while remaining and remaining[-1].first <= key_range.last:
                 change = remaining[-1]
-                if first < change.first:
+                if first < change.first:  # the keys before the change stay as they were
                     result.append(RangeHolder(first, change.first - 1, key_range.server, key_range.address))
                 first = max(first, change.last + 1)
                 if change.last > key_range.last:
-                    break  # it covers what follows too
+                    break  # it reaches into the next range, and is appended there
                 result.append(remaining.pop())
             if first <= key_range.last:
                 result.append(RangeHolder(first, key_range.last, key_range.server, key_range.address))
         return KeyRangeTable(version, result + remaining[::-1])
 
     def holder_of(self, key: int) -> RangeHolder | None:
-        """Return the range that `key` is in, None where no server holds it."""
+        """Return the range that `key` is in; None where it is in none, or in one that no server holds."""
         index = bisect_right(self._first_keys, key) - 1
         if index < 0 or self.key_ranges[index].last < key or not self.key_ranges[index].server:
             return None
--- a/kestrelplank/transport/messages.py
+++ b/kestrelplank/transport/messages.py
@@ -19,11 +19,11 @@
 
 
 class KeyRangesVersion(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Which key ranges of a service are meant: the later version is the newer.
+    """The version of a service's key ranges. Versions are compared field by field; the greater is the newer.
 
     :param term: of the leader that recorded them.
     :param record: number of the record in that term.
-    :param notice: how many notices of leaving ranges the leader has sent on top of that record.
+    :param notice: how many times the leader has announced, since that record, that ranges are leaving their holders.
     """
 
     term: int = 0
@@ -47,11 +47,11 @@
 
 
 class EdgeHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="edge"):
-    """What an edge machine has, so that it is sent what it lacks.
+    """The versions that an edge machine has, so that it is sent what it lacks.
 
     :param edge: the machine's name.
-    :param configuration_version: of the configuration that it goes by, None: none yet.
-    :param key_ranges: the version that it has, by service.
+    :param configuration_version: of the configuration that it has in force, None: none yet.
+    :param key_ranges: the version of the key ranges that it has, by service.
     :param server_list_digest: of the list of servers that it has, None: none yet.
     :param sent_at: ns on its own steady clock, which the answer gives back.
     """
@@ -66,8 +66,8 @@
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="load"):
     """What an edge machine saw of a service since its last report.
 
-    :param keys: the keys asked for.
-    :param servers: by server the attempts, failures and load, as `sharding.placement` has them.
+    :param keys: the shard keys of the requests, one for each.
+    :param servers: by server, the numbers of a `sharding.attempt_window.ServerReport`.
     """
 
     service: str
@@ -83,11 +83,11 @@
 
     :param epoch: of the newest membership that is committed here.
     :param leader: control address of who leads in `term` as far as is known here, "": nobody.
-    :param may_vouch: whether the sender is current, so that `configuration_version` is the one in force.
+    :param may_vouch: whether the sender is current, so that its `configuration_version` is the one in force.
     :param configuration_version: None where there is no configuration yet.
-    :param voters: control addresses of the members of that membership.
+    :param voters: control addresses of the voters of that membership, on both sides of a change.
     :param edge_count: edge machines in session with the sender.
-    :param heartbeat_sent_at: `sent_at` of the heartbeat that this answers: so old is what is said here at most.
+    :param heartbeat_sent_at: `sent_at` of the heartbeat that this answers: nothing said here is older than that.
     """
 
     epoch: int
@@ -108,7 +108,7 @@
 
 
 class KeyRangesUpdate(msgspec.Struct, frozen=True, array_like=True, tag="lines"):
-    """All key ranges of a service as recorded, and those that are just leaving their holders."""
+    """All key ranges of a service as recorded in the log, and those that are being released by their holders since."""
 
     service: str
     version: KeyRangesVersion
@@ -117,7 +117,7 @@
 
 
 class KeyRangesDelta(msgspec.Struct, frozen=True, array_like=True, tag="changed"):
-    """What is other at `version` than it was at `base_version`; of use only to who has exactly that one."""
+    """The key ranges that changed from `base_version` to `version`; it applies to exactly that base version."""
 
     service: str
     base_version: KeyRangesVersion
@@ -135,8 +135,8 @@
     """A message of one control member to another.
 
     :param sender: the sender's identity.
-    :param receiver: the identity that it is for, "": whoever is at the address. A message for a former incarnation is
-        nobody's.
+    :param receiver: the identity that it is for, "": whoever is at the address. The receiver drops a message for a
+        former incarnation.
     """
 
     sender: str
@@ -157,16 +157,16 @@
 
 
 def decode_at_edge(body: bytes) -> ToEdge:
-    """Return a message for an edge machine.
+    """Return the message for an edge machine that `body` encodes.
 
-    :raises ValueError: it is none.
+    :raises ValueError: it encodes none.
     """
     return _edge_decoder.decode(body)
 
 
 def decode_at_member(body: bytes) -> ToMember:
-    """Return a message for a control member.
+    """Return the message for a control member that `body` encodes.
 
-    :raises ValueError: it is none.
+    :raises ValueError: it encodes none.
     """
     return _member_decoder.decode(body)
--- a/kestrelplank/transport/server_list.py
+++ b/kestrelplank/transport/server_list.py
@@ -1,7 +1,7 @@
 """The platform's list of servers as our processes pass it on.
 
-Of two lists the newer is the one that was fetched later by the receiver's steady clock, as each message says how old
-its list is.
+Of two lists the newer is the one that was fetched later. Each message says how old its list is, so the receiver has the
+instant on its own steady clock.
 """
 
 from collections.abc import Iterable
@@ -13,8 +13,8 @@
 ServerRow = tuple[str, str, str, str, int, str, int]  # a `ListedServer` as it is on the wire
 
 
-# A server's state as the platform lists it; what is neither gets nothing new. Plain strings and no enum: they are
-# compared for each server of each list, and are on the wire.
+# A server's state as the platform lists it; one in any other state gets no new requests. Plain strings and no enum:
+# they are compared for each server of each list, and are on the wire.
 READY = "ready"
 DRAINING = "draining"
 
@@ -22,8 +22,8 @@
 class ListedServer(NamedTuple):
     """A server as listed.
 
-    :param state: `READY`, `DRAINING`, or another word of the platform's.
-    :param warm_up_ns: for which the server was still slow when the list was fetched.
+    :param state: `READY`, `DRAINING`, or another state of the platform's.
+    :param warm_up_ns: what was left of the server's warm-up when the list was fetched.
     """
 
     server: str
@@ -35,7 +35,7 @@
     warm_up_ns: int
 
 
-COMPARED_FIELDS = 6  # all before `warm_up_ns`: a list is no other for a server that has warmed up meanwhile
+COMPARED_FIELDS = 6  # all before `warm_up_ns`, which shrinks from list to list without being a change
 
 
 class ServerList:
@@ -52,12 +52,12 @@
     def __init__(self) -> None:
         self.entries: dict[str, ListedServer] = {}  # by server
         self.fetched_at: int | None = None
-        self.changed_at = 0  # when it last became another
+        self.changed_at = 0  # when the last list came that differed from the one before
         self._digest = 0
         self._draining: dict[str, None] = {}
 
     def update(self, now: int, age_ns: int, rows: Iterable[ServerRow | ListedServer]) -> bool:
-        """Take a complete list that is `age_ns` old; return whether anything is other than before."""
+        """Take a complete list that is `age_ns` old; return whether it differs from the one before."""
         fetched_at = now - age_ns
         if self.fetched_at is not None and fetched_at <= self.fetched_at:
             return False
@@ -73,7 +73,7 @@
         return changed
 
     def _with_drains(self, rows: Iterable[ServerRow | ListedServer]) -> dict[str, ListedServer]:
-        """Return the listed servers by name, draining where they ever were, and forget drains of those not listed."""
+        """Return the listed servers by name, those draining that were before; forget the drains of those not listed."""
         listed: dict[str, ListedServer] = {}
         for row in rows:
             entry = ListedServer(*row)
@@ -91,14 +91,14 @@
         return None if self.fetched_at is None else now - self.fetched_at
 
     def update_message(self, now: int) -> ServerListUpdate:
-        """Return the list as it is sent to others; only where one has come."""
+        """Return the list as it is sent to others. To be called only once one has come."""
         return ServerListUpdate(now - (self.fetched_at or 0), [entry[:] for entry in self.entries.values()])
 
     def digest(self) -> int:
-        """Return a short form of the list, by which another is known to have the same one."""
+        """Return a checksum of the list, by which one process knows whether another has the same list."""
         return self._digest
 
 
 def digest_of(entries: Iterable[ListedServer]) -> int:
-    """Return the digest of a list; it is on the wire, so what it is made of stays as it is."""
+    """Return the digest of a list. Processes compare it over the wire, so its input must not change."""
     return crc32(repr(sorted(entry[:COMPARED_FIELDS] for entry in entries)).encode())
--- a/kestrelplank/transport/sessions.py
+++ b/kestrelplank/transport/sessions.py
@@ -1,14 +1,14 @@
-"""Which connection speaks for which peer.
+"""Sessions of peers that dial us: which connection carries each peer's messages.
 
-A peer that dials anew has ended what it had before, be it because it was restarted or because its session timed out:
-what may still come on the old connection is of the past, and must not count after what the peer says now.
+A peer that dials anew has ended its former connection, as it was restarted or its session timed out. What still comes
+on the former connection is older than what the peer sends now, and must not count.
 """
 
 from typing import Generic, Protocol, TypeVar
 
 
 class Resettable(Protocol):
-    """A connection, as far as it matters here."""
+    """A connection that can be ended."""
 
     def reset(self) -> None:
         """End it at once."""
@@ -27,7 +27,7 @@
 
     def __init__(self, connection: Connection, heard_at: int) -> None:
         self.connection, self.heard_at = connection, heard_at
-        self.reported_version: int | None = None  # of the configuration that the peer says it goes by
+        self.reported_version: int | None = None  # of the configuration that the peer reports to have in force
 
     def silence_ns(self, now: int) -> int:
         """Return for how long nothing has come."""
@@ -50,9 +50,9 @@
         self._names: dict[Connection, str] = {}  # "" for a connection that has been replaced
 
     def on_message(self, now: int, connection: Connection, name: str) -> Session[Connection] | None:
-        """Take note that a connection has brought a message of that peer.
+        """Take note that a connection has brought a message of that peer, and begin a session with its first one.
 
-        Returns the peer's session, None where the message does not count.
+        Return the peer's session; None where the message does not count.
         """
         known_name = self._names.get(connection)
         session = self.by_name.get(name)
--- a/kestrelplank/transport/wire.py
+++ b/kestrelplank/transport/wire.py
@@ -2,7 +2,7 @@
 
     size of the body (4 bytes, big-endian, the highest bit set where the body is compressed), body (msgpack)
 
-Holds no state but the bytes under way.
+The only module of this package with I/O.
 """
 
 import asyncio
@@ -16,14 +16,14 @@
 HEADER_BYTES = 4
 COMPRESSED_FLAG = 1 << 31
 COMPRESSION_LEVEL = 1
-MIN_COMPRESSED_BYTES = 1500  # of a body before it is compressed: what fits one packet gains nothing
+MIN_COMPRESSED_BYTES = 1500  # a smaller body fits one packet, so it is not compressed
 MAX_BODY_BYTES = 32 << 20
-MAX_UNSENT_BYTES = 16 << 20  # that a peer may leave unread before it is dropped, as it would hold us up
+MAX_UNSENT_BYTES = 16 << 20  # a peer that leaves more unread is dropped: a bound on memory
 Message = TypeVar("Message")
 
 
 def encode_frame(message: ToEdge | ToMember) -> bytes:
-    """Return a message as it goes over the wire; made once, it may be sent to many."""
+    """Return a message as it goes over the wire; it is encoded once where it is sent to many."""
     body, flag = encode(message), 0
     if len(body) >= MIN_COMPRESSED_BYTES:
         body, flag = zlib.compress(body, COMPRESSION_LEVEL), COMPRESSED_FLAG
@@ -33,7 +33,7 @@
 def uncompressed_body(body: bytes, compressed: bool) -> bytes:
     """Return a frame's body as msgpack.
 
-    :raises ValueError: it is torn, or larger than any of ours.
+    :raises ValueError: it is truncated or no zlib data, or larger than `MAX_BODY_BYTES`.
     """
     if not compressed:
         return body
@@ -118,7 +118,7 @@
             self.reset()
 
     def reset(self) -> None:
-        """End it at once; bytes that the network holds up are lost."""
+        """End the connection at once with a TCP reset; bytes that were not delivered are lost."""
         if self.transport is not None:
             reset_on_close(self.transport.get_extra_info("socket"))
             self.transport.abort()
