--- a/kestrelplank/consensus/leadership.py
+++ b/kestrelplank/consensus/leadership.py
@@ -114,7 +114,7 @@
         peer = self.replication.peers.get(sender)
         if peer is None:
             return False
-        peer.heard(now, self._lease.round_begun_at(heartbeat_round))
+        peer.note_reply(now, self._lease.round_begun_at(heartbeat_round))
         return True
 
     def _append(self, now: int, command: Command) -> int:
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -56,7 +56,7 @@
         self._chunk_retry_at = 0
         self._chunk_retry_ns = CHUNK_RETRY_INTERVAL_NS
 
-    def heard(self, now: int, round_begun_at: int | None) -> None:
+    def note_reply(self, now: int, round_begun_at: int | None) -> None:
         """Take in that a reply has come.
 
         :param round_begun_at: when the heartbeat round was begun that it answers; None: it answers none that is known.
@@ -65,7 +65,7 @@
         if round_begun_at is not None:
             self.answered_round_begun_at = max(self.answered_round_begun_at, round_begun_at)
 
-    def silent(self, now: int) -> bool:
+    def timed_out(self, now: int) -> bool:
         """Whether it has not replied for a while, or never."""
         return now - self.heard_at > FOLLOWER_TIMEOUT_NS or self.heard_at == 0
 
--- a/kestrelplank/consensus/replication.py
+++ b/kestrelplank/consensus/replication.py
@@ -94,7 +94,7 @@
             return
         # What the entry before `next_index` is, is not known any more: `previous_index` 0 asks nothing about the log.
         self._state.effects.send(identity, self._append(now, peer, 0, 0, ()))
-        if peer.silent(now):
+        if peer.timed_out(now):
             peer.drop_snapshot()
         elif peer.outgoing_snapshot is None or peer.chunk_overdue(now):
             self._send_chunk(now, identity, peer)
--- a/kestrelplank/control/bootstrap.py
+++ b/kestrelplank/control/bootstrap.py
@@ -15,7 +15,7 @@
 from kestrelplank.control.member import ControlMember
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.state.control_state import ControlState
-from kestrelplank.storage.records import LoadedLog
+from kestrelplank.storage.records import LogContent
 
 INCARNATION_BITS = 64
 
@@ -23,7 +23,7 @@
 class DurableLog(Protocol):
     """A member's log on disk, as far as a start uses it."""
 
-    def load(self) -> LoadedLog:
+    def load(self) -> LogContent:
         """Return what the disk holds."""
         ...
 
@@ -64,7 +64,7 @@
 
 def initialize_log(
     random: Random, address: str, profile: MemberProfile, log: DurableLog, initial_boot: bool
-) -> LoadedLog:
+) -> LogContent:
     """Begin the log on an empty disk and return what it holds then.
 
     :raises OSError: the disk refuses.
@@ -72,8 +72,8 @@
     if not initial_boot or address not in profile.seeds:
         incarnation = f"{random.getrandbits(INCARNATION_BITS):016x}"
         log.keep_incarnation(incarnation)
-        return LoadedLog(incarnation)
+        return LogContent(incarnation)
     snapshot = Snapshot(0, 0, first_membership(profile.seeds), ControlState().snapshot())
     log.keep_incarnation(FIRST_INCARNATION)
     log.write([Persist(0, snapshot=snapshot)])
-    return LoadedLog(FIRST_INCARNATION, snapshot=snapshot)
+    return LogContent(FIRST_INCARNATION, snapshot=snapshot)
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -35,7 +35,7 @@
     write_at,
 )
 from kestrelplank.storage.frames import HEAD_SALT, SALT_BYTES, Frame, encode_frame
-from kestrelplank.storage.records import Batch, LoadedLog, encode_batch, encode_head
+from kestrelplank.storage.records import Batch, LogContent, encode_batch, encode_head
 from kestrelplank.storage.recovery import recover
 
 FILE_NAME = "log"
@@ -83,7 +83,7 @@
         self._last_index = 0
         make_folder(self.folder)
 
-    def load(self) -> LoadedLog:
+    def load(self) -> LogContent:
         """Read the disk, and make sure that what is returned is durable.
 
         :raises LogFormatError: another release wrote the file; nothing is removed then.
@@ -94,12 +94,12 @@
         try:
             return self._open()
         except FileNotFoundError:
-            return LoadedLog()
+            return LogContent()
         except CorruptLogError as err:
             log.warning("Storage: %s: %s; this disk counts as empty", self.path, err)
         self.close()
         self.path.unlink()  # should a loss of power bring it back, it is found corrupt again
-        return LoadedLog()
+        return LogContent()
 
     def keep_incarnation(self, incarnation: str) -> None:
         """Make this member's identity durable on an empty disk, with an empty log.
@@ -109,7 +109,7 @@
         if self._incarnation is not None and self._incarnation != incarnation:
             raise OtherIncarnationError(self._incarnation, incarnation)
         if self._incarnation is None:
-            self._replace(incarnation, LoadedLog(incarnation))
+            self._replace(incarnation, LogContent(incarnation))
         self._finish_replacing()  # also where a call before made the file, and failed to sync its name
 
     def write(self, persists: Sequence[Persist]) -> None:
@@ -126,7 +126,7 @@
         if merged.snapshot is not None:
             check_contiguous(merged.entries, merged.snapshot.index)
             hard_state = merged.hard_state or self._hard_state
-            compacted = LoadedLog(self._incarnation, hard_state, merged.snapshot, merged.entries)
+            compacted = LogContent(self._incarnation, hard_state, merged.snapshot, merged.entries)
             self._replace(self._incarnation, compacted)
             self._finish_replacing()
         elif merged.hard_state is not None or merged.entries:
@@ -145,7 +145,7 @@
 
     # Reading.
 
-    def _open(self) -> LoadedLog:
+    def _open(self) -> LogContent:
         """Read the file and make it ready to be appended to.
 
         :raises CorruptLogError: the disk lost what it had synced.
@@ -154,8 +154,8 @@
         data = read_all(self._fd)
         recovered = recover(data)
         self._make_durable(data, recovered.last_frame)
-        self._set_content(recovered.loaded, recovered.salt, recovered.last_frame.end, recovered.frame_count)
-        return recovered.loaded
+        self._set_content(recovered.content, recovered.salt, recovered.last_frame.end, recovered.frame_count)
+        return recovered.content
 
     def _make_durable(self, data: bytes, last_frame: Frame) -> None:
         """Make durable what was read, and cut off what is behind it.
@@ -171,10 +171,10 @@
         truncate_durably(self._fd, last_frame.end)
         sync_directory(str(self.folder))
 
-    def _set_content(self, loaded: LoadedLog, salt: bytes, size_bytes: int, frame_count: int) -> None:
+    def _set_content(self, content: LogContent, salt: bytes, size_bytes: int, frame_count: int) -> None:
         """Take note of what the open file contains, so that batches can be appended to it."""
-        self._incarnation, self._hard_state, self._salt = loaded.incarnation, loaded.hard_state, salt
-        self._first_index, self._last_index = loaded.first_index, loaded.last_index
+        self._incarnation, self._hard_state, self._salt = content.incarnation, content.hard_state, salt
+        self._first_index, self._last_index = content.first_index, content.last_index
         self.size_bytes, self.frame_count = size_bytes, frame_count
         self._tail_cut_due = False
 
@@ -226,16 +226,16 @@
 
     # Compaction.
 
-    def _replace(self, incarnation: str, loaded: LoadedLog) -> None:
+    def _replace(self, incarnation: str, content: LogContent) -> None:
         """Put a new file with this content in the place of the old one, complete or not at all.
 
         `_finish_replacing` must follow before anything in the new file counts as durable.
         """
         salt = os.urandom(SALT_BYTES)
-        head = encode_frame(HEAD_SALT, 0, encode_head(salt, incarnation, loaded))
+        head = encode_frame(HEAD_SALT, 0, encode_head(salt, incarnation, content))
         old_fd, self._fd = self._fd, replace_file(self.path, head, TEMPORARY_PREFIX)
         self._folder_sync_due = True
-        self._set_content(loaded, salt, len(head), 1)
+        self._set_content(content, salt, len(head), 1)
         if old_fd != NOT_OPEN:
             os.close(old_fd)
 
--- a/kestrelplank/storage/records.py
+++ b/kestrelplank/storage/records.py
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadedLog:
-    """What a start finds on a member's disk.
+class LogContent:
+    """The content of a log file: what a start finds on a member's disk, or what a new file is to hold.
 
     :param incarnation: None for a disk that is empty, or counts as empty because its file is damaged.
     """
@@ -64,9 +64,9 @@
         return self.entries[-1].index if self.entries else self.first_index - 1
 
 
-def encode_head(salt: bytes, incarnation: str, loaded: LoadedLog) -> bytes:
+def encode_head(salt: bytes, incarnation: str, content: LogContent) -> bytes:
     """Return the body of the first frame of a file that holds this."""
-    head = Head(FORMAT_VERSION, salt, incarnation, loaded.hard_state, loaded.snapshot, loaded.entries)
+    head = Head(FORMAT_VERSION, salt, incarnation, content.hard_state, content.snapshot, content.entries)
     return msgspec.msgpack.encode(head)
 
 
--- a/kestrelplank/storage/recovery.py
+++ b/kestrelplank/storage/recovery.py
@@ -13,14 +13,14 @@
 
 from kestrelplank.storage.entries import replace_from
 from kestrelplank.storage.frames import Frame, frames_after, head_frame
-from kestrelplank.storage.records import Batch, Head, LoadedLog, decode_batch, decode_head
+from kestrelplank.storage.records import Batch, Head, LogContent, decode_batch, decode_head
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLog:
     """The content of a log file, and what appending to it needs to know of its frames."""
 
-    loaded: LoadedLog
+    content: LogContent
     salt: bytes
     last_frame: Frame
     frame_count: int
@@ -35,15 +35,15 @@
     first_frame = head_frame(data)
     head = decode_head(first_frame)
     frames = [first_frame, *frames_after(data, head.salt, first_frame)]
-    loaded = replay(head, [decode_batch(frame) for frame in frames[1:]])
-    return RecoveredLog(loaded, head.salt, frames[-1], len(frames))
+    content = replay(head, [decode_batch(frame) for frame in frames[1:]])
+    return RecoveredLog(content, head.salt, frames[-1], len(frames))
 
 
-def replay(head: Head, batches: Sequence[Batch]) -> LoadedLog:
+def replay(head: Head, batches: Sequence[Batch]) -> LogContent:
     """Return what a file holds that begins with this head and has these batches in order."""
     hard_state = head.hard_state
     entries = list(head.entries)
     for batch in batches:
         hard_state = batch.hard_state or hard_state
         replace_from(entries, batch.entries)
-    return LoadedLog(head.incarnation, hard_state, head.snapshot, tuple(entries))
+    return LogContent(head.incarnation, hard_state, head.snapshot, tuple(entries))
--- a/tests/storage/memory.py
+++ b/tests/storage/memory.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.storage.errors import MissingEntryError, NoIncarnationError, OtherIncarnationError
-from kestrelplank.storage.records import LoadedLog
+from kestrelplank.storage.records import LogContent
 
 
 class MemoryLog:
@@ -25,14 +25,14 @@
         self._incarnation, self._written = None, []
 
     def load(self):
-        found = LoadedLog(self._incarnation)
+        found = LogContent(self._incarnation)
         for persist in self._written:
             entries = () if persist.snapshot else found.entries
             snapshot = persist.snapshot or found.snapshot
             new = [entry for entry in persist.entries if snapshot is None or entry.index > snapshot.index]
             if new:
                 entries = (*(entry for entry in entries if entry.index < new[0].index), *new)
-            found = LoadedLog(self._incarnation, persist.hard_state or found.hard_state, snapshot, entries)
+            found = LogContent(self._incarnation, persist.hard_state or found.hard_state, snapshot, entries)
         return found
 
     def keep_incarnation(self, incarnation):
--- a/tests/storage/scenario.py
+++ b/tests/storage/scenario.py
@@ -19,7 +19,7 @@
 from storage.power_loss import Disk, PowerLost, fill
 
 from kestrelplank.consensus.log_entries import ChangeMembership
-from kestrelplank.storage.records import LoadedLog
+from kestrelplank.storage.records import LogContent
 
 
 class Scenario:
@@ -72,11 +72,11 @@
 
 
 BEFORE = [persist(*entries(1, 4), term=1), persist(entry(5), term=2)]
-HELD = LoadedLog("first", TWO, None, entries(1, 5))
+HELD = LogContent("first", TWO, None, entries(1, 5))
 BIG = persist(entry(6, 2, CONFIGURATION), entry(7, 2, ChangeMembership(MEMBERS)), term=6)
-WITH_BIG = LoadedLog("first", SIX, None, HELD.entries + BIG.entries)
+WITH_BIG = LogContent("first", SIX, None, HELD.entries + BIG.entries)
 COMPACTION = persist(entry(5), snapshot=snapshot(4))
-COMPACTED = LoadedLog("first", TWO, snapshot(4), (entry(5),))
+COMPACTED = LogContent("first", TWO, snapshot(4), (entry(5),))
 
 
 def refuse_each_call(scenario, write, refusal, lasting=False):
--- a/tests/storage/test_log_contract.py
+++ b/tests/storage/test_log_contract.py
@@ -24,17 +24,17 @@
 from kestrelplank.consensus.log_entries import ChangeMembership, HardState, Noop
 from kestrelplank.storage.errors import MissingEntryError, NoIncarnationError, OtherIncarnationError
 from kestrelplank.storage.log_file import LogFile
-from kestrelplank.storage.records import LoadedLog
+from kestrelplank.storage.records import LogContent
 
 
 def test_an_empty_disk_holds_nothing(log):
-    assert log.load() == LoadedLog(None, HardState(), None, ())
+    assert log.load() == LogContent(None, HardState(), None, ())
 
 
 def test_nothing_is_written_before_the_incarnation(log):
     with pytest.raises(NoIncarnationError):
         log.write([persist(term=1)])
-    assert restarted(log)[1] == LoadedLog()
+    assert restarted(log)[1] == LogContent()
 
 
 def test_the_incarnation_is_kept_and_no_other_takes_its_place(log):
@@ -43,43 +43,43 @@
     with pytest.raises(OtherIncarnationError):
         log.keep_incarnation("77aa")
     log, loaded = restarted(log)
-    assert loaded == LoadedLog("5f2c")
+    assert loaded == LogContent("5f2c")
     with pytest.raises(OtherIncarnationError):
         log.keep_incarnation("77aa")
     log.write([persist(term=2)])
-    assert restarted(log)[1] == LoadedLog("5f2c", HardState(2, "a:2", "b:1"))
+    assert restarted(log)[1] == LogContent("5f2c", HardState(2, "a:2", "b:1"))
 
 
 CASES = [
-    ([], LoadedLog("i")),
-    ([Persist(1)], LoadedLog("i")),
-    ([persist(term=1)], LoadedLog("i", ONE)),
-    ([persist(term=1), persist(term=2)], LoadedLog("i", TWO)),
-    ([persist(*entries(1, 3))], LoadedLog("i", entries=entries(1, 3))),
-    ([persist(entry(1)), persist(entry(2)), persist(entry(3))], LoadedLog("i", entries=entries(1, 3))),
-    ([persist(entry(1), term=1), persist(entry(2), term=2)], LoadedLog("i", TWO, entries=entries(1, 2))),
+    ([], LogContent("i")),
+    ([Persist(1)], LogContent("i")),
+    ([persist(term=1)], LogContent("i", ONE)),
+    ([persist(term=1), persist(term=2)], LogContent("i", TWO)),
+    ([persist(*entries(1, 3))], LogContent("i", entries=entries(1, 3))),
+    ([persist(entry(1)), persist(entry(2)), persist(entry(3))], LogContent("i", entries=entries(1, 3))),
+    ([persist(entry(1), term=1), persist(entry(2), term=2)], LogContent("i", TWO, entries=entries(1, 2))),
     # entries replace those from the first one's index on
-    ([persist(*entries(1, 3)), persist(entry(2, 2))], LoadedLog("i", entries=(entry(1), entry(2, 2)))),
-    ([persist(*entries(1, 3)), persist(entry(1, 2))], LoadedLog("i", entries=(entry(1, 2),))),
-    ([persist(*entries(1, 3)), persist(*entries(3, 4, 2))], LoadedLog("i", entries=entries(1, 2) + entries(3, 4, 2))),
-    ([persist(*entries(1, 3)), persist(*entries(1, 3))], LoadedLog("i", entries=entries(1, 3))),
-    ([persist(*entries(1, 3)), persist(term=2), persist(entry(3, 2))], LoadedLog("i", TWO, entries=(*entries(1, 2), entry(3, 2)))),
+    ([persist(*entries(1, 3)), persist(entry(2, 2))], LogContent("i", entries=(entry(1), entry(2, 2)))),
+    ([persist(*entries(1, 3)), persist(entry(1, 2))], LogContent("i", entries=(entry(1, 2),))),
+    ([persist(*entries(1, 3)), persist(*entries(3, 4, 2))], LogContent("i", entries=entries(1, 2) + entries(3, 4, 2))),
+    ([persist(*entries(1, 3)), persist(*entries(1, 3))], LogContent("i", entries=entries(1, 3))),
+    ([persist(*entries(1, 3)), persist(term=2), persist(entry(3, 2))], LogContent("i", TWO, entries=(*entries(1, 2), entry(3, 2)))),
     # a snapshot replaces the whole log, and not the hard state
-    ([persist(snapshot=snapshot(9))], LoadedLog("i", snapshot=snapshot(9))),
-    ([persist(*entries(1, 9), term=2), persist(snapshot=snapshot(7))], LoadedLog("i", TWO, snapshot(7))),
-    ([persist(*entries(1, 9), term=2), persist(*entries(8, 9), snapshot=snapshot(7))], LoadedLog("i", TWO, snapshot(7), entries(8, 9))),
-    ([persist(*entries(1, 9), term=2), persist(entry(10), term=6, snapshot=snapshot(9))], LoadedLog("i", SIX, snapshot(9), (entry(10),))),
-    ([persist(snapshot=snapshot(9)), persist(*entries(10, 12)), persist(entry(11, 2))], LoadedLog("i", snapshot=snapshot(9), entries=(entry(10), entry(11, 2)))),
-    ([persist(snapshot=snapshot(9)), persist(snapshot=snapshot(20, 2)), persist(entry(21, 2))], LoadedLog("i", snapshot=snapshot(20, 2), entries=(entry(21, 2),))),
-    ([persist(term=2), persist(snapshot=snapshot(9)), persist(entry(10), term=6)], LoadedLog("i", SIX, snapshot(9), (entry(10),))),
+    ([persist(snapshot=snapshot(9))], LogContent("i", snapshot=snapshot(9))),
+    ([persist(*entries(1, 9), term=2), persist(snapshot=snapshot(7))], LogContent("i", TWO, snapshot(7))),
+    ([persist(*entries(1, 9), term=2), persist(*entries(8, 9), snapshot=snapshot(7))], LogContent("i", TWO, snapshot(7), entries(8, 9))),
+    ([persist(*entries(1, 9), term=2), persist(entry(10), term=6, snapshot=snapshot(9))], LogContent("i", SIX, snapshot(9), (entry(10),))),
+    ([persist(snapshot=snapshot(9)), persist(*entries(10, 12)), persist(entry(11, 2))], LogContent("i", snapshot=snapshot(9), entries=(entry(10), entry(11, 2)))),
+    ([persist(snapshot=snapshot(9)), persist(snapshot=snapshot(20, 2)), persist(entry(21, 2))], LogContent("i", snapshot=snapshot(20, 2), entries=(entry(21, 2),))),
+    ([persist(term=2), persist(snapshot=snapshot(9)), persist(entry(10), term=6)], LogContent("i", SIX, snapshot(9), (entry(10),))),
     # what a snapshot contains is passed over
-    ([persist(snapshot=snapshot(9)), persist(*entries(8, 11))], LoadedLog("i", snapshot=snapshot(9), entries=entries(10, 11))),
-    ([persist(snapshot=snapshot(9)), persist(entry(10)), persist(*entries(3, 5))], LoadedLog("i", snapshot=snapshot(9), entries=(entry(10),))),
-    ([persist(*entries(7, 11), snapshot=snapshot(9))], LoadedLog("i", snapshot=snapshot(9), entries=entries(10, 11))),
+    ([persist(snapshot=snapshot(9)), persist(*entries(8, 11))], LogContent("i", snapshot=snapshot(9), entries=entries(10, 11))),
+    ([persist(snapshot=snapshot(9)), persist(entry(10)), persist(*entries(3, 5))], LogContent("i", snapshot=snapshot(9), entries=(entry(10),))),
+    ([persist(*entries(7, 11), snapshot=snapshot(9))], LogContent("i", snapshot=snapshot(9), entries=entries(10, 11))),
     # every command
     (
         [persist(entry(1, 1, Noop()), entry(2, 1, CONFIGURATION), entry(3, 1, ChangeMembership(MEMBERS)))],
-        LoadedLog("i", entries=(entry(1, 1, Noop()), entry(2, 1, CONFIGURATION), entry(3, 1, ChangeMembership(MEMBERS)))),
+        LogContent("i", entries=(entry(1, 1, Noop()), entry(2, 1, CONFIGURATION), entry(3, 1, ChangeMembership(MEMBERS)))),
     ),
 ]  # fmt: skip
 
@@ -131,25 +131,25 @@
     log.keep_incarnation("i")
     log.write([persist(snapshot=snapshot(9))])
     log.write([persist(*entries(8, 11)), persist(entry(5)), persist(term=1)])
-    assert restarted(log)[1] == LoadedLog("i", ONE, snapshot(9), entries(10, 11))
+    assert restarted(log)[1] == LogContent("i", ONE, snapshot(9), entries(10, 11))
 
 
 def test_a_log_may_be_loaded_again(log):
     log.keep_incarnation("i")
     log.write([persist(*entries(1, 3))])
-    assert log.load() == log.load() == LoadedLog("i", entries=entries(1, 3))
+    assert log.load() == log.load() == LogContent("i", entries=entries(1, 3))
     log.write([persist(entry(4))])
     assert log.load().entries == entries(1, 4)
 
 
 def test_copies_are_not_believed(log):
     log.keep_copy(5, b"text")
-    assert restarted(log)[1] == LoadedLog()
+    assert restarted(log)[1] == LogContent()
 
 
 def random_persists(chance, count):
     """A history as a member's life makes it, and what it adds up to."""
-    held, made = LoadedLog("i"), []
+    held, made = LogContent("i"), []
     for _ in range(count):
         first = 1 + (held.snapshot.index if held.snapshot else 0)
         following = first + len(held.entries)
@@ -160,15 +160,15 @@
             at = chance.randrange(first, following)
             taken = snapshot(at, term)
             kept = tuple(one for one in held.entries if one.index > at) if chance.random() < 0.7 else ()
-            new, held = kept, LoadedLog("i", held.hard_state, taken, kept)
+            new, held = kept, LogContent("i", held.hard_state, taken, kept)
         else:
             start = chance.randrange(first, following + 1) if chance.random() < 0.2 else following
             new = entries(start, start + chance.randrange(4) - 1, term)
             if new:
-                held = LoadedLog(
+                held = LogContent(
                     "i", held.hard_state, held.snapshot, (*(one for one in held.entries if one.index < start), *new)
                 )
-        held = LoadedLog("i", hard_state or held.hard_state, held.snapshot, held.entries)
+        held = LogContent("i", hard_state or held.hard_state, held.snapshot, held.entries)
         made.append((Persist(0, hard_state, taken, new), held))
     return made  # fmt: skip
 
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize(
-    "keeps_refused, left", [(False, LoadedLog("i", ONE)), (True, LoadedLog("i", TWO, entries=(entry(1),)))]
+    "keeps_refused, left", [(False, LogContent("i", ONE)), (True, LogContent("i", TWO, entries=(entry(1),)))]
 )
 def test_a_log_in_memory_refuses_as_it_is_told(keeps_refused, left):
     log = MemoryLog()
@@ -206,6 +206,6 @@
         assert log.load() == left
     log.refusal = None
     log.write([persist(term=2), persist(entry(1)), persist(entry(2))])
-    assert log.load() == LoadedLog("i", TWO, entries=entries(1, 2))
+    assert log.load() == LogContent("i", TWO, entries=entries(1, 2))
     log.empty()
-    assert log.load() == LoadedLog()
+    assert log.load() == LogContent()
--- a/tests/storage/test_log_damage.py
+++ b/tests/storage/test_log_damage.py
@@ -10,7 +10,7 @@
 from kestrelplank.consensus.log_entries import PutRecord
 from kestrelplank.storage import frames, records
 from kestrelplank.storage.errors import LogFormatError
-from kestrelplank.storage.records import LoadedLog
+from kestrelplank.storage.records import LogContent
 
 
 def ends_of_frames(data):
@@ -33,7 +33,7 @@
         fill(folder, {"log": data[:length]})
         whole = sum(end <= length for end in ends)
         log, loaded = started(folder)
-        assert loaded == (held_after(whole - 1) if whole else LoadedLog())
+        assert loaded == (held_after(whole - 1) if whole else LogContent())
         assert os.listdir(folder) == (["log"] if whole else [])
         assert log.size_bytes == (ends[whole - 1] if whole else 0)
 
@@ -45,7 +45,7 @@
     last = ends_of_frames(data)[-2]
     for at in range(len(data)):
         fill(folder, {"log": data[:at] + bytes([change(data[at])]) + data[at + 1 :]})
-        assert found_in(folder) == (held_after(3) if at >= last else LoadedLog()), at
+        assert found_in(folder) == (held_after(3) if at >= last else LogContent()), at
 
 
 @pytest.mark.parametrize(
@@ -69,12 +69,12 @@
     if "a frame removed" in request.node.name:  # what is left does not stand in its place, so it is no frame
         assert loaded == held_after(1)
         return
-    assert loaded == LoadedLog() and "counts as empty" in caplog.text
+    assert loaded == LogContent() and "counts as empty" in caplog.text
     assert log.size_bytes == 0 and log.frame_count == 0
     assert os.listdir(folder) == ["configuration-0000000000000005.json"]
     log.keep_incarnation("new")
     log.write([persist(term=1)])
-    assert found_in(folder) == LoadedLog("new", ONE)
+    assert found_in(folder) == LogContent("new", ONE)
 
 
 def test_frames_of_another_file_never_pass_for_this_ones(folder, tmp_path):
--- a/tests/storage/test_log_power_loss.py
+++ b/tests/storage/test_log_power_loss.py
@@ -6,18 +6,18 @@
 from storage.scenario import BEFORE, BIG, COMPACTED, COMPACTION, HELD, WITH_BIG, Scenario
 
 from kestrelplank.storage.log_file import LogFile
-from kestrelplank.storage.records import LoadedLog
+from kestrelplank.storage.records import LogContent
 
 
 @pytest.mark.parametrize(
     "persists, expected, calls",
     [
         ([BIG], WITH_BIG, 2),
-        ([persist(term=6)], LoadedLog("first", SIX, None, entries(1, 5)), 2),
-        ([persist(entry(4, 2))], LoadedLog("first", TWO, None, (*entries(1, 3), entry(4, 2))), 2),
+        ([persist(term=6)], LogContent("first", SIX, None, entries(1, 5)), 2),
+        ([persist(entry(4, 2))], LogContent("first", TWO, None, (*entries(1, 3), entry(4, 2))), 2),
         ([persist(term=6), persist(BIG.entries[0]), persist(BIG.entries[1])], WITH_BIG, 2),
         ([COMPACTION], COMPACTED, 5),
-        ([persist(entry(6), term=6), persist(*entries(5, 6), snapshot=snapshot(4))], LoadedLog("first", SIX, snapshot(4), entries(5, 6)), 5),
+        ([persist(entry(6), term=6), persist(*entries(5, 6), snapshot=snapshot(4))], LogContent("first", SIX, snapshot(4), entries(5, 6)), 5),
     ],
 )  # fmt: skip
 def test_power_lost_at_each_call_of_a_write_leaves_all_of_it_or_none(tmp_path, monkeypatch, persists, expected, calls):
@@ -45,13 +45,13 @@
         return LogFile(scenario.folder)
 
     scenario.begin = begin
-    kept = LoadedLog("5f2c", TWO)
+    kept = LogContent("5f2c", TWO)
 
     def check(lost, loaded):
-        assert loaded == kept if not lost else loaded in (LoadedLog(), LoadedLog("5f2c"), kept)
+        assert loaded == kept if not lost else loaded in (LogContent(), LogContent("5f2c"), kept)
 
     scenario.lose_power_at_each_call(first_start, check)
-    assert distinct(loaded for _, loaded in scenario.ends) == [LoadedLog(), LoadedLog("5f2c"), kept]
+    assert distinct(loaded for _, loaded in scenario.ends) == [LogContent(), LogContent("5f2c"), kept]
 
 
 def test_power_lost_again_at_each_call_of_a_start_and_the_write_after_it(tmp_path, monkeypatch):
@@ -83,7 +83,7 @@
                     lost = False
                 except PowerLost:
                     lost = True
-            written = LoadedLog("first", SIX, None, (*entries(1, 5), entry(6, 9)))
+            written = LogContent("first", SIX, None, (*entries(1, 5), entry(6, 9)))
             allowed = (HELD, WITH_BIG) if loaded is None else (loaded, written) if lost else (written,)
             for found in second.after_power_loss(40):
                 assert found in allowed, (at, loaded)
--- a/tests/storage/test_log_refusals.py
+++ b/tests/storage/test_log_refusals.py
@@ -11,7 +11,7 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.log_entries import HardState
 from kestrelplank.storage.log_file import LogFile
-from kestrelplank.storage.records import LoadedLog
+from kestrelplank.storage.records import LogContent
 
 
 @pytest.mark.parametrize("persists, expected", WRITES)
@@ -21,10 +21,10 @@
     scenario = Scenario(tmp_path, monkeypatch, *BEFORE)
     for log in refuse_each_call(scenario, lambda log: log.write(persists), refusal, lasting):
         log.write([*persists, persist(term=9)])
-        nine = LoadedLog("first", HardState(9, "a:9", "b:1"), expected.snapshot, expected.entries)
+        nine = LogContent("first", HardState(9, "a:9", "b:1"), expected.snapshot, expected.entries)
         assert distinct(scenario.after_power_loss()) == [nine]
         log.write([persist(term=10)])
-        ten = LoadedLog("first", HardState(10, "a:10", "b:1"), expected.snapshot, expected.entries)
+        ten = LogContent("first", HardState(10, "a:10", "b:1"), expected.snapshot, expected.entries)
         assert distinct(scenario.after_power_loss()) == [ten]
 
 
@@ -95,7 +95,7 @@
     scenario.begin = begin
     for log in refuse_each_call(scenario, lambda log: log.keep_incarnation("5f2c"), REFUSALS[0]):
         log.keep_incarnation("5f2c")
-        assert distinct(scenario.after_power_loss()) == [LoadedLog("5f2c")]
+        assert distinct(scenario.after_power_loss()) == [LogContent("5f2c")]
 
 
 def test_a_full_disk_in_a_snapshot_leaves_the_log_in_use_and_no_temporary_file(tmp_path, monkeypatch):
@@ -147,7 +147,7 @@
         assert scenario.disk.log == ["sync folder"]
         scenario.disk.arm()
         log.write([persist(term=6)])
-        assert distinct(scenario.after_power_loss()) == [LoadedLog("first", SIX, snapshot(4), (entry(5),))]
+        assert distinct(scenario.after_power_loss()) == [LogContent("first", SIX, snapshot(4), (entry(5),))]
 
 
 def test_refusals_leave_no_file_open(tmp_path, monkeypatch):
@@ -188,4 +188,4 @@
     filled(folder, incarnation="other")
     with pytest.raises(OSError):
         log.write([BIG])
-    assert found_in(folder) == LoadedLog("other")
+    assert found_in(folder) == LogContent("other")
