--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -21,7 +21,7 @@
 from kestrelplank.file_discovery.node_list import format_node_list, parse_node_list
 from kestrelplank.interface import Event, PolicySettings, SliceOwnership
 from kestrelplank.policy import Policy
-from kestrelplank.rehearsal.parties import Kit
+from kestrelplank.rehearsal.stub_server import SocketKit
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.state.change_guard import ChangeLimits, judge
 from kestrelplank.state.node_set import ListedNode, NodeSet, assemble
@@ -99,7 +99,7 @@
     """From the end of a save that drains a node, or ends its drain, to the module's order for it, less the quiet
     time."""
     with tempfile.TemporaryDirectory() as folder:
-        kit = Kit()
+        kit = SocketKit()
         conf = {
             "Areas": ["zone0", "zone1", "zone2"],
             "Categories": [{"Name": "look"}],
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -50,9 +50,9 @@
     kind = kind_of(ini)
     match kind:
         case FileKind.SCRIPT:
-            from kestrelplank.emulator.script import script
+            from kestrelplank.emulator.script import read_script
 
-            script(ini)
+            read_script(ini)
         case FileKind.REFERENCE_PROXY:
             read_reference_proxy_settings(ini)
         case FileKind.NODE_LIST:
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -1,7 +1,7 @@
 """`gateway rehearse`: a small gateway on loopback, played through losses."""
 
 from kestrelplank.command_output import ExitCode, print_json
-from kestrelplank.rehearsal.yard import play
+from kestrelplank.rehearsal.gateway_rehearsal import play
 
 BROKEN_RULES = ("run_twice", "promised_and_ran", "held_twice")
 
@@ -11,7 +11,7 @@
 
     :param requests: how many the clients send.
     """
-    report = play(requests, log=log_level)
+    report = play(requests, log_level=log_level)
     if as_json:
         print_json(report)
     else:
--- a/tests/assigner/test_health_checks.py
+++ b/tests/assigner/test_health_checks.py
@@ -29,7 +29,7 @@
     assert (checked.node, checked.verdict, checked.load) == (0, verdict, load)
     probes.check(0)
     until(kit.loop, lambda: len(kit.events) == 2)
-    assert len(node.visitors) == (1 if status else 2) and node.requests[0][1] == "/status/load"
+    assert len(node.connections) == (1 if status else 2) and node.requests[0][1] == "/status/load"
     probes.check(1)
     assert kit.counters.counts["probes_not_sent"] == 1
     probes.close()
--- a/tests/assigner/test_node_discovery.py
+++ b/tests/assigner/test_node_discovery.py
@@ -22,8 +22,8 @@
 
     def answer(visitor, path, body):
         if "follow" in path:
-            visitor.begin()
-            visitor.tell(*watch.pop(0) if watch else ())
+            visitor.begin_stream()
+            visitor.send(*watch.pop(0) if watch else ())
         else:
             visitor.reply(node_list(5, instance("s-1"), reset=True))
 
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -1,4 +1,4 @@
-"""What tests of the network side are made with, over the lab's stand-ins."""
+"""What tests of the network side are made with, over the stub servers of rehearsals."""
 
 import json
 
@@ -7,8 +7,10 @@
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.assigner.order_queue import OrderQueue
 from kestrelplank.decode import Ids, text
-from kestrelplank.rehearsal import parties
-from kestrelplank.rehearsal.parties import MS, attach, fail, instance, news, node_list
+from kestrelplank.rehearsal import stub_server
+from kestrelplank.rehearsal.relay_messages import attach, instance, message, node_list
+from kestrelplank.rehearsal.stub_server import fail
+from kestrelplank.time_units import MILLISECOND as MS
 
 __all__ = [
     "MS",
@@ -19,8 +21,8 @@
     "fail",
     "instance",
     "kit",
+    "message",
     "names",
-    "news",
     "node_list",
     "orders",
     "received",
@@ -36,7 +38,7 @@
         loop.turn()
 
 
-class Kit(parties.Kit):
+class Kit(stub_server.SocketKit):
     """What every part of the network side is made with."""
 
     def __init__(self):
@@ -53,16 +55,16 @@
     made.loop.close()
 
 
-class StubServer(parties.StubServer):
+class StubServer(stub_server.StubServer):
     """One that remembers what it was asked."""
 
-    def __init__(self, kit, answer=lambda visitor, path, body: None):
+    def __init__(self, kit, answer=lambda connection, path, body: None):
         super().__init__(kit, answer)
         self.requests = []
 
-    def asked(self, visitor, path, body):
-        self.requests.append((visitor, path, body))
-        super().asked(visitor, path, body)
+    def request_received(self, connection, path, body):
+        self.requests.append((connection, path, body))
+        super().request_received(connection, path, body)
 
 
 def received(sock):
--- a/tests/sockets/test_http.py
+++ b/tests/sockets/test_http.py
@@ -48,7 +48,7 @@
     for number in (1, 2):
         client.call("GET", "/", b"", (100 if outcome == "silent" else 20_000) * MS)
         until(kit.loop, lambda number=number: len(asker.outcomes) == number)
-    assert asker.outcomes == [outcome] * 2 and len(party.visitors) == (1 if kept else 2)
+    assert asker.outcomes == [outcome] * 2 and len(party.connections) == (1 if kept else 2)
     client.close()
     party.close()
 
@@ -74,14 +74,14 @@
     until(kit.loop, lambda: old.requests)
     client.move(new.at)
     if outcome == GOOD:
-        old.visitors[0].connection.write(GOOD)
+        old.connections[0].connection.write(GOOD)
     elif outcome == "ended":
-        old.visitors[0].connection.close("over")
+        old.connections[0].connection.close("over")
     until(kit.loop, lambda: asker.outcomes)
     client.call("GET", "/", b"", 20_000 * MS)
     until(kit.loop, lambda: len(asker.outcomes) == 2)
     assert asker.outcomes == [(200, b"yes") if outcome == GOOD else outcome, (200, b"yes")]
-    assert len(old.requests) == len(old.visitors) == len(new.requests) == 1
+    assert len(old.requests) == len(old.connections) == len(new.requests) == 1
     client.close()
     old.close()
     new.close()
