--- a/kestrelplank/configuration/differences.py
+++ b/kestrelplank/configuration/differences.py
@@ -14,7 +14,7 @@
     "max_attempts": "max_attempts",
     "traffic_split": "traffic_split",
 }
-OPERATORS_LIMIT_NAMES = {
+LIMIT_NAMES = {
     "max_body_bytes": "max_body",
     "max_header_bytes": "max_header",
     "idle_timeout_ns": "idle",
@@ -46,21 +46,21 @@
 
 def differences(old: Configuration, new: Configuration) -> list[Difference]:
     """Return all that `new` changes: limits, then services by name, then routes by host and prefix."""
-    found = _limit_differences(old, new)
+    changes = _limit_differences(old, new)
     for name in sorted(old.services.keys() | new.services.keys()):
-        found += _service_differences(name, old.services.get(name), new.services.get(name))
+        changes += _service_differences(name, old.services.get(name), new.services.get(name))
     for host in sorted(old.routes_by_host.keys() | new.routes_by_host.keys()):
         old_routes, new_routes = old.routes_by_host.get(host, {}), new.routes_by_host.get(host, {})
         for prefix in sorted(old_routes.keys() | new_routes.keys()):
-            found += _route_differences(host, prefix, old_routes.get(prefix), new_routes.get(prefix))
-    return found
+            changes += _route_differences(host, prefix, old_routes.get(prefix), new_routes.get(prefix))
+    return changes
 
 
 def _limit_differences(old: Configuration, new: Configuration) -> list[Difference]:
     """Return what differs of the limits on clients; times are in ns."""
     return [
         Difference("", "", operators_name, getattr(old, name), getattr(new, name))
-        for name, operators_name in OPERATORS_LIMIT_NAMES.items()
+        for name, operators_name in LIMIT_NAMES.items()
         if getattr(old, name) != getattr(new, name)
     ]
 
--- a/kestrelplank/configuration/validation.py
+++ b/kestrelplank/configuration/validation.py
@@ -16,7 +16,7 @@
 from kestrelplank.configuration.errors import InvalidFieldError
 from kestrelplank.configuration.route_table import RouteType
 
-LONGEST_ROUTE_TIMEOUT_S = 600
+MAX_ROUTE_TIMEOUT_S = 600
 ROUTE_TYPES = tuple(RouteType)
 VERSION = re.compile(r"[0-9a-fA-F]{1,16}")
 
@@ -64,8 +64,8 @@
     """Check a route by itself."""
     if route.route_type not in ROUTE_TYPES:
         raise InvalidFieldError(f"{path}.route_type", f"{route.route_type!r} is none of {', '.join(ROUTE_TYPES)}")
-    if not 0 < route.timeout_s <= LONGEST_ROUTE_TIMEOUT_S:
-        reason = f"{route.timeout_s} is not above 0 and at most {LONGEST_ROUTE_TIMEOUT_S}"
+    if not 0 < route.timeout_s <= MAX_ROUTE_TIMEOUT_S:
+        reason = f"{route.timeout_s} is not above 0 and at most {MAX_ROUTE_TIMEOUT_S}"
         raise InvalidFieldError(f"{path}.timeout_s", reason)
     if not route.path_prefix.startswith("/") or not route.path_prefix.endswith("/"):
         raise InvalidFieldError(f"{path}.path_prefix", f"{route.path_prefix!r} does not begin and end with a slash")
--- a/kestrelplank/control/platform_client.py
+++ b/kestrelplank/control/platform_client.py
@@ -79,10 +79,10 @@
 
     async def _fetch_page(self, token: str | None) -> Page | None:
         connection = self._connection
-        if connection is None or connection.has_surplus() or not connection.reusable:
+        if connection is None or connection.is_stale() or not connection.reusable:
             connection = self._connection = await dial(self._address, DIAL_TIMEOUT_S)
         target = "/instances" + (f"?page_token={token}" if token else "")
-        answer = await connection.ask(b"GET", target.encode(), [(b"Host", b"platform")], b"")
+        answer = await connection.call(b"GET", target.encode(), [(b"Host", b"platform")], b"")
         return msgspec.json.decode(answer.body, type=Page) if answer.status == HTTPStatus.OK else None
 
     def _reset(self) -> None:
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -133,13 +133,13 @@
             (b"Content-Length", str(len(body)).encode()),
             (b"X-Target-Instance", request.server.encode()),
         ]
-        return await connection.ask(b"POST", target, headers, body)
+        return await connection.call(b"POST", target, headers, body)
 
     def _take(self, request: ServerRequest) -> KeptConnection | None:
         """Return an idle connection for this request, the one used last first."""
         now = time.monotonic_ns()
         for kept in reversed(self._idle):
-            if now >= kept.idle_until or kept.connection.has_surplus():
+            if now >= kept.idle_until or kept.connection.is_stale():
                 self._idle.remove(kept)
                 kept.connection.reset()
             elif isinstance(request, GrantKeyRange) or not kept.carried_release:
--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -205,11 +205,11 @@
             context.counters.add(UPSTREAM_RQ_RETRY)
         result = self._last_result = await self._send_attempt(request, step, server_request, client_gone)
         now = time.monotonic_ns()
-        self._note_attempt(endpoint.server, result, now - request.sent_at)
-        following = context.forwarder.attempt_ended(now, request, result.outcome, result.load())
-        endpoint.idle_connections = context.connections.idle(endpoint.address)
+        self._record_attempt(endpoint.server, result, now - request.sent_at)
+        next_step = context.forwarder.attempt_ended(now, request, result.outcome, result.load())
+        endpoint.idle_connections = context.connections.idle_count(endpoint.address)
         context.wake_pending()
-        return following
+        return next_step
 
     async def _send_attempt(
         self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
@@ -232,7 +232,7 @@
         finally:
             sending.cancel()
 
-    def _note_attempt(self, server: str, result: AttemptResult, duration_ns: int) -> None:
+    def _record_attempt(self, server: str, result: AttemptResult, duration_ns: int) -> None:
         self._context.counters.attempt_ended(result.outcome)
         self._attempts.append(
             {
@@ -292,8 +292,8 @@
 
     def _trace(self, request: ForwardedRequest) -> None:
         """Write one line to the log, if this request is one of those that are traced."""
-        attempt_id, trace = self._fields[ATTEMPT_ID], self._context.trace
-        if not trace or crc32(attempt_id) % trace:
+        attempt_id, one_in = self._fields[ATTEMPT_ID], self._context.trace_one_in
+        if not one_in or crc32(attempt_id) % one_in:
             return
         log.info(
             "Edge: request",
--- a/kestrelplank/edge/control_sessions.py
+++ b/kestrelplank/edge/control_sessions.py
@@ -31,7 +31,7 @@
 
     # Whom a session is wanted with.
 
-    async def keep_up(self) -> None:
+    async def reconcile_periodically(self) -> None:
         """Look now and then whom a session is wanted with: seeds are asked again when all members are silent."""
         while True:
             await asyncio.sleep(RECONNECT_INTERVAL_S)
--- a/kestrelplank/edge/exchange_context.py
+++ b/kestrelplank/edge/exchange_context.py
@@ -14,7 +14,7 @@
     """The parts of an edge that its exchanges with clients use.
 
     :param max_body_memory: bytes of bodies that may be in hand at once.
-    :param trace: one request in so many is logged, 0 for none.
+    :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
     """
 
     def __init__(
@@ -23,10 +23,10 @@
         connections: ServerConnections,
         readiness: Readiness,
         max_body_memory: int,
-        trace: int = 0,
+        trace_one_in: int = 0,
     ) -> None:
         self.forwarder, self.connections, self.readiness = forwarder, connections, readiness
-        self.max_body_memory, self.trace = max_body_memory, trace
+        self.max_body_memory, self.trace_one_in = max_body_memory, trace_one_in
         self.body_memory = 0  # bytes of bodies in hand
         self.counters = Counters()
         self.changed = asyncio.Event()  # key ranges, servers or their load
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -35,10 +35,10 @@
 class EdgeProgram:
     """One edge: one event loop, one server for clients and for the platform's question.
 
-    :param trace: one request in so many is logged, 0 for none.
+    :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
     """
 
-    def __init__(self, settings: PlatformSettings, trace: int = 0) -> None:
+    def __init__(self, settings: PlatformSettings, trace_one_in: int = 0) -> None:
         self.settings = settings
         local, bounds = settings.local_system, settings.bounds
         random = Random(SystemRandom().getrandbits(64))
@@ -58,7 +58,7 @@
             self.connections,
             self.readiness,
             int(local.limits.memory_mb * BYTES_PER_MB * BODY_MEMORY_FRACTION),
-            trace,
+            trace_one_in,
         )
         self.sessions = ControlSessions(self.view, settings.internal_port(), random, self.receive)
         self.server: Server = create_server(
@@ -77,7 +77,7 @@
         self.sessions.reconcile()
         critical_tasks = CriticalTasks("Edge", stop)
         critical_tasks.add(self._report_and_close_idle())
-        critical_tasks.add(self.sessions.keep_up())
+        critical_tasks.add(self.sessions.reconcile_periodically())
         log.info("Edge: started")
         await stop.wait()
         log.info("Edge: stopping, not ready from now on")
@@ -161,7 +161,7 @@
     def _close_idle_connections(self) -> None:
         endpoints = self.forwarder.endpoints.by_name.values()
         for endpoint in endpoints:
-            endpoint.idle_connections = self.connections.idle(endpoint.address)
+            endpoint.idle_connections = self.connections.idle_count(endpoint.address)
         self.connections.close_unused({endpoint.address for endpoint in endpoints if endpoint.ready})
 
     def log_counters(self) -> None:
@@ -181,9 +181,9 @@
         )
 
 
-async def run(settings: PlatformSettings, trace: int = 0) -> int:
+async def run(settings: PlatformSettings, trace_one_in: int = 0) -> int:
     """Run an edge until SIGTERM, and return the exit code.
 
-    :param trace: one request in so many is logged, 0 for none.
+    :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
     """
-    return await EdgeProgram(settings, trace).run()
+    return await EdgeProgram(settings, trace_one_in).run()
--- a/kestrelplank/edge/request_head.py
+++ b/kestrelplank/edge/request_head.py
@@ -20,7 +20,7 @@
     b"expect",
     b"content-length",
 }
-NOT_PASSED_ON = HOP_BY_HOP_HEADERS | {DEADLINE, TARGET_INSTANCE}  # each attempt has its own of the latter two
+NOT_FORWARDED = HOP_BY_HOP_HEADERS | {DEADLINE, TARGET_INSTANCE}  # each attempt has its own of the latter two
 DEFAULT_CLIENT_TIMEOUT_NS = 30 * SECOND  # of a client that does not say how long it waits
 MAX_CLIENT_TIMEOUT_NS = 600 * SECOND  # no route holds a request longer
 
@@ -44,10 +44,10 @@
 
 def server_headers(headers: Headers, fields: Fields, body: bytes) -> Headers:
     """Return the headers that go to each server; those that differ from attempt to attempt are not among them."""
-    passed_on = [(name, value) for name, value in headers if name not in NOT_PASSED_ON]
+    forwarded = [(name, value) for name, value in headers if name not in NOT_FORWARDED]
     if body or b"content-length" in fields or b"transfer-encoding" in fields:
-        passed_on.append((b"content-length", str(len(body)).encode()))
-    return passed_on
+        forwarded.append((b"content-length", str(len(body)).encode()))
+    return forwarded
 
 
 def attempt_headers(server: str, timeout_ns: int) -> Headers:
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -101,7 +101,7 @@
         number, connection = self._take(pool, connections)
         if number is None:
             return AttemptResult(CallOutcome.NO_CONNECTION_FREE)
-        until_s = asyncio.get_running_loop().time() + timeout_ns / SECOND
+        deadline_at_s = asyncio.get_running_loop().time() + timeout_ns / SECOND
         if connection is None:
             connection = await self._dial(pool, address, min(CONNECT_TIMEOUT_S, timeout_ns / SECOND))
             if connection is None:
@@ -110,7 +110,7 @@
             pool.dial_succeeded(number)
         reusable = False
         try:
-            result, reusable = await self._exchange(pool, connection, request, until_s)
+            result, reusable = await self._exchange(pool, connection, request, deadline_at_s)
             return result
         finally:
             if not pool.release(self._clock(), number, reusable):
@@ -137,7 +137,7 @@
             if isinstance(number, NoConnection):
                 return None, None
             connection = connections[number]
-            if not connection.has_surplus():
+            if not connection.is_stale():
                 return number, connection
             pool.connection_lost(number)
             connections.pop(number).reset()
@@ -156,17 +156,17 @@
 
     @staticmethod
     async def _exchange(
-        pool: ConnectionPool, connection: Connection, request: ServerRequest, until_s: float
+        pool: ConnectionPool, connection: Connection, request: ServerRequest, deadline_at_s: float
     ) -> tuple[AttemptResult, bool]:
         """Send the request on that connection, and return the result and whether the connection can be kept.
 
-        :param until_s: by the loop's clock.
+        :param deadline_at_s: by the loop's clock.
         """
         connection.stream.begin_call()
         try:
-            async with asyncio.timeout_at(until_s):
-                answer = await connection.ask(request.method, request.target, request.headers, request.body)
-                while not belongs(answer, request.attempt_id):  # but to an older request: ours is still to come
+            async with asyncio.timeout_at(deadline_at_s):
+                answer = await connection.call(request.method, request.target, request.headers, request.body)
+                while not is_answer_to(answer, request.attempt_id):  # but to an older request: ours is still to come
                     answer = await connection.next_answer(request.method, request.target)
             pool.limit_idle_time(answer.max_idle_ns())
             return AttemptResult(outcome_of(answer), answer), connection.reusable
@@ -176,7 +176,7 @@
             sent = connection.stream.sent_bytes > 0
             return AttemptResult(CallOutcome.TIMEOUT if sent else CallOutcome.CONNECT_FAIL), False
 
-    def idle(self, address: str) -> int:
+    def idle_count(self, address: str) -> int:
         """Return how many connections to that server are unused."""
         pool = self._pools.get(address)
         return pool.counts()[1] if pool is not None else 0
@@ -197,7 +197,7 @@
                 del self._pools[address], self._connections[address]
 
 
-def belongs(answer: Answer, attempt_id: bytes) -> bool:
+def is_answer_to(answer: Answer, attempt_id: bytes) -> bool:
     """Whether it is the answer to the request with that id."""
     return answer.single_value(b"x-attempt-id") == attempt_id
 
--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -16,7 +16,7 @@
 OTHER_ZONE_COST = 1.15
 OTHER_ZONE_BODY_BYTES = 80_000  # a body of so many bytes costs as much again
 WARMING_UP_WEIGHT = 0.5  # of a server that is still slow after its start
-TIE_BREAK = 0.3  # drawn for each server, so that not all edges take the same of equals
+TIE_BREAK_JITTER = 0.3  # drawn for each server, so that not all edges take the same of equals
 
 UNUSED_NUMBER = 0  # no endpoint has it
 
@@ -41,7 +41,7 @@
         """
         listed = {}
         for entry in entries:
-            listed[entry.server] = self._listed(fetched_at, entry)
+            listed[entry.server] = self._updated_endpoint(fetched_at, entry)
         for name, endpoint in self.by_name.items():
             if name not in listed:
                 endpoint.ready = endpoint.listed = False  # requests that are out there still refer to it
@@ -50,7 +50,7 @@
         for endpoint in listed.values():
             self.services.setdefault(endpoint.service, []).append(endpoint)
 
-    def _listed(self, fetched_at: int, entry: ListedServer) -> Endpoint:
+    def _updated_endpoint(self, fetched_at: int, entry: ListedServer) -> Endpoint:
         endpoint = self.by_name.get(entry.server)
         if endpoint is None:
             self._last_number += 1
@@ -84,7 +84,7 @@
         cost = endpoint.expected_wait_s(now) * zone_cost
         if not endpoint.idle_connections:
             cost *= CONNECT_COST
-        cost *= 1 + TIE_BREAK * self._random.random()
+        cost *= 1 + TIE_BREAK_JITTER * self._random.random()
         return cost / WARMING_UP_WEIGHT if now < endpoint.warm_at else cost
 
     def is_ejected(self, now: int, endpoint: Endpoint) -> bool:
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -175,7 +175,7 @@
         until = request.received_at + request.route.latency_target_ns // 2
         if now >= until:
             return self._refuse(request, NoKeyHolderError, NO_HOLDER_RETRY_AFTER_NS)
-        request.wait()
+        request.begin_wait()
         return Wait(until)
 
     def _wait_for_capacity(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
@@ -184,7 +184,7 @@
         if now >= until:
             expected_wait_ns = int(endpoint.expected_wait_s(now) * SECOND)
             return self._refuse(request, ServersFullError, min(request.route.latency_target_ns, expected_wait_ns) // 2)
-        request.wait()
+        request.begin_wait()
         return Wait(min(until, now + CAPACITY_POLL_INTERVAL_NS))
 
     # 4. The attempt, and its time-out.
--- a/kestrelplank/forwarding/request.py
+++ b/kestrelplank/forwarding/request.py
@@ -88,7 +88,7 @@
 
     # Transitions.
 
-    def wait(self) -> None:
+    def begin_wait(self) -> None:
         """Wait here until a server can be used."""
         self.state = RequestState.WAITING
 
--- a/kestrelplank/forwarding/retry_policy.py
+++ b/kestrelplank/forwarding/retry_policy.py
@@ -110,7 +110,7 @@
     }
 
 
-def _row_of_failures(failed: Verdict) -> dict[CallOutcome, Verdict]:
+def _uniform_row(failed: Verdict) -> dict[CallOutcome, Verdict]:
     """Return the row of a kind of call for which all that was sent and has no answer is alike."""
     return _row(answered=SUCCEEDED, server_error=failed, not_executed=failed, unproven=failed, abandoned=failed)
 
@@ -139,13 +139,13 @@
         unproven=UNKNOWN_BUT_IDEMPOTENT,
         abandoned=UNKNOWN_BUT_IDEMPOTENT,
     ),
-    CallKind.RELEASE: _row_of_failures(UNKNOWN_BUT_IDEMPOTENT),
-    CallKind.SERVER_LIST: _row_of_failures(UNKNOWN_BUT_IDEMPOTENT),
-    CallKind.STATE_UPDATE: _row_of_failures(UNKNOWN_BUT_IDEMPOTENT),
+    CallKind.RELEASE: _uniform_row(UNKNOWN_BUT_IDEMPOTENT),
+    CallKind.SERVER_LIST: _uniform_row(UNKNOWN_BUT_IDEMPOTENT),
+    CallKind.STATE_UPDATE: _uniform_row(UNKNOWN_BUT_IDEMPOTENT),
     # The operator sends a call again by itself, to any member, and the log's order makes that harmless; a member that
     # did so as well would only double it.
-    CallKind.OPERATOR_CHANGE: _row_of_failures(UNKNOWN_NO_RETRY),
-    CallKind.OPERATOR_READ: _row_of_failures(UNKNOWN_NO_RETRY),
+    CallKind.OPERATOR_CHANGE: _uniform_row(UNKNOWN_NO_RETRY),
+    CallKind.OPERATOR_READ: _uniform_row(UNKNOWN_NO_RETRY),
 }
 
 
--- a/kestrelplank/gateway/control_client.py
+++ b/kestrelplank/gateway/control_client.py
@@ -13,14 +13,14 @@
 CONNECT_TIMEOUT_S = 2
 
 
-class Answer(NamedTuple):
+class MemberAnswer(NamedTuple):
     """What a control member answered."""
 
     status: int
     body: bytes
 
 
-async def call(address: str, method: bytes, path: bytes, body: bytes = b"") -> Answer:
+async def call(address: str, method: bytes, path: bytes, body: bytes = b"") -> MemberAnswer:
     """Call the control member at `address`.
 
     :raises InvalidSettingsError: the address is none.
@@ -35,10 +35,10 @@
     async with asyncio.timeout(CALL_TIMEOUT_S):
         connection = await dial(parse_address(address, "ADDRESS"), CONNECT_TIMEOUT_S)
         try:
-            answer = await connection.ask(method, path, headers, body)
+            answer = await connection.call(method, path, headers, body)
         finally:
             connection.reset()
-    return Answer(answer.status, answer.body)
+    return MemberAnswer(answer.status, answer.body)
 
 
 async def fetch_status(address: str) -> MemberStatus:
--- a/kestrelplank/gateway/diff.py
+++ b/kestrelplank/gateway/diff.py
@@ -10,10 +10,10 @@
 
     :raises InvalidSettingsError: one of them cannot be used.
     """
-    found = differences(read_configuration(old_path), read_configuration(new_path))
+    changes = differences(read_configuration(old_path), read_configuration(new_path))
     if as_json:
-        print_json([difference._asdict() for difference in found])
+        print_json([difference._asdict() for difference in changes])
     else:
-        for difference in found:
+        for difference in changes:
             print(difference)
-    return ExitCode.FOUND_WANTING if found else ExitCode.DONE
+    return ExitCode.FOUND_WANTING if changes else ExitCode.DONE
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -3,7 +3,7 @@
 from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.rehearsal.yard import play
 
-BROKEN_RULES = ("run_twice", "promised_and_ran", "held_twice")
+RULE_VIOLATION_FIELDS = ("run_twice", "promised_and_ran", "held_twice")
 
 
 def rehearse(requests: int, log_level: str, *, as_json: bool) -> ExitCode:
@@ -18,5 +18,5 @@
         for name, value in report.items():
             print(f"{name.replace('_', ' ')}: {', '.join(value) if isinstance(value, list) else value}")
     complete = report["ready"] and report["replaced"]
-    broken = not complete or any(report[rule] for rule in BROKEN_RULES)
+    broken = not complete or any(report[field] for field in RULE_VIOLATION_FIELDS)
     return ExitCode.FOUND_WANTING if broken else ExitCode.DONE
--- a/kestrelplank/gateway/replace.py
+++ b/kestrelplank/gateway/replace.py
@@ -9,7 +9,7 @@
 from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.control.status import MemberStatus
 from kestrelplank.gateway.check import read_configuration
-from kestrelplank.gateway.control_client import Answer, call, fetch_status
+from kestrelplank.gateway.control_client import MemberAnswer, call, fetch_status
 
 HTTP_OK = 200
 STATUS_INTERVAL_S = 0.1
@@ -19,7 +19,7 @@
 class Replacement:
     """What came of it; `behind`: who in session had not got the version when the wait was over."""
 
-    answer: Answer
+    answer: MemberAnswer
     behind: list[str]
 
     @property
--- a/kestrelplank/http/connection.py
+++ b/kestrelplank/http/connection.py
@@ -30,7 +30,7 @@
         self._origin = httpcore.Origin(b"http", address[0].encode(), address[1])
         self._http = httpcore.AsyncHTTP11Connection(self._origin, stream)
 
-    async def ask(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> Answer:
+    async def call(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> Answer:
         """Send a request and return its complete answer.
 
         :raises NoAnswerError: there is none, and the connection is of no more use.
@@ -66,7 +66,7 @@
             raise (AnswerTruncatedError if self.stream.sent_bytes else RequestUnsendableError)(str(err)) from err
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.ConnectionNotAvailable, OSError) as err:
             self.reusable = False
-            raise self._what_went_wrong()(str(err)) from err
+            raise self._error_type()(str(err)) from err
 
     async def _read(self, response: httpcore.Response) -> Answer:
         chunks, size = [], 0
@@ -78,11 +78,11 @@
             chunks.append(chunk)
         await response.stream.aclose()  # type: ignore[union-attr]
         fields = {name.lower(): value for name, value in response.headers}
-        if self.has_surplus() or not self._http.is_idle() or b"close" in fields.get(b"connection", b"").lower():
+        if self.is_stale() or not self._http.is_idle() or b"close" in fields.get(b"connection", b"").lower():
             self.reusable = False
         return Answer(response.status, response.headers, fields, b"".join(chunks))
 
-    def _what_went_wrong(self) -> type[NoAnswerError]:
+    def _error_type(self) -> type[NoAnswerError]:
         """Return what was seen of a call that has no complete answer."""
         stream = self.stream
         if not stream.sent_bytes:
@@ -91,7 +91,7 @@
             return AnswerTruncatedError if stream.ended else AnswerMalformedError
         return ConnectionClosedWithoutAnswerError if stream.error is None else ConnectionResetWithoutAnswerError
 
-    def has_surplus(self) -> bool:
+    def is_stale(self) -> bool:
         """Whether bytes are here that belong to no request, it has ended, or part of our request has not been sent."""
         return (
             not self.stream.is_quiet() or self.stream.has_unsent_bytes() or bool(self._http._h11_state.trailing_data[0])
--- a/kestrelplank/http/socket_options.py
+++ b/kestrelplank/http/socket_options.py
@@ -11,7 +11,7 @@
 USER_TIMEOUT_MS = 1000
 
 
-def harden(sock: socket.socket) -> None:
+def set_connection_options(sock: socket.socket) -> None:
     """Set what each connection of ours has: no delay for small writes, and an end to silent peers."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
--- a/kestrelplank/http/stream.py
+++ b/kestrelplank/http/stream.py
@@ -7,7 +7,7 @@
 
 import httpcore
 
-from kestrelplank.http.socket_options import harden, has_unread_bytes, reset_on_close
+from kestrelplank.http.socket_options import has_unread_bytes, reset_on_close, set_connection_options
 
 
 class Stream(httpcore.AsyncNetworkStream, asyncio.Protocol):
@@ -35,7 +35,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the connection that has come up."""
         self.transport = transport  # type: ignore[assignment] # of create_connection, so one that writes
-        harden(transport.get_extra_info("socket"))
+        set_connection_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         """Keep the bytes until they are read."""
--- a/kestrelplank/rehearsal/yard.py
+++ b/kestrelplank/rehearsal/yard.py
@@ -241,7 +241,7 @@
             async with asyncio.timeout(2.0):
                 line = await dial((ip, port), 1.0)
                 try:
-                    return await line.ask(
+                    return await line.call(
                         method.encode(),
                         path.encode(),
                         [(b"Host", HOST.encode()), (b"Content-Length", str(len(body)).encode()), *more],
--- a/kestrelplank/transport/wire.py
+++ b/kestrelplank/transport/wire.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Generic, TypeVar, cast
 
-from kestrelplank.http.socket_options import harden, reset_on_close
+from kestrelplank.http.socket_options import reset_on_close, set_connection_options
 from kestrelplank.transport.messages import ToEdge, ToMember, encode
 
 HEADER_BYTES = 4
@@ -76,7 +76,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
-        harden(transport.get_extra_info("socket"))
+        set_connection_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         """Take bytes, and hand on each message that is complete; called by the event loop."""
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -199,7 +199,7 @@
 def test_one_request_is_traced_by_its_id(caplog):
     async def play():
         async with edge() as (program, server, port):
-            program.context.trace = 1
+            program.context.trace_one_in = 1
             server.let.set()
             reader, writer = await asyncio.open_connection(IP, port)
             writer.write(head("/a/b/x", "Content-Length: 0"))
--- a/tests/edge/test_wire_fuzz.py
+++ b/tests/edge/test_wire_fuzz.py
@@ -231,7 +231,7 @@
 
 def takes_any(monkeypatch):
     """The next answer on the connection is ours, whatever id it bears."""
-    monkeypatch.setattr(server_connections, "belongs", lambda answer, attempt: True)
+    monkeypatch.setattr(server_connections, "is_answer_to", lambda answer, attempt: True)
 
 
 @pytest.mark.parametrize("plant, wrong", [(repeats, "ran twice"), (takes_any, ": got ")])
