--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -41,7 +41,7 @@
 from kestrelplank.http.asgi import Send as AsgiSend
 from kestrelplank.time_units import MILLISECOND, SECOND
 
-RETRY_AFTER_NS = SECOND // 2  # what a refusal says where the body could not be taken, or we stop
+RETRY_AFTER_NS = SECOND // 2  # `Retry-After` where the body was not accepted, we stop, or a defect ended the request
 BODILESS_STATUSES = (204, 304)
 log = logging.getLogger("edge")
 
@@ -58,7 +58,7 @@
 class ClientExchange:
     """One request of a client and its answer.
 
-    Invariants: the client gets one answer, whatever happens, unless it has gone
+    Invariants: the client gets one answer, whatever happens, unless it has disconnected
     (`test_whatever_happens_on_both_wires_each_client_gets_its_own_answer_and_nothing_runs_twice`); the memory of its
     body is given back (`test_bodies_are_held_within_a_bound_and_given_back`); an attempt is broken off only where
     another run would do no harm (`test_a_client_that_goes_does_not_break_off_what_is_not_idempotent`).
@@ -67,11 +67,11 @@
     def __init__(self, context: ExchangeContext, scope: Scope, receive: Receive, send: AsgiSend) -> None:
         self._context, self._scope, self._receive, self._send = context, scope, receive, send
         self._headers: Headers = scope["headers"]
-        self._fields = dict(self._headers)
+        self._fields = dict(self._headers)  # see `request_head.Fields`
         self._received_at = time.monotonic_ns()
-        self._client_timeout_ns = client_timeout_ns(self._fields)  # since the request began to come
-        self._body_memory = 0  # bytes that its body takes of all bodies'
-        self._request: ForwardedRequest | None = None  # once it is admitted
+        self._client_timeout_ns = client_timeout_ns(self._fields)  # from `_received_at` on
+        self._body_memory = 0  # bytes of its body, which are part of the context's `body_memory`
+        self._request: ForwardedRequest | None = None  # None until it is admitted
         self._last_result: AttemptResult | None = None
         self._attempts: list[AttemptTrace] = []
         self._answered = False
@@ -80,7 +80,7 @@
         """Read the request, forward it and answer it, whatever happens."""
         try:
             await self._run()
-        except asyncio.CancelledError:  # the time to finish is over
+        except asyncio.CancelledError:  # by the server: the grace time for requests in hand is over
             await self._break_off(ShuttingDownError(RETRY_AFTER_NS))
         except Exception:  # noqa: BLE001 - else the client got an answer that says nothing of what ran
             log.exception("Edge: refusing a request because of a defect of the gateway")
@@ -89,6 +89,7 @@
             self._context.body_memory -= self._body_memory
 
     async def _run(self) -> None:
+        """Read and admit the request, then carry out the forwarder's steps."""
         try:
             body = await self._read()
             if body is None:
@@ -107,7 +108,10 @@
             self._trace(request)
 
     async def _break_off(self, error: RequestError) -> None:
-        """Answer at once, with what is certain of the request."""
+        """Answer at once: with `error` if the request has surely not run, else with 502.
+
+        An attempt that is out ends as `ABANDONED`; the step that the forwarder returns for it is not carried out.
+        """
         request = self._request
         if request is not None and request.endpoint is not None:
             self._context.forwarder.attempt_ended(time.monotonic_ns(), request, CallOutcome.ABANDONED)
@@ -132,6 +136,7 @@
             raise BodyTimeoutError(RETRY_AFTER_NS) from err
 
     async def _read_body(self, max_bytes: int) -> bytes | None:
+        """Collect the body, and count each chunk against this request's bound and that of all requests in hand."""
         context, chunks = self._context, []
         while True:
             message = await self._receive()
@@ -179,7 +184,7 @@
     async def _carry_out(
         self, request: ForwardedRequest, step: Step, server_request: ServerRequest, client_gone: asyncio.Future[None]
     ) -> None:
-        """Do what the forwarder says until the request has its answer, or nobody waits for one."""
+        """Carry out the forwarder's steps until the request has its answer, or its client has disconnected."""
         while not client_gone.done():
             if isinstance(step, Send):
                 step = await self._attempt(request, step, server_request, client_gone)
@@ -199,7 +204,7 @@
     async def _attempt(
         self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
     ) -> Step:
-        """Make one attempt, and return what follows of it."""
+        """Make one attempt, and return the step that follows it."""
         context, endpoint = self._context, step.endpoint
         if request.last_outcome is not None:
             context.counters.add(UPSTREAM_RQ_RETRY)
@@ -208,13 +213,17 @@
         self._record_attempt(endpoint.server, result, now - request.sent_at)
         next_step = context.forwarder.attempt_ended(now, request, result.outcome, result.load())
         endpoint.idle_connections = context.connections.idle_count(endpoint.address)
-        context.wake_pending()
+        context.wake_pending()  # there is capacity for another now
         return next_step
 
     async def _send_attempt(
         self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
     ) -> AttemptResult:
-        """Send to a server. Where the client goes meanwhile, an attempt that must not be repeated isn't broken off."""
+        """Send the request to a server and return how that ended.
+
+        Where the client disconnects meanwhile, an attempt that may be repeated is broken off (its connection is reset);
+        one that must not run twice is waited for.
+        """
         forwarder, endpoint = self._context.forwarder, step.endpoint
         sending = asyncio.ensure_future(
             self._context.connections.send(
@@ -233,6 +242,7 @@
             sending.cancel()
 
     def _record_attempt(self, server: str, result: AttemptResult, duration_ns: int) -> None:
+        """Count the attempt by its outcome, and keep it for the trace."""
         self._context.counters.attempt_ended(result.outcome)
         self._attempts.append(
             {
@@ -244,7 +254,7 @@
         )
 
     async def _wait(self, step: Wait, client_gone: asyncio.Future[None]) -> None:
-        """Wait until the step's time, a change that may let the request go on, or the client's going."""
+        """Wait until the step's time is over, something has changed for waiting requests, or the client disconnects."""
         self._context.counters.add(UPSTREAM_RQ_PENDING)
         timeout_s = max(0, step.until - time.monotonic_ns()) / SECOND
         changed = asyncio.ensure_future(self._context.changed.wait())
@@ -257,7 +267,7 @@
 
     async def _forward_answer(self) -> None:
         """Pass on a server's answer, as it came."""
-        assert self._last_result is not None and self._last_result.answer is not None  # the step says so
+        assert self._last_result is not None and self._last_result.answer is not None  # else the step would be `Refuse`
         answer: Answer = self._last_result.answer
         headers = [
             (lower_name, value)
@@ -268,13 +278,13 @@
         await self.answer(answer.status, headers, answer.body, length)
 
     async def _refuse(self, error: RequestError) -> None:
-        """Send an answer of our own, as the error says."""
+        """Answer the client ourselves, with the status, body and headers that belong to the error."""
         self._context.counters.refused(error)
         headers = []
         if error.retry_after_ns:
             headers.append((b"retry-after", f"{error.retry_after_ns / SECOND:.3f}".encode()))
         if isinstance(error, BodyTimeoutError):
-            headers.append((b"connection", b"close"))  # the rest of its body may come yet
+            headers.append((b"connection", b"close"))  # the rest of its body may still arrive
         await self.answer(error.status, headers, error.reason.encode())
 
     async def answer(self, status: int, headers: Headers, body: bytes, length: bytes | None = None) -> None:
@@ -285,13 +295,14 @@
         self._answered = True
         if status not in BODILESS_STATUSES:
             headers.append((b"content-length", length or str(len(body)).encode()))
+        # "connection" is our `ClientProtocol`: it puts itself into the scope.
         if self._context.readiness.draining and self._scope["connection"].ends_with_this_answer():
             headers.append((b"connection", b"close"))
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
         await self._send({"type": "http.response.body", "body": body})
 
     def _trace(self, request: ForwardedRequest) -> None:
-        """Write one line to the log, if this request is one of those that are traced."""
+        """Log one line if this request is among those traced: by a hash of its id, so that all edges trace the same."""
         attempt_id, one_in = self._fields[ATTEMPT_ID], self._context.trace_one_in
         if not one_in or crc32(attempt_id) % one_in:
             return
--- a/kestrelplank/edge/control_sessions.py
+++ b/kestrelplank/edge/control_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of an edge with control members: one with each that counts, begun anew when it has ended or is silent."""
+"""Sessions of an edge with control members: one with each voter, opened again when it has ended or is silent."""
 
 import asyncio
 import time
@@ -12,15 +12,15 @@
 from kestrelplank.transport.wire import FrameConnection
 
 CONNECT_TIMEOUT_S = 0.6
-RECONNECT_INTERVAL_S = 0.25
+RECONNECT_INTERVAL_S = 0.25  # least time before a session is opened again; also between calls of `reconcile`
 HEARTBEAT_INTERVAL_S = 0.4
 
 
 class ControlSessions:
     """All sessions of one edge.
 
-    :param port: at which control members take sessions.
-    :param on_message: takes the address of the member, and what it sent.
+    :param port: at which control members accept sessions.
+    :param on_message: called with the member's address and each message that it sends.
     """
 
     def __init__(self, view: EdgeView, port: int, random: Random, on_message: Callable[[str, ToEdge], None]) -> None:
@@ -29,16 +29,16 @@
         self._connections: dict[str, FrameConnection[ToEdge]] = {}
         self._heard_at: dict[FrameConnection[ToEdge], int] = {}
 
-    # Whom a session is wanted with.
+    # The set of sessions.
 
     async def reconcile_periodically(self) -> None:
-        """Look now and then whom a session is wanted with: seeds are asked again when all members are silent."""
+        """Call `reconcile` every `RECONNECT_INTERVAL_S`: once all members are silent, seeds are to be dialled too."""
         while True:
             await asyncio.sleep(RECONNECT_INTERVAL_S)
             self.reconcile()
 
     def reconcile(self) -> None:
-        """Have sessions with all members that count, or with those that may say who does, and with nobody else."""
+        """Open and end sessions to match `EdgeView.addresses_to_dial`: the voters, or seeds that know them."""
         wanted = self._view.addresses_to_dial(time.monotonic_ns())
         for member in wanted:
             if member not in self._tasks:
@@ -54,13 +54,14 @@
     # One session.
 
     async def _session(self, member: str) -> None:
+        """Keep a session with that member until cancelled: connect, send heartbeats, and again after a failure."""
         while True:
             connection = None
             try:
                 connection = await self._connect(member)
                 await self._send_heartbeats(connection)
             except (OSError, TimeoutError):
-                pass  # it is tried again
+                pass  # not logged: `silent_ms` shows it, and it is tried again
             finally:
                 if connection is not None:
                     self._forget(member, connection)
@@ -77,7 +78,7 @@
         return connection
 
     async def _send_heartbeats(self, connection: FrameConnection[ToEdge]) -> None:
-        """Say where we stand until the session has ended or is silent."""
+        """Send heartbeats, which say what this edge has, until the session has ended or is silent."""
         while connection.is_open and time.monotonic_ns() - self._heard_at[connection] < SESSION_TIMEOUT_NS:
             connection.send(self._view.heartbeat(time.monotonic_ns()))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
@@ -92,7 +93,7 @@
         if self._connections.get(member) is connection:
             del self._connections[member]
 
-    # What the program uses them for.
+    # For the program.
 
     def send_report(self, member: str | None, report: LoadReport) -> None:
         """Send a report to that member; it is lost where there is no session with it."""
@@ -101,7 +102,7 @@
             connection.send(report)
 
     def silent_ms(self) -> dict[str, int]:
-        """Return for how long each member has said nothing."""
+        """Return for how long each member in session has sent nothing; one without a connection is not among them."""
         now = time.monotonic_ns()
         return {
             member: (now - self._heard_at.get(connection, now)) // MILLISECOND
--- a/kestrelplank/edge/counters.py
+++ b/kestrelplank/edge/counters.py
@@ -1,6 +1,7 @@
 """What an edge counts. docs/oncall.md says of each name what a rise of it means and what to do.
 
-`downstream_rq_...` are requests of clients, `upstream_rq_...` are attempts at servers; what follows says how one ended.
+`downstream_rq_...` are requests of clients, `upstream_rq_...` are attempts at servers; the rest of the name says
+how one ended. `upstream_rq_retry` and `upstream_rq_pending` count no ends: retries, and waits before an attempt.
 """
 
 from kestrelplank.forwarding.errors import ERRORS, OperatorCallError, RequestError
@@ -31,5 +32,5 @@
         self.add(UPSTREAM_RQ_ENDED[outcome])
 
     def refused(self, error: RequestError) -> None:
-        """Count a request that is answered by ourselves."""
+        """Count a request that we answer ourselves with that error."""
         self.add(DOWNSTREAM_RQ_REFUSED[type(error)])
--- a/kestrelplank/edge/exchange_context.py
+++ b/kestrelplank/edge/exchange_context.py
@@ -29,10 +29,10 @@
         self.max_body_memory, self.trace_one_in = max_body_memory, trace_one_in
         self.body_memory = 0  # bytes of bodies in hand
         self.counters = Counters()
-        self.changed = asyncio.Event()  # key ranges, servers or their load
+        self.changed = asyncio.Event()  # key ranges, servers or their load; never stays set
 
     def wake_pending(self) -> None:
-        """Let requests that wait look again whether a server can be used."""
+        """Wake the requests that wait at this moment: each asks the forwarder again whether a server can be used."""
         self.changed.set()
         self.changed.clear()
 
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -1,6 +1,7 @@
 """The edge program: it composes the parts, starts and stops them, and applies what control members send.
 
-Its decisions are in `forwarding.forwarder`, what it knows of the rest in `transport.edge_view`.
+Decisions on requests are in `forwarding.forwarder`; what this edge knows of members, servers and key ranges is in
+`transport.edge_view`.
 """
 
 import asyncio
@@ -24,16 +25,16 @@
 from kestrelplank.transport.edge_view import Change, EdgeView
 from kestrelplank.transport.messages import LoadReport, ToEdge
 
-REPORT_INTERVAL_S = 0.5  # between reports of load, and between looks at idle connections
+REPORT_INTERVAL_S = 0.5  # between load reports, and between checks for idle connections
 DRAIN_DELAY_S = 2.3  # after SIGTERM, in which the platform learns that we are not ready
-FINAL_ANSWERS_S = 0.5  # before the platform kills us, in which what is still in hand is answered
-BODY_MEMORY_FRACTION = 0.25  # of this machine's memory, for bodies in hand
+FINAL_ANSWERS_S = 0.5  # at the end of the platform's grace time, kept to answer what has not finished by then
+BODY_MEMORY_FRACTION = 0.25  # of this machine's memory, for the bodies of requests in hand
 BYTES_PER_MB = 1 << 20
 log = logging.getLogger("edge")
 
 
 class EdgeProgram:
-    """One edge: one event loop, one server for clients and for the platform's question.
+    """One edge: one event loop, one HTTP server for clients and for the platform's readiness check.
 
     :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
     """
@@ -81,14 +82,14 @@
         log.info("Edge: started")
         await stop.wait()
         log.info("Edge: stopping, not ready from now on")
-        await self.drain(DRAIN_DELAY_S)
+        await self.drain(DRAIN_DELAY_S)  # with the sessions: requests in hand still need key ranges and servers
         critical_tasks.cancel()
         self.sessions.close()
         log.info("Edge: stopped", extra={"counters": self.context.counters.values})
         return 1 if critical_tasks.failed else 0
 
     def watch_signals(self, stop: asyncio.Event) -> None:
-        """SIGTERM and SIGINT set `stop`, SIGHUP changes nothing, SIGUSR1 logs the counters."""
+        """Handle signals: SIGTERM and SIGINT set `stop`, SIGHUP is ignored, SIGUSR1 logs the counters."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop.set)
@@ -96,32 +97,32 @@
         loop.add_signal_handler(signal.SIGUSR1, self.log_counters)
 
     def listen(self) -> None:
-        """Take connections from now on."""
+        """Accept connections of clients and of the platform from now on."""
         sockets = [listening_socket(*self.settings.listen_address(name)) for name in ("frontend", "readiness")]
         self._serving = asyncio.create_task(self.server.serve(sockets))
 
     async def drain(self, delay_s: float) -> None:
         """Stop in order, so that no request is lost.
 
-        At first we say that we are not ready, and each answer ends its connection; then nothing new is taken, and what
-        is in hand is finished.
+        At first the readiness check fails and each answer ends its connection, so that clients go elsewhere; then no
+        connection is accepted, and requests in hand are finished.
 
         :param delay_s: between the two.
         """
         self.readiness.begin_drain()
         await asyncio.sleep(delay_s)
         await self.close()
-        await self.server.wait_until_answered(FINAL_ANSWERS_S / 2)
+        await self.server.wait_until_answered(FINAL_ANSWERS_S / 2)  # half: the process has to end in time as well
 
     async def close(self) -> None:
-        """Take nothing new, and finish what is in hand within the grace time."""
+        """Accept no connection, and return once requests in hand are finished or the grace time is over."""
         self.server.should_exit = True
         await self._serving
 
     # What control members send.
 
     def receive(self, member: str, message: ToEdge) -> None:
-        """Apply a message of the member at that address."""
+        """Apply a message of the control member at that address, and wake requests that wait if it changed anything."""
         now = time.monotonic_ns()
         change = self.view.receive(now, member, message)
         if change is None:
@@ -137,7 +138,7 @@
         self.context.wake_pending()
 
     def set_limits(self, configuration: Configuration) -> None:
-        """Bound clients as the configuration says from now on, on all connections."""
+        """Apply the configuration's limits for clients, to open connections too."""
         limits = self.server.limits
         limits.header_bytes = configuration.max_header_bytes
         limits.header_timeout_s = configuration.header_timeout_ns / SECOND
@@ -146,26 +147,27 @@
     # What is sent to control members, and logged.
 
     async def _report_and_close_idle(self) -> None:
-        """Report now and then what was met of servers, and close connections that are not used."""
+        """Send load reports and close idle connections, every `REPORT_INTERVAL_S`."""
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             self._report_load()
             self._close_idle_connections()
 
     def _report_load(self) -> None:
-        """Tell the member that assigns each sharded service's keys what was met there."""
+        """Send the statistics of each sharded service to the member that assigns its keys."""
         for service, (keys, servers) in self.forwarder.take_load_reports().items():
             if keys or servers:
                 self.sessions.send_report(self.view.assigner_address(service), LoadReport(service, keys, servers))
 
     def _close_idle_connections(self) -> None:
+        """Close connections that are unused too long, or whose server is gone; first note how many are unused."""
         endpoints = self.forwarder.endpoints.by_name.values()
         for endpoint in endpoints:
             endpoint.idle_connections = self.connections.idle_count(endpoint.address)
         self.connections.close_unused({endpoint.address for endpoint in endpoints if endpoint.ready})
 
     def log_counters(self) -> None:
-        """Log what this edge has counted and sees now, as one line."""
+        """Log the counters and the gauges of this edge as one line; docs/oncall.md explains each."""
         now, endpoints = time.monotonic_ns(), self.forwarder.endpoints
         loads = {name: endpoint.load(now) for name, endpoint in endpoints.by_name.items()}
         log.info(
--- a/kestrelplank/edge/readiness.py
+++ b/kestrelplank/edge/readiness.py
@@ -6,15 +6,15 @@
 
 
 class ReadinessState(Enum):
-    """What the platform is told of this edge."""
+    """The states of an edge; the platform's readiness check succeeds in `READY` alone."""
 
-    STARTING = "starting"  # no configuration or list of servers yet that may be served by
+    STARTING = "starting"  # no list of servers, or no configuration that a current member has vouched for
     READY = "ready"
     DRAINING = "draining"  # it is about to stop: each answer ends its connection
 
 
 class Readiness:
-    """The state of one edge. It starts once, and never ends to drain."""
+    """The state of one edge: it only goes forward, and draining is final."""
 
     def __init__(self, view: EdgeView) -> None:
         self._view = view
@@ -32,5 +32,5 @@
         return self.state is ReadinessState.READY
 
     def begin_drain(self) -> None:
-        """Be ready no longer."""
+        """Fail the readiness check from now on."""
         self.draining = True
--- a/kestrelplank/edge/request_head.py
+++ b/kestrelplank/edge/request_head.py
@@ -1,11 +1,12 @@
-"""What the head of a client's request says to a gateway, and the headers of the request as it goes to a server."""
+"""The headers of a client's request that the gateway itself acts on, and the headers that servers are sent."""
 
 from kestrelplank.http.asgi import Headers
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 ATTEMPT_ID, DEADLINE, SHARD_KEY = b"x-attempt-id", b"x-deadline-remaining", b"x-shard-key"
 TARGET_INSTANCE = b"x-target-instance"
-SINGLE_HEADERS = (ATTEMPT_ID, DEADLINE, SHARD_KEY)  # of two of them, we and the server might heed different ones
+# May occur once: of two, we and the server might act on different ones.
+SINGLE_HEADERS = (ATTEMPT_ID, DEADLINE, SHARD_KEY)
 # RFC 9110, section 7.6.1, and the headers that say how long a body is: each hop has its own.
 HOP_BY_HOP_HEADERS = {
     b"connection",
@@ -22,19 +23,19 @@
 }
 NOT_FORWARDED = HOP_BY_HOP_HEADERS | {DEADLINE, TARGET_INSTANCE}  # each attempt has its own of the latter two
 DEFAULT_CLIENT_TIMEOUT_NS = 30 * SECOND  # of a client that does not say how long it waits
-MAX_CLIENT_TIMEOUT_NS = 600 * SECOND  # no route holds a request longer
+MAX_CLIENT_TIMEOUT_NS = 600 * SECOND  # no route has a longer time-out: `configuration.validation.MAX_ROUTE_TIMEOUT_S`
 
 Fields = dict[bytes, bytes]  # headers by lower-case name, the last of several
 
 
 def is_ambiguous(headers: Headers, fields: Fields) -> bool:
-    """Whether it is not certain whose request it is, or what it asks for."""
+    """Whether a header of `SINGLE_HEADERS` occurs twice, or `X-Attempt-Id` is missing or empty."""
     names = [name for name, _ in headers if name in SINGLE_HEADERS]
     return len(names) != len(set(names)) or not fields.get(ATTEMPT_ID)
 
 
 def client_timeout_ns(fields: Fields) -> int:
-    """Return how long the client waits."""
+    """Return how long the client waits: by its `X-Deadline-Remaining` (ms), within bounds; else the default."""
     try:
         remaining_ns = round(float(fields.get(DEADLINE, b"")) * MILLISECOND)
     except (ValueError, OverflowError):
@@ -51,7 +52,10 @@
 
 
 def attempt_headers(server: str, timeout_ns: int) -> Headers:
-    """Return the headers of one attempt: what is left of the deadline, and the server that is meant."""
+    """Return the headers of one attempt: what is left of the deadline (ms), and the name of the server it is meant for.
+
+    Another server at the same address answers 421 to that name.
+    """
     return [
         (DEADLINE, str(max(1, timeout_ns // MILLISECOND)).encode()),
         (TARGET_INSTANCE, server.encode()),
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -28,7 +28,7 @@
 
 CONNECT_TIMEOUT_S = 0.35
 MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: here, another incarnation of the server is at this address
-SUCCESS, SERVER_ERROR = 2, 5  # classes of status codes
+SUCCESS, SERVER_ERROR = 2, 5  # classes of status codes: the first digit
 OUTCOMES_WITHOUT_ANSWER: dict[type[NoAnswerError], CallOutcome] = {
     RequestUnsendableError: CallOutcome.UNSENDABLE,
     RequestNotSentError: CallOutcome.CONNECT_FAIL,
@@ -61,7 +61,7 @@
 class AttemptResult:
     """How an attempt ended.
 
-    :param answer: where one came complete that is this request's.
+    :param answer: the complete answer to this request, None where none came.
     """
 
     outcome: CallOutcome
@@ -80,7 +80,7 @@
 
 
 class ServerConnections:
-    """All connections to servers. What is taken from a pool is given back in one place, `send`.
+    """All connections to servers. What `send` takes from a pool it gives back itself, whatever happens.
 
     :param clock: steady, in ns.
     """
@@ -94,7 +94,7 @@
     async def send(self, address: str, request: ServerRequest, timeout_ns: int, max_connections: int) -> AttemptResult:
         """Make one attempt at that server. Raises only where it is cancelled.
 
-        :param max_connections: that there may be to that server.
+        :param max_connections: how many connections this edge may have to that server.
         """
         pool = self._pool(address, max_connections)
         connections = self._connections[address]
@@ -128,7 +128,7 @@
         return pool
 
     def _take(self, pool: ConnectionPool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
-        """Return a connection that can be used at once, or the number for a new one, or neither where all are busy."""
+        """Return a number and its connection; the number alone if one is to be dialled; neither if all are in use."""
         while True:
             number = pool.acquire(self._clock())
             if number is NoConnection.DIAL:
@@ -144,6 +144,7 @@
 
     @staticmethod
     async def _dial(pool: ConnectionPool, address: str, timeout_s: float) -> Connection | None:
+        """Return a new connection, None if none came up in time."""
         host, _, port = address.rpartition(":")
         try:
             return await dial((host, int(port)), timeout_s)
@@ -166,7 +167,7 @@
         try:
             async with asyncio.timeout_at(deadline_at_s):
                 answer = await connection.call(request.method, request.target, request.headers, request.body)
-                while not is_answer_to(answer, request.attempt_id):  # but to an older request: ours is still to come
+                while not is_answer_to(answer, request.attempt_id):  # but to an earlier request: ours may still come
                     answer = await connection.next_answer(request.method, request.target)
             pool.limit_idle_time(answer.max_idle_ns())
             return AttemptResult(outcome_of(answer), answer), connection.reusable
@@ -182,7 +183,7 @@
         return pool.counts()[1] if pool is not None else 0
 
     def close_unused(self, live: set[str]) -> None:
-        """Close what has been idle too long, and all that is idle to servers that are no longer there.
+        """Close connections that have been idle too long, and all idle ones to servers that may not be used any more.
 
         :param live: addresses of the servers that may be used.
         """
@@ -198,12 +199,15 @@
 
 
 def is_answer_to(answer: Answer, attempt_id: bytes) -> bool:
-    """Whether it is the answer to the request with that id."""
+    """Whether the answer bears that `X-Attempt-Id`, exactly once."""
     return answer.single_value(b"x-attempt-id") == attempt_id
 
 
 def outcome_of(answer: Answer) -> CallOutcome:
-    """Return what a complete answer to our request says of it."""
+    """Return the outcome that a complete answer to our request stands for.
+
+    A server stamps its successes with `X-Server-Seal`: a 2xx without it comes from something between us and the server.
+    """
     if b"x-not-executed" in answer.fields or answer.status == MISDIRECTED_REQUEST:
         return CallOutcome.NOT_EXECUTED
     status_class = answer.status // 100
--- a/kestrelplank/forwarding/endpoint.py
+++ b/kestrelplank/forwarding/endpoint.py
@@ -1,7 +1,7 @@
 """One server as one edge machine sees it.
 
-Its own requests in flight there, the load that the server reported, how long answers take, and what has been met there
-since the last report.
+This edge's requests in flight there, the load that the server reported, how long answers take, and the statistics since
+the last load report to the control members.
 """
 
 import math
@@ -9,24 +9,26 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.server_list import READY, ListedServer
 
-LOAD_HALF_LIFE_NS = 300 * MILLISECOND  # in which what a server reported of its load loses half of its meaning
+LOAD_HALF_LIFE_NS = 300 * MILLISECOND  # of the reported requests of other edges: they count for half after that time
 INITIAL_LATENCY_S = 0.15  # of a request at a server that has not answered yet
 LATENCY_WEIGHT = 0.1  # of the newest answer in the moving average of latencies
 MAX_LATENCY_SAMPLE_S = 2.0
 NEGLIGIBLE_LOAD = 0.01  # requests
 MAX_QUEUED = 4  # requests that may wait at a server: beyond that it might take one that it never answers
-LOAD_FRESH_NS = 1 * SECOND  # a server whose last report is older gets no more than this edge's part ...
-MIN_UNREPORTED_IN_FLIGHT = 2  # ... or so many requests, until it reports again
+# Until a server whose last report is older than this reports again, this edge sends it at most its part of the server's
+# capacity, or so many requests where that part is smaller.
+LOAD_FRESH_NS = 1 * SECOND
+MIN_UNREPORTED_IN_FLIGHT = 2
 DRAIN_SEND_FRACTION = 0.36  # of the drain time: for so long a draining server may still be sent requests
 
 ServerLoad = tuple[int, int, int]  # running, waiting, slots
-EndpointStats = tuple[float, ...]  # as a load report has it
+EndpointStats = tuple[float, ...]  # on the wire of load reports; `Endpoint.stats` names the figures in order
 
 
 class Endpoint:
     """One server, in one of its incarnations.
 
-    :param number: given by us, never used twice.
+    :param number: of this incarnation, given by `Endpoints` and never used twice.
     """
 
     __slots__ = (
@@ -57,14 +59,14 @@
         self.number, self.server, self.service, self.address = number, entry.server, entry.service, entry.address
         self.zone, self.slots = entry.zone, max(1, entry.slots)
         self.ready, self.listed, self.warm_at = entry.state == READY, True, 0
-        self.drain_listed_at = 0  # when the list was fetched that shows it draining; 0: the first that had it did
+        self.drain_listed_at = 0  # when the list that first showed it draining was fetched; 0: it was never ready here
         self.in_flight = 0  # requests of this edge
-        self.idle_connections = 0  # of this edge, as the adapter says
+        self.idle_connections = 0  # of this edge, set by the adapter
         self.load_of_others, self.load_reported_at = 0.0, 0  # requests of other edges, as of its last report
         self.latency_s = INITIAL_LATENCY_S
         self.reset_stats()
 
-    # What is known of its load.
+    # Its load, as far as is known.
 
     def load(self, now: int) -> float:
         """Return how many requests it has in hand, ours and others', as far as is known."""
@@ -76,8 +78,7 @@
     def has_capacity(self, now: int, edge_count: int) -> bool:
         """Whether it can take one more request and keep its queue short.
 
-        All edges may send there at once: one that has not heard lately what the server has in hand, or never will,
-        sends no more than its part until it has.
+        All edges may send there at once: one without a fresh load report of the server sends no more than its part.
 
         :param edge_count: how many edge machines there are.
         """
@@ -92,7 +93,7 @@
         return self.latency_s * (1 + queued / self.slots)
 
     def is_drained(self, now: int, drain_ns: int) -> bool:
-        """Whether nothing may go there any more, though it may still hold keys.
+        """Whether nothing may be sent there any more, as it is about to stop; it may still hold keys.
 
         The list may be older by a poll or two than what it shows, and a connection takes time: so the server counts as
         drained well before its time is over.
@@ -101,10 +102,10 @@
         """
         return not self.ready and now >= self.drain_listed_at + int(drain_ns * DRAIN_SEND_FRACTION)
 
-    # What its requests tell of it.
+    # Attempts, and what is learned from them.
 
     def attempt_started(self) -> None:
-        """Count an attempt that goes there."""
+        """Count an attempt that is about to be sent there."""
         self.in_flight += 1
         self.attempts += 1
         self.idle_connections = max(0, self.idle_connections - 1)
@@ -117,7 +118,7 @@
     def attempt_ended(self, now: int, succeeded: bool, duration_ns: int, load: ServerLoad | None) -> None:
         """Count the end of an attempt, and learn from it.
 
-        :param succeeded: its end says nothing against the server.
+        :param succeeded: its outcome is none that speaks against the server (`forwarder.SERVER_HEALTHY`).
         :param load: what the server reported with its answer, None: nothing.
         """
         self.in_flight -= 1
@@ -129,6 +130,7 @@
             self._load_reported(now, succeeded, duration_ns, load)
 
     def _load_reported(self, now: int, succeeded: bool, duration_ns: int, load: ServerLoad) -> None:
+        """Take the load that came with an answer; the server counted our request, which has just ended, too."""
         running, waiting, slots = load
         in_hand = running + waiting
         self.load_of_others, self.load_reported_at = max(0.0, in_hand - self.in_flight - 1.0), now
@@ -145,7 +147,7 @@
     # Statistics for the member that assigns keys.
 
     def stats(self) -> EndpointStats:
-        """Return what was met there since `reset_stats`.
+        """Return the statistics since `reset_stats`.
 
         Attempts, failures, the sum of busy slots over its load reports, how many these were, the sum of the logarithms
         of latencies (s) of answers that left no queue, and how many these were.
@@ -160,7 +162,7 @@
         )
 
     def reset_stats(self) -> None:
-        """Count anew, as what was met there is reported."""
+        """Begin the statistics anew, as they have been reported."""
         self.attempts, self.failures = 0, 0
         self.busy_slots_sum, self.load_reports = 0.0, 0
         self.unqueued_log_latency_sum, self.unqueued_answers = 0.0, 0
--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -11,12 +11,12 @@
 EJECTION_TIME_NS = (1 * SECOND, 2 * SECOND)  # least and most, drawn at each ejection
 CONSECUTIVE_FAILURES = 2  # after which a server is ejected
 
-# What makes the wait at a server seem longer. Connections and bytes between zones are priced.
-CONNECT_COST = 1.4  # a connection must be made first; and all edges share what a server accepts
+# Factors on the expected wait at a server, when one is chosen. Connections and bytes between zones cost money.
+CONNECT_COST = 1.4  # no idle connection: one must be made, and all edges share the number that a server accepts
 OTHER_ZONE_COST = 1.15
-OTHER_ZONE_BODY_BYTES = 80_000  # a body of so many bytes costs as much again
-WARMING_UP_WEIGHT = 0.5  # of a server that is still slow after its start
-TIE_BREAK_JITTER = 0.3  # drawn for each server, so that not all edges take the same of equals
+OTHER_ZONE_BODY_BYTES = 80_000  # to another zone, each so many bytes of body add 1 to the factor
+WARMING_UP_WEIGHT = 0.5  # a divisor, of a server that is still slow after its start
+TIE_BREAK_JITTER = 0.3  # up to this is added at random for each server, lest all edges choose the same among equals
 
 UNUSED_NUMBER = 0  # no endpoint has it
 
@@ -51,6 +51,7 @@
             self.services.setdefault(endpoint.service, []).append(endpoint)
 
     def _updated_endpoint(self, fetched_at: int, entry: ListedServer) -> Endpoint:
+        """Return the endpoint of that entry as the list now has it, a new one if the server was not listed before."""
         endpoint = self.by_name.get(entry.server)
         if endpoint is None:
             self._last_number += 1
@@ -63,7 +64,7 @@
     def choose(self, now: int, service: str, excluded: tuple[str, ...], body_bytes: int = 0) -> Endpoint | None:
         """Return the server with the least cost of all that may be used; None where there is none.
 
-        :param excluded: names of servers that were asked already.
+        :param excluded: names of servers that this request was already sent to.
         """
         usable = [
             endpoint
@@ -79,7 +80,7 @@
         return min(usable, key=lambda endpoint: self._cost(now, endpoint, body_bytes))
 
     def _cost(self, now: int, endpoint: Endpoint, body_bytes: int) -> float:
-        """Return the expected wait there (s), and what else speaks against it as a multiple of that."""
+        """Return the expected wait there (s), times the factors that apply."""
         zone_cost = 1 if endpoint.zone == self._zone else OTHER_ZONE_COST + body_bytes / OTHER_ZONE_BODY_BYTES
         cost = endpoint.expected_wait_s(now) * zone_cost
         if not endpoint.idle_connections:
@@ -88,7 +89,8 @@
         return cost / WARMING_UP_WEIGHT if now < endpoint.warm_at else cost
 
     def is_ejected(self, now: int, endpoint: Endpoint) -> bool:
-        """Whether attempts there have failed in a row just now."""
+        """Whether the server is ejected now, as attempts there failed in a row."""
+        # With another candidate, as `without_ejected` returns all candidates where all are ejected.
         healthy = self._ejection.without_ejected(now, [(endpoint.number, 1.0), (UNUSED_NUMBER, 1.0)])
         return healthy[0][0] != endpoint.number
 
--- a/kestrelplank/forwarding/errors.py
+++ b/kestrelplank/forwarding/errors.py
@@ -9,9 +9,9 @@
 
 
 class RequestError(Exception):
-    """A request, or an operator's call, ends with an answer of our own.
+    """Ends a request, or an operator's call, with an answer of our own.
 
-    :param retry_after_ns: when the client may come back; 0: nothing is said of that.
+    :param retry_after_ns: how long the client should wait before it sends again, for `Retry-After`; 0: no such header.
     """
 
     status: ClassVar[int]
@@ -71,7 +71,7 @@
     status, reason = 408, "too slow"
 
 
-# What the gateway lacks.
+# What the gateway or its servers lack.
 
 
 class NotReadyError(NotExecutedError):
@@ -99,7 +99,7 @@
 
 
 class ServersFullError(NotExecutedError):
-    """The servers that may run the request have as many in hand as they are given."""
+    """The servers that may run the request have as many requests in hand as this edge may give them."""
 
     status, reason = 503, "full"
 
@@ -122,7 +122,7 @@
     status, reason = 503, "a defect of the gateway"
 
 
-# What is not known of an attempt.
+# An attempt may have run.
 
 
 class OutcomeUnknownError(UnprovenRequestError):
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""The way of a client's request through an edge machine, from top to bottom: all its decisions, and no I/O.
+"""A client's request at an edge machine, from its admission to its answer: all decisions, and no I/O.
 
 An adapter calls `Forwarder.admit` for each request that has come in full, then carries out one step after the other
 (`forwarding.steps`) until the client has its answer:
@@ -39,13 +39,13 @@
 SHARD_KEYS = 65_536
 
 # The deadline.
-ANSWER_MARGIN_NS = 30 * MILLISECOND  # before the client's time is over, we answer it ourselves
-MIN_ATTEMPT_DIVISOR = 10  # an attempt with less than this part of the latency target left isn't made
+ANSWER_MARGIN_NS = 30 * MILLISECOND  # so long before the deadline we answer ourselves, as the answer takes time too
+MIN_ATTEMPT_DIVISOR = 10  # an attempt is made only if at least latency target / 10 is left of the deadline
 
 # Attempts.
-MAX_UNSENT_ATTEMPTS = 4  # connections that did not come up
-NOT_BEGUN = (CallOutcome.NO_CONNECTION_FREE, CallOutcome.UNSENDABLE)  # for a reason of our own, or of the client's
-SERVER_HEALTHY = (CallOutcome.ANSWERED, CallOutcome.NOT_EXECUTED)  # ends that say nothing against a server
+MAX_UNSENT_ATTEMPTS = 4  # of one request: its connection did not come up, so they use up no attempt
+NOT_BEGUN = (CallOutcome.NO_CONNECTION_FREE, CallOutcome.UNSENDABLE)  # nothing was sent, and not for the server's fault
+SERVER_HEALTHY = (CallOutcome.ANSWERED, CallOutcome.NOT_EXECUTED)  # do not count as failures of the server
 # An attempt that another server may repeat times out after so many times the latency usual there, and not before so
 # much of the latency target.
 EARLY_TIMEOUT_LATENCIES = 4
@@ -55,7 +55,7 @@
 CAPACITY_POLL_INTERVAL_NS = 60 * MILLISECOND  # how often a waiting request looks again whether a server has capacity
 
 # Connections.
-CONNECTION_SHARE = 0.8  # of what a server accepts from all callers, shared by all edges
+CONNECTION_SHARE = 0.8  # of the connections that a server accepts from all callers: for all edges together
 WANTED_CONNECTIONS = 2  # one in use and one that comes up, where a server accepts as many from each edge
 
 # Retry-After.
@@ -74,8 +74,8 @@
     (`test_where_all_connections_are_in_use_a_request_waits_here_and_nothing_counts_against_the_server`).
 
     :param zone: of this edge machine.
-    :param retry_ratio: retries to requests, in the operator's bound for all edges together.
-    :param retry_allowance: retries beyond the ratio, in the same bound.
+    :param retry_ratio: retries per request that the operator allows all edges together.
+    :param retry_allowance: retries beyond that ratio, likewise.
     :param drain_ns: time from the platform's listing a server as draining until no request may reach it.
     """
 
@@ -100,8 +100,8 @@
     ) -> ForwardedRequest:
         """Admit a request that has come in full.
 
-        :param client_timeout_ns: for how long its client waits from now on.
-        :raises RequestError: it is refused, and no state is kept of it.
+        :param client_timeout_ns: for how long its client still waits.
+        :raises RequestError: it is refused; nothing is kept of it.
         """
         configuration, route = self._route(host, path)
         service = configuration.services[route.choose_service(self._random)]
@@ -120,7 +120,7 @@
         return configuration, route
 
     def _shard_key(self, service: Service, shard_key: str | None) -> int | None:
-        """Return the key that tells the request's server, None where the service is not sharded."""
+        """Return the shard key, and count it for the load report; None where the service is not sharded."""
         if not service.sharded:
             return None
         if shard_key is None or not shard_key.isdecimal() or int(shard_key) >= SHARD_KEYS:
@@ -163,15 +163,15 @@
         if endpoint.is_drained(now, self._drain_ns):
             return True
         if not endpoint.ready and endpoint.server in request.attempted_servers:
-            return True
+            return True  # it is draining or gone, and failed already: the key is about to move
         if request.last_outcome is CallOutcome.NOT_EXECUTED and endpoint.server == request.attempted_servers[-1]:
             return True  # it holds the key no longer: we are about to hear of another holder
         return bool(request.unsent_attempts) and self.endpoints.is_ejected(now, endpoint)
 
-    # 3. Waiting here: what hangs at a server can't be taken back, and can't be refused with a promise.
+    # 3. Waiting here and not at a server: what was sent can't be taken back, nor refused as surely not run.
 
     def _wait_for_holder(self, now: int, request: ForwardedRequest) -> Step:
-        """Wait for as long as a move of the key takes, as nobody holds it as far as is known."""
+        """Wait for a new holder of the key, until half the latency target is over; then refuse."""
         until = request.received_at + request.route.latency_target_ns // 2
         if now >= until:
             return self._refuse(request, NoKeyHolderError, NO_HOLDER_RETRY_AFTER_NS)
@@ -179,7 +179,7 @@
         return Wait(until)
 
     def _wait_for_capacity(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
-        """Wait while the latency target can still be met, as the server to be used has enough in hand."""
+        """Wait until the server chosen has capacity, while the latency target can still be met; then refuse."""
         until = request.received_at + request.route.latency_target_ns - int(endpoint.latency_s * SECOND)
         if now >= until:
             expected_wait_ns = int(endpoint.expected_wait_s(now) * SECOND)
@@ -190,6 +190,7 @@
     # 4. The attempt, and its time-out.
 
     def _start_attempt(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
+        """Send the request there, with the time that is left, or less where another server may repeat it."""
         request.start_attempt(now, endpoint)
         endpoint.attempt_started()
         timeout_ns = request.deadline_at - now
@@ -201,9 +202,9 @@
         return Send(endpoint, timeout_ns)
 
     def _may_time_out_early(self, request: ForwardedRequest) -> bool:
-        """Whether silence may end this attempt before the deadline.
+        """Whether this attempt may time out before the deadline.
 
-        Only where another server may do it as well, and if the retry policy lets what timed out be sent again.
+        Only if another server and another attempt are left, and the retry policy allows a retry after a time-out.
         """
         return (
             request.key is None
@@ -213,14 +214,14 @@
         )
 
     def max_connections(self, request: ForwardedRequest) -> int:
-        """Return how many connections to one server of its service this edge may have, with all edges alike."""
+        """Return how many connections this edge may have to one server of its service; each edge has the same share."""
         share = int(CONNECTION_SHARE * request.max_connections / self.view.edge_count)
         least = WANTED_CONNECTIONS if WANTED_CONNECTIONS * self.view.edge_count <= request.max_connections else 1
         return max(least, share)
 
     @staticmethod
     def may_abandon(request: ForwardedRequest) -> bool:
-        """Whether an attempt that is out may be broken off once the client has gone."""
+        """Whether an attempt in flight may be broken off once the client has disconnected."""
         return is_idempotent(request.call_kind)
 
     # 5. The attempt's end: retry, or give up.
@@ -228,7 +229,7 @@
     def attempt_ended(
         self, now: int, request: ForwardedRequest, outcome: CallOutcome, load: ServerLoad | None = None
     ) -> Step:
-        """Decide what follows of the attempt that has just ended.
+        """Decide what follows the attempt that has just ended.
 
         :param load: what the server reported of its load, None: nothing.
         """
@@ -244,7 +245,7 @@
         return self.next_step(now, request)
 
     def _attempt_not_begun(self, now: int, request: ForwardedRequest, endpoint: Endpoint, outcome: CallOutcome) -> Step:
-        """Decide what follows where nothing was sent, for a reason that says nothing of the server."""
+        """Decide what follows an attempt of which nothing was sent, for a reason that says nothing of the server."""
         request.discard_attempt()
         endpoint.attempt_discarded()
         if outcome is CallOutcome.NO_CONNECTION_FREE:
@@ -262,7 +263,7 @@
         )
 
     def _give_up(self, request: ForwardedRequest, outcome: CallOutcome) -> Step:
-        """Answer the client, as no retry follows the attempt that has just ended so."""
+        """Choose the answer to the client, as no retry follows the attempt that has just ended so."""
         if outcome is CallOutcome.ANSWERED:
             return self._forward_answer(request)
         if outcome is CallOutcome.NOT_EXECUTED:
@@ -279,10 +280,11 @@
         return ForwardAnswer()
 
     def _refuse(self, request: ForwardedRequest, error: type[RequestError], retry_after_ns: int = 0) -> Step:
-        """Answer the client ourselves.
+        """End the request without a further attempt: with `error`, unless an attempt may have run.
+
+        Then nothing may be promised: the client gets the 5xx that the last server answered, else 504 or 502.
 
-        Where an attempt may have run nothing is promised, and the last server's own answer, if there was one, goes
-        before ours.
+        :param retry_after_ns: of the error, before jitter.
         """
         if not request.may_have_run:
             request.refuse()
@@ -297,12 +299,12 @@
     def _jittered(self, retry_after_ns: int) -> int:
         return int(retry_after_ns * (1 + RETRY_AFTER_JITTER * self._random.random()))
 
-    # What was met, for the member that assigns keys.
+    # Statistics, for the member that assigns keys.
 
     def take_load_reports(self) -> dict[str, tuple[list[int], dict[str, EndpointStats]]]:
-        """Return what was met since the last call, by sharded service, and begin anew.
+        """Return the statistics since the last call by sharded service, and begin anew.
 
-        The keys that were asked for, and `Endpoint.stats` of each server where anything was met.
+        For each: the shard keys of its requests, and `Endpoint.stats` of each server that had attempts or load reports.
         """
         reports = {}
         for service in self.view.key_ranges:
--- a/kestrelplank/forwarding/request.py
+++ b/kestrelplank/forwarding/request.py
@@ -34,15 +34,17 @@
 
 
 class ForwardedRequest:
-    """A request in hand, and the transitions of its state: one method each.
+    """The state of a request in hand; each transition is a method, which records it and does no more.
+
+    `TRANSITIONS` is not checked as a program runs: `test_states_of_a_request_follow_the_table` does so.
 
     Route, service and connections are those of the configuration under which the request came; a change of the
     configuration leaves it alone (`test_a_route_keeps_its_requests_through_a_change`).
 
-    :param max_connections: what a server of the service accepts from all callers.
+    :param max_connections: how many connections a server of the service accepts from all callers.
     :param key: its shard key, None where the service is not sharded.
-    :param received_at: when it had come in full.
-    :param deadline_at: when its client or its route gives it up.
+    :param received_at: when its body had been read in full.
+    :param deadline_at: the earlier of the ends of its client's and its route's time-out.
     :param body_bytes: size of its body.
     """
 
@@ -76,34 +78,33 @@
     ) -> None:
         self.route, self.service, self.max_connections = route, service, max_connections
         self.key, self.body_bytes, self.received_at, self.deadline_at = key, body_bytes, received_at, deadline_at
-        # Its kind in the table of retries.
         self.call_kind = CallKind.IDEMPOTENT_REQUEST if route.idempotent else CallKind.NON_IDEMPOTENT_REQUEST
         self.state = RequestState.ADMITTED
         self.attempted_servers: tuple[str, ...] = ()  # servers that something was sent to
         self.unsent_attempts = 0  # attempts of which no byte was sent
         self.endpoint: Endpoint | None = None  # where an attempt is out
-        self.sent_at = 0  # when the last attempt was sent
+        self.sent_at = 0  # when the last attempt was started
         self.last_outcome: CallOutcome | None = None  # of the last attempt that was begun
         self.may_have_run = False  # an attempt has ended without proof that it has not run
 
     # Transitions.
 
     def begin_wait(self) -> None:
-        """Wait here until a server can be used."""
+        """Record that it waits until a server can be used."""
         self.state = RequestState.WAITING
 
     def start_attempt(self, now: int, endpoint: Endpoint) -> None:
-        """Send an attempt to that server."""
+        """Record that an attempt goes to that server."""
         self.state = RequestState.IN_FLIGHT
         self.endpoint, self.sent_at = endpoint, now
 
     def discard_attempt(self) -> None:
-        """Drop the attempt that was to be sent: it was not begun, so it counts for nothing."""
+        """Record that nothing was sent of the attempt: it does not count."""
         self.state = RequestState.ATTEMPT_ENDED
         self.endpoint = None
 
     def end_attempt(self, server: str, outcome: CallOutcome, verdict: Verdict) -> None:
-        """End the attempt at that server, and keep what it proves."""
+        """Record how the attempt at that server ended, and whether the request may have run."""
         self.state = RequestState.ATTEMPT_ENDED
         self.endpoint, self.last_outcome = None, outcome
         if verdict.execution is not Execution.NOT_EXECUTED:
@@ -114,9 +115,9 @@
             self.unsent_attempts += 1
 
     def forward_answer(self) -> None:
-        """Answer with what the last attempt's server answered."""
+        """Record that the client gets the last server's answer."""
         self.state = RequestState.ANSWERED
 
     def refuse(self) -> None:
-        """Answer with an answer of our own."""
+        """Record that the client gets an answer of our own."""
         self.state = RequestState.REFUSED
--- a/kestrelplank/forwarding/retry_budget.py
+++ b/kestrelplank/forwarding/retry_budget.py
@@ -2,7 +2,7 @@
 
 
 class RetryBudget:
-    """Retries that this edge may still make at each service: a share of its requests, and a few saved up.
+    """A token bucket of retries for each service: every request adds a part of one, every retry takes one.
 
     All edges together stay within the operator's bound even when they hear nothing of each other, as each may save up
     only its part (`test_the_retry_budget_keeps_all_edges_together_within_the_operators_bound`).
@@ -10,13 +10,14 @@
     Source: Finagle's and gRPC's retry budgets, see `load_balancing.retry_budget`; here the saved part shrinks as edges
     are added.
 
-    :param ratio: retries to requests, as in the operator's bound for all edges together.
-    :param allowance: retries beyond the ratio, as in the same bound.
+    :param ratio: retries per request that the operator allows all edges together.
+    :param allowance: retries beyond that ratio, likewise.
     """
 
-    RATIO_SHARE = 0.7  # of the operator's ratio that is given out
-    MAX_BALANCE = 6.0
-    ALLOWANCE_SHARE = 0.5  # of the operator's allowance, over all edges
+    # Margins below the operator's bound.
+    RATIO_SHARE = 0.7  # of the ratio
+    ALLOWANCE_SHARE = 0.5  # of the allowance, for all edges together
+    MAX_BALANCE = 6.0  # retries saved up for one service, however few edges there are
 
     def __init__(self, ratio: float, allowance: float) -> None:
         self._ratio, self._allowance = ratio, allowance
--- a/kestrelplank/forwarding/retry_policy.py
+++ b/kestrelplank/forwarding/retry_policy.py
@@ -4,8 +4,8 @@
 deadline, budget) only ever narrow a verdict. docs/requests.md shows the same table with how each answer is tied to its
 call.
 
-Only a server's own word, or not one byte sent, proves that a call has not run. A reset, a close, a time-out, a
-truncated or malformed answer and one that belongs to another call prove nothing.
+Only a server's own statement (`X-Not-Executed`, 421), or that no byte was sent, proves that a call has not run. A
+reset, a close, a time-out, a truncated or malformed answer and one that belongs to another call prove nothing.
 """
 
 from dataclasses import dataclass
@@ -30,8 +30,8 @@
     """How a call ended, as its caller saw it. The values are names of counters and stand in logs."""
 
     ANSWERED = "answered"  # a complete answer tied to this call
-    SERVER_ERROR = "5xx"  # the same with a 5xx, without the word that it has not run
-    NOT_EXECUTED = "not_executed"  # the server's own word, tied to this call
+    SERVER_ERROR = "5xx"  # the same with a 5xx that does not say that it has not run
+    NOT_EXECUTED = "not_executed"  # an answer tied to this call says that it has not run
     NO_CONNECTION_FREE = "no_connection_free"  # nothing was sent: all connections that we may have there are in use
     UNSENDABLE = "unsendable"  # it can't be put on the wire: no byte has left us, here or anywhere
     CONNECT_FAIL = "connect_fail"  # no connection came up, or it had ended: no byte of the call has left us
@@ -40,7 +40,7 @@
     TRUNCATED = "truncated"  # the connection ended within an answer
     MALFORMED = "malformed"  # bytes that are no answer, or an answer that can't be this call's
     TIMEOUT = "timeout"  # bytes were sent and no answer came in time
-    ABANDONED = "abandoned"  # we gave the call up ourselves after its first byte, as nobody waits for it
+    ABANDONED = "abandoned"  # we gave it up ourselves after its first byte: its client has gone, or we stop
 
 
 class Execution(Enum):
@@ -52,10 +52,10 @@
 
 
 class RetryTarget(Enum):
-    """Where the maker of the call may send it again by itself."""
+    """Where the caller may send the call again by itself."""
 
     NONE = "none"
-    OTHER_SERVER = "other server"  # not to the server that has just been asked
+    OTHER_SERVER = "other server"  # not to the server that has just answered
     ANY_SERVER = "any server"
 
 
@@ -67,7 +67,7 @@
     NOT_EXECUTED.
 
     :param execution: what is proved of the call.
-    :param retry: where its maker may send it again.
+    :param retry: where the caller may send it again.
     :param counts_as_attempt: it may have reached the other side, so sending it again is a retry.
     """
 
@@ -150,10 +150,10 @@
 
 
 def verdict(kind: CallKind, outcome: CallOutcome) -> Verdict:
-    """Return what follows of such a call that ended so."""
+    """Return what follows a call of that kind that ended so."""
     return RETRY_TABLE[kind][outcome]
 
 
 def is_idempotent(kind: CallKind) -> bool:
-    """Whether such a call may be broken off while it may run: another run of it would do no harm."""
+    """Whether a call of that kind may run twice: it may be retried after a time-out, and broken off in flight."""
     return verdict(kind, CallOutcome.TIMEOUT).retry is not RetryTarget.NONE
--- a/kestrelplank/forwarding/steps.py
+++ b/kestrelplank/forwarding/steps.py
@@ -10,7 +10,7 @@
 class Send:
     """Send the request to `endpoint`, then call `Forwarder.attempt_ended`.
 
-    :param timeout_ns: what the attempt has, which is also what the server is told.
+    :param timeout_ns: for the attempt from now on; the server is sent it as the time that remains.
     """
 
     endpoint: Endpoint
