--- a/kestrelplank/configuration/differences.py
+++ b/kestrelplank/configuration/differences.py
@@ -1,4 +1,8 @@
-"""What differs between two configurations, route by route and field by field, in the operators' names and units."""
+"""What differs between two configurations, route by route and field by field.
+
+Fields of routes have the operators' names and units. Limits have short names of our own and are in ns or bytes;
+services are compared with all their fields at once. The command line prints all this, so it stays.
+"""
 
 from typing import NamedTuple
 
@@ -26,9 +30,10 @@
 
 
 class Difference(NamedTuple):
-    """A field that differs, as the operator names and writes it.
+    """One thing that differs, as the command line prints it.
 
-    Of a route that one side lacks `field` is `added` or `dropped`; `host` is empty where no route is concerned.
+    `host` and `prefix` are empty for limits and services. For a route that one side lacks, `field` is `added` or
+    `dropped` and both values are None.
     """
 
     host: str
@@ -57,7 +62,7 @@
 
 
 def _limit_differences(old: Configuration, new: Configuration) -> list[Difference]:
-    """Return what differs of the limits on clients; times are in ns."""
+    """Return the limits on clients that differ; times are in ns."""
     return [
         Difference("", "", operators_name, getattr(old, name), getattr(new, name))
         for name, operators_name in LIMIT_NAMES.items()
@@ -66,7 +71,7 @@
 
 
 def _service_differences(name: str, old: Service | None, new: Service | None) -> list[Difference]:
-    """Return the one difference of a service that is not alike on both sides, with all of its fields."""
+    """Return one difference if the service differs, with all its fields but the name, in the order of `Service`."""
     if old == new:
         return []
     return [Difference("", "", f"service {name}", old and tuple(old[1:]), new and tuple(new[1:]))]
@@ -84,7 +89,7 @@
 
 
 def _as_operators_write(route: Route, name: str) -> Value:
-    """Return a route's field as the operator writes it: times in seconds, a traffic split as a list of services."""
+    """Return a route's field as the operator writes it: times in seconds, a traffic split as one line of text."""
     match name:
         case "timeout_ns":
             return route.timeout_ns / SECOND
--- a/kestrelplank/configuration/document.py
+++ b/kestrelplank/configuration/document.py
@@ -1,7 +1,7 @@
 """The form of a configuration as operators send it: a JSON document, whose names and units are the operators'.
 
-Fields that are not named here are passed over. Nothing but `parsing`, `validation` and `route_table.compile_...`
-reads these classes; times are in seconds here and in nanoseconds everywhere else.
+Fields that are not named here are ignored. Only `parsing`, `validation` and `route_table` read these classes; times are
+in seconds here and in nanoseconds everywhere else.
 """
 
 from dataclasses import field
--- a/kestrelplank/configuration/parsing.py
+++ b/kestrelplank/configuration/parsing.py
@@ -1,4 +1,4 @@
-"""The way in for configurations: bytes become a `Configuration`, or are refused whole with one reason."""
+"""Parsing of configurations: bytes become a `Configuration`, or are refused in full with one reason."""
 
 import hashlib
 
--- a/kestrelplank/configuration/route_table.py
+++ b/kestrelplank/configuration/route_table.py
@@ -22,7 +22,7 @@
 
 
 class VersionKey(NamedTuple):
-    """What configurations are compared by: the operator's number, and a digest of the text that it was bound to."""
+    """What configurations are compared by: the operator's number, and a digest of the text that came with it."""
 
     version: int
     digest: str
@@ -68,6 +68,7 @@
             remaining -= weight
             if remaining < 0:
                 return name
+        # Rounding has left a little: the last service that takes requests gets it.
         return next(name for name, weight in reversed(self.traffic_split) if weight > 0)
 
 
@@ -75,8 +76,8 @@
     """A valid configuration, compiled for look-up.
 
     :param key: its version, as it is compared with others.
-    :param text: the document to the byte as it was sent.
-    :param document: the same, validated.
+    :param text: the document, byte for byte as it was sent.
+    :param document: the same, parsed and validated.
     """
 
     def __init__(self, key: VersionKey, text: bytes, document: ConfigurationDocument) -> None:
@@ -92,7 +93,7 @@
             routes.update((route.path_prefix, _route(host, route)) for route in host.host_routes)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix of the path; a port in `host` is not heeded."""
+        """Return the host's route with the longest prefix of the path; a port in `host` is ignored."""
         routes = self.routes_by_host.get(host.rsplit(":", 1)[0].lower() if ":" in host else host.lower())
         if routes is None:
             return None
--- a/kestrelplank/configuration/validation.py
+++ b/kestrelplank/configuration/validation.py
@@ -1,6 +1,7 @@
-"""What a document must hold beyond its form: known services, distinct routes, numbers within their bounds.
+"""What a document must hold beyond its form: known services, distinct routes, time-outs and weights within bounds.
 
-Each function raises InvalidFieldError for the first field that is wrong, in the order of the document.
+Each function raises InvalidFieldError for the first field that is wrong: version, services, then hosts and routes in
+their order. Limits and `max_attempts` have no bounds here.
 """
 
 import math
@@ -47,7 +48,7 @@
     """Check a host and its routes.
 
     :param path: the path of the host in the document.
-    :param prefixes: the host's path prefixes of former entries, to which those of this entry are added.
+    :param prefixes: those of earlier entries of the same host; this entry's are added to them.
     """
     if not host.host_name.strip():
         raise InvalidFieldError(f"{path}.host_name", "empty")
@@ -61,7 +62,7 @@
 
 
 def _validate_route(route: RouteDocument, path: str, service_names: set[str]) -> None:
-    """Check a route by itself."""
+    """Check a route, but for whether its prefix is distinct."""
     if route.route_type not in ROUTE_TYPES:
         raise InvalidFieldError(f"{path}.route_type", f"{route.route_type!r} is none of {', '.join(ROUTE_TYPES)}")
     if not 0 < route.timeout_s <= MAX_ROUTE_TIMEOUT_S:
--- a/kestrelplank/gateway/__main__.py
+++ b/kestrelplank/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kestrelplank.gateway`: what must be done before anything else is imported, and then the command line."""
+"""`python -m kestrelplank.gateway`: what must come before all other imports, then the command line."""
 
 import signal
 import sys
--- a/kestrelplank/gateway/check.py
+++ b/kestrelplank/gateway/check.py
@@ -37,6 +37,6 @@
 
 
 def check_settings(path: str, settings: PlatformSettings) -> ExitCode:
-    """Print whose settings the file at `path` holds, which has been read."""
+    """Print the node name in settings that have been read from the file at `path` without an error."""
     print(f"{path}: {settings.local_system.node_name}")
     return ExitCode.DONE
--- a/kestrelplank/gateway/command_line.py
+++ b/kestrelplank/gateway/command_line.py
@@ -81,7 +81,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a command, or a program until it is told to stop. Returns the exit code."""
+    """Run a command, or a program until a signal stops it, and return the exit code."""
     try:
         arguments = Arguments(docopt(__doc__, argv))
     except DocoptExit as err:
@@ -98,7 +98,7 @@
 
 
 def run_command(arguments: Arguments) -> int:
-    """Run an operator's command, each of which imports no more than it needs, or else a program."""
+    """Run the command that is given; each imports only what it needs, so that it starts fast."""
     as_json, address = arguments.is_given("--json"), arguments.text("ADDRESS")
     if arguments.is_given("rehearse"):
         return run_rehearsal(arguments)
@@ -138,7 +138,7 @@
 
 
 def run_program(arguments: Arguments) -> int:
-    """Run the edge or the control program until it is told to stop."""
+    """Run the edge or the control program until a signal stops it."""
     settings = load_settings(arguments)
     configure_json_logging(settings.local_system.node_name, arguments.text("--level").upper())
     if arguments.is_given("edge"):
--- a/kestrelplank/gateway/control_client.py
+++ b/kestrelplank/gateway/control_client.py
@@ -14,7 +14,7 @@
 
 
 class MemberAnswer(NamedTuple):
-    """What a control member answered."""
+    """What a control member answered: a status code of HTTP, and JSON."""
 
     status: int
     body: bytes
@@ -23,8 +23,8 @@
 async def call(address: str, method: bytes, path: bytes, body: bytes = b"") -> MemberAnswer:
     """Call the control member at `address`.
 
-    :raises InvalidSettingsError: the address is none.
-    :raises OSError: it does not answer, or breaks off.
+    :raises InvalidSettingsError: `address` is not a valid address.
+    :raises OSError: it can't be connected to, or the connection ends before its answer is complete.
     :raises TimeoutError: it does not answer in time.
     """
     headers = [
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -3,6 +3,8 @@
 from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.rehearsal.yard import play
 
+# Fields of the report that count violations: a request ran twice, one ran that was promised not to have run, a key had
+# two holders.
 RULE_VIOLATION_FIELDS = ("run_twice", "promised_and_ran", "held_twice")
 
 
--- a/kestrelplank/gateway/replace.py
+++ b/kestrelplank/gateway/replace.py
@@ -1,4 +1,4 @@
-"""`gateway replace`: a configuration is sent to a control member, and waited for until all in session have it."""
+"""`gateway replace`: sends a configuration to a control member, and waits until all in session have it."""
 
 import asyncio
 import json
@@ -17,21 +17,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Replacement:
-    """What came of it; `behind`: who in session had not got the version when the wait was over."""
+    """The outcome of a replace.
+
+    :param answer: of the control member.
+    :param behind: edges and members in session that did not have the version when the wait was over.
+    """
 
     answer: MemberAnswer
     behind: list[str]
 
     @property
     def acknowledged(self) -> bool:
-        """Whether the control member took the configuration."""
+        """Whether the control member accepted the call; the version may be too low to change anything all the same."""
         return self.answer.status == HTTP_OK
 
 
 def replace(address: str, path: str, wait_s: float, *, as_json: bool) -> ExitCode:
-    """Send a configuration and print who has it; FOUND_WANTING where it was refused or somebody is behind.
+    """Send a configuration and print the outcome.
+
+    FOUND_WANTING where it was refused, somebody is behind, or, unless `as_json`, it changed nothing.
 
-    :param wait_s: how long to wait for the last one.
+    :param wait_s: how long to wait until nobody is behind.
     :raises InvalidSettingsError: the file holds no valid configuration; then nothing is sent.
     """
     configuration = read_configuration(path)
@@ -53,7 +59,7 @@
 
 
 async def _send(address: str, configuration: Configuration, wait_until_s: float) -> Replacement:
-    """Send the configuration, and ask the member until nobody is behind or the wait is over."""
+    """Send the configuration, then poll the member's status until nobody is behind or the wait is over."""
     answer = await call(address, b"POST", b"/api/configuration/replace", configuration.text)
     behind: list[str] = []
     while answer.status == HTTP_OK:
@@ -67,15 +73,15 @@
 def names_behind(status: MemberStatus, version: int) -> list[str]:
     """Return who has not got this version yet: edges in session, the member itself, and, if it leads, its peers."""
     names = [name for name, edge in status.edges.items() if _is_before(edge.configuration_version, version)]
-    in_touch = {name: peer for name, peer in status.peers.items() if peer.last_heard_s is not None}
-    names += [name for name, peer in in_touch.items() if peer.match_index < status.commit_index]
+    reachable = {name: peer for name, peer in status.peers.items() if peer.last_heard_s is not None}
+    names += [name for name, peer in reachable.items() if peer.match_index < status.commit_index]
     if _is_before(status.configuration_version, version):
         names.append(status.member)
     return sorted(names)
 
 
 def _is_before(held_version: str | None, version: int) -> bool:
-    """Whether a version in hexadecimal digits, or none, is below that number."""
+    """Whether a version, in hexadecimal digits, is below that number; None, as none has come yet, is."""
     return held_version is None or int(held_version, 16) < version
 
 
@@ -86,7 +92,7 @@
 
 
 def _print_acknowledged(address: str, configuration: Configuration, replacement: Replacement) -> None:
-    """Print that the member took the configuration, and who is behind."""
+    """Print that the configuration is committed, and who is behind."""
     behind = replacement.behind
     rest = f"behind: {', '.join(behind)}" if behind else "all in session have it"
     print(f"{address}: version {configuration.key.version:08x} is acknowledged; {rest}")
--- a/kestrelplank/http/client_limits.py
+++ b/kestrelplank/http/client_limits.py
@@ -22,4 +22,4 @@
 class ServerConfig(uvicorn.Config):
     """uvicorn's configuration of one server, and its limits for clients."""
 
-    client_limits: ClientLimits
+    client_limits: ClientLimits  # set by `server.create_server`; `ClientProtocol` reads it from here
--- a/kestrelplank/http/client_protocol.py
+++ b/kestrelplank/http/client_protocol.py
@@ -5,7 +5,7 @@
 - A connection may be idle for as long as the limit in force says, and longer where the limit was longer when it began
   to be idle. Without a configuration no limit is known, and none ends a connection.
 - A connection is never ended while bytes of a request have been read or are in the kernel.
-- What can't be read behind a request in progress is not answered: its answer would be taken for that request's.
+- Bytes behind a request in progress that can't be parsed aren't answered: that would be taken for the request's answer.
 
 `tests/edge/test_client_limits.py` has a test for each of these.
 """
@@ -22,8 +22,8 @@
 from kestrelplank.http.socket_options import has_unread_bytes
 
 NO_LIMIT_POLL_INTERVAL_S = 5.0  # an idle connection without a limit is looked at again
-UNREAD_POLL_INTERVAL_S = 0.05  # in which the loop has read what is in the kernel
-LINGER_S = 1.0  # for which a refused client may go on sending: a close with unread bytes would destroy the answer
+UNREAD_POLL_INTERVAL_S = 0.05  # a due timer is put off so long, for the loop to read what the kernel has
+LINGER_S = 1.0  # a refused connection stays open so long: a close with unread bytes would reset it, and lose the answer
 HEADERS_TOO_LARGE, REQUEST_TIMEOUT = 431, 408
 
 
@@ -42,7 +42,7 @@
         self._reading_head = False  # a request has begun, and its head is not complete
         self._head_bytes = 0
         self._requests_begun = 0
-        self._refused = False  # it has its last answer, and what it still sends is thrown away
+        self._refused = False  # the last answer has been sent; what the client still sends is discarded
         self._stopping = False  # the next answer ends the connection
         self._timer: asyncio.TimerHandle | None = None
         self._idle_since_s = 0.0
@@ -52,13 +52,15 @@
 
     @property
     def _request_in_progress(self) -> bool:
+        """Whether the application has a request whose answer is not complete; `cycle` is uvicorn's name for one."""
         return self.cycle is not None and not self.cycle.response_complete
 
     def ends_with_this_answer(self) -> bool:
-        """Whether nothing has been read behind the request in progress, so that its answer may be the last one."""
+        """Whether no further request has begun to arrive, so that the answer in progress may end the connection."""
         return not self.pipeline and not self._reading_head
 
     def _set_timer(self, due_at_s: float, due: Callable[[], None]) -> None:
+        """Set the one timer, of the head or of idle time, by the loop's clock."""
         self._clear_timer()
         self._timer = self.loop.call_at(due_at_s, due)
 
@@ -70,12 +72,12 @@
     # asyncio.Protocol: what the loop calls.
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Take a connection; it may be idle at first."""
+        """Begin the idle time, as no request has come yet."""
         super().connection_made(transport)
         self._begin_idle()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End: no timer is left."""
+        """Clear the timer."""
         self._clear_timer()
         super().connection_lost(exc)
 
@@ -96,7 +98,7 @@
             self._begin_idle()
 
     def shutdown(self) -> None:
-        """Answer what has begun, as the server stops, and let that answer be the last."""
+        """End the connection as the server stops: at once if no byte of a request has come, else after the answer."""
         self._stopping = True
         if self._request_in_progress:
             self.cycle.keep_alive = False
@@ -106,7 +108,7 @@
     # httptools and uvicorn: what the parser and the cycle of a request call.
 
     def on_message_begin(self) -> None:
-        """Begin a request: its head has a time-out."""
+        """Start the time-out of a request's head, and put this connection into the scope for the application."""
         super().on_message_begin()
         self.scope["connection"] = self  # type: ignore[typeddict-unknown-key]
         self._reading_head, self._head_bytes = True, 0
@@ -130,7 +132,7 @@
             self.cycle.keep_alive = False
 
     def send_400_response(self, msg: str) -> None:
-        """Refuse bytes that can't be read as a request, unless the answer would be taken for another request's."""
+        """Answer bytes that can't be parsed with 400, unless that would be taken for the answer to another request."""
         body_is_broken = self._request_in_progress and self.cycle.more_body and not self.cycle.response_started
         if not self._request_in_progress or body_is_broken and not self.pipeline:
             super().send_400_response(msg)
@@ -150,6 +152,7 @@
         return self._limits.header_bytes is not None and size > self._limits.header_bytes
 
     def _head_timer_due(self) -> None:
+        """Refuse a head that takes too long; behind a request in progress, end the connection after its answer."""
         if self._request_in_progress:
             self.cycle.keep_alive = False
         elif has_unread_bytes(self.transport):
@@ -158,7 +161,10 @@
             self._refuse_head(REQUEST_TIMEOUT)
 
     def _refuse_head(self, status: int) -> None:
-        """Answer a request whose head is not complete, and end the connection."""
+        """Answer a request whose head is not complete, and end the connection.
+
+        Behind a request in progress nothing is answered: the connection ends after that one's answer.
+        """
         self._clear_timer()
         if self._request_in_progress:
             self.cycle.keep_alive = False
@@ -170,13 +176,14 @@
         self._set_timer(self.loop.time() + LINGER_S, self.transport.close)
 
     def _begin_idle(self) -> None:
-        """Begin to be idle, as nothing of a request is here."""
+        """Start the idle time-out, as no request has begun."""
         self._idle_since_s, self._idle_timeout_s = self.loop.time(), self._limits.idle_timeout_s or 0.0
         self._set_timer(
             self._idle_since_s + (self._limits.idle_timeout_s or NO_LIMIT_POLL_INTERVAL_S), self._idle_timer_due
         )
 
     def _idle_timer_due(self) -> None:
+        """Close the connection if its idle time is over by the limits of now, else set the timer again."""
         now_s, limit_s = self.loop.time(), self._limits.idle_timeout_s
         if limit_s is None:
             self._set_timer(now_s + NO_LIMIT_POLL_INTERVAL_S, self._idle_timer_due)
@@ -191,7 +198,7 @@
 def answer_only(status: int) -> Application:
     """Return an application that answers with that status alone, and ends the connection."""
 
-    async def app(scope: Scope, receive: Receive, send: Send) -> None:  # noqa: ARG001 - an ASGI application's
+    async def app(scope: Scope, receive: Receive, send: Send) -> None:  # noqa: ARG001 - ASGI's signature
         headers = [(b"content-length", b"0"), (b"connection", b"close")]
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": b""})
--- a/kestrelplank/http/connection.py
+++ b/kestrelplank/http/connection.py
@@ -1,4 +1,4 @@
-"""One request at a time on one connection, and its complete answer: for our own calls and for those of clients."""
+"""One request at a time on one connection, and its complete answer: for calls of our own and forwarded requests."""
 
 import httpcore
 
@@ -22,7 +22,9 @@
     """A kept connection to one address, one request at a time.
 
     Nothing is ever sent on it twice: httpcore's connections, unlike its pool, neither repeat a request nor open another
-    connection (`tests/edge/test_every_byte.py`). `reusable`: it may be used for another request.
+    connection (`tests/edge/test_every_byte.py`).
+
+    `reusable` says whether the last call has left it fit for another one; `is_stale` whether that has changed since.
     """
 
     def __init__(self, address: tuple[str, int], stream: Stream) -> None:
@@ -41,7 +43,10 @@
     async def next_answer(self, method: bytes, target: bytes) -> Answer:
         """Return the next answer on this connection without sending anything.
 
-        For an answer that came in the place of ours. The connection is not used again.
+        For where the answer that came was to an earlier request. The connection is not used again.
+
+        httpcore reads an answer only after it has written a request: so a new httpcore connection on the same stream
+        gets the bytes that the old one has read ahead, and writes a request that the stream discards.
 
         :raises NoAnswerError: there is none.
         """
@@ -55,6 +60,7 @@
             self.stream.discards_writes, self.reusable = False, False
 
     async def _exchange(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> Answer:
+        """Let httpcore send the request, and turn its exceptions into `NoAnswerError` of the right kind."""
         url = httpcore.URL(scheme=b"http", host=self._origin.host, port=self._origin.port, target=target)
         request = httpcore.Request(method, url, headers=headers, content=body)
         try:
@@ -69,6 +75,7 @@
             raise self._error_type()(str(err)) from err
 
     async def _read(self, response: httpcore.Response) -> Answer:
+        """Read the body within bounds, and note whether the connection can be used again."""
         chunks, size = [], 0
         async for chunk in response.stream:  # type: ignore[union-attr]
             size += len(chunk)
@@ -83,7 +90,7 @@
         return Answer(response.status, response.headers, fields, b"".join(chunks))
 
     def _error_type(self) -> type[NoAnswerError]:
-        """Return what was seen of a call that has no complete answer."""
+        """Return the error of a call without a complete answer, by what was seen on the wire."""
         stream = self.stream
         if not stream.sent_bytes:
             return RequestNotSentError
@@ -92,13 +99,13 @@
         return ConnectionClosedWithoutAnswerError if stream.error is None else ConnectionResetWithoutAnswerError
 
     def is_stale(self) -> bool:
-        """Whether bytes are here that belong to no request, it has ended, or part of our request has not been sent."""
+        """Whether it can't be used again: it has ended, has bytes no request asked for, or has unsent ones of ours."""
         return (
             not self.stream.is_quiet() or self.stream.has_unsent_bytes() or bool(self._http._h11_state.trailing_data[0])
         )
 
     def reset(self) -> None:
-        """End it at once: what comes on it later can't be taken for an answer to anything else."""
+        """End it at once, so that nothing that comes later is taken for the answer to another request."""
         self.reusable = False
         self.stream.reset()
 
--- a/kestrelplank/http/critical_tasks.py
+++ b/kestrelplank/http/critical_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that a program can't do without."""
+"""Supervision of the tasks that a program can't run without."""
 
 import asyncio
 import logging
@@ -10,8 +10,8 @@
 class CriticalTasks:
     """Tasks without which a program must not go on.
 
-    Guards against one that ends by a defect of ours while the process lives on without it, unseen: then the program
-    stops, and the platform starts it anew with what is on its disk
+    Guards against a task that ends by an exception, unseen, while the process runs on without it: instead the program
+    stops, and the platform starts it again
     (`test_a_critical_task_that_fails_stops_the_program_and_is_logged`).
 
     :param program: its name in the log.
@@ -30,6 +30,7 @@
         task.add_done_callback(self._ended)
 
     def _ended(self, task: asyncio.Task[None]) -> None:
+        """Log a task's exception and stop the program; one that was cancelled or returned has not failed."""
         if task.cancelled() or task.exception() is None:
             return
         log.critical("%s: stopping because a critical task failed", self._program, exc_info=task.exception())
--- a/kestrelplank/http/errors.py
+++ b/kestrelplank/http/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a call, by what was seen of it: one exception a kind. None says whether the call has run."""
+"""How a call can end without an answer, by what was seen on the wire. Whether it has run, `retry_policy` decides."""
 
 from typing import ClassVar
 
--- a/kestrelplank/http/server.py
+++ b/kestrelplank/http/server.py
@@ -1,4 +1,4 @@
-"""uvicorn as our programs run it: on sockets of ours, without its signals, headers and access log."""
+"""uvicorn as our programs run it: on sockets that we open, without its signal handlers, headers and access log."""
 
 import asyncio
 import contextlib
@@ -15,9 +15,9 @@
 
 
 class Server(uvicorn.Server):
-    """A server whose signals are for its program to take.
+    """A server that handles no signals: its program does.
 
-    :param limits: what clients may do; may be changed at any time.
+    :param limits: for clients, on all connections; may be changed at any time.
     """
 
     def __init__(self, config: ServerConfig, limits: ClientLimits) -> None:
@@ -26,7 +26,7 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Take no signals."""
+        """Install no signal handlers, unlike uvicorn's own method."""
         yield
 
     async def wait_until_answered(self, timeout_s: float) -> None:
@@ -43,7 +43,7 @@
     """Return a server for that application.
 
     :param idle_timeout_s: for which a kept connection may be idle between requests, None while that is not known.
-    :param grace_s: that requests in hand have once the server is to stop.
+    :param grace_s: for requests in hand once the server is to stop; then their tasks are cancelled.
     """
     config = ServerConfig(
         app,
--- a/kestrelplank/http/socket_options.py
+++ b/kestrelplank/http/socket_options.py
@@ -1,4 +1,4 @@
-"""Options that sockets of ours have, and how one is opened to listen."""
+"""Options of our sockets, and opening one to listen."""
 
 import asyncio
 import contextlib
@@ -7,25 +7,25 @@
 import struct
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s
-# After which the kernel gives up on bytes that nobody acknowledges: a machine that is there does so at once. RFC 5482.
+# Bytes that nobody acknowledges for so long end the connection: a machine that is up acknowledges at once. RFC 5482.
 USER_TIMEOUT_MS = 1000
 
 
 def set_connection_options(sock: socket.socket) -> None:
-    """Set what each connection of ours has: no delay for small writes, and an end to silent peers."""
+    """Set the options of every connection: small writes are not delayed, and a peer that is gone ends it."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Make the close of this socket a reset: bytes that a network holds up are lost, and never arrive late."""
-    with contextlib.suppress(OSError):  # it has ended already
+    """Make the close of this socket a reset: bytes that are still on their way are dropped, and never arrive late."""
+    with contextlib.suppress(OSError):  # it is closed already
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the kernel has bytes, or an end, that the loop has not read yet."""
+    """Whether the kernel has bytes or an end of stream that the loop has not read; True where there is no socket."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None or sock.fileno() < 0:
         return True
@@ -37,8 +37,8 @@
 def listening_socket(host: str, port: int) -> socket.socket:
     """Return a socket that is bound to that address, for a server to listen on.
 
-    Its protocol is named: what it accepts inherits that, and asyncio sends small writes at once only where it finds it.
-    Else an answer's body waits for the acknowledgement of its head, 40 ms.
+    IPPROTO_TCP is given, as accepted sockets inherit it and asyncio sets TCP_NODELAY on those alone that have it. Else
+    an answer's body waits for the acknowledgement of its head, 40 ms.
 
     :raises OSError: it can't be bound; the message names the address.
     """
--- a/kestrelplank/http/stream.py
+++ b/kestrelplank/http/stream.py
@@ -1,6 +1,6 @@
 """The socket under one of httpcore's connections.
 
-It shows what httpcore's own streams hide: how much was sent, how much came, and bytes that nobody has asked for.
+It shows what httpcore's own streams hide: how much was sent, how much came, and bytes that no request asked for.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
     """One TCP connection, closed in one place: by `aclose` or `reset`.
 
     `sent_bytes` and `received_bytes` count what was given to the kernel and read from it since `begin_call`. Where
-    `discards_writes` is set, nothing is sent: to read on for an answer that is still owed.
+    `discards_writes` is set, nothing is sent: for `Connection.next_answer`.
     """
 
     def __init__(self) -> None:
@@ -24,10 +24,10 @@
         self.sent_bytes, self.received_bytes = 0, 0
         self.error: Exception | None = None  # how it ended, None: in order
         self._reader: asyncio.Future[None] | None = None  # waits for bytes
-        self._writer: asyncio.Future[None] | None = None  # waits for capacity in the kernel
+        self._writer: asyncio.Future[None] | None = None  # waits until the transport accepts more
 
     def begin_call(self) -> None:
-        """Count what is sent and received from here."""
+        """Set both counts to 0, as a call begins."""
         self.sent_bytes, self.received_bytes = 0, 0
 
     # asyncio.Protocol: what the loop calls.
@@ -55,15 +55,16 @@
         self._wake()
 
     def pause_writing(self) -> None:
-        """Let writers wait, as the kernel takes no more."""
+        """Let `write` wait, as the transport's buffer is full."""
         self._writer = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Let `write` go on."""
         _finish(self._writer)
         self._writer = None
 
     def _wake(self) -> None:
+        """Let `read` and `write` see what has changed."""
         _finish(self._reader)
         _finish(self._writer)  # a server that answers before it has all of the request may read no more of it
 
@@ -103,15 +104,15 @@
             await self._writer
 
     async def aclose(self) -> None:
-        """Close it in order."""
+        """Close it after what was written has been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def get_extra_info(self, info: str) -> bool | None:
         """Return whether something can be read, which is all that httpcore asks for."""
-        return self.is_quiet() is False if info == "is_readable" else None
+        return not self.is_quiet() if info == "is_readable" else None
 
-    # What our own connections ask.
+    # For `Connection`.
 
     def reset(self) -> None:
         """End it at once; bytes that are on their way are lost."""
@@ -120,7 +121,7 @@
             self.transport.abort()
 
     def is_quiet(self) -> bool:
-        """Whether nothing has come that nobody asked for, an end included."""
+        """Whether there are no unread bytes and no end of stream, here or in the kernel."""
         return not self.buffer and not self.ended and not has_unread_bytes(self.transport)
 
     def has_unsent_bytes(self) -> bool:
