--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -70,7 +70,7 @@
         self._fields = dict(self._headers)  # see `request_head.Fields`
         self._received_at = time.monotonic_ns()
         self._client_timeout_ns = client_timeout_ns(self._fields)  # from `_received_at` on
-        self._body_memory = 0  # bytes of its body, which are part of the context's `body_memory`
+        self._held_body_bytes = 0  # bytes of its body, which are part of the context's `held_body_bytes`
         self._request: ForwardedRequest | None = None  # None until it is admitted
         self._last_result: AttemptResult | None = None
         self._attempts: list[AttemptTrace] = []
@@ -86,7 +86,7 @@
             log.exception("Edge: refusing a request because of a defect of the gateway")
             await self._break_off(GatewayDefectError(RETRY_AFTER_NS))
         finally:
-            self._context.body_memory -= self._body_memory
+            self._context.held_body_bytes -= self._held_body_bytes
 
     async def _run(self) -> None:
         """Read and admit the request, then carry out the forwarder's steps."""
@@ -144,11 +144,11 @@
                 return None
             chunk = message["body"]
             chunks.append(chunk)
-            self._body_memory += len(chunk)
-            context.body_memory += len(chunk)
-            if self._body_memory > max_bytes:
+            self._held_body_bytes += len(chunk)
+            context.held_body_bytes += len(chunk)
+            if self._held_body_bytes > max_bytes:
                 raise BodyTooLargeError
-            if context.body_memory > context.max_body_memory:
+            if context.held_body_bytes > context.max_held_body_bytes:
                 raise BodyMemoryError(RETRY_AFTER_NS)
             if not message.get("more_body"):
                 return b"".join(chunks)
--- a/kestrelplank/edge/exchange_context.py
+++ b/kestrelplank/edge/exchange_context.py
@@ -13,7 +13,7 @@
 class ExchangeContext:
     """The parts of an edge that its exchanges with clients use.
 
-    :param max_body_memory: bytes of bodies that may be in hand at once.
+    :param max_held_body_bytes: bytes of bodies that may be in hand at once.
     :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
     """
 
@@ -22,12 +22,12 @@
         forwarder: Forwarder,
         connections: ServerConnections,
         readiness: Readiness,
-        max_body_memory: int,
+        max_held_body_bytes: int,
         trace_one_in: int = 0,
     ) -> None:
         self.forwarder, self.connections, self.readiness = forwarder, connections, readiness
-        self.max_body_memory, self.trace_one_in = max_body_memory, trace_one_in
-        self.body_memory = 0  # bytes of bodies in hand
+        self.max_held_body_bytes, self.trace_one_in = max_held_body_bytes, trace_one_in
+        self.held_body_bytes = 0  # bytes of bodies in hand
         self.counters = Counters()
         self.changed = asyncio.Event()  # key ranges, servers or their load; never stays set
 
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -175,7 +175,7 @@
             extra={
                 "counters": self.context.counters.values,
                 "readiness": self.readiness.state.value,
-                "downstream_rq_body_bytes": self.context.body_memory,
+                "downstream_rq_body_bytes": self.context.held_body_bytes,
                 "upstream_rq_active": {name: round(load, 1) for name, load in loads.items() if load >= 1},
                 "outlier_ejected": endpoints.ejected(now),
                 "control_session_silent_ms": self.sessions.silent_ms(),
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -88,8 +88,8 @@
     def __init__(self, clock: Callable[[], int]) -> None:
         self._clock = clock
         self._pools: dict[str, ConnectionPool] = {}
-        self._connections: dict[str, dict[int, Connection]] = {}
-        self._last_number = 0
+        self._connections: dict[str, dict[int, Connection]] = {}  # by address, then by the number that the pool has
+        self._last_number = 0  # given to a connection, whatever its address
 
     async def send(self, address: str, request: ServerRequest, timeout_ns: int, max_connections: int) -> AttemptResult:
         """Make one attempt at that server. Raises only where it is cancelled.
--- a/kestrelplank/forwarding/retry_policy.py
+++ b/kestrelplank/forwarding/retry_policy.py
@@ -52,7 +52,11 @@
 
 
 class RetryTarget(Enum):
-    """Where the caller may send the call again by itself."""
+    """Where the caller may send the call again by itself.
+
+    The forwarder makes no difference between the two targets: without a shard key it excludes all servers that were
+    asked before; with one only the key's holder comes into question.
+    """
 
     NONE = "none"
     OTHER_SERVER = "other server"  # not to the server that has just answered
--- a/tests/edge/test_client_limits.py
+++ b/tests/edge/test_client_limits.py
@@ -127,7 +127,7 @@
         client.writer.write(request_head("/up/x", 9, "me", 50) + b"half")
         status, fields, _ = await client.answer()
         assert (status, fields["connection"]) == (408, "close") and await client.ended()
-        assert not stage.servers[0].connections and stage.program.context.body_memory == 0
+        assert not stage.servers[0].connections and stage.program.context.held_body_bytes == 0
 
     played(play, serving)
 
