--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -11,7 +11,7 @@
 
 from kestrelplank.cli.rehearsal_report import Report, encoded_report, report_lines, rules_kept
 from kestrelplank.command_output import ExitCode, print_refusal, refusing_invalid_settings
-from kestrelplank.emulator.script import Script, script
+from kestrelplank.emulator.script import Script, read_script
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.settings.ini import IniFile
 
@@ -32,7 +32,7 @@
     if live + baseline + knowing > 1:
         raise click.UsageError("--live, --baseline and --knowing exclude each other")
     with refusing_invalid_settings():
-        incident = script(IniFile.load(path))
+        incident = read_script(IniFile.load(path))
     report = play_live(incident, seed) if live else play_emulated(incident, seed, baseline=baseline, knowing=knowing)
     click.echo("\n".join(report_lines(report)))
     if report_path:
@@ -42,7 +42,7 @@
 
 def play_live(incident: Script, seed: int) -> Report:
     """Play over real sockets, with conductors as processes."""
-    from kestrelplank.rehearsal.live import play
+    from kestrelplank.rehearsal.live_rehearsal import play
 
     with progress_bar() as progress:
         return play(incident, seed, progress)
@@ -51,12 +51,12 @@
 def play_emulated(incident: Script, seed: int, *, baseline: bool, knowing: bool) -> Report:
     """Play in simulated time."""
     from kestrelplank.emulator import rehearsal
-    from kestrelplank.emulator.conductors import Standing
+    from kestrelplank.emulator.baseline_policies import StaticPolicy
     from kestrelplank.policy import Policy
 
-    policy = Standing if baseline else Policy
+    make_policy = StaticPolicy if baseline else Policy
     with progress_bar() as progress:
-        return rehearsal.play(incident, seed, policy, progress=progress, knowing=knowing)
+        return rehearsal.play(incident, seed, make_policy, on_progress=progress, ideal_placement=knowing)
 
 
 @contextmanager
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -1,7 +1,7 @@
 """`gateway rehearse`: a small gateway on loopback, played through losses."""
 
 from kestrelplank.command_output import ExitCode, print_json
-from kestrelplank.rehearsal.yard import play
+from kestrelplank.rehearsal.gateway_rehearsal import play
 
 # Fields of the report that count violations: a request ran twice, one ran that was promised not to have run, a key had
 # two holders.
@@ -13,7 +13,7 @@
 
     :param requests: how many the clients send.
     """
-    report = play(requests, log=log_level)
+    report = play(requests, log_level=log_level)
     if as_json:
         print_json(report)
     else:
--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -11,7 +11,7 @@
 from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.edge.program import EdgeProgram
 from kestrelplank.http.socket_options import reset_on_close
-from kestrelplank.rehearsal.yard import free_port
+from kestrelplank.rehearsal.loopback import free_port
 from kestrelplank.settings.platform import Bounds, CloudApi, LocalSystem, Network, PlatformSettings
 from kestrelplank.transport.server_list import ListedServer
 
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -8,13 +8,15 @@
 from configuration.test_parsing import encoded
 from edge.stage import IP, TEST_TIMEOUT_S, started_program
 
-from kestrelplank.rehearsal.yard import StandIn, Tally, free_port
+from kestrelplank.rehearsal.loopback import free_port
+from kestrelplank.rehearsal.observations import Observations
+from kestrelplank.rehearsal.simulated_server import SimulatedServer
 from kestrelplank.transport.messages import ConfigurationUpdate, ServerListUpdate
 
 LIMITS = {"max_body_bytes": 100_000}
 
 
-class SlowServer(StandIn):
+class SlowServer(SimulatedServer):
     """A server that answers when it is let."""
 
     def __init__(self, *given):
@@ -31,7 +33,7 @@
 @asynccontextmanager
 async def edge():
     """An edge program, one slow server of `orders` that it knows, and the port for clients."""
-    server = SlowServer("orders-0", "orders", (IP, free_port([IP])), Tally(), [])
+    server = SlowServer("orders-0", "orders", (IP, free_port([IP])), Observations(), [])
     await server.start()
     program = await started_program()
     program.receive("member", ConfigurationUpdate(7, encoded(limits=LIMITS)))
@@ -165,9 +167,9 @@
         writer.close()
         await writer.wait_closed()
         server.let.set()
-        while not server.tally.runs or program.server.server_state.tasks:
+        while not server.observations.runs or program.server.server_state.tasks:
             await asyncio.sleep(0)
-        assert server.tally.runs == {"me": runs}
+        assert server.observations.runs == {"me": runs}
         assert [endpoint.in_flight for endpoint in program.forwarder.endpoints.by_name.values()] == [0]
 
     run(play)
@@ -255,7 +257,7 @@
 
             async def request(fields, body):
                 met.append((fields, body))
-                return await StandIn.request(server, fields, body)
+                return await SimulatedServer.request(server, fields, body)
 
             server.request = request
             served = 0
