--- a/kestrelplank/configuration/validation.py
+++ b/kestrelplank/configuration/validation.py
@@ -1,6 +1,7 @@
-"""What a document must hold beyond its form: known services, distinct routes, numbers within their bounds.
+"""What a document must hold beyond its form: known services, distinct routes, time-outs and weights within bounds.
 
-Each function raises InvalidFieldError for the first field that is wrong, in the order of the document.
+Each function raises InvalidFieldError for the first field that is wrong: version, services, then hosts and routes in
+their order. Limits and `max_attempts` have no bounds here.
 """
 
 import math
@@ -16,7 +17,7 @@
 from kestrelplank.configuration.errors import InvalidFieldError
 from kestrelplank.configuration.route_table import RouteType
 
-LONGEST_ROUTE_TIMEOUT_S = 600
+MAX_ROUTE_TIMEOUT_S = 600
 ROUTE_TYPES = tuple(RouteType)
 VERSION = re.compile(r"[0-9a-fA-F]{1,16}")
 
@@ -47,7 +48,7 @@
     """Check a host and its routes.
 
     :param path: the path of the host in the document.
-    :param prefixes: the host's path prefixes of former entries, to which those of this entry are added.
+    :param prefixes: those of earlier entries of the same host; this entry's are added to them.
     """
     if not host.host_name.strip():
         raise InvalidFieldError(f"{path}.host_name", "empty")
@@ -61,11 +62,11 @@
 
 
 def _validate_route(route: RouteDocument, path: str, service_names: set[str]) -> None:
-    """Check a route by itself."""
+    """Check a route, but for whether its prefix is distinct."""
     if route.route_type not in ROUTE_TYPES:
         raise InvalidFieldError(f"{path}.route_type", f"{route.route_type!r} is none of {', '.join(ROUTE_TYPES)}")
-    if not 0 < route.timeout_s <= LONGEST_ROUTE_TIMEOUT_S:
-        reason = f"{route.timeout_s} is not above 0 and at most {LONGEST_ROUTE_TIMEOUT_S}"
+    if not 0 < route.timeout_s <= MAX_ROUTE_TIMEOUT_S:
+        reason = f"{route.timeout_s} is not above 0 and at most {MAX_ROUTE_TIMEOUT_S}"
         raise InvalidFieldError(f"{path}.timeout_s", reason)
     if not route.path_prefix.startswith("/") or not route.path_prefix.endswith("/"):
         raise InvalidFieldError(f"{path}.path_prefix", f"{route.path_prefix!r} does not begin and end with a slash")
--- a/kestrelplank/edge/exchange_context.py
+++ b/kestrelplank/edge/exchange_context.py
@@ -13,8 +13,8 @@
 class ExchangeContext:
     """The parts of an edge that its exchanges with clients use.
 
-    :param max_body_memory: bytes of bodies that may be in hand at once.
-    :param trace: one request in so many is logged, 0 for none.
+    :param max_held_body_bytes: bytes of bodies that may be in hand at once.
+    :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
     """
 
     def __init__(
@@ -22,17 +22,17 @@
         forwarder: Forwarder,
         connections: ServerConnections,
         readiness: Readiness,
-        max_body_memory: int,
-        trace: int = 0,
+        max_held_body_bytes: int,
+        trace_one_in: int = 0,
     ) -> None:
         self.forwarder, self.connections, self.readiness = forwarder, connections, readiness
-        self.max_body_memory, self.trace = max_body_memory, trace
-        self.body_memory = 0  # bytes of bodies in hand
+        self.max_held_body_bytes, self.trace_one_in = max_held_body_bytes, trace_one_in
+        self.held_body_bytes = 0  # bytes of bodies in hand
         self.counters = Counters()
-        self.changed = asyncio.Event()  # key ranges, servers or their load
+        self.changed = asyncio.Event()  # key ranges, servers or their load; never stays set
 
     def wake_pending(self) -> None:
-        """Let requests that wait look again whether a server can be used."""
+        """Wake the requests that wait at this moment: each asks the forwarder again whether a server can be used."""
         self.changed.set()
         self.changed.clear()
 
--- a/kestrelplank/rehearsal/loopback.py
+++ b/kestrelplank/rehearsal/loopback.py
@@ -41,7 +41,7 @@
         async with asyncio.timeout(CALL_TIMEOUT_S):
             connection = await dial(address, DIAL_TIMEOUT_S)
             try:
-                return await connection.ask(method.encode(), path.encode(), all_headers, body)
+                return await connection.call(method.encode(), path.encode(), all_headers, body)
             finally:
                 connection.reset()
     except Exception:  # noqa: BLE001 - a client can't tell one failure from another
