--- a/benchmarks/key_ranges.py
+++ b/benchmarks/key_ranges.py
@@ -124,7 +124,7 @@
 
 def complete_update(service: Service) -> KeyRangesUpdate:
     """All ranges of a service as an edge machine is sent them that missed a change."""
-    return KeyRangesUpdate("views", KeyRangesVersion(1, 1), range_holders(service.key_ranges.record()))
+    return KeyRangesUpdate("views", KeyRangesVersion(1, 1), range_holders(service.key_ranges.to_record()))
 
 
 def main() -> None:
@@ -138,7 +138,7 @@
     print("\n180 services of 34 servers:")
     for name, value in play([Service(seed, 34, 100) for seed in range(180)], seconds).items():
         print(f"- {name}: {number(value)}")
-    print(f"- one range, packed: {len(msgspec.msgpack.encode(service.key_ranges.ranges[0].record()))} bytes")
+    print(f"- one range, packed: {len(msgspec.msgpack.encode(service.key_ranges.ranges[0].to_record()))} bytes")
 
 
 if __name__ == "__main__":
--- a/kestrelplank/control/edge_updates.py
+++ b/kestrelplank/control/edge_updates.py
@@ -45,18 +45,18 @@
         if configuration is not None and (edge_version is None or edge_version < configuration.version):
             answers.append(ConfigurationUpdate(configuration.version, configuration.text))
         for service in self._replica.sharded_services():
-            update = self._key_ranges(now, service, heartbeat.key_ranges.get(service, KeyRangesVersion()))
+            update = self._key_ranges_update(now, service, heartbeat.key_ranges.get(service, KeyRangesVersion()))
             if update is not None:
                 answers.append(update)
         if self._servers.fetched_at is not None and heartbeat.server_list_digest != self._servers.digest():
             answers.append(self._servers.update_message(now))
         return answers
 
-    def _key_ranges(self, now: int, service: str, known: KeyRangesVersion) -> KeyRangesUpdate | None:
+    def _key_ranges_update(self, now: int, service: str, known: KeyRangesVersion) -> KeyRangesUpdate | None:
         """Return the key ranges of a service where the edge machine knows an older version of them."""
         assigner, record = self._assigners.leading_assigner(now, service), self._replica.record(service)
         if assigner is not None:
-            return assigner.update() if known < assigner.version else None
+            return assigner.full_update() if known < assigner.version else None
         return key_ranges_update(service, record) if known < record.version else None
 
     def _member_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> MemberHeartbeat:
--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -35,12 +35,12 @@
 class CallServer:
     """Grant or release keys at a server; then `ControlMember.handle_server_call_ended`.
 
-    A grant is not sent any more at `lease_until` (ns), when this member's lease runs out.
+    A grant is not sent any more at `leader_lease_until` (ns), when this member's lease runs out.
     """
 
     service: str
     request: ServerRequest
-    lease_until: int
+    leader_lease_until: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepCopy:
+class KeepConfigurationCopy:
     """Keep a readable copy of the configuration in force beside the log; nothing waits for it."""
 
     version: int
@@ -84,5 +84,13 @@
 
 
 Effect = (
-    SendMessage | SendToAddress | PushToEdges | CallServer | AnswerOrder | AnswerRead | KeepCopy | LogLine | Persist
+    SendMessage
+    | SendToAddress
+    | PushToEdges
+    | CallServer
+    | AnswerOrder
+    | AnswerRead
+    | KeepConfigurationCopy
+    | LogLine
+    | Persist
 )
--- a/kestrelplank/control/inbound_connections.py
+++ b/kestrelplank/control/inbound_connections.py
@@ -24,36 +24,36 @@
         """How many edge machines are in session."""
         return len(self._edges.by_name)
 
-    def handle_heard(self, now: int, wire: MemberConnection) -> None:
+    def handle_heard(self, now: int, connection: MemberConnection) -> None:
         """Take in that something has come on that connection."""
-        self._heard_at[wire] = now
+        self._heard_at[connection] = now
 
-    def handle_edge_heard(self, now: int, wire: MemberConnection, edge: str, version: int | None) -> bool:
+    def handle_edge_heard(self, now: int, connection: MemberConnection, edge: str, version: int | None) -> bool:
         """Take in that an edge machine speaks there. Return False where it has dialled anew since.
 
         :param version: of the configuration that it goes by; None: none yet.
         """
-        session = self._edges.on_message(now, wire, edge)
+        session = self._edges.on_message(now, connection, edge)
         if session is None:
             return False
         session.reported_version = version
         return True
 
-    def handle_ended(self, wire: MemberConnection) -> None:
+    def handle_ended(self, connection: MemberConnection) -> None:
         """Forget a connection that has ended."""
-        self._heard_at.pop(wire, None)
-        self._edges.on_closed(wire)
+        self._heard_at.pop(connection, None)
+        self._edges.on_closed(connection)
 
     def reset_silent(self, now: int) -> None:
         """End connections on which nothing has come for too long."""
-        for wire, heard_at in list(self._heard_at.items()):
+        for connection, heard_at in list(self._heard_at.items()):
             if now - heard_at > SILENCE_TIMEOUT_NS:
-                wire.reset()
+                connection.reset()
 
     def send_to_edges(self, data: bytes) -> None:
         """Send a packed message to every edge machine in session."""
-        for wire in self._edges.connections():
-            wire.send(data)
+        for connection in self._edges.connections():
+            connection.send(data)
 
     def edge_statuses(self, now: int) -> dict[str, EdgeStatus]:
         """Return the status of each edge machine in session, by name."""
--- a/kestrelplank/control/log_writer.py
+++ b/kestrelplank/control/log_writer.py
@@ -45,7 +45,7 @@
         self._pending.append(persist)
         self._work_pending.set()
 
-    def write_copy(self, version: int, text: bytes) -> None:
+    def write_configuration_copy(self, version: int, text: bytes) -> None:
         """Take a readable copy of a configuration, made when no write waits. Only the last of several is made."""
         self._pending_copy = (version, text)
         self._work_pending.set()
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -34,7 +34,7 @@
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.edge_updates import EdgeUpdates
-from kestrelplank.control.effects import CallServer, Effect, KeepCopy, PushToEdges
+from kestrelplank.control.effects import CallServer, Effect, KeepConfigurationCopy, PushToEdges
 from kestrelplank.control.member_lifecycle import MemberLifecycle
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.membership_reconciler import MembershipReconciler
@@ -267,11 +267,11 @@
             self._handle_configuration_in_force(now, in_force)
         if isinstance(command, PutRecord):
             self._assigners.handle_record_committed(now, entry, command)
-        self._operator_calls.handle_applied(entry, took_force=in_force is not None)
+        self._operator_calls.handle_applied(entry, came_into_force=in_force is not None)
 
     def _handle_configuration_in_force(self, now: int, order: PutConfiguration) -> None:
         self._replica.log(f"configuration {order.version:08x} is in force: its entry is committed")
-        self._replica.emit(KeepCopy(order.version, order.text))
+        self._replica.emit(KeepConfigurationCopy(order.version, order.text))
         self._assigners.keep_only(self._replica.sharded_services())
         if self.node.leads(now):
             self._replica.emit(PushToEdges(ConfigurationUpdate(order.version, order.text)))
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -21,7 +21,7 @@
 """A member that has not been current for so long searches for the others."""
 STOP_MARGIN_NS = 3 * SECOND // 2
 """What is kept of the time to stop for the connections and requests in hand."""
-STOP_SETTLE_NS = SECOND
+STANDBY_REPLY_WAIT_NS = SECOND
 """For so long a member that stops waits to hear whether another could take its place."""
 
 
@@ -39,16 +39,16 @@
         self._replica = replica
         self._directory = directory
         self._node = replica.node
-        self._started_at = self._request_at = now
-        self._current_at: int | None = None  # when this member was last current since its start
-        self._stop_at: int | None = None
+        self._started_at = self._next_request_at = now
+        self._last_current_at: int | None = None  # when this member was last current since its start
+        self._stop_requested_at: int | None = None
 
     # What is known.
 
     @property
     def stopping(self) -> bool:
         """Whether this member was asked to stop."""
-        return self._stop_at is not None
+        return self._stop_requested_at is not None
 
     def newest_membership(self) -> Membership | None:
         """Return the newest membership known, in our log or by what others told."""
@@ -65,10 +65,10 @@
 
     def is_searching(self, now: int) -> bool:
         """Whether the others must be searched for at any address, as those known here do not make us current."""
-        if self._current_at is None:
+        if self._last_current_at is None:
             knows_members = self._node.membership is not None
             return not knows_members or now - self._started_at >= SEARCH_DELAY_NS
-        return now - self._current_at >= SEARCH_DELAY_NS
+        return now - self._last_current_at >= SEARCH_DELAY_NS
 
     def addresses_to_dial(self, now: int) -> list[str]:
         """Return the control addresses of the members that a session is wanted with."""
@@ -107,12 +107,12 @@
     def tick(self, now: int) -> None:
         """Search for the others where that is due, and tell the leader that we run."""
         if self._node.current(now):
-            self._current_at = now
-        if now < self._request_at:
+            self._last_current_at = now
+        if now < self._next_request_at:
             return
         searching = self.is_searching(now)
         settled = self.is_voter() and not searching and not self.stopping
-        self._request_at = now + (VOTER_REQUEST_INTERVAL_NS if settled else REQUEST_INTERVAL_NS)
+        self._next_request_at = now + (VOTER_REQUEST_INTERVAL_NS if settled else REQUEST_INTERVAL_NS)
         if searching:
             for address in self.addresses_to_dial(now):
                 self._replica.emit(SendToAddress(address, MembershipQuery()))
@@ -141,7 +141,7 @@
         """Hand leadership over, and ask for another in our place. The member goes on serving until `may_stop`."""
         if self.stopping:
             return
-        self._stop_at = self._request_at = now
+        self._stop_requested_at = self._next_request_at = now
         self._node.stop_campaigning()
         self._replica.transfer_leadership(now)
 
@@ -150,11 +150,11 @@
 
         It is no voter any more; or the others have all that it has, and nobody could take its place; or its time is up.
         """
-        if self._stop_at is None:
+        if self._stop_requested_at is None:
             return False
-        if not self.is_voter() or now >= self._stop_at + self._profile.stop_grace_ns - STOP_MARGIN_NS:
+        if not self.is_voter() or now >= self._stop_requested_at + self._profile.stop_grace_ns - STOP_MARGIN_NS:
             return True
-        if now < self._stop_at + STOP_SETTLE_NS or self._directory.other_standbys_run(now):
+        if now < self._stop_requested_at + STANDBY_REPLY_WAIT_NS or self._directory.other_standbys_run(now):
             return False
         return self._node.commit_index == self._node.log.last_index and self._node.current(now)
 
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -42,55 +42,55 @@
         self._dialled: dict[str, MemberConnection] = {}  # by control address
         self._dialling: dict[str, asyncio.Task[None]] = {}  # by control address
 
-    def dial(self, addresses: list[str]) -> None:
+    def keep_sessions_with(self, addresses: list[str]) -> None:
         """Keep sessions with the members at these addresses, and end others that we dialled."""
         for address in addresses:
             if address not in self._dialling:
                 self._dialling[address] = asyncio.create_task(self._keep_connected(address))
         for address in [address for address in self._dialling if address not in addresses]:
             self._dialling.pop(address).cancel()
-            wire = self._dialled.pop(address, None)
-            if wire is not None:
-                wire.reset()
+            connection = self._dialled.pop(address, None)
+            if connection is not None:
+                connection.reset()
 
     def send(self, to: str, message: Message) -> None:
         """Send to the member of that identity; lost where there is no session."""
-        wire = self._dialled.get(address_of(to))
+        connection = self._dialled.get(address_of(to))
         session = self._inbound.by_name.get(to)
-        if wire is not None and wire.is_open:
-            wire.send(Envelope(self._identity, to, message))
+        if connection is not None and connection.is_open:
+            connection.send(Envelope(self._identity, to, message))
         elif session is not None:
             session.connection.send(Envelope(self._identity, to, message))
 
     def send_to_address(self, address: str, message: Message) -> None:
         """Send to whoever is at that control address; lost where we have no connection to it."""
-        wire = self._dialled.get(address)
-        if wire is not None:
-            wire.send(Envelope(self._identity, "", message))
+        connection = self._dialled.get(address)
+        if connection is not None:
+            connection.send(Envelope(self._identity, "", message))
 
-    def handle_inbound(self, wire: MemberConnection, envelope: Envelope) -> None:
+    def handle_inbound(self, connection: MemberConnection, envelope: Envelope) -> None:
         """Deliver a message on a connection that came in."""
-        if self._inbound.on_message(time.monotonic_ns(), wire, envelope.sender) is not None:
+        if self._inbound.on_message(time.monotonic_ns(), connection, envelope.sender) is not None:
             self._deliver(envelope)
 
-    def handle_inbound_ended(self, wire: MemberConnection) -> None:
+    def handle_inbound_ended(self, connection: MemberConnection) -> None:
         """Forget a connection that came in and has ended."""
-        self._inbound.on_closed(wire)
+        self._inbound.on_closed(connection)
 
     def close(self) -> None:
         """End all connections that we dialled."""
-        self.dial([])
+        self.keep_sessions_with([])
 
-    def _handle_dialled(self, wire: MemberConnection, envelope: ToMember) -> None:
+    def _handle_dialled(self, connection: MemberConnection, envelope: ToMember) -> None:
         """Deliver a message on a connection that we dialled.
 
-        `wire.peer` has the address that we dialled, and who has spoken there first: None before anybody has.
+        `connection.peer` has the address that we dialled, and who has spoken there first: None before anybody has.
         """
-        address, speaker = wire.peer
-        if self._dialled.get(address) is not wire or not isinstance(envelope, Envelope):
+        address, speaker = connection.peer
+        if self._dialled.get(address) is not connection or not isinstance(envelope, Envelope):
             return
         if speaker is None:
-            wire.peer = (address, envelope.sender)
+            connection.peer = (address, envelope.sender)
         elif speaker != envelope.sender:
             return
         self._deliver(envelope)
@@ -104,17 +104,17 @@
         while True:
             ended = asyncio.Event()
             try:
-                wire = await self._connect(address, ended)
+                connection = await self._connect(address, ended)
             except (OSError, TimeoutError):
                 await asyncio.sleep(REDIAL_INTERVAL_S)
                 continue
-            wire.peer = (address, None)
-            self._dialled[address] = wire
+            connection.peer = (address, None)
+            self._dialled[address] = connection
             try:
                 await ended.wait()
             finally:
-                wire.reset()
-                if self._dialled.get(address) is wire:
+                connection.reset()
+                if self._dialled.get(address) is connection:
                     del self._dialled[address]
             await asyncio.sleep(REDIAL_AFTER_END_S)
 
@@ -126,9 +126,9 @@
         """
         host = parse_address(address)[0]
         async with asyncio.timeout(DIAL_TIMEOUT_S):
-            _, wire = await asyncio.get_running_loop().create_connection(
+            _, connection = await asyncio.get_running_loop().create_connection(
                 lambda: FrameConnection(decode_at_member, self._handle_dialled, lambda _: ended.set()),
                 host,
                 self._port,
             )
-        return wire
+        return connection
--- a/kestrelplank/control/operator_api.py
+++ b/kestrelplank/control/operator_api.py
@@ -40,7 +40,7 @@
     return error.status, msgspec.json.encode({"error": error.reason, "why": why})
 
 
-class Member(Protocol):
+class OperatorCallTarget(Protocol):
     """What a handler may ask of the program."""
 
     async def replace_configuration(self, configuration: Configuration) -> AnswerOrder:
@@ -69,7 +69,7 @@
         """The path, all of it."""
         ...
 
-    async def answer(self, member: Member, body: bytes) -> Result:
+    async def answer(self, member: OperatorCallTarget, body: bytes) -> Result:
         """Return status and body of the answer to a call with that body."""
         ...
 
@@ -83,7 +83,7 @@
 
     method, path = "POST", "/api/configuration/replace"
 
-    async def answer(self, member: Member, body: bytes) -> Result:
+    async def answer(self, member: OperatorCallTarget, body: bytes) -> Result:
         """Put the configuration in force, once enough members have it."""
         parsed = parse_configuration(body)
         configuration = parsed.value_or(None)
@@ -101,7 +101,7 @@
 
     method, path = "GET", "/api/configuration/show"
 
-    async def answer(self, member: Member, body: bytes) -> Result:  # noqa: ARG002 every handler takes a body
+    async def answer(self, member: OperatorCallTarget, body: bytes) -> Result:  # noqa: ARG002 every handler takes a body
         """Return the configuration."""
         answer = await member.show_configuration()
         if not answer.known:
@@ -116,7 +116,7 @@
 
     method, path = "GET", "/api/status"
 
-    async def answer(self, member: Member, body: bytes) -> Result:  # noqa: ARG002 every handler takes a body
+    async def answer(self, member: OperatorCallTarget, body: bytes) -> Result:  # noqa: ARG002 every handler takes a body
         """Return the status."""
         return HTTPStatus.OK, msgspec.json.encode(member.status())
 
@@ -124,7 +124,7 @@
 HANDLERS: tuple[Handler, ...] = (ReplaceConfiguration(), ShowConfiguration(), ShowStatus())
 
 
-def application(member: Member) -> Application:
+def application(member: OperatorCallTarget) -> Application:
     """Return the ASGI application round the handlers."""
     handlers = {(handler.method, handler.path): handler for handler in HANDLERS}
 
@@ -157,7 +157,7 @@
             return b"".join(chunks)
 
 
-async def answer_call(handler: Handler | None, path: str, member: Member, body: bytes) -> Result:
+async def answer_call(handler: Handler | None, path: str, member: OperatorCallTarget, body: bytes) -> Result:
     """Return status and body of the answer to a call.
 
     :param handler: of the resource at `path`; None where there is none.
--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -35,7 +35,7 @@
         """Take an order that has passed the checks; `AnswerOrder` follows."""
         order = PutConfiguration(configuration.key.version, configuration.key.digest, configuration.text)
         if self._node.leads(now):
-            self._take_order(now, LocalCaller(ticket), order)
+            self._handle_order(now, LocalCaller(ticket), order)
         elif self._can_forward(now):
             call = self._forwarded.add(now, ticket, self._node.leader, is_read=False)
             self._replica.send(self._node.leader, SubmitOrder(call, order))
@@ -56,7 +56,7 @@
 
     def handle_submit_order(self, now: int, sender: str, message: SubmitOrder) -> None:
         """Take an order that another member forwards."""
-        self._take_order(now, ForwardingMember(sender, message.call), message.order)
+        self._handle_order(now, ForwardingMember(sender, message.call), message.order)
 
     def handle_read_configuration(self, now: int, sender: str, message: ReadConfiguration) -> None:
         """Answer a read that another member forwards."""
@@ -76,15 +76,15 @@
 
     # Events of the replicated log, and time.
 
-    def handle_applied(self, entry: Entry, *, took_force: bool) -> None:
+    def handle_applied(self, entry: Entry, *, came_into_force: bool) -> None:
         """Answer those whose order this committed entry decides.
 
-        :param took_force: the entry is an order, and its configuration is in force now.
+        :param came_into_force: the entry is an order, and its configuration is in force now.
         """
-        outcome = self._orders.handle_applied(entry)
-        for caller in outcome.acknowledged:
-            self._answer_order(caller, True, took_force)
-        for caller in outcome.unknown:
+        decided = self._orders.handle_applied(entry)
+        for caller in decided.acknowledged:
+            self._answer_order(caller, True, came_into_force)
+        for caller in decided.unknown:
             self._answer_order_unknown(caller)
 
     def handle_deposed(self) -> None:
@@ -107,7 +107,7 @@
         another_leads = self._node.leader not in ("", self._node.identity)
         return another_leads and self._node.current(now) and not self._forwarded.full()
 
-    def _take_order(self, now: int, caller: Caller, order: PutConfiguration) -> None:
+    def _handle_order(self, now: int, caller: Caller, order: PutConfiguration) -> None:
         """Answer the order, or let the caller wait until it is committed."""
         if not self._node.leads(now):
             self._answer_order_unknown(caller)
--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiter:
-    """A caller that waits for an order's outcome, until the instant `until`."""
+    """A caller that waits for an order's outcome, until the instant `expires_at`."""
 
     caller: Caller
-    until: int
+    expires_at: int
 
 
 @dataclass(slots=True)
@@ -53,13 +53,13 @@
 
     def take_expired(self, now: int) -> list[Caller]:
         """Remove and return the callers that have waited too long."""
-        expired = [waiter.caller for waiter in self.waiters if now >= waiter.until]
-        self.waiters = [waiter for waiter in self.waiters if now < waiter.until]
+        expired = [waiter.caller for waiter in self.waiters if now >= waiter.expires_at]
+        self.waiters = [waiter for waiter in self.waiters if now < waiter.expires_at]
         return expired
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class DecidedCallers:
     """Whose orders an applied entry decides.
 
     :param acknowledged: the entry is their order.
@@ -92,9 +92,9 @@
         """Let the caller wait for the order that was proposed at `index` in `term`."""
         self._orders.append(PendingOrder(order, index, term, [Waiter(caller, now + CALL_TIMEOUT_NS)]))
 
-    def handle_applied(self, entry: Entry) -> Outcome:
+    def handle_applied(self, entry: Entry) -> DecidedCallers:
         """Remove the orders that this entry decides, and return who waited for them."""
-        outcome = Outcome([], [])
+        outcome = DecidedCallers([], [])
         undecided = []
         for pending in self._orders:
             if pending.index > entry.index:
@@ -122,13 +122,13 @@
     """A call of the operator that we forwarded to `leader`, and that is not answered.
 
     :param ticket: names the call between the program and this member.
-    :param until: when it has waited too long.
+    :param expires_at: when it has waited too long.
     :param is_read: a read, else an order.
     """
 
     ticket: int
     leader: str
-    until: int
+    expires_at: int
     is_read: bool
 
 
@@ -166,7 +166,7 @@
 
     def take_expired(self, now: int, leader: str) -> list[ForwardedCall]:
         """Remove and return calls that have waited too long, or that another than the present leader was sent."""
-        ended = [number for number, call in self._calls.items() if now >= call.until or call.leader != leader]
+        ended = [number for number, call in self._calls.items() if now >= call.expires_at or call.leader != leader]
         return [self._calls.pop(number) for number in ended]
 
     def _call_id(self, number: int) -> CallId:
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -24,7 +24,7 @@
     AnswerRead,
     CallServer,
     Effect,
-    KeepCopy,
+    KeepConfigurationCopy,
     LogLine,
     PushToEdges,
     SendMessage,
@@ -151,7 +151,7 @@
     async def _listen_for_peers(self) -> AsyncIterator[None]:
         """Accept connections of other members and of edge machines."""
         listening = await asyncio.get_running_loop().create_server(
-            lambda: FrameConnection(decode_at_member, self._handle_message, self._handle_connection_ended),
+            lambda: FrameConnection(decode_at_member, self._handle_inbound_message, self._handle_inbound_ended),
             self._settings.local_system.ip_address,
             self._settings.internal_port(),
         )
@@ -181,7 +181,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
             now = time.monotonic_ns()
             self._carry_out(self._member.tick(now, self._log_writer.log_size_bytes))
-            self._sessions.dial(self._member.addresses_to_dial(now))
+            self._sessions.keep_sessions_with(self._member.addresses_to_dial(now))
             self._inbound.reset_silent(now)
 
     async def _fetch_servers(self) -> None:
@@ -213,9 +213,9 @@
     def _carry_out(self, effects: list[Effect]) -> None:
         """Carry out the effects, in order."""
         for effect in effects:
-            self._carry_out_one(effect)
+            self._carry_out_effect(effect)
 
-    def _carry_out_one(self, effect: Effect) -> None:
+    def _carry_out_effect(self, effect: Effect) -> None:
         match effect:
             case SendMessage():
                 self._sessions.send(effect.to, effect.message)
@@ -231,8 +231,8 @@
                 self._orders.resolve(effect)
             case AnswerRead():
                 self._reads.resolve(effect)
-            case KeepCopy():
-                self._log_writer.write_copy(effect.version, effect.text)
+            case KeepConfigurationCopy():
+                self._log_writer.write_configuration_copy(effect.version, effect.text)
             case LogLine():
                 log.info("Control: %s", effect.text)
             case _:
@@ -257,41 +257,41 @@
         """Take a message of the member `sender`, whoever of us dialled."""
         self._carry_out(self._member.handle_message(time.monotonic_ns(), sender, message))
 
-    def _handle_message(self, wire: MemberConnection, message: ToMember) -> None:
+    def _handle_inbound_message(self, connection: MemberConnection, message: ToMember) -> None:
         """Take a message on a connection that came in."""
         now = time.monotonic_ns()
-        self._inbound.handle_heard(now, wire)
+        self._inbound.handle_heard(now, connection)
         match message:
             case Envelope():
-                self._sessions.handle_inbound(wire, message)
+                self._sessions.handle_inbound(connection, message)
             case EdgeHeartbeat():
-                self._handle_edge_heartbeat(now, wire, message)
+                self._handle_edge_heartbeat(now, connection, message)
             case LoadReport():
                 self._member.handle_load_report(now, message)
             case _:
                 assert_never(message)
 
-    def _handle_edge_heartbeat(self, now: int, wire: MemberConnection, heartbeat: EdgeHeartbeat) -> None:
-        if not self._inbound.handle_edge_heard(now, wire, heartbeat.edge, heartbeat.configuration_version):
+    def _handle_edge_heartbeat(self, now: int, connection: MemberConnection, heartbeat: EdgeHeartbeat) -> None:
+        if not self._inbound.handle_edge_heard(now, connection, heartbeat.edge, heartbeat.configuration_version):
             return
         for answer in self._member.handle_edge_heartbeat(now, heartbeat, self._inbound.edge_count):
-            wire.send(answer)
+            connection.send(answer)
 
-    def _handle_connection_ended(self, wire: MemberConnection) -> None:
-        self._inbound.handle_ended(wire)
-        self._sessions.handle_inbound_ended(wire)
+    def _handle_inbound_ended(self, connection: MemberConnection) -> None:
+        self._inbound.handle_ended(connection)
+        self._sessions.handle_inbound_ended(connection)
 
-    # Calls of the operator (`operator_api.Member`).
+    # Calls of the operator (`operator_api.OperatorCallTarget`).
 
     async def replace_configuration(self, configuration: Configuration) -> AnswerOrder:
         """Return what became of an order."""
-        return await self._orders.answer(
+        return await self._orders.call(
             lambda ticket: self._carry_out(self._member.handle_replace_call(time.monotonic_ns(), ticket, configuration))
         )
 
     async def show_configuration(self) -> AnswerRead:
         """Return the newest configuration, if this member can know it."""
-        return await self._reads.answer(
+        return await self._reads.call(
             lambda ticket: self._carry_out(self._member.handle_show_call(time.monotonic_ns(), ticket))
         )
 
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -33,7 +33,7 @@
         self.events: deque[consensus.Effect] = deque()
         self._effects: list[Effect] = []
         self._decoded_records: dict[str, tuple[bytes, ShardRecord]] = {}  # by service: as stored, and decoded
-        self._compacting: int | None = None  # the number of the `Persist` that compacts the log
+        self._compaction_number: int | None = None  # the number of the `Persist` that compacts the log
         self._led_term = 0
         self._handed_over = False  # whether this member gave up leading in order
 
@@ -72,13 +72,13 @@
 
     def handle_persisted(self, now: int, number: int) -> None:
         """Go on now that the `Persist` with that number is durable, and all before it."""
-        if self._compacting is not None and number >= self._compacting:
-            self._compacting = None
+        if self._compaction_number is not None and number >= self._compaction_number:
+            self._compaction_number = None
         self.add_events(self.node.persisted(now, number))
 
     def compact_if_due(self, log_size_bytes: int) -> None:
         """Replace applied entries by a snapshot if the log on disk is far larger than the state."""
-        if self._compacting is not None or log_size_bytes <= COMPACTION_MIN_BYTES:
+        if self._compaction_number is not None or log_size_bytes <= COMPACTION_MIN_BYTES:
             return
         state = self.state.snapshot()
         if log_size_bytes <= COMPACTION_MIN_BYTES + 2 * len(state):
@@ -87,7 +87,7 @@
         self.add_events(events)
         for event in events:
             if isinstance(event, consensus.Persist):
-                self._compacting = event.number
+                self._compaction_number = event.number
 
     # What the log adds up to.
 
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -89,11 +89,11 @@
         """Begin each call at once; as a key range has one call at a time, there are no more than ranges."""
         while True:
             call = await self._queue.get()
-            task = asyncio.create_task(self._make(call))
+            task = asyncio.create_task(self._carry_out(call))
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
 
-    async def _make(self, call: CallServer) -> None:
+    async def _carry_out(self, call: CallServer) -> None:
         async with self._grants if isinstance(call.request, GrantKeyRange) else self._releases:
             sent, answer = await self._ask(call)
         handover = answer.fields.get(b"x-handover") if answer else None
@@ -113,9 +113,9 @@
         answer: Answer | None = None
         try:
             async with asyncio.timeout((GRANT_TIMEOUT_NS if is_grant else RELEASE_TIMEOUT_NS) / SECOND):
-                kept = self._take(call.request) or KeptConnection(await dial(self._address, CONNECT_TIMEOUT_S))
+                kept = self._take_idle(call.request) or KeptConnection(await dial(self._address, CONNECT_TIMEOUT_S))
                 kept.connection.stream.begin_call()
-                if is_grant and time.monotonic_ns() >= call.lease_until:
+                if is_grant and time.monotonic_ns() >= call.leader_lease_until:
                     return False, None
                 kept.carried_release |= not is_grant
                 answer = await self._send(kept.connection, call.request)
@@ -126,7 +126,7 @@
         return kept is not None and kept.connection.stream.sent_bytes > 0, answer
 
     async def _send(self, connection: Connection, request: ServerRequest) -> Answer:
-        target, body = encoded(request)
+        target, body = encode_request(request)
         headers = [
             (b"Host", b"server"),
             (b"Content-Type", b"application/json"),
@@ -135,7 +135,7 @@
         ]
         return await connection.ask(b"POST", target, headers, body)
 
-    def _take(self, request: ServerRequest) -> KeptConnection | None:
+    def _take_idle(self, request: ServerRequest) -> KeptConnection | None:
         """Return an idle connection for this request, the one used last first."""
         now = time.monotonic_ns()
         for kept in reversed(self._idle):
@@ -158,7 +158,7 @@
         self._idle.append(kept)
 
 
-def encoded(request: ServerRequest) -> tuple[bytes, bytes]:
+def encode_request(request: ServerRequest) -> tuple[bytes, bytes]:
     """Return the path and the body of a request, by what its key range is now."""
     keys = request.key_range
     match request:
--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -87,7 +87,7 @@
         """Return the seconds that keys had no holder since this member leads, times their share of all keys."""
         return self.key_ranges.unowned_key_ns / KEY_COUNT / SECOND
 
-    # What has happened.
+    # Events.
 
     def handle_server_list(self, now: int, servers: list[ShardServer]) -> None:
         """Take the platform's list, as it has changed."""
@@ -133,7 +133,7 @@
                 changes.append(without_holder(new))
         return changes
 
-    # What follows.
+    # Effects.
 
     def tick(self, now: int, list_changed_at: int) -> list[ShardAssignerEffect]:
         """Return what is due. Only while this member leads."""
@@ -170,7 +170,7 @@
         changes = [without_holder(key_range) for key_range in in_order]
         return PushKeyRanges(KeyRangesDelta(self.service, since, self._version, changes))
 
-    def update(self) -> KeyRangesUpdate:
+    def full_update(self) -> KeyRangesUpdate:
         """Return all ranges for an edge machine that lacks some: as recorded, and what left its server since."""
         recorded = KeyRangeTable(self._version, range_holders(self._committed.ranges))
         releasing = []
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -63,7 +63,7 @@
         self._pending_records.pop(service, None)
         self._replica.log(f"{service}: no longer assigning its key ranges, as {reason}")
 
-    # What has happened.
+    # Events.
 
     def tick(self, now: int) -> None:
         """Do what a leader does in each tick; begin with services that it has not decided for yet."""
@@ -104,7 +104,7 @@
         if assigner is not None:
             assigner.placement.handle_load_report(now, report.keys, report.servers)
 
-    # What follows.
+    # Effects.
 
     def _begin(self, now: int, service: str) -> ShardAssigner:
         term = self._replica.node.term
@@ -118,7 +118,7 @@
             self._random.getrandbits(32),
         )
         self._replica.log(f"{service}: assigning its key ranges, as this member leads term {term}")
-        self._replica.emit(PushToEdges(assigner.update()))
+        self._replica.emit(PushToEdges(assigner.full_update()))
         return assigner
 
     def _tick(self, now: int, assigner: ShardAssigner) -> None:
--- a/kestrelplank/control/waiting_calls.py
+++ b/kestrelplank/control/waiting_calls.py
@@ -19,12 +19,12 @@
         self._tickets = tickets
         self._futures: dict[int, asyncio.Future[Answer]] = {}
 
-    async def answer(self, begin: Callable[[int], None]) -> Answer:
-        """Return the answer to the call that `begin(ticket)` hands to the member."""
+    async def call(self, submit: Callable[[int], None]) -> Answer:
+        """Return the answer to the call that `submit(ticket)` hands to the member."""
         ticket = next(self._tickets)
         future = self._futures[ticket] = asyncio.get_running_loop().create_future()
         try:
-            begin(ticket)
+            submit(ticket)
             answer: Answer = await future
             return answer
         finally:
--- a/kestrelplank/sharding/greedy_pass.py
+++ b/kestrelplank/sharding/greedy_pass.py
@@ -29,7 +29,7 @@
 
 IDLE_INTERVAL_NS = 100 * MILLISECOND  # how often the pass looks at what is due, where nothing has happened
 WARM_UP_NS = 3 * SECOND  # a server that has just started is slow for so long
-COLD_SHARE = 0.5  # of its weight, that it begins with
+WARM_UP_START_SHARE = 0.5  # of its weight, that it begins with
 
 
 class PlacementOrders:
@@ -57,13 +57,13 @@
 class GreedyPass:
     """One service's pass.
 
-    `numbers`: the slice's number of each range that the pass decides on.
+    `slice_numbers`: the slice's number of each range that the pass decides on.
 
     :param latency_target_ns: within which the service's requests should be answered.
     """
 
     def __init__(self, seed: int, latency_target_ns: int) -> None:
-        self.numbers: dict[KeyRange, int] = {}
+        self.slice_numbers: dict[KeyRange, int] = {}
         self._seed = seed
         self._latency_target_ns = latency_target_ns
         self._policy: Policy | None = None
@@ -71,10 +71,10 @@
         self._events: list[Event] = []
         self._last_number = 0
         self._ranges: dict[int, KeyRange] = {}
-        self._nodes: dict[str, int] = {}
-        self._servers: dict[int, str] = {}
+        self._node_numbers: dict[str, int] = {}
+        self._server_names: dict[int, str] = {}
         self._zones: dict[str, int] = {}
-        self._run_at = 0
+        self._next_run_at = 0
 
     @property
     def started(self) -> bool:
@@ -85,79 +85,79 @@
         """Begin: the pass's periods count from now on."""
         self._policy = Policy(now, self._seed, policy_settings(self._latency_target_ns))
 
-    # What happened since the last run.
+    # Events since the last run.
 
     def set_servers(self, now: int, servers: Mapping[str, ShardServer], slot_weights: Mapping[str, float]) -> None:
         """Take all servers as listed, weighed by what is known of their speed."""
         warming = sum(server.warming_until > now for server in servers.values())
         # Where most are warming up the service itself has just started: then they are what there is.
-        heed_warming = 2 * warming < len(servers)
+        only_some_warming = 2 * warming < len(servers)
         entries = []
         for server in servers.values():
             zone = self._zones.setdefault(server.zone, len(self._zones))
-            started_at = server.warming_until - WARM_UP_NS if heed_warming and server.warming_until > now else None
+            started_at = server.warming_until - WARM_UP_NS if only_some_warming and server.warming_until > now else None
             weight = server.slots * slot_weights.get(server.name, 1.0)
             condition = NodeCondition.UP if server.ready else NodeCondition.DRAINING
-            entries.append(NodeEntry(self._node(server.name), condition, zone, None, weight, started_at))
+            entries.append(NodeEntry(self._node_number(server.name), condition, zone, None, weight, started_at))
         self._events.append(NodeListUpdate(NodeListKind.FULL, entries))
 
     def add_new_ranges(self, ranges: Iterable[KeyRange], excluded: Mapping[KeyRange, KeyRange]) -> None:
         """Have the pass decide on those of `ranges` that it does not know yet, but for `excluded`."""
         for key_range in ranges:
-            if key_range not in self.numbers and key_range not in excluded:
-                number = self._number(key_range)
+            if key_range not in self.slice_numbers and key_range not in excluded:
+                number = self._assign_number(key_range)
                 self._events.append(SliceOwnership(number, True))
                 if key_range.server and key_range.state is KeyRangeState.HELD:
-                    self._events.append(EndpointStored(number, self._node(key_range.server), 1.0))
+                    self._events.append(EndpointStored(number, self._node_number(key_range.server), 1.0))
 
     def split_range(self, lower: KeyRange, upper: KeyRange, upper_share: float) -> None:
         """Note that `upper` was split off from `lower`, with that share of its requests."""
-        number = self._number(upper)
-        self._events.append(SliceSplit(self.numbers[lower], number, upper_share))
+        number = self._assign_number(upper)
+        self._events.append(SliceSplit(self.slice_numbers[lower], number, upper_share))
 
     def remove_range(self, key_range: KeyRange) -> None:
         """Have the pass decide on this range no more."""
-        number = self.numbers.pop(key_range)
+        number = self.slice_numbers.pop(key_range)
         del self._ranges[number]
         self._events.append(SliceOwnership(number, False))
 
     def add_requests(self, key_range: KeyRange, requests: float) -> None:
         """Count so many requests for the range's keys in this report period."""
-        if key_range in self.numbers:
-            self._events.append(SliceReport(self.numbers[key_range], 0, requests, 0, REPORT_PERIOD_NS))
+        if key_range in self.slice_numbers:
+            self._events.append(SliceReport(self.slice_numbers[key_range], 0, requests, 0, REPORT_PERIOD_NS))
 
     def add_attempts(self, server: ShardServer, attempts: float, failures: float) -> None:
         """Count so many attempts at the server in this report period."""
         zone = self._zones.get(server.zone)
-        node = self._node(server.name)
+        node = self._node_number(server.name)
         self._events.append(NodeReport(node, zone, attempts, failures, 0, REPORT_PERIOD_NS, NodeLoad()))
 
-    # What follows.
+    # Decisions.
 
     def run(self, now: int, move: Callable[[int, KeyRange, str], None]) -> None:
         """Call `move` for each range that is to go to another server, by what happened and what is due."""
         assert self._policy is not None
-        if not self._events and now < self._run_at:
+        if not self._events and now < self._next_run_at:
             return
-        self._run_at = now + IDLE_INTERVAL_NS
+        self._next_run_at = now + IDLE_INTERVAL_NS
         events, self._events = self._events, []
         self._policy.round(now, events, self._orders)
         for number, node in self._orders.nodes.items():
-            move(now, self._ranges[number], self._servers[node])
-            self._run_at = now  # the pass moves a range in two steps: the next one is due at once
+            move(now, self._ranges[number], self._server_names[node])
+            self._next_run_at = now  # the pass moves a range in two steps: the next one is due at once
         self._orders.nodes.clear()
 
-    def _number(self, key_range: KeyRange) -> int:
+    def _assign_number(self, key_range: KeyRange) -> int:
         self._last_number += 1
-        self.numbers[key_range] = self._last_number
+        self.slice_numbers[key_range] = self._last_number
         self._ranges[self._last_number] = key_range
         return self._last_number
 
-    def _node(self, server: str) -> int:
-        if server not in self._nodes:
-            self._nodes[server] = len(self._nodes)
-            self._servers[self._nodes[server]] = server
-        return self._nodes[server]
+    def _node_number(self, server: str) -> int:
+        if server not in self._node_numbers:
+            self._node_numbers[server] = len(self._node_numbers)
+            self._server_names[self._node_numbers[server]] = server
+        return self._node_numbers[server]
 
 
 def policy_settings(latency_target_ns: int) -> PolicySettings:
@@ -173,7 +173,7 @@
         load_window_ns=WINDOW_NS,
         overload_multiple=4.0,
         only_draining_binds=False,
-        cold_capacity_share=COLD_SHARE,
+        cold_capacity_share=WARM_UP_START_SHARE,
         warm_up_ns=WARM_UP_NS,
         exclusive_slices=True,
         initial_retry_mode=1,
--- a/kestrelplank/sharding/key_range.py
+++ b/kestrelplank/sharding/key_range.py
@@ -90,7 +90,7 @@
         """The number of its keys."""
         return self.last - self.first + 1
 
-    def record(self) -> RecordedKeyRange:
+    def to_record(self) -> RecordedKeyRange:
         """Return what the log keeps of it."""
         return RecordedKeyRange(self.first, self.last, self.server, self.address, self.fencing_token, self.handover)
 
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -75,7 +75,7 @@
         self._being_recorded: list[KeyRange] | None = None
         self._pending_effects: list[KeyRangesEffect] = []
 
-    # What is asked for.
+    # Changes that the placement asks for.
 
     def divide(self, count: int) -> None:
         """Make `count` unowned ranges of equal length, as nothing was ever recorded."""
@@ -119,11 +119,11 @@
             key_range.start_release(now, successor)
             self._pending_effects.append(KeyRangeReleasing(key_range))
 
-    def record(self) -> list[RecordedKeyRange]:
+    def to_record(self) -> list[RecordedKeyRange]:
         """Return what the log is to keep of all ranges."""
-        return [key_range.record() for key_range in self.ranges]
+        return [key_range.to_record() for key_range in self.ranges]
 
-    # What has happened.
+    # Events.
 
     def handle_server_list(self, now: int, servers: Iterable[ShardServer]) -> None:
         """Take the platform's list of this service's servers."""
@@ -209,7 +209,7 @@
         key_range.fencing_token = self.highest_token
         key_range.recorded = False
 
-    # What follows.
+    # Effects.
 
     def tick(self, now: int) -> list[KeyRangesEffect]:
         """Return the grants, releases and records that are due, after what happened since the last tick."""
@@ -226,7 +226,7 @@
         changed = [key_range for key_range in self.ranges if not key_range.recorded]
         if changed and self._being_recorded is None:
             self._being_recorded = changed
-            effects.append(RecordKeyRanges(self.record()))
+            effects.append(RecordKeyRanges(self.to_record()))
         return effects
 
     @staticmethod
--- a/kestrelplank/sharding/range_resizing.py
+++ b/kestrelplank/sharding/range_resizing.py
@@ -12,11 +12,11 @@
 from kestrelplank.sharding.key_ranges import KeyRanges
 from kestrelplank.sharding.request_window import RequestWindow
 
-SPLIT_ABOVE = 0.4  # of a mean server's load; the pass splits slices at the same share elsewhere
-SPLIT_SHARES = 0.05, 0.95  # of a range's requests, between which its upper part must have: else one key has them all
+SPLIT_LOAD_SHARE = 0.4  # of a mean server's load; the pass splits slices at the same share elsewhere
+UPPER_SHARE_BOUNDS = 0.05, 0.95  # an upper part with less or more of the requests: one key has nearly all of them
 MAX_RANGES_PER_SERVER = 6  # then nothing is split any more
 MERGE_ABOVE_RANGES_PER_SERVER = 5
-MERGE_BELOW = 0.1  # of a mean server's load, for the two together
+MERGE_LOAD_SHARE = 0.1  # of a mean server's load, for the two together
 
 
 class RangeResizing:
@@ -39,17 +39,17 @@
         :param mean_rate: requests a second for each server that is ready.
         """
         key_ranges = self._key_ranges
-        room = MAX_RANGES_PER_SERVER * max(1, len(key_ranges.servers)) - len(key_ranges.ranges)
-        busy = [key_range for key_range, rate in rates.items() if rate > SPLIT_ABOVE * mean_rate]
+        max_splits = MAX_RANGES_PER_SERVER * max(1, len(key_ranges.servers)) - len(key_ranges.ranges)
+        busy = [key_range for key_range, rate in rates.items() if rate > SPLIT_LOAD_SHARE * mean_rate]
         candidates = [key_range for key_range in busy if self._can_split(key_range)]
         candidates.sort(key=lambda key_range: (-rates[key_range], key_range.first))
-        for lower in candidates[: max(0, room)]:
+        for lower in candidates[: max(0, max_splits)]:
             keys = self._requests.sample(lower)
             if not keys:
                 continue
             at = min(max(keys[len(keys) // 2], lower.first + 1), lower.last)
             upper_share = (len(keys) - bisect_right(keys, at - 1)) / len(keys)
-            if not SPLIT_SHARES[0] < upper_share < SPLIT_SHARES[1]:
+            if not UPPER_SHARE_BOUNDS[0] < upper_share < UPPER_SHARE_BOUNDS[1]:
                 continue
             upper = key_ranges.split(lower, at)
             self._pass.split_range(lower, upper, upper_share)
@@ -61,7 +61,7 @@
             and key_range.state is KeyRangeState.HELD
             and key_range.recorded
             and not key_range.call_in_flight
-            and key_range in self._pass.numbers
+            and key_range in self._pass.slice_numbers
         )
 
     def merge(self, now: int, rates: dict[KeyRange, float], mean_rate: float) -> None:
@@ -73,7 +73,9 @@
         pairs = [
             (lower.server != upper.server, upper.last - upper.first, lower.first, lower, upper)
             for lower, upper in zip(key_ranges.ranges, key_ranges.ranges[1:])
-            if rates[lower] + rates[upper] < MERGE_BELOW * mean_rate and self._can_move(lower) and self._can_move(upper)
+            if rates[lower] + rates[upper] < MERGE_LOAD_SHARE * mean_rate
+            and self._can_move(lower)
+            and self._can_move(upper)
         ]
         if not pairs:
             return
@@ -84,7 +86,7 @@
         self._pass.remove_range(upper)
 
     def _can_move(self, key_range: KeyRange) -> bool:
-        return key_range.state is KeyRangeState.HELD and key_range.recorded and key_range in self._pass.numbers
+        return key_range.state is KeyRangeState.HELD and key_range.recorded and key_range in self._pass.slice_numbers
 
     def _finish_merges(self, rates: dict[KeyRange, float]) -> None:
         ranges = self._key_ranges.ranges
--- a/kestrelplank/sharding/request_window.py
+++ b/kestrelplank/sharding/request_window.py
@@ -33,7 +33,7 @@
         self._reports: deque[tuple[int, Sequence[int]]] = deque()  # when each came, and its keys
         self._unsorted: list[int] = []  # keys that came since the last `advance`
         self._first_request_at: int | None = None
-        self._changed: set[KeyRange] = set()  # ranges whose newest requests differ clearly from the window's
+        self._changed_ranges: set[KeyRange] = set()  # ranges whose newest requests differ clearly from the window's
 
     def add(self, now: int, keys: Sequence[int]) -> None:
         """Take the keys that an edge machine was asked for since its last report."""
@@ -51,7 +51,7 @@
         while self._reports and now - self._reports[0][0] > WINDOW_NS:
             expired += self._reports.popleft()[1]
         # The new ones first, as some of them may be too old already; sorted runs are merged, not sorted again.
-        self.sorted_keys = without(sorted(self.sorted_keys + sorted(self._unsorted)), sorted(expired))
+        self.sorted_keys = without_expired(sorted(self.sorted_keys + sorted(self._unsorted)), sorted(expired))
         self._unsorted.clear()
         self.newest_keys = sorted(key for at, keys in self._reports if now - at <= NEWEST_NS for key in keys)
 
@@ -74,11 +74,11 @@
         ends = [key_range.last for key_range in ranges]
         counts, newest_counts = count_by_range(self.sorted_keys, ends), count_by_range(self.newest_keys, ends)
         rates: dict[KeyRange, float] = {}
-        self._changed = set()
+        self._changed_ranges = set()
         for key_range, count, newest_count in zip(ranges, counts, newest_counts):
             expected = count * newest_ns / span_ns
             if abs(newest_count - expected) > SIGNIFICANT_DEVIATIONS * max(1.0, expected) ** 0.5:
-                self._changed.add(key_range)
+                self._changed_ranges.add(key_range)
                 rates[key_range] = newest_count / newest_ns * SECOND
             else:
                 rates[key_range] = count / span_ns * SECOND
@@ -91,13 +91,13 @@
 
         Empty if these are fewer than `MIN_SAMPLE`.
         """
-        keys = within(self.newest_keys, key_range) if key_range in self._changed else []
+        keys = keys_in_range(self.newest_keys, key_range) if key_range in self._changed_ranges else []
         if len(keys) < MIN_SAMPLE:
-            keys = within(self.sorted_keys, key_range)
+            keys = keys_in_range(self.sorted_keys, key_range)
         return keys if len(keys) >= MIN_SAMPLE else []
 
 
-def without(keys: list[int], expired: list[int]) -> list[int]:
+def without_expired(keys: list[int], expired: list[int]) -> list[int]:
     """Return the sorted `keys` less one for each of the sorted `expired`, all of which are among them."""
     remaining: list[int] = []
     begin = 0
@@ -109,7 +109,7 @@
     return remaining
 
 
-def within(keys: list[int], key_range: KeyRange) -> list[int]:
+def keys_in_range(keys: list[int], key_range: KeyRange) -> list[int]:
     """Return those of the sorted keys that lie in the range."""
     return keys[bisect_left(keys, key_range.first) : bisect_right(keys, key_range.last)]
 
--- a/kestrelplank/sharding/server_weights.py
+++ b/kestrelplank/sharding/server_weights.py
@@ -37,7 +37,7 @@
 
     def learned(self) -> dict[str, list[float]]:
         """Return what is known of each server, for the record: otherwise each new leader would begin with nothing."""
-        return {name: estimate.record() for name, estimate in self._estimates.items() if estimate.evidence() >= 1}
+        return {name: estimate.to_record() for name, estimate in self._estimates.items() if estimate.evidence() >= 1}
 
     def add(self, servers: Mapping[str, ServerReport]) -> None:
         """Take an edge machine's report."""
--- a/kestrelplank/sharding/service_time.py
+++ b/kestrelplank/sharding/service_time.py
@@ -23,7 +23,7 @@
     def __init__(self, recorded: Sequence[float] = (0.0, 0.0, 0.0, 0.0)) -> None:
         self.busy_s, self.answers, self.log_seconds, self.unqueued_answers = recorded
 
-    def record(self) -> list[float]:
+    def to_record(self) -> list[float]:
         """Return what is known, for the next leader's estimate."""
         return [round(sum_, 2) for sum_ in (self.busy_s, self.answers, self.log_seconds, self.unqueued_answers)]
 
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -16,18 +16,18 @@
 from kestrelplank.consensus.log_entries import Entry, PutConfiguration, PutRecord
 from kestrelplank.decode import Malformed
 
-SNAPSHOT_FORM = 1
+SNAPSHOT_FORMAT = 1
 NO_VERSION = -1
 
 
-class SnapshotForm(msgspec.Struct, frozen=True, array_like=True):
+class SnapshotContent(msgspec.Struct, frozen=True, array_like=True):
     """A snapshot as it is encoded.
 
-    :param form: `SNAPSHOT_FORM`.
+    :param format_version: `SNAPSHOT_FORMAT`.
     :param records: services and their records, in the order of the services' names.
     """
 
-    form: int
+    format_version: int
     configuration: PutConfiguration | None
     records: tuple[tuple[str, bytes], ...]
 
@@ -51,17 +51,17 @@
 
     :param in_force: the configuration that the entry put in force.
     :param dropped: services whose records were removed with that.
-    :param record_of: the service whose record is now the entry's.
+    :param recorded_service: the service whose record is now the entry's.
     """
 
     in_force: PutConfiguration | None = None
     dropped: tuple[str, ...] = ()
-    record_of: str | None = None
+    recorded_service: str | None = None
 
     @property
     def changed(self) -> bool:
         """Whether the entry changed anything."""
-        return self.in_force is not None or self.record_of is not None
+        return self.in_force is not None or self.recorded_service is not None
 
 
 NO_CHANGE = ApplyResult()
@@ -82,7 +82,7 @@
     def __init__(self) -> None:
         self._configuration: PutConfiguration | None = None
         self._records: dict[str, bytes] = {}
-        self._sharded: frozenset[str] | None = frozenset()  # None: any service may be
+        self._sharded_services: frozenset[str] | None = frozenset()  # None: any service may be
         self._parsed: Configuration | None = None
         self._parse_pending = False
 
@@ -134,7 +134,7 @@
     def snapshot(self) -> bytes:
         """Return the complete state, the same bytes at each member that applied the same entries."""
         records = tuple(sorted(self._records.items()))
-        return msgspec.msgpack.encode(SnapshotForm(SNAPSHOT_FORM, self._configuration, records))
+        return msgspec.msgpack.encode(SnapshotContent(SNAPSHOT_FORMAT, self._configuration, records))
 
     def restore(self, snapshot: bytes) -> None:
         """Replace the state by that of `snapshot`.
@@ -158,16 +158,16 @@
         if not self._may_have_record(command.service):
             return NO_CHANGE
         self._records[command.service] = command.record
-        return ApplyResult(record_of=command.service)
+        return ApplyResult(recorded_service=command.service)
 
     def _set_configuration(self, order: PutConfiguration | None) -> None:
         self._configuration = order
-        self._sharded = frozenset() if order is None else sharded_services(order.text)
+        self._sharded_services = frozenset() if order is None else sharded_services(order.text)
         self._parsed = None
         self._parse_pending = order is not None
 
     def _may_have_record(self, service: str) -> bool:
-        return self._sharded is None or service in self._sharded
+        return self._sharded_services is None or service in self._sharded_services
 
 
 def sharded_services(text: bytes) -> frozenset[str] | None:
@@ -179,15 +179,17 @@
     return frozenset(service.name for service in outline.service_table if service.sharded)
 
 
-def decode_snapshot(snapshot: bytes) -> SnapshotForm:
+def decode_snapshot(snapshot: bytes) -> SnapshotContent:
     """Return a snapshot's content.
 
     :raises Malformed: it can't be read, or is of an unknown form.
     """
     try:
-        content = msgspec.msgpack.decode(snapshot, type=SnapshotForm)
+        content = msgspec.msgpack.decode(snapshot, type=SnapshotContent)
     except msgspec.DecodeError as err:
         raise Malformed(f"snapshot of the control state: {err}") from err
-    if content.form != SNAPSHOT_FORM:
-        raise Malformed(f"snapshot of the control state: form {content.form} is not known, {SNAPSHOT_FORM} is")
+    if content.format_version != SNAPSHOT_FORMAT:
+        raise Malformed(
+            f"snapshot of the control state: form {content.format_version} is not known, {SNAPSHOT_FORMAT} is"
+        )
     return content
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -17,7 +17,7 @@
     AnswerOrder,
     AnswerRead,
     CallServer,
-    KeepCopy,
+    KeepConfigurationCopy,
     LogLine,
     PushToEdges,
     SendMessage,
@@ -164,7 +164,7 @@
             elif isinstance(effect, LogLine):
                 self.logged.append((self.now, name, effect.text))
             else:
-                assert isinstance(effect, KeepCopy)
+                assert isinstance(effect, KeepConfigurationCopy)
                 self.check_one_text(effect.version, effect.text)
 
     # Messages.
@@ -266,7 +266,7 @@
             return
         holding = self.servers[call.request.server]
         releases = isinstance(call.request, ReleaseKeyRange)
-        sent = (releases or self.now < call.lease_until) and holding.up  # one that is down answers no dial
+        sent = (releases or self.now < call.leader_lease_until) and holding.up  # one that is down answers no dial
         status = None
         if sent and frozenset((name, call.request.server)) not in self.cut:
             status = holding.take(self.now, call.request, body)
--- a/tests/control/test_log_writer.py
+++ b/tests/control/test_log_writer.py
@@ -91,7 +91,7 @@
         writer.write(Persist(1))
         await until(file.begun.is_set)
         for version in (5, 6):
-            writer.write_copy(version, b"")
+            writer.write_configuration_copy(version, b"")
         writer.write(Persist(2))
         file.let.set()
         await until(lambda: file.copies)
--- a/tests/control/test_member_sessions.py
+++ b/tests/control/test_member_sessions.py
@@ -66,7 +66,7 @@
 
 def test_a_message_goes_over_the_session_that_was_dialled_and_its_answer_back_over_it():
     async def play(one, two):
-        one.sessions.dial([f"{TWO}:80"])  # the other dials nobody
+        one.sessions.keep_sessions_with([f"{TWO}:80"])  # the other dials nobody
         await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
         assert two.met[0] == (one.identity, MembershipQuery())
         two.sessions.send(one.identity, NEWS)
@@ -78,7 +78,7 @@
 
 def test_what_is_meant_for_a_former_incarnation_reaches_nobody():
     async def play(one, two):
-        one.sessions.dial([f"{TWO}:80"])
+        one.sessions.keep_sessions_with([f"{TWO}:80"])
         await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
         seen = len(two.met)
         one.sessions.send(f"{TWO}:80/former", NEWS)
@@ -101,7 +101,7 @@
         await until(lambda: len(two.met) == 2)
         assert two.met == [("127.0.0.9:80/a", MembershipQuery()), ("127.0.0.9:80/a", NEWS)]
         wire.reset()
-        one.sessions.dial([f"{TWO}:80"])
+        one.sessions.keep_sessions_with([f"{TWO}:80"])
         await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
         (session,) = two.sessions._inbound.by_name.values()
         for sender in ("127.0.0.2:80/y", "127.0.0.2:80/z", "127.0.0.2:80/y"):
@@ -114,7 +114,7 @@
 
 def test_words_of_edge_machines_on_a_connection_that_we_dialled_are_nobodys():
     async def play(one, two):
-        one.sessions.dial([f"{TWO}:80"])
+        one.sessions.keep_sessions_with([f"{TWO}:80"])
         await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
         (session,) = two.sessions._inbound.by_name.values()
         session.connection.send(EdgeHeartbeat("edge-1", None, {}, None))
@@ -127,14 +127,14 @@
 
 def test_who_is_no_longer_wanted_is_let_go_of_and_who_ended_is_dialled_anew():
     async def play(one, two):
-        one.sessions.dial([f"{TWO}:80"])
+        one.sessions.keep_sessions_with([f"{TWO}:80"])
         send = lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery())  # noqa: E731
         await told(one, send, two)
         (session,) = two.sessions._inbound.by_name.values()
         session.connection.reset()
         await told(one, send, two)
         await until(lambda: two.sessions._inbound.by_name)
-        one.sessions.dial([])
+        one.sessions.keep_sessions_with([])
         await until(lambda: not two.sessions._inbound.by_name)
 
     played(play)
--- a/tests/control/test_pending_calls.py
+++ b/tests/control/test_pending_calls.py
@@ -7,10 +7,10 @@
 from kestrelplank.control.pending_calls import (
     CALL_TIMEOUT_NS,
     MAX_PENDING_CALLS,
+    DecidedCallers,
     ForwardedCalls,
     ForwardingMember,
     LocalCaller,
-    Outcome,
     PendingOrders,
 )
 
@@ -23,22 +23,22 @@
 def test_an_order_is_acknowledged_by_its_own_entry_only():
     orders = PendingOrders()
     orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
-    assert orders.handle_applied(Entry(6, 2, Noop())) == Outcome([], [])
-    assert orders.handle_applied(Entry(7, 2, ORDER)) == Outcome([LocalCaller(1)], [])
-    assert orders.handle_applied(Entry(8, 2, ORDER)) == Outcome([], [])
+    assert orders.handle_applied(Entry(6, 2, Noop())) == DecidedCallers([], [])
+    assert orders.handle_applied(Entry(7, 2, ORDER)) == DecidedCallers([LocalCaller(1)], [])
+    assert orders.handle_applied(Entry(8, 2, ORDER)) == DecidedCallers([], [])
 
 
 def test_an_order_whose_index_another_terms_entry_took_has_an_unknown_outcome():
     orders = PendingOrders()
     orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
-    assert orders.handle_applied(Entry(7, 3, ORDER)) == Outcome([], [LocalCaller(1)])
+    assert orders.handle_applied(Entry(7, 3, ORDER)) == DecidedCallers([], [LocalCaller(1)])
 
 
 def test_the_very_same_order_waits_for_the_one_under_way_and_another_text_does_not():
     orders, passed_on = PendingOrders(), ForwardingMember("10.0.0.2:80/first", CallId("10.0.0.2:80/first", 9, 1))
     orders.add(NOW, LocalCaller(1), ORDER, 7, 2)
     assert orders.join(NOW, passed_on, ORDER) and not orders.join(NOW, LocalCaller(3), OTHER)
-    assert orders.handle_applied(Entry(7, 2, ORDER)) == Outcome([LocalCaller(1), passed_on], [])
+    assert orders.handle_applied(Entry(7, 2, ORDER)) == DecidedCallers([LocalCaller(1), passed_on], [])
 
 
 def test_a_caller_that_waited_too_long_is_told_so_once_and_the_order_stays_for_who_sends_it_again():
@@ -49,7 +49,7 @@
     ]
     assert orders.take_expired(NOW + CALL_TIMEOUT_NS) == []
     assert orders.join(NOW + CALL_TIMEOUT_NS, LocalCaller(2), ORDER)
-    assert orders.handle_applied(Entry(7, 2, ORDER)) == Outcome([LocalCaller(2)], [])
+    assert orders.handle_applied(Entry(7, 2, ORDER)) == DecidedCallers([LocalCaller(2)], [])
 
 
 def test_a_deposed_leader_returns_all_waiting_callers_once():
--- a/tests/control/test_recorded_runs.py
+++ b/tests/control/test_recorded_runs.py
@@ -16,7 +16,7 @@
     AnswerOrder,
     AnswerRead,
     CallServer,
-    KeepCopy,
+    KeepConfigurationCopy,
     LogLine,
     PushToEdges,
     SendMessage,
@@ -53,7 +53,7 @@
             return "order", ticket, acknowledged, in_force
         case AnswerRead(ticket, known, text):
             return "read", ticket, known, text
-        case KeepCopy(version, text):
+        case KeepConfigurationCopy(version, text):
             return "copy", version, text
         case LogLine():
             return ("log",)
--- a/tests/sharding/test_key_ranges.py
+++ b/tests/sharding/test_key_ranges.py
@@ -90,7 +90,7 @@
         (name, KeyRangeState.HELD, latest_lease_end(NOW)) for name in ("s", "t")
     ]
     # The next leader's tokens are higher yet, though its term is low.
-    assert key_ranges_over(recorded=key_ranges.record(), term=2).highest_token > max(seen_tokens.values())
+    assert key_ranges_over(recorded=key_ranges.to_record(), term=2).highest_token > max(seen_tokens.values())
 
 
 def test_neighbours_of_one_server_become_one_range_under_a_token_above_both():
@@ -104,7 +104,7 @@
     key_ranges.merge(lower, upper)
     effects = settle(key_ranges, NOW)
     assert kinds(effects) == [RecordKeyRanges, GrantKeyRange]  # not renewed before a majority knows it
-    assert key_ranges.record() == [(0, KEY_COUNT - 1, "s", "s:80", highest + 1, None)]
+    assert key_ranges.to_record() == [(0, KEY_COUNT - 1, "s", "s:80", highest + 1, None)]
 
 
 def test_a_releasing_range_is_reported_before_its_release_and_the_time_without_holder_after_its_grant():
--- a/tests/sharding/test_recorded_run.py
+++ b/tests/sharding/test_recorded_run.py
@@ -41,7 +41,7 @@
         return msgspec.msgpack.encode(self.assigner.handle_record_committed(now).message)
 
     def update(self):
-        return msgspec.msgpack.encode(self.assigner.update())
+        return msgspec.msgpack.encode(self.assigner.full_update())
 
     def counters(self):
         return (
--- a/tests/sharding/test_shard_placement.py
+++ b/tests/sharding/test_shard_placement.py
@@ -15,7 +15,7 @@
 from kestrelplank.sharding.key_range import KEY_COUNT
 from kestrelplank.sharding.key_ranges import KeyRanges
 from kestrelplank.sharding.placement import Placement
-from kestrelplank.sharding.request_window import REPORT_PERIOD_NS, WINDOW_NS, without
+from kestrelplank.sharding.request_window import REPORT_PERIOD_NS, WINDOW_NS, without_expired
 from kestrelplank.sharding.service_time import ServiceTimeEstimate
 from kestrelplank.sharding.shard_server import ShardServer
 from kestrelplank.time_units import SECOND
@@ -68,7 +68,7 @@
         service = ShardedService(3, SPEEDS, 80, 0.16, 0.6)
         service.run(30)
         learned_speeds = service.placement.learned_speeds() if kept else None
-        service.begin_term(2, service.key_ranges.record(), learned_speeds)
+        service.begin_term(2, service.key_ranges.to_record(), learned_speeds)
         service.run(1)
         weights = service.placement.server_weights.slot_weights
         fast, slow = ([weights.get(name, 1.0) for name in servers_at(speed)] for speed in (1.5, 0.7))
@@ -91,7 +91,7 @@
 def test_an_estimate_is_recorded_in_full():
     estimate = ServiceTimeEstimate()
     estimate.add(0.5, 7.0, 4, -8.25, 3)
-    assert ServiceTimeEstimate(estimate.record()).log_service_time(0.3) == pytest.approx(
+    assert ServiceTimeEstimate(estimate.to_record()).log_service_time(0.3) == pytest.approx(
         estimate.log_service_time(0.3), rel=0.01
     )
     assert ServiceTimeEstimate().evidence() == 0
@@ -140,4 +140,4 @@
     keys.sort()
     expired = sorted(data.draw(st.lists(st.sampled_from(keys), max_size=len(keys)))) if keys else []
     expired = sorted((Counter(expired) & Counter(keys)).elements())
-    assert without(keys, expired) == sorted((Counter(keys) - Counter(expired)).elements())
+    assert without_expired(keys, expired) == sorted((Counter(keys) - Counter(expired)).elements())
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -59,8 +59,8 @@
         ([FIVE, SEVEN, OTHER_FIVE], SEVEN, {}, NO_CHANGE),
         ([order(0)], order(0), {}, ApplyResult(in_force=order(0))),
         # records
-        ([FIVE, VIEWS], FIVE, {"views": b"v"}, ApplyResult(record_of="views")),
-        ([FIVE, VIEWS, VIEWS_2], FIVE, {"views": b"v2"}, ApplyResult(record_of="views")),
+        ([FIVE, VIEWS], FIVE, {"views": b"v"}, ApplyResult(recorded_service="views")),
+        ([FIVE, VIEWS, VIEWS_2], FIVE, {"views": b"v2"}, ApplyResult(recorded_service="views")),
         ([FIVE, ORDERS], FIVE, {}, NO_CHANGE),
         ([FIVE, PutRecord("nobody", b"n")], FIVE, {}, NO_CHANGE),
         ([FIVE, VIEWS, Noop(), MEMBERS], FIVE, {"views": b"v"}, NO_CHANGE),
@@ -70,7 +70,7 @@
         ([BOTH, VIEWS, ORDERS, NONE], NONE, {}, ApplyResult(in_force=NONE, dropped=("orders", "views"))),
         ([BOTH, VIEWS, ORDERS, FIVE], BOTH, {"views": b"v", "orders": b"o"}, NO_CHANGE),
         ([BOTH, ORDERS, NONE, order(9, ("orders",))], order(9, ("orders",)), {}, None),
-        ([NONE, order(9), VIEWS], order(9), {"views": b"v"}, ApplyResult(record_of="views")),
+        ([NONE, order(9), VIEWS], order(9), {"views": b"v"}, ApplyResult(recorded_service="views")),
     ],
 )
 def test_entries_add_up_to(commands, in_force, records, last):
@@ -86,7 +86,7 @@
         (NO_CHANGE, False),
         (ApplyResult(in_force=FIVE), True),
         (ApplyResult(in_force=FIVE, dropped=("views",)), True),
-        (ApplyResult(record_of="views"), True),
+        (ApplyResult(recorded_service="views"), True),
     ],
 )
 def test_a_result_tells_whether_anything_changed(result, changed):
