--- a/kestrelplank/sharding/attempt_window.py
+++ b/kestrelplank/sharding/attempt_window.py
@@ -6,8 +6,8 @@
 
 from kestrelplank.sharding.request_window import WINDOW_NS
 
-# What an edge machine met of a server since its last report, as `transport.messages.LoadReport` carries it: attempts,
-# failures, then the four numbers of `ServiceTimeEstimate.add`.
+# What an edge machine measured of a server since its last report, as `transport.messages.LoadReport` carries it:
+# attempts, failures, then the four numbers of `ServiceTimeEstimate.add`.
 ServerReport = tuple[float, ...]
 
 
@@ -31,7 +31,7 @@
         self._reports: deque[tuple[int, Mapping[str, ServerReport]]] = deque()
 
     def add(self, now: int, servers: Mapping[str, ServerReport]) -> None:
-        """Take an edge machine's report."""
+        """Take an edge machine's report, by server."""
         self._reports.append((now, servers))
         for name, (attempts, failures, *_) in servers.items():
             sums = self.sums.get(name)
--- a/kestrelplank/sharding/effects.py
+++ b/kestrelplank/sharding/effects.py
@@ -25,7 +25,7 @@
 
 
 class RecordKeyRanges(msgspec.Struct, frozen=True):
-    """Have the log commit where all keys are; then `KeyRanges.handle_recorded`."""
+    """Have the log commit which server has which keys, all ranges at once; then `KeyRanges.handle_recorded`."""
 
     ranges: list[RecordedKeyRange]
 
@@ -44,12 +44,13 @@
 
 
 class KeyRangeStalled(msgspec.Struct, frozen=True):
-    """The keys have had no holder for `STALLED_AFTER_NS`, and still have none."""
+    """The keys have had no holder for `STALLED_AFTER_NS`, and still have none. Of `KeyRanges.newly_stalled`."""
 
     key_range: KeyRange
 
 
 ServerRequest = GrantKeyRange | ReleaseKeyRange
+# What `KeyRanges.tick` returns.
 KeyRangesEffect = ServerRequest | RecordKeyRanges | KeyRangeReleasing | KeyRangeUnownedFor
 
 
--- a/kestrelplank/sharding/greedy_pass.py
+++ b/kestrelplank/sharding/greedy_pass.py
@@ -29,21 +29,24 @@
 
 IDLE_INTERVAL_NS = 100 * MILLISECOND  # how often the pass looks at what is due, where nothing has happened
 WARM_UP_NS = 3 * SECOND  # a server that has just started is slow for so long
-WARM_UP_START_SHARE = 0.5  # of its weight, that it begins with
+WARM_UP_START_SHARE = 0.5  # of its weight, that a server begins with
 
 
 class PlacementOrders:
     """Takes the pass's orders, of which only the node that each slice is to be at has a meaning here.
 
     Edge machines get the ranges' record and ask for what they lack, so there is no channel to them, nothing to
-    acknowledge and nobody to keep from a node.
+    acknowledge and no proxy to bar from a node. `nodes`: the ordered node by slice, since they were last cleared.
     """
 
     def __init__(self) -> None:
         self.nodes: dict[int, int] = {}
 
     def set_endpoint(self, table: int, node: int, weight: float) -> None:
-        """Put a slice at a node; a weight of 0 takes it from there, which its next node says as well."""
+        """Keep that the slice `table` goes to a node.
+
+        A weight of 0 takes it from the node: that is skipped, as the order for its next node says the same.
+        """
         if weight:
             self.nodes[table] = node
 
@@ -90,7 +93,7 @@
     def set_servers(self, now: int, servers: Mapping[str, ShardServer], slot_weights: Mapping[str, float]) -> None:
         """Take all servers as listed, weighed by what is known of their speed."""
         warming = sum(server.warming_until > now for server in servers.values())
-        # Where most are warming up the service itself has just started: then they are what there is.
+        # Where most are warming up, the service itself has just started: no warm server could take their load.
         only_some_warming = 2 * warming < len(servers)
         entries = []
         for server in servers.values():
@@ -116,7 +119,7 @@
         self._events.append(SliceSplit(self.slice_numbers[lower], number, upper_share))
 
     def remove_range(self, key_range: KeyRange) -> None:
-        """Have the pass decide on this range no more."""
+        """Have the pass no longer decide on this range."""
         number = self.slice_numbers.pop(key_range)
         del self._ranges[number]
         self._events.append(SliceOwnership(number, False))
@@ -135,7 +138,10 @@
     # Decisions.
 
     def run(self, now: int, move: Callable[[int, KeyRange, str], None]) -> None:
-        """Call `move` for each range that is to go to another server, by what happened and what is due."""
+        """Run the pass if there are events or it is due, and call `move` for each range that is to go elsewhere.
+
+        :param move: called with `now`, the range and the name of its next server.
+        """
         assert self._policy is not None
         if not self._events and now < self._next_run_at:
             return
@@ -148,12 +154,14 @@
         self._orders.nodes.clear()
 
     def _assign_number(self, key_range: KeyRange) -> int:
+        """Return the new number of a range that the pass does not know yet."""
         self._last_number += 1
         self.slice_numbers[key_range] = self._last_number
         self._ranges[self._last_number] = key_range
         return self._last_number
 
     def _node_number(self, server: str) -> int:
+        """Return the server's number, a new one where it has none."""
         if server not in self._node_numbers:
             self._node_numbers[server] = len(self._node_numbers)
             self._server_names[self._node_numbers[server]] = server
@@ -161,7 +169,7 @@
 
 
 def policy_settings(latency_target_ns: int) -> PolicySettings:
-    """Return what the pass is made with: slices have one owner, no channel is to be kept short, no level to be set."""
+    """Return what the pass is made with: slices have one owner; limits of messages and admission are off."""
     return PolicySettings(
         message_overhead=0,
         queue_limit=1e9,
--- a/kestrelplank/sharding/key_range.py
+++ b/kestrelplank/sharding/key_range.py
@@ -14,7 +14,9 @@
     """How far a change of server has come. The values are what `GET /api/status` shows."""
 
     HELD = "held"  # granted to its server, or about to be
-    RELEASING = "leaving"  # taken from its server, which may hold it until it answers or its lease has ended
+    RELEASING = (
+        "leaving"  # taken from its server, which may hold it until it answers the release or its lease has ended
+    )
     UNOWNED = "free"  # surely held by no server
 
 
@@ -36,7 +38,7 @@
     `fencing_token`: what the next grant or release carries; a server refuses lower ones than it has seen.
     `handover`: what the former holder answered to its release; the next grant carries it.
     `recorded`: that `server` may be granted the keys is committed in the log. No grant goes out before.
-    `held_until`: when the last lease that `server` can have has surely ended (ns).
+    `held_until`: when the last lease that `server` can have has surely ended (ns); 0 or past where it has none.
     `call_in_flight`: a grant or release is out. There is never more than one for a range.
     `answer_is_stale`: the call that is out went to a server that has ended, so its answer counts for nothing.
     `next_call_at`: when the next grant or release is due (ns).
@@ -126,7 +128,10 @@
             self.unowned_since = now
 
     def split(self, at: int) -> "KeyRange":
-        """Give the keys from `at` on away, as a range of their own with all that holds for this one."""
+        """Cut the range short at `at`; return the keys from there on as a new range in the same state.
+
+        Not while a call is in flight: its answer is for the range as it was sent.
+        """
         upper = KeyRange(at, self.last, self.server, self.address, self.fencing_token, self.handover)
         upper.state = self.state
         upper.recorded = self.recorded
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -63,9 +63,9 @@
 
     def __init__(self, now: int, term: int, recorded: Sequence[RecordedKeyRange] | None) -> None:
         recorded = recorded or ()
-        # Above all that former leaders recorded, even if they had to exceed what servers had seen by far.
-        term = max(term, *(known.fencing_token // FENCING_TOKENS_PER_TERM + 1 for known in recorded), 0)
-        self.highest_token = term * FENCING_TOKENS_PER_TERM
+        # Recorded tokens may be above those of their leader's term: `_handle_fenced` raises them in large steps.
+        token_term = max(term, *(known.fencing_token // FENCING_TOKENS_PER_TERM + 1 for known in recorded), 0)
+        self.highest_token = token_term * FENCING_TOKENS_PER_TERM
         self.ranges = [KeyRange(*known) for known in recorded]
         for key_range in self.ranges:  # the former leader may have renewed each until just now
             key_range.held_until = latest_lease_end(now + GRANT_TIMEOUT_NS + LATE_DELIVERY_NS)
@@ -120,7 +120,7 @@
             self._pending_effects.append(KeyRangeReleasing(key_range))
 
     def to_record(self) -> list[RecordedKeyRange]:
-        """Return what the log is to keep of all ranges."""
+        """Return all ranges as the log is to keep them."""
         return [key_range.to_record() for key_range in self.ranges]
 
     # Events.
@@ -128,12 +128,12 @@
     def handle_server_list(self, now: int, servers: Iterable[ShardServer]) -> None:
         """Take the platform's list of this service's servers."""
         self.servers = {server.name: server for server in servers}
-        by_address = {server.address: server.name for server in self.servers.values()}
+        addresses = {server.address for server in self.servers.values()}
         for key_range in self.ranges:
             if key_range.state is UNOWNED:
                 continue
             server = self.servers.get(key_range.server)
-            if server is None and by_address.get(key_range.address, key_range.server) != key_range.server:
+            if server is None and key_range.address in addresses:
                 self._handle_server_replaced(now, key_range)
             elif key_range.state is HELD and (server is None or not server.ready):
                 self.start_release(now, key_range, None)
@@ -141,7 +141,7 @@
                     key_range.mark_unowned(now)
 
     def _handle_server_replaced(self, now: int, key_range: KeyRange) -> None:
-        """Take the range from its server, which has ended: another one answers at its address."""
+        """Take the range from its server at once, which has ended: another one is listed at its address."""
         key_range.lose_holder(now)
         key_range.held_until = 0
         key_range.answer_is_stale = key_range.call_in_flight
@@ -199,7 +199,10 @@
         self._pending_effects.append(KeyRangeUnownedFor(key_range, duration_ns))
 
     def _handle_fenced(self, now: int, key_range: KeyRange) -> None:
-        """Take a higher fencing token than the server can have seen; it is recorded before it is used."""
+        """Give the range a higher fencing token, as the server has seen a higher one; it is recorded before it is used.
+
+        After `MAX_REFUSALS` in a row the range is taken from that server instead.
+        """
         key_range.refusals += 1
         if key_range.refusals > MAX_REFUSALS and key_range.state is HELD:
             self.start_release(now, key_range, None)
--- a/kestrelplank/sharding/placement.py
+++ b/kestrelplank/sharding/placement.py
@@ -3,7 +3,7 @@
 The greedy pass decides that, by what edge machines report and the speed that servers show. What is added to it here:
 request rates are taken from a longer window than it averages over; a server's weight is the share of all requests that
 it can take without its queue costing more than another's; and ranges with much load are split, as a busy range that is
-moved in one piece only moves the trouble.
+moved in one piece only moves the overload.
 """
 
 from collections.abc import Mapping, Sequence
@@ -55,11 +55,14 @@
         self.server_weights.add(servers)
 
     def handle_server_list(self) -> None:
-        """Have the pass hear of the platform's list, as it has changed."""
+        """Have the next tick give the pass the platform's list, as it has changed."""
         self._servers_changed = True
 
     def tick(self, now: int) -> None:
-        """Have the pass decide by what has come since the last tick, and move ranges as it says."""
+        """Have the pass decide by what has come since the last tick, and move ranges as it says.
+
+        A range that is to move is released first; it is assigned to its successor in the tick that finds it unowned.
+        """
         if not self._pass.started:
             self._pass.start(now)
             self._assign_first()
@@ -89,7 +92,7 @@
                 heapreplace(loads, (load + 1 / servers[position].slots, position))
 
     def _move(self, now: int, key_range: KeyRange, server: str) -> None:
-        """Have the range go to the server that the pass wants it at."""
+        """Release the range for `server`; where it is being released already, `server` becomes its successor."""
         if key_range.state is not KeyRangeState.HELD:
             key_range.successor = server
         elif key_range.server != server:
@@ -113,8 +116,8 @@
     def _report_to_pass(self, rates: Mapping[KeyRange, float]) -> None:
         """Report the requests to the pass, by range and by server.
 
-        A server counts for the requests to its ranges now, not for its attempts: so a range that has moved weighs on
-        both ends for the pass's own average of five periods, and not for as long as the request window.
+        A server counts for the requests to its ranges now, not for its attempts: so a range that has moved counts at
+        its old server for the pass's own average of five periods, and not for as long as the request window.
         """
         loads: dict[str, float] = {}
         for key_range, rate in rates.items():
--- a/kestrelplank/sharding/range_resizing.py
+++ b/kestrelplank/sharding/range_resizing.py
@@ -1,8 +1,8 @@
 """Key ranges that are split where the requests are, and merged where they are not.
 
-A range with much of a server's load is split, as moving it would only move the trouble: the part that is split off goes
-to the server where it fits. Where ranges become many, neighbours with little load become one again, so that there is
-room for splits where the requests go next. (Slicer splits and merges ranges likewise.)
+A range with much of a server's load is split, as moving it in one piece would only move the overload: the part that is
+split off goes to the server where it fits. Where ranges become many, neighbours with little load are merged, so that
+further splits stay possible where the requests go next. (Slicer splits and merges ranges likewise.)
 """
 
 from bisect import bisect_right
@@ -65,7 +65,11 @@
         )
 
     def merge(self, now: int, rates: dict[KeyRange, float], mean_rate: float) -> None:
-        """Merge what has arrived at its neighbour's server, and begin with one more pair where ranges are many."""
+        """Finish merges whose two ranges are at one server now, and begin one more where ranges are many.
+
+        :param rates: requests a second by range; brought up to date.
+        :param mean_rate: requests a second for each server that is ready.
+        """
         self._finish_merges(rates)
         key_ranges = self._key_ranges
         if self.merging or len(key_ranges.ranges) <= MERGE_ABOVE_RANGES_PER_SERVER * len(key_ranges.servers):
@@ -89,6 +93,7 @@
         return key_range.state is KeyRangeState.HELD and key_range.recorded and key_range in self._pass.slice_numbers
 
     def _finish_merges(self, rates: dict[KeyRange, float]) -> None:
+        """Merge pairs that are neighbours at one server, and give up those that can't be any more."""
         ranges = self._key_ranges.ranges
         positions = {key_range: position for position, key_range in enumerate(ranges)}
         for upper, lower in list(self.merging.items()):
--- a/kestrelplank/sharding/request_window.py
+++ b/kestrelplank/sharding/request_window.py
@@ -14,7 +14,7 @@
 
 REPORT_PERIOD_NS = 500 * MILLISECOND  # edge machines report so often
 WINDOW_NS = 12 * SECOND
-NEWEST_NS = 1500 * MILLISECOND
+NEWEST_NS = 1500 * MILLISECOND  # the newest requests are those within this time
 SIGNIFICANT_DEVIATIONS = 3.0  # by which the newest requests differ clearly from the window's
 BASELINE_SHARE = 0.02  # of all requests, spread evenly over the keys
 MIN_SAMPLE = 10  # requests for a range's keys, below which they show nothing
@@ -43,7 +43,7 @@
         self._unsorted += keys
 
     def advance(self, now: int) -> None:
-        """Drop what has grown too old, and sort in what is new.
+        """Remove the reports that are older than the window, and sort in the new ones.
 
         Only what changes is gone through: of a window of 12 s that is little, twice a second.
         """
@@ -98,7 +98,7 @@
 
 
 def without_expired(keys: list[int], expired: list[int]) -> list[int]:
-    """Return the sorted `keys` less one for each of the sorted `expired`, all of which are among them."""
+    """Return the sorted `keys` without the sorted `expired`, each of which takes away one equal key that is there."""
     remaining: list[int] = []
     begin = 0
     for key in expired:
--- a/kestrelplank/sharding/server_weights.py
+++ b/kestrelplank/sharding/server_weights.py
@@ -15,10 +15,10 @@
 from kestrelplank.sharding.shard_server import ShardServer
 from kestrelplank.time_units import SECOND
 
-PRIOR_ANSWERS = 14.0  # that the median speed counts for, against a server's own
+PRIOR_ANSWERS = 14.0  # the median speed weighs as much as so many answers of the server itself
 MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED = 0.4, 2.0  # bounds of a server's speed against the median
 MIN_USED_SHARE = 0.1  # of what a server can do, that it should take at least
-SIGNIFICANT_CHANGE = 0.1  # of a weight, from which the pass is told of it
+SIGNIFICANT_CHANGE = 0.1  # a weight that changes by more than this share of it is passed on to the pass
 
 
 class ServerWeights:
@@ -33,7 +33,7 @@
         self.slot_weights: dict[str, float] = {}
         self._estimates = {name: ServiceTimeEstimate(known) for name, known in (learned or {}).items()}
         self._period_began_at = now
-        self._reported: dict[str, list[float]] = {}  # what servers told in this period, in sum
+        self._reported: dict[str, list[float]] = {}  # by server: sums over this period's reports
 
     def learned(self) -> dict[str, list[float]]:
         """Return what is known of each server, for the record: otherwise each new leader would begin with nothing."""
@@ -67,6 +67,7 @@
         return changed
 
     def _learn(self, now: int, servers: Mapping[str, ShardServer]) -> None:
+        """Add this period's reports to the estimates, and forget servers that are not listed any more."""
         for name in [name for name in self._estimates if name not in servers]:
             del self._estimates[name]
         period_s = (now - self._period_began_at) / SECOND
@@ -81,7 +82,8 @@
 ) -> tuple[float, dict[str, float]]:
     """Return the requests a second that a slot does: the median server's, and each server's.
 
-    A server of which little is known counts as nearly the median one.
+    A server of which little is known counts as nearly the median one. All is done in logarithms of seconds, as
+    `ServiceTimeEstimate` is; `log_offset` makes its two methods comparable.
     """
     unqueued = sum(estimate.unqueued_answers for estimate in estimates.values())
     total_busy_s = sum(estimate.busy_s for estimate in estimates.values())
@@ -101,7 +103,7 @@
 def square_root_weights(
     servers: Mapping[str, ShardServer], median_rate: float, rates: Mapping[str, float], request_rate: float
 ) -> dict[str, float]:
-    """Return the weight of each server's slots at that rate of requests, see the module."""
+    """Return the weight of each server's slots at that rate of requests, by the rule in the module's docstring."""
     capacities = {name: rates[name] * server.slots for name, server in servers.items()}
     spare = max(0.0, sum(capacities.values()) - request_rate)
     spare /= sum(math.sqrt(capacity) for capacity in capacities.values())
--- a/kestrelplank/sharding/service_time.py
+++ b/kestrelplank/sharding/service_time.py
@@ -7,13 +7,13 @@
 
 
 class ServiceTimeEstimate:
-    """A server's service time, by two methods that err apart.
+    """A server's service time, by two methods whose errors are independent.
 
     Little's law: requests in service over answers a second, as an answer that leaves sees the same queue as time does
     (PASTA, and level crossing). And the times of answers that left no queue behind, by the mean of their logarithms,
     which a single long one does not spoil.
 
-    `busy_s`: seconds that slots were busy, in sum. `answers`: by how many answers that was told.
+    `busy_s`: seconds that slots were busy, in sum. `answers`: the answers that this was measured by.
     `log_seconds`: of the answers that left no queue, the logarithms of their seconds in sum. `unqueued_answers`: how
     many these are. All are weighted by age.
     """
@@ -30,7 +30,7 @@
     def add(
         self, period_s: float, busy_slots: float, answers: float, log_seconds: float, unqueued_answers: float
     ) -> None:
-        """Take what a period's answers told.
+        """Take what was measured by the answers of one period.
 
         :param busy_slots: the slots that were busy as each of `answers` left, in sum.
         :param log_seconds: of the `unqueued_answers`, those that left no queue, the logarithms of their seconds in sum.
@@ -42,7 +42,7 @@
         self.unqueued_answers = self.unqueued_answers * RETENTION_PER_PERIOD + unqueued_answers
 
     def evidence(self) -> float:
-        """Return how many answers it rests on."""
+        """Return how many answers the estimate rests on; 0 before the first that shows a load."""
         return self.answers + self.unqueued_answers if self.answers and self.busy_s > 0 else 0.0
 
     def log_service_time(self, log_offset: float) -> float:
--- a/kestrelplank/sharding/timing.py
+++ b/kestrelplank/sharding/timing.py
@@ -15,7 +15,7 @@
 LATE_DELIVERY_NS = 300 * MILLISECOND  # after a reset, bytes that had left us may still arrive for so long
 SLOWEST_CLOCK_PERCENT = 102  # a server's clock may measure a lease this long, in percent of ours
 LEASE_END_MARGIN_NS = 100 * MILLISECOND
-STALLED_AFTER_NS = 10 * SECOND  # without a holder for so long, a range is worth a line in the log
+STALLED_AFTER_NS = 10 * SECOND  # without a holder for so long, a range is logged as stalled
 
 
 def latest_lease_end(arrived_at: int) -> int:
