--- a/kestrelplank/control/bootstrap.py
+++ b/kestrelplank/control/bootstrap.py
@@ -47,11 +47,12 @@
     """Return the member at `address` as its disk has it, or a new one where the disk is empty.
 
     :param address: the member's own control address.
-    :param initial_boot: the platform starts the whole system for the first time; heeded where the disk is empty too.
+    :param initial_boot: the platform starts the whole system for the first time; counts only where the disk is empty.
     :raises OSError: the disk refuses.
     """
     loaded = log.load()
     first_start = initial_boot and loaded.snapshot is None and not loaded.entries
+    # The incarnation is written before the first snapshot: it alone means that a first start was cut short.
     first_start_broke_off = loaded.incarnation == FIRST_INCARNATION and first_start
     if loaded.incarnation is None or first_start_broke_off:
         loaded = initialize_log(random, address, profile, log, initial_boot)
--- a/kestrelplank/control/edge_updates.py
+++ b/kestrelplank/control/edge_updates.py
@@ -35,7 +35,7 @@
         self._assigners = assigners
 
     def handle_edge_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> list[ToEdge]:
-        """Return what an edge machine is sent that says what it has.
+        """Return the answers to a heartbeat, which says what the edge machine has: ours, then what it lacks.
 
         :param edge_count: how many edge machines are in session with this member.
         """
@@ -53,7 +53,10 @@
         return answers
 
     def _key_ranges_update(self, now: int, service: str, known: KeyRangesVersion) -> KeyRangesUpdate | None:
-        """Return the key ranges of a service where the edge machine knows an older version of them."""
+        """Return a service's key ranges; None where the edge machine has them, or newer ones than are known here.
+
+        :param known: what the edge machine has.
+        """
         assigner, record = self._assigners.leading_assigner(now, service), self._replica.record(service)
         if assigner is not None:
             return assigner.full_update() if known < assigner.version else None
--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -35,7 +35,7 @@
 class CallServer:
     """Grant or release keys at a server; then `ControlMember.handle_server_call_ended`.
 
-    A grant is not sent any more at `leader_lease_until` (ns), when this member's lease runs out.
+    :param leader_lease_until: when this member's lease of leadership ends (ns): from then on no grant is sent.
     """
 
     service: str
@@ -60,7 +60,8 @@
 class AnswerRead:
     """Answer the operator's read `ticket`.
 
-    :param known: `text` is the newest configuration that was acknowledged; None where there is none.
+    :param known: `text` is the newest configuration that was acknowledged; else the newest can't be known here.
+    :param text: None where no configuration was ever acknowledged, or it is not known.
     """
 
     ticket: int
--- a/kestrelplank/control/inbound_connections.py
+++ b/kestrelplank/control/inbound_connections.py
@@ -25,13 +25,15 @@
         return len(self._edges.by_name)
 
     def handle_heard(self, now: int, connection: MemberConnection) -> None:
-        """Take in that something has come on that connection."""
+        """Note that a message has come on the connection."""
         self._heard_at[connection] = now
 
     def handle_edge_heard(self, now: int, connection: MemberConnection, edge: str, version: int | None) -> bool:
-        """Take in that an edge machine speaks there. Return False where it has dialled anew since.
+        """Note that a heartbeat of an edge machine has come. Return False where it counts for nothing.
 
-        :param version: of the configuration that it goes by; None: none yet.
+        That is so on a connection that the edge machine has replaced by a newer one.
+
+        :param version: of the configuration that it has in force; None: none yet.
         """
         session = self._edges.on_message(now, connection, edge)
         if session is None:
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -94,7 +94,8 @@
         first_start: bool,
     ) -> None:
         self.identity = identity
-        self.node = ConsensusNode(now, random, identity, None, hard_state, entries, snapshot, first_start)
+        membership = None  # it is in the snapshot or the entries, or comes from the leader
+        self.node = ConsensusNode(now, random, identity, membership, hard_state, entries, snapshot, first_start)
         self.state = ControlState()
         if snapshot is not None:
             self.state.restore(snapshot.state)
@@ -116,7 +117,7 @@
 
     @property
     def shard_assigners(self) -> dict[str, ShardAssigner]:
-        """By service, while this member leads."""
+        """The assigners of this member, by service; empty again once it was deposed."""
         return self._assigners.by_service
 
     # Events from outside.
@@ -197,7 +198,7 @@
         :param log_size_bytes: of the log on disk.
         """
         self._replica.add_events(self.node.tick(now))
-        self._handle_consensus_events(now)
+        self._handle_consensus_events(now)  # before the rest, which asks who leads
         self._operator_calls.tick(now)
         self.lifecycle.tick(now)
         if self.node.leads(now):
@@ -207,7 +208,7 @@
         return self._take_effects(now)
 
     def begin_stop(self, now: int) -> list[Effect]:
-        """Begin to stop in order; the member goes on serving until `may_stop`."""
+        """Hand leadership over and ask to be replaced; the member goes on serving until `may_stop`."""
         self.lifecycle.begin_stop(now)
         self._handle_consensus_events(now)
         self.lifecycle.tick(now)
@@ -231,9 +232,10 @@
         """Return this member as an operator sees it, without edge machines."""
         return member_status(now, self._replica, self.lifecycle, self._servers, self._assigners)
 
-    # Events of the consensus node.
+    # What the consensus node wants done (`consensus.effects`): an event here.
 
     def _take_effects(self, now: int) -> list[Effect]:
+        """Handle what the node wants done, then return all effects of the present call."""
         self._handle_consensus_events(now)
         return self._replica.take_effects()
 
@@ -259,6 +261,7 @@
                     assert_never(event)
 
     def _handle_applied(self, now: int, entry: Entry) -> None:
+        """Apply a committed entry to the state, and let every part that waits for it go on."""
         in_force = self.state.apply(entry).in_force
         command = entry.command
         if isinstance(command, ChangeMembership):
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -1,7 +1,7 @@
-"""How one member finds the others, asks to be a voter, and stops in order. No I/O.
+"""How one member finds the others, asks to be a voter, and shuts down gracefully. No I/O.
 
-A member that the others know and that is current asks little: it tells the leader that it runs. One that is not current
-searches for the others at every address it has heard of, for as long as it runs.
+A member that is current only repeats its `MembershipRequest` to the leader. One that is not current searches for the
+others at every address it has heard of, for as long as it runs.
 """
 
 from kestrelplank.consensus.identity import address_of
@@ -14,19 +14,19 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 REQUEST_INTERVAL_NS = 300 * MILLISECOND
-"""Between requests of a member that is no voter, searches for the others, or is about to stop."""
+"""From one `MembershipRequest` to the next, of a member that is no voter, searches for the others, or is stopping."""
 VOTER_REQUEST_INTERVAL_NS = SECOND
-"""Between requests of a voter, by which the leader knows its zone."""
+"""The same of any other voter: by these the leader knows its zone, and whether it may be a voter."""
 SEARCH_DELAY_NS = SECOND
 """A member that has not been current for so long searches for the others."""
 STOP_MARGIN_NS = 3 * SECOND // 2
-"""What is kept of the time to stop for the connections and requests in hand."""
+"""This member stops so long before its grace time is over, which is left for connections and requests in hand."""
 STANDBY_REPLY_WAIT_NS = SECOND
-"""For so long a member that stops waits to hear whether another could take its place."""
+"""A member that is stopping waits so long at least for the others to say which standbys run."""
 
 
 class MemberLifecycle:
-    """A member's way from its start to its end.
+    """Search for the others, requests to be a voter, and the stop of one member.
 
     :param address: our own control address.
     """
@@ -83,7 +83,10 @@
     # What others ask.
 
     def handle_membership_request(self, now: int, sender: str, request: MembershipRequest) -> None:
-        """Keep that a member asks to be or to stay a voter; who does not lead tells it who the voters are."""
+        """Note that a member asks to be or to stay a voter.
+
+        A member that does not lead answers who the voters are and who leads, so that the sender asks there.
+        """
         self._directory.handle_membership_request(now, sender, request)
         if not self._node.leads(now):
             self.handle_membership_query(now, sender)
@@ -105,7 +108,7 @@
     # What this member asks.
 
     def tick(self, now: int) -> None:
-        """Search for the others where that is due, and tell the leader that we run."""
+        """Search for the others and send our request to the leader, where that is due."""
         if self._node.current(now):
             self._last_current_at = now
         if now < self._next_request_at:
@@ -119,6 +122,7 @@
         self._request_membership(searching)
 
     def _request_membership(self, searching: bool) -> None:
+        """Ask to be or to stay a voter, or, when stopping, to be replaced."""
         profile, node = self._profile, self._node
         request = MembershipRequest(node.term, node.epoch, profile.zone, profile.eligible, self.stopping)
         for identity in self._likely_leaders(searching):
@@ -127,7 +131,7 @@
                 self._replica.send(identity, MembershipQuery())
 
     def _likely_leaders(self, searching: bool) -> list[str]:
-        """Return who leads as far as is known; while that is doubtful, all that may."""
+        """Return the leader as far as it is known; where none is or we are searching, all voters."""
         if self._node.leader and not searching:
             identities = [self._node.leader]
         else:
@@ -138,7 +142,7 @@
     # Stopping.
 
     def begin_stop(self, now: int) -> None:
-        """Hand leadership over, and ask for another in our place. The member goes on serving until `may_stop`."""
+        """Hand leadership over, and ask to be replaced. The member goes on serving until `may_stop`."""
         if self.stopping:
             return
         self._stop_requested_at = self._next_request_at = now
@@ -146,9 +150,9 @@
         self._replica.transfer_leadership(now)
 
     def may_stop(self, now: int) -> bool:
-        """Whether nothing more can be done for what this member holds.
+        """Whether this member may end, as waiting longer would keep nothing safer.
 
-        It is no voter any more; or the others have all that it has, and nobody could take its place; or its time is up.
+        It is no voter any more; or the others have all that it has, and no standby could replace it; or its time is up.
         """
         if self._stop_requested_at is None:
             return False
--- a/kestrelplank/control/member_profile.py
+++ b/kestrelplank/control/member_profile.py
@@ -8,10 +8,10 @@
     """A member's machine, and what the platform demands of the system.
 
     :param zone: the failure domain of the machine.
-    :param eligible: whether the member may be a voter: the platform counts its machine's loss.
+    :param eligible: whether the member may be a voter (`quorum_member` in the settings).
     :param seeds: control addresses that the platform names.
     :param machine_losses: how many machines may be lost at once.
-    :param stop_grace_ns: how long a member may take to stop.
+    :param stop_grace_ns: how long a member may take to stop, from SIGTERM on.
     """
 
     zone: str
@@ -22,5 +22,5 @@
 
     @property
     def target_voters(self) -> int:
-        """How many voters bear `machine_losses`."""
+        """How many voters keep a majority after `machine_losses`."""
         return 2 * self.machine_losses + 1
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -43,7 +43,7 @@
         self._dialling: dict[str, asyncio.Task[None]] = {}  # by control address
 
     def keep_sessions_with(self, addresses: list[str]) -> None:
-        """Keep sessions with the members at these addresses, and end others that we dialled."""
+        """Dial these addresses, again whenever a connection ends, and end connections that we dialled to others."""
         for address in addresses:
             if address not in self._dialling:
                 self._dialling[address] = asyncio.create_task(self._keep_connected(address))
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -14,7 +14,7 @@
 
 
 class MembershipReconciler:
-    """The leader's care for the voters, and for members that ask to be one. It changes one membership at a time."""
+    """Keeps learners and voters as the platform demands, while this member leads. One change at a time."""
 
     def __init__(self, now: int, profile: MemberProfile, replica: Replica, directory: PeerDirectory) -> None:
         self._profile = profile
@@ -24,7 +24,7 @@
         self._elected_at = now
 
     def handle_elected(self, now: int) -> None:
-        """Count the silence of voters from now on: this member has just been elected."""
+        """Count each voter as heard now: a member that has just been elected has not had answers from them yet."""
         self._elected_at = now
 
     def tick(self, now: int, *, stopping: bool) -> None:
@@ -52,13 +52,14 @@
         return [itself, *(self._candidate(identity, requesting.get(identity)) for identity in others)]
 
     def _candidate(self, identity: str, requesting: RequestingMember | None) -> Candidate:
+        """Return what is known of another member; of a voter that has sent no request: eligible, not stopping."""
         peer = self._node.peers.get(identity)
         heard_at = peer.heard_at if peer is not None else 0
         if identity in self._replica.voters():
             heard_at = max(heard_at, self._elected_at)
         caught_up = peer is not None and peer.caught_up(self._node.commit_index)
         if requesting is None:
-            return Candidate(identity, "", True, False, heard_at, caught_up)
+            return Candidate(identity, "", eligible=True, leaving=False, heard_at=heard_at, caught_up=caught_up)
         request = requesting.request
         heard_at = max(heard_at, requesting.heard_at)
         return Candidate(identity, request.zone, request.eligible, request.leaving, heard_at, caught_up)
@@ -66,14 +67,15 @@
     def _propose(self, now: int, planned: Membership, candidates: list[Candidate]) -> None:
         if self._replica.propose(now, ChangeMembership(planned)) is None:
             return
-        replaced = [candidate for candidate in candidates if candidate.identity not in planned.voters]
-        reasons = [describe(now, candidate) for candidate in replaced if candidate.identity in planned.outgoing]
+        replaced = set(planned.outgoing) - set(planned.voters)
+        reasons = [describe(now, candidate) for candidate in candidates if candidate.identity in replaced]
         self._replica.log(
             f"proposes membership epoch {planned.epoch}: voters {', '.join(planned.voters)}"
             f" instead of {', '.join(planned.outgoing)}" + (f"; replaced: {'; '.join(reasons)}" if reasons else "")
         )
 
     def _hand_over(self, now: int, membership: Membership, *, stopping: bool) -> None:
+        """Give up leading, and log which of the reasons that `membership_planning.successor` has it is."""
         if stopping:
             reason = "this member is stopping"
         elif self._node.identity not in membership.voters:
@@ -84,7 +86,7 @@
         self._replica.transfer_leadership(now)
 
     def _reconcile_learners(self, now: int) -> None:
-        """Send the log to members that ask to be voters and are none yet, and to no other."""
+        """Make the members that ask to be voters and are none yet the learners, and nobody else."""
         voters = self._replica.voters()
         asking = [member.identity for member in self._directory.requesting(now) if member.identity not in voters]
         for identity in asking:
@@ -94,7 +96,7 @@
 
 
 def describe(now: int, candidate: Candidate) -> str:
-    """Return what a leader knows of a voter that it replaces, for a line of the log."""
+    """Return why a voter is replaced, for the log line: what the leader knows of it."""
     facts = [f"last heard {(now - candidate.heard_at) / SECOND:.1f} s ago"]
     if candidate.leaving:
         facts.append("stopping")
--- a/kestrelplank/control/operator_api.py
+++ b/kestrelplank/control/operator_api.py
@@ -41,7 +41,7 @@
 
 
 class OperatorCallTarget(Protocol):
-    """What a handler may ask of the program."""
+    """What a handler may ask of the control program, which hands it on to its member."""
 
     async def replace_configuration(self, configuration: Configuration) -> AnswerOrder:
         """Return what became of an order."""
--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' orders and reads. No I/O.
+"""Operators' orders (to replace the configuration) and reads (of the newest). No I/O.
 
 The leader answers them, a member that is current forwards them to it, any other rejects them at once.
 """
--- a/kestrelplank/control/peer_directory.py
+++ b/kestrelplank/control/peer_directory.py
@@ -56,17 +56,17 @@
         return self._leader
 
     def handle_contact(self, now: int, identity: str) -> None:
-        """Keep that a member speaks to us, and forget former incarnations at its address: they run no more."""
+        """Note that a member speaks to us, and forget former incarnations at its address: they run no more."""
         if identity not in self._heard_at:
             self._forget_former_incarnations(address_of(identity))
         self._heard_at[identity] = now
 
     def handle_membership_request(self, now: int, identity: str, request: MembershipRequest) -> None:
-        """Keep that a member runs, and asks to be or to stay a voter."""
+        """Note that a member runs, and asks to be or to stay a voter."""
         self._requests[identity] = RequestingMember(identity, request, now)
 
     def handle_membership_update(self, now: int, update: MembershipUpdate) -> None:
-        """Another member tells who the voters are and who else runs."""
+        """Take who the voters are, who leads and who else runs, as another member says."""
         if self._newest_membership is None or update.membership.epoch >= self._newest_membership.epoch:
             self._newest_membership = update.membership
             self._leader = update.leader or self._leader
--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DecidedCallers:
-    """Whose orders an applied entry decides.
+    """Callers whose orders an applied entry decides.
 
     :param acknowledged: the entry is their order.
     :param unknown: another entry has taken the index of their order.
@@ -94,20 +94,20 @@
 
     def handle_applied(self, entry: Entry) -> DecidedCallers:
         """Remove the orders that this entry decides, and return who waited for them."""
-        outcome = DecidedCallers([], [])
+        callers = DecidedCallers([], [])
         undecided = []
         for pending in self._orders:
             if pending.index > entry.index:
                 undecided.append(pending)
                 continue
             is_this_entry = (pending.index, pending.term) == (entry.index, entry.term)
-            decided = outcome.acknowledged if is_this_entry else outcome.unknown
+            decided = callers.acknowledged if is_this_entry else callers.unknown
             decided.extend(waiter.caller for waiter in pending.waiters)
         self._orders = undecided
-        return outcome
+        return callers
 
     def take_expired(self, now: int) -> list[Caller]:
-        """Remove and return who has waited too long. The orders stay, for who sends one again."""
+        """Remove and return who has waited too long. Their orders stay: an operator that sends one again joins it."""
         return [caller for pending in self._orders for caller in pending.take_expired(now)]
 
     def take_all(self) -> list[Caller]:
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -52,14 +52,15 @@
 
 TICK_INTERVAL_S = 0.05
 SERVER_FETCH_CHECK_INTERVAL_S = 0.5
-"""At most between looks at whether the platform's list of servers is ours to fetch."""
+"""At most so long passes until we look again whether the platform's list of servers is ours to fetch."""
 SERVER_FETCH_RETRY_S, SERVER_FETCH_RETRY_JITTER_S = 0.3, 0.2
+"""From a failed fetch to the next: the first, and a random share of the second."""
 START_RETRY_INTERVAL_S = 0.3
 """Until a disk that refused at the start is asked again."""
 OPERATOR_IDLE_S = 15
 """How long an operator's connection is kept between calls."""
 OPERATOR_DRAIN_S = 1
-"""What calls in hand have to finish when the program stops."""
+"""How long calls in hand may take to finish when the program stops."""
 
 log = logging.getLogger("control")
 
@@ -74,7 +75,7 @@
 
 
 def stop_on_signals() -> asyncio.Event:
-    """Return what is set by SIGTERM or SIGINT. SIGHUP is ignored: our settings don't change while we run."""
+    """Return an event that SIGTERM or SIGINT sets. SIGHUP is ignored: our settings don't change while we run."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -203,7 +204,7 @@
             self._carry_out(self._member.handle_servers_fetched(time.monotonic_ns(), entries))
 
     async def _stop_member(self) -> None:
-        """Wait until nothing more can be done for what the member holds."""
+        """Have the member stop, and wait until it may end."""
         self._carry_out(self._member.begin_stop(time.monotonic_ns()))
         while not self._member.may_stop(time.monotonic_ns()):
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -254,7 +255,7 @@
         self._carry_out(self._member.handle_server_call_ended(time.monotonic_ns(), call, result))
 
     def _handle_peer_message(self, sender: str, message: Message) -> None:
-        """Take a message of the member `sender`, whoever of us dialled."""
+        """Take a message of the member `sender`, on a connection that either of us dialled."""
         self._carry_out(self._member.handle_message(time.monotonic_ns(), sender, message))
 
     def _handle_inbound_message(self, connection: MemberConnection, message: ToMember) -> None:
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -1,6 +1,7 @@
-"""This member's copy of the replicated log and of the state that it adds up to. No I/O.
+"""One member's replica of the log and of the state that it adds up to. No I/O.
 
-Also gathers the effects of a call while it is carried out.
+All parts of a member share it: they propose commands by it, read the state, and add effects (`emit`, `send`, `log`),
+which `ControlMember` returns from the call that caused them.
 """
 
 from collections import deque
@@ -16,14 +17,14 @@
 from kestrelplank.state.control_state import ControlState
 
 COMPACTION_MIN_BYTES = 256 << 10
-"""The log is compacted where it exceeds twice the state by this on disk."""
+"""The log is compacted where its size on disk exceeds twice that of the state by more than this."""
 
 
 class Replica:
     """The consensus node, the replicated state, and what is to be done for them.
 
     `committed_membership` is the newest membership known to be committed, None where none is known. `events` is what
-    the node wants done, in order; whoever carries a call out takes them one by one, as each may lead to more.
+    the node wants done (`consensus.effects`), in order; `ControlMember` handles them one by one, as each may add more.
     """
 
     def __init__(self, node: ConsensusNode, state: ControlState, committed_membership: Membership | None) -> None:
@@ -35,12 +36,12 @@
         self._decoded_records: dict[str, tuple[bytes, ShardRecord]] = {}  # by service: as stored, and decoded
         self._compaction_number: int | None = None  # the number of the `Persist` that compacts the log
         self._led_term = 0
-        self._handed_over = False  # whether this member gave up leading in order
+        self._handed_over = False  # whether it gave leadership up by itself in this term
 
     # The log.
 
     def add_events(self, events: Iterable[consensus.Effect]) -> None:
-        """Queue what a call of the node returned."""
+        """Queue what a call of the node returned, for `ControlMember` to handle."""
         self.events.extend(events)
 
     def propose(self, now: int, command: Command) -> int | None:
@@ -139,7 +140,7 @@
 
 
 def membership_line(membership: Membership) -> str:
-    """Return the line of the program's log that says who the voters are."""
+    """Return the log line for a committed membership: who the voters are."""
     line = f"membership epoch {membership.epoch} is committed: voters {', '.join(membership.voters)}"
     if membership.joint:
         line += f", and until the change has ended also {', '.join(membership.outgoing)}"
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -30,7 +30,12 @@
 
 
 class ReleaseBody(msgspec.Struct):
-    """The body of a release. Names are those of the server's call."""
+    """The body of a release, in the servers' names.
+
+    :param source: the first key.
+    :param target_version: the last key.
+    :param fence: the fencing token.
+    """
 
     source: int
     target_version: int
@@ -38,7 +43,10 @@
 
 
 class GrantBody(ReleaseBody, omit_defaults=True):
-    """The body of a grant."""
+    """The body of a grant, in the servers' names.
+
+    :param hold_s: how long the server may hold the keys, from when the grant arrives.
+    """
 
     hold_s: float
     handover: str = ""
@@ -74,7 +82,7 @@
         self._task = asyncio.create_task(self._run())
 
     def put(self, call: CallServer) -> None:
-        """Send this call as soon as there is room."""
+        """Send this call as soon as fewer than `MAX_CONCURRENT_GRANTS`, or `..._RELEASES`, are out."""
         self._queue.put_nowait(call)
 
     def close(self) -> None:
@@ -86,7 +94,10 @@
         self._idle.clear()
 
     async def _run(self) -> None:
-        """Begin each call at once; as a key range has one call at a time, there are no more than ranges."""
+        """Begin a task for each call, which waits there until it may be sent.
+
+        Tasks are bounded by the number of key ranges, each of which has one call at a time.
+        """
         while True:
             call = await self._queue.get()
             task = asyncio.create_task(self._carry_out(call))
@@ -94,6 +105,7 @@
             task.add_done_callback(self._calls.discard)
 
     async def _carry_out(self, call: CallServer) -> None:
+        """Wait until the call may be sent, send it, and report how it ended."""
         async with self._grants if isinstance(call.request, GrantKeyRange) else self._releases:
             sent, answer = await self._ask(call)
         handover = answer.fields.get(b"x-handover") if answer else None
@@ -115,6 +127,7 @@
             async with asyncio.timeout((GRANT_TIMEOUT_NS if is_grant else RELEASE_TIMEOUT_NS) / SECOND):
                 kept = self._take_idle(call.request) or KeptConnection(await dial(self._address, CONNECT_TIMEOUT_S))
                 kept.connection.stream.begin_call()
+                # Right before it is sent: the wait for its turn and the dial took time.
                 if is_grant and time.monotonic_ns() >= call.leader_lease_until:
                     return False, None
                 kept.carried_release |= not is_grant
--- a/kestrelplank/control/server_discovery.py
+++ b/kestrelplank/control/server_discovery.py
@@ -16,7 +16,7 @@
 FETCH_INTERVAL_NS = SECOND // 2
 """How old the list may become at the leader."""
 FETCH_STAGGER_NS = SECOND // 2
-"""How much longer each further voter leaves it to those before it."""
+"""How much older the list may become at each further voter before that fetches it in place of those before it."""
 
 
 class ServerDiscovery:
@@ -56,6 +56,7 @@
         self._take(now, update.age_ns, update.entries)
 
     def _take(self, now: int, age_ns: int, entries: Sequence[tuple[str, str, str, str, int, str, int]]) -> bool:
+        """Take a list if it is newer than ours. Return whether anything in it changed."""
         changed = self._servers.update(now, age_ns, entries)
         if changed:
             self._assigners.handle_server_list(now)
--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -80,11 +80,11 @@
 
     @property
     def version(self) -> KeyRangesVersion:
-        """What an edge machine has that was sent everything."""
+        """The version of the key ranges that an edge machine has once it was sent everything."""
         return self._version
 
     def unowned_s(self) -> float:
-        """Return the seconds that keys had no holder since this member leads, times their share of all keys."""
+        """Return the seconds that keys had no holder since this member leads, weighted by their share of all keys."""
         return self.key_ranges.unowned_key_ns / KEY_COUNT / SECOND
 
     # Events.
@@ -97,7 +97,7 @@
     def handle_call_ended(self, now: int, request: ServerRequest, result: ServerCallResult) -> bool:
         """Take the end of a grant or release.
 
-        Returns whether to call `tick` at once: the answer to a renewal changes nothing that can't wait.
+        Return whether to call `tick` at once: the answer to a renewal changes nothing that can't wait.
         """
         if request.key_range not in self.key_ranges.ranges:
             return False
@@ -136,7 +136,10 @@
     # Effects.
 
     def tick(self, now: int, list_changed_at: int) -> list[ShardAssignerEffect]:
-        """Return what is due. Only while this member leads."""
+        """Return what is due. Only while this member leads.
+
+        :param list_changed_at: when the platform's list of servers last changed.
+        """
         if not self.key_ranges.ranges:
             if not self.key_ranges.servers or now - list_changed_at < LIST_SETTLING_NS:
                 return []
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRecord:
-    """A service's record that is on its way into the log: where it stands there."""
+    """The index and term in the log of a service's record that was proposed and is not committed yet."""
 
     index: int
     term: int
@@ -132,7 +132,7 @@
         match effect:
             case CommitRecord(record):
                 index = self._replica.propose(now, PutRecord(service, record))
-                if index is not None:
+                if index is not None:  # else this member leads no longer, and gives the service up
                     self._pending_records[service] = PendingRecord(index, self._replica.node.term)
             case PushKeyRanges(message):
                 self._replica.emit(PushToEdges(message))
--- a/kestrelplank/control/shard_record.py
+++ b/kestrelplank/control/shard_record.py
@@ -24,7 +24,7 @@
 
     @property
     def version(self) -> KeyRangesVersion:
-        """What an edge machine has that was sent this record and nothing since."""
+        """The version of the key ranges that an edge machine has once it was sent this record, and nothing since."""
         return KeyRangesVersion(self.term, self.number)
 
 
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -31,7 +31,8 @@
 
     :param first: the lowest key.
     :param last: the highest key, which is part of the range.
-    :param lease_remaining_s: until the server's lease has surely ended.
+    :param state: a value of `KeyRangeState`.
+    :param lease_remaining_s: until the server's lease has surely ended; negative where it has, or there is none.
     """
 
     first: int
--- a/kestrelplank/control/waiting_calls.py
+++ b/kestrelplank/control/waiting_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls that wait in the program for the member's answer."""
+"""Operators' calls that wait in the program for the member's answer; `pending_calls` has the member's side."""
 
 import asyncio
 from collections.abc import Callable, Iterator
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -21,7 +21,7 @@
 
 
 class SnapshotContent(msgspec.Struct, frozen=True, array_like=True):
-    """A snapshot as it is encoded.
+    """A snapshot as it is encoded: the order of the fields is the format on disk and on the wire.
 
     :param format_version: `SNAPSHOT_FORMAT`.
     :param records: services and their records, in the order of the services' names.
@@ -33,14 +33,14 @@
 
 
 class ServiceOutline(msgspec.Struct, frozen=True):
-    """What decides whether a service may have a record."""
+    """The part of a service that decides whether it may have a record."""
 
     name: str
     sharded: bool = False
 
 
 class ConfigurationOutline(msgspec.Struct, frozen=True):
-    """What decides which services may have records, of a configuration as the operator sent it."""
+    """The part of a configuration, as the operator sent it, that decides which services may have records."""
 
     service_table: list[ServiceOutline]
 
@@ -119,7 +119,10 @@
         return in_force is not None and (in_force.version, in_force.digest) == (order.version, order.digest)
 
     def acknowledges(self, order: PutConfiguration) -> bool:
-        """Whether its operator may be answered 200: it is in force, or overtaken, or its version has another text."""
+        """Whether the operator may be told that the order is decided.
+
+        It is in force, or a higher version is, or its version has another text: it can't come into force any more.
+        """
         return order.version <= self.version
 
     def apply(self, entry: Entry) -> ApplyResult:
