--- a/tests/assigner/assigner_parties.py
+++ b/tests/assigner/assigner_parties.py
@@ -1,6 +1,6 @@
 """Stand-ins, messages and steps that several tests of the assigner use."""
 
-from parties import StubServer, attach, names, news, orders, until
+from parties import StubServer, attach, message, names, orders, until
 
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 
@@ -37,11 +37,11 @@
 
 
 def relayed(kit, *known):
-    relay = StubServer(kit, lambda visitor, path, body: visitor.begin() if path == "/api/stream" else None)
+    relay = StubServer(kit, lambda visitor, path, body: visitor.begin_stream() if path == "/api/stream" else None)
     made = orders(kit)
     told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, made, kit.events.append)
     until(kit.loop, lambda: kit.counters.counts["news_started"])
-    relay.visitors[-1].tell(*known, {})
+    relay.connections[-1].send(*known, {})
     until(kit.loop, lambda: told._reconciliation is None)
     return relay, told, made
 
@@ -49,18 +49,18 @@
 STANDING = (
     attach(1),
     attach(2),
-    news("owner", shard=3, set=True),
-    news("entry", shard=3, endpoint="s-1", w=1.0),
-    news("owner", shard=4, set=True),
-    news("entry", shard=4, endpoint="s-1", w=1.0),
+    message("owner", shard=3, set=True),
+    message("entry", shard=3, endpoint="s-1", w=1.0),
+    message("owner", shard=4, set=True),
+    message("entry", shard=4, endpoint="s-1", w=1.0),
 )
 
 
 def again(kit, relay, *lines):
     kit.events.clear()
-    relay.visitors[-1].connection.close("broken off")
+    relay.connections[-1].connection.close("broken off")
     until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
-    relay.visitors[-1].tell(*lines)
+    relay.connections[-1].send(*lines)
 
 
 class Rounds:
--- a/tests/assigner/test_order_queue.py
+++ b/tests/assigner/test_order_queue.py
@@ -2,7 +2,7 @@
 
 import pytest
 from assigner_parties import STANDING, end, ordered, relayed
-from parties import MS, news, orders, until
+from parties import MS, message, orders, until
 
 from kestrelplank.interface import (
     WatermarkAcknowledged,
@@ -45,7 +45,7 @@
     ordered(made, 7, behind=behind)
     ordered(made, 8)
     end(made, None)
-    relay.visitors[-1].tell(news("done", node=1, nonce=answered, latency=1.0))
+    relay.connections[-1].send(message("done", node=1, nonce=answered, latency=1.0))
     until(kit.loop, lambda: isinstance(kit.events[-1], WatermarkAcknowledged))
     assert len(made._client.bodies) == (1 if answered == 6 else 2) and made._client.bodies[-1] == [
         ("put", 7 + (answered == 7)),
