--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -63,7 +63,7 @@
     - No two members lead at one moment: `test_a_leader_frozen_beyond_its_lease_does_no_harm`.
     - A configuration is in force, and acknowledged, only once a majority has it on disk:
       `test_a_change_is_in_force_once_two_disks_have_it`.
-    - What was acknowledged outlives every loss that is borne:
+    - What was acknowledged outlives every loss that is tolerated:
       `test_no_loss_that_is_borne_loses_an_acknowledged_change`.
     - A version has one text: `test_of_two_operators_with_one_number_at_two_members_one_prevails`.
     - Only a leader answers a read or an order:
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -51,11 +51,11 @@
         return self._stop_requested_at is not None
 
     def newest_membership(self) -> Membership | None:
-        """Return the newest membership known, in our log or by what others told."""
+        """Return the newest membership known, from our log or from other members."""
         return newer(self._node.membership, self._directory.newest_membership)
 
     def committed_membership(self) -> Membership | None:
-        """Return the newest membership known to be committed, by our log or by what others told."""
+        """Return the newest membership known to be committed, from our log or from other members."""
         return newer(self._replica.committed_membership, self._directory.newest_membership)
 
     def is_voter(self) -> bool:
@@ -92,7 +92,7 @@
             self.handle_membership_query(now, sender)
 
     def handle_membership_query(self, now: int, sender: str) -> None:
-        """Tell a member who the voters are, who leads and who else runs, as far as known here."""
+        """Send a member who the voters are, who leads and who else runs, as far as known here."""
         membership = self.committed_membership()
         if membership is None:
             return
--- a/kestrelplank/control/peer_directory.py
+++ b/kestrelplank/control/peer_directory.py
@@ -47,12 +47,12 @@
 
     @property
     def newest_membership(self) -> Membership | None:
-        """The newest committed membership that another member told us; None before any has."""
+        """The newest committed membership that another member sent us; None before any has."""
         return self._newest_membership
 
     @property
     def leader(self) -> str:
-        """The identity of the leader as another member told us; "" where nobody has."""
+        """The identity of the leader as another member sent it; "" where none has."""
         return self._leader
 
     def handle_contact(self, now: int, identity: str) -> None:
@@ -88,7 +88,7 @@
         return tuple(identity for identity, at in self._heard_at.items() if now - at < RUNNING_TIMEOUT_NS)
 
     def other_standbys_run(self, now: int) -> bool:
-        """Whether another member runs that is no voter and might become one, as others told us lately."""
+        """Whether another member runs that is no voter and might become one, as others said lately."""
         forget_older(self._standby_named_at, now - STANDBY_RETENTION_NS)
         return any(address_of(identity) != self._address for identity in self._standby_named_at)
 
--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -150,7 +150,7 @@
         return len(self._calls) >= MAX_PENDING_CALLS
 
     def add(self, now: int, ticket: int, leader: str, *, is_read: bool) -> CallId:
-        """Keep the call until it is answered. Return the identifier that its answer will bear."""
+        """Keep the call until it is answered. Return the identifier that its answer will carry."""
         self._last_number += 1
         self._calls[self._last_number] = ForwardedCall(ticket, leader, now + CALL_TIMEOUT_NS, is_read)
         return self._call_id(self._last_number)
--- a/kestrelplank/control/server_discovery.py
+++ b/kestrelplank/control/server_discovery.py
@@ -20,7 +20,7 @@
 
 
 class ServerDiscovery:
-    """Keeps `servers` fresh, and tells the assigners what changed."""
+    """Keeps `servers` fresh, and has the shard assigners take what changed."""
 
     def __init__(self, replica: Replica, servers: ServerList, assigners: ShardAssigners) -> None:
         self._replica = replica
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -31,7 +31,7 @@
 
     :param first: the lowest key.
     :param last: the highest key, which is part of the range.
-    :param state: name of its `KeyRangeState`, in small letters.
+    :param state: a value of `KeyRangeState`.
     :param lease_remaining_s: until the server's lease has surely ended; negative where it has, or there is none.
     """
 
@@ -179,7 +179,7 @@
         last=key_range.last,
         server=key_range.server,
         fencing_token=key_range.fencing_token,
-        state=key_range.state.name.lower(),
+        state=key_range.state.value,
         lease_remaining_s=round((key_range.held_until - now) / SECOND, 3),
     )
 
--- a/kestrelplank/sharding/greedy_pass.py
+++ b/kestrelplank/sharding/greedy_pass.py
@@ -1,6 +1,6 @@
 """The decision module's greedy pass (`policy.Policy`) over one service's key ranges.
 
-It is told of them in its own words: ranges are its slices, servers its nodes, the leader its only assigner. What
+They are passed to it in its own terms: ranges are its slices, servers its nodes, the leader its only assigner. What
 happened is gathered as its events; `run` hands them over, and calls back for each range that it wants elsewhere.
 """
 
--- a/kestrelplank/sharding/key_range.py
+++ b/kestrelplank/sharding/key_range.py
@@ -14,10 +14,8 @@
     """How far a change of server has come. The values are what `GET /api/status` shows."""
 
     HELD = "held"  # granted to its server, or about to be
-    RELEASING = (
-        "leaving"  # taken from its server, which may hold it until it answers the release or its lease has ended
-    )
-    UNOWNED = "free"  # surely held by no server
+    RELEASING = "releasing"  # taken from its server, which may hold it until it answers the release or its lease ends
+    UNOWNED = "unowned"  # surely held by no server
 
 
 class RecordedKeyRange(NamedTuple):
