--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -35,12 +35,12 @@
 class CallServer:
     """Grant or release keys at a server; then `ControlMember.handle_server_call_ended`.
 
-    A grant is not sent any more at `lease_until` (ns), when this member's lease runs out.
+    :param leader_lease_until: when this member's lease of leadership ends (ns): from then on no grant is sent.
     """
 
     service: str
     request: ServerRequest
-    lease_until: int
+    leader_lease_until: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,8 @@
 class AnswerRead:
     """Answer the operator's read `ticket`.
 
-    :param known: `text` is the newest configuration that was acknowledged; None where there is none.
+    :param known: `text` is the newest configuration that was acknowledged; else the newest can't be known here.
+    :param text: None where no configuration was ever acknowledged, or it is not known.
     """
 
     ticket: int
@@ -69,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepCopy:
+class KeepConfigurationCopy:
     """Keep a readable copy of the configuration in force beside the log; nothing waits for it."""
 
     version: int
@@ -84,5 +85,13 @@
 
 
 Effect = (
-    SendMessage | SendToAddress | PushToEdges | CallServer | AnswerOrder | AnswerRead | KeepCopy | LogLine | Persist
+    SendMessage
+    | SendToAddress
+    | PushToEdges
+    | CallServer
+    | AnswerOrder
+    | AnswerRead
+    | KeepConfigurationCopy
+    | LogLine
+    | Persist
 )
--- a/kestrelplank/control/peer_directory.py
+++ b/kestrelplank/control/peer_directory.py
@@ -47,26 +47,26 @@
 
     @property
     def newest_membership(self) -> Membership | None:
-        """The newest committed membership that another member told us; None before any has."""
+        """The newest committed membership that another member sent us; None before any has."""
         return self._newest_membership
 
     @property
     def leader(self) -> str:
-        """The identity of the leader as another member told us; "" where nobody has."""
+        """The identity of the leader as another member sent it; "" where none has."""
         return self._leader
 
     def handle_contact(self, now: int, identity: str) -> None:
-        """Keep that a member speaks to us, and forget former incarnations at its address: they run no more."""
+        """Note that a member speaks to us, and forget former incarnations at its address: they run no more."""
         if identity not in self._heard_at:
             self._forget_former_incarnations(address_of(identity))
         self._heard_at[identity] = now
 
     def handle_membership_request(self, now: int, identity: str, request: MembershipRequest) -> None:
-        """Keep that a member runs, and asks to be or to stay a voter."""
+        """Note that a member runs, and asks to be or to stay a voter."""
         self._requests[identity] = RequestingMember(identity, request, now)
 
     def handle_membership_update(self, now: int, update: MembershipUpdate) -> None:
-        """Another member tells who the voters are and who else runs."""
+        """Take who the voters are, who leads and who else runs, as another member says."""
         if self._newest_membership is None or update.membership.epoch >= self._newest_membership.epoch:
             self._newest_membership = update.membership
             self._leader = update.leader or self._leader
@@ -88,7 +88,7 @@
         return tuple(identity for identity, at in self._heard_at.items() if now - at < RUNNING_TIMEOUT_NS)
 
     def other_standbys_run(self, now: int) -> bool:
-        """Whether another member runs that is no voter and might become one, as others told us lately."""
+        """Whether another member runs that is no voter and might become one, as others said lately."""
         forget_older(self._standby_named_at, now - STANDBY_RETENTION_NS)
         return any(address_of(identity) != self._address for identity in self._standby_named_at)
 
