--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiter:
-    """A caller that waits for an order's outcome, until the instant `until`."""
+    """A caller that waits for an order's outcome, until the instant `expires_at`."""
 
     caller: Caller
-    until: int
+    expires_at: int
 
 
 @dataclass(slots=True)
@@ -53,14 +53,14 @@
 
     def take_expired(self, now: int) -> list[Caller]:
         """Remove and return the callers that have waited too long."""
-        expired = [waiter.caller for waiter in self.waiters if now >= waiter.until]
-        self.waiters = [waiter for waiter in self.waiters if now < waiter.until]
+        expired = [waiter.caller for waiter in self.waiters if now >= waiter.expires_at]
+        self.waiters = [waiter for waiter in self.waiters if now < waiter.expires_at]
         return expired
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """Whose orders an applied entry decides.
+class DecidedCallers:
+    """Callers whose orders an applied entry decides.
 
     :param acknowledged: the entry is their order.
     :param unknown: another entry has taken the index of their order.
@@ -92,22 +92,22 @@
         """Let the caller wait for the order that was proposed at `index` in `term`."""
         self._orders.append(PendingOrder(order, index, term, [Waiter(caller, now + CALL_TIMEOUT_NS)]))
 
-    def handle_applied(self, entry: Entry) -> Outcome:
+    def handle_applied(self, entry: Entry) -> DecidedCallers:
         """Remove the orders that this entry decides, and return who waited for them."""
-        outcome = Outcome([], [])
+        callers = DecidedCallers([], [])
         undecided = []
         for pending in self._orders:
             if pending.index > entry.index:
                 undecided.append(pending)
                 continue
             is_this_entry = (pending.index, pending.term) == (entry.index, entry.term)
-            decided = outcome.acknowledged if is_this_entry else outcome.unknown
+            decided = callers.acknowledged if is_this_entry else callers.unknown
             decided.extend(waiter.caller for waiter in pending.waiters)
         self._orders = undecided
-        return outcome
+        return callers
 
     def take_expired(self, now: int) -> list[Caller]:
-        """Remove and return who has waited too long. The orders stay, for who sends one again."""
+        """Remove and return who has waited too long. Their orders stay: an operator that sends one again joins it."""
         return [caller for pending in self._orders for caller in pending.take_expired(now)]
 
     def take_all(self) -> list[Caller]:
@@ -122,13 +122,13 @@
     """A call of the operator that we forwarded to `leader`, and that is not answered.
 
     :param ticket: names the call between the program and this member.
-    :param until: when it has waited too long.
+    :param expires_at: when it has waited too long.
     :param is_read: a read, else an order.
     """
 
     ticket: int
     leader: str
-    until: int
+    expires_at: int
     is_read: bool
 
 
@@ -150,7 +150,7 @@
         return len(self._calls) >= MAX_PENDING_CALLS
 
     def add(self, now: int, ticket: int, leader: str, *, is_read: bool) -> CallId:
-        """Keep the call until it is answered. Return the identifier that its answer will bear."""
+        """Keep the call until it is answered. Return the identifier that its answer will carry."""
         self._last_number += 1
         self._calls[self._last_number] = ForwardedCall(ticket, leader, now + CALL_TIMEOUT_NS, is_read)
         return self._call_id(self._last_number)
@@ -166,7 +166,7 @@
 
     def take_expired(self, now: int, leader: str) -> list[ForwardedCall]:
         """Remove and return calls that have waited too long, or that another than the present leader was sent."""
-        ended = [number for number, call in self._calls.items() if now >= call.until or call.leader != leader]
+        ended = [number for number, call in self._calls.items() if now >= call.expires_at or call.leader != leader]
         return [self._calls.pop(number) for number in ended]
 
     def _call_id(self, number: int) -> CallId:
--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -80,14 +80,14 @@
 
     @property
     def version(self) -> KeyRangesVersion:
-        """What an edge machine has that was sent everything."""
+        """The version of the key ranges that an edge machine has once it was sent everything."""
         return self._version
 
     def unowned_s(self) -> float:
-        """Return the seconds that keys had no holder since this member leads, times their share of all keys."""
+        """Return the seconds that keys had no holder since this member leads, weighted by their share of all keys."""
         return self.key_ranges.unowned_key_ns / KEY_COUNT / SECOND
 
-    # What has happened.
+    # Events.
 
     def handle_server_list(self, now: int, servers: list[ShardServer]) -> None:
         """Take the platform's list, as it has changed."""
@@ -97,7 +97,7 @@
     def handle_call_ended(self, now: int, request: ServerRequest, result: ServerCallResult) -> bool:
         """Take the end of a grant or release.
 
-        Returns whether to call `tick` at once: the answer to a renewal changes nothing that can't wait.
+        Return whether to call `tick` at once: the answer to a renewal changes nothing that can't wait.
         """
         if request.key_range not in self.key_ranges.ranges:
             return False
@@ -133,10 +133,13 @@
                 changes.append(without_holder(new))
         return changes
 
-    # What follows.
+    # Effects.
 
     def tick(self, now: int, list_changed_at: int) -> list[ShardAssignerEffect]:
-        """Return what is due. Only while this member leads."""
+        """Return what is due. Only while this member leads.
+
+        :param list_changed_at: when the platform's list of servers last changed.
+        """
         if not self.key_ranges.ranges:
             if not self.key_ranges.servers or now - list_changed_at < LIST_SETTLING_NS:
                 return []
@@ -170,7 +173,7 @@
         changes = [without_holder(key_range) for key_range in in_order]
         return PushKeyRanges(KeyRangesDelta(self.service, since, self._version, changes))
 
-    def update(self) -> KeyRangesUpdate:
+    def full_update(self) -> KeyRangesUpdate:
         """Return all ranges for an edge machine that lacks some: as recorded, and what left its server since."""
         recorded = KeyRangeTable(self._version, range_holders(self._committed.ranges))
         releasing = []
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRecord:
-    """A service's record that is on its way into the log: where it stands there."""
+    """The index and term in the log of a service's record that was proposed and is not committed yet."""
 
     index: int
     term: int
@@ -63,7 +63,7 @@
         self._pending_records.pop(service, None)
         self._replica.log(f"{service}: no longer assigning its key ranges, as {reason}")
 
-    # What has happened.
+    # Events.
 
     def tick(self, now: int) -> None:
         """Do what a leader does in each tick; begin with services that it has not decided for yet."""
@@ -104,7 +104,7 @@
         if assigner is not None:
             assigner.placement.handle_load_report(now, report.keys, report.servers)
 
-    # What follows.
+    # Effects.
 
     def _begin(self, now: int, service: str) -> ShardAssigner:
         term = self._replica.node.term
@@ -118,7 +118,7 @@
             self._random.getrandbits(32),
         )
         self._replica.log(f"{service}: assigning its key ranges, as this member leads term {term}")
-        self._replica.emit(PushToEdges(assigner.update()))
+        self._replica.emit(PushToEdges(assigner.full_update()))
         return assigner
 
     def _tick(self, now: int, assigner: ShardAssigner) -> None:
@@ -132,7 +132,7 @@
         match effect:
             case CommitRecord(record):
                 index = self._replica.propose(now, PutRecord(service, record))
-                if index is not None:
+                if index is not None:  # else this member leads no longer, and gives the service up
                     self._pending_records[service] = PendingRecord(index, self._replica.node.term)
             case PushKeyRanges(message):
                 self._replica.emit(PushToEdges(message))
