--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -130,7 +130,10 @@
                 for stream in self.hub.connections:
                     if stream.path == "/api/stream" and stream.closed_because is None:
                         stream.send(
-                            *(message("done", node=relay, nonce=order.watermark, latency=1.0) for relay in range(RELAYS))
+                            *(
+                                message("done", node=relay, nonce=order.watermark, latency=1.0)
+                                for relay in range(RELAYS)
+                            )
                         )
 
     def write(self, file, data):
