--- a/kestrelplank/assigner/node_discovery.py
+++ b/kestrelplank/assigner/node_discovery.py
@@ -14,11 +14,11 @@
     duration_from_ms,
     list_value,
     non_negative,
+    non_negative_int,
     object_value,
     one_of,
     parse_json,
     truth_value,
-    whole_number,
 )
 from kestrelplank.interface import Event, NodeCondition, NodeEntry, NodeListKind, NodeListUpdate
 from kestrelplank.sockets.buffers import Pool
@@ -117,7 +117,7 @@
             self.on_broken(str(err))
 
     def _take_answer(self, message: Mapping[str, object]) -> None:
-        ahead = whole_number(message.get("generation")) - self._version
+        ahead = non_negative_int(message.get("generation")) - self._version
         if self._fetch_wanted:
             self._take(message, None)
             self._fetch_wanted = False
@@ -161,7 +161,7 @@
     # Lists.
 
     def _take(self, message: Mapping[str, object], kind: NodeListKind | None) -> None:
-        instances, version = list_value(message.get("instances")), whole_number(message.get("generation"))
+        instances, version = list_value(message.get("instances")), non_negative_int(message.get("generation"))
         if kind is None:
             kind = NodeListKind.FULL if truth_value(message.get("reset")) else NodeListKind.DELTA
         entries = []
@@ -182,7 +182,7 @@
             node=self._ids.node(instance.get("instanceId")),
             condition=condition,
             zone=None if zone is None else self._ids.zone(zone),
-            cell=None if cell is None else whole_number(cell),
+            cell=None if cell is None else non_negative_int(cell),
             weight=1.0 if weight is None else non_negative(weight),
             started_at=self._loop.from_unix(duration_from_ms(started)) if started else None,
         )
--- a/kestrelplank/assigner/proxy_updates.py
+++ b/kestrelplank/assigner/proxy_updates.py
@@ -15,11 +15,11 @@
     Malformed,
     duration_from_ms,
     non_negative,
+    non_negative_int,
     object_value,
     parse_json,
     text,
     truth_value,
-    whole_number,
 )
 from kestrelplank.interface import (
     EndpointStored,
@@ -264,7 +264,7 @@
             self._emit(ProxyLeft(proxy))
 
     def _take_acknowledgement(self, fields: Mapping[str, object]) -> None:
-        proxy, mark = read_below(fields.get("node"), self._proxies), whole_number(fields.get("nonce"))
+        proxy, mark = read_below(fields.get("node"), self._proxies), non_negative_int(fields.get("nonce"))
         watermark = self._orders.watermark_of(mark)
         self._orders.mark_acknowledged(mark)
         # A call that was sent again puts its mark into two messages; the second answer would count twice.
@@ -296,7 +296,7 @@
 
 def read_below(value: object, most: int) -> int:
     """Read a number from 0 that is below `most`."""
-    number = whole_number(value)
+    number = non_negative_int(value)
     if number >= most:
         raise Malformed(f"{number} is not below {most}")
     return number
--- a/kestrelplank/decode.py
+++ b/kestrelplank/decode.py
@@ -119,7 +119,7 @@
     return value
 
 
-def whole_number(value: object) -> int:
+def non_negative_int(value: object) -> int:
     """Return a whole number of 0 or more."""
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         refuse("a whole number", value)
@@ -252,12 +252,12 @@
 def _site_settings(read: _SettingsReader, ids: Ids) -> dict[str, object]:
     """Return who this assigner is, and what there is of assigners, zones, proxies and slices."""
     return {
-        "ordinal": read("Ordinal", whole_number, 0),
-        "conductors": read("Balancers", whole_number, 1),
+        "ordinal": read("Ordinal", non_negative_int, 0),
+        "conductors": read("Balancers", non_negative_int, 1),
         "zone": read("Az", ids.zone, None),
         "zones": len(ids.zones),
-        "proxies": read("Specifics.DataPlaneSize", whole_number, 1),
-        "slices": read("Specifics.Shards", whole_number, 0),
+        "proxies": read("Specifics.DataPlaneSize", non_negative_int, 1),
+        "slices": read("Specifics.Shards", non_negative_int, 0),
         "exclusive": read("Specifics.Exclusive", truth_value, False),
         "write_life": read("Specifics.WriteLife", duration_from_ms, 0),
         "lease": read("Specifics.Tenure", duration_from_ms, 0),
@@ -271,7 +271,7 @@
         "envelope": read("Specifics.Envelope", non_negative, 0),
         "lines_per_s": read("Specifics.EgressPerS", non_negative, 0),
         "most_waiting": read("Specifics.MostWaiting", non_negative, 0),
-        "most_messages": read("Specifics.PushesAllowed", whole_number, 0),
+        "most_messages": read("Specifics.PushesAllowed", non_negative_int, 0),
         "messages_span": read("Specifics.MessagesOver", duration_from_ms, 0),
         "transit": read("Specifics.Transit", duration_from_ms, 0),
         "longest_transit": read("Specifics.WorstTransit", duration_from_ms, 0),
@@ -282,10 +282,10 @@
     """Return how proxies report and choose, and how nodes are listed."""
     return {
         "report_every": read("Specifics.ReportEvery", duration_from_ms, NS_PER_MS * 1000),
-        "strikes": read("Specifics.Strikes", whole_number, 0),
+        "strikes": read("Specifics.Strikes", non_negative_int, 0),
         "pick": read("Specifics.Pick", _pick, "random"),
         "levels": read("Specifics.LevelKind", _level_kind, ""),
-        "usual_again": read("Specifics.BaseMode", whole_number, 0),
+        "usual_again": read("Specifics.BaseMode", non_negative_int, 0),
         "first_wait": read("Specifics.FirstWait", non_negative, 1.0),
         "warm_keys": read("Specifics.WarmKeys", truth_value, False),
         "subscribe": read("MembershipMode", text, "automatic") == "subscribe",
--- a/kestrelplank/emulator/assigners.py
+++ b/kestrelplank/emulator/assigners.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from kestrelplank.decode import Ids, read_settings, whole_number
+from kestrelplank.decode import Ids, non_negative_int, read_settings
 from kestrelplank.emulator.assigner_settings import assigner_settings
 from kestrelplank.emulator.environment import Environment
 from kestrelplank.emulator.order_collector import OrderCollector
@@ -60,12 +60,12 @@
         self._make_policy, self._order_receiver = make_policy, order_receiver
         self._events: list[Event] = []
         self._round_is_due = False
-        self._ids = Ids(whole_number)
+        self._ids = Ids(non_negative_int)
 
     def start(self) -> None:
         """Begin a new incarnation, with a policy that knows nothing yet."""
         self.alive, self.incarnation, self._events, self._round_is_due = True, self.incarnation + 1, [], False
-        self._ids = Ids(whole_number)
+        self._ids = Ids(non_negative_int)
         script = self.environment.script
         read = PolicySettings.from_mapping(read_settings(assigner_settings(script, self.number), self._ids, "script"))
         seed = self.environment.random("conductor", self.number, self.incarnation).getrandbits(64)
--- a/kestrelplank/reference_proxy/table_messages.py
+++ b/kestrelplank/reference_proxy/table_messages.py
@@ -11,11 +11,11 @@
     Malformed,
     list_value,
     non_negative,
+    non_negative_int,
     object_value,
     parse_json,
     text,
     truth_value,
-    whole_number,
 )
 from kestrelplank.state.tables import Tables
 
@@ -60,7 +60,7 @@
             case "node":
                 self._take_node(fields)
             case "joined":
-                self._tables.joined(whole_number(fields.get("source")))
+                self._tables.joined(non_negative_int(fields.get("source")))
             case "table":
                 self._take_table(fields)
             case "orders":
@@ -77,16 +77,16 @@
             self._on_node_zone(node, self._ids.zone(text(zone)))
 
     def _take_table(self, fields: Mapping[str, object]) -> None:
-        table = whole_number(fields.get("table"))
+        table = non_negative_int(fields.get("table"))
         if table >= self._tables.size:
             raise Malformed(f"no table has the number {table}")
         weights = {self._node(name): non_negative(weight) for name, weight in object_value(fields.get("lines")).items()}
         nonzero = {node: weight for node, weight in weights.items() if weight}
-        self._tables.read(table, whole_number(fields.get("source")), nonzero)
+        self._tables.read(table, non_negative_int(fields.get("source")), nonzero)
         self._on_tables_changed([table])
 
     def _take_orders(self, fields: Mapping[str, object]) -> None:
-        source, number = whole_number(fields.get("source")), whole_number(fields.get("number"))
+        source, number = non_negative_int(fields.get("source")), non_negative_int(fields.get("number"))
         orders = [self._read_order(order) for order in list_value(fields.get("orders"))]
         changed, watermarks = self._tables.apply(source, number, orders)
         if changed:
@@ -100,14 +100,14 @@
             raise Malformed(f"no order is {str(order)[:60]!r}")
         match word:
             case "line":
-                return word, whole_number(fields[0]), self._node(fields[1]), non_negative(fields[2])
+                return word, non_negative_int(fields[0]), self._node(fields[1]), non_negative(fields[2])
             case "take_out":
                 return word, self._node(fields[0]), truth_value(fields[1])
             case "level":
-                table = ALL_TABLES if fields[0] == ALL_TABLES else whole_number(fields[0])
-                return word, table, whole_number(fields[1]), non_negative(fields[2]), whole_number(fields[3])
+                table = ALL_TABLES if fields[0] == ALL_TABLES else non_negative_int(fields[0])
+                return word, table, non_negative_int(fields[1]), non_negative(fields[2]), non_negative_int(fields[3])
             case _:
-                return word, whole_number(fields[0])
+                return word, non_negative_int(fields[0])
 
     def _node(self, name: object) -> int:
         return self._ids.node(name)
--- a/kestrelplank/simulator_protocol/events.py
+++ b/kestrelplank/simulator_protocol/events.py
@@ -11,13 +11,13 @@
     decode_peer_loads,
     duration_from_ms,
     non_negative,
+    non_negative_int,
     number,
     object_value,
     one_of,
     reported_number,
     text,
     truth_value,
-    whole_number,
 )
 from kestrelplank.interface import (
     EndpointStored,
@@ -135,7 +135,7 @@
         node=ids.node(node),
         condition=read_condition(condition),
         zone=None if zone is None else ids.zone(zone),
-        cell=None if cell is None else whole_number(cell),
+        cell=None if cell is None else non_negative_int(cell),
         weight=1.0 if weight is None else non_negative(weight),
         started_at=duration_from_ms(started) if started else None,
     )
@@ -153,29 +153,29 @@
 
 def read_ownership(fields: FieldReader) -> Event:
     """Read TENURE."""
-    return SliceOwnership(fields.take("SetId", whole_number), fields.take("Yes", truth_value))
+    return SliceOwnership(fields.take("SetId", non_negative_int), fields.take("Yes", truth_value))
 
 
 def read_stored_endpoint(fields: FieldReader) -> Event:
     """Read CURRENT_OWNER."""
-    node, number = fields.take("Node", fields.ids.node), fields.take("SetId", whole_number)
+    node, number = fields.take("Node", fields.ids.node), fields.take("SetId", non_negative_int)
     return EndpointStored(number, node, fields.take("Size", non_negative))
 
 
 def read_joined_proxy(fields: FieldReader) -> Event:
     """Read SUBSCRIBED."""
-    proxy, zone = fields.take("Proxy", whole_number), fields.take_optional("FailureDomain", fields.ids.zone)
+    proxy, zone = fields.take("Proxy", non_negative_int), fields.take_optional("FailureDomain", fields.ids.zone)
     return ProxyJoined(proxy, zone, fields.take_optional("Size", non_negative), fields.take("Yes", truth_value))
 
 
 def read_left_proxy(fields: FieldReader) -> Event:
     """Read LOST_STREAM."""
-    return ProxyLeft(fields.take("Proxy", whole_number))
+    return ProxyLeft(fields.take("Proxy", non_negative_int))
 
 
 def read_acknowledgement(fields: FieldReader) -> Event:
     """Read INSTALLED."""
-    proxy, watermark = fields.take("Proxy", whole_number), fields.take("Version", whole_number)
+    proxy, watermark = fields.take("Proxy", non_negative_int), fields.take("Version", non_negative_int)
     return WatermarkAcknowledged(proxy, watermark, fields.take_optional("WaitTime", duration_from_ms))
 
 
@@ -193,14 +193,14 @@
 def read_slice_report(fields: FieldReader) -> Event:
     """Read WEIGHT_SEEN."""
     window_ns, op_type = fields.take("Window", duration_from_ms), fields.take("Cls", fields.ids.op_type)
-    number, aborted = fields.take("SetId", whole_number), fields.take("Bad", reported_number)
+    number, aborted = fields.take("SetId", non_negative_int), fields.take("Bad", reported_number)
     return SliceReport(number, op_type, fields.take("N", reported_number), aborted, window_ns)
 
 
 def read_proxy_report(fields: FieldReader) -> Event:
     """Read DEMAND."""
     ops, op_type = fields.take("N", reported_number), fields.take("Cls", fields.ids.op_type)
-    proxy, aborted = fields.take("Proxy", whole_number), fields.take("Bad", reported_number)
+    proxy, aborted = fields.take("Proxy", non_negative_int), fields.take("Bad", reported_number)
     return ProxyReport(proxy, op_type, ops, aborted, fields.take("Window", duration_from_ms))
 
 
@@ -213,7 +213,7 @@
 
 def read_datagram(fields: FieldReader) -> Event:
     """Read DATAGRAM, which may tell loads."""
-    sender, body = fields.take("Sender", whole_number), fields.take_optional("Body", read_body)
+    sender, body = fields.take("Sender", non_negative_int), fields.take_optional("Body", read_body)
     loads = decode_peer_loads(body or b"", fields.ids)
     return PeerMessage(sender, body) if loads is None else PeerLoads(sender, loads)
 
--- a/kestrelplank/simulator_protocol/host.py
+++ b/kestrelplank/simulator_protocol/host.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from kestrelplank.decode import Ids, Malformed, duration_from_ms, parse_json, read_settings, whole_number
+from kestrelplank.decode import Ids, Malformed, duration_from_ms, non_negative_int, parse_json, read_settings
 from kestrelplank.interface import Event, PolicySettings
 from kestrelplank.policy import Policy
 from kestrelplank.simulator_protocol.events import EVENT_READERS, read_event
@@ -72,7 +72,7 @@
         """Take one line that concerns one instance."""
         name = message[0]
         try:
-            number = whole_number(field_at(message, 1))
+            number = non_negative_int(field_at(message, 1))
         except Malformed as err:
             raise Malformed(f"{name}, field Conductor: {err}") from None
         if name == "CREATE":
@@ -88,10 +88,10 @@
 
     def _create(self, now: int, number: int, message: Sequence[object]) -> None:
         try:
-            seed = whole_number(field_at(message, 2))
+            seed = non_negative_int(field_at(message, 2))
         except Malformed as err:
             raise Malformed(f"CREATE, field RandomSeed: {err}") from None
-        ids = Ids(whole_number)
+        ids = Ids(non_negative_int)
         found = read_settings(field_at(message, 3), ids, "CREATE, field Conf")
         self.instances[number] = Instance(Policy(now, seed, PolicySettings.from_mapping(found)), ids)
         self._events[number] = []
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from kestrelplank.decode import Ids, read_settings, whole_number
+from kestrelplank.decode import Ids, non_negative_int, read_settings
 from kestrelplank.simulator_protocol.events import read_load
 from kestrelplank.simulator_protocol.host import Host
 from kestrelplank.simulator_protocol.orders import OrderLines
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("extra", [{}, {"Moon": "full"}, {"Specifics": {"Tilt": 3}}, {"Rules": None}])
 def test_unknown_and_missing_settings_are_skipped(extra):
-    found = read_settings(CONF | extra, Ids(whole_number), "settings")
+    found = read_settings(CONF | extra, Ids(non_negative_int), "settings")
     assert found["op_types"][0]["target_latency"] == 750_000_000 and found["cold_from"] == 1.0
 
 
