--- a/kestrelplank/assigner/telemetry_server.py
+++ b/kestrelplank/assigner/telemetry_server.py
@@ -18,9 +18,9 @@
 from kestrelplank.sockets.loop import Loop
 
 HEARTBEAT, HEARTBEAT_ANSWER = b"hb", resp.encode(b"hb_ok")
-MOST_STRANGERS = 64  # connections that have not joined; the oldest goes first, as it had its chance
+MOST_UNJOINED = 64  # connections that have not joined; the oldest goes first, as it had its chance
 MOST_OF_ZONE = 4  # joined: one reports; those of a machine that vanished are held until found out
-MOST_STRANGER_BYTES = 4096  # of a message, held of whoever has not joined
+MOST_UNJOINED_BYTES = 4096  # of a message, held of whoever has not joined
 MOST_UNSENT_BYTES = 1 << 16
 MOST_REASON_BYTES = 80
 SWEEP_INTERVAL_NS = 200 * NS_PER_MS  # how often expired callers are looked for; how long listening pauses when short
@@ -49,7 +49,7 @@
     ) -> None:
         self.loop, self.pool, self.counters = loop, pool, counters
         self._ids, self._slices, self._on_event = ids, slices, on_event
-        self._strangers: dict[int, Caller] = {}
+        self._unjoined: dict[int, Caller] = {}
         self._collectors: dict[int, Caller] = {}
         self._listener = Listener(loop, at, self._accept, self._make_room, SWEEP_INTERVAL_NS)
         self.at = self._listener.at
@@ -60,7 +60,7 @@
     def join(self, caller: "Caller", message: list[bytes]) -> int:
         """Admit a caller as collector of the zone that it names, and return the zone."""
         zone = read_joining(message, self._ids)
-        self._strangers.pop(id(caller), None)
+        self._unjoined.pop(id(caller), None)
         same_zone = [other for other in self._collectors.values() if other.zone == zone]
         if len(same_zone) >= MOST_OF_ZONE:
             min(same_zone, key=lambda other: other.heard_at).reject("callers_pushed_out", "too many of a zone")
@@ -80,32 +80,32 @@
 
     def caller_gone(self, caller: "Caller") -> None:
         """Forget a caller whose connection has ended."""
-        self._strangers.pop(id(caller), None)
+        self._unjoined.pop(id(caller), None)
         self._collectors.pop(id(caller), None)
 
     # Admission.
 
     def _accept(self, sock: socket.socket) -> None:
         self.counters.add("accepted")
-        if len(self._strangers) >= MOST_STRANGERS:
-            self._reject_oldest_stranger("too many")
+        if len(self._unjoined) >= MOST_UNJOINED:
+            self._reject_oldest_unjoined("too many")
         caller = Caller(self, sock, self.loop.now())
-        self._strangers[id(caller)] = caller
+        self._unjoined[id(caller)] = caller
 
-    def _reject_oldest_stranger(self, why: str) -> None:
-        next(iter(self._strangers.values())).reject("callers_pushed_out", why)
+    def _reject_oldest_unjoined(self, why: str) -> None:
+        next(iter(self._unjoined.values())).reject("callers_pushed_out", why)
 
     def _make_room(self, why: str) -> bool:
         """Reject a stranger: a collector that comes, and our own calls, must find a descriptor."""
         self.counters.trouble("accept_failed", why)
-        if self._strangers:
-            self._reject_oldest_stranger("short of descriptors")
+        if self._unjoined:
+            self._reject_oldest_unjoined("short of descriptors")
             return True
         return False
 
     def _sweep(self) -> None:
         now = self.loop.now()
-        for callers, timeout_ns in ((self._strangers, JOIN_TIMEOUT_NS), (self._collectors, IDLE_TIMEOUT_NS)):
+        for callers, timeout_ns in ((self._unjoined, JOIN_TIMEOUT_NS), (self._collectors, IDLE_TIMEOUT_NS)):
             for caller in list(callers.values()):
                 if now - caller.heard_at >= timeout_ns:
                     caller.reject("callers_silent", "has not joined" if caller.zone is None else "says nothing")
@@ -115,7 +115,7 @@
         """Listen no longer, and end all callers."""
         self._timer.cancel()
         self._listener.close()
-        for caller in [*self._strangers.values(), *self._collectors.values()]:
+        for caller in [*self._unjoined.values(), *self._collectors.values()]:
             caller.connection.close("we end")
 
 
@@ -123,7 +123,7 @@
     """One connection to our address. It is written to only to answer `hb`, and when it is rejected."""
 
     def __init__(self, server: TelemetryServer, sock: socket.socket, now: int) -> None:
-        self._server, self._parser = server, resp.Parser(MOST_STRANGER_BYTES)
+        self._server, self._parser = server, resp.Parser(MOST_UNJOINED_BYTES)
         self.heard_at = now  # strangers: when it came
         self.zone: int | None = None  # of a collector
         self.connection = Connection(server.loop, server.pool, sock, self, MOST_UNSENT_BYTES)
--- a/tests/assigner/test_telemetry_server.py
+++ b/tests/assigner/test_telemetry_server.py
@@ -70,7 +70,7 @@
     sock.send(said)
     end = kit.loop.now() + 900 * MS
     until(kit.loop, lambda: b"reject" in got.__iadd__(received(sock) or b""))
-    assert kit.loop.now() < end and not front._strangers and not front._collectors and len(kit.events) == events
+    assert kit.loop.now() < end and not front._unjoined and not front._collectors and len(kit.events) == events
     sock.close()
 
 
@@ -88,7 +88,7 @@
 
     until(kit.loop, let_go)
     assert 900 * MS < kit.loop.now() - came < 2900 * MS and (HB_OK in got) is (said == HB)
-    assert received(collector) is None and list(front._collectors) and not front._strangers
+    assert received(collector) is None and list(front._collectors) and not front._unjoined
     sock.close()
 
 
@@ -100,7 +100,7 @@
 
     def all_heard():
         nonlocal most
-        most = max(most, len(front._strangers))
+        most = max(most, len(front._unjoined))
         gone.update(sock for sock in crowd if sock not in gone and received(sock))
         return len(gone) == 300
 
@@ -117,7 +117,7 @@
         until(kit.loop, lambda number=number: len(kit.events) == number)
         others.append(caller(front))
         others[-1].send(JOIN)
-        until(kit.loop, lambda number=number: kit.counters.counts["accepted"] == 1 + number and not front._strangers)
+        until(kit.loop, lambda number=number: kit.counters.counts["accepted"] == 1 + number and not front._unjoined)
     assert len(front._collectors) == 4 and b"reject" in received(others[0]) and received(collector) is None
     for sock in others:
         sock.close()
@@ -140,17 +140,17 @@
     rude.close()
     collector.send(HB)
     until(kit.loop, lambda: received(collector) == HB_OK)
-    until(kit.loop, lambda: not front._strangers)
+    until(kit.loop, lambda: not front._unjoined)
 
 
-def test_short_of_descriptors_strangers_make_room(kit, front):
-    strangers = [caller(front) for _ in range(2)]
-    until(kit.loop, lambda: len(front._strangers) == 2)
+def test_short_of_descriptors_unjoined_callers_make_room(kit, front):
+    unjoined = [caller(front) for _ in range(2)]
+    until(kit.loop, lambda: len(front._unjoined) == 2)
     assert (
         front._make_room("EMFILE")
-        and len(front._strangers) == 1
+        and len(front._unjoined) == 1
         and front._make_room("EMFILE")
         and not front._make_room("EMFILE")
     )
-    for sock in strangers:
+    for sock in unjoined:
         sock.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -301,7 +301,7 @@
         until(kit.loop, lambda before=before: kit.counters.counts["news_started"] > before)
         relay.connections[-1].send(*STANDING)
         sock.close()
-        until(kit.loop, lambda: not front._strangers)
+        until(kit.loop, lambda: not front._unjoined)
     kit.events.clear()
     end = kit.loop.now() + 300 * MS  # the longest deadline of a dial: its timer leaves the heap by then
     until(kit.loop, lambda: kit.loop.now() > end)
