--- a/kestrelplank/policy/assigner_policy.py
+++ b/kestrelplank/policy/assigner_policy.py
@@ -37,7 +37,7 @@
         self._subscribe_at: int | None = now
         self._period_ends_at = now + state.period_ns
         self._retry_mode = settings.initial_retry_mode
-        self._slices_reported = False  # since cold nodes were last looked at
+        self._slices_reported = False  # since cold nodes were last relieved
         self._next_round_at, self._next_balancing_at = now, now + parameters.BALANCING_INTERVAL_NS
 
     def round(self, now: int, events: Iterable[interface.Event], out: interface.OrderWriter) -> None:
@@ -115,13 +115,13 @@
         return any(index in owned.ordered and index not in owned.desired for owned in self.slices.values())
 
     def _release_gone_nodes(self, now: int, out: interface.OrderWriter) -> None:
-        """Let nodes in that are long gone and in no table, and forget them, as new ids come all day.
+        """Make orders due that waited for this, and let in, then forget nodes long gone and in no table: ids pile up.
 
-        The price: an ejection is forgotten as well.
+        One that only the store names is removed once lists would name it. The price: ejections are forgotten as well.
         """
         named = {index for owned in self.slices.values() for index in (*owned.desired, *owned.ordered)}
         for index, node in list(self.nodes.items()):
-            if node.joined_order_due:  # only now, as proxies come back in swarms
+            if node.joined_order_due:  # once for all proxies that joined since the last time
                 node.order_due, node.joined_order_due = True, False
             unchanged_ns = now - node.withdrawal_changed_at
             idle = index not in named and unchanged_ns > parameters.LONGEST_EJECTION_NS and not node.sums().attempts
@@ -220,7 +220,7 @@
         node.zone, node.weight = entry.zone, entry.weight or 1.0
 
     def _handle_restart(self, now: int, node: Node) -> None:
-        """Take a node for cold, and for flapping if it has started not long ago.
+        """Mark a node as cold, and as flapping if it has started not long ago.
 
         Slices must not follow a flapping node back each time; the price: a sound one that is started twice idles.
         """
@@ -240,7 +240,7 @@
         if event.owned:
             settings = self.state.settings
             owned = self.slices[event.slice] = Slice(event.slice)
-            # Were the table empty: another assigner closed it.
+            # For an empty table: another assigner may have closed it, while writes to its node still run.
             owned.opens_at = now + settings.ownership_lease_ns + settings.write_timeout_ns
             self.state.moves_from_at = now + parameters.PERIODS * self.state.period_ns
         else:
@@ -257,7 +257,7 @@
     def _handle_joined_proxy(self, now: int, event: interface.ProxyJoined) -> None:
         """Plan the withdrawals that a proxy must be told of.
 
-        A proxy keeps withdrawals over our death: one not taken back leaves it without an endpoint, one missed lets it
+        A proxy keeps withdrawals when we restart: one not taken back leaves it without an endpoint, one missed lets it
         send (rules 1, 3). One that was here before missed what was ordered since: more would fill the channel.
         """
         applied_until = self.channel.join(now, event.proxy)
--- a/kestrelplank/policy/balancing.py
+++ b/kestrelplank/policy/balancing.py
@@ -27,7 +27,7 @@
 class BalancingPass:
     """One pass, which keeps account of every move it makes.
 
-    `levels` is a node's load for its weight, `mean` the mean of these, `ceiling` what costs nothing.
+    `levels` is a node's load for its weight, `mean` the mean of these, `ceiling` the level above which slices move.
     """
 
     def __init__(self, state: AssignerState, now: int, fleet: FleetLoad) -> None:
@@ -40,14 +40,14 @@
         self._slice_loads = {owned.number: owned.load(state.period_ns) for owned in state.slices.values()}
 
     def _fits(self, load: float, index: int, limit: float) -> bool:
-        """Whether a node stays within its own limit and this level with so much more."""
+        """Whether a node with this load added stays within its own limit, and below this level."""
         fleet = self._fleet
         if fleet.loads[index] + load > fleet.limits[index]:
             return False
         return self.levels[index] + load / fleet.weights[index] <= limit
 
     def _least_loaded(self, load: float, nodes: Iterable[int]) -> int | None:
-        """Return the least loaded of the nodes that stay below the ceiling with so much more."""
+        """Return the least loaded of the nodes that with this load added stay below the ceiling."""
         levels, weights = self.levels, self._fleet.weights
         fitting = [index for index in nodes if self._fits(load, index, self.ceiling)]
         return min(fitting, key=lambda index: levels[index] + load / weights[index], default=None)
@@ -58,7 +58,7 @@
         self.levels[target] += load / self._fleet.weights[target]
 
     def _remove_endpoint(self, owned: Slice, load: float, source: int) -> None:
-        """Remove an endpoint and its load; that of a moved slice goes on weighing on both ends instead."""
+        """Remove an endpoint and lower its node's level; `_move` instead lets a slice count on both nodes."""
         del owned.desired[source]
         self.levels[source] -= load / self._fleet.weights[source]
 
@@ -74,14 +74,14 @@
 
     def _endpoints_above_mean(self) -> list[tuple[float, int, Slice]]:
         """Return load, node and slice of endpoints on nodes above the mean, of the fullest nodes first."""
-        found = [
+        endpoints = [
             (self.levels[index], self._slice_loads[owned.number] / len(owned.desired), index, owned)
             for owned in self._state.slices.values()
             for index in owned.desired
             if self.levels.get(index, 0) > self.mean
         ]
-        found.sort(key=lambda endpoint: (-endpoint[0], -endpoint[1], endpoint[3].number))
-        return [endpoint[1:] for endpoint in found]
+        endpoints.sort(key=lambda endpoint: (-endpoint[0], -endpoint[1], endpoint[3].number))
+        return [endpoint[1:] for endpoint in endpoints]
 
     def _fill(self, target: int, candidates: list[tuple[float, int, Slice]]) -> None:
         for load, source, owned in candidates:
@@ -113,7 +113,7 @@
             self._add_endpoint(owned, load, target)
 
     def _join(self, owned: Slice, load: float) -> None:
-        """Take the endpoint on the fullest node away, if that is above the ceiling; else it costs nothing."""
+        """Take the endpoint on the fullest node away, if that is above the ceiling; else it may stay."""
         fullest = max(owned.desired, key=lambda index: self.levels.get(index, 0))
         if self.levels.get(fullest, 0) > self.ceiling:
             self._remove_endpoint(owned, load, fullest)
@@ -128,17 +128,17 @@
 
     def _slices_above_ceiling(self) -> list[tuple[int, Slice]]:
         """Return node and slice, of the fullest nodes and the hottest slices first; split slices stay."""
-        found = [
+        movable = [
             (next(iter(owned.desired)), owned)
             for owned in self._state.slices.values()
             if len(owned.desired) == 1 and self.levels.get(next(iter(owned.desired)), 0) > self.ceiling
         ]
         levels, loads = self.levels, self._slice_loads
-        found.sort(key=lambda entry: (-levels[entry[0]], -loads[entry[1].number], entry[1].number))
-        return found
+        movable.sort(key=lambda entry: (-levels[entry[0]], -loads[entry[1].number], entry[1].number))
+        return movable
 
     def _move(self, source: int, owned: Slice) -> bool:
-        """Move one slice to the least loaded node that stays below the ceiling; whether there was one."""
+        """Move one slice to the least loaded node that stays below the ceiling; return whether there was one."""
         nodes, now, load = self._state.nodes, self._now, self._slice_loads[owned.number]
         below_mean_without = self.levels[source] - load / self._fleet.weights[source] < self.mean
         if now < nodes[source].settled_at or below_mean_without:
--- a/kestrelplank/policy/channel.py
+++ b/kestrelplank/policy/channel.py
@@ -67,18 +67,18 @@
     def room(self, now: int, queue_share: float, spare_messages: int, orders_due: int) -> float:
         """Return how many orders a message may hold.
 
-        None until all that is due fits, or half of what an empty queue takes: else overhead would fill the queue.
+        0 until all that is due fits, or half of what an empty queue takes: else overhead would fill the queue.
         """
         while self.recent_messages and now - self.recent_messages[0] > self.message_window_ns:
             self.recent_messages.popleft()
         if not self.unacknowledged:
-            return 1e9
+            return 1e9  # nobody to send to: no limit
         if self.message_limit and len(self.recent_messages) + spare_messages >= self.message_limit:
             return 0
         proxies = len(self.unacknowledged)
-        most = self.queue_limit * queue_share / proxies - self.overhead - 1
-        room = most - self.queued() / proxies
-        return room if room >= min(orders_due, most / 2) else 0
+        room_when_empty = self.queue_limit * queue_share / proxies - self.overhead - 1
+        room = room_when_empty - self.queued() / proxies
+        return room if room >= min(orders_due, room_when_empty / 2) else 0
 
     def queued(self) -> float:
         """Return the orders that wait in the channel, as far as is known."""
--- a/kestrelplank/policy/ejection.py
+++ b/kestrelplank/policy/ejection.py
@@ -1,7 +1,7 @@
 """Ejection of unhealthy nodes before the node list tells of them.
 
-At most a seventh of the nodes, and no full node, which answers slowly: that would sink the rest. The price: a node that
-fails half of its ops keeps them.
+At most a seventh of the nodes, and no overloaded node, which answers slowly: the rest would be overloaded next. The
+price: a node that fails half of its ops keeps them.
 """
 
 from collections.abc import Iterable
--- a/kestrelplank/policy/evacuation.py
+++ b/kestrelplank/policy/evacuation.py
@@ -22,9 +22,9 @@
     if not fleet.weights:
         readmit_all(state, now)
         return
-    # Slices of a take-over count like the mean until reports are in: else all go to the idlest node.
+    # Slices of a take-over count like the mean until reports are in: else all go to the least loaded node.
     mean = sum(owned.load(state.period_ns) for owned in state.slices.values()) / len(state.slices) or 1.0
-    # Every peer is told of the same loss and does the same now, unseen as yet: each slice stands for theirs too.
+    # Every peer evacuates now as well, and its loads are not known yet: each slice counts for one of theirs too.
     assigners = 1 + sum(now - heard_at < PEER_LOADS_VALID_NS for heard_at in state.peers_heard_at.values())
     state.share_loads_at = min(state.share_loads_at, now + ROUND_INTERVAL_NS)
     for owned in movers:
@@ -60,7 +60,7 @@
 
 
 def relieve_cold_node(state: AssignerState, now: int, node: Node, fleet: FleetLoad) -> None:
-    """Move one cold node's slices, the hottest first, until the rest can't tip it over."""
+    """Move one cold node's slices, the hottest first, until the rest can't overload it."""
     seconds = state.period_ns / SECOND
     limit = max(0.0, fleet.overload_rate) * node.weight * state.capacity_share(node, now)
     limit += CHANCE_DEVIATIONS * (limit / seconds) ** 0.5
--- a/kestrelplank/policy/fleet_load.py
+++ b/kestrelplank/policy/fleet_load.py
@@ -27,7 +27,7 @@
         }
         self.loads = {index: ops + state.nodes[index].peer_load(now) for index, ops in own.items()}
         usable = [node for node in state.nodes.values() if node.usable(now)]
-        # Ops a second and weight that surely tip no cold node over (rule 4), and that one may be given; -1: not known.
+        # Ops a second for each unit of weight: what overloads no cold node (rule 4), what one may get; -1: not known.
         self.overload_rate = cold_rate = -1.0
         if usable and now >= state.moves_from_at:
             weight, total, total_own = sum(node.weight for node in usable), sum(self.loads.values()), sum(own.values())
@@ -35,7 +35,7 @@
             acknowledged = acknowledged / parameters.PERIODS / seconds * (total / total_own if total_own else 1.0)
             self.overload_rate = acknowledged * state.settings.overload_multiple * parameters.OVERLOAD_SHARE / weight
             cold_rate = min(self.overload_rate, total / weight)
-        self.weights: dict[int, float] = {}  # what a node is surely worth by now
+        self.weights: dict[int, float] = {}  # listed weight, scaled by warm-up and speed
         self.limits: dict[int, float] = {}  # ops a second that a node may be given in all
         self._weigh(state, now, usable, relative_speeds(state.nodes, sums), cold_rate)
 
@@ -52,31 +52,31 @@
                 self.limits[node.index] = -1.0  # only where nothing else is usable
 
     def with_room(self, load: float) -> list[int]:
-        """Return the nodes that may be given so much more."""
+        """Return the nodes that may be given this load."""
         return [index for index in self.weights if self.loads[index] + load <= self.limits[index]]
 
     def least_loaded(self, nodes: Iterable[int], load: float) -> int:
-        """Return the node that carries least for its weight once it has so much more."""
+        """Return the node that carries least for its weight with this load added."""
         return min(nodes, key=lambda index: (self.loads[index] + load) / self.weights[index])
 
 
 def relative_speeds(nodes: Mapping[int, Node], sums: Mapping[int, ReportSums]) -> dict[int, float]:
-    """Return nodes' speeds against the median, bounded and damped, of those that have told enough.
+    """Return nodes' speeds against the median, bounded and damped, of those that have reported enough.
 
     By what an op uses of a node, where nodes tell that, else by latency. Departure from the paper, whose devices are
     alike: the root and the bounds keep a queue from being taken for a slow machine.
     """
     costs = {
-        index: nodes[index].weight * node.utilization / node.acknowledged_per_s
-        for index, node in sums.items()
-        if node.utilization and node.acknowledged_per_s
+        index: nodes[index].weight * reports.utilization / reports.acknowledged_per_s
+        for index, reports in sums.items()
+        if reports.utilization and reports.acknowledged_per_s
     } or {
-        index: node.latency_s / node.attempts
-        for index, node in sums.items()
-        if node.attempts - node.failures >= parameters.LEAST_ANSWERS and node.latency_s
+        index: reports.latency_s / reports.attempts
+        for index, reports in sums.items()
+        if reports.attempts - reports.failures >= parameters.LEAST_ANSWERS and reports.latency_s
     }
-    usual = median(costs.values()) if costs else 0.0
+    median_cost = median(costs.values()) if costs else 0.0
     return {
-        index: min(parameters.FASTEST, max(parameters.SLOWEST, usual / cost)) ** parameters.SPEED_EXPONENT
+        index: min(parameters.FASTEST, max(parameters.SLOWEST, median_cost / cost)) ** parameters.SPEED_EXPONENT
         for index, cost in costs.items()
     }
--- a/kestrelplank/policy/load_shedding.py
+++ b/kestrelplank/policy/load_shedding.py
@@ -28,7 +28,7 @@
         self.best_acknowledged = 0.0  # ops a period that a usable node was seen to acknowledge at most, fading
 
     def count(self, op_type: int, ops: float) -> None:
-        """Count ops that came; while shedding, clients that come again are no demand."""
+        """Count ops that came; none while shedding, as clients try again what was rejected."""
         self.ops[op_type] += 0 if self.shed else ops
 
     def close_period(self, nodes: Collection[Node]) -> None:
@@ -46,8 +46,8 @@
 
     def _adjust(self, strain: float, total: float, usable: list[Node]) -> None:
         sums = [node.sums(PERIODS_JUDGED) for node in usable]
-        attempts = sum(node.attempts for node in sums) / PERIODS_JUDGED
-        failures = sum(node.failures for node in sums) / PERIODS_JUDGED
+        attempts = sum(reports.attempts for reports in sums) / PERIODS_JUDGED
+        failures = sum(reports.failures for reports in sums) / PERIODS_JUDGED
         self.best_acknowledged = max(self.best_acknowledged * parameters.BEST_FADING, (attempts - failures) / len(sums))
         self._recent_shed.append(self.shed)
         demand = max(total / parameters.PERIODS, attempts / (1 - min(self._recent_shed)))
--- a/kestrelplank/policy/node.py
+++ b/kestrelplank/policy/node.py
@@ -19,7 +19,7 @@
     DROPPED = "dropped"  # as REMOVED, at a site where only draining binds: it works until it fails
 
 
-GONE = (NodeState.DRAINING, NodeState.REMOVED)
+TO_EVACUATE = (NodeState.DRAINING, NodeState.REMOVED)
 
 
 class ReportSums(NamedTuple):
@@ -52,7 +52,7 @@
         self.state = NodeState.UNLISTED
         self.withdrawn, self.withdrawal_changed_at = False, now
         self.order_due = False  # some joined proxy may hold another state of `withdrawn`
-        self.joined_order_due = False  # as that, because a proxy has joined: ordered from the next heartbeat on
+        self.joined_order_due = False  # as that, because a proxy has joined: ordered from the next timed round on
         self.ordered_at: int | None = None  # when it was last withdrawn or let in by order
         self.current_period = NO_REPORTS
         self.periods: deque[ReportSums] = deque(maxlen=PERIODS)
@@ -61,7 +61,7 @@
         self.peer_loads: dict[int, tuple[float, int]] = {}  # by peer: ops a second of its slices here, heard at
         self.recent_starts: tuple[int, ...] = ()
         self.flapping_until = 0  # given nothing before
-        self.filling = False  # new or restarted, and not up to its part of the load yet
+        self.filling = False  # new or restarted, and not up to its share of the load yet
         self.emptied = True  # since its last start it has lost every slice that it had before
 
     def usable(self, now: int) -> bool:
@@ -70,7 +70,7 @@
 
     def bound_to_withdraw(self) -> bool:
         """Whether a rule wants it withdrawn: it drains, is gone, or came back cold with all that it had before."""
-        return self.state in GONE or not self.emptied
+        return self.state in TO_EVACUATE or not self.emptied
 
     def must_withdraw(self, now: int) -> bool:
         """Whether it is to be withdrawn, by a rule or as unhealthy."""
@@ -103,7 +103,7 @@
         return ReportSums(*map(sum, zip(*recent))) if recent else NO_REPORTS
 
     def peer_load(self, now: int) -> float:
-        """Return the ops a second that other assigners' slices bring here, as far as they told lately."""
+        """Return the ops a second that other assigners' slices bring here, as far as they sent it lately."""
         return sum(ops for ops, heard_at in self.peer_loads.values() if now - heard_at < PEER_LOADS_VALID_NS)
 
     def zone_latency_s(self, last: int) -> float | None:
--- a/kestrelplank/policy/publication.py
+++ b/kestrelplank/policy/publication.py
@@ -96,17 +96,16 @@
                     self._orders += 1
 
     def _order_slices(self, now: int, changed: list[Slice], kept_nodes: Container[int], out: OrderWriter) -> None:
-        """Order slices while there is room, leaving endpoints on `kept_nodes` standing."""
+        """Order slices while there is room, without removing endpoints on `kept_nodes`."""
         exclusive = self._state.settings.exclusive_slices
         for owned in changed:
             if self._orders < self._room:
                 self._orders += self.hand_over(now, owned, out) if exclusive else order_slice(owned, kept_nodes, out)
 
     def hand_over(self, now: int, owned: Slice, out: OrderWriter) -> int:
-        """Order the next step of an exclusive slice's way to another node; return the number of orders.
+        """Order the next step of an exclusive slice's handover; return the number of orders.
 
-        The old endpoint goes; the new one comes once all proxies have acknowledged that and all writes are over
-        (rule 2).
+        The old endpoint goes; the new one comes once all proxies have acknowledged that and writes are over (rule 2).
         """
         if owned.ordered:
             out.set_endpoint(owned.number, next(iter(owned.ordered)), 0)
@@ -130,6 +129,6 @@
     changes += [(index, 0) for index in owned.ordered if index not in owned.desired and index not in kept_nodes]
     for index, weight in changes:
         out.set_endpoint(owned.number, index, weight)
-    standing = {index: weight for index, weight in owned.ordered.items() if index in kept_nodes}
-    owned.ordered = {**standing, **owned.desired}
+    kept = {index: weight for index, weight in owned.ordered.items() if index in kept_nodes}
+    owned.ordered = {**kept, **owned.desired}
     return len(changes)
--- a/kestrelplank/policy/slices.py
+++ b/kestrelplank/policy/slices.py
@@ -7,7 +7,7 @@
 
 
 class Slice:
-    """A slice with the endpoints it shall have and those that were ordered, node to weight."""
+    """A slice with its `desired` endpoints and those last `ordered`, node to weight."""
 
     def __init__(self, number: int) -> None:
         self.number = number
--- a/kestrelplank/policy/state.py
+++ b/kestrelplank/policy/state.py
@@ -1,4 +1,4 @@
-"""What an assigner knows: its nodes and slices, and what bears on decisions over both."""
+"""What an assigner knows: its nodes and slices, and what decisions on both share."""
 
 from random import Random
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -30,7 +30,7 @@
 from kestrelplank.policy.evacuation import evacuate
 from kestrelplank.policy.fleet_load import FleetLoad
 from kestrelplank.policy.load_shedding import LoadShedder
-from kestrelplank.policy.node import GONE, Node, NodeState, ReportSums
+from kestrelplank.policy.node import TO_EVACUATE, Node, NodeState, ReportSums
 from kestrelplank.policy.slices import Slice
 
 ROOT = Path(__file__).parent.parent
@@ -222,7 +222,7 @@
 )
 def test_a_node_long_gone_is_let_in_again_and_forgotten(state, named, held, ends):
     policy, out = fleet([state, "up"], {3: {0: 1.0} if named else {1: 1.0}} if held else {}), Orders()
-    policy.nodes[0].withdrawn = NodeState(state) in GONE
+    policy.nodes[0].withdrawn = NodeState(state) in TO_EVACUATE
     for beat in range(600):
         policy.round(beat * S // 10, [], out)
         if named:
