--- a/kestrelplank/decode.py
+++ b/kestrelplank/decode.py
@@ -1,8 +1,8 @@
 """What all adapters share: readers of fields, ids, and the settings that an assigner is made with.
 
 A reader takes one decoded value and returns it in our units, or raises Malformed with what was wrong. The
-settings are one object in both worlds: the simulator's first message holds it, and so does a real assigner's
-configuration. The program in service imports this module: it needs nothing but msgspec.
+settings are one object on both wires: the simulator's first message holds it, and so does the configuration of an
+assigner in service. The program in service imports this module: it needs nothing but msgspec.
 """
 
 import struct
@@ -14,15 +14,15 @@
 
 NS_PER_MS = 1_000_000
 MAX_NAMES = 65_536  # of nodes or zones held: against a party that never names the same one twice
-LARGEST = 1e300  # what cannot be reckoned with further; no comparison holds for what is not a number
-LARGEST_REPORTED = 1e9  # that one report may count, or last in ms: far above any, and sums of it stay sound
-PEER_LOADS = 2  # the first byte of datagrams that tell loads; membership's begin with another
+LARGEST = 1e300  # numbers from here on could overflow in sums; NaN is refused too, as no comparison with it holds
+LARGEST_REPORTED = 1e9  # a count or a time in ms in one report: far above any real one, and sums stay exact enough
+PEER_LOADS = 2  # the first byte of datagrams that hold loads; those of membership begin with another
 PEER_LOAD = struct.Struct("!Ie")  # checksum of a node's name, ops a second as a half-precision float: three digits
 MAX_PEER_LOADS = (256 - 1) // PEER_LOAD.size  # in a datagram
 LARGEST_PEER_LOAD = 65_504.0  # the largest half-precision float
 EFFECTS: dict[object, str] = {"pure": "retryable", "token": "deduplicated", "side_effect": "once-only"}
 PICKS: dict[object, str] = {"random": "random", "rotate": "rotate", "p2c": "two"}
-LEVELS: dict[object, str] = {"fraction": "share", "per_second": "rate", "none": ""}
+ADMISSION_KINDS: dict[object, str] = {"fraction": "share", "per_second": "rate", "none": ""}
 
 Value = TypeVar("Value")
 Default = TypeVar("Default")
@@ -34,9 +34,9 @@
 
 
 def checksum(name: NodeName) -> int:
-    """Return what a node goes by between assigners, as each numbers nodes in its own way.
+    """Return the checksum that names a node between assigners, as each has indices of its own.
 
-    Two of 200 nodes share one on a day in two hundred thousand: each one's figures pass for the other's.
+    Two of 200 nodes share one on a day in two hundred thousand: the loads of one then count for the other.
     """
     return crc32(str(name).encode())
 
@@ -44,7 +44,7 @@
 class Ids:
     """Small indices for one instance's nodes, zones and op types, given out in order of appearance.
 
-    None is given twice: what is still under way for a node that was forgotten must not meet another.
+    No index is given twice: what is still under way for a node that was forgotten must not meet another.
 
     :param read_node: reads what a node is called on the wire, a number or a text.
     """
@@ -53,7 +53,7 @@
         self._read_node = read_node
         self.nodes: dict[NodeName, int] = {}
         self.node_ids: dict[int, NodeName] = {}
-        self.checksums: dict[int, int] = {}  # what nodes go by between assigners, to their indices
+        self.checksums: dict[int, int] = {}  # of nodes' names, to their indices
         self._given = 0
         self.zones: dict[str, int] = {}
         self.op_types: dict[str, int] = {}
@@ -93,7 +93,7 @@
     def op_type(self, value: object) -> int:
         """Return the index of an op type that the settings name.
 
-        :raises Malformed: they name none such.
+        :raises Malformed: the settings do not name it.
         """
         name = text(value)
         if name not in self.op_types:
@@ -104,7 +104,7 @@
 def parse_json(data: bytes) -> object:
     """Return JSON as plain values.
 
-    :raises Malformed: it is none, or nested too deeply.
+    :raises Malformed: it is not JSON, or nested too deeply.
     """
     try:
         return msgspec.json.decode(data)
@@ -113,7 +113,7 @@
 
 
 def number(value: object) -> float:
-    """Return a number that can be reckoned with; a truth value is none."""
+    """Return a finite number below `LARGEST`; a truth value is refused."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < LARGEST:
         refuse("a number", value)
     return value
@@ -284,7 +284,7 @@
         "report_every": read("Specifics.ReportEvery", duration_from_ms, NS_PER_MS * 1000),
         "strikes": read("Specifics.Strikes", non_negative_int, 0),
         "pick": read("Specifics.Pick", _pick, "random"),
-        "levels": read("Specifics.LevelKind", _level_kind, ""),
+        "levels": read("Specifics.LevelKind", _admission_kind, ""),
         "usual_again": read("Specifics.BaseMode", non_negative_int, 0),
         "first_wait": read("Specifics.FirstWait", non_negative, 1.0),
         "warm_keys": read("Specifics.WarmKeys", truth_value, False),
@@ -322,15 +322,15 @@
     return PICKS.get(value, "random")
 
 
-def _level_kind(value: object) -> str:
-    """Return what levels of shedding are, none where the word is not known."""
-    return LEVELS.get(value, "")
+def _admission_kind(value: object) -> str:
+    """Return how op types can be admitted in part; empty where they can't be, or the word is not known."""
+    return ADMISSION_KINDS.get(value, "")
 
 
 def encode_peer_loads(loads: Mapping[int, float], names: Mapping[int, NodeName]) -> list[bytes]:
-    """Return datagrams of at most 256 bytes that tell other assigners the loads of nodes.
+    """Return datagrams of at most 256 bytes that hold the loads of nodes, for other assigners.
 
-    Each stands for itself, as any may be lost: it names some nodes, and says nothing of the others.
+    Each can be read without the others, as any may be lost: it holds some nodes, and says nothing of the rest.
 
     :param loads: ops a second by node.
     :param names: the nodes' names.
@@ -343,9 +343,9 @@
 
 
 def decode_peer_loads(body: bytes, ids: Ids) -> list[tuple[int, float]] | None:
-    """Return the loads in such a datagram, ops a second by node; None for what is none.
+    """Return the loads in such a datagram, ops a second by node; None for any other datagram.
 
-    Nodes that are not known and loads that can't be are passed over.
+    Unknown nodes and impossible loads are skipped.
     """
     if body[:1] != bytes([PEER_LOADS]) or (len(body) - 1) % PEER_LOAD.size:
         return None
--- a/kestrelplank/interface.py
+++ b/kestrelplank/interface.py
@@ -1,4 +1,4 @@
-"""What the decision module receives and what it may order.
+"""What the policy receives and what it may order.
 
 Nodes, zones, slices, proxies and op types are small indices given out by whoever decodes the wire; an absent value is
 None. A duration is whole ns and its name ends in `_ns`; an instant of the steady clock ends in `_at`.
@@ -40,7 +40,7 @@
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
-    WITHDRAWN = "withdrawn"
+    WITHDRAWN = "withdrawn"  # the simulator's wire has this verdict and the next, and uses neither
     VOID = "void"
 
 
@@ -74,7 +74,7 @@
 
 
 class SliceOwnership(msgspec.Struct, frozen=True):
-    """A slice is given to this assigner, or taken back."""
+    """This assigner has become the owner of a slice, or is it no longer."""
 
     slice: int
     owned: bool
@@ -112,7 +112,7 @@
 
 
 class WatermarkAcknowledged(msgspec.Struct, frozen=True):
-    """A proxy has applied everything up to a watermark, so long after that was ordered."""
+    """A proxy has applied everything up to a watermark, `latency_ns` after that was ordered."""
 
     proxy: int
     watermark: int
@@ -161,7 +161,7 @@
 
 
 class PeerMessage(msgspec.Struct, frozen=True):
-    """A datagram from a peer that tells no loads."""
+    """A datagram from a peer that does not hold loads."""
 
     sender: int
     body: bytes | None
@@ -195,7 +195,7 @@
     | PeerMessage
     | PeerLoads
     | TimerFired
-)  # all that the decision module takes, a round's at once
+)  # all that the policy takes, a round's at once
 
 
 class OpTypeSettings(msgspec.Struct, frozen=True, rename={"target_latency_ns": "target_latency"}):
@@ -237,12 +237,12 @@
     :param orders_per_s: orders that leave the channel in a second, in sum of all proxies.
     :param subscribes_to_nodes: node lists come only once asked for.
     :param load_window_ns: how much of the past loads rest on; five report intervals where None.
-    :param overload_multiple: a node that gets so many times what it can take tips over.
+    :param overload_multiple: a node that gets so many times what it can take fails by overload.
     :param only_draining_binds: a node that a list merely drops may still be sound.
     :param cold_capacity_share: what a node can do right after its start, of all that it can do warm.
     :param exclusive_slices: a slice has one owner at a time, and no write of a slice may go to two.
-    :param initial_retry_mode: the way of trying again that proxies begin with.
-    :param pick: how proxies pick among endpoints of a table; "two" picks the idler of two.
+    :param initial_retry_mode: the retry mode that proxies begin with; `parameters.RETRY_MODE` is what we order.
+    :param pick: how proxies pick among endpoints of a table; "two" picks the less loaded of two.
     :param admission: "share" where op types can be admitted in part.
     :param withdrawal_deadline_ns: proxies must have stopped sending to a draining node so long after its list.
     :param write_timeout_ns: the longest that a write may run.
@@ -292,12 +292,12 @@
         """Keep joined proxies from a node whatever their tables say, or let them send to it again."""
 
     def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
-        """Set the share let in and the way of trying again; `op_types` is a bit mask, 0 for all."""
+        """Set the admitted share and the retry mode; `op_types` is a bit mask, 0 for all."""
 
     def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:
         """Ask proxies to acknowledge once they have applied what this round orders.
 
-        :param backlog_ns: how long what waits in the channel before it takes to leave; nobody can answer sooner.
+        :param backlog_ns: time until what waits in the channel before it has left; nobody can answer sooner.
         """
 
     def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:
@@ -322,7 +322,7 @@
         """Ask for a `TimerFired` at an instant."""
 
     def forget_node(self, node: int) -> None:
-        """Release a node of which the module holds nothing any more; its name may come again with another index."""
+        """Release a node of which the policy keeps nothing any more; its name may come again with another index."""
 
     def log(self, text: str) -> None:
         """Leave a line in the log."""
--- a/kestrelplank/simulator_protocol/__init__.py
+++ b/kestrelplank/simulator_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that drives the decision module over the wire of the operators' simulator; it decides nothing itself."""
+"""The adapter that drives the policy over the wire of the operators' simulator; it decides nothing itself."""
--- a/kestrelplank/simulator_protocol/host.py
+++ b/kestrelplank/simulator_protocol/host.py
@@ -1,4 +1,4 @@
-"""Hosts one assigner's policy an instance, and hands each its events of a batch."""
+"""Keeps a `Policy` for each instance that the simulator has created, and runs each on its events of a batch."""
 
 import sys
 from collections.abc import Sequence
@@ -37,7 +37,7 @@
         self._now: int | None = None
 
     def read(self, raw: bytes, line_number: int) -> list[bytes] | None:
-        """Take one line of input; return the reply's lines once a batch is complete, else None."""
+        """Handle one line of input; return the reply's lines once a batch is complete, else None."""
         try:
             return self._read(raw)
         except Malformed as err:
@@ -62,6 +62,7 @@
         return None
 
     def _begin_batch(self, message: Sequence[object]) -> None:
+        """Drop what is left of an unfinished batch, and take the new one's clock."""
         self._events = {}
         try:
             self._now = duration_from_ms(field_at(message, 1))
@@ -69,7 +70,7 @@
             raise Malformed(f"ROUND, field clock: {err}") from None
 
     def _take(self, now: int, message: Sequence[object]) -> None:
-        """Take one line that concerns one instance."""
+        """Handle one line that concerns one instance."""
         name = message[0]
         try:
             number = non_negative_int(field_at(message, 1))
@@ -87,16 +88,18 @@
             self._events.setdefault(number, []).append(event)
 
     def _create(self, now: int, number: int, message: Sequence[object]) -> None:
+        """Create an instance; it has a round in this batch also without events."""
         try:
             seed = non_negative_int(field_at(message, 2))
         except Malformed as err:
             raise Malformed(f"CREATE, field RandomSeed: {err}") from None
         ids = Ids(non_negative_int)
-        found = read_settings(field_at(message, 3), ids, "CREATE, field Conf")
-        self.instances[number] = Instance(Policy(now, seed, PolicySettings.from_mapping(found)), ids)
+        settings = read_settings(field_at(message, 3), ids, "CREATE, field Conf")
+        self.instances[number] = Instance(Policy(now, seed, PolicySettings.from_mapping(settings)), ids)
         self._events[number] = []
 
     def _reply(self) -> list[bytes]:
+        """Run a round of each instance that got events, and return the reply's lines."""
         reply: list[bytes] = []
         for number, events in self._events.items():
             policy, ids = self.instances[number]
--- a/kestrelplank/simulator_protocol/orders.py
+++ b/kestrelplank/simulator_protocol/orders.py
@@ -8,7 +8,7 @@
 from kestrelplank.decode import NS_PER_MS, Ids, encode_peer_loads
 from kestrelplank.interface import ALL_TABLES
 
-EVERY_TABLE = 65535
+EVERY_TABLE = 65535  # on this wire, for ALL_TABLES
 
 
 class OrderLines:
