--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kestrelplank`: one real assigner, told all it needs by the file that $NODE_CONFIG names."""
+"""`python -m kestrelplank`: the assigner in service, configured by the file that $NODE_CONFIG names."""
 
 import gc
 import os
@@ -42,12 +42,12 @@
     name: str
     listen_address: str
     discovery_address: str
-    update_source_address: str
+    update_source_address: str  # the relay, which sends updates and takes orders; `hub.address` in the file
     peer_listen_address: str
     peer_addresses: list[str]
     all_peers_address: str
     seed: int
-    known_nodes: object  # as discovery tells them, from an earlier run
+    known_nodes: object  # as discovery sent them in an earlier run
     settings: dict[str, Any]  # as `decode.read_settings` returns them
 
 
@@ -123,7 +123,7 @@
 
 
 class Signals:
-    """Signals as bytes on a socket of the loop's: nothing of ours runs inside a handler.
+    """Runs callbacks for signals from the loop, which reads them as bytes of a socket: no handler runs code of ours.
 
     :param callbacks: what to call, by the signal's number.
     """
@@ -156,7 +156,7 @@
 
 
 class Program:
-    """One assigner in service: its parts, made in the order in which they need each other.
+    """One assigner in service: its components, made in the order in which they need each other.
 
     What only an operator's file brings is imported and made only with one (tests/cli/test_cli.py,
     `test_the_platforms_run_imports_nothing_new`).
@@ -167,7 +167,7 @@
     def __init__(self, ids: Ids, configuration: AssignerConfiguration, operator: "OperatorSettings | None") -> None:
         self._ids, self._configuration = ids, configuration
         self._settings = configuration.settings
-        self._loop = Loop(lambda err: self._counters.defect(err))
+        self._loop = Loop(lambda err: self._counters.defect(err))  # a lambda, as the counters need its clock first
         self._counters = Counters(logger(configuration.name), self._loop.now)
         self._pool = Pool(BUFFER_BYTES, BUFFERS)
         self._node_files: NodeFiles | None = None
@@ -204,7 +204,7 @@
             },
         )
 
-    # The parts.
+    # Components.
 
     def _new_order_queue(self) -> OrderQueue:
         return OrderQueue(
@@ -308,12 +308,14 @@
         self._rounds.on_event(event)
 
     def _on_discovery_event(self, event: Event) -> None:
+        """Pass a node list on, by way of the watched files where there are any: they are merged into it."""
         if self._node_files is not None:
             self._node_files.on_event(event)
         else:
             self._on_event(event)
 
     def _on_datagram(self, event: Event) -> None:
+        """Pass a datagram on: loads to the policy, other messages to membership where the operator wants it."""
         if self._membership is not None and isinstance(event, PeerMessage):
             self._membership.take(event.sender, event.body or b"")
         else:
@@ -345,7 +347,7 @@
             self._node_files.reload(operator.nodes)
 
     def close(self) -> None:
-        """Close every part, and log the counters a last time."""
+        """Close every component, and log the counters a last time."""
         for part in (
             self._telemetry,
             self._proxy_updates,
--- a/kestrelplank/assigner/__init__.py
+++ b/kestrelplank/assigner/__init__.py
@@ -1,1 +1,1 @@
-"""The assigner in service: adapters between the decision module and the parties on sockets. They place nothing."""
+"""The assigner in service: adapters between the policy and its peers on sockets. They decide nothing."""
--- a/kestrelplank/assigner/counters.py
+++ b/kestrelplank/assigner/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what is received, sent and answered, and a log that one party's faults can't flood."""
+"""Counts of what is received, sent and answered, and a log with a bounded rate for each kind of fault."""
 
 import os
 import select
@@ -49,7 +49,7 @@
 
 
 class LogWindow:
-    """How much of one kind was logged since when."""
+    """How many lines of one kind were logged since the window began."""
 
     __slots__ = ("logged", "since")
 
@@ -70,7 +70,7 @@
         self.counts[name] += number
 
     def trouble(self, name: str, why: object, **fields: object) -> None:
-        """Count a fault, and log it unless much of its kind was logged lately."""
+        """Count a fault, and log it, at most `MOST_LOGGED` of its kind in a window."""
         self.add(name)
         now, window = self._clock(), self._windows.setdefault(name, LogWindow())
         if now - window.since > LOG_WINDOW_NS:
--- a/kestrelplank/assigner/health_checks.py
+++ b/kestrelplank/assigner/health_checks.py
@@ -46,7 +46,7 @@
         self._checks: dict[int, NodeCheck] = {}  # those used last come last
 
     def check(self, node: int) -> None:
-        """Check a node, unless a check of it is out."""
+        """Check a node, unless a check of it is in flight."""
         to = self._address_of(node)
         if not self._allowed or not to:
             self.counters.trouble("probes_not_sent", "not allowed" if to else f"node {node} has no address")
@@ -71,13 +71,13 @@
         return to
 
     def forget(self, node: int) -> None:
-        """Give a node's connection back."""
+        """Close a node's connection."""
         check = self._checks.pop(node, None)
         if check:
             check.client.close()
 
     def close(self) -> None:
-        """Give all connections back."""
+        """Close all connections."""
         for check in self._checks.values():
             check.client.close()
 
@@ -90,25 +90,25 @@
         self.client = Client(checks.loop, checks.pool, to, self, checks.dial_timeout_ns, MOST_BODY_BYTES)
 
     def ask(self) -> None:
-        """Send a check, unless one is out."""
+        """Send a check, unless one is in flight."""
         if not self.client.busy:
             self._checks.counters.add("probes_sent")
             self._asked_at = self._checks.loop.now()
             self.client.call("GET", self._checks.path, b"", ANSWER_TIMEOUT_NS)
 
     def on_answer(self, status: int, body: bytes) -> None:
-        """Take what the node answered."""
+        """Handle the node's answer."""
         verdict = VERDICTS_OF_STATUS.get(status, HealthVerdict.FAILED)
         load = NodeLoad()
         try:
             pairs = (pair.split("=") for pair in body.decode(errors="replace").strip().split(","))
             load = read_load(pairs) if verdict is HealthVerdict.OK else load
         except Malformed:
-            pass  # the verdict holds without it
+            pass  # the verdict stands without the load
         self._report(verdict, load)
 
     def on_broken(self, why: str) -> None:
-        """Take that no answer came."""
+        """Handle a check that got no answer."""
         self._report(VERDICTS_OF_FAILURE.get(why, HealthVerdict.BROKEN), NodeLoad())
 
     def _report(self, verdict: HealthVerdict, load: NodeLoad) -> None:
--- a/kestrelplank/assigner/membership_gossip.py
+++ b/kestrelplank/assigner/membership_gossip.py
@@ -12,10 +12,10 @@
 
 
 class MembershipGossip:
-    """Ticks the membership, takes its datagrams, and shows what it knows.
+    """Drives `Membership`: ticks it, feeds it datagrams, sends its own, and shows what it knows.
 
     :param send: `send(None, body)` sends to all.
-    :param nodes: the nodes as the decision module sees them.
+    :param nodes: the nodes as the policy sees them.
     :param best: what a node acknowledges in a second at its best.
     """
 
@@ -47,7 +47,7 @@
         self._timer = self._loop.at(now + self._interval_ns, self._tick)
 
     def take(self, sender: int, body: bytes) -> None:  # noqa: ARG002  the body names the sender
-        """Take a datagram."""
+        """Handle a peer's datagram."""
         try:
             self._counters.add("members_news" if self._membership.receive(self._loop.now(), body) else "members_old")
         except MalformedDatagramError as err:
@@ -61,9 +61,9 @@
         return {
             "view": view.version,
             "alive": view.alive,
-            "zones": {zone: found._asdict() for zone, found in zones.items()},
+            "zones": {zone: sums._asdict() for zone, sums in zones.items()},
         }
 
     def close(self) -> None:
-        """Tick no longer."""
+        """Stop ticking."""
         self._timer.cancel()
--- a/kestrelplank/assigner/node_discovery.py
+++ b/kestrelplank/assigner/node_discovery.py
@@ -1,7 +1,7 @@
 """The node list: what the configuration remembers, then a watch on the agent of our own machine.
 
-What the agent has written counts as told to us, also on a connection that has silently died. So it is polled for its
-version, which costs nothing, and a watch that lies behind is replaced.
+What the agent has written counts as received by us, also on a connection that has silently died. So the agent is polled
+for its version, which costs nothing, and a watch that lags behind is replaced.
 """
 
 from collections.abc import Callable, Mapping
@@ -41,7 +41,7 @@
     longest_pause_ns=500 * NS_PER_MS,
     most_line_bytes=MOST_LIST_BYTES,
 )
-POLL_INTERVAL_NS = 400 * NS_PER_MS  # the shortest grace leaves a second for an order to be made and to arrive
+POLL_INTERVAL_NS = 400 * NS_PER_MS  # so an order still has a second to arrive within the shortest deadline
 ANSWER_TIMEOUT_NS = 300 * NS_PER_MS
 
 
@@ -52,14 +52,20 @@
     """
 
     def __init__(
-        self, loop: Loop, pool: Pool, counters: Counters, at: str, ids: Ids, on_event: Callable[[Event], None]
+        self,
+        loop: Loop,
+        pool: Pool,
+        counters: Counters,
+        agent_address: str,
+        ids: Ids,
+        on_event: Callable[[Event], None],
     ) -> None:
         self._loop, self._pool, self._counters, self._ids = loop, pool, counters, ids
-        self._address, self._on_event = at, on_event
+        self._address, self._on_event = agent_address, on_event
         self.addresses: dict[int, str] = {}
         self._version = 0
         self._list_received = False  # anything but what was remembered
-        self._client = Client(loop, pool, at, self, DIAL_TIMEOUT_NS, MOST_LIST_BYTES)
+        self._client = Client(loop, pool, agent_address, self, DIAL_TIMEOUT_NS, MOST_LIST_BYTES)
         self._fetch_wanted = False
         self._watch: Stream | None = None
         self._poll_timer: Timer | None = None
@@ -74,11 +80,11 @@
         self._watch = Stream(self._loop, self._pool, self._address, self, WATCH_LIMITS)
         self._poll()
 
-    def move(self, at: str) -> None:
+    def move(self, agent_address: str) -> None:
         """Go to the agent at another address."""
-        self._client.move(at)
+        self._client.move(agent_address)
         if self._watch:
-            self._watch.move(at)
+            self._watch.move(agent_address)
 
     def forget(self, node: int) -> None:
         """Release a node's address."""
@@ -108,7 +114,7 @@
             self._client.call("GET", PATH, b"", ANSWER_TIMEOUT_NS)
 
     def on_answer(self, status: int, body: bytes) -> None:
-        """Take the answer to a poll."""
+        """Handle the answer to a poll."""
         try:
             if status != HTTP_OK:
                 raise Malformed(f"status {status}")
@@ -117,18 +123,19 @@
             self.on_broken(str(err))
 
     def _take_answer(self, message: Mapping[str, object]) -> None:
-        ahead = non_negative_int(message.get("generation")) - self._version
+        """Take the list that the agent has where a fetch asked for it, else only compare its version with ours."""
+        versions_ahead = non_negative_int(message.get("generation")) - self._version
         if self._fetch_wanted:
             self._take(message, None)
             self._fetch_wanted = False
-        elif not ahead and not self._list_received:  # the watch has nothing to say: what was remembered is the list
+        elif not versions_ahead and not self._list_received:  # no change will come: the remembered list holds
             self._take({**message, "reset": False, "instances": []}, None)
-        elif ahead > 0 and self._watch:
+        elif versions_ahead > 0 and self._watch:
             self._counters.add("watches_behind")
             self._watch.drop("lies behind")
 
     def on_broken(self, why: str) -> None:
-        """Take that a poll has failed."""
+        """Handle a failed poll."""
         self._counters.trouble("lists_broken", why)
         if self._fetch_wanted:
             self._fetch_wanted = False
@@ -144,16 +151,16 @@
         """Do nothing: changes follow."""
 
     def on_stream_end(self, why: str) -> None:
-        """Take that the watch has ended; it begins again by itself."""
+        """Count that the watch has ended; it begins again by itself."""
         self._counters.trouble("discovery_broken", why)
 
     def on_stream_line(self, line: bytes) -> None:
-        """Take a change of the list."""
+        """Handle a change of the list."""
         if not line.strip():
             return
         try:
             self._take(object_value(parse_json(line)), None)
-        except Malformed as err:  # the next would go on from changes that are lost: they must be told anew
+        except Malformed as err:  # the next would go on from changes that are lost: they must be sent again
             self._counters.trouble("lists_skipped", err)
             if self._watch:
                 self._watch.drop("unreadable")
@@ -161,6 +168,7 @@
     # Lists.
 
     def _take(self, message: Mapping[str, object], kind: NodeListKind | None) -> None:
+        """Emit the list in a message as an event; where `kind` is None the message says which kind it is."""
         instances, version = list_value(message.get("instances")), non_negative_int(message.get("generation"))
         if kind is None:
             kind = NodeListKind.FULL if truth_value(message.get("reset")) else NodeListKind.DELTA
@@ -175,6 +183,7 @@
         self._on_event(NodeListUpdate(kind, entries))
 
     def _read_entry(self, instance: Mapping[str, object]) -> NodeEntry:
+        """Return one entry of a list, and keep its address."""
         condition = read_condition(instance.get("lifecycle"))
         zone, cell = instance.get("zone"), instance.get("cell")
         weight, started, address = instance.get("weight"), instance.get("startedAtMs"), instance.get("hostPort")
--- a/kestrelplank/assigner/operator_features.py
+++ b/kestrelplank/assigner/operator_features.py
@@ -18,7 +18,7 @@
 
 
 def observed_nodes(policy: Policy, now: int) -> list[ObservedNode]:
-    """Return the module's nodes, as means over its reports."""
+    """Return the policy's nodes with rates averaged over their report periods."""
     observed = []
     for node in policy.nodes.values():
         seconds = max(1, len(node.periods)) * policy.state.period_ns / SECOND
@@ -47,9 +47,9 @@
     if peers is None:
         counters.trouble("members_off", "the settings allow no datagrams between conductors")
         return None
-    terms = DetectorSettings(file.heartbeat_interval_ns, file.suspect_phi, file.dead_phi, file.min_missed_heartbeats)
+    detector = DetectorSettings(file.heartbeat_interval_ns, file.suspect_phi, file.dead_phi, file.min_missed_heartbeats)
     incarnation = int(time.time()) & 0xFFFFFFFF  # grows with each start, unless the clock has been set back past it
-    core = Membership(loop.now(), settings["ordinal"], incarnation, settings["conductors"], terms)
+    core = Membership(loop.now(), settings["ordinal"], incarnation, settings["conductors"], detector)
     return MembershipGossip(
         loop,
         counters,
--- a/kestrelplank/assigner/order_queue.py
+++ b/kestrelplank/assigner/order_queue.py
@@ -1,8 +1,8 @@
 """Orders to the relay: one queue, one call out.
 
-What may not have been carried out is sent again complete before anything newer. Orders set state, so carrying one out
-twice changes nothing. Nothing is sent while the updates of proxies are away: a slice may have passed through other
-hands meanwhile, and what waits here for it must go before it can do harm.
+A call whose outcome is unknown is sent again complete before anything newer. Orders set state, so carrying one out
+twice changes nothing. Nothing is sent while the stream of updates is down: another assigner may own a slice meanwhile,
+and orders that wait here for such a slice must be dropped unsent.
 """
 
 from collections import deque
@@ -19,15 +19,15 @@
 from kestrelplank.sockets.loop import Loop, Timer
 
 PATH = "/api/batches"
-HEAD, TAIL = b'{"ops":[', b"]}"
+CALL_HEAD, CALL_TAIL = b'{"ops":[', b"]}"
 MOST_CALL_BYTES = 60_000
 MOST_ANSWER_BYTES = 1 << 14
 MOST_QUEUED_BYTES = 1 << 18  # see `is_full`
-RELAY_ANSWER_TIMEOUT_NS = 50 * NS_PER_MS  # the relay's own word; after that no answer comes any more
+RELAY_ANSWER_TIMEOUT_NS = 50 * NS_PER_MS  # as the relay states; after that no answer comes any more
 ANSWER_TIMEOUT_NS = RELAY_ANSWER_TIMEOUT_NS + 30 * NS_PER_MS  # with the way there and back, and our own lateness
 FIRST_RETRY_NS, LONGEST_RETRY_NS = 20 * NS_PER_MS, 200 * NS_PER_MS  # before the same call is sent again
 MOST_ATTEMPTS = 5  # of a call that the relay calls malformed: a defect of ours must not stop the queue
-MARKS = 65_536  # numbers of marks on the wire
+MARKS = 65_536  # how many marks the wire has; see `OrderQueue`
 
 
 class Order(NamedTuple):
@@ -40,7 +40,7 @@
 
 
 def set_in_store(endpoints: dict[int, float], node: int, weight: float) -> None:
-    """Do to a table what one endpoint's order does in the store."""
+    """Change a table as one endpoint's order changes it in the store."""
     if weight:
         endpoints[node] = weight
     else:
@@ -55,8 +55,8 @@
 class OrderQueue:
     """Sends a round's orders as one call, and keeps account of what the store holds.
 
-    Marks go out counted from `first_mark`, which is another at each start: an answer to a mark of a former incarnation
-    then means none of ours, as the module counts its watermarks from 0 each time.
+    A mark is what the wire has for a watermark of the policy: the watermark plus `first_mark`, which is another at each
+    start. The policy counts watermarks from 0 each time, and late answers to a former incarnation's must match none.
 
     :param transit_ns: the longest way of an order to a proxy and of its acknowledgement back.
     """
@@ -66,7 +66,7 @@
         loop: Loop,
         pool: Pool,
         counters: Counters,
-        to: str,
+        relay_address: str,
         ids: Ids,
         op_types: list[str],
         first_mark: int,
@@ -74,27 +74,27 @@
     ) -> None:
         self._loop, self._counters, self._ids, self._op_types = loop, counters, ids, op_types
         self._first_mark, self._transit_ns = first_mark, transit_ns
-        self._client = Client(loop, pool, to, self, DIAL_TIMEOUT_NS, MOST_ANSWER_BYTES)
+        self._client = Client(loop, pool, relay_address, self, DIAL_TIMEOUT_NS, MOST_ANSWER_BYTES)
         self._round: list[Order] = []  # what the present round has ordered
-        self._queue: deque[list[Order]] = deque()  # calls to be made, the first of them may be out
+        self._queue: deque[list[Order]] = deque()  # calls to be made; the first of them may be in flight
         self._queued_bytes = 0
-        self._store: dict[int, dict[int, float]] = {}  # endpoints of our slices, as told and as answered for
-        self._suspended = True  # updates of proxies are away
+        self._store: dict[int, dict[int, float]] = {}  # endpoints of our slices, by updates and by answered calls
+        self._suspended = True  # while the stream of updates is down
         self._answer: tuple[int, bytes] | None = None  # came while suspended
         self._retry_timer: Timer | None = None  # set while the first call's outcome is unknown
         self._retry_ns, self._attempts = FIRST_RETRY_NS, 0
         self._last_watermark: int | None = None
-        self._backlog_ns: dict[bytes, int] = {}  # by fence that is queued: how long nobody can answer it once sent
-        self._outdated: set[int] = set()  # slices lost or given while the call that may order for them is out
+        self._backlog_ns: dict[bytes, int] = {}  # by encoded fence in the queue: see `request_acknowledgement`
+        self._outdated: set[int] = set()  # slices lost or given while the call in flight may order for them
 
-    def move(self, to: str) -> None:
+    def move(self, relay_address: str) -> None:
         """Send calls to the relay at another address."""
-        self._client.move(to)
+        self._client.move(relay_address)
 
     def is_full(self) -> bool:
-        """Whether no further round should be held.
+        """Whether no further round should run.
 
-        Against a relay that is away for long while nothing else slows the module down.
+        Bounds the queue while the relay is unreachable, as nothing else then slows the policy down.
         """
         return self._queued_bytes > MOST_QUEUED_BYTES
 
@@ -104,7 +104,7 @@
             self._retry_timer.cancel()
         self._client.close()
 
-    # What the module orders.
+    # Orders of the policy.
 
     def set_endpoint(self, table: int, node: int, weight: float) -> None:
         """Order one endpoint of a table."""
@@ -120,7 +120,7 @@
         self._add({"verb": "eject" if withdrawn else "uneject", "endpoint": self._ids.node_ids[node]})
 
     def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
-        """Order the share let in and the way of trying again."""
+        """Order the admitted share and the retry mode."""
         cluster = "*" if table == ALL_TABLES else table
         order: dict[str, object] = {"verb": "gate", "cluster": cluster, "gate": share, "again": retry_mode}
         if op_types:
@@ -134,7 +134,7 @@
         self._backlog_ns[self._round[-1].encoded] = backlog_ns
 
     def watermark_of(self, mark: int) -> int:
-        """Return the watermark that the module knows by that mark of the wire."""
+        """Return the watermark that the policy knows by that mark of the wire."""
         return (mark - self._first_mark) % MARKS
 
     def _add(
@@ -144,7 +144,7 @@
         self._round.append(Order(msgspec.json.encode(order), table, node, weight))
 
     def close_round(self) -> None:
-        """Queue what the round ordered as one call, or as several where it is too long.
+        """End a round: queue what it ordered as one call, or as several where it is too long.
 
         Calls are never merged, so a mark proves what its round ordered and nothing later.
         """
@@ -153,7 +153,7 @@
         size = MOST_CALL_BYTES
         for order in orders:
             if size + len(order.encoded) + 1 > MOST_CALL_BYTES:
-                size, call = len(HEAD) + len(TAIL), []
+                size, call = len(CALL_HEAD) + len(CALL_TAIL), []
                 self._queue.append(call)
             call.append(order)
             size += len(order.encoded) + 1
@@ -164,14 +164,14 @@
         """Release a node's name."""
         self._ids.forget(node)
 
-    # What the updates of proxies tell.
+    # Called as updates arrive.
 
     def suspend(self) -> None:
-        """Send nothing: the updates are away."""
+        """Send nothing until `resume`: the stream of updates is down."""
         self._suspended = True
 
     def resume(self) -> None:
-        """Go on: the updates have told all that holds."""
+        """Send again: the updates have been reconciled."""
         self._suspended = False
         if self._answer:
             answer, self._answer = self._answer, None
@@ -179,21 +179,21 @@
         self._send_next()
 
     def slice_given(self, number: int) -> None:
-        """Take that a slice's endpoints are told anew; what waits for it was decided on others."""
+        """Begin to keep a slice's endpoints; orders that wait for it were decided on older ones, and are dropped."""
         self._drop_orders_for(number)
         self._store[number] = {}
 
     def slice_taken_back(self, number: int) -> None:
-        """Take that a slice is ours no longer."""
+        """Forget a slice that is ours no longer, and drop what waits for it."""
         self._drop_orders_for(number)
         self._store.pop(number, None)
 
     def endpoint_stored(self, number: int, node: int, weight: float) -> None:
-        """Take one endpoint that the store holds."""
+        """Keep one endpoint that the store holds."""
         set_in_store(self._store.setdefault(number, {}), node, weight)
 
     def explains(self, number: int, endpoints: Mapping[int, float]) -> bool:
-        """Whether the store may hold these by our orders alone, with the call of unknown outcome or without it."""
+        """Whether our orders alone explain these endpoints, with the call of unknown outcome or without it."""
         held = dict(self._store.get(number, {}))
         if held == endpoints:
             return True
@@ -204,7 +204,7 @@
     def request_lost_acknowledgements(self, acknowledged: Iterable[int]) -> None:
         """Ask again for the answers to the last watermark that were lost with the updates.
 
-        The module would wait for them and order nothing more.
+        The policy would wait for them and order nothing more.
 
         :param acknowledged: the last watermark that each proxy is known to have applied.
         """
@@ -215,10 +215,10 @@
             self.close_round()
 
     def mark_acknowledged(self, mark: int) -> None:
-        """Take that a proxy has answered a mark.
+        """Handle a proxy's answer to a mark.
 
-        Where it ends the call of unknown outcome, the call was carried out: it is not sent again, as its orders would
-        wait in the channel twice (rule 5).
+        Where the mark ends the call of unknown outcome, the call was carried out: it is not sent again, as its orders
+        would wait in the channel twice (rule 5).
         """
         if self._retry_timer and self._queue and self._queue[0][-1].encoded == msgspec.json.encode(fence(mark)):
             self._counters.add("calls_proved")
@@ -228,7 +228,7 @@
             self._call_ended()
 
     def _drop_orders_for(self, number: int) -> None:
-        """Drop what waits for a slice; of the call that is out, when it turns out to be sent again."""
+        """Drop orders that wait for a slice; those of the call in flight only if it has to be sent again."""
         for call in self._queue:
             if call is self._queue[0] and (self._client.busy or self._answer):
                 self._outdated.add(number)
@@ -257,14 +257,14 @@
             self._backlog_ns.clear()
         if self._queue and not self._client.busy and self._retry_timer is None and not self._suspended:
             self._counters.add("calls_sent")
-            body = HEAD + b",".join(order.encoded for order in self._queue[0]) + TAIL
+            body = CALL_HEAD + b",".join(order.encoded for order in self._queue[0]) + CALL_TAIL
             self._client.call("POST", PATH, body, ANSWER_TIMEOUT_NS)
 
     def on_answer(self, status: int, body: bytes) -> None:
-        """Take the relay's answer.
+        """Handle the relay's answer.
 
-        One that comes while suspended waits: what holds may be told as before that call or as after it, and `explains`
-        must allow for both.
+        One that comes while suspended is kept: the updates may show the state before that call or after it, and
+        `explains` must allow for both.
         """
         if self._suspended:
             self._answer = status, body
@@ -272,7 +272,7 @@
             self._take_answer(status, body)
 
     def on_broken(self, why: str) -> None:
-        """Take that no answer came."""
+        """Handle a call without an answer."""
         self._retry_later("calls_broken", why)
 
     def _take_answer(self, status: int, body: bytes) -> None:
@@ -288,7 +288,7 @@
         self._carried_out(taken)
         if call:
             self._counters.trouble("orders_dropped", f"not taken: {call[0].encoded!r}")
-            self._remove_first(1)  # the relay can't use that one; what comes behind it still counts
+            self._remove_first(1)  # the relay can't use that one; the rest goes on
         self._call_ended()
 
     def _take_error(self, error: object, why: str) -> None:
--- a/kestrelplank/assigner/peer_datagrams.py
+++ b/kestrelplank/assigner/peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between the assigners of a tier."""
+"""Datagrams between the assigners of an installation."""
 
 import socket
 from collections.abc import Callable, Mapping
@@ -14,7 +14,7 @@
 
 
 class PeerDatagrams:
-    """Sends datagrams to peers, and hears no strangers.
+    """Sends datagrams to peers, and takes them from peers only.
 
     :param listen: our own address.
     :param peers: addresses of the peers, by number.
@@ -49,7 +49,7 @@
         try:
             self._sock.sendto(body, to)
             self._counters.add("datagrams_sent")
-        except OSError as err:  # they may be lost anyway
+        except OSError as err:  # a datagram may be lost anyway
             self._counters.trouble("datagrams_not_sent", err)
 
     def share_loads(self, loads: Mapping[int, float]) -> None:
@@ -63,7 +63,7 @@
                 body, sender = self._sock.recvfrom(MOST_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError as err:  # what came back for one that we sent
+            except OSError as err:  # an ICMP error for one that we sent
                 self._counters.trouble("datagrams_failed", err)
                 return
             self._take(body, sender)
@@ -77,6 +77,6 @@
         self._on_event(PeerMessage(number, body) if loads is None else PeerLoads(number, loads))
 
     def close(self) -> None:
-        """Give the socket back."""
+        """Close the socket."""
         self._loop.forget(self._sock)
         self._sock.close()
--- a/kestrelplank/assigner/proxy_updates.py
+++ b/kestrelplank/assigner/proxy_updates.py
@@ -1,8 +1,8 @@
 """The relay's updates: which proxies have joined, which slices are ours, what the store holds, what is applied.
 
-A new stream first tells all that holds. What is new in it becomes an event at once; what is known is reconciled once
-all has been told: proxies not named are gone, slices not named are taken back, and a slice whose endpoints are not
-those that we ordered has passed through other hands.
+A new stream begins with a snapshot. What is new in it becomes an event at once; what is known is reconciled once it is
+complete: proxies not named are gone, slices not named are taken back, and a slice whose endpoints are not those that we
+ordered had another owner meanwhile.
 """
 
 from collections.abc import Callable, Mapping
@@ -40,7 +40,7 @@
     longest_pause_ns=250 * NS_PER_MS,
     most_line_bytes=1 << 20,
 )
-QUIET_NS = 150 * NS_PER_MS  # ends what holds, or a slice's endpoints: nothing else marks it, and they come in one burst
+QUIET_NS = 150 * NS_PER_MS  # ends a snapshot or a slice's endpoints: both come in one burst, and no message ends them
 COUNTER_NAMES: dict[type[Event], str] = {
     ProxyJoined: "joined_in",
     ProxyLeft: "left_in",
@@ -52,7 +52,7 @@
 
 
 class Reconciliation:
-    """What a new stream has named so far of what we knew."""
+    """What the snapshot of a new stream has named so far."""
 
     def __init__(self, now: int) -> None:
         self.proxies: dict[int, ProxyJoined | None] = {}  # None where the proxy is new
@@ -75,7 +75,7 @@
         loop: Loop,
         pool: Pool,
         counters: Counters,
-        to: str,
+        relay_address: str,
         ids: Ids,
         proxies: int,
         slices: int,
@@ -86,7 +86,7 @@
         self._proxies, self._slices, self._orders = proxies, slices, orders
         self._applied: dict[int, int] = {}  # by joined proxy: the last watermark it is known to have applied
         self._owned: dict[int, None] = {}  # slices, in the order in which they were given
-        self._reconciliation: Reconciliation | None = None  # while a new stream tells what holds
+        self._reconciliation: Reconciliation | None = None  # while a snapshot comes in
         self._quiet_timer: Timer | None = None
         self._new_slice: list[SliceOwnership | EndpointStored] = []  # a slice given, and its endpoints so far
         self._new_slice_timer: Timer | None = None
@@ -97,11 +97,11 @@
             "owner": self._take_ownership,
             "entry": self._take_endpoint,
         }
-        self._stream = Stream(loop, pool, to, self, STREAM_LIMITS)
+        self._stream = Stream(loop, pool, relay_address, self, STREAM_LIMITS)
 
-    def move(self, to: str) -> None:
+    def move(self, relay_address: str) -> None:
         """Follow the relay at another address."""
-        self._stream.move(to)
+        self._stream.move(relay_address)
 
     def close(self) -> None:
         """End the stream."""
@@ -120,13 +120,13 @@
         return PATH
 
     def on_stream_start(self) -> None:
-        """Begin to reconcile what the stream tells with what we knew."""
+        """Begin to reconcile the snapshot that follows with what we know."""
         self._counters.add("news_started")
         self._reconciliation = Reconciliation(self._loop.now())
         self._quiet_timer = self._loop.at(self._loop.now() + QUIET_NS, self._check_quiet)
 
     def on_stream_end(self, why: str) -> None:
-        """Hold orders back until a new stream has told what holds."""
+        """Hold orders back until a new stream's snapshot has been reconciled."""
         self._counters.trouble("news_broken", why)
         self._emit_new_slice()
         self._reconciliation = None
@@ -134,12 +134,12 @@
         self._orders.suspend()
 
     def on_stream_line(self, line: bytes) -> None:
-        """Take one update; what can be read but not used is skipped."""
+        """Handle one update; what can be read but not used is skipped."""
         if not line.strip():
             return
         try:
             message = object_value(parse_json(line))
-        except Malformed as err:  # whatever it told is lost: what holds must be told anew
+        except Malformed as err:  # what it said is lost: a new stream's snapshot makes up for it
             self._counters.trouble("news_unreadable", err)
             self._stream.drop("unreadable")
             return
@@ -149,7 +149,7 @@
         try:
             if message:
                 self._take(kind, object_value(message.get("object")))
-            else:  # a sign of life is no part of what holds
+            else:  # a keep-alive comes after the snapshot only
                 self._reconcile()
         except Malformed as err:
             self._counters.trouble("news_skipped", err)
@@ -165,7 +165,7 @@
                 self._quiet_timer = self._loop.at(self._loop.now() + QUIET_NS, self._check_quiet)
 
     def _reconcile(self) -> None:
-        """End the reconciliation, if there is one: all that holds has been told."""
+        """End the reconciliation, if there is one: the snapshot is complete."""
         reconciliation, self._reconciliation = self._reconciliation, None
         if reconciliation is None:
             return
@@ -181,13 +181,13 @@
         known = [joined for joined in reconciliation.proxies.values() if joined]
         for joined in known:
             # It may have lost its stream and dialled again while we heard nothing, and have missed orders that
-            # no store keeps: the module tells a proxy that joins, if not afresh, what is withdrawn (rule 3).
+            # no store keeps: the policy tells a proxy that joins, if not afresh, what is withdrawn (rule 3).
             self._emit(joined)
         self._orders.resume()
         self._orders.request_lost_acknowledgements([self._applied[joined.proxy] for joined in known])
 
     def _take_up_anew(self, number: int, endpoints: Mapping[int, float]) -> None:
-        """Take a slice that has passed through other hands for one given anew."""
+        """Report a slice that had another owner meanwhile as taken back and given again."""
         self._counters.add("slices_given_anew")
         self._take_back(number)
         self._give(number)
@@ -202,9 +202,9 @@
         self._on_event(event)
 
     def _give(self, number: int) -> None:
-        """Take a slice; the event waits for its endpoints.
+        """Note a slice given to us; the event waits for its endpoints.
 
-        Bytes may come in pieces, and the module would find endpoints for a slice that looks bare.
+        Bytes may come in pieces, and the policy would place a slice that seems to have no endpoint.
         """
         self._owned[number] = None
         self._orders.slice_given(number)
@@ -212,6 +212,7 @@
         self._new_slice_timer = self._loop.at(self._loop.now() + QUIET_NS, self._emit_new_slice)
 
     def _emit_new_slice(self) -> None:
+        """Emit the slice that was given last, with its endpoints, unless that is done."""
         if self._new_slice:
             if self._new_slice_timer:
                 self._new_slice_timer.cancel()
@@ -235,8 +236,9 @@
     # Updates, by kind.
 
     def _take(self, kind: object, fields: Mapping[str, object]) -> None:
+        """Handle one update by its kind."""
         if kind in ("done", "detach") or (kind == "owner" and fields.get("set") is False):
-            self._reconcile()  # these are never part of what holds
+            self._reconcile()  # these are never part of a snapshot
         if self._reconciliation:
             self._reconciliation.heard_at, self._reconciliation.empty = self._loop.now(), False
         reader = self._readers.get(kind) if isinstance(kind, str) else None
--- a/kestrelplank/assigner/rounds.py
+++ b/kestrelplank/assigner/rounds.py
@@ -1,4 +1,4 @@
-"""Gathers events, has the decision module decide once a round, and passes its orders on."""
+"""Gathers events, runs the policy once a round, and passes its orders on."""
 
 from typing import Protocol
 
@@ -16,16 +16,16 @@
 
 
 class NodeHolder(Protocol):
-    """Whoever holds something of a node."""
+    """A component that keeps something of a node."""
 
     def forget(self, node: int) -> None:
         """Release it."""
 
 
 class RoundRunner:
-    """The order writer of the module, and the events of its next round.
+    """The order writer of the policy, and the events of its next round.
 
-    A round is held `gather_ns` after the first event, so that its cost follows the time and not the reads.
+    A round runs `gather_ns` after the first event, so that rounds are bounded by time and not by the number of reads.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
         self._events.append(event)
         if not self._round_due:
             self._round_due = True
-            self._loop.at(self._loop.now() + self._gather_ns, self._hold_round)
+            self._loop.at(self._loop.now() + self._gather_ns, self._run_round)
 
-    def _hold_round(self) -> None:
+    def _run_round(self) -> None:
         if self._orders.is_full():
             self._counters.add("rounds_held_up")
-            self._loop.at(self._loop.now() + self._gather_ns, self._hold_round)
+            self._loop.at(self._loop.now() + self._gather_ns, self._run_round)
             return
         events, self._events, self._round_due = self._events, [], False
         self._counters.add("rounds")
@@ -71,7 +71,7 @@
         finally:
             self._orders.close_round()
 
-    # The orders that go to no relay.
+    # Orders that do not go to the relay.
 
     def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:  # noqa: ARG002  an order writer's
         """Drop the order: the relay has none for it."""
@@ -97,7 +97,7 @@
         self._loop.at(at, lambda: self.on_event(TimerFired(name)))
 
     def forget_node(self, node: int) -> None:
-        """Have every part release a node."""
+        """Have every component release a node."""
         for holder in self.holders:
             holder.forget(node)
 
--- a/kestrelplank/assigner/status_socket.py
+++ b/kestrelplank/assigner/status_socket.py
@@ -1,4 +1,4 @@
-"""What a running assigner shows of itself over a Unix socket: whoever connects gets one JSON object and the end."""
+"""What a running assigner shows of itself over a Unix socket: whoever connects gets one JSON object."""
 
 import socket
 from collections.abc import Callable, Mapping
@@ -28,9 +28,9 @@
 
 
 class StatusSocket:
-    """Shows what `status()` returns, made anew for each who asks, at `path`.
+    """Sends what `status()` returns, called for each connection, at `path`.
 
-    Who does not take it at once gets what fits: nobody is waited for.
+    It is written once without waiting, so a slow reader gets what fits the socket's buffer.
     """
 
     def __init__(self, loop: Loop, path: str, status: Callable[[], Mapping[str, object]]) -> None:
@@ -46,7 +46,7 @@
             link.close()
 
     def close(self) -> None:
-        """Listen no longer."""
+        """Stop listening."""
         self._listener.close()
 
 
--- a/kestrelplank/assigner/telemetry_messages.py
+++ b/kestrelplank/assigner/telemetry_messages.py
@@ -1,4 +1,4 @@
-"""Collectors' messages as events in our units; a figure that can't be makes the message worthless."""
+"""Collectors' messages as events in our units; one with an impossible figure is refused whole."""
 
 import re
 from collections.abc import Iterable, Mapping, Sequence
@@ -17,7 +17,7 @@
     "eps": "aborted_per_s",
 }
 MOST_DIGITS = 8  # of a slice's number: Python refuses to read thousands of them
-FIGURE = re.compile(r"-?\d+(\.\d+)?([eE][-+]?\d+)?", re.ASCII)  # Python reads more than that as a number
+FIGURE = re.compile(r"-?\d+(\.\d+)?([eE][-+]?\d+)?", re.ASCII)  # narrower than what `float` reads
 
 
 def read_figure(value: str) -> float:
@@ -59,7 +59,10 @@
 
 
 def read_joining(message: Sequence[bytes], ids: Ids) -> int:
-    """Return the zone that a collector names; whoever says anything else first is none."""
+    """Return the zone that a collector names in its first message.
+
+    :raises Malformed: the message is another one, or names no zone that exists.
+    """
     kind, fields = read_message(message)
     if kind != "telemetry":
         raise Malformed(f"{kind[:40]!r} from who has not joined")
@@ -99,7 +102,7 @@
     fields: Mapping[str, str], ids: Ids, zone: int, attempts: float, failures: float, window_ns: int
 ) -> NodeReport:
     kind = "upstream_stats"
-    if failures > attempts:  # of a slice's ops, those that came earlier may end now
+    if failures > attempts:  # not so for slices: ops that came in earlier windows may abort in this one
         raise Malformed(f"{kind}: {failures} of {attempts} failed")
     if read_index(kind, fields, "locality", ids.zones) != zone:
         raise Malformed(f"{kind}, field locality: not this collector's")
--- a/kestrelplank/assigner/telemetry_server.py
+++ b/kestrelplank/assigner/telemetry_server.py
@@ -1,8 +1,8 @@
-"""The assigner's own address: collectors connect, name their zone and send reports; anybody may ask whether we live.
+"""The assigner's own address: collectors connect, name their zone and send reports; anybody may send a heartbeat.
 
-Admission is decided here. Who has not named a zone that exists may do nothing but that and ask for a sign of life, and
-only for a short while: strangers come by hundreds, say nothing, half a message or one without end, and each holds a
-descriptor. Whoever is rejected is told so first.
+Admission is decided here. A caller that has not joined may only name a zone that exists or send heartbeats, and only
+for a short while: such callers come by hundreds, send nothing, half a message or one without end, and each holds a
+descriptor. A caller is sent the reason before it is disconnected.
 """
 
 import socket
@@ -19,11 +19,11 @@
 
 HEARTBEAT, HEARTBEAT_ANSWER = b"hb", resp.encode(b"hb_ok")
 MOST_UNJOINED = 64  # connections that have not joined; the oldest goes first, as it had its chance
-MOST_OF_ZONE = 4  # joined: one reports; those of a machine that vanished are held until found out
-MOST_UNJOINED_BYTES = 4096  # of a message, held of whoever has not joined
+MOST_OF_ZONE = 4  # joined: one reports, the others may be left over from a machine that vanished
+MOST_UNJOINED_BYTES = 4096  # of a message, from a caller that has not joined
 MOST_UNSENT_BYTES = 1 << 16
 MOST_REASON_BYTES = 80
-SWEEP_INTERVAL_NS = 200 * NS_PER_MS  # how often expired callers are looked for; how long listening pauses when short
+SWEEP_INTERVAL_NS = 200 * NS_PER_MS  # also how long listening pauses when descriptors run out
 JOIN_TIMEOUT_NS = 1000 * NS_PER_MS  # kept without joining
 IDLE_TIMEOUT_NS = 120_000 * NS_PER_MS  # joined, since the last bytes
 
@@ -31,8 +31,8 @@
 class TelemetryServer:
     """Admits callers and takes collectors' reports.
 
-    Callers are held in the order in which their time runs out: strangers by when they came, collectors of a zone by
-    when they joined.
+    Callers are held in the order in which their time runs out: those not joined by when they came, collectors
+    by when they joined.
 
     :param slices: how many there are.
     """
@@ -68,7 +68,7 @@
         return zone
 
     def take(self, message: list[bytes], zone: int) -> None:
-        """Take a report; one that can't be used is skipped alone."""
+        """Handle a report; one that can't be used is skipped, and its connection stays."""
         try:
             report = read_report(message, self._ids, self._slices, zone)
         except Malformed as err:
@@ -79,7 +79,7 @@
             self._on_event(report)
 
     def caller_gone(self, caller: "Caller") -> None:
-        """Forget a caller whose connection has ended."""
+        """Forget a caller whose connection is closed."""
         self._unjoined.pop(id(caller), None)
         self._collectors.pop(id(caller), None)
 
@@ -96,7 +96,7 @@
         next(iter(self._unjoined.values())).reject("callers_pushed_out", why)
 
     def _make_room(self, why: str) -> bool:
-        """Reject a stranger: a collector that comes, and our own calls, must find a descriptor."""
+        """Reject a caller that has not joined, as others need its descriptor; return whether there was one."""
         self.counters.trouble("accept_failed", why)
         if self._unjoined:
             self._reject_oldest_unjoined("short of descriptors")
@@ -112,7 +112,7 @@
         self._timer = self.loop.at(now + SWEEP_INTERVAL_NS, self._sweep)
 
     def close(self) -> None:
-        """Listen no longer, and end all callers."""
+        """Stop listening, and close all connections."""
         self._timer.cancel()
         self._listener.close()
         for caller in [*self._unjoined.values(), *self._collectors.values()]:
@@ -124,12 +124,12 @@
 
     def __init__(self, server: TelemetryServer, sock: socket.socket, now: int) -> None:
         self._server, self._parser = server, resp.Parser(MOST_UNJOINED_BYTES)
-        self.heard_at = now  # strangers: when it came
+        self.heard_at = now  # before it has joined: when it came
         self.zone: int | None = None  # of a collector
         self.connection = Connection(server.loop, server.pool, sock, self, MOST_UNSENT_BYTES)
 
     def on_data(self, data: memoryview) -> None:
-        """Take bytes."""
+        """Handle received bytes."""
         try:
             for message in self._parser.feed(data):
                 if not self.connection.open:  # rejected for what came before
@@ -151,11 +151,11 @@
             self._server.take(message, self.zone)
 
     def reject(self, counter: str, why: str) -> None:
-        """Tell the caller why it is rejected, and end the connection."""
+        """Send the caller the reason, and close the connection."""
         self._server.counters.trouble(counter, why)
         self.connection.write(resp.encode(b"reject", b"reason", why.encode()[:MOST_REASON_BYTES]))
         self.connection.close(why)
 
     def on_close(self, why: str) -> None:  # noqa: ARG002  a connection's owner
-        """Take that the connection has ended."""
+        """Forget this caller: its connection is closed."""
         self._server.caller_gone(self)
