--- a/kestrelplank/consensus/member_state.py
+++ b/kestrelplank/consensus/member_state.py
@@ -1,20 +1,20 @@
-"""What all parts of one member share."""
+"""The state that all parts of one member share."""
 
+from kestrelplank.consensus.effect_queue import EffectQueue
 from kestrelplank.consensus.effects import Applied
 from kestrelplank.consensus.lease import LeaderLease
 from kestrelplank.consensus.log import ReplicatedLog
 from kestrelplank.consensus.log_entries import Entry, HardState, Snapshot
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.consensus.pending_writes import PendingWrites
 from kestrelplank.consensus.roles import Role
 
 
 class MemberState:
-    """Identity, log, term and role of one member, and its effects.
+    """Identity, log, term and role of one member, and the effects that its parts add.
 
     - `leader`: identity of the leader of the current term as far as known; "": nobody.
     - `lease`: of a leader, None in any other role.
-    - `commit_index`, `applied_index`: the entries up to there are committed, and handed out as `Applied`.
+    - `commit_index`, `applied_index`: log indexes up to which entries are committed, and were emitted as `Applied`.
 
     :param membership: who votes before any entry; None for a member that learns it from the log.
     """
@@ -30,7 +30,7 @@
         self.identity = identity
         self.log = ReplicatedLog(membership, snapshot, entries)
         self.hard_state = hard_state
-        self.writes = PendingWrites(durable_index=self.log.last_index)
+        self.effects = EffectQueue(durable_index=self.log.last_index)
         self.commit_index = self.applied_index = self.log.snapshot_index
         self.role = Role.FOLLOWER
         self.leader = ""
@@ -62,7 +62,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member is one of them."""
+        """Whether this member votes by the newest membership known."""
         return self.identity in self.all_voters
 
     def remember(self, term: int, voted_for: str, leader: str) -> None:
@@ -70,18 +70,18 @@
         hard_state = HardState(term, voted_for, leader)
         if hard_state != self.hard_state:
             self.hard_state = hard_state
-            self.writes.persist_hard_state(hard_state)
+            self.effects.persist_hard_state(hard_state)
 
     def commit(self, index: int) -> None:
-        """Take in that the entries up to `index` are committed, and hand out those that are new."""
+        """Take in that the entries up to `index` are committed, and emit `Applied` for those that are new."""
         if index <= self.commit_index:
             return
         self.commit_index = index
         while self.applied_index < index:
             self.applied_index += 1
-            self.writes.emit(Applied(self.log.entry(self.applied_index)))
+            self.effects.emit(Applied(self.log.entry(self.applied_index)))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Begin anew at a snapshot, which covers more than is committed here."""
+        """Replace the log by a snapshot, which covers more than is committed here."""
         self.log.install(snapshot)
         self.commit_index = self.applied_index = snapshot.index
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -24,7 +24,7 @@
     AnswerRead,
     CallServer,
     Effect,
-    KeepCopy,
+    KeepConfigurationCopy,
     LogLine,
     PushToEdges,
     SendMessage,
@@ -52,14 +52,15 @@
 
 TICK_INTERVAL_S = 0.05
 SERVER_FETCH_CHECK_INTERVAL_S = 0.5
-"""At most between looks at whether the platform's list of servers is ours to fetch."""
+"""At most so long passes until we look again whether the platform's list of servers is ours to fetch."""
 SERVER_FETCH_RETRY_S, SERVER_FETCH_RETRY_JITTER_S = 0.3, 0.2
+"""From a failed fetch to the next: the first, and a random share of the second."""
 START_RETRY_INTERVAL_S = 0.3
 """Until a disk that refused at the start is asked again."""
 OPERATOR_IDLE_S = 15
 """How long an operator's connection is kept between calls."""
 OPERATOR_DRAIN_S = 1
-"""What calls in hand have to finish when the program stops."""
+"""How long calls in hand may take to finish when the program stops."""
 
 log = logging.getLogger("control")
 
@@ -74,7 +75,7 @@
 
 
 def stop_on_signals() -> asyncio.Event:
-    """Return what is set by SIGTERM or SIGINT. SIGHUP is ignored: our settings don't change while we run."""
+    """Return an event that SIGTERM or SIGINT sets. SIGHUP is ignored: our settings don't change while we run."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -151,7 +152,7 @@
     async def _listen_for_peers(self) -> AsyncIterator[None]:
         """Accept connections of other members and of edge machines."""
         listening = await asyncio.get_running_loop().create_server(
-            lambda: FrameConnection(decode_at_member, self._handle_message, self._handle_connection_ended),
+            lambda: FrameConnection(decode_at_member, self._handle_inbound_message, self._handle_inbound_ended),
             self._settings.local_system.ip_address,
             self._settings.internal_port(),
         )
@@ -181,7 +182,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
             now = time.monotonic_ns()
             self._carry_out(self._member.tick(now, self._log_writer.log_size_bytes))
-            self._sessions.dial(self._member.addresses_to_dial(now))
+            self._sessions.keep_sessions_with(self._member.addresses_to_dial(now))
             self._inbound.reset_silent(now)
 
     async def _fetch_servers(self) -> None:
@@ -203,7 +204,7 @@
             self._carry_out(self._member.handle_servers_fetched(time.monotonic_ns(), entries))
 
     async def _stop_member(self) -> None:
-        """Wait until nothing more can be done for what the member holds."""
+        """Have the member stop, and wait until it may end."""
         self._carry_out(self._member.begin_stop(time.monotonic_ns()))
         while not self._member.may_stop(time.monotonic_ns()):
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -213,9 +214,9 @@
     def _carry_out(self, effects: list[Effect]) -> None:
         """Carry out the effects, in order."""
         for effect in effects:
-            self._carry_out_one(effect)
+            self._carry_out_effect(effect)
 
-    def _carry_out_one(self, effect: Effect) -> None:
+    def _carry_out_effect(self, effect: Effect) -> None:
         match effect:
             case SendMessage():
                 self._sessions.send(effect.to, effect.message)
@@ -231,8 +232,8 @@
                 self._orders.resolve(effect)
             case AnswerRead():
                 self._reads.resolve(effect)
-            case KeepCopy():
-                self._log_writer.write_copy(effect.version, effect.text)
+            case KeepConfigurationCopy():
+                self._log_writer.write_configuration_copy(effect.version, effect.text)
             case LogLine():
                 log.info("Control: %s", effect.text)
             case _:
@@ -254,44 +255,44 @@
         self._carry_out(self._member.handle_server_call_ended(time.monotonic_ns(), call, result))
 
     def _handle_peer_message(self, sender: str, message: Message) -> None:
-        """Take a message of the member `sender`, whoever of us dialled."""
+        """Take a message of the member `sender`, on a connection that either of us dialled."""
         self._carry_out(self._member.handle_message(time.monotonic_ns(), sender, message))
 
-    def _handle_message(self, wire: MemberConnection, message: ToMember) -> None:
+    def _handle_inbound_message(self, connection: MemberConnection, message: ToMember) -> None:
         """Take a message on a connection that came in."""
         now = time.monotonic_ns()
-        self._inbound.handle_heard(now, wire)
+        self._inbound.handle_heard(now, connection)
         match message:
             case Envelope():
-                self._sessions.handle_inbound(wire, message)
+                self._sessions.handle_inbound(connection, message)
             case EdgeHeartbeat():
-                self._handle_edge_heartbeat(now, wire, message)
+                self._handle_edge_heartbeat(now, connection, message)
             case LoadReport():
                 self._member.handle_load_report(now, message)
             case _:
                 assert_never(message)
 
-    def _handle_edge_heartbeat(self, now: int, wire: MemberConnection, heartbeat: EdgeHeartbeat) -> None:
-        if not self._inbound.handle_edge_heard(now, wire, heartbeat.edge, heartbeat.configuration_version):
+    def _handle_edge_heartbeat(self, now: int, connection: MemberConnection, heartbeat: EdgeHeartbeat) -> None:
+        if not self._inbound.handle_edge_heard(now, connection, heartbeat.edge, heartbeat.configuration_version):
             return
         for answer in self._member.handle_edge_heartbeat(now, heartbeat, self._inbound.edge_count):
-            wire.send(answer)
+            connection.send(answer)
 
-    def _handle_connection_ended(self, wire: MemberConnection) -> None:
-        self._inbound.handle_ended(wire)
-        self._sessions.handle_inbound_ended(wire)
+    def _handle_inbound_ended(self, connection: MemberConnection) -> None:
+        self._inbound.handle_ended(connection)
+        self._sessions.handle_inbound_ended(connection)
 
-    # Calls of the operator (`operator_api.Member`).
+    # Calls of the operator (`operator_api.OperatorCallTarget`).
 
     async def replace_configuration(self, configuration: Configuration) -> AnswerOrder:
         """Return what became of an order."""
-        return await self._orders.answer(
+        return await self._orders.call(
             lambda ticket: self._carry_out(self._member.handle_replace_call(time.monotonic_ns(), ticket, configuration))
         )
 
     async def show_configuration(self) -> AnswerRead:
         """Return the newest configuration, if this member can know it."""
-        return await self._reads.answer(
+        return await self._reads.call(
             lambda ticket: self._carry_out(self._member.handle_show_call(time.monotonic_ns(), ticket))
         )
 
--- a/tests/edge/test_wire_fuzz.py
+++ b/tests/edge/test_wire_fuzz.py
@@ -207,7 +207,7 @@
         await asyncio.gather(*(client(stage, number, one, asked, seen) for number, one in enumerate(drawn)))
         for _ in range(3):
             await asyncio.sleep(0)
-        if stage.program.context.body_memory:
+        if stage.program.context.held_body_bytes:
             seen.strange.append("bodies are held for ever")
         if any(endpoint.in_flight for endpoint in stage.program.forwarder.endpoints.by_name.values()):
             seen.strange.append("a server is thought busy for ever")
@@ -231,7 +231,7 @@
 
 def takes_any(monkeypatch):
     """The next answer on the connection is ours, whatever id it bears."""
-    monkeypatch.setattr(server_connections, "belongs", lambda answer, attempt: True)
+    monkeypatch.setattr(server_connections, "is_answer_to", lambda answer, attempt: True)
 
 
 @pytest.mark.parametrize("plant, wrong", [(repeats, "ran twice"), (takes_any, ": got ")])
