--- a/benchmarks/log_file.py
+++ b/benchmarks/log_file.py
@@ -110,7 +110,7 @@
     os.mkdir(fullest)
     state, log = ControlState(), LogFile(os.path.join(folder, "member"))
     log.load()
-    log.keep_incarnation("first")
+    log.store_incarnation("first")
     log.write([Persist(1, HardState(1, "a:1/first", "a:1/first"))])
     texts = {version: configuration(routes, version) for version in range(8)}
     digest = parse_configuration(texts[0]).unwrap().key.digest
--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -23,7 +23,7 @@
 from kestrelplank.policy import Policy
 from kestrelplank.rehearsal.stub_server import SocketKit
 from kestrelplank.settings.operator import NodeFileSettings
-from kestrelplank.state.change_guard import ChangeLimits, judge
+from kestrelplank.state.change_guard import ChangeLimits, evaluate_change
 from kestrelplank.state.node_set import ListedNode, NodeSet, assemble
 from kestrelplank.state.reported_nodes import ReportedNodes, ReportSettings
 from kestrelplank.time_units import MILLISECOND as MS
@@ -75,7 +75,9 @@
     )
     timed("all parts checked and put together, with the hash", lambda: assemble(parts))
     fewer = NodeSet(dict(list(made.nodes.items())[: -nodes // 100]))
-    timed("the difference of two sets, judged", lambda: judge(made, fewer, (), 0, ChangeLimits(0.25, 0, False)))
+    timed(
+        "the difference of two sets, judged", lambda: evaluate_change(made, fewer, (), 0, ChangeLimits(0.25, 0, False))
+    )
     reported = ReportedNodes(ReportSettings(1000 * MS, 0.1))
     reported.accept(0, made)
     timed("what to tell of a set that lacks a hundredth", lambda: (reported.accept(1, fewer), reported.advance(1)), 1)
--- a/kestrelplank/assigner/membership_gossip.py
+++ b/kestrelplank/assigner/membership_gossip.py
@@ -6,7 +6,7 @@
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.membership import Membership
 from kestrelplank.state.membership_datagram import MalformedDatagramError
-from kestrelplank.state.zone_load import ObservedNode, combined, zone_sums
+from kestrelplank.state.zone_load import ObservedNode, combine_zone_sums, zone_sums
 
 SUMS_VALID_NS = 3_000_000_000  # of other assigners, in what is shown
 
@@ -57,7 +57,9 @@
         """Return who is alive, and the zones as all assigners see them together."""
         now = self._loop.now()
         view = self._membership.view(now)
-        zones = combined(zone_sums(self._nodes(), self._best()), self._membership.zone_sums(now, SUMS_VALID_NS))
+        zones = combine_zone_sums(
+            zone_sums(self._nodes(), self._best()), self._membership.zone_sums(now, SUMS_VALID_NS)
+        )
         return {
             "view": view.version,
             "alive": view.alive,
--- a/kestrelplank/cli/nodes/check.py
+++ b/kestrelplank/cli/nodes/check.py
@@ -13,7 +13,7 @@
 )
 from kestrelplank.cli.options import ini_option
 from kestrelplank.command_output import ExitCode
-from kestrelplank.state.change_guard import ChangeLimits, Decision, judge
+from kestrelplank.state.change_guard import ChangeLimits, Decision, evaluate_change
 from kestrelplank.state.node_set import assemble
 
 
@@ -28,6 +28,6 @@
         state = read_state(settings)
     confirmations = tuple(node_list.confirmed_hash for node_list in node_lists if node_list.confirmed_hash)
     terms = ChangeLimits(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
-    verdict = judge(state[0] if state else None, node_set, confirmations, 0, terms)
+    verdict = evaluate_change(state[0] if state else None, node_set, confirmations, 0, terms)
     print(f"{verdict.decision}: {verdict.reason}")
     sys.exit(ExitCode.DONE if verdict.decision is Decision.ACCEPTED else ExitCode.FOUND_WANTING)
--- a/kestrelplank/control/bootstrap.py
+++ b/kestrelplank/control/bootstrap.py
@@ -27,7 +27,7 @@
         """Return what the disk holds."""
         ...
 
-    def keep_incarnation(self, incarnation: str) -> None:
+    def store_incarnation(self, incarnation: str) -> None:
         """Make the member's incarnation durable."""
         ...
 
@@ -72,9 +72,9 @@
     """
     if not initial_boot or address not in profile.seeds:
         incarnation = f"{random.getrandbits(INCARNATION_BITS):016x}"
-        log.keep_incarnation(incarnation)
+        log.store_incarnation(incarnation)
         return LogContent(incarnation)
     snapshot = Snapshot(0, 0, first_membership(profile.seeds), ControlState().snapshot())
-    log.keep_incarnation(FIRST_INCARNATION)
+    log.store_incarnation(FIRST_INCARNATION)
     log.write([Persist(0, snapshot=snapshot)])
     return LogContent(FIRST_INCARNATION, snapshot=snapshot)
--- a/kestrelplank/control/log_writer.py
+++ b/kestrelplank/control/log_writer.py
@@ -59,7 +59,7 @@
             elif self._pending_copy is not None:
                 version, text = self._pending_copy
                 self._pending_copy = None
-                await self._disk.call(self._file.keep_copy, version, text)
+                await self._disk.call(self._file.write_configuration_copy, version, text)
             else:
                 self._work_pending.clear()
 
--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -113,7 +113,7 @@
         """Answer the order, or let the caller wait until it is committed."""
         if not self._node.leads(now):
             self._answer_order_unknown(caller)
-        elif self._replica.state.acknowledges(order):
+        elif self._replica.state.is_decided(order):
             self._answer_order(caller, True, self._replica.state.is_in_force(order))
         elif self._orders.full():
             self._answer_order_unknown(caller)
--- a/kestrelplank/emulator/node_files.py
+++ b/kestrelplank/emulator/node_files.py
@@ -10,7 +10,7 @@
 from kestrelplank.interface import NodeCondition, NodeEntry
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.state.change_guard import ChangeLimits
-from kestrelplank.state.debounce import Debounce, Reading
+from kestrelplank.state.debounce import Debounce, DebounceResult
 from kestrelplank.state.node_set import ListedNode as FileNode
 from kestrelplank.state.node_set import NodeList, NodeSet
 from kestrelplank.state.node_set_in_force import NodeSetInForce, Outcome
@@ -116,10 +116,10 @@
 
     def _read_at(self, now: int) -> int | Outcome | None:
         """Return when to read again, or what has been decided."""
-        step = self._debounce.see(now, FILE_NAME, None if self._text is None else digest_of(self._text))
+        step = self._debounce.observe(now, FILE_NAME, None if self._text is None else digest_of(self._text))
         if isinstance(step, int):
             return step
-        if step == Reading.SETTLED:
+        if step == DebounceResult.SETTLED:
             self._in_force.update_file(FILE_NAME, self._parsed())
         decided: Outcome | None = self._in_force.decide(now)
         return decided
--- a/kestrelplank/emulator/slice_store.py
+++ b/kestrelplank/emulator/slice_store.py
@@ -118,7 +118,7 @@
         self._last_stream += 1
         proxy.streams[assigner] = OrderStream(self._last_stream, self._clock.now())
         proxy.ordered_at[assigner] = 0
-        fresh = not proxy.tables.knows(assigner)
+        fresh = not proxy.tables.has_assigner(assigner)
         proxy.tables.begin_stream(assigner)
         ops_per_s = self._load.ops_per_s(self._clock.now()) / len(self._proxies)
         self._assigners[assigner].notify(ProxyJoined(proxy.number, proxy.zone, ops_per_s, fresh))
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -18,9 +18,9 @@
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.sockets.loop import Loop, Timer
 from kestrelplank.state.change_guard import ChangeLimits, Decision
-from kestrelplank.state.debounce import Debounce, Reading
+from kestrelplank.state.debounce import Debounce, DebounceResult
 from kestrelplank.state.node_set import NodeList
-from kestrelplank.state.node_set_in_force import NodeSetInForce, StoredNodeSet, restored
+from kestrelplank.state.node_set_in_force import NodeSetInForce, StoredNodeSet, decode_stored_node_set
 from kestrelplank.state.reported_nodes import ReportSettings
 from kestrelplank.state.sealed import digest_of
 
@@ -46,7 +46,7 @@
     """
     try:
         with open(path, "rb") as file:  # noqa: PTH123 - one call less than by Path, at the start of a program
-            return restored(file.read())
+            return decode_stored_node_set(file.read())
     except FileNotFoundError:
         return None
     except OSError as err:
@@ -165,13 +165,13 @@
             digest, problem = f"!{err.errno}", f"{path}: can't be read: {err.strerror}"
         except InvalidSettingsError as err:
             digest, problem = "!size", str(err)
-        outcome = self._debounce.see(now, path, digest)
-        if outcome is Reading.SETTLED:
+        outcome = self._debounce.observe(now, path, digest)
+        if outcome is DebounceResult.SETTLED:
             self._counters.add("files_read")
             self.intake.update_file(path, problem or self._parsed(path, data))
         elif isinstance(outcome, int):
             self._read_again_at(path, outcome)
-        if outcome in (Reading.SETTLED, Reading.SAME) and self._debounce.at_rest(now):
+        if outcome in (DebounceResult.SETTLED, DebounceResult.SAME) and self._debounce.may_decide(now):
             self._decide()
 
     def _parsed(self, path: str, data: bytes) -> NodeList | str:
@@ -208,7 +208,7 @@
         path = self._settings.state_path
         if path:
             try:
-                write_atomically(path, self.intake.stored())
+                write_atomically(path, self.intake.encode())
             except OSError as err:  # the set holds all the same; a restart would know an older one
                 self._counters.trouble("files_state_not_saved", f"{path}: {err.strerror}")
 
--- a/kestrelplank/reference_proxy/table_messages.py
+++ b/kestrelplank/reference_proxy/table_messages.py
@@ -56,7 +56,7 @@
         """Apply a line of the stream; return whether it held orders. An empty object is a heartbeat.
 
         :raises Malformed: where it is no message.
-        :raises RefusedError: where it can't be applied; nothing of it has taken effect.
+        :raises UpdateRejectedError: where it can't be applied; nothing of it has taken effect.
         """
         message = object_value(parse_json(line))
         if not message:
--- a/kestrelplank/reference_proxy/tables_file.py
+++ b/kestrelplank/reference_proxy/tables_file.py
@@ -6,8 +6,8 @@
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.decode import Ids, Malformed
 from kestrelplank.file_discovery.atomic_write import write_atomically
-from kestrelplank.state.sealed import sealed, unsealed
-from kestrelplank.state.tables import RefusedError, Tables
+from kestrelplank.state.sealed import decode_checksummed, encode_checksummed
+from kestrelplank.state.tables import Tables, UpdateRejectedError
 
 FORMAT_VERSION = 1
 
@@ -29,12 +29,12 @@
         if not self._path:
             return False
         try:
-            kept = unsealed(FORMAT_VERSION, Path(self._path).read_bytes())
+            kept = decode_checksummed(FORMAT_VERSION, Path(self._path).read_bytes())
             self._tables.restore(kept["tables"], self._ids.node)
             self._addresses.update((self._ids.node(name), at) for name, at in kept["addresses"].items())
         except FileNotFoundError:
             return False
-        except (OSError, Malformed, RefusedError) as err:
+        except (OSError, Malformed, UpdateRejectedError) as err:
             self._counters.trouble("tables_not_restored", f"{self._path}: {err}")
             return False
         self._counters.info("tables_restored", age_s=round(time.time() - kept["at"], 1))
@@ -52,6 +52,6 @@
             "addresses": {names[node]: at for node, at in self._addresses.items()},
         }
         try:
-            write_atomically(self._path, sealed(FORMAT_VERSION, content))
+            write_atomically(self._path, encode_checksummed(FORMAT_VERSION, content))
         except OSError as err:
             self._counters.trouble("tables_not_kept", f"{self._path}: {err.strerror}")
--- a/kestrelplank/reference_proxy/update_client.py
+++ b/kestrelplank/reference_proxy/update_client.py
@@ -18,7 +18,7 @@
 from kestrelplank.reference_proxy.update_posts import ACKNOWLEDGEMENT_PATH, REPORT_PATH, UpdatePosts
 from kestrelplank.sockets.http import Stream, StreamLimits
 from kestrelplank.state.sums import AttemptSum, OpSum
-from kestrelplank.state.tables import RefusedError, Tables
+from kestrelplank.state.tables import Tables, UpdateRejectedError
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 REPORT_INTERVAL_NS = 1 * SECOND
@@ -97,7 +97,7 @@
         try:
             if self._messages.apply(line):
                 self._counters.add("tables_messages")
-        except RefusedError as err:
+        except UpdateRejectedError as err:
             self._counters.trouble("tables_refused", err)
             self._stream.drop("a message that can't be applied")
         except Malformed as err:
--- a/kestrelplank/state/change_guard.py
+++ b/kestrelplank/state/change_guard.py
@@ -45,7 +45,7 @@
     remaining_ns: int | None = None
 
 
-def judge(
+def evaluate_change(
     in_force: NodeSet | None, new: NodeSet, confirmed_hashes: tuple[str, ...], unchanged_ns: int, limits: ChangeLimits
 ) -> Verdict:
     """Decide whether `new` may take the place of the set in force.
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -118,7 +118,7 @@
         in_force = self._configuration
         return in_force is not None and (in_force.version, in_force.digest) == (order.version, order.digest)
 
-    def acknowledges(self, order: PutConfiguration) -> bool:
+    def is_decided(self, order: PutConfiguration) -> bool:
         """Whether the operator may be told that the order is decided.
 
         It is in force, or a higher version is, or its version has another text: it can't come into force any more.
@@ -149,7 +149,7 @@
         self._records = dict(content.records)
 
     def _put_configuration(self, order: PutConfiguration) -> ApplyResult:
-        if self.acknowledges(order):
+        if self.is_decided(order):
             return NO_CHANGE
         self._set_configuration(order)
         dropped = tuple(service for service in sorted(self._records) if not self._may_have_record(service))
--- a/kestrelplank/state/debounce.py
+++ b/kestrelplank/state/debounce.py
@@ -5,7 +5,7 @@
 BUSY_FACTOR = 10  # quiet periods that files which have settled wait for one that is still written
 
 
-class Reading(Enum):
+class DebounceResult(Enum):
     """What a reading of a file means, where it need not be read again."""
 
     SAME = "same"  # as what counts already
@@ -25,14 +25,14 @@
         self._pending: dict[str, tuple[str | None, int]] = {}  # digest, and when it was first seen
         self._busy_since = 0
 
-    def see(self, now: int, path: str, digest: str | None) -> Reading | int:
+    def observe(self, now: int, path: str, digest: str | None) -> DebounceResult | int:
         """Take a reading; return what it means, or the time at which to read again.
 
         :param digest: of the file's content, None: no such file.
         """
         if path in self._settled and self._settled[path] == digest:
             self._pending.pop(path, None)
-            return Reading.SAME
+            return DebounceResult.SAME
         if not self._pending:
             self._busy_since = now
         seen = self._pending.get(path)
@@ -42,14 +42,14 @@
             return seen[1] + self._quiet_period_ns
         del self._pending[path]
         self._settled[path] = digest
-        return Reading.SETTLED
+        return DebounceResult.SETTLED
 
     def forget(self, path: str) -> None:
         """Forget a file: whatever is found there next counts as new."""
         self._settled.pop(path, None)
         self._pending.pop(path, None)
 
-    def at_rest(self, now: int) -> bool:
+    def may_decide(self, now: int) -> bool:
         """Whether to decide now: no file is being written, or one has been for so long that others shall not wait.
 
         Guards against deciding between two writes that only make sense together.
--- a/kestrelplank/state/node_set_in_force.py
+++ b/kestrelplank/state/node_set_in_force.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 from kestrelplank.decode import Malformed
-from kestrelplank.state.change_guard import ChangeLimits, Decision, Verdict, judge
+from kestrelplank.state.change_guard import ChangeLimits, Decision, Verdict, evaluate_change
 from kestrelplank.state.node_set import InvalidNodeSetError, ListedNode, NodeList, NodeSet, assemble, difference
-from kestrelplank.state.sealed import sealed, unsealed
+from kestrelplank.state.sealed import decode_checksummed, encode_checksummed
 
 MAX_HISTORY = 64
 FORMAT_VERSION = 1  # of what is stored
@@ -123,17 +123,17 @@
             self._candidate = new, now
         unchanged_ns = max(0, now - self._candidate[1])
         confirmed = tuple(listed.confirmed_hash for listed in self._node_lists.values() if listed.confirmed_hash)
-        verdict = judge(self.node_set, new, confirmed, unchanged_ns, self.limits)
+        verdict = evaluate_change(self.node_set, new, confirmed, unchanged_ns, self.limits)
         if verdict.decision is Decision.WAITING and verdict.remaining_ns is not None:
             self.decide_at = now + verdict.remaining_ns
         return verdict
 
     # What survives a restart.
 
-    def stored(self) -> bytes:
-        """Return the set in force, to be kept in a file; `restored` reads it back. Only where there is one."""
+    def encode(self) -> bytes:
+        """Return the bytes to store, which `decode_stored_node_set` reads back. A set must be in force."""
         assert self.node_set is not None
-        return sealed(
+        return encode_checksummed(
             FORMAT_VERSION,
             {
                 "version": self.version,
@@ -144,12 +144,12 @@
         )
 
 
-def restored(data: bytes) -> StoredNodeSet:
-    """Return what `NodeSetInForce.stored` was called on.
+def decode_stored_node_set(data: bytes) -> StoredNodeSet:
+    """Return what `NodeSetInForce.encode` was called on.
 
     :raises Malformed: the file is torn, changed, or of a form that is not known.
     """
-    found = unsealed(FORMAT_VERSION, data)
+    found = decode_checksummed(FORMAT_VERSION, data)
     node_set = NodeSet({name: ListedNode(*listed) for name, listed in found["nodes"].items()})
     if node_set.hash != found["hash"]:
         raise Malformed("its nodes do not make the set that it names")
--- a/kestrelplank/state/sealed.py
+++ b/kestrelplank/state/sealed.py
@@ -16,14 +16,14 @@
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def sealed(form: int, state: Mapping[str, object]) -> bytes:
+def encode_checksummed(form: int, state: Mapping[str, object]) -> bytes:
     """Return the bytes to keep: JSON on one line, its checksum on the next."""
     body = msgspec.json.encode({"form": form, **state})
     return body + b"\n" + digest_of(body).encode() + b"\n"
 
 
-def unsealed(form: int, data: bytes) -> dict[str, Any]:  # its users know the form's fields and their types
-    """Return what `sealed` was given, and the form.
+def decode_checksummed(form: int, data: bytes) -> dict[str, Any]:  # its users know the form's fields and their types
+    """Return what `encode_checksummed` was given, and the form.
 
     :raises Malformed: it is torn, changed, or of a form that is not known here; half of it is never used.
     """
--- a/kestrelplank/state/tables.py
+++ b/kestrelplank/state/tables.py
@@ -22,11 +22,11 @@
 RETRY_MODES = (0, 1)  # that a proxy of ours follows: no retry; one retry, with proof
 
 
-class RefusedError(ValueError):
+class UpdateRejectedError(ValueError):
     """What came can't be applied; the text says why. Nothing of it has taken effect."""
 
 
-class GapError(RefusedError):
+class MessageGapError(UpdateRejectedError):
     """A message came before the one ahead of it: the stream has lost something and must begin anew."""
 
 
@@ -112,21 +112,21 @@
         """Apply a message of orders; of a message applied already, only the watermarks are returned again.
 
         :returns: the tables whose available nodes may have changed, and the watermarks to be acknowledged.
-        :raises RefusedError: an order can't be used; nothing has changed.
-        :raises GapError: a message before this one is missing; nothing has changed.
+        :raises UpdateRejectedError: an order can't be used; nothing has changed.
+        :raises MessageGapError: a message before this one is missing; nothing has changed.
         """
         ordered = self._assigners.get(assigner)
         if ordered is None:
-            raise RefusedError(f"conductor {assigner} has no stream here")
+            raise UpdateRejectedError(f"conductor {assigner} has no stream here")
         watermarks = [order.watermark for order in orders if isinstance(order, RequestAcknowledgement)]
         if number < ordered.next_message:
             return [], watermarks
         if number > ordered.next_message:
-            raise GapError(f"message {number} came where {ordered.next_message} is due")
+            raise MessageGapError(f"message {number} came where {ordered.next_message} is due")
         for index, order in enumerate(orders):
             why = self._why_unusable(order)
             if why:
-                raise RefusedError(f"order {index}: {why}")
+                raise UpdateRejectedError(f"order {index}: {why}")
         ordered.next_message += 1
         changed = self._carry_out(assigner, ordered, orders)
         for table in changed:
@@ -231,10 +231,10 @@
     def restore(self, content: TablesContent, node_of: Callable[[str], int]) -> None:
         """Replace what holds by what `content` returned.
 
-        :raises RefusedError: it is of another number of tables; nothing has changed.
+        :raises UpdateRejectedError: it is of another number of tables; nothing has changed.
         """
         if len(content["lines"]) != self.size or len(content["charge"]) != self.size:
-            raise RefusedError(f"{len(content['lines'])} tables were kept, {self.size} are configured")
+            raise UpdateRejectedError(f"{len(content['lines'])} tables were kept, {self.size} are configured")
         self._weights = [{node_of(name): weight for name, weight in weights.items()} for weights in content["lines"]]
         self._owners, self._available = list(content["charge"]), [None] * self.size
         for assigner, withdrawn, shares, retry_mode in content["sources"]:
@@ -246,7 +246,7 @@
 
     # What holds.
 
-    def knows(self, assigner: int) -> bool:
+    def has_assigner(self, assigner: int) -> bool:
         """Whether a stream of that assigner has begun before."""
         return assigner in self._assigners
 
--- a/kestrelplank/state/zone_load.py
+++ b/kestrelplank/state/zone_load.py
@@ -52,7 +52,7 @@
     ]
 
 
-def combined(own: Iterable[ZoneSums], others: Mapping[int, Iterable[ZoneSums]]) -> dict[int, ZoneTotals]:
+def combine_zone_sums(own: Iterable[ZoneSums], others: Mapping[int, Iterable[ZoneSums]]) -> dict[int, ZoneTotals]:
     """Return all zones, from one's own sums and those of members that are alive; with no others they are one's own."""
     totals: dict[int, ZoneTotals] = {}
     for member_sums in (own, *(others[number] for number in sorted(others))):
--- a/kestrelplank/storage/errors.py
+++ b/kestrelplank/storage/errors.py
@@ -21,13 +21,13 @@
 
 
 class NoIncarnationError(StorageError, ValueError):
-    """A write came before `LogFile.keep_incarnation` gave the disk its member's incarnation."""
+    """A write came before `LogFile.store_incarnation` gave the disk its member's incarnation."""
 
     def __init__(self) -> None:
         super().__init__("no incarnation is kept yet")
 
 
-class OtherIncarnationError(StorageError, ValueError):
+class IncarnationMismatchError(StorageError, ValueError):
     """The disk keeps the incarnation of another member already."""
 
     def __init__(self, kept: str, given: str) -> None:
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -22,9 +22,9 @@
 from kestrelplank.storage.entries import check_contiguous, merge_persists
 from kestrelplank.storage.errors import (
     CorruptLogError,
+    IncarnationMismatchError,
     LogReplacedError,
     NoIncarnationError,
-    OtherIncarnationError,
 )
 from kestrelplank.storage.files import (
     make_folder,
@@ -47,7 +47,7 @@
 class LogFile:
     """The log in one folder, which is made where it is missing.
 
-    `load` comes first, then, where it found no incarnation, `keep_incarnation`, then `write`. All calls block, and
+    `load` comes first, then, where it found no incarnation, `store_incarnation`, then `write`. All calls block, and
     raise OSError where the disk refuses: an adapter makes them in a thread of its own, one at a time. The file grows
     with each batch; its owner compares `size_bytes` with a bound and writes a snapshot when that is exceeded. So the
     file is at most a batch larger than the bound; while a new file replaces it, the folder has both.
@@ -101,13 +101,13 @@
         self.path.unlink()  # should a loss of power bring it back, it is found corrupt again
         return LogContent()
 
-    def keep_incarnation(self, incarnation: str) -> None:
+    def store_incarnation(self, incarnation: str) -> None:
         """Make this member's identity durable on an empty disk, with an empty log.
 
-        :raises OtherIncarnationError: the disk is another member's.
+        :raises IncarnationMismatchError: the disk is another member's.
         """
         if self._incarnation is not None and self._incarnation != incarnation:
-            raise OtherIncarnationError(self._incarnation, incarnation)
+            raise IncarnationMismatchError(self._incarnation, incarnation)
         if self._incarnation is None:
             self._replace(incarnation, LogContent(incarnation))
         self._finish_replacing()  # also where a call before made the file, and failed to sync its name
@@ -133,7 +133,7 @@
             check_contiguous(merged.entries, self._last_index)
             self._append(Batch(merged.hard_state, merged.entries))
 
-    def keep_copy(self, version: int, text: bytes) -> None:
+    def write_configuration_copy(self, version: int, text: bytes) -> None:
         """Write a readable copy of a configuration for operators; a refusal is only logged."""
         readable_copies.write_readable_copy(self.folder, version, text)
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -119,7 +119,7 @@
     intake = NodeSetInForce(ChangeLimits(0.25, 0, False))
     intake.update_file("a", parse_node_list("a", NODES.encode(), max_nodes=9, trailer_required=True))
     intake.decide(0)
-    (site / "state").write_bytes(intake.stored())
+    (site / "state").write_bytes(intake.encode())
     return intake.node_set.short_hash
 
 
--- a/tests/control/test_bootstrap.py
+++ b/tests/control/test_bootstrap.py
@@ -50,7 +50,7 @@
 
 def test_a_first_start_that_ended_before_the_membership_was_kept_is_begun_again():
     disk = MemoryLog()
-    disk.keep_incarnation("first")
+    disk.store_incarnation("first")
     member = start(disk)
     assert member.identity == "10.0.0.1:80/first" and member.committed_membership == FIRST
     assert start(disk).committed_membership == FIRST
@@ -58,8 +58,8 @@
 
 def test_a_disk_that_refuses_is_told_and_nothing_is_begun():
     disk = MemoryLog()
-    disk.refusal = OSError("no room")
+    disk.write_error = OSError("no room")
     with pytest.raises(OSError):
         start(disk)
-    disk.refusal = None
+    disk.write_error = None
     assert start(disk).committed_membership == FIRST
--- a/tests/control/test_log_writer.py
+++ b/tests/control/test_log_writer.py
@@ -28,7 +28,7 @@
             self.refusals -= 1
             raise OSError("no room")
 
-    def keep_copy(self, version, text):
+    def write_configuration_copy(self, version, text):
         self.copies.append(version)
 
 
--- a/tests/control/test_member_faults.py
+++ b/tests/control/test_member_faults.py
@@ -319,7 +319,7 @@
         hard_state = member.node.hard_state
         system.kill(name)
         system.disks[name] = MemoryLog()
-        system.disks[name].keep_incarnation("first")
+        system.disks[name].store_incarnation("first")
         system.disks[name].write([Persist(1, hard_state, snapshot)])
     for name in NAMES:
         system.start(name)
--- a/tests/state/test_change_guard.py
+++ b/tests/state/test_change_guard.py
@@ -1,6 +1,6 @@
 import pytest
 
-from kestrelplank.state.change_guard import ChangeLimits, Decision, judge
+from kestrelplank.state.change_guard import ChangeLimits, Decision, evaluate_change
 from kestrelplank.state.node_set import ListedNode, NodeSet
 
 S = 1_000_000_000
@@ -30,7 +30,7 @@
     ],
 )
 def test_what_may_follow_a_set_of_eight(new, how, says):
-    verdict = judge(nodes(), new, (), 0, LIMITS)
+    verdict = evaluate_change(nodes(), new, (), 0, LIMITS)
     assert verdict.decision == how and says in verdict.reason
 
 
@@ -48,23 +48,23 @@
     ],
 )
 def test_a_large_closure_needs_a_marker_that_names_the_set_in_force_or_time(confirms, unchanged_ns, limits, how):
-    assert judge(nodes(), nodes(2, 3), confirms, unchanged_ns, limits).decision == how
+    assert evaluate_change(nodes(), nodes(2, 3), confirms, unchanged_ns, limits).decision == how
 
 
 def test_who_waits_is_told_how_long_yet_unless_waiting_does_not_help():
-    assert judge(nodes(), nodes(2, 3), (), 20 * S, LIMITS).remaining_ns == 40 * S
-    assert judge(nodes(), nodes(2, 3), (), 20 * S, ChangeLimits(0.25, 0, False)).remaining_ns is None
+    assert evaluate_change(nodes(), nodes(2, 3), (), 20 * S, LIMITS).remaining_ns == 40 * S
+    assert evaluate_change(nodes(), nodes(2, 3), (), 20 * S, ChangeLimits(0.25, 0, False)).remaining_ns is None
 
 
 def test_a_zone_may_be_emptied_where_the_operator_says_so_and_then_counts_as_a_removal():
     limits = ChangeLimits(0.25, 60 * S, True)
-    assert judge(nodes(), nodes(0, 4), (), 0, limits).decision == Decision.WAITING
-    assert judge(nodes(), nodes(0, 4), (nodes().short_hash,), 0, limits).decision == Decision.ACCEPTED
+    assert evaluate_change(nodes(), nodes(0, 4), (), 0, limits).decision == Decision.WAITING
+    assert evaluate_change(nodes(), nodes(0, 4), (nodes().short_hash,), 0, limits).decision == Decision.ACCEPTED
     assert (
-        judge(nodes(), nodes(0, 0), (nodes().short_hash,), 900 * S, limits).decision == Decision.REFUSED
+        evaluate_change(nodes(), nodes(0, 0), (nodes().short_hash,), 900 * S, limits).decision == Decision.REFUSED
     )  # never the last
 
 
 def test_the_first_set_of_all_needs_no_second_word():
-    assert judge(None, nodes(1, 0), (), 0, LIMITS).decision == Decision.ACCEPTED
-    assert judge(None, nodes(0, 0), (), 0, LIMITS).decision == Decision.REFUSED
+    assert evaluate_change(None, nodes(1, 0), (), 0, LIMITS).decision == Decision.ACCEPTED
+    assert evaluate_change(None, nodes(0, 0), (), 0, LIMITS).decision == Decision.REFUSED
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -106,7 +106,7 @@
     ],
 )
 def test_an_order_is_acknowledged_once_it_is_in_force_or_overtaken(commands, asked, answer):
-    assert applied(*commands)[0].acknowledges(asked) is answer
+    assert applied(*commands)[0].is_decided(asked) is answer
 
 
 def test_the_configuration_in_force_is_compiled_once_and_again_for_the_next():
--- a/tests/state/test_node_set_in_force.py
+++ b/tests/state/test_node_set_in_force.py
@@ -4,9 +4,9 @@
 
 from kestrelplank.decode import Malformed
 from kestrelplank.state.change_guard import ChangeLimits, Decision
-from kestrelplank.state.debounce import BUSY_FACTOR, Debounce, Reading
+from kestrelplank.state.debounce import BUSY_FACTOR, Debounce, DebounceResult
 from kestrelplank.state.node_set import ListedNode, NodeList, NodeListEntry
-from kestrelplank.state.node_set_in_force import NodeSetInForce, restored
+from kestrelplank.state.node_set_in_force import NodeSetInForce, decode_stored_node_set
 from kestrelplank.state.sealed import digest_of
 
 S = 1_000_000_000
@@ -25,24 +25,29 @@
 
 def test_a_reading_counts_once_two_of_them_a_quiet_time_apart_are_the_same():
     settling = Debounce(10)
-    assert settling.see(0, "a", "one") == 10
-    assert settling.see(5, "a", "two") == 15 and settling.see(12, "a", "two") == 15
-    assert settling.see(15, "a", "two") == Reading.SETTLED and settling.see(16, "a", "two") == Reading.SAME
-    assert settling.see(20, "a", None) == 30 and settling.see(22, "a", "two") == Reading.SAME  # gone for a moment
-    assert settling.see(40, "a", None) == 50 and settling.see(50, "a", None) == Reading.SETTLED
+    assert settling.observe(0, "a", "one") == 10
+    assert settling.observe(5, "a", "two") == 15 and settling.observe(12, "a", "two") == 15
+    assert (
+        settling.observe(15, "a", "two") == DebounceResult.SETTLED
+        and settling.observe(16, "a", "two") == DebounceResult.SAME
+    )
+    assert (
+        settling.observe(20, "a", None) == 30 and settling.observe(22, "a", "two") == DebounceResult.SAME
+    )  # gone for a moment
+    assert settling.observe(40, "a", None) == 50 and settling.observe(50, "a", None) == DebounceResult.SETTLED
     settling.forget("a")
-    assert settling.see(60, "a", None) == 70
+    assert settling.observe(60, "a", None) == 70
 
 
 def test_files_that_have_settled_wait_for_one_that_is_written_but_not_for_ever():
     settling = Debounce(10)
-    settling.see(0, "a", "one")
-    settling.see(0, "b", "0")
-    assert settling.see(10, "a", "one") == Reading.SETTLED
+    settling.observe(0, "a", "one")
+    settling.observe(0, "b", "0")
+    assert settling.observe(10, "a", "one") == DebounceResult.SETTLED
     for at in range(10, 10 * BUSY_FACTOR, 5):
-        settling.see(at, "b", str(at))
-        assert not settling.at_rest(at)
-    assert settling.at_rest(10 * BUSY_FACTOR)
+        settling.observe(at, "b", str(at))
+        assert not settling.may_decide(at)
+    assert settling.may_decide(10 * BUSY_FACTOR)
 
 
 def test_a_set_is_taken_and_told_once_and_the_next_version_is_the_next_number():
@@ -131,7 +136,7 @@
 
 def test_what_is_stored_is_read_back_and_goes_on_from_there():
     in_force = stored()
-    found = restored(in_force.stored())
+    found = decode_stored_node_set(in_force.encode())
     assert found == (in_force.node_set, 2, tuple(in_force.history))
     again = NodeSetInForce(LIMITS, *found)
     again.update_file("a", part("a", *"ab"))
@@ -150,20 +155,20 @@
 )
 def test_what_was_stored_and_is_torn_or_changed_is_refused(spoil):
     with pytest.raises(Malformed, match="torn or changed"):
-        restored(spoil(stored().stored()))
+        decode_stored_node_set(spoil(stored().encode()))
 
 
 @given(some.integers(0, 10**4))
 def test_what_was_stored_and_is_cut_anywhere_is_refused(cut):
-    data = stored().stored()
+    data = stored().encode()
     with pytest.raises(Malformed):
-        restored(data[: cut % (len(data) - 1)])
+        decode_stored_node_set(data[: cut % (len(data) - 1)])
 
 
 def test_a_form_that_is_not_known_is_refused_by_name():
     body = b'{"form":9}'
     with pytest.raises(Malformed, match="form 9 is not known, 1 is"):
-        restored(body + b"\n" + digest_of(body).encode() + b"\n")
+        decode_stored_node_set(body + b"\n" + digest_of(body).encode() + b"\n")
 
 
 contents = some.one_of(
--- a/tests/state/test_tables.py
+++ b/tests/state/test_tables.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.interface import ALL_TABLES
 from kestrelplank.state.table_orders import ClearTable, RequestAcknowledgement, SetAdmission, SetEndpoint, SetWithdrawn
-from kestrelplank.state.tables import GapError, RefusedError, Tables
+from kestrelplank.state.tables import MessageGapError, Tables, UpdateRejectedError
 
 
 def made(*sources):
@@ -44,7 +44,7 @@
 
 def test_a_message_before_its_turn_is_a_gap_and_a_new_stream_begins_at_0():
     tables = made()
-    with pytest.raises(GapError, match="message 1 came where 0 is due"):
+    with pytest.raises(MessageGapError, match="message 1 came where 0 is due"):
         tables.apply(0, 1, [SetEndpoint(1, 5, 2.0)])
     tables.apply(0, 0, [SetWithdrawn(9, True)])
     tables.begin_stream(0)
@@ -67,14 +67,14 @@
 def test_a_message_with_an_order_that_cannot_be_used_changes_nothing_at_all(order, says):
     tables = made()
     before = all_of(tables)
-    with pytest.raises(RefusedError, match=says) as found:
+    with pytest.raises(UpdateRejectedError, match=says) as found:
         tables.apply(0, 0, [SetEndpoint(1, 5, 2.0), SetWithdrawn(9, True), order])
     assert "order 2" in str(found.value) and all_of(tables) == before
     assert tables.apply(0, 0, [SetEndpoint(1, 5, 2.0)])[0] == [1]  # its number is still due
 
 
 def test_an_assigner_without_a_stream_orders_nothing():
-    with pytest.raises(RefusedError, match="no stream"):
+    with pytest.raises(UpdateRejectedError, match="no stream"):
         made().apply(7, 0, [])
 
 
--- a/tests/state/test_zone_load.py
+++ b/tests/state/test_zone_load.py
@@ -2,7 +2,7 @@
 from hypothesis import strategies as some
 
 from kestrelplank.state.membership_datagram import ZoneSums
-from kestrelplank.state.zone_load import ObservedNode, ZoneTotals, combined, zone_sums
+from kestrelplank.state.zone_load import ObservedNode, ZoneTotals, combine_zone_sums, zone_sums
 
 
 def test_sums_are_by_zone_and_leave_out_whoever_has_none():
@@ -20,8 +20,12 @@
         [ZoneSums(0, 20, 80, 2), ZoneSums(1, 5, 80, 2)],
         {3: [ZoneSums(0, 30, 40, 1)], 2: [ZoneSums(2, 1, 1, 1)]},
     )
-    assert combined(own, others) == {0: ZoneTotals(50, 40, 1, 2), 1: ZoneTotals(5, 80, 2, 1), 2: ZoneTotals(1, 1, 1, 1)}
-    assert combined(own, {}) == {0: ZoneTotals(20, 80, 2, 1), 1: ZoneTotals(5, 80, 2, 1)}
+    assert combine_zone_sums(own, others) == {
+        0: ZoneTotals(50, 40, 1, 2),
+        1: ZoneTotals(5, 80, 2, 1),
+        2: ZoneTotals(1, 1, 1, 1),
+    }
+    assert combine_zone_sums(own, {}) == {0: ZoneTotals(20, 80, 2, 1), 1: ZoneTotals(5, 80, 2, 1)}
 
 
 sums = some.lists(
@@ -33,4 +37,4 @@
 
 @given(some.dictionaries(some.integers(0, 9), sums, max_size=5), sums)
 def test_it_does_not_matter_who_was_heard_first(others, own):
-    assert combined(own, others) == combined(own, dict(reversed(others.items())))
+    assert combine_zone_sums(own, others) == combine_zone_sums(own, dict(reversed(others.items())))
--- a/tests/storage/histories.py
+++ b/tests/storage/histories.py
@@ -56,7 +56,7 @@
 
 def filled(folder, *persists, incarnation="first"):
     log, _ = started(folder)
-    log.keep_incarnation(incarnation)
+    log.store_incarnation(incarnation)
     for one in persists:
         log.write([one])
     return log
--- a/tests/storage/memory.py
+++ b/tests/storage/memory.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from kestrelplank.consensus.effects import Persist
-from kestrelplank.storage.errors import MissingEntryError, NoIncarnationError, OtherIncarnationError
+from kestrelplank.storage.errors import IncarnationMismatchError, MissingEntryError, NoIncarnationError
 from kestrelplank.storage.records import LogContent
 
 
@@ -11,12 +11,12 @@
     """A member's log in memory: what the contract of `test_log_contract` says of `LogFile`, for members that are simulated.
 
     It outlives the member: to lose a member's power is to drop the member and `load` again. What `write` returned from
-    is there then, of what it refused nothing, or all where `keeps_refused`. `refusal`: raised by each write while it is
+    is there then, of what it refused nothing, or all where `keeps_failed_writes`. `write_error`: raised by each write while it is
     set. `empty`: the disk is lost.
     """
 
     def __init__(self):
-        self.refusal, self.keeps_refused = None, False
+        self.write_error, self.keeps_failed_writes = None, False
         self.syncs = 0
         self.copies = {}
         self.empty()
@@ -35,11 +35,11 @@
             found = LogContent(self._incarnation, persist.hard_state or found.hard_state, snapshot, entries)
         return found
 
-    def keep_incarnation(self, incarnation):
+    def store_incarnation(self, incarnation):
         if self._incarnation not in (None, incarnation):
-            raise OtherIncarnationError(self._incarnation, incarnation)
-        if self.refusal is not None:
-            raise self.refusal
+            raise IncarnationMismatchError(self._incarnation, incarnation)
+        if self.write_error is not None:
+            raise self.write_error
         self._incarnation = incarnation
         self.syncs += 1
 
@@ -55,9 +55,9 @@
         if indices and (indices != list(range(first, first + len(indices))) or first != start):
             self._written = before
             raise MissingEntryError(first, start - 1)
-        if self.refusal is not None:
-            self._written = self._written if self.keeps_refused else before
-            raise self.refusal
+        if self.write_error is not None:
+            self._written = self._written if self.keeps_failed_writes else before
+            raise self.write_error
         self.syncs += 1
         # What counts is what all of them add up to; kept so, it stays bounded as a file does.
         self._written = [Persist(0, found.hard_state, found.snapshot, found.entries)]
@@ -66,7 +66,7 @@
     def size_bytes(self):
         return len(msgspec.msgpack.encode([(one.hard_state, one.snapshot, one.entries) for one in self._written]))
 
-    def keep_copy(self, version, text):
+    def write_configuration_copy(self, version, text):
         self.copies[version] = text
         self.copies = dict(sorted(self.copies.items())[-2:])
 
--- a/tests/storage/test_log_contract.py
+++ b/tests/storage/test_log_contract.py
@@ -22,7 +22,7 @@
 
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.log_entries import ChangeMembership, HardState, Noop
-from kestrelplank.storage.errors import MissingEntryError, NoIncarnationError, OtherIncarnationError
+from kestrelplank.storage.errors import IncarnationMismatchError, MissingEntryError, NoIncarnationError
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.storage.records import LogContent
 
@@ -38,14 +38,14 @@
 
 
 def test_the_incarnation_is_kept_and_no_other_takes_its_place(log):
-    log.keep_incarnation("5f2c")
-    log.keep_incarnation("5f2c")
-    with pytest.raises(OtherIncarnationError):
-        log.keep_incarnation("77aa")
+    log.store_incarnation("5f2c")
+    log.store_incarnation("5f2c")
+    with pytest.raises(IncarnationMismatchError):
+        log.store_incarnation("77aa")
     log, loaded = restarted(log)
     assert loaded == LogContent("5f2c")
-    with pytest.raises(OtherIncarnationError):
-        log.keep_incarnation("77aa")
+    with pytest.raises(IncarnationMismatchError):
+        log.store_incarnation("77aa")
     log.write([persist(term=2)])
     assert restarted(log)[1] == LogContent("5f2c", HardState(2, "a:2", "b:1"))
 
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("persists, expected", CASES)
 @pytest.mark.parametrize("joined", [True, False])
 def test_what_was_written_is_there_after_a_start(log, persists, expected, joined):
-    log.keep_incarnation("i")
+    log.store_incarnation("i")
     for batch in [persists] if joined else [[one] for one in persists]:
         log.write(batch)
     log, loaded = restarted(log)
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("persists, expected", CASES)
 def test_each_write_is_there_after_a_start_in_between(log, persists, expected):
-    log.keep_incarnation("i")
+    log.store_incarnation("i")
     for one in persists:
         log.write([one])
         log, _ = restarted(log)
@@ -117,7 +117,7 @@
     ],
 )
 def test_an_entry_that_does_not_follow_is_refused_and_changes_nothing(log, before, wrong):
-    log.keep_incarnation("i")
+    log.store_incarnation("i")
     for one in before:
         log.write([one])
     _, held = restarted(log)
@@ -128,14 +128,14 @@
 
 
 def test_entries_that_an_earlier_snapshot_contains_are_passed_over_in_joined_writes_too(log):
-    log.keep_incarnation("i")
+    log.store_incarnation("i")
     log.write([persist(snapshot=snapshot(9))])
     log.write([persist(*entries(8, 11)), persist(entry(5)), persist(term=1)])
     assert restarted(log)[1] == LogContent("i", ONE, snapshot(9), entries(10, 11))
 
 
 def test_a_log_may_be_loaded_again(log):
-    log.keep_incarnation("i")
+    log.store_incarnation("i")
     log.write([persist(*entries(1, 3))])
     assert log.load() == log.load() == LogContent("i", entries=entries(1, 3))
     log.write([persist(entry(4))])
@@ -143,7 +143,7 @@
 
 
 def test_copies_are_not_believed(log):
-    log.keep_copy(5, b"text")
+    log.write_configuration_copy(5, b"text")
     assert restarted(log)[1] == LogContent()
 
 
@@ -180,7 +180,7 @@
     chance = Random(seed)
     log = MemoryLog() if kind == "memory" else LogFile(str(tmp_path_factory.mktemp("log")))
     log.load()
-    log.keep_incarnation("i")
+    log.store_incarnation("i")
     history = random_persists(chance, 40)
     while history:
         count = chance.choice((1, 1, 2, 5))
@@ -193,18 +193,18 @@
 
 
 @pytest.mark.parametrize(
-    "keeps_refused, left", [(False, LogContent("i", ONE)), (True, LogContent("i", TWO, entries=(entry(1),)))]
+    "keeps_failed_writes, left", [(False, LogContent("i", ONE)), (True, LogContent("i", TWO, entries=(entry(1),)))]
 )
-def test_a_log_in_memory_refuses_as_it_is_told(keeps_refused, left):
+def test_a_log_in_memory_refuses_as_it_is_told(keeps_failed_writes, left):
     log = MemoryLog()
-    log.keep_incarnation("i")
+    log.store_incarnation("i")
     log.write([persist(term=1)])
-    log.refusal, log.keeps_refused = REFUSALS[0], keeps_refused
+    log.write_error, log.keeps_failed_writes = REFUSALS[0], keeps_failed_writes
     for _ in range(2):
         with pytest.raises(OSError):
             log.write([persist(term=2), persist(entry(1))])
         assert log.load() == left
-    log.refusal = None
+    log.write_error = None
     log.write([persist(term=2), persist(entry(1)), persist(entry(2))])
     assert log.load() == LogContent("i", TWO, entries=entries(1, 2))
     log.empty()
--- a/tests/storage/test_log_damage.py
+++ b/tests/storage/test_log_damage.py
@@ -20,7 +20,7 @@
 
 def held_after(count):
     log = MemoryLog()
-    log.keep_incarnation("first")
+    log.store_incarnation("first")
     log.write(HISTORY[:count])
     return log.load()
 
@@ -72,7 +72,7 @@
     assert loaded == LogContent() and "counts as empty" in caplog.text
     assert log.size_bytes == 0 and log.frame_count == 0
     assert os.listdir(folder) == ["configuration-0000000000000005.json"]
-    log.keep_incarnation("new")
+    log.store_incarnation("new")
     log.write([persist(term=1)])
     assert found_in(folder) == LogContent("new", ONE)
 
--- a/tests/storage/test_log_folder.py
+++ b/tests/storage/test_log_folder.py
@@ -68,7 +68,7 @@
 def test_the_newest_two_copies_are_kept_as_plain_files(folder):
     log = filled(folder)
     for version in (5, 0x1F, 7, 300, 2):
-        log.keep_copy(version, b"text of %d" % version)
+        log.write_configuration_copy(version, b"text of %d" % version)
     assert sorted(os.listdir(folder)) == [
         "configuration-000000000000001f.json",
         "configuration-000000000000012c.json",
@@ -82,13 +82,13 @@
 def test_a_copy_that_the_disk_refuses_is_logged_and_harms_nothing(tmp_path, monkeypatch, caplog, at):
     scenario = Scenario(tmp_path, monkeypatch, *BEFORE)
     log = scenario.begin()
-    log.keep_copy(3, b"three")
-    log.keep_copy(4, b"four")
+    log.write_configuration_copy(3, b"three")
+    log.write_configuration_copy(4, b"four")
     with monkeypatch.context() as patched:
         scenario.disk = Disk(scenario.folder)
         scenario.disk.install(patched)
         scenario.disk.arm(at, REFUSALS[1])
-        log.keep_copy(5, b"five")
+        log.write_configuration_copy(5, b"five")
     assert "no plain copy of configuration 00000005" in caplog.text
     log.write([BIG])
     assert found_in(scenario.folder) == WITH_BIG
--- a/tests/storage/test_log_power_loss.py
+++ b/tests/storage/test_log_power_loss.py
@@ -36,7 +36,7 @@
 
     def first_start(log):
         log.load()
-        log.keep_incarnation("5f2c")
+        log.store_incarnation("5f2c")
         log.write([persist(term=2)])
 
     def begin():
--- a/tests/storage/test_log_refusals.py
+++ b/tests/storage/test_log_refusals.py
@@ -93,8 +93,8 @@
         return log
 
     scenario.begin = begin
-    for log in refuse_each_call(scenario, lambda log: log.keep_incarnation("5f2c"), REFUSALS[0]):
-        log.keep_incarnation("5f2c")
+    for log in refuse_each_call(scenario, lambda log: log.store_incarnation("5f2c"), REFUSALS[0]):
+        log.store_incarnation("5f2c")
         assert distinct(scenario.after_power_loss()) == [LogContent("5f2c")]
 
 
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -19,8 +19,8 @@
 from kestrelplank.state import journal
 from kestrelplank.state.change_guard import ChangeLimits
 from kestrelplank.state.control_state import ControlState
-from kestrelplank.state.node_set_in_force import NodeSetInForce, restored
-from kestrelplank.state.sealed import sealed, unsealed
+from kestrelplank.state.node_set_in_force import NodeSetInForce, decode_stored_node_set
+from kestrelplank.state.sealed import decode_checksummed, encode_checksummed
 from kestrelplank.state.tables import Tables
 from kestrelplank.storage.log_file import LogFile
 
@@ -62,7 +62,7 @@
     monkeypatch.setattr(os, "urandom", lambda size: salt[:size])
     log = LogFile(os.fspath(tmp_path))
     log.load()
-    log.keep_incarnation(LOG_FILES["incarnation"])
+    log.store_incarnation(LOG_FILES["incarnation"])
     for persists in LOG_FILES["files"][name]["writes"]:
         log.write(
             [
@@ -109,7 +109,7 @@
     assert len(copies) == 2
     log = LogFile(os.fspath(tmp_path))
     for copy in copies:
-        log.keep_copy(json.loads(copy.read_bytes())["version"], copy.read_bytes())
+        log.write_configuration_copy(json.loads(copy.read_bytes())["version"], copy.read_bytes())
     assert [(path.name, path.read_bytes()) for path in sorted(tmp_path.glob("configuration-*"))] == [
         (path.name, path.read_bytes()) for path in copies
     ]
@@ -168,21 +168,21 @@
 
 def test_a_node_lists_state_is_read_to_the_same_values_and_stored_as_the_same_bytes():
     data = (DATA / "node_list_state").read_bytes()
-    nodes, version, history = restored(data)
+    nodes, version, history = decode_stored_node_set(data)
     assert {
         "nodes": {name: list(listed) for name, listed in nodes.nodes.items()},
         "hash": nodes.hash,
         "version": version,
         "history": [list(entry) for entry in history],
     } == values("node_list_state.values.json")
-    assert NodeSetInForce(ChangeLimits(0.25, 0, False), nodes, version, history).stored() == data
+    assert NodeSetInForce(ChangeLimits(0.25, 0, False), nodes, version, history).encode() == data
     with pytest.raises(Malformed):
-        restored(data[:-3])
+        decode_stored_node_set(data[:-3])
 
 
 def test_a_reference_proxys_tables_are_read_to_the_same_values_and_kept_as_the_same_bytes():
     data, expected = (DATA / "reference_proxy_state").read_bytes(), values("reference_proxy_state.values.json")
-    found = unsealed(1, data)
+    found = decode_checksummed(1, data)
     assert found == expected["unsealed"]
     node_ids = expected["node_ids"]
     names = {node: name for name, node in node_ids.items()}
@@ -201,4 +201,4 @@
         source: [names[node] for node in tables.withdrawn(int(source))] for source in expected["withdrawn"]
     } == expected["withdrawn"]
     kept = {"at": found["at"], "tables": tables.content(names.__getitem__), "addresses": found["addresses"]}
-    assert sealed(1, kept) == data
+    assert encode_checksummed(1, kept) == data
