--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -5,7 +5,7 @@
 
 import click
 
-from kestrelplank.command_output import ExitCode, print_refusal
+from kestrelplank.command_output import ExitCode, print_error
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.operator import NodeFileSettings, read_operator_settings
@@ -33,12 +33,12 @@
             print(f"{path}: {kind}, good")
         except InvalidSettingsError as err:
             unusable = True
-            print_refusal(err)
+            print_error(err)
         else:
             node_lists += [node_list] if node_list else []
     if node_lists and not unusable:
         unusable = not check_together(node_lists)
-    sys.exit(ExitCode.UNUSABLE_INPUT if unusable else ExitCode.DONE)
+    sys.exit(ExitCode.INVALID_INPUT if unusable else ExitCode.DONE)
 
 
 def check_file(path: str) -> tuple[FileKind, NodeList | None]:
@@ -80,7 +80,7 @@
         node_set = assemble(node_lists)
     except InvalidNodeSetError as err:
         for conflict in err.conflicts:
-            print_refusal(conflict)
+            print_error(conflict)
         return False
     print(
         f"{len(node_set)} nodes, {len(node_set.ready_nodes())} ready, in {len(node_set.zones)} zones; "
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -3,7 +3,7 @@
 import click
 
 from kestrelplank.cli.options import ini_option
-from kestrelplank.command_output import print_json, refusing_invalid_settings
+from kestrelplank.command_output import exit_on_invalid_settings, print_json
 from kestrelplank.settings.ini import FieldOrigin, IniFile
 from kestrelplank.settings.ini_fields import NS_PER_UNIT
 from kestrelplank.settings.operator import read_operator_settings
@@ -27,7 +27,7 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON, times in ns.")
 def show(path: str | None, as_json: bool) -> None:
     """Every field with its value, and the line or default that it came from."""
-    with refusing_invalid_settings():
+    with exit_on_invalid_settings():
         ini = IniFile.load(path) if path else IniFile("no file", "")
         read_operator_settings(ini)
     if as_json:
--- a/kestrelplank/cli/nodes/check.py
+++ b/kestrelplank/cli/nodes/check.py
@@ -30,4 +30,4 @@
     terms = ChangeLimits(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
     verdict = judge(state[0] if state else None, node_set, confirmations, 0, terms)
     print(f"{verdict.decision}: {verdict.reason}")
-    sys.exit(ExitCode.DONE if verdict.decision is Decision.ACCEPTED else ExitCode.FOUND_WANTING)
+    sys.exit(ExitCode.DONE if verdict.decision is Decision.ACCEPTED else ExitCode.PROBLEM_FOUND)
--- a/kestrelplank/cli/nodes/diff.py
+++ b/kestrelplank/cli/nodes/diff.py
@@ -28,4 +28,4 @@
             for name in names:
                 print(f"{sign} {name}" + (" (closed)" if name in found.closed else ""))
         print(found)
-    sys.exit(ExitCode.FOUND_WANTING if found.added or found.gone or found.changed else ExitCode.DONE)
+    sys.exit(ExitCode.PROBLEM_FOUND if found.added or found.gone or found.changed else ExitCode.DONE)
--- a/kestrelplank/cli/nodes/files.py
+++ b/kestrelplank/cli/nodes/files.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from contextlib import contextmanager
 
-from kestrelplank.command_output import ExitCode, print_refusal, refusing_invalid_settings
+from kestrelplank.command_output import ExitCode, exit_on_invalid_settings, print_error
 from kestrelplank.file_discovery.node_files import load_state, read_bounded_file
 from kestrelplank.file_discovery.node_list import parse_node_list
 from kestrelplank.settings.errors import InvalidSettingsError
@@ -19,15 +19,15 @@
 def refusing_unusable_files() -> Iterator[None]:
     """End the command with a line for each conflict, or the one reason, why the files cannot be used."""
     try:
-        with refusing_invalid_settings():
+        with exit_on_invalid_settings():
             yield
     except InvalidNodeSetError as err:
         for conflict in err.conflicts:
-            print_refusal(conflict)
-        sys.exit(ExitCode.UNUSABLE_INPUT)
+            print_error(conflict)
+        sys.exit(ExitCode.INVALID_INPUT)
     except OSError as err:
-        print_refusal(f"{err.filename}: can't be read: {err.strerror}")
-        sys.exit(ExitCode.UNUSABLE_INPUT)
+        print_error(f"{err.filename}: can't be read: {err.strerror}")
+        sys.exit(ExitCode.INVALID_INPUT)
 
 
 def read_node_file_settings(path: str | None) -> NodeFileSettings:
--- a/kestrelplank/cli/nodes/list.py
+++ b/kestrelplank/cli/nodes/list.py
@@ -12,7 +12,7 @@
     refusing_unusable_files,
 )
 from kestrelplank.cli.options import ini_option, json_option
-from kestrelplank.command_output import ExitCode, print_json, print_refusal
+from kestrelplank.command_output import ExitCode, print_error, print_json
 from kestrelplank.state.node_set import NodeSet, assemble
 
 
@@ -30,8 +30,8 @@
         else:
             node_set = assemble(read_node_lists(paths_of(settings), settings))
     if node_set is None:
-        print_refusal("no state is kept")
-        sys.exit(ExitCode.FOUND_WANTING)
+        print_error("no state is kept")
+        sys.exit(ExitCode.PROBLEM_FOUND)
     if as_json:
         print_json([{"name": name, **listed._asdict()} for name, listed in node_set.nodes.items()])
     else:
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -10,7 +10,7 @@
 import click
 
 from kestrelplank.cli.rehearsal_report import Report, encoded_report, report_lines, rules_kept
-from kestrelplank.command_output import ExitCode, print_refusal, refusing_invalid_settings
+from kestrelplank.command_output import ExitCode, exit_on_invalid_settings, print_error
 from kestrelplank.emulator.script import Script, read_script
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.settings.ini import IniFile
@@ -31,13 +31,13 @@
     """Play a scripted incident with the real decisions, and hold the rules against it."""
     if live + baseline + knowing > 1:
         raise click.UsageError("--live, --baseline and --knowing exclude each other")
-    with refusing_invalid_settings():
+    with exit_on_invalid_settings():
         incident = read_script(IniFile.load(path))
     report = play_live(incident, seed) if live else play_emulated(incident, seed, baseline=baseline, knowing=knowing)
     click.echo("\n".join(report_lines(report)))
     if report_path:
         write_report(report_path, report)
-    sys.exit(ExitCode.DONE if rules_kept(report) else ExitCode.FOUND_WANTING)
+    sys.exit(ExitCode.DONE if rules_kept(report) else ExitCode.PROBLEM_FOUND)
 
 
 def play_live(incident: Script, seed: int) -> Report:
@@ -76,5 +76,5 @@
     try:
         write_atomically(path, encoded_report(report))
     except OSError as err:
-        print_refusal(f"{path} can't be written: {err.strerror}")
-        sys.exit(ExitCode.UNUSABLE_INPUT)
+        print_error(f"{path} can't be written: {err.strerror}")
+        sys.exit(ExitCode.INVALID_INPUT)
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -6,7 +6,7 @@
 import click
 
 from kestrelplank.cli.options import ini_option, json_option
-from kestrelplank.command_output import ExitCode, print_json, print_refusal, refusing_invalid_settings
+from kestrelplank.command_output import ExitCode, exit_on_invalid_settings, print_error, print_json
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.operator import read_operator_settings
 
@@ -22,17 +22,17 @@
     """Each zone as a running conductor sees it: nodes, demand, capacity, and who of the others is alive."""
     from kestrelplank.assigner.status_socket import read_status
 
-    with refusing_invalid_settings():
+    with exit_on_invalid_settings():
         if not socket_path and path:
             socket_path = read_operator_settings(IniFile.load(path)).status.path
     if not socket_path:
-        print_refusal("no status socket: name one with --socket or in the operator's file")
-        sys.exit(ExitCode.UNUSABLE_INPUT)
+        print_error("no status socket: name one with --socket or in the operator's file")
+        sys.exit(ExitCode.INVALID_INPUT)
     try:
         status = read_status(socket_path, ANSWER_TIMEOUT_S)
     except (OSError, ValueError) as err:
-        print_refusal(f"{socket_path}: {getattr(err, 'strerror', None) or err}")
-        sys.exit(ExitCode.FOUND_WANTING)
+        print_error(f"{socket_path}: {getattr(err, 'strerror', None) or err}")
+        sys.exit(ExitCode.PROBLEM_FOUND)
     if as_json:
         print_json(status)
         return
--- a/kestrelplank/command_output.py
+++ b/kestrelplank/command_output.py
@@ -17,8 +17,8 @@
     """What a command's exit code means, whichever command it is."""
 
     DONE = 0
-    FOUND_WANTING = 1  # done, and a difference or fault was found; or whoever was asked does not answer
-    UNUSABLE_INPUT = 2  # what was given cannot be used; one line says why
+    PROBLEM_FOUND = 1  # done, and a difference or fault was found; or whoever was asked does not answer
+    INVALID_INPUT = 2  # what was given cannot be used; one line says why
 
 
 def print_json(value: object) -> None:
@@ -26,16 +26,16 @@
     print(msgspec.json.encode(value).decode())
 
 
-def print_refusal(reason: object) -> None:
+def print_error(reason: object) -> None:
     """Print one line on standard error that says why the command ends."""
     print(f"kestrelplank: {reason}", file=sys.stderr)
 
 
 @contextmanager
-def refusing_invalid_settings() -> Iterator[None]:
+def exit_on_invalid_settings() -> Iterator[None]:
     """End the command with the one line of an InvalidSettingsError that is raised inside."""
     try:
         yield
     except InvalidSettingsError as err:
-        print_refusal(err)
-        sys.exit(ExitCode.UNUSABLE_INPUT)
+        print_error(err)
+        sys.exit(ExitCode.INVALID_INPUT)
--- a/kestrelplank/gateway/command_line.py
+++ b/kestrelplank/gateway/command_line.py
@@ -38,7 +38,7 @@
 
 from docopt import DocoptExit, docopt  # type: ignore[import-untyped] # the library has no types
 
-from kestrelplank.command_output import ExitCode, print_refusal
+from kestrelplank.command_output import ExitCode, print_error
 from kestrelplank.settings import platform
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.json_logging import configure_json_logging
@@ -86,15 +86,15 @@
         arguments = Arguments(docopt(__doc__, argv))
     except DocoptExit as err:
         print(err, file=sys.stderr)
-        return ExitCode.UNUSABLE_INPUT
+        return ExitCode.INVALID_INPUT
     try:
         return run_command(arguments)
     except ValueError as err:  # InvalidSettingsError is one, and so is a level that logging does not know
-        print_refusal(err)
-        return ExitCode.UNUSABLE_INPUT
+        print_error(err)
+        return ExitCode.INVALID_INPUT
     except (OSError, TimeoutError) as err:
-        print_refusal(f"{arguments.text('ADDRESS')} {err or 'no answer'}".lstrip())
-        return ExitCode.FOUND_WANTING
+        print_error(f"{arguments.text('ADDRESS')} {err or 'no answer'}".lstrip())
+        return ExitCode.PROBLEM_FOUND
 
 
 def run_command(arguments: Arguments) -> int:
--- a/kestrelplank/gateway/diff.py
+++ b/kestrelplank/gateway/diff.py
@@ -6,7 +6,7 @@
 
 
 def diff(old_path: str, new_path: str, *, as_json: bool) -> ExitCode:
-    """Print what the new configuration changes; FOUND_WANTING where it changes anything.
+    """Print what the new configuration changes; PROBLEM_FOUND where it changes anything.
 
     :raises InvalidSettingsError: one of them cannot be used.
     """
@@ -16,4 +16,4 @@
     else:
         for difference in changes:
             print(difference)
-    return ExitCode.FOUND_WANTING if changes else ExitCode.DONE
+    return ExitCode.PROBLEM_FOUND if changes else ExitCode.DONE
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -9,7 +9,7 @@
 
 
 def rehearse(requests: int, log_level: str, *, as_json: bool) -> ExitCode:
-    """Print what was seen; FOUND_WANTING where a rule was broken.
+    """Print what was seen; PROBLEM_FOUND where a rule was broken.
 
     :param requests: how many the clients send.
     """
@@ -21,4 +21,4 @@
             print(f"{name.replace('_', ' ')}: {', '.join(value) if isinstance(value, list) else value}")
     complete = report["ready"] and report["replaced"]
     broken = not complete or any(report[field] for field in RULE_VIOLATION_FIELDS)
-    return ExitCode.FOUND_WANTING if broken else ExitCode.DONE
+    return ExitCode.PROBLEM_FOUND if broken else ExitCode.DONE
--- a/kestrelplank/gateway/replace.py
+++ b/kestrelplank/gateway/replace.py
@@ -40,7 +40,7 @@
 def replace(address: str, path: str, wait_s: float, *, as_json: bool) -> ExitCode:
     """Send a configuration and print the outcome.
 
-    FOUND_WANTING where it was refused, somebody is behind, or it changed nothing.
+    PROBLEM_FOUND where it was refused, somebody is behind, or it changed nothing.
 
     :param wait_s: how long to wait until nobody is behind.
     :raises InvalidSettingsError: the file holds no valid configuration; then nothing is sent.
@@ -56,9 +56,9 @@
 
 
 def exit_code(replacement: Replacement) -> ExitCode:
-    """Return DONE where the version is in force everywhere; else FOUND_WANTING."""
+    """Return DONE where the version is in force everywhere; else PROBLEM_FOUND."""
     complete = replacement.in_force and not replacement.behind
-    return ExitCode.DONE if complete else ExitCode.FOUND_WANTING
+    return ExitCode.DONE if complete else ExitCode.PROBLEM_FOUND
 
 
 async def _send(address: str, configuration: Configuration, wait_until_s: float) -> Replacement:
--- a/kestrelplank/load_balancing/admission.py
+++ b/kestrelplank/load_balancing/admission.py
@@ -113,7 +113,7 @@
             if not of_client:
                 del self._by_client[held.client]
 
-    def late_connections(self, now: int, *, stopping: bool = False) -> list[tuple[int, CloseReason]]:
+    def expired_connections(self, now: int, *, stopping: bool = False) -> list[tuple[int, CloseReason]]:
         """Return the connections to close, with why: a head that does not come, or nothing for too long.
 
         While we stop, an idle connection is closed after `STOPPING_IDLE_TIMEOUT_NS`: a request that is on its way on it
--- a/kestrelplank/load_balancing/attempts.py
+++ b/kestrelplank/load_balancing/attempts.py
@@ -64,7 +64,7 @@
 class Attempts:
     """The ops of one proxy.
 
-    Where there is a queue, call `take_settled` after each of the other calls: what one op does may settle others.
+    Where there is a queue, call `take_queued_steps` after each of the other calls: what one op does may settle others.
 
     Invariants: no op is sent after an attempt that may have run, nor twice to one node (test
     `test_no_op_is_sent_after_an_attempt_that_may_have_run_nor_twice_to_one_node`); there is at most one retry (test
@@ -173,7 +173,7 @@
                     steps.append((op, self._send(now, op, node)))
         return steps
 
-    def take_settled(self, now: int) -> list[tuple[Op, Step]]:
+    def take_queued_steps(self, now: int) -> list[tuple[Op, Step]]:
         """Return what the last calls have settled of queued ops: displaced, or sent as there is capacity now."""
         if self._queued and self._queue is not None:
             self._queue.release(lambda number: self._send_queued(now, self._queued[number]))
--- a/kestrelplank/load_balancing/connection_pool.py
+++ b/kestrelplank/load_balancing/connection_pool.py
@@ -25,15 +25,15 @@
     :param idle_timeout_ns: an unused connection is closed after that time.
     :param max_uses: ops on one connection, 0 for any number.
     :param withdrawal_grace_ns: ops in flight at a node that is withdrawn may take that long.
-    :param warm_up_ns: a node that is new here has all of its weight after that time, and `cold_share` of it at first.
+    :param slow_start_ns: time until a new node has its full weight, growing from `initial_weight_share` of it.
     """
 
     max_connections: int = 64
     idle_timeout_ns: int = 15 * SECOND
     max_uses: int = 0
     withdrawal_grace_ns: int = 1_500 * MILLISECOND
-    warm_up_ns: int = 0
-    cold_share: float = 0.2
+    slow_start_ns: int = 0
+    initial_weight_share: float = 0.2
 
 
 class ConnectionPool:
@@ -145,15 +145,15 @@
             return []
         return list(self._busy)
 
-    def weight_share(self, now: int) -> float:
+    def weight_factor(self, now: int) -> float:
         """Return the share of its weight that the node has by now, as it was new here some time ago.
 
         Guards, with every proxy doing alike, against a cold node that all find idle at once.
         """
         settings, known_ns = self._settings, now - self._known_since
-        if not settings.warm_up_ns or known_ns >= settings.warm_up_ns:
+        if not settings.slow_start_ns or known_ns >= settings.slow_start_ns:
             return 1.0
-        return settings.cold_share + (1 - settings.cold_share) * known_ns / settings.warm_up_ns
+        return settings.initial_weight_share + (1 - settings.initial_weight_share) * known_ns / settings.slow_start_ns
 
     def counts(self) -> tuple[int, int, int]:
         """Return how many connections are busy, idle and being dialled."""
--- a/kestrelplank/reference_proxy/assembly.py
+++ b/kestrelplank/reference_proxy/assembly.py
@@ -64,7 +64,7 @@
         random = Random(self._settings.process.seed)
         targets_ns, values = [op.target_latency_ns for op in ops], [op.value for op in ops]
         overload = OverloadControl(
-            RetryBudget(len(ops), settings.retry_budget, settings.saved_retries),
+            RetryBudget(len(ops), settings.retry_budget, settings.max_saved_retries),
             limits if settings.limited else None,
             WaitingQueue(settings.queue_length, targets_ns, values, settings.queue_wait_fraction),
         )
@@ -72,7 +72,7 @@
             random,
             self._tables,
             core_settings.attempt_settings(self._settings),
-            OutlierEjection(random, settings.failures_to_avoid, settings.avoidance_ns),
+            OutlierEjection(random, settings.failures_to_eject, settings.ejection_time_ns),
             overload,
             self._weight_factor if self._settings.nodes.slow_start_ns else None,
             self.zones,
@@ -152,7 +152,7 @@
 
     def _weight_factor(self, node: int) -> float:
         pool = self.proxy.nodes.pools.get(node)
-        return 1.0 if pool is None else pool.weight_share(self._io.loop.now())
+        return 1.0 if pool is None else pool.weight_factor(self._io.loop.now())
 
     # What is done regularly.
 
--- a/kestrelplank/reference_proxy/client_connections.py
+++ b/kestrelplank/reference_proxy/client_connections.py
@@ -52,7 +52,7 @@
 
     def close_late(self) -> None:
         """Close who sends no complete head in time, or nothing for too long."""
-        late = self._admission.late_connections(self._io.loop.now(), stopping=self._handler.stopping)
+        late = self._admission.expired_connections(self._io.loop.now(), stopping=self._handler.stopping)
         for number, reason in late:
             client = self.connections.get(number)
             if client is None:
--- a/kestrelplank/reference_proxy/core_settings.py
+++ b/kestrelplank/reference_proxy/core_settings.py
@@ -27,7 +27,7 @@
     clients = settings.clients
     return ExchangeLimits(
         head_bytes=clients.max_header_bytes,
-        kept_body_bytes=clients.kept_body_bytes,
+        kept_body_bytes=clients.max_retained_body_bytes,
         body_bytes=clients.max_body_bytes,
         dial_timeout_ns=settings.attempts.connect_timeout_ns,
         key_header=clients.idempotency_header.lower().encode(),
@@ -53,31 +53,31 @@
         idle_timeout_ns=nodes.idle_timeout_ns,
         max_uses=nodes.max_requests_per_connection,
         withdrawal_grace_ns=nodes.grace_ns,
-        warm_up_ns=nodes.slow_start_ns,
-        cold_share=nodes.slow_start_from,
+        slow_start_ns=nodes.slow_start_ns,
+        initial_weight_share=nodes.slow_start_from,
     )
 
 
 def answer_cache_limits(settings: ReferenceProxySettings) -> CacheLimits:
     """Return how many answers of deduplicated ops are kept."""
     clients = settings.clients
-    return CacheLimits(clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns)
+    return CacheLimits(clients.max_cached_answers, clients.max_cached_answers_bytes, clients.cached_answer_max_age_ns)
 
 
 def attempt_settings(settings: ReferenceProxySettings) -> AttemptSettings:
     """Return how ops are attempted."""
     attempts = settings.attempts
     timeouts_ns = [op_type.timeout_ns for op_type in settings.op_types.values()]
-    return AttemptSettings(timeouts_ns, SelectionMethod(attempts.pick), attempts.hold_ns)
+    return AttemptSettings(timeouts_ns, SelectionMethod(attempts.pick), attempts.max_wait_ns)
 
 
 def concurrency_limit_settings(settings: ReferenceProxySettings) -> ConcurrencyLimitSettings:
     """Return how the limits of ops in flight at a node move."""
     attempts = settings.attempts
     return ConcurrencyLimitSettings(
-        initial=attempts.first_limit,
-        minimum=attempts.least_limit,
-        maximum=attempts.greatest_limit,
+        initial=attempts.initial_limit,
+        minimum=attempts.min_limit,
+        maximum=attempts.max_limit,
         tolerance=attempts.latency_tolerance,
     )
 
@@ -101,6 +101,6 @@
         window_ns=zones.loss_window_ns,
         free_losses=zones.free_losses,
         first_hold_ns=zones.first_hold_ns,
-        max_hold_ns=zones.longest_hold_ns,
-        reset_after_ns=zones.forget_after_ns,
+        max_hold_ns=zones.max_hold_ns,
+        reset_after_ns=zones.reset_after_ns,
     )
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -243,7 +243,7 @@
 
     def _settle(self) -> None:
         """Act on what the last calls of `Attempts` have settled of other ops."""
-        for op, step in self._attempts.take_settled(self._loop.now()):
+        for op, step in self._attempts.take_queued_steps(self._loop.now()):
             if op.number in self.exchanges:
                 self._act(self.exchanges[op.number], step)
 
@@ -340,7 +340,7 @@
         """Take no new connection; requests are answered, and each connection then closed."""
         if not self.stopping:
             self.stopping = True
-            self.clients.listener.close()  # connections at rest end by and by, see `Admission.late_connections`
+            self.clients.listener.close()  # connections at rest end by and by, see `Admission.expired_connections`
 
     def idle(self) -> bool:
         """Whether no client is connected."""
--- a/kestrelplank/settings/reference_proxy.py
+++ b/kestrelplank/settings/reference_proxy.py
@@ -54,20 +54,20 @@
 
     pick: Literal["random", "rotate", "two", "key"] = "random"
     # Failures in a row after which a node is avoided, and for how long.
-    failures_to_avoid: Count = field(default=5, name="strikes")
-    avoidance_ns: DurationRange = field(default=(4_000 * MILLISECOND, 7_000 * MILLISECOND), name="avoid")
-    hold_ns: Duration = field(default=500 * MILLISECOND, name="hold")
+    failures_to_eject: Count = field(default=5, name="strikes")
+    ejection_time_ns: DurationRange = field(default=(4_000 * MILLISECOND, 7_000 * MILLISECOND), name="avoid")
+    max_wait_ns: Duration = field(default=500 * MILLISECOND, name="hold")
     connect_timeout_ns: PositiveDuration = field(default=250 * MILLISECOND, name="dial")
     # Whether there is a second attempt, with proof that the first never ran.
     retry: Flag = field(default=True, name="again")
     # Second attempts as a fraction of first ones, by op type, and how many may be saved up.
     retry_budget: Fraction = field(default=0.2, name="budget")
-    saved_retries: Number = field(default=10.0, name="budget_saved")
+    max_saved_retries: Number = field(default=10.0, name="budget_saved")
     # Whether what is in flight at a node has a limit, learned from how long it takes.
     limited: Flag = True
-    first_limit: PositiveCount = field(default=20, name="first")
-    least_limit: PositiveCount = field(default=2, name="least")
-    greatest_limit: PositiveCount = field(default=1000, name="most")
+    initial_limit: PositiveCount = field(default=20, name="first")
+    min_limit: PositiveCount = field(default=2, name="least")
+    max_limit: PositiveCount = field(default=1000, name="most")
     latency_tolerance: Annotated[Number, Meta(ge=1)] = field(default=2.0, name="tolerance")
     # Ops that wait for room at a node, and for how much of their target latency.
     queue_length: Count = field(default=100, name="queue")
@@ -84,12 +84,12 @@
     max_header_bytes: PositiveCount = field(default=1 << 15, name="head_bytes")
     max_body_bytes: PositiveCount = field(default=64 << 20, name="body_bytes")
     # Of a request's body, to be sent again.
-    kept_body_bytes: Count = field(default=1 << 16, name="kept_bytes")
+    max_retained_body_bytes: Count = field(default=1 << 16, name="kept_bytes")
     idempotency_header: str = field(default="Idempotency-Key", name="key")
     # Kept for deduplicated ops.
-    kept_answers: PositiveCount = field(default=10_000, name="answers")
-    kept_answers_bytes: Count = field(default=16 << 20, name="answers_bytes")
-    kept_answer_age_ns: Duration = field(default=60_000 * MILLISECOND, name="answers_age")
+    max_cached_answers: PositiveCount = field(default=10_000, name="answers")
+    max_cached_answers_bytes: Count = field(default=16 << 20, name="answers_bytes")
+    cached_answer_max_age_ns: Duration = field(default=60_000 * MILLISECOND, name="answers_age")
 
 
 class NodeSettings(Struct, frozen=True, kw_only=True):
@@ -121,12 +121,12 @@
     # Attempts in a row that reached nobody, after which a zone counts as lost.
     failures_to_lose_zone: PositiveCount = field(default=8, name="strikes")
     # Losses within the window that cost nothing; the first that does keeps a zone out for `first_hold_ns`, which
-    # doubles with each loss up to `longest_hold_ns`. So long without a loss, all is forgotten.
+    # doubles with each loss up to `max_hold_ns`. So long without a loss, all is forgotten.
     loss_window_ns: Duration = field(default=60_000 * MILLISECOND, name="window")
     free_losses: Count = field(default=1, name="free")
     first_hold_ns: Duration = field(default=5_000 * MILLISECOND, name="first")
-    longest_hold_ns: Duration = field(default=120_000 * MILLISECOND, name="longest")
-    forget_after_ns: Duration = field(default=180_000 * MILLISECOND, name="quiet")
+    max_hold_ns: Duration = field(default=120_000 * MILLISECOND, name="longest")
+    reset_after_ns: Duration = field(default=180_000 * MILLISECOND, name="quiet")
 
 
 class OpTypeSettings(Struct, frozen=True, kw_only=True):
--- a/tests/load_balancing/test_admission.py
+++ b/tests/load_balancing/test_admission.py
@@ -46,18 +46,18 @@
     admission.enter_state(4 * S, 3, BUSY)
     admission.enter_state(5 * S, 3, IDLE)
     admission.enter_state(6 * S, 3, IDLE)  # no new time for more of the same
-    assert admission.late_connections(5 * S) == [(0, "no whole head came")]
-    assert admission.late_connections(9 * S) == [(0, "no whole head came"), (1, "no whole head came")]
-    assert admission.late_connections(65 * S)[2:] == [(3, "idle")]
+    assert admission.expired_connections(5 * S) == [(0, "no whole head came")]
+    assert admission.expired_connections(9 * S) == [(0, "no whole head came"), (1, "no whole head came")]
+    assert admission.expired_connections(65 * S)[2:] == [(3, "idle")]
 
 
 def test_while_we_stop_an_idle_connection_is_closed_after_a_time_and_not_at_once():
     admission = connected("a", "b", "c")
     admission.enter_state(0, 1, BUSY)
     admission.enter_state(0, 2, IDLE)
-    assert admission.late_connections(STOPPING_IDLE_TIMEOUT_NS - 1, stopping=True) == []
-    assert admission.late_connections(2 * STOPPING_IDLE_TIMEOUT_NS) == []
-    late = admission.late_connections(2 * STOPPING_IDLE_TIMEOUT_NS, stopping=True)
+    assert admission.expired_connections(STOPPING_IDLE_TIMEOUT_NS - 1, stopping=True) == []
+    assert admission.expired_connections(2 * STOPPING_IDLE_TIMEOUT_NS) == []
+    late = admission.expired_connections(2 * STOPPING_IDLE_TIMEOUT_NS, stopping=True)
     assert late == [(0, CloseReason.IDLE), (2, CloseReason.IDLE)]
 
 
--- a/tests/load_balancing/test_attempts.py
+++ b/tests/load_balancing/test_attempts.py
@@ -212,12 +212,12 @@
     made.submit(0, 9, 1, 0)
     first, _ = made.submit(0, 0, 0, 0)
     waiting = [made.submit(0, number, 0, 0) for number in (1, 2)]
-    assert [step for _, step in waiting] == [Wait(S // 2)] * 2 and made.take_settled(0) == []
+    assert [step for _, step in waiting] == [Wait(S // 2)] * 2 and made.take_queued_steps(0) == []
     dear, step = made.submit(0, 3, 1, 0)
-    assert step == Wait(S // 2) and made.take_settled(0) == [(waiting[1][0], End(REJECTED, "turned away"))]
+    assert step == Wait(S // 2) and made.take_queued_steps(0) == [(waiting[1][0], End(REJECTED, "turned away"))]
     assert made.submit(0, 4, 0, 0)[1] == End(REJECTED, "full")
     made.attempt_ended(9, first, SUCCEEDED)
-    assert made.take_settled(9) == [(waiting[0][0], Send(1))] and made.waiting_count() == 1 and dear.waits_until
+    assert made.take_queued_steps(9) == [(waiting[0][0], Send(1))] and made.waiting_count() == 1 and dear.waits_until
 
 
 def test_an_op_that_waits_for_capacity_and_is_abandoned_or_out_of_time_has_run_nowhere():
@@ -226,7 +226,7 @@
     (first, _), (second, _) = (made.submit(0, number, 0, 0) for number in (1, 2))
     assert made.wait_expired(first) == End(REJECTED, "no room in time")
     assert made.abandon(S // 2, second, EndReason.CALLER_GONE) == End(REJECTED, "caller gone")
-    assert made.waiting_count() == 0 and made.take_settled(S) == []
+    assert made.waiting_count() == 0 and made.take_queued_steps(S) == []
 
 
 def test_a_full_node_is_passed_over_for_one_with_capacity():
--- a/tests/load_balancing/test_connection_pool.py
+++ b/tests/load_balancing/test_connection_pool.py
@@ -72,13 +72,13 @@
 
 
 def test_the_weight_of_a_node_that_is_new_or_restored_grows_with_time():
-    pool = pool_of(warm_up_ns=10 * S, cold_share=0.2)
-    assert [round(pool.weight_share(at * S), 2) for at in (0, 5, 10, 99)] == [0.2, 0.6, 1.0, 1.0]
+    pool = pool_of(slow_start_ns=10 * S, initial_weight_share=0.2)
+    assert [round(pool.weight_factor(at * S), 2) for at in (0, 5, 10, 99)] == [0.2, 0.6, 1.0, 1.0]
     pool.withdraw(20 * S)
     pool.restore(30 * S)
-    assert pool.weight_share(30 * S) == 0.2 and pool.acquire(30 * S) == DIAL
+    assert pool.weight_factor(30 * S) == 0.2 and pool.acquire(30 * S) == DIAL
     pool.restore(39 * S)  # which it was already
-    assert pool.weight_share(40 * S) == 1.0
+    assert pool.weight_factor(40 * S) == 1.0
 
 
 @given(
--- a/tests/load_balancing/test_recorded_load_balancing.py
+++ b/tests/load_balancing/test_recorded_load_balancing.py
@@ -122,7 +122,7 @@
             self.note(op, self.made.wait_expired(op))
         else:
             self.change_tables()
-        for op, step in self.made.take_settled(self.now):
+        for op, step in self.made.take_queued_steps(self.now):
             self.note(op, step)
 
 
@@ -156,7 +156,7 @@
         elif chance < 0.8:
             admission.disconnect(present.pop(random.randrange(len(present))))
         else:
-            late = admission.late_connections(now, stopping=chance > 0.95)
+            late = admission.expired_connections(now, stopping=chance > 0.95)
             found.append(late)
             for connection, _ in late:
                 admission.disconnect(connection)
@@ -166,7 +166,7 @@
 
 def play_pool():
     random, found, number, busy, dialling = Random(6), [], 0, [], 0
-    settings = PoolSettings(5, idle_timeout_ns=2 * S, max_uses=4, withdrawal_grace_ns=1 * S, warm_up_ns=10 * S)
+    settings = PoolSettings(5, idle_timeout_ns=2 * S, max_uses=4, withdrawal_grace_ns=1 * S, slow_start_ns=10 * S)
     pool = ConnectionPool(0, settings)
     for turn in range(6000):
         now, chance = turn * 40 * MS, random.random()
@@ -193,7 +193,7 @@
         elif chance < 0.94:
             pool.restore(now)
         else:
-            found.append([pool.expire_idle(now), pool.overdue(now), round(pool.weight_share(now), 9)])
+            found.append([pool.expire_idle(now), pool.overdue(now), round(pool.weight_factor(now), 9)])
         found.append(list(pool.counts()))
     return found
 
