--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -20,8 +20,8 @@
 from hdrh.histogram import HdrHistogram
 
 from kestrelplank.rehearsal.stub_server import SocketKit, StubServer, fail
-from kestrelplank.sockets.buffers import Pool
-from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
+from kestrelplank.sockets.buffers import BufferPool
+from kestrelplank.sockets.connection import Connection, Listener, OutboundConnection, address
 
 MS = 1_000_000
 ROOT = str(Path(__file__).parents[1])
@@ -72,7 +72,7 @@
 def serve(what: str, to: str) -> None:
     """Runs the nodes or the pass-through, and prints where."""
     kit = SocketKit()
-    kit.pool = Pool(1 << 16, 64)
+    kit.pool = BufferPool(1 << 16, 64)
     if what == "node":
 
         def accept(sock: object) -> None:
@@ -84,7 +84,7 @@
             ours.other, theirs.other = theirs, ours
             theirs.up = False
             ours.connection = Connection(kit.loop, kit.pool, sock, ours, 1 << 24)
-            theirs.connection = Dialled(kit.loop, kit.pool, address(to), theirs, 1 << 24, 250 * MS)
+            theirs.connection = OutboundConnection(kit.loop, kit.pool, address(to), theirs, 1 << 24, 250 * MS)
 
     listener = Listener(kit.loop, ("127.0.0.1", 0), accept, fail, MS)
     print("%s:%d" % listener.at, flush=True)
@@ -98,7 +98,7 @@
         self.kit, self.times = kit, times
         self.request = b"GET %s HTTP/1.1\r\nHost: a\r\n\r\n" % path
         self.parser, self.done, self.bad = httptools.HttpResponseParser(self), 0, 0
-        self.connection = Dialled(kit.loop, kit.pool, address(to), self, 1 << 16, 2000 * MS)
+        self.connection = OutboundConnection(kit.loop, kit.pool, address(to), self, 1 << 16, 2000 * MS)
 
     def on_open(self) -> None:
         self.ask()
@@ -127,13 +127,13 @@
 def load(to: str, connections: int, size: int, seconds: float) -> tuple[float, list[float]]:
     """Ops a second, and the time at percentiles in ms."""
     kit, times = SocketKit(), HdrHistogram(1, 60_000_000, 3)
-    kit.pool = Pool(1 << 16, 64)
+    kit.pool = BufferPool(1 << 16, 64)
     askers = [Asker(kit, to, b"/look/%d" % size, times) for _ in range(connections)]
     end = time.monotonic() + 0.5
     counted, begun = 0, 0.0
     while True:
         kit.loop.at(kit.loop.now() + 5 * MS, lambda: None)
-        kit.loop.turn()
+        kit.loop.run_once()
         if time.monotonic() > end:
             if begun:
                 break
@@ -209,11 +209,11 @@
             while "listen=" not in said and time.monotonic() < end:
                 said += (relay.stderr.read() or b"").decode()
                 hub_kit.loop.at(hub_kit.loop.now() + 10 * MS, lambda: None)
-                hub_kit.loop.turn()
+                hub_kit.loop.run_once()
             end = time.monotonic() + 1  # for its tables; after that the hub is silent, and the relay goes on
             while time.monotonic() < end:
                 hub_kit.loop.at(hub_kit.loop.now() + 10 * MS, lambda: None)
-                hub_kit.loop.turn()
+                hub_kit.loop.run_once()
             relay_at = said.split("listen=")[1].split()[0]
             heads = "".join(f"{what:>27}" for what in ("node alone: p50, p99", "pass-through", "relay"))
             print(f"{'connections':>11} {'body':>8}  {heads}  ratio")
--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -127,14 +127,14 @@
         took = []
         while source.intake.node_set is None:
             kit.loop.at(kit.loop.now() + MS, lambda: None)
-            kit.loop.turn()
+            kit.loop.run_once()
         heard.clear()
         for turn in range(number):
             write_atomically(path, (whole if turn % 2 else drained).encode())
             took.append(kit.loop.now())
             while len(heard) <= turn:
                 kit.loop.at(kit.loop.now() + MS, lambda: None)
-                kit.loop.turn()
+                kit.loop.run_once()
         late = sorted(at - begun - quiet for begun, at in zip(took, heard))
         source.close()
         kit.loop.close()
--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -16,10 +16,10 @@
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 from kestrelplank.assigner.rounds import RoundRunner
 from kestrelplank.assigner.telemetry_server import TelemetryServer
-from kestrelplank.decode import Ids, Malformed, list_value, object_value, parse_json, read_settings, text
+from kestrelplank.decode import Ids, MalformedError, list_value, object_value, parse_json, read_settings, text
 from kestrelplank.interface import Event, PeerMessage, PolicySettings
 from kestrelplank.policy import Policy
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.connection import address as parse_address
 from kestrelplank.sockets.loop import READ, Loop
 
@@ -53,16 +53,16 @@
 def read_configuration(ids: Ids) -> AssignerConfiguration:
     """Return the configuration as it is now; zones and op types are added to `ids`.
 
-    :raises Malformed: a field cannot be used; it is named with the file.
+    :raises MalformedError: a field cannot be used; it is named with the file.
     """
     path = os.environ.get("NODE_CONFIG")
     if not path:
-        raise Malformed("NODE_CONFIG is not set")
+        raise MalformedError("NODE_CONFIG is not set")
     document = _read_document(path)
     hub = document.get("hub")
     hub_address = hub.get("address") if isinstance(hub, dict) else None
     if "settings" not in document:
-        raise Malformed(f"{path}, field settings: missing")
+        raise MalformedError(f"{path}, field settings: missing")
     peers = _read_field(path, "peers", list_value, document.get("peers") or [])
     values = {"listen": document.get("listen"), "discovery": document.get("discovery"), "hub": hub_address}
     values.update({name: document[name] for name in ("peer_listen", "peers_all") if document.get(name)})
@@ -88,9 +88,9 @@
         with open(path, "rb") as file:  # noqa: PTH123 - pathlib would cost this program half a megabyte
             return object_value(parse_json(file.read()))
     except OSError as err:
-        raise Malformed(f"{path} can't be read: {err.strerror}") from None
-    except Malformed as err:
-        raise Malformed(f"{path}: {err}") from None
+        raise MalformedError(f"{path} can't be read: {err.strerror}") from None
+    except MalformedError as err:
+        raise MalformedError(f"{path}: {err}") from None
 
 
 def _read_field(path: str, name: str, reader: Callable[[object], Value], value: object) -> Value:
@@ -98,7 +98,7 @@
     try:
         return reader(value)
     except ValueError as err:
-        raise Malformed(f"{path}, field {name}: {err}") from None
+        raise MalformedError(f"{path}, field {name}: {err}") from None
 
 
 def _read_address(value: object) -> str:
@@ -169,7 +169,7 @@
         self._settings = configuration.settings
         self._loop = Loop(lambda err: self._counters.defect(err))  # a lambda, as the counters need its clock first
         self._counters = Counters(logger(configuration.name), self._loop.now)
-        self._pool = Pool(BUFFER_BYTES, BUFFERS)
+        self._pool = BufferPool(BUFFER_BYTES, BUFFERS)
         self._node_files: NodeFiles | None = None
         self._membership: MembershipGossip | None = None
         self._status: StatusSocket | None = None
@@ -335,7 +335,7 @@
             configuration = read_configuration(Ids(text))
             operator = read_operator_file()
         except ValueError as err:
-            self._counters.trouble("reloads_refused", err)
+            self._counters.record_fault("reloads_refused", err)
             return
         self._counters.add("reloads")
         hub, discovery = configuration.update_source_address, configuration.discovery_address
--- a/kestrelplank/assigner/counters.py
+++ b/kestrelplank/assigner/counters.py
@@ -69,7 +69,7 @@
         """Count something."""
         self.counts[name] += number
 
-    def trouble(self, name: str, why: object, **fields: object) -> None:
+    def record_fault(self, name: str, why: object, **fields: object) -> None:
         """Count a fault, and log it, at most `MOST_LOGGED` of its kind in a window."""
         self.add(name)
         now, window = self._clock(), self._windows.setdefault(name, LogWindow())
@@ -85,7 +85,7 @@
         while frame and frame.tb_next:
             frame = frame.tb_next
         where = f"{frame.tb_frame.f_code.co_filename}:{frame.tb_lineno}" if frame else "unknown"
-        self.trouble("defects", f"{type(err).__name__}: {err}", at=where)
+        self.record_fault("defects", f"{type(err).__name__}: {err}", at=where)
 
     def info(self, event: str, **fields: object) -> None:
         """Log something ordinary."""
--- a/kestrelplank/assigner/health_checks.py
+++ b/kestrelplank/assigner/health_checks.py
@@ -4,9 +4,9 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.assigner.telemetry_messages import read_load
-from kestrelplank.decode import NS_PER_MS, Malformed
+from kestrelplank.decode import NS_PER_MS, MalformedError
 from kestrelplank.interface import Event, HealthChecked, HealthVerdict, NodeLoad
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.http import Client
 from kestrelplank.sockets.loop import Loop
@@ -32,7 +32,7 @@
     def __init__(
         self,
         loop: Loop,
-        pool: Pool,
+        pool: BufferPool,
         counters: Counters,
         addresses: Mapping[int, str],
         allowed: bool,
@@ -49,7 +49,7 @@
         """Check a node, unless a check of it is in flight."""
         to = self._address_of(node)
         if not self._allowed or not to:
-            self.counters.trouble("probes_not_sent", "not allowed" if to else f"node {node} has no address")
+            self.counters.record_fault("probes_not_sent", "not allowed" if to else f"node {node} has no address")
             return
         check = self._checks.pop(node, None)
         if check is None or check.client.to != to:
@@ -103,11 +103,11 @@
         try:
             pairs = (pair.split("=") for pair in body.decode(errors="replace").strip().split(","))
             load = read_load(pairs) if verdict is HealthVerdict.OK else load
-        except Malformed:
+        except MalformedError:
             pass  # the verdict stands without the load
         self._report(verdict, load)
 
-    def on_broken(self, why: str) -> None:
+    def on_failure(self, why: str) -> None:
         """Handle a check that got no answer."""
         self._report(VERDICTS_OF_FAILURE.get(why, HealthVerdict.BROKEN), NodeLoad())
 
--- a/kestrelplank/assigner/membership_gossip.py
+++ b/kestrelplank/assigner/membership_gossip.py
@@ -51,7 +51,7 @@
         try:
             self._counters.add("members_news" if self._membership.receive(self._loop.now(), body) else "members_old")
         except MalformedDatagramError as err:
-            self._counters.trouble("members_unreadable", err)
+            self._counters.record_fault("members_unreadable", err)
 
     def status(self) -> dict[str, object]:
         """Return who is alive, and the zones as all assigners see them together."""
--- a/kestrelplank/assigner/node_discovery.py
+++ b/kestrelplank/assigner/node_discovery.py
@@ -10,7 +10,8 @@
 from kestrelplank.decode import (
     NS_PER_MS,
     Ids,
-    Malformed,
+    MalformedError,
+    boolean,
     duration_from_ms,
     list_value,
     non_negative,
@@ -18,10 +19,9 @@
     object_value,
     one_of,
     parse_json,
-    truth_value,
 )
 from kestrelplank.interface import Event, NodeCondition, NodeEntry, NodeListKind, NodeListUpdate
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.http import DIAL_TIMEOUT_NS, Client, Stream, StreamLimits
 from kestrelplank.sockets.loop import Loop, Timer
 
@@ -36,10 +36,10 @@
 HTTP_OK = 200
 MOST_LIST_BYTES = 1 << 23
 WATCH_LIMITS = StreamLimits(
-    silence_ns=2600 * NS_PER_MS,  # an empty line comes every 2 s
-    first_pause_ns=20 * NS_PER_MS,
-    longest_pause_ns=500 * NS_PER_MS,
-    most_line_bytes=MOST_LIST_BYTES,
+    idle_timeout_ns=2600 * NS_PER_MS,  # an empty line comes every 2 s
+    initial_backoff_ns=20 * NS_PER_MS,
+    max_backoff_ns=500 * NS_PER_MS,
+    max_line_bytes=MOST_LIST_BYTES,
 )
 POLL_INTERVAL_NS = 400 * NS_PER_MS  # so an order still has a second to arrive within the shortest deadline
 ANSWER_TIMEOUT_NS = 300 * NS_PER_MS
@@ -54,7 +54,7 @@
     def __init__(
         self,
         loop: Loop,
-        pool: Pool,
+        pool: BufferPool,
         counters: Counters,
         agent_address: str,
         ids: Ids,
@@ -75,8 +75,8 @@
         if remembered is not None:
             try:
                 self._take(object_value(remembered), NodeListKind.CACHED)
-            except Malformed as err:
-                self._counters.trouble("lists_skipped", err)
+            except MalformedError as err:
+                self._counters.record_fault("lists_skipped", err)
         self._watch = Stream(self._loop, self._pool, self._address, self, WATCH_LIMITS)
         self._poll()
 
@@ -117,10 +117,10 @@
         """Handle the answer to a poll."""
         try:
             if status != HTTP_OK:
-                raise Malformed(f"status {status}")
+                raise MalformedError(f"status {status}")
             self._take_answer(object_value(parse_json(body)))
-        except Malformed as err:
-            self.on_broken(str(err))
+        except MalformedError as err:
+            self.on_failure(str(err))
 
     def _take_answer(self, message: Mapping[str, object]) -> None:
         """Take the list that the agent has where a fetch asked for it, else only compare its version with ours."""
@@ -134,9 +134,9 @@
             self._counters.add("watches_behind")
             self._watch.drop("lies behind")
 
-    def on_broken(self, why: str) -> None:
+    def on_failure(self, why: str) -> None:
         """Handle a failed poll."""
-        self._counters.trouble("lists_broken", why)
+        self._counters.record_fault("lists_broken", why)
         if self._fetch_wanted:
             self._fetch_wanted = False
             self._on_event(NodeListUpdate(NodeListKind.FAILED, ()))
@@ -152,7 +152,7 @@
 
     def on_stream_end(self, why: str) -> None:
         """Count that the watch has ended; it begins again by itself."""
-        self._counters.trouble("discovery_broken", why)
+        self._counters.record_fault("discovery_broken", why)
 
     def on_stream_line(self, line: bytes) -> None:
         """Handle a change of the list."""
@@ -160,8 +160,8 @@
             return
         try:
             self._take(object_value(parse_json(line)), None)
-        except Malformed as err:  # the next would go on from changes that are lost: they must be sent again
-            self._counters.trouble("lists_skipped", err)
+        except MalformedError as err:  # the next would go on from changes that are lost: they must be sent again
+            self._counters.record_fault("lists_skipped", err)
             if self._watch:
                 self._watch.drop("unreadable")
 
@@ -171,13 +171,13 @@
         """Emit the list in a message as an event; where `kind` is None the message says which kind it is."""
         instances, version = list_value(message.get("instances")), non_negative_int(message.get("generation"))
         if kind is None:
-            kind = NodeListKind.FULL if truth_value(message.get("reset")) else NodeListKind.DELTA
+            kind = NodeListKind.FULL if boolean(message.get("reset")) else NodeListKind.DELTA
         entries = []
         for instance in instances:
             try:
                 entries.append(self._read_entry(object_value(instance)))
-            except Malformed as err:  # the others still hold
-                self._counters.trouble("entries_skipped", err)
+            except MalformedError as err:  # the others still hold
+                self._counters.record_fault("entries_skipped", err)
         self._version, self._list_received = version, kind is not NodeListKind.CACHED
         self._counters.add("lists_in")
         self._on_event(NodeListUpdate(kind, entries))
--- a/kestrelplank/assigner/operator_features.py
+++ b/kestrelplank/assigner/operator_features.py
@@ -45,7 +45,7 @@
     if not file.enabled:
         return None
     if peers is None:
-        counters.trouble("members_off", "the settings allow no datagrams between conductors")
+        counters.record_fault("members_off", "the settings allow no datagrams between conductors")
         return None
     detector = DetectorSettings(file.heartbeat_interval_ns, file.suspect_phi, file.dead_phi, file.min_missed_heartbeats)
     incarnation = int(time.time()) & 0xFFFFFFFF  # grows with each start, unless the clock has been set back past it
--- a/kestrelplank/assigner/order_queue.py
+++ b/kestrelplank/assigner/order_queue.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import NS_PER_MS, Ids, Malformed, parse_json
+from kestrelplank.decode import NS_PER_MS, Ids, MalformedError, parse_json
 from kestrelplank.interface import ALL_TABLES
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.http import DIAL_TIMEOUT_NS, Client
 from kestrelplank.sockets.loop import Loop, Timer
 
@@ -47,9 +47,9 @@
         endpoints.pop(node, None)
 
 
-def fence(stamp: int, everyone: bool = True) -> dict[str, object]:
+def fence(stamp: int, all_proxies: bool = True) -> dict[str, object]:
     """Return the wire's order that asks proxies for an acknowledgement."""
-    return {"verb": "fence", "stamp": stamp, "set": int(everyone)}
+    return {"verb": "fence", "stamp": stamp, "set": int(all_proxies)}
 
 
 class OrderQueue:
@@ -64,7 +64,7 @@
     def __init__(
         self,
         loop: Loop,
-        pool: Pool,
+        pool: BufferPool,
         counters: Counters,
         relay_address: str,
         ids: Ids,
@@ -127,10 +127,10 @@
             order["for"] = [name for index, name in enumerate(self._op_types) if op_types >> index & 1]
         self._add(order, table, None, 1.0)
 
-    def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:
+    def request_acknowledgement(self, watermark: int, all_proxies: bool, backlog_ns: int = 0) -> None:
         """Order that proxies acknowledge what this round has ordered."""
         self._last_watermark = watermark
-        self._add(fence((watermark + self._first_mark) % MARKS, everyone))
+        self._add(fence((watermark + self._first_mark) % MARKS, all_proxies))
         self._backlog_ns[self._round[-1].encoded] = backlog_ns
 
     def watermark_of(self, mark: int) -> int:
@@ -271,14 +271,14 @@
         else:
             self._take_answer(status, body)
 
-    def on_broken(self, why: str) -> None:
+    def on_failure(self, why: str) -> None:
         """Handle a call without an answer."""
         self._retry_later("calls_broken", why)
 
     def _take_answer(self, status: int, body: bytes) -> None:
         try:
             answer = parse_json(body)
-        except Malformed:
+        except MalformedError:
             answer = None
         fields = answer if isinstance(answer, dict) else {}
         taken, call = fields.get("ok_count"), self._queue[0]
@@ -287,7 +287,7 @@
             return
         self._carried_out(taken)
         if call:
-            self._counters.trouble("orders_dropped", f"not taken: {call[0].encoded!r}")
+            self._counters.record_fault("orders_dropped", f"not taken: {call[0].encoded!r}")
             self._remove_first(1)  # the relay can't use that one; the rest goes on
         self._call_ended()
 
@@ -297,7 +297,7 @@
         if self._attempts < MOST_ATTEMPTS:
             self._retry_later("calls_limited" if error == "limit" else "calls_unreadable", why)
             return
-        self._counters.trouble("calls_given_up", why)
+        self._counters.record_fault("calls_given_up", why)
         self._remove_first(len(self._queue[0]))
         self._call_ended()
 
@@ -309,7 +309,7 @@
         """
         self._drop_outdated(self._queue[0], self._outdated)
         self._outdated.clear()
-        self._counters.trouble(counter, why, waiting=len(self._queue))
+        self._counters.record_fault(counter, why, waiting=len(self._queue))
         last = self._queue[0][-1].encoded if self._queue[0] else b""
         pause_ns = max(self._retry_ns, self._transit_ns + self._backlog_ns.get(last, 0))
         self._retry_timer = self._loop.at(self._loop.now() + pause_ns, self._retry)
--- a/kestrelplank/assigner/peer_datagrams.py
+++ b/kestrelplank/assigner/peer_datagrams.py
@@ -44,13 +44,13 @@
         if peer is not None:
             to = self._peers[peer] if peer < len(self._peers) else None
         if to is None or len(body) > MOST_BYTES:
-            self._counters.trouble("datagrams_not_sent", "too long" if to else "no such peer")
+            self._counters.record_fault("datagrams_not_sent", "too long" if to else "no such peer")
             return
         try:
             self._sock.sendto(body, to)
             self._counters.add("datagrams_sent")
         except OSError as err:  # a datagram may be lost anyway
-            self._counters.trouble("datagrams_not_sent", err)
+            self._counters.record_fault("datagrams_not_sent", err)
 
     def share_loads(self, loads: Mapping[int, float]) -> None:
         """Send loads, ops a second by node, to all."""
@@ -64,13 +64,13 @@
             except BlockingIOError:
                 return
             except OSError as err:  # an ICMP error for one that we sent
-                self._counters.trouble("datagrams_failed", err)
+                self._counters.record_fault("datagrams_failed", err)
                 return
             self._take(body, sender)
 
     def _take(self, body: bytes, sender: tuple[str, int]) -> None:
         if sender not in self._peers or len(body) > MOST_BYTES:
-            self._counters.trouble("datagrams_skipped", f"{len(body)} bytes from {sender}")
+            self._counters.record_fault("datagrams_skipped", f"{len(body)} bytes from {sender}")
             return
         self._counters.add("peer_in")
         loads, number = decode_peer_loads(body, self._ids), self._peers.index(sender)
--- a/kestrelplank/assigner/proxy_updates.py
+++ b/kestrelplank/assigner/proxy_updates.py
@@ -12,14 +12,14 @@
 from kestrelplank.decode import (
     NS_PER_MS,
     Ids,
-    Malformed,
+    MalformedError,
+    boolean,
     duration_from_ms,
     non_negative,
     non_negative_int,
     object_value,
     parse_json,
     text,
-    truth_value,
 )
 from kestrelplank.interface import (
     EndpointStored,
@@ -29,16 +29,16 @@
     SliceOwnership,
     WatermarkAcknowledged,
 )
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.http import Stream, StreamLimits
 from kestrelplank.sockets.loop import Loop, Timer
 
 PATH = "/api/stream"
 STREAM_LIMITS = StreamLimits(
-    silence_ns=1600 * NS_PER_MS,  # a sign of life comes each second
-    first_pause_ns=10 * NS_PER_MS,
-    longest_pause_ns=250 * NS_PER_MS,
-    most_line_bytes=1 << 20,
+    idle_timeout_ns=1600 * NS_PER_MS,  # a sign of life comes each second
+    initial_backoff_ns=10 * NS_PER_MS,
+    max_backoff_ns=250 * NS_PER_MS,
+    max_line_bytes=1 << 20,
 )
 QUIET_NS = 150 * NS_PER_MS  # ends a snapshot or a slice's endpoints: both come in one burst, and no message ends them
 COUNTER_NAMES: dict[type[Event], str] = {
@@ -73,7 +73,7 @@
     def __init__(  # noqa: PLR0913, PLR0917  made once, by the program
         self,
         loop: Loop,
-        pool: Pool,
+        pool: BufferPool,
         counters: Counters,
         relay_address: str,
         ids: Ids,
@@ -127,7 +127,7 @@
 
     def on_stream_end(self, why: str) -> None:
         """Hold orders back until a new stream's snapshot has been reconciled."""
-        self._counters.trouble("news_broken", why)
+        self._counters.record_fault("news_broken", why)
         self._emit_new_slice()
         self._reconciliation = None
         self._cancel_timers()
@@ -139,8 +139,8 @@
             return
         try:
             message = object_value(parse_json(line))
-        except Malformed as err:  # what it said is lost: a new stream's snapshot makes up for it
-            self._counters.trouble("news_unreadable", err)
+        except MalformedError as err:  # what it said is lost: a new stream's snapshot makes up for it
+            self._counters.record_fault("news_unreadable", err)
             self._stream.drop("unreadable")
             return
         kind = message.get("type")
@@ -151,8 +151,8 @@
                 self._take(kind, object_value(message.get("object")))
             else:  # a keep-alive comes after the snapshot only
                 self._reconcile()
-        except Malformed as err:
-            self._counters.trouble("news_skipped", err)
+        except MalformedError as err:
+            self._counters.record_fault("news_skipped", err)
 
     # Reconciliation.
 
@@ -243,13 +243,13 @@
             self._reconciliation.heard_at, self._reconciliation.empty = self._loop.now(), False
         reader = self._readers.get(kind) if isinstance(kind, str) else None
         if reader is None:
-            raise Malformed(f"no news is called {text(kind)[:40]!r}")
+            raise MalformedError(f"no news is called {text(kind)[:40]!r}")
         reader(fields)
 
     def _take_joined_proxy(self, fields: Mapping[str, object]) -> None:
         proxy = read_below(fields.get("node"), self._proxies)
         zone, ops_per_s = self._ids.zone(fields.get("locality")), non_negative(fields.get("w"))
-        fresh, reconciliation = truth_value(fields.get("cold")), self._reconciliation
+        fresh, reconciliation = boolean(fields.get("cold")), self._reconciliation
         if reconciliation and proxy in self._applied:
             reconciliation.proxies[proxy] = ProxyJoined(proxy, zone, ops_per_s, False)
             return
@@ -275,7 +275,7 @@
             self._emit(WatermarkAcknowledged(proxy, watermark, duration_from_ms(fields.get("latency"))))
 
     def _take_ownership(self, fields: Mapping[str, object]) -> None:
-        number, owned = read_below(fields.get("shard"), self._slices), truth_value(fields.get("set"))
+        number, owned = read_below(fields.get("shard"), self._slices), boolean(fields.get("set"))
         known, reconciliation = number in self._owned, self._reconciliation
         if owned and reconciliation:
             reconciliation.slices[number] = {} if known else None
@@ -287,7 +287,7 @@
     def _take_endpoint(self, fields: Mapping[str, object]) -> None:
         number, weight = read_below(fields.get("shard"), self._slices), non_negative(fields.get("w"))
         if number not in self._owned:
-            raise Malformed(f"a line of slice {number}, which is not ours")
+            raise MalformedError(f"a line of slice {number}, which is not ours")
         node, reconciliation = self._ids.node(fields.get("endpoint")), self._reconciliation
         endpoints = reconciliation.slices.get(number) if reconciliation else None
         if endpoints is not None:
@@ -300,5 +300,5 @@
     """Read a number from 0 that is below `most`."""
     number = non_negative_int(value)
     if number >= most:
-        raise Malformed(f"{number} is not below {most}")
+        raise MalformedError(f"{number} is not below {most}")
     return number
--- a/kestrelplank/assigner/rounds.py
+++ b/kestrelplank/assigner/rounds.py
@@ -75,14 +75,14 @@
 
     def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:  # noqa: ARG002  an order writer's
         """Drop the order: the relay has none for it."""
-        self._counters.trouble("orders_dropped", "the relay has no order that binds a proxy")
+        self._counters.record_fault("orders_dropped", "the relay has no order that binds a proxy")
 
     def send_to_peers(self, peer: int | None, body: bytes) -> None:
         """Send a datagram, where talk is allowed."""
         if self._peers:
             self._peers.send(peer, body)
         else:
-            self._counters.trouble("datagrams_not_sent", "not allowed")
+            self._counters.record_fault("datagrams_not_sent", "not allowed")
 
     def share_loads(self, loads: dict[int, float]) -> None:
         """Send loads to all peers, where talk is allowed."""
--- a/kestrelplank/assigner/telemetry_messages.py
+++ b/kestrelplank/assigner/telemetry_messages.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Literal
 
-from kestrelplank.decode import Ids, Malformed, duration_from_ms, reported_number
+from kestrelplank.decode import Ids, MalformedError, duration_from_ms, reported_number
 from kestrelplank.interface import NodeLoad, NodeReport, SliceReport
 
 LoadName = Literal["in_flight", "queued", "utilization", "service_ms", "acknowledged_per_s", "aborted_per_s"]
@@ -23,7 +23,7 @@
 def read_figure(value: str) -> float:
     """Read one figure of a report."""
     if not FIGURE.fullmatch(value):
-        raise Malformed(f"expected a number, got {value[:40]!r}")
+        raise MalformedError(f"expected a number, got {value[:40]!r}")
     return reported_number(float(value))
 
 
@@ -41,10 +41,10 @@
     try:
         kind, *words = (word.decode() for word in message)
     except UnicodeDecodeError:
-        raise Malformed("not text") from None
+        raise MalformedError("not text") from None
     fields = dict(zip(words[::2], words[1::2]))
     if len(words) != 2 * len(fields):
-        raise Malformed(f"{kind[:40]}: a name without a value, or twice")
+        raise MalformedError(f"{kind[:40]}: a name without a value, or twice")
     return kind, fields
 
 
@@ -54,18 +54,18 @@
     """Return the index of what a field names."""
     value = fields.get(name)
     if value is None or value not in indices:
-        raise Malformed(f"{kind}, field {name}: {value and value[:40]!r} is not known")
+        raise MalformedError(f"{kind}, field {name}: {value and value[:40]!r} is not known")
     return indices[value]
 
 
 def read_joining(message: Sequence[bytes], ids: Ids) -> int:
     """Return the zone that a collector names in its first message.
 
-    :raises Malformed: the message is another one, or names no zone that exists.
+    :raises MalformedError: the message is another one, or names no zone that exists.
     """
     kind, fields = read_message(message)
     if kind != "telemetry":
-        raise Malformed(f"{kind[:40]!r} from who has not joined")
+        raise MalformedError(f"{kind[:40]!r} from who has not joined")
     return read_index(kind, fields, "locality", ids.zones)
 
 
@@ -73,17 +73,17 @@
     """Read a message from the collector of a zone; None where there is nothing to report.
 
     :param slices: how many there are.
-    :raises Malformed: naming message and field.
+    :raises MalformedError: naming message and field.
     """
     kind, fields = read_message(message)
     if kind == "telemetry":
         return None
     if kind not in ("upstream_stats", "range_stats"):
-        raise Malformed(f"no message is called {kind[:40]!r}")
+        raise MalformedError(f"no message is called {kind[:40]!r}")
     total, errors = _figure_of(kind, fields, "total"), _figure_of(kind, fields, "errors")
     window_ns = duration_from_ms(_figure_of(kind, fields, "interval"))
     if not window_ns:
-        raise Malformed(f"{kind}: in no time")
+        raise MalformedError(f"{kind}: in no time")
     if kind == "range_stats":
         return _read_slice_report(fields, ids, slices, total, errors, window_ns)
     return _read_node_report(fields, ids, zone, total, errors, window_ns)
@@ -91,11 +91,11 @@
 
 def _figure_of(kind: str, fields: Mapping[str, str], name: str) -> float:
     if name not in fields:
-        raise Malformed(f"{kind}, field {name}: missing")
+        raise MalformedError(f"{kind}, field {name}: missing")
     try:
         return read_figure(fields[name])
-    except Malformed as err:
-        raise Malformed(f"{kind}, field {name}: {err}") from None
+    except MalformedError as err:
+        raise MalformedError(f"{kind}, field {name}: {err}") from None
 
 
 def _read_node_report(
@@ -103,9 +103,9 @@
 ) -> NodeReport:
     kind = "upstream_stats"
     if failures > attempts:  # not so for slices: ops that came in earlier windows may abort in this one
-        raise Malformed(f"{kind}: {failures} of {attempts} failed")
+        raise MalformedError(f"{kind}: {failures} of {attempts} failed")
     if read_index(kind, fields, "locality", ids.zones) != zone:
-        raise Malformed(f"{kind}, field locality: not this collector's")
+        raise MalformedError(f"{kind}, field locality: not this collector's")
     timed = attempts > failures or "rtt" in fields
     mean_latency_ns = duration_from_ms(_figure_of(kind, fields, "rtt")) if timed else None
     metrics = (pair.split(":") for pair in fields.get("metrics", "").split(","))
@@ -118,5 +118,5 @@
 ) -> SliceReport:
     kind, shard = "range_stats", fields.get("shard", "")
     if not (shard.isdecimal() and len(shard) <= MOST_DIGITS and int(shard) < slices):
-        raise Malformed(f"{kind}, field shard: {shard[:40]!r} is not known")
+        raise MalformedError(f"{kind}, field shard: {shard[:40]!r} is not known")
     return SliceReport(int(shard), read_index(kind, fields, "route", ids.op_types), ops, aborted, window_ns)
--- a/kestrelplank/assigner/telemetry_server.py
+++ b/kestrelplank/assigner/telemetry_server.py
@@ -10,10 +10,10 @@
 
 from kestrelplank.assigner.counters import Counters
 from kestrelplank.assigner.telemetry_messages import read_joining, read_report
-from kestrelplank.decode import NS_PER_MS, Ids, Malformed
+from kestrelplank.decode import NS_PER_MS, Ids, MalformedError
 from kestrelplank.interface import Event, NodeReport
 from kestrelplank.sockets import resp
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import Loop
 
@@ -40,7 +40,7 @@
     def __init__(
         self,
         loop: Loop,
-        pool: Pool,
+        pool: BufferPool,
         counters: Counters,
         at: tuple[str, int],
         ids: Ids,
@@ -71,8 +71,8 @@
         """Handle a report; one that can't be used is skipped, and its connection stays."""
         try:
             report = read_report(message, self._ids, self._slices, zone)
-        except Malformed as err:
-            self.counters.trouble("reports_skipped", err)
+        except MalformedError as err:
+            self.counters.record_fault("reports_skipped", err)
             return
         if report:
             self.counters.add("tries_in" if isinstance(report, NodeReport) else "heat_in")
@@ -97,7 +97,7 @@
 
     def _make_room(self, why: str) -> bool:
         """Reject a caller that has not joined, as others need its descriptor; return whether there was one."""
-        self.counters.trouble("accept_failed", why)
+        self.counters.record_fault("accept_failed", why)
         if self._unjoined:
             self._reject_oldest_unjoined("short of descriptors")
             return True
@@ -135,7 +135,7 @@
                 if not self.connection.open:  # rejected for what came before
                     return
                 self._take(message)
-        except Malformed as err:
+        except MalformedError as err:
             self.reject("callers_malformed", str(err))
         if self.zone is not None:
             self.heard_at = self._server.loop.now()
@@ -152,7 +152,7 @@
 
     def reject(self, counter: str, why: str) -> None:
         """Send the caller the reason, and close the connection."""
-        self._server.counters.trouble(counter, why)
+        self._server.counters.record_fault(counter, why)
         self.connection.write(resp.encode(b"reject", b"reason", why.encode()[:MOST_REASON_BYTES]))
         self.connection.close(why)
 
--- a/kestrelplank/decode.py
+++ b/kestrelplank/decode.py
@@ -1,6 +1,6 @@
 """What all adapters share: readers of fields, ids, and the settings that an assigner is made with.
 
-A reader takes one decoded value and returns it in our units, or raises Malformed with what was wrong. The
+A reader takes one decoded value and returns it in our units, or raises MalformedError with what was wrong. The
 settings are one object on both wires: the simulator's first message holds it, and so does the configuration of an
 assigner in service. The program in service imports this module: it needs nothing but msgspec.
 """
@@ -14,12 +14,12 @@
 
 NS_PER_MS = 1_000_000
 MAX_NAMES = 65_536  # of nodes or zones held: against a party that never names the same one twice
-LARGEST = 1e300  # numbers from here on could overflow in sums; NaN is refused too, as no comparison with it holds
-LARGEST_REPORTED = 1e9  # a count or a time in ms in one report: far above any real one, and sums stay exact enough
+MAX_NUMBER = 1e300  # numbers from here on could overflow in sums; NaN is refused too, as no comparison with it holds
+MAX_REPORTED_NUMBER = 1e9  # a count or a time in ms in one report: far above any real one, and sums stay exact enough
 PEER_LOADS = 2  # the first byte of datagrams that hold loads; those of membership begin with another
 PEER_LOAD = struct.Struct("!Ie")  # checksum of a node's name, ops a second as a half-precision float: three digits
-MAX_PEER_LOADS = (256 - 1) // PEER_LOAD.size  # in a datagram
-LARGEST_PEER_LOAD = 65_504.0  # the largest half-precision float
+MAX_LOADS_PER_DATAGRAM = (256 - 1) // PEER_LOAD.size  # in a datagram
+MAX_PEER_LOAD = 65_504.0  # the largest half-precision float
 EFFECTS: dict[object, str] = {"pure": "retryable", "token": "deduplicated", "side_effect": "once-only"}
 PICKS: dict[object, str] = {"random": "random", "rotate": "rotate", "p2c": "two"}
 ADMISSION_KINDS: dict[object, str] = {"fraction": "share", "per_second": "rate", "none": ""}
@@ -29,7 +29,7 @@
 NodeName = str | int  # as the wire has it
 
 
-class Malformed(ValueError):  # noqa: N818 - every adapter raises and catches it by this name
+class MalformedError(ValueError):
     """A line, or one field of it, that the wire does not allow; the text says which and why."""
 
 
@@ -61,13 +61,13 @@
     def node(self, value: object) -> int:
         """Return the index of a node, a new one where it is named for the first time.
 
-        :raises Malformed: it is no name, or too many have been named.
+        :raises MalformedError: it is no name, or too many have been named.
         """
         name = self._read_node(value)
         index = self.nodes.get(name)
         if index is None:
             if len(self.node_ids) >= MAX_NAMES:
-                raise Malformed(f"more than {MAX_NAMES} nodes have been named")
+                raise MalformedError(f"more than {MAX_NAMES} nodes have been named")
             index = self.nodes[name] = self._given
             self.node_ids[index] = name
             self.checksums[checksum(name)] = index
@@ -83,46 +83,46 @@
     def zone(self, value: object) -> int:
         """Return the index of a zone, a new one where it is named for the first time.
 
-        :raises Malformed: it is no name, or too many have been named.
+        :raises MalformedError: it is no name, or too many have been named.
         """
         name = text(value)
         if name not in self.zones and len(self.zones) >= MAX_NAMES:
-            raise Malformed(f"more than {MAX_NAMES} zones have been named")
+            raise MalformedError(f"more than {MAX_NAMES} zones have been named")
         return self.zones.setdefault(name, len(self.zones))
 
     def op_type(self, value: object) -> int:
         """Return the index of an op type that the settings name.
 
-        :raises Malformed: the settings do not name it.
+        :raises MalformedError: the settings do not name it.
         """
         name = text(value)
         if name not in self.op_types:
-            raise Malformed(f"no op type is called {value!r}")
+            raise MalformedError(f"no op type is called {value!r}")
         return self.op_types[name]
 
 
 def parse_json(data: bytes) -> object:
     """Return JSON as plain values.
 
-    :raises Malformed: it is not JSON, or nested too deeply.
+    :raises MalformedError: it is not JSON, or nested too deeply.
     """
     try:
         return msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:  # the latter two are not the library's own
-        raise Malformed(f"not JSON: {err}") from None
+        raise MalformedError(f"not JSON: {err}") from None
 
 
 def number(value: object) -> float:
-    """Return a finite number below `LARGEST`; a truth value is refused."""
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < LARGEST:
-        refuse("a number", value)
+    """Return a finite number below `MAX_NUMBER`; a truth value is refused."""
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < MAX_NUMBER:
+        reject("a number", value)
     return value
 
 
 def non_negative_int(value: object) -> int:
     """Return a whole number of 0 or more."""
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        refuse("a whole number", value)
+        reject("a whole number", value)
     return value
 
 
@@ -130,15 +130,15 @@
     """Return a number of 0 or more."""
     read = number(value)
     if read < 0:
-        refuse("a number of 0 or more", value)
+        reject("a number of 0 or more", value)
     return read
 
 
 def reported_number(value: object) -> float:
     """Return a number that one report may hold."""
     read = non_negative(value)
-    if read > LARGEST_REPORTED:
-        refuse("a figure of one report", value)
+    if read > MAX_REPORTED_NUMBER:
+        reject("a figure of one report", value)
     return read
 
 
@@ -150,28 +150,28 @@
 def text(value: object) -> str:
     """Return a text."""
     if not isinstance(value, str):
-        refuse("text", value)
+        reject("text", value)
     return value
 
 
 def list_value(value: object) -> list[object]:
     """Return a list."""
     if not isinstance(value, list):
-        refuse("a list", value)
+        reject("a list", value)
     return value
 
 
 def object_value(value: object) -> dict[str, object]:
     """Return an object, whose keys are texts as in all JSON."""
     if not isinstance(value, dict):
-        refuse("an object", value)
+        reject("an object", value)
     return value
 
 
-def truth_value(value: object) -> bool:
+def boolean(value: object) -> bool:
     """Return a truth value."""
     if not isinstance(value, bool):
-        refuse("true or false", value)
+        reject("true or false", value)
     return value
 
 
@@ -181,15 +181,15 @@
     def read(value: object) -> str:
         chosen = text(value)
         if chosen not in choices:
-            refuse(f"one of {', '.join(choices)}", value)
+            reject(f"one of {', '.join(choices)}", value)
         return choices[chosen] if isinstance(choices, Mapping) else chosen
 
     return read
 
 
-def refuse(expected: str, value: object) -> NoReturn:
+def reject(expected: str, value: object) -> NoReturn:
     """Refuse a value in place of which something else was expected."""
-    raise Malformed(f"expected {expected}, got {value!r}")
+    raise MalformedError(f"expected {expected}, got {value!r}")
 
 
 class _SettingsReader:
@@ -205,8 +205,8 @@
             value = value.get(key) if isinstance(value, dict) else None
         try:
             return default if value is None else reader(value)
-        except Malformed as err:
-            raise Malformed(f"{self._where}.{path}: {err}") from None
+        except MalformedError as err:
+            raise MalformedError(f"{self._where}.{path}: {err}") from None
 
 
 def read_settings(conf: object, ids: Ids, where: str) -> dict[str, object]:
@@ -215,10 +215,10 @@
     Zones and op types are added to `ids` in the order of the settings.
 
     :param where: how the settings are called in a message.
-    :raises Malformed: a field cannot be used; the first is named.
+    :raises MalformedError: a field cannot be used; the first is named.
     """
     if not isinstance(conf, dict):
-        raise Malformed(f"{where}: expected an object, got {conf!r}")
+        raise MalformedError(f"{where}: expected an object, got {conf!r}")
     read = _SettingsReader(conf, where)
     for zone in read("Areas", list_value, ()):
         ids.zone(zone)
@@ -237,7 +237,7 @@
 def _op_type(value: object, index: int, ids: Ids, where: str) -> dict[str, object]:
     """Return an op type, and give it its index."""
     if not isinstance(value, dict):
-        raise Malformed(f"{where}.Categories: entry {index}: expected an object, got {value!r}")
+        raise MalformedError(f"{where}.Categories: entry {index}: expected an object, got {value!r}")
     ids.op_types[text(value.get("Name"))] = index
     return {
         "target_latency": duration_from_ms(value.get("Target") or 0),
@@ -258,7 +258,7 @@
         "zones": len(ids.zones),
         "proxies": read("Specifics.DataPlaneSize", non_negative_int, 1),
         "slices": read("Specifics.Shards", non_negative_int, 0),
-        "exclusive": read("Specifics.Exclusive", truth_value, False),
+        "exclusive": read("Specifics.Exclusive", boolean, False),
         "write_life": read("Specifics.WriteLife", duration_from_ms, 0),
         "lease": read("Specifics.Tenure", duration_from_ms, 0),
         "bare_limit": read("Specifics.Blackhole", duration_from_ms, 0),
@@ -287,7 +287,7 @@
         "levels": read("Specifics.LevelKind", _admission_kind, ""),
         "usual_again": read("Specifics.BaseMode", non_negative_int, 0),
         "first_wait": read("Specifics.FirstWait", non_negative, 1.0),
-        "warm_keys": read("Specifics.WarmKeys", truth_value, False),
+        "warm_keys": read("Specifics.WarmKeys", boolean, False),
         "subscribe": read("MembershipMode", text, "automatic") == "subscribe",
     }
 
@@ -301,7 +301,7 @@
         "fall_multiple": read("Rules.FallMultiple", non_negative, 1.0),
         "tip_after": read("Rules.TipAfter", duration_from_ms, 0),
         "grace": read("Rules.StopSendingWithin", duration_from_ms, 0),
-        "only_draining_binds": read("Rules.OnlyDrainingBinds", truth_value, False),
+        "only_draining_binds": read("Rules.OnlyDrainingBinds", boolean, False),
     }
 
 
@@ -312,8 +312,8 @@
         "tick": read("Tick", duration_from_ms, NS_PER_MS),
         "dial_timeout": read("Permissions.DialTimeout", duration_from_ms, 250 * NS_PER_MS),
         "load_by": read("LoadReport.Source", text, "none"),
-        "may_probe": read("Permissions.Probes", truth_value, False),
-        "may_tell": read("Permissions.MayTell", truth_value, False),
+        "may_probe": read("Permissions.Probes", boolean, False),
+        "may_tell": read("Permissions.MayTell", boolean, False),
     }
 
 
@@ -335,10 +335,10 @@
     :param loads: ops a second by node.
     :param names: the nodes' names.
     """
-    encoded = [PEER_LOAD.pack(checksum(names[node]), min(load, LARGEST_PEER_LOAD)) for node, load in loads.items()]
+    encoded = [PEER_LOAD.pack(checksum(names[node]), min(load, MAX_PEER_LOAD)) for node, load in loads.items()]
     return [
-        bytes([PEER_LOADS]) + b"".join(encoded[start : start + MAX_PEER_LOADS])
-        for start in range(0, len(encoded), MAX_PEER_LOADS)
+        bytes([PEER_LOADS]) + b"".join(encoded[start : start + MAX_LOADS_PER_DATAGRAM])
+        for start in range(0, len(encoded), MAX_LOADS_PER_DATAGRAM)
     ]
 
 
@@ -350,4 +350,4 @@
     if body[:1] != bytes([PEER_LOADS]) or (len(body) - 1) % PEER_LOAD.size:
         return None
     loads = ((ids.checksums.get(name), load) for name, load in PEER_LOAD.iter_unpack(body[1:]))
-    return [(node, load) for node, load in loads if node is not None and 0.0 <= load <= LARGEST_PEER_LOAD]
+    return [(node, load) for node, load in loads if node is not None and 0.0 <= load <= MAX_PEER_LOAD]
--- a/kestrelplank/emulator/order_collector.py
+++ b/kestrelplank/emulator/order_collector.py
@@ -41,7 +41,7 @@
         """TableOrder the share of ops that is admitted."""
         self.orders.append(SetAdmission(table, op_types, share, retry_mode))
 
-    def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002 - interface
+    def request_acknowledgement(self, watermark: int, all_proxies: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002 - interface
         """TableOrder that proxies acknowledge when they have come to here."""
         self.orders.append(RequestAcknowledgement(watermark))
 
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import Ids, Malformed
+from kestrelplank.decode import Ids, MalformedError
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.file_discovery.file_watcher import FileWatcher
 from kestrelplank.file_discovery.node_list import parse_node_list
@@ -51,7 +51,7 @@
         return None
     except OSError as err:
         raise InvalidSettingsError(f"can't be read: {err.strerror}", file=path) from None
-    except Malformed as err:
+    except MalformedError as err:
         raise InvalidSettingsError(str(err), file=path) from None
 
 
@@ -134,7 +134,7 @@
             self._settings.poll_interval_ns,
             use_events=self._settings.events,
             on_change=self._read,
-            on_trouble=lambda reason: self._counters.trouble("files_watch_troubles", reason),
+            on_trouble=lambda reason: self._counters.record_fault("files_watch_troubles", reason),
         )
 
     def _restored_intake(self) -> NodeSetInForce:
@@ -143,7 +143,7 @@
         try:
             state = load_state(self._settings.state_path)
         except InvalidSettingsError as err:  # the set in force is lost; the files still say what shall be
-            self._counters.trouble("files_state_refused", err)
+            self._counters.record_fault("files_state_refused", err)
             return NodeSetInForce(self._guard_terms())
         if state is None:
             return NodeSetInForce(self._guard_terms())
@@ -202,7 +202,7 @@
             self._report_accepted()
         else:
             name = "files_refused" if outcome.decision is Decision.REFUSED else "files_waiting"
-            self._counters.trouble(name, outcome.reason, in_force=outcome.version, hash=outcome.short_hash)
+            self._counters.record_fault(name, outcome.reason, in_force=outcome.version, hash=outcome.short_hash)
 
     def _save(self) -> None:
         path = self._settings.state_path
@@ -210,7 +210,7 @@
             try:
                 write_atomically(path, self.intake.stored())
             except OSError as err:  # the set holds all the same; a restart would know an older one
-                self._counters.trouble("files_state_not_saved", f"{path}: {err.strerror}")
+                self._counters.record_fault("files_state_not_saved", f"{path}: {err.strerror}")
 
     def _report_accepted(self) -> None:
         """Tell the policy of the set that is in force now, if there is one."""
--- a/kestrelplank/interface.py
+++ b/kestrelplank/interface.py
@@ -294,7 +294,7 @@
     def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
         """Set the admitted share and the retry mode; `op_types` is a bit mask, 0 for all."""
 
-    def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:
+    def request_acknowledgement(self, watermark: int, all_proxies: bool, backlog_ns: int = 0) -> None:
         """Ask proxies to acknowledge once they have applied what this round orders.
 
         :param backlog_ns: time until what waits in the channel before it has left; nobody can answer sooner.
--- a/kestrelplank/reference_proxy/client_connection.py
+++ b/kestrelplank/reference_proxy/client_connection.py
@@ -72,7 +72,8 @@
         if self._incoming is not None and self._reads_head() and head_is_too_long:
             self.refuse(431, "the head is too long")
         if self._rejection is None and len(self.queue) > 1:
-            self._connection.read(False)  # what comes next waits outside; with one in progress its client's end is seen
+            # Requests beyond these wait in the socket; with one in progress the end of the connection is still seen.
+            self._connection.set_reading(False)
         self._begin_next()
 
     def on_close(self, why: str) -> None:  # noqa: ARG002 - as the connection calls it
@@ -147,7 +148,7 @@
 
     def hold(self, held: bool) -> None:
         """Read no further for now, as the node is behind; or go on."""
-        self._connection.read(not held and len(self.queue) <= 1)
+        self._connection.set_reading(not held and len(self.queue) <= 1)
 
     def write(self, data: bytes) -> None:
         """Send bytes of an answer."""
@@ -155,7 +156,7 @@
 
     def waiting(self) -> int:
         """Return how many bytes the client has not taken yet."""
-        return self._connection.waiting()
+        return self._connection.unsent_bytes()
 
     def close(self, why: str) -> None:
         """End the connection."""
@@ -174,7 +175,7 @@
                 self._close_when_written()
                 return
             self._enter_state(ConnectionState.IDLE)
-            self._connection.read(len(self.queue) <= 1)
+            self._connection.set_reading(len(self.queue) <= 1)
         self._begin_next_from_loop()
 
     # The next request.
@@ -200,8 +201,8 @@
         if self._rejection is None:
             self._rejection, self._answers_rejection = Rejection(0, ""), False
         self.queue.clear()
-        self._connection.read(False)
-        if not self._connection.waiting():
+        self._connection.set_reading(False)
+        if not self._connection.unsent_bytes():
             self._connection.close("answered")
         else:
             self._connection.on_drained = lambda: self._connection.close("answered")
--- a/kestrelplank/reference_proxy/client_connections.py
+++ b/kestrelplank/reference_proxy/client_connections.py
@@ -43,7 +43,7 @@
         self.connections[number] = ClientConnection(self._io, self._admission, self._handler, sock, number)
 
     def _accept_failed(self, why: str) -> None:
-        self._io.counters.trouble("accept_failed", why)
+        self._io.counters.record_fault("accept_failed", why)
 
     def forget(self, client: ClientConnection) -> None:
         """Forget a connection that has ended."""
--- a/kestrelplank/reference_proxy/node_connection.py
+++ b/kestrelplank/reference_proxy/node_connection.py
@@ -6,8 +6,8 @@
 import httptools
 
 from kestrelplank.reference_proxy.http_messages import STATUSES_WITHOUT_BODY, Framing, Header, framing
-from kestrelplank.sockets.buffers import Pool
-from kestrelplank.sockets.connection import Dialled, address
+from kestrelplank.sockets.buffers import BufferPool
+from kestrelplank.sockets.connection import OutboundConnection, address
 from kestrelplank.sockets.loop import Loop
 
 MAX_UNSENT_BYTES = 4 << 20
@@ -52,7 +52,7 @@
     def __init__(
         self,
         loop: Loop,
-        buffers: Pool,
+        buffers: BufferPool,
         node_address: str,
         dial_timeout_ns: int,
         number: int,
@@ -63,7 +63,9 @@
         self.sink: AnswerSink | None = None
         self.written = self.is_up = self.closed = False
         self._expect_answer(without_body=False)
-        self._connection = Dialled(loop, buffers, address(node_address), self, MAX_UNSENT_BYTES, dial_timeout_ns)
+        self._connection = OutboundConnection(
+            loop, buffers, address(node_address), self, MAX_UNSENT_BYTES, dial_timeout_ns
+        )
 
     def _expect_answer(self, *, without_body: bool) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -87,11 +89,11 @@
 
     def waiting(self) -> int:
         """Return how many bytes the node has not taken yet."""
-        return self._connection.waiting()
+        return self._connection.unsent_bytes()
 
     def read(self, enabled: bool) -> None:
         """Read on, or not, so that the node is held up."""
-        self._connection.read(enabled)
+        self._connection.set_reading(enabled)
 
     def on_drained(self, callback: Callable[[], None]) -> None:
         """Call the callback whenever all that waited has been written."""
--- a/kestrelplank/reference_proxy/node_connections.py
+++ b/kestrelplank/reference_proxy/node_connections.py
@@ -8,7 +8,7 @@
 from kestrelplank.load_balancing.operations import AttemptOutcome
 from kestrelplank.reference_proxy.exchange import Exchange
 from kestrelplank.reference_proxy.node_connection import NodeConnection
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.loop import Loop
 
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         loop: Loop,
-        buffers: Pool,
+        buffers: BufferPool,
         counters: Counters,
         settings: PoolSettings,
         addresses: dict[int, str],
@@ -117,7 +117,7 @@
             )
             connection.on_drained(lambda: self._drained(connection))
         except OSError as err:  # short of descriptors
-            self._counters.trouble("dials_failed", err)
+            self._counters.record_fault("dials_failed", err)
             pool.dial_failed()
             self._on_failed(exchange, AttemptOutcome.REFUSED)
 
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -12,7 +12,7 @@
 from kestrelplank.settings.errors import InvalidSettingsError
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.reference_proxy import ReferenceProxySettings, read_reference_proxy_settings
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.time_units import MILLISECOND
@@ -35,7 +35,7 @@
         successor_path = process.successor_socket_path
         self._predecessor = receive_socket(successor_path) if successor_path else None
         listening = self._predecessor[0] if self._predecessor else address(process.listen_address)
-        io = ProxyIo(loop, Pool(BUFFER_BYTES, BUFFERS), counters)
+        io = ProxyIo(loop, BufferPool(BUFFER_BYTES, BUFFERS), counters)
         self._reference_proxy = ReferenceProxy(io, settings, listening)
         self._successor: SuccessorListener | None = None
         if successor_path:
@@ -84,7 +84,7 @@
         try:
             self._reference_proxy.reload(read_reference_proxy_settings(IniFile.load(self._path)))
         except InvalidSettingsError as err:
-            self._counters.trouble("reloads_refused", err)
+            self._counters.record_fault("reloads_refused", err)
             return
         self._counters.add("reloads")
         self._counters.info("reloaded")
--- a/kestrelplank/reference_proxy/proxy_io.py
+++ b/kestrelplank/reference_proxy/proxy_io.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.loop import Loop
 
 
@@ -11,5 +11,5 @@
     """The loop, the buffers of all connections, and the counters."""
 
     loop: Loop
-    buffers: Pool
+    buffers: BufferPool
     counters: Counters
--- a/kestrelplank/reference_proxy/table_messages.py
+++ b/kestrelplank/reference_proxy/table_messages.py
@@ -8,14 +8,14 @@
 
 from kestrelplank.decode import (
     Ids,
-    Malformed,
+    MalformedError,
+    boolean,
     list_value,
     non_negative,
     non_negative_int,
     object_value,
     parse_json,
     text,
-    truth_value,
 )
 from kestrelplank.interface import ALL_TABLES
 from kestrelplank.state.table_orders import (
@@ -55,7 +55,7 @@
     def apply(self, line: bytes) -> bool:
         """Apply a line of the stream; return whether it held orders. An empty object is a heartbeat.
 
-        :raises Malformed: where it is no message.
+        :raises MalformedError: where it is no message.
         :raises RefusedError: where it can't be applied; nothing of it has taken effect.
         """
         message = object_value(parse_json(line))
@@ -72,7 +72,7 @@
             case "orders":
                 self._take_orders(fields)
             case _:
-                raise Malformed(f"nothing is called {str(kind)[:40]!r}")
+                raise MalformedError(f"nothing is called {str(kind)[:40]!r}")
         return kind == "orders"
 
     def _take_node(self, fields: Mapping[str, object]) -> None:
@@ -85,7 +85,7 @@
     def _take_table(self, fields: Mapping[str, object]) -> None:
         table = non_negative_int(fields.get("table"))
         if table >= self._tables.size:
-            raise Malformed(f"no table has the number {table}")
+            raise MalformedError(f"no table has the number {table}")
         weights = {self._node(name): non_negative(weight) for name, weight in object_value(fields.get("lines")).items()}
         nonzero = {node: weight for node, weight in weights.items() if weight}
         self._tables.set_table(table, non_negative_int(fields.get("source")), nonzero)
@@ -103,12 +103,12 @@
     def _read_order(self, order: object) -> TableOrder:
         word, *fields = list_value(order) or [None]
         if not isinstance(word, str) or len(fields) != ORDER_FIELDS.get(word):
-            raise Malformed(f"no order is {str(order)[:60]!r}")
+            raise MalformedError(f"no order is {str(order)[:60]!r}")
         match word:
             case "line":
                 return SetEndpoint(non_negative_int(fields[0]), self._node(fields[1]), non_negative(fields[2]))
             case "take_out":
-                return SetWithdrawn(self._node(fields[0]), truth_value(fields[1]))
+                return SetWithdrawn(self._node(fields[0]), boolean(fields[1]))
             case "level":
                 table = ALL_TABLES if fields[0] == ALL_TABLES else non_negative_int(fields[0])
                 op_types, share = non_negative_int(fields[1]), non_negative(fields[2])
--- a/kestrelplank/reference_proxy/tables_file.py
+++ b/kestrelplank/reference_proxy/tables_file.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import Ids, Malformed
+from kestrelplank.decode import Ids, MalformedError
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.state.sealed import sealed, unsealed
 from kestrelplank.state.tables import RefusedError, Tables
@@ -34,8 +34,8 @@
             self._addresses.update((self._ids.node(name), at) for name, at in kept["addresses"].items())
         except FileNotFoundError:
             return False
-        except (OSError, Malformed, RefusedError) as err:
-            self._counters.trouble("tables_not_restored", f"{self._path}: {err}")
+        except (OSError, MalformedError, RefusedError) as err:
+            self._counters.record_fault("tables_not_restored", f"{self._path}: {err}")
             return False
         self._counters.info("tables_restored", age_s=round(time.time() - kept["at"], 1))
         return bool(kept["at"])
@@ -54,4 +54,4 @@
         try:
             write_atomically(self._path, sealed(FORMAT_VERSION, content))
         except OSError as err:
-            self._counters.trouble("tables_not_kept", f"{self._path}: {err.strerror}")
+            self._counters.record_fault("tables_not_kept", f"{self._path}: {err.strerror}")
--- a/kestrelplank/reference_proxy/update_client.py
+++ b/kestrelplank/reference_proxy/update_client.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from kestrelplank.decode import Ids, Malformed
+from kestrelplank.decode import Ids, MalformedError
 from kestrelplank.load_balancing.operations import Verdict
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.reference_proxy.table_messages import TableMessages
@@ -23,10 +23,10 @@
 
 REPORT_INTERVAL_NS = 1 * SECOND
 STREAM_LIMITS = StreamLimits(
-    silence_ns=3 * SECOND,  # a heartbeat comes each second
-    first_pause_ns=20 * MILLISECOND,
-    longest_pause_ns=2 * SECOND,
-    most_line_bytes=1 << 22,
+    idle_timeout_ns=3 * SECOND,  # a heartbeat comes each second
+    initial_backoff_ns=20 * MILLISECOND,
+    max_backoff_ns=2 * SECOND,
+    max_line_bytes=1 << 22,
 )
 NO_SOURCE = -1  # in reports: a table that no assigner owns
 
@@ -88,7 +88,7 @@
     def on_stream_end(self, why: str) -> None:
         """Take note that the stream has ended; it is dialled again."""
         self._joined_at = None
-        self._counters.trouble("tables_broken", why)
+        self._counters.record_fault("tables_broken", why)
 
     def on_stream_line(self, line: bytes) -> None:
         """Apply a message; one that can't be used ends the stream."""
@@ -98,10 +98,10 @@
             if self._messages.apply(line):
                 self._counters.add("tables_messages")
         except RefusedError as err:
-            self._counters.trouble("tables_refused", err)
+            self._counters.record_fault("tables_refused", err)
             self._stream.drop("a message that can't be applied")
-        except Malformed as err:
-            self._counters.trouble("tables_unreadable", err)
+        except MalformedError as err:
+            self._counters.record_fault("tables_unreadable", err)
             self._stream.drop("unreadable")
 
     def _acknowledge(self, source: int, watermark: int) -> None:
--- a/kestrelplank/reference_proxy/update_posts.py
+++ b/kestrelplank/reference_proxy/update_posts.py
@@ -46,12 +46,12 @@
         """Take the hub's answer, and send the next post."""
         self._posts.popleft()
         if status != OK:
-            self._counters.trouble("posts_refused", f"status {status}")
+            self._counters.record_fault("posts_refused", f"status {status}")
         self._send_next()
 
-    def on_broken(self, why: str) -> None:
+    def on_failure(self, why: str) -> None:
         """Take that there is no answer; send the next post after a pause."""
-        self._counters.trouble("posts_broken", why)
+        self._counters.record_fault("posts_broken", why)
         if self._posts and self._posts[0][0] == REPORT_PATH:
             self._posts.popleft()
         if self._posts:
--- a/kestrelplank/rehearsal/live_network.py
+++ b/kestrelplank/rehearsal/live_network.py
@@ -50,7 +50,7 @@
         self._network.keep(self)
         self._end(number, OUTCOMES_BY_STATUS.get(status, AttemptOutcome.TRUNCATED))
 
-    def on_broken(self, why: str) -> None:
+    def on_failure(self, why: str) -> None:
         """Take the end of the connection."""
         self._was_used = False
         outcome = AttemptOutcome.RESET if self._client.sent else AttemptOutcome.UNSENT
--- a/kestrelplank/rehearsal/live_rehearsal.py
+++ b/kestrelplank/rehearsal/live_rehearsal.py
@@ -84,4 +84,4 @@
     """Let the loop turn until that instant."""
     loop.at(until, lambda: None)
     while loop.now() < until:
-        loop.turn()
+        loop.run_once()
--- a/kestrelplank/rehearsal/stub_server.py
+++ b/kestrelplank/rehearsal/stub_server.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.connection import Connection, Listener
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.time_units import MILLISECOND
@@ -24,7 +24,7 @@
     """The loop and the buffers that stand-ins share."""
 
     def __init__(self) -> None:
-        self.loop, self.pool = Loop(fail), Pool(BUFFER_BYTES, BUFFERS)
+        self.loop, self.pool = Loop(fail), BufferPool(BUFFER_BYTES, BUFFERS)
 
 
 class StubConnection:
--- a/kestrelplank/rehearsal/telemetry_connection.py
+++ b/kestrelplank/rehearsal/telemetry_connection.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.rehearsal.stub_server import SocketKit
 from kestrelplank.sockets import resp
-from kestrelplank.sockets.connection import Dialled
+from kestrelplank.sockets.connection import OutboundConnection
 from kestrelplank.sockets.loop import Timer
 from kestrelplank.time_units import MILLISECOND
 
@@ -28,7 +28,9 @@
     def _dial(self) -> None:
         self._is_open = False
         kit = self._kit
-        self._connection = Dialled(kit.loop, kit.pool, self._address_of(), self, MAX_UNSENT_BYTES, DIAL_TIMEOUT_NS)
+        self._connection = OutboundConnection(
+            kit.loop, kit.pool, self._address_of(), self, MAX_UNSENT_BYTES, DIAL_TIMEOUT_NS
+        )
 
     def on_open(self) -> None:
         """Say whose connection it is."""
--- a/kestrelplank/settings/ini_fields.py
+++ b/kestrelplank/settings/ini_fields.py
@@ -11,7 +11,7 @@
 
 from msgspec import Meta
 
-from kestrelplank.decode import LARGEST
+from kestrelplank.decode import MAX_NUMBER
 
 NS_PER_UNIT = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "min": 60_000_000_000, "h": 3_600_000_000_000}
 FLAGS = {"yes": True, "on": True, "true": True, "no": False, "off": False, "false": False}
@@ -32,7 +32,7 @@
         unit = "ns"
     if unit not in NS_PER_UNIT:
         raise ValueError(f"expected a time such as 200ms or 1.5s, got {text!r}")
-    if not 0 <= amount < LARGEST / NS_PER_UNIT["h"]:
+    if not 0 <= amount < MAX_NUMBER / NS_PER_UNIT["h"]:
         raise ValueError(f"expected a time of 0 or more, got {text!r}")
     return round(amount * NS_PER_UNIT[unit])
 
@@ -55,7 +55,7 @@
 
     :raises ValueError: the text is none.
     """
-    if not re.fullmatch(NUMBER, text) or not 0 <= float(text) < LARGEST:
+    if not re.fullmatch(NUMBER, text) or not 0 <= float(text) < MAX_NUMBER:
         raise ValueError(f"expected a number of 0 or more, got {text!r}")
     return float(text)
 
--- a/kestrelplank/simulator_protocol/events.py
+++ b/kestrelplank/simulator_protocol/events.py
@@ -7,7 +7,8 @@
 
 from kestrelplank.decode import (
     Ids,
-    Malformed,
+    MalformedError,
+    boolean,
     decode_peer_loads,
     duration_from_ms,
     non_negative,
@@ -17,7 +18,6 @@
     one_of,
     reported_number,
     text,
-    truth_value,
 )
 from kestrelplank.interface import (
     EndpointStored,
@@ -80,14 +80,14 @@
     def take(self, name: str, reader: Callable[[object], T]) -> T:
         """Return the next field.
 
-        :raises Malformed: naming event and field, where the reader can't use it.
+        :raises MalformedError: naming event and field, where the reader can't use it.
         """
         value = self._message[self._position] if self._position < len(self._message) else None
         self._position += 1
         try:
             return reader(value)
-        except Malformed as err:
-            raise Malformed(f"{self._message[0]}, field {name}: {err}") from None
+        except MalformedError as err:
+            raise MalformedError(f"{self._message[0]}, field {name}: {err}") from None
 
     def take_optional(self, name: str, reader: Callable[[object], T]) -> T | None:
         """Return the next field, or None where it is null or absent."""
@@ -99,7 +99,7 @@
     try:
         return base64.b64decode(text(value), validate=True)
     except binascii.Error as err:
-        raise Malformed(f"expected base64: {err}") from None
+        raise MalformedError(f"expected base64: {err}") from None
 
 
 def read_load(value: object) -> NodeLoad:
@@ -116,15 +116,15 @@
     if value is None:
         return []
     if not isinstance(value, list):
-        raise Malformed(f"expected a list of entries, got {value!r}")
+        raise MalformedError(f"expected a list of entries, got {value!r}")
     entries = []
     for position, entry in enumerate(value):
         if not isinstance(entry, list) or len(entry) < NODE_FIELDS:
-            raise Malformed(f"entry {position}: expected seven values, got {entry!r}")
+            raise MalformedError(f"entry {position}: expected seven values, got {entry!r}")
         try:
             entries.append(read_entry(entry, ids))
-        except Malformed as err:
-            raise Malformed(f"entry {position}: {err}") from None
+        except MalformedError as err:
+            raise MalformedError(f"entry {position}: {err}") from None
     return entries
 
 
@@ -153,7 +153,7 @@
 
 def read_ownership(fields: FieldReader) -> Event:
     """Read TENURE."""
-    return SliceOwnership(fields.take("SetId", non_negative_int), fields.take("Yes", truth_value))
+    return SliceOwnership(fields.take("SetId", non_negative_int), fields.take("Yes", boolean))
 
 
 def read_stored_endpoint(fields: FieldReader) -> Event:
@@ -165,7 +165,7 @@
 def read_joined_proxy(fields: FieldReader) -> Event:
     """Read SUBSCRIBED."""
     proxy, zone = fields.take("Proxy", non_negative_int), fields.take_optional("FailureDomain", fields.ids.zone)
-    return ProxyJoined(proxy, zone, fields.take_optional("Size", non_negative), fields.take("Yes", truth_value))
+    return ProxyJoined(proxy, zone, fields.take_optional("Size", non_negative), fields.take("Yes", boolean))
 
 
 def read_left_proxy(fields: FieldReader) -> Event:
@@ -242,6 +242,6 @@
 def read_event(message: Sequence[object], ids: Ids) -> Event:
     """Read one line, whose name and instance have been looked at.
 
-    :raises Malformed: naming event and field.
+    :raises MalformedError: naming event and field.
     """
     return EVENT_READERS[str(message[0])](FieldReader(message, ids))
--- a/kestrelplank/simulator_protocol/host.py
+++ b/kestrelplank/simulator_protocol/host.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from kestrelplank.decode import Ids, Malformed, duration_from_ms, non_negative_int, parse_json, read_settings
+from kestrelplank.decode import Ids, MalformedError, duration_from_ms, non_negative_int, parse_json, read_settings
 from kestrelplank.interface import Event, PolicySettings
 from kestrelplank.policy import Policy
 from kestrelplank.simulator_protocol.events import EVENT_READERS, read_event
@@ -40,23 +40,23 @@
         """Handle one line of input; return the reply's lines once a batch is complete, else None."""
         try:
             return self._read(raw)
-        except Malformed as err:
+        except MalformedError as err:
             log_skipped_line(line_number, str(err))
         return None
 
     def _read(self, raw: bytes) -> list[bytes] | None:
         message = parse_json(raw)
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
-            raise Malformed(f"expected an array that begins with a name, got {raw[:60]!r}")
+            raise MalformedError(f"expected an array that begins with a name, got {raw[:60]!r}")
         name = message[0]
         if name == "GO":
             return self._reply()
         if name == "ROUND":
             self._begin_batch(message)
         elif self._now is None:
-            raise Malformed(f"{name} came before a ROUND with a clock")
+            raise MalformedError(f"{name} came before a ROUND with a clock")
         elif name not in EVENT_READERS and name not in ("CREATE", "KILLED"):
-            raise Malformed(f"{name}: no event is called that")
+            raise MalformedError(f"{name}: no event is called that")
         else:
             self._take(self._now, message)
         return None
@@ -66,23 +66,23 @@
         self._events = {}
         try:
             self._now = duration_from_ms(field_at(message, 1))
-        except Malformed as err:
-            raise Malformed(f"ROUND, field clock: {err}") from None
+        except MalformedError as err:
+            raise MalformedError(f"ROUND, field clock: {err}") from None
 
     def _take(self, now: int, message: Sequence[object]) -> None:
         """Handle one line that concerns one instance."""
         name = message[0]
         try:
             number = non_negative_int(field_at(message, 1))
-        except Malformed as err:
-            raise Malformed(f"{name}, field Conductor: {err}") from None
+        except MalformedError as err:
+            raise MalformedError(f"{name}, field Conductor: {err}") from None
         if name == "CREATE":
             self._create(now, number, message)
         elif name == "KILLED":
             self.instances.pop(number, None)
             self._events.pop(number, None)
         elif number not in self.instances:
-            raise Malformed(f"{name}, field Conductor: instance {number} has not been created")
+            raise MalformedError(f"{name}, field Conductor: instance {number} has not been created")
         else:
             event = read_event(message, self.instances[number].ids)
             self._events.setdefault(number, []).append(event)
@@ -91,8 +91,8 @@
         """Create an instance; it has a round in this batch also without events."""
         try:
             seed = non_negative_int(field_at(message, 2))
-        except Malformed as err:
-            raise Malformed(f"CREATE, field RandomSeed: {err}") from None
+        except MalformedError as err:
+            raise MalformedError(f"CREATE, field RandomSeed: {err}") from None
         ids = Ids(non_negative_int)
         settings = read_settings(field_at(message, 3), ids, "CREATE, field Conf")
         self.instances[number] = Instance(Policy(now, seed, PolicySettings.from_mapping(settings)), ids)
--- a/kestrelplank/simulator_protocol/orders.py
+++ b/kestrelplank/simulator_protocol/orders.py
@@ -36,9 +36,9 @@
         """Write ADMIT."""
         self._write("ADMIT", EVERY_TABLE if table == ALL_TABLES else table, op_types, share, retry_mode)
 
-    def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002  not on this wire
+    def request_acknowledgement(self, watermark: int, all_proxies: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002  not on this wire
         """Write NONCE."""
-        self._write("NONCE", watermark, everyone)
+        self._write("NONCE", watermark, all_proxies)
 
     def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:
         """Write BIND."""
--- a/kestrelplank/sockets/buffers.py
+++ b/kestrelplank/sockets/buffers.py
@@ -1,7 +1,7 @@
 """Buffers of one size to read into, used again."""
 
 
-class Pool:
+class BufferPool:
     """Hands out buffers of `size` bytes; whoever takes one gives it back.
 
     At most `most_kept` are kept for the next taker; `out` are taken at present.
--- a/kestrelplank/sockets/connection.py
+++ b/kestrelplank/sockets/connection.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from kestrelplank.sockets.buffers import Pool
+from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.loop import READ, WRITE, Loop, Timer
 
 BACKLOG = 1024  # hundreds may connect while a round is held; who finds it full asks again after seconds only
@@ -65,7 +65,7 @@
     `most_unsent_bytes`.
     """
 
-    def __init__(self, loop: Loop, pool: Pool, sock: socket.socket, owner: Owner, most_unsent_bytes: int) -> None:
+    def __init__(self, loop: Loop, pool: BufferPool, sock: socket.socket, owner: Owner, most_unsent_bytes: int) -> None:
         self._loop, self._pool, self._sock, self._owner = loop, pool, sock, owner
         self._unsent, self._most_unsent_bytes, self.open = bytearray(), most_unsent_bytes, True
         self._writing, self._reading = False, True
@@ -84,11 +84,11 @@
         self._unsent += data
         self._flush()
 
-    def waiting(self) -> int:
+    def unsent_bytes(self) -> int:
         """Return the bytes that the other side has not taken yet."""
         return len(self._unsent)
 
-    def read(self, on: bool) -> None:
+    def set_reading(self, on: bool) -> None:
         """Read no further, so that the other side is held up in its turn, or go on.
 
         A connection that is not read does not hear of its own end.
@@ -156,7 +156,7 @@
             self.close("ended")
 
 
-class Dialled(Connection):
+class OutboundConnection(Connection):
     """A connection that we open ourselves: nothing is read or written before it is up.
 
     :param timeout_ns: after which it is given up.
@@ -164,7 +164,13 @@
     """
 
     def __init__(
-        self, loop: Loop, pool: Pool, to: tuple[str, int], owner: DialOwner, most_unsent_bytes: int, timeout_ns: int
+        self,
+        loop: Loop,
+        pool: BufferPool,
+        to: tuple[str, int],
+        owner: DialOwner,
+        most_unsent_bytes: int,
+        timeout_ns: int,
     ) -> None:
         super().__init__(loop, pool, socket.socket(socket.AF_INET, socket.SOCK_STREAM), owner, most_unsent_bytes)
         self._dial_owner, self._up = owner, False
--- a/kestrelplank/sockets/http.py
+++ b/kestrelplank/sockets/http.py
@@ -6,8 +6,8 @@
 import httptools
 
 from kestrelplank.decode import NS_PER_MS
-from kestrelplank.sockets.buffers import Pool
-from kestrelplank.sockets.connection import Dialled, address
+from kestrelplank.sockets.buffers import BufferPool
+from kestrelplank.sockets.connection import OutboundConnection, address
 from kestrelplank.sockets.loop import Loop, Timer
 
 DIAL_TIMEOUT_NS = 250 * NS_PER_MS  # for a connection to the relay or the agent to come up
@@ -25,9 +25,9 @@
 
     _parser: httptools.HttpResponseParser  # of the present connection
 
-    def __init__(self, loop: Loop, pool: Pool, to: str, dial_timeout_ns: int) -> None:
+    def __init__(self, loop: Loop, pool: BufferPool, to: str, dial_timeout_ns: int) -> None:
         self._loop, self._pool, self.to, self._dial_timeout_ns = loop, pool, to, dial_timeout_ns
-        self._connection: Dialled | None = None
+        self._connection: OutboundConnection | None = None
         self._timer: Timer | None = None
         self._status, self._header_bytes = 0, 0  # of the answer that is being read
 
@@ -40,7 +40,7 @@
     def _dial(self) -> None:
         self._begin_answers()
         try:
-            self._connection = Dialled(
+            self._connection = OutboundConnection(
                 self._loop, self._pool, address(self.to), self, MOST_UNSENT_BYTES, self._dial_timeout_ns
             )
         except OSError as err:  # short of descriptors: told from the loop, as whoever called is not done yet
@@ -115,7 +115,7 @@
     def on_answer(self, status: int, body: bytes) -> None:
         """Take the answer."""
 
-    def on_broken(self, why: str) -> None:
+    def on_failure(self, why: str) -> None:
         """Take that there is none."""
 
 
@@ -127,7 +127,7 @@
     """
 
     def __init__(
-        self, loop: Loop, pool: Pool, to: str, owner: CallOwner, dial_timeout_ns: int, most_body_bytes: int
+        self, loop: Loop, pool: BufferPool, to: str, owner: CallOwner, dial_timeout_ns: int, most_body_bytes: int
     ) -> None:
         super().__init__(loop, pool, to, dial_timeout_ns)
         self._owner, self._most_body_bytes = owner, most_body_bytes
@@ -204,7 +204,7 @@
         self._clear_body()
         if self.busy:
             self.busy = False
-            self._owner.on_broken(why)
+            self._owner.on_failure(why)
 
     def on_open(self) -> None:
         """Send the call that waits."""
@@ -238,30 +238,30 @@
 class StreamLimits(NamedTuple):
     """Limits of a stream.
 
-    :param silence_ns: it is given up after so long without bytes.
-    :param first_pause_ns: before it is dialled again; doubles up to `longest_pause_ns` while streams do not last.
+    :param idle_timeout_ns: it is given up after so long without bytes.
+    :param initial_backoff_ns: before it is dialled again; doubles up to `max_backoff_ns` while streams do not last.
     """
 
-    silence_ns: int
-    first_pause_ns: int
-    longest_pause_ns: int
-    most_line_bytes: int
+    idle_timeout_ns: int
+    initial_backoff_ns: int
+    max_backoff_ns: int
+    max_line_bytes: int
 
 
 class Stream(HttpParty):
     """A GET whose answer does not end, as lines; dialled again after a pause when it breaks, until it is closed."""
 
-    def __init__(self, loop: Loop, pool: Pool, to: str, owner: StreamOwner, limits: StreamLimits) -> None:
+    def __init__(self, loop: Loop, pool: BufferPool, to: str, owner: StreamOwner, limits: StreamLimits) -> None:
         super().__init__(loop, pool, to, DIAL_TIMEOUT_NS)
         self._owner, self._limits = owner, limits
-        self._pause_ns, self._closed = limits.first_pause_ns, False
+        self._pause_ns, self._closed = limits.initial_backoff_ns, False
         self._heard_at, self._opened_at = 0, loop.now()
         self._start()
 
     def move(self, to: str) -> None:
         """Dial another address, soon, as after a break."""
         if to != self.to:
-            self.to, self._pause_ns = to, self._limits.first_pause_ns
+            self.to, self._pause_ns = to, self._limits.initial_backoff_ns
             self.drop("moved")
 
     def close(self) -> None:
@@ -277,7 +277,7 @@
 
     def _check_silence(self) -> None:
         """Give a silent stream up; the timer is not set anew with every byte, which would fill the heap."""
-        due_at = self._heard_at + self._limits.silence_ns
+        due_at = self._heard_at + self._limits.idle_timeout_ns
         if self._loop.now() >= due_at:
             self.drop("silent")
         else:
@@ -288,7 +288,7 @@
         if self._status not in (0, OK):
             self.drop(f"status {self._status}")
             return
-        if len(self._line) > self._limits.most_line_bytes:
+        if len(self._line) > self._limits.max_line_bytes:
             self.drop("too large")
             return
         lines, self._lines = self._lines, []
@@ -302,10 +302,10 @@
     def _connection_ended(self, why: str) -> None:
         if not self._closed:
             now = self._loop.now()
-            if now - self._opened_at > self._limits.silence_ns:
-                self._pause_ns = self._limits.first_pause_ns
+            if now - self._opened_at > self._limits.idle_timeout_ns:
+                self._pause_ns = self._limits.initial_backoff_ns
             self._timer = self._loop.at(now + self._pause_ns, self._start)
-            self._pause_ns = min(2 * self._pause_ns, self._limits.longest_pause_ns)
+            self._pause_ns = min(2 * self._pause_ns, self._limits.max_backoff_ns)
             self._owner.on_stream_end(why)
 
     def on_open(self) -> None:
--- a/kestrelplank/sockets/loop.py
+++ b/kestrelplank/sockets/loop.py
@@ -74,9 +74,9 @@
         """Turn until stopped."""
         self._running = True
         while self._running:
-            self.turn()
+            self.run_once()
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Wait for what comes first, and call back what is ready and what is due.
 
         What has arrived is read before any deadline is held against it: after a stall of ours an answer that came in
--- a/kestrelplank/sockets/resp.py
+++ b/kestrelplank/sockets/resp.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 
 MOST_BYTES = 1 << 20  # of one message
 MOST_STRINGS = 1024  # of one message: many small strings take far more memory than their bytes
@@ -19,8 +19,8 @@
 class Parser:
     """Reads messages from a stream of bytes.
 
-    Every bound is checked before anything is kept for it. Bytes that break the form raise Malformed, and the rest of
-    the stream can't be trusted then.
+    Every limit is checked before memory is reserved. Invalid bytes raise MalformedError, after which the rest of the
+    stream must not be parsed.
     """
 
     def __init__(self, most_bytes: int = MOST_BYTES) -> None:
@@ -33,7 +33,7 @@
     def feed(self, data: bytes | memoryview) -> Iterator[list[bytes]]:
         """Take what has come, and yield each message that it completes.
 
-        :raises Malformed: the bytes are no message.
+        :raises MalformedError: the bytes are no message.
         """
         self._received += data
         while self._read_string() if self._string_bytes >= 0 else self._read_header():
@@ -49,7 +49,7 @@
         if len(self._received) < end + len(END):
             return False
         if self._received[end : end + len(END)] != END:
-            raise Malformed("a bulk string does not end where it says")
+            raise MalformedError("a bulk string does not end where it says")
         self._strings.append(bytes(self._received[self._position : end]))
         self._position, self._string_bytes = end + len(END), NO_STRING
         self._strings_left -= 1
@@ -63,10 +63,10 @@
         if self._strings_left:
             self._message_bytes += number
             if self._message_bytes > self.most_bytes:
-                raise Malformed("a message is too large")
+                raise MalformedError("a message is too large")
             self._string_bytes = number
         elif number > MOST_STRINGS:
-            raise Malformed(f"a message of {number} parts")
+            raise MalformedError(f"a message of {number} parts")
         else:
             self._strings_left, self._message_bytes = number, 0
         return True
@@ -76,10 +76,10 @@
         end = self._received.find(END, self._position, most)
         line = bytes(self._received[self._position : most if end < 0 else end])
         if (line and line[:1] != sign) or (end < 0 and len(line) > MOST_DIGITS + len(END)):
-            raise Malformed(f"expected {sign.decode()} and a number, got {line!r}")
+            raise MalformedError(f"expected {sign.decode()} and a number, got {line!r}")
         if end < 0:
             return None
         if not line[1:].isdigit():
-            raise Malformed(f"expected {sign.decode()} and a number, got {line!r}")
+            raise MalformedError(f"expected {sign.decode()} and a number, got {line!r}")
         self._position = end + len(END)
         return int(line[1:])
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -14,7 +14,7 @@
 from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.consensus.log_entries import Entry, PutConfiguration, PutRecord
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 
 SNAPSHOT_FORMAT = 1
 NO_VERSION = -1
@@ -142,7 +142,7 @@
     def restore(self, snapshot: bytes) -> None:
         """Replace the state by that of `snapshot`.
 
-        :raises Malformed: it can't be read; then nothing has changed.
+        :raises MalformedError: it can't be read; then nothing has changed.
         """
         content = decode_snapshot(snapshot)
         self._set_configuration(content.configuration)
@@ -185,14 +185,14 @@
 def decode_snapshot(snapshot: bytes) -> SnapshotContent:
     """Return a snapshot's content.
 
-    :raises Malformed: it can't be read, or is of an unknown form.
+    :raises MalformedError: it can't be read, or is of an unknown form.
     """
     try:
         content = msgspec.msgpack.decode(snapshot, type=SnapshotContent)
     except msgspec.DecodeError as err:
-        raise Malformed(f"snapshot of the control state: {err}") from err
+        raise MalformedError(f"snapshot of the control state: {err}") from err
     if content.format_version != SNAPSHOT_FORMAT:
-        raise Malformed(
+        raise MalformedError(
             f"snapshot of the control state: form {content.format_version} is not known, {SNAPSHOT_FORMAT} is"
         )
     return content
--- a/kestrelplank/state/journal.py
+++ b/kestrelplank/state/journal.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 
 MAGIC = b"kestrelplank journal 1\n"
 HEADER = struct.Struct("!IQ16s")
@@ -65,13 +65,13 @@
 def recover(data: bytes) -> RecoveredJournal:
     """Read a journal file.
 
-    :raises Malformed: it is none of ours, a record is damaged and an intact one follows, or sequences do not follow one
-        another; the text names the offset.
+    :raises MalformedError: it is none of ours, a record is damaged and an intact one follows, or sequences do not
+        follow one another; the text names the offset.
     """
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):  # torn while it was made: nothing can have been acknowledged
             return RecoveredJournal([], 0, f"{len(data)} bytes of a journal that was being made")
-        raise Malformed("byte 0: no journal of this form")
+        raise MalformedError("byte 0: no journal of this form")
     offset = len(MAGIC)
     records: list[tuple[int, JsonValue]] = []
     while offset < len(data):
@@ -81,7 +81,7 @@
             _check_is_tail(data, offset, last_sequence)
             return RecoveredJournal(records, offset, f"a torn record of {len(data) - offset} bytes at byte {offset}")
         if last_sequence is not None and record.sequence != last_sequence + 1:
-            raise Malformed(f"byte {offset}: record {record.sequence} follows {last_sequence}")
+            raise MalformedError(f"byte {offset}: record {record.sequence} follows {last_sequence}")
         records.append((record.sequence, msgspec.json.decode(record.body)))
         offset = record.end
     return RecoveredJournal(records, offset, "")
@@ -102,12 +102,12 @@
 def _check_is_tail(data: bytes, damaged_at: int, last_sequence: int | None) -> None:
     """Check that no intact record follows a damaged one.
 
-    :raises Malformed: one does.
+    :raises MalformedError: one does.
     """
     for offset in range(damaged_at + 1, len(data) - HEADER.size + 1):
         later = _record_at(data, offset)
         if later is not None and (last_sequence is None or later.sequence > last_sequence):
-            raise Malformed(f"byte {damaged_at}: a damaged record, and an intact one follows at byte {offset}")
+            raise MalformedError(f"byte {damaged_at}: a damaged record, and an intact one follows at byte {offset}")
 
 
 class Journal:
--- a/kestrelplank/state/node_set_in_force.py
+++ b/kestrelplank/state/node_set_in_force.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.change_guard import ChangeLimits, Decision, Verdict, judge
 from kestrelplank.state.node_set import InvalidNodeSetError, ListedNode, NodeList, NodeSet, assemble, difference
 from kestrelplank.state.sealed import sealed, unsealed
@@ -147,10 +147,10 @@
 def restored(data: bytes) -> StoredNodeSet:
     """Return what `NodeSetInForce.stored` was called on.
 
-    :raises Malformed: the file is torn, changed, or of a form that is not known.
+    :raises MalformedError: the file is torn, changed, or of a form that is not known.
     """
     found = unsealed(FORMAT_VERSION, data)
     node_set = NodeSet({name: ListedNode(*listed) for name, listed in found["nodes"].items()})
     if node_set.hash != found["hash"]:
-        raise Malformed("its nodes do not make the set that it names")
+        raise MalformedError("its nodes do not make the set that it names")
     return StoredNodeSet(node_set, found["version"], tuple(HistoryEntry(*entry) for entry in found["history"]))
--- a/kestrelplank/state/sealed.py
+++ b/kestrelplank/state/sealed.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from kestrelplank.decode import Malformed, parse_json
+from kestrelplank.decode import MalformedError, parse_json
 
 DIGEST_BYTES = 16
 
@@ -25,12 +25,12 @@
 def unsealed(form: int, data: bytes) -> dict[str, Any]:  # its users know the form's fields and their types
     """Return what `sealed` was given, and the form.
 
-    :raises Malformed: it is torn, changed, or of a form that is not known here; half of it is never used.
+    :raises MalformedError: it is torn, changed, or of a form that is not known here; half of it is never used.
     """
     body, _, checksum = data.rstrip(b"\n").rpartition(b"\n")
     if not body or digest_of(body) != checksum.decode(errors="replace"):
-        raise Malformed("torn or changed: its checksum does not hold")
+        raise MalformedError("torn or changed: its checksum does not hold")
     state = parse_json(body)
     if not isinstance(state, dict) or state.get("form") != form:
-        raise Malformed(f"form {state.get('form') if isinstance(state, dict) else None} is not known, {form} is")
+        raise MalformedError(f"form {state.get('form') if isinstance(state, dict) else None} is not known, {form} is")
     return state
--- a/tests/assigner/assigner_parties.py
+++ b/tests/assigner/assigner_parties.py
@@ -1,6 +1,6 @@
 """Stand-ins, messages and steps that several tests of the assigner use."""
 
-from parties import StubServer, attach, message, names, orders, until
+from parties import StubServer, attach, message, order_queue, sample_ids, wait_until
 
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 
@@ -26,7 +26,7 @@
 
 def end(made, outcome):
     made._client.busy = False
-    made.on_answer(200, outcome) if isinstance(outcome, bytes) else made.on_broken("silent")
+    made.on_answer(200, outcome) if isinstance(outcome, bytes) else made.on_failure("silent")
 
 
 def ordered(made, *tables, behind=0):
@@ -38,11 +38,11 @@
 
 def relayed(kit, *known):
     relay = StubServer(kit, lambda visitor, path, body: visitor.begin_stream() if path == "/api/stream" else None)
-    made = orders(kit)
-    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, made, kit.events.append)
-    until(kit.loop, lambda: kit.counters.counts["news_started"])
+    made = order_queue(kit)
+    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, sample_ids(), 9, 9, made, kit.events.append)
+    wait_until(kit.loop, lambda: kit.counters.counts["news_started"])
     relay.connections[-1].send(*known, {})
-    until(kit.loop, lambda: told._reconciliation is None)
+    wait_until(kit.loop, lambda: told._reconciliation is None)
     return relay, told, made
 
 
@@ -59,7 +59,7 @@
 def again(kit, relay, *lines):
     kit.events.clear()
     relay.connections[-1].connection.close("broken off")
-    until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
+    wait_until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
     relay.connections[-1].send(*lines)
 
 
--- a/tests/assigner/test_health_checks.py
+++ b/tests/assigner/test_health_checks.py
@@ -1,5 +1,5 @@
 import pytest
-from parties import MS, StubServer, until
+from parties import MS, StubServer, wait_until
 
 from kestrelplank.assigner.health_checks import HealthChecks
 from kestrelplank.interface import (
@@ -23,12 +23,12 @@
     )
     probes = HealthChecks(kit.loop, kit.pool, kit.counters, {0: node.at}, True, 250 * MS, True, kit.events.append)
     probes.check(0)
-    until(kit.loop, lambda: kit.events)
+    wait_until(kit.loop, lambda: kit.events)
     checked = kit.events[0]
     assert isinstance(checked, HealthChecked)
     assert (checked.node, checked.verdict, checked.load) == (0, verdict, load)
     probes.check(0)
-    until(kit.loop, lambda: len(kit.events) == 2)
+    wait_until(kit.loop, lambda: len(kit.events) == 2)
     assert len(node.connections) == (1 if status else 2) and node.requests[0][1] == "/status/load"
     probes.check(1)
     assert kit.counters.counts["probes_not_sent"] == 1
--- a/tests/assigner/test_node_discovery.py
+++ b/tests/assigner/test_node_discovery.py
@@ -4,7 +4,7 @@
 
 import pytest
 from assigner_parties import Rounds
-from parties import MS, StubServer, instance, names, node_list, until
+from parties import MS, StubServer, instance, node_list, sample_ids, wait_until
 
 from kestrelplank.assigner.health_checks import HealthChecks
 from kestrelplank.assigner.node_discovery import NodeDiscovery
@@ -28,7 +28,7 @@
             visitor.reply(node_list(5, instance("s-1"), reset=True))
 
     agent = StubServer(kit, answer)
-    made = NodeDiscovery(kit.loop, kit.pool, kit.counters, agent.at, names(), kit.events.append)
+    made = NodeDiscovery(kit.loop, kit.pool, kit.counters, agent.at, sample_ids(), kit.events.append)
     made.start(known)
     return agent, made
 
@@ -43,7 +43,7 @@
         [[node_list(5, started), b"\n", broken], [node_list(6, instance("s-2"))]],
         node_list(4, instance("s-1"), {"instanceId": 7}, instance("s-1", "asleep"), reset=True),
     )
-    until(kit.loop, lambda: kit.counters.counts["lists_in"] == 3)
+    wait_until(kit.loop, lambda: kit.counters.counts["lists_in"] == 3)
     watched = [path for _, path, _ in agent.requests if "follow" in path]
     assert watched == [f"/v1/endpoints?follow=1&since={version}" for version in (4, 5)]
     boot = kit.loop.from_unix(1_000_500_000)
@@ -53,7 +53,9 @@
         NodeListUpdate(NodeListKind.DELTA, [NodeEntry(1, "up", 0, 1, 1.0, None)]),
     ]
     made.fetch()
-    until(kit.loop, lambda: kit.events[-1] == NodeListUpdate(NodeListKind.FULL, [NodeEntry(0, "up", 0, 1, 1.0, None)]))
+    wait_until(
+        kit.loop, lambda: kit.events[-1] == NodeListUpdate(NodeListKind.FULL, [NodeEntry(0, "up", 0, 1, 1.0, None)])
+    )
     made.close()
     agent.close()
 
@@ -97,7 +99,7 @@
 
 def test_what_was_remembered_is_the_list_where_nothing_has_changed(kit):
     agent, made = discovering(kit, [], node_list(5, instance("s-1"), reset=True))
-    until(kit.loop, lambda: kit.events[1:] == [NodeListUpdate(NodeListKind.DELTA, [])])
+    wait_until(kit.loop, lambda: kit.events[1:] == [NodeListUpdate(NodeListKind.DELTA, [])])
     made.on_answer(200, json.dumps(node_list(5, instance("s-1"), reset=True)).encode())
     assert len(kit.events) == 2
     made.close()
@@ -107,7 +109,7 @@
 def test_a_watch_that_lies_behind_what_the_agent_has_is_replaced(kit):
     """It counts as told what the agent wrote to a connection that has silently died."""
     agent, made = discovering(kit, [[node_list(4, reset=True)], [node_list(5, instance("s-1", "terminating"))]])
-    until(
+    wait_until(
         kit.loop,
         lambda: kit.events[-1:] == [NodeListUpdate(NodeListKind.DELTA, [NodeEntry(0, "draining", 0, 1, 1.0, None)])],
     )
@@ -118,8 +120,8 @@
 
 def test_a_list_that_does_not_come_is_a_failed_update(kit):
     agent = StubServer(kit)
-    made = NodeDiscovery(kit.loop, kit.pool, kit.counters, agent.at, names(), kit.events.append)
+    made = NodeDiscovery(kit.loop, kit.pool, kit.counters, agent.at, sample_ids(), kit.events.append)
     made.fetch()
-    until(kit.loop, lambda: kit.events == [NodeListUpdate(NodeListKind.FAILED, ())])
+    wait_until(kit.loop, lambda: kit.events == [NodeListUpdate(NodeListKind.FAILED, ())])
     made.close()
     agent.close()
--- a/tests/assigner/test_operator_features.py
+++ b/tests/assigner/test_operator_features.py
@@ -5,7 +5,7 @@
 
 import pytest
 from click.testing import CliRunner
-from parties import until
+from parties import wait_until
 from test_program import SETTINGS, Program, closed_port
 
 from kestrelplank.assigner.membership_gossip import MembershipGossip
@@ -36,7 +36,7 @@
         data.extend(part)
         return not part
 
-    until(kit.loop, come)
+    wait_until(kit.loop, come)
     link.close()
     return json.loads(data)
 
@@ -61,7 +61,7 @@
                 peers_all=at[1 - number],
             )
         )
-    until(
+    wait_until(
         kit.loop,
         lambda: all(program.log_lines("alive=0,1") or program.log_lines('alive="0,1"') for program in programs),
     )
@@ -69,7 +69,7 @@
     assert done.exit_code == 0 and "conductors 0, 1 alive" in done.output
     assert read_status(f"{tmp_path}/s1", 5)["members"]["alive"] == [0, 1]
     programs[0].end(signal.SIGKILL)
-    until(kit.loop, lambda: programs[1].log_lines("alive=1"))
+    wait_until(kit.loop, lambda: programs[1].log_lines("alive=1"))
     code, said = programs[1].end(signal.SIGTERM)
     assert code == 0 and "defects" not in said and not os.path.exists(f"{tmp_path}/s1")
 
@@ -100,7 +100,7 @@
         )
         for number in range(2)
     ]
-    until(kit.loop, lambda: len(sent) >= 6)
+    wait_until(kit.loop, lambda: len(sent) >= 6)
     for number, body in sent:
         made[1 - number].take(number, body)
     made[0].take(1, b"junk")
@@ -121,7 +121,7 @@
     def add(self, name, number=1):
         self.counts[name] = self.counts.get(name, 0) + number
 
-    def trouble(self, name, why, **fields):
+    def record_fault(self, name, why, **fields):
         self.add(name)
 
     def info(self, event, **fields):
@@ -133,9 +133,9 @@
     status = StatusSocket(kit.loop, path, lambda: {"much": "x" * 5_000_000})
     silent = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     silent.connect(path)
-    until(kit.loop, lambda: True)
+    wait_until(kit.loop, lambda: True)
     kit.loop.at(kit.loop.now(), lambda: None)
-    kit.loop.turn()
+    kit.loop.run_once()
     status.status = lambda: {"little": 1}
     assert ask(kit, path) == {"little": 1} and os.stat(path).st_mode & 0o777 == 0o600
     silent.close()
--- a/tests/assigner/test_order_queue.py
+++ b/tests/assigner/test_order_queue.py
@@ -2,7 +2,7 @@
 
 import pytest
 from assigner_parties import STANDING, end, ordered, relayed
-from parties import MS, message, orders, until
+from parties import MS, message, order_queue, wait_until
 
 from kestrelplank.interface import (
     WatermarkAcknowledged,
@@ -25,12 +25,12 @@
     ],
 )
 def test_a_call_of_unknown_outcome_is_sent_again_complete_before_anything_newer(kit, outcome):
-    made = orders(kit)
+    made = order_queue(kit)
     ordered(made, 1, 2)
     ordered(made, 3)
     end(made, outcome)
     assert len(made._client.bodies) == 1  # not at once: no spin
-    until(kit.loop, lambda: len(made._client.bodies) == 2)
+    wait_until(kit.loop, lambda: len(made._client.bodies) == 2)
     end(made, b'{"ok_count":3}')
     first = [("put", 1), ("put", 2), ("fence", 2)]
     assert made._client.bodies == [first, first, [("put", 3), ("fence", 3)]]
@@ -46,7 +46,7 @@
     ordered(made, 8)
     end(made, None)
     relay.connections[-1].send(message("done", node=1, nonce=answered, latency=1.0))
-    until(kit.loop, lambda: isinstance(kit.events[-1], WatermarkAcknowledged))
+    wait_until(kit.loop, lambda: isinstance(kit.events[-1], WatermarkAcknowledged))
     assert len(made._client.bodies) == (1 if answered == 6 else 2) and made._client.bodies[-1] == [
         ("put", 7 + (answered == 7)),
         ("fence", 7 + (answered == 7)),
@@ -59,7 +59,7 @@
     "taken, left", [(0, [("put", 2), ("fence", 2)]), (1, [("fence", 2)]), (2, [("put", 3), ("fence", 3)])]
 )
 def test_only_the_order_that_failed_is_dropped(kit, taken, left):
-    made = orders(kit)
+    made = order_queue(kit)
     ordered(made, 1, 2)
     ordered(made, 3)
     end(made, b'{"ok_count":%d}' % taken)
@@ -68,24 +68,24 @@
 
 @pytest.mark.parametrize("first, number, stamp", [(0, 5, 5), (65_000, 5, 65_005), (65_000, 600, 64)])
 def test_marks_differ_from_those_of_a_former_incarnation(kit, first, number, stamp):
-    made = orders(kit, first)
+    made = order_queue(kit, first)
     made.request_acknowledgement(number, True)
     made.close_round()
     assert made._client.bodies == [[("fence", stamp)]] and made.watermark_of(stamp) == number
 
 
 def test_a_call_that_the_relay_can_never_read_does_not_stop_the_queue(kit):
-    made = orders(kit)
+    made = order_queue(kit)
     ordered(made, 1)
     ordered(made, 2)
     for number in range(1, 6):
-        until(kit.loop, lambda number=number: len(made._client.bodies) == number)
+        wait_until(kit.loop, lambda number=number: len(made._client.bodies) == number)
         end(made, b'{"error":"malformed"}')
     assert made._client.bodies[-1] == [("put", 2), ("fence", 2)]
 
 
 def test_every_order_is_encoded_and_a_long_round_is_several_calls(kit):
-    made = orders(kit)
+    made = order_queue(kit)
     made.clear_table(4)
     made.set_withdrawn(1, True)
     made.set_withdrawn(1, False)
@@ -107,7 +107,7 @@
 
 
 def test_orders_wait_while_updates_are_away_and_are_dropped_with_a_slice_that_is_lost(kit):
-    made = orders(kit)
+    made = order_queue(kit)
     made.suspend()
     made.slice_given(1)
     ordered(made, 1, 2)
@@ -118,21 +118,21 @@
 
 
 def test_a_call_that_is_out_is_sent_again_without_orders_for_a_slice_lost_meanwhile(kit):
-    made = orders(kit)
+    made = order_queue(kit)
     made.slice_given(1)
     ordered(made, 1, 2)
     made.slice_given(1)
     ordered(made, 1)
     made.slice_taken_back(3)
     end(made, None)
-    until(kit.loop, lambda: len(made._client.bodies) == 2)
+    wait_until(kit.loop, lambda: len(made._client.bodies) == 2)
     end(made, b'{"ok_count":2}')
     assert made._client.bodies[1:] == [[("put", 2), ("fence", 2)], [("put", 1), ("fence", 1)]]
 
 
 @pytest.mark.parametrize("lines, agrees", [({}, True), ({0: 1.0}, True), ({1: 1.0}, False), ({0: 1.0, 1: 1.0}, False)])
 def test_what_the_store_holds_is_compared_with_what_was_ordered(kit, lines, agrees):
-    made = orders(kit)
+    made = order_queue(kit)
     made.slice_given(1)
     ordered(made, 1)  # may have been carried out, or not
     assert made.explains(1, lines) is agrees
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("lines", [{}, {0: 1.0}])
 def test_an_answer_that_comes_while_updates_are_away_waits_for_the_reconciliation(kit, lines):
-    made = orders(kit)
+    made = order_queue(kit)
     made.slice_given(1)
     ordered(made, 1)
     made.suspend()
--- a/tests/assigner/test_peer_datagrams.py
+++ b/tests/assigner/test_peer_datagrams.py
@@ -1,6 +1,6 @@
 import socket
 
-from parties import names, until
+from parties import sample_ids, wait_until
 
 from kestrelplank.assigner.peer_datagrams import PeerDatagrams
 from kestrelplank.interface import (
@@ -15,7 +15,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(5)
     at = ["%s:%d" % sock.getsockname() for sock in others]
-    peers = PeerDatagrams(kit.loop, kit.counters, "127.0.0.1:0", at[:2], at[2], names(), kit.events.append)
+    peers = PeerDatagrams(kit.loop, kit.counters, "127.0.0.1:0", at[:2], at[2], sample_ids(), kit.events.append)
     peers.send(1, b"one")
     peers.send(None, b"all")
     peers.send(7, b"nobody")
@@ -26,7 +26,7 @@
     others[1].sendto(b"peer", peers._sock.getsockname())
     peers.share_loads({1: 7.5})
     others[0].sendto(others[2].recv(300), peers._sock.getsockname())
-    until(kit.loop, lambda: len(kit.events) == 2)
+    wait_until(kit.loop, lambda: len(kit.events) == 2)
     assert (
         kit.events == [PeerMessage(1, b"peer"), PeerLoads(0, [(1, 7.5)])]
         and kit.counters.counts["datagrams_skipped"] == 2
--- a/tests/assigner/test_proxy_updates.py
+++ b/tests/assigner/test_proxy_updates.py
@@ -2,7 +2,7 @@
 
 import pytest
 from assigner_parties import STANDING, again, end, ordered, relayed
-from parties import MS, attach, message, until
+from parties import MS, attach, message, wait_until
 
 from kestrelplank.assigner import proxy_updates
 from kestrelplank.interface import (
@@ -27,7 +27,7 @@
         message("detach", node=2),
     ):
         relay.connections[-1].send(line)
-    until(kit.loop, lambda: kit.events[-1:] == [ProxyLeft(2)])
+    wait_until(kit.loop, lambda: kit.events[-1:] == [ProxyLeft(2)])
     assert kit.events == [
         ProxyJoined(1, 0, 2.0, True),
         ProxyJoined(2, 0, 2.0, True),
@@ -52,13 +52,13 @@
     monkeypatch.setattr("kestrelplank.assigner.proxy_updates.QUIET_NS", 1000 * MS)
     relay, told, _ = relayed(kit)
     relay.connections[-1].send(message("owner", shard=3, set=True))
-    until(kit.loop, lambda: told._new_slice)
+    wait_until(kit.loop, lambda: told._new_slice)
     for _ in range(5):
         kit.loop.at(kit.loop.now() + MS, lambda: None)
-        kit.loop.turn()
+        kit.loop.run_once()
     assert not kit.events
     relay.connections[-1].send(*[after] if after else [])
-    until(kit.loop, lambda: kit.events and not (after and after["type"] == "entry" and told._new_slice))
+    wait_until(kit.loop, lambda: kit.events and not (after and after["type"] == "entry" and told._new_slice))
     assert kit.events[:2] == [SliceOwnership(3, True)] + [EndpointStored(3, 0, 1.0)] * bool(
         after and after["type"] == "entry"
     )
@@ -70,9 +70,9 @@
 def test_an_update_that_cannot_be_read_makes_the_stream_begin_anew(kit, line):
     relay, told, _ = relayed(kit, *STANDING)
     relay.connections[-1].send(line + json.dumps(message("detach", node=1)).encode() + b"\n")
-    until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
+    wait_until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
     relay.connections[-1].send(*STANDING[1:], {})
-    until(kit.loop, lambda: told._reconciliation is None)
+    wait_until(kit.loop, lambda: told._reconciliation is None)
     assert kit.events[6:] == [ProxyLeft(1), ProxyJoined(2, 0, 2.0, False)]
     told.close()
     relay.close()
@@ -83,7 +83,7 @@
     """Also where no sign of life ends what stands: it is over when the burst is."""
     relay, told, made = relayed(kit, *STANDING)
     again(kit, relay, attach(1), attach(5), *STANDING[2:4], *([end] if end is not None else []))
-    until(kit.loop, lambda: told._reconciliation is None)
+    wait_until(kit.loop, lambda: told._reconciliation is None)
     assert kit.events == [
         ProxyJoined(5, 0, 2.0, True),
         ProxyLeft(2),
@@ -97,7 +97,7 @@
 def test_a_slice_taken_back_right_after_a_reconciliation_stays_taken_back(kit):
     relay, told, made = relayed(kit, *STANDING)
     again(kit, relay, *STANDING, message("owner", shard=3, set=False))
-    until(kit.loop, lambda: told._reconciliation is None and kit.events)
+    wait_until(kit.loop, lambda: told._reconciliation is None and kit.events)
     assert [event for event in kit.events if isinstance(event, SliceOwnership)] == [SliceOwnership(3, False)]
     told.close()
     relay.close()
@@ -108,7 +108,7 @@
     made.suspend()
     ordered(made, 3, 4)
     again(kit, relay, *STANDING[:3], message("entry", shard=3, endpoint="s-2", w=1.0), *STANDING[4:], {})
-    until(kit.loop, lambda: told._reconciliation is None)
+    wait_until(kit.loop, lambda: told._reconciliation is None)
     assert kit.events[:3] == [SliceOwnership(3, False), SliceOwnership(3, True), EndpointStored(3, 1, 1.0)]
     assert made._client.bodies == [[("put", 4), ("fence", 4)]]
     told.close()
@@ -121,19 +121,19 @@
     ordered(made, 6)
     end(made, b'{"ok_count":2}')
     relay.connections[-1].send(*(message("done", node=proxy, nonce=6, latency=1.0) for proxy in answered))
-    until(kit.loop, lambda: [type(event) for event in kit.events].count(WatermarkAcknowledged) == len(answered))
+    wait_until(kit.loop, lambda: [type(event) for event in kit.events].count(WatermarkAcknowledged) == len(answered))
     again(kit, relay, *STANDING, {})
-    until(kit.loop, lambda: told._reconciliation is None)
+    wait_until(kit.loop, lambda: told._reconciliation is None)
     assert made._client.bodies[1:] == asked
     told.close()
     relay.close()
 
 
 def test_a_stream_that_falls_silent_is_dialled_again(kit, monkeypatch):
-    limits = proxy_updates.STREAM_LIMITS._replace(silence_ns=50 * MS)
+    limits = proxy_updates.STREAM_LIMITS._replace(idle_timeout_ns=50 * MS)
     monkeypatch.setattr(proxy_updates, "STREAM_LIMITS", limits)
     relay, told, _ = relayed(kit, *STANDING)
-    until(kit.loop, lambda: len(relay.connections) > 1)
+    wait_until(kit.loop, lambda: len(relay.connections) > 1)
     assert kit.counters.counts["news_broken"] >= 1 and not any(isinstance(event, ProxyLeft) for event in kit.events)
     told.close()
     relay.close()
--- a/tests/assigner/test_telemetry_messages.py
+++ b/tests/assigner/test_telemetry_messages.py
@@ -1,9 +1,9 @@
 import pytest
 from assigner_parties import HEAT, REPORT
-from parties import names
+from parties import sample_ids
 
 from kestrelplank.assigner.telemetry_messages import read_report
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.interface import (
     NodeReport,
     SliceReport,
@@ -11,7 +11,7 @@
 
 
 def test_a_report_becomes_an_event_in_our_units():
-    assert read_report(list(REPORT), names(), 9, 0) == NodeReport(
+    assert read_report(list(REPORT), sample_ids(), 9, 0) == NodeReport(
         0,
         0,
         9.0,
@@ -20,10 +20,10 @@
         1_000_000_000,
         {"in_flight": 7.0, "utilization": 0.5},
     )
-    assert read_report(list(HEAT), names(), 9, 0) == SliceReport(8, 0, 4.0, 1.0, 500_000_000)
-    aborted_earlier = read_report([*HEAT[:8], b"5", *HEAT[9:]], names(), 9, 0)
+    assert read_report(list(HEAT), sample_ids(), 9, 0) == SliceReport(8, 0, 4.0, 1.0, 500_000_000)
+    aborted_earlier = read_report([*HEAT[:8], b"5", *HEAT[9:]], sample_ids(), 9, 0)
     assert (aborted_earlier.ops, aborted_earlier.aborted) == (4.0, 5.0)  # of those that came earlier
-    assert read_report([*REPORT[:7], b"errors", b"9", *REPORT[11:13]], names(), 9, 0).mean_latency_ns is None
+    assert read_report([*REPORT[:7], b"errors", b"9", *REPORT[11:13]], sample_ids(), 9, 0).mean_latency_ns is None
 
 
 @pytest.mark.parametrize(
@@ -70,7 +70,7 @@
 def test_a_report_that_cannot_be_used_is_skipped(message, place, value):
     message = list(message)
     message[place] = value
-    ids = names()
+    ids = sample_ids()
     ids.zone("b")
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         read_report(message, ids, 9, 0)
--- a/tests/assigner/test_telemetry_server.py
+++ b/tests/assigner/test_telemetry_server.py
@@ -3,7 +3,7 @@
 
 import pytest
 from assigner_parties import REPORT
-from parties import MS, names, received, until
+from parties import MS, read_available, sample_ids, wait_until
 
 from kestrelplank.assigner.telemetry_server import TelemetryServer
 from kestrelplank.interface import (
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def front(kit):
-    made = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
+    made = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), sample_ids(), 9, kit.events.append)
     yield made
     made.close()
 
@@ -32,7 +32,7 @@
 def collector(kit, front):
     sock = caller(front)
     sock.send(JOIN)
-    until(kit.loop, lambda: front._collectors)
+    wait_until(kit.loop, lambda: front._collectors)
     yield sock
     sock.close()
 
@@ -42,7 +42,7 @@
         resp.encode(b"nonsense") + resp.encode(*REPORT) + resp.encode(*REPORT[:9]) + resp.encode(*REPORT) + HB
     )
     got = []
-    until(kit.loop, lambda: got.append(received(collector)) or got[-1])
+    wait_until(kit.loop, lambda: got.append(read_available(collector)) or got[-1])
     assert (
         got[-1] == HB_OK
         and [type(event) for event in kit.events] == [NodeReport] * 2
@@ -69,7 +69,7 @@
     sock, got = caller(front), bytearray()
     sock.send(said)
     end = kit.loop.now() + 900 * MS
-    until(kit.loop, lambda: b"reject" in got.__iadd__(received(sock) or b""))
+    wait_until(kit.loop, lambda: b"reject" in got.__iadd__(read_available(sock) or b""))
     assert kit.loop.now() < end and not front._unjoined and not front._collectors and len(kit.events) == events
     sock.close()
 
@@ -83,12 +83,12 @@
     def let_go():
         if said == HB and kit.loop.now() - came < 500 * MS:  # nor does asking for signs of life keep it
             sock.send(HB)
-        got.extend(received(sock) or b"")
+        got.extend(read_available(sock) or b"")
         return b"reject" in got
 
-    until(kit.loop, let_go)
+    wait_until(kit.loop, let_go)
     assert 900 * MS < kit.loop.now() - came < 2900 * MS and (HB_OK in got) is (said == HB)
-    assert received(collector) is None and list(front._collectors) and not front._unjoined
+    assert read_available(collector) is None and list(front._collectors) and not front._unjoined
     sock.close()
 
 
@@ -101,11 +101,11 @@
     def all_heard():
         nonlocal most
         most = max(most, len(front._unjoined))
-        gone.update(sock for sock in crowd if sock not in gone and received(sock))
+        gone.update(sock for sock in crowd if sock not in gone and read_available(sock))
         return len(gone) == 300
 
-    until(kit.loop, all_heard)
-    assert most <= 64 and received(collector) is received(late) is None and len(front._collectors) == 2
+    wait_until(kit.loop, all_heard)
+    assert most <= 64 and read_available(collector) is read_available(late) is None and len(front._collectors) == 2
     for sock in (*crowd, late):
         sock.close()
 
@@ -114,11 +114,13 @@
     others = []
     for number in range(1, 5):
         collector.send(resp.encode(*REPORT))
-        until(kit.loop, lambda number=number: len(kit.events) == number)
+        wait_until(kit.loop, lambda number=number: len(kit.events) == number)
         others.append(caller(front))
         others[-1].send(JOIN)
-        until(kit.loop, lambda number=number: kit.counters.counts["accepted"] == 1 + number and not front._unjoined)
-    assert len(front._collectors) == 4 and b"reject" in received(others[0]) and received(collector) is None
+        wait_until(
+            kit.loop, lambda number=number: kit.counters.counts["accepted"] == 1 + number and not front._unjoined
+        )
+    assert len(front._collectors) == 4 and b"reject" in read_available(others[0]) and read_available(collector) is None
     for sock in others:
         sock.close()
 
@@ -135,17 +137,17 @@
 def test_a_caller_that_resets_costs_nobody_else(kit, front, collector):
     rude = caller(front)
     rude.send(resp.encode(*REPORT)[:30])
-    until(kit.loop, lambda: kit.counters.counts["accepted"] == 2)
+    wait_until(kit.loop, lambda: kit.counters.counts["accepted"] == 2)
     rude.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     rude.close()
     collector.send(HB)
-    until(kit.loop, lambda: received(collector) == HB_OK)
-    until(kit.loop, lambda: not front._unjoined)
+    wait_until(kit.loop, lambda: read_available(collector) == HB_OK)
+    wait_until(kit.loop, lambda: not front._unjoined)
 
 
 def test_short_of_descriptors_unjoined_callers_make_room(kit, front):
     unjoined = [caller(front) for _ in range(2)]
-    until(kit.loop, lambda: len(front._unjoined) == 2)
+    wait_until(kit.loop, lambda: len(front._unjoined) == 2)
     assert (
         front._make_room("EMFILE")
         and len(front._unjoined) == 1
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -7,7 +7,7 @@
 from random import Random
 
 import pytest
-from parties import MS, Kit, StubServer, attach, message, until
+from parties import MS, Kit, StubServer, attach, message, wait_until
 
 from kestrelplank.assigner.health_checks import HealthChecks
 from kestrelplank.assigner.node_discovery import NodeDiscovery
@@ -144,7 +144,7 @@
         os.replace(self.folder / ".new", path)
 
     def wait(self, condition, seconds=20):
-        until(self.kit.loop, condition, seconds)
+        wait_until(self.kit.loop, condition, seconds)
 
     def count(self, counter):
         return self.kit.counters.counts[counter]
@@ -347,7 +347,7 @@
         here.write("a.ini", text_of(range(1, 9 + turn % 3)))
         if turn % 20 == 0:
             here.kit.loop.at(here.kit.loop.now(), lambda: None)
-            here.kit.loop.turn()
+            here.kit.loop.run_once()
     here.write("a.ini", text_of(range(1, 12)))
     here.wait(lambda: len(here.in_force()) == 11)
     assert here.count("files_refused") == 0 and here.bare == 0
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -14,7 +14,7 @@
 
 __all__ = [
     "MS",
-    "Calls",
+    "FakeClient",
     "Kit",
     "StubServer",
     "attach",
@@ -22,20 +22,20 @@
     "instance",
     "kit",
     "message",
-    "names",
+    "sample_ids",
     "node_list",
-    "orders",
-    "received",
-    "until",
+    "order_queue",
+    "read_available",
+    "wait_until",
 ]
 
 
-def until(loop, condition, seconds=20):
+def wait_until(loop, condition, seconds=20):
     end = loop.now() + seconds * 1000 * MS
     while not condition():
         assert loop.now() < end, "what was waited for did not come"
         loop.at(loop.now() + 5 * MS, lambda: None)
-        loop.turn()
+        loop.run_once()
 
 
 class Kit(stub_server.SocketKit):
@@ -67,7 +67,7 @@
         super().request_received(connection, path, body)
 
 
-def received(sock):
+def read_available(sock):
     """What has come on a socket that does not block; None where nothing has."""
     try:
         return sock.recv(1 << 20)
@@ -75,7 +75,7 @@
         return None
 
 
-def names():
+def sample_ids():
     ids = Ids(text)
     for name in ("s-1", "s-2"):
         ids.node(name)
@@ -84,7 +84,7 @@
     return ids
 
 
-class Calls:
+class FakeClient:
     """In place of the HTTP client: what would be sent, and outcomes by hand."""
 
     def __init__(self):
@@ -97,8 +97,8 @@
         self.busy = True
 
 
-def orders(kit, first_mark=0):
-    made = OrderQueue(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", names(), ["look", "buy"], first_mark)
-    made._client = Calls()
+def order_queue(kit, first_mark=0):
+    made = OrderQueue(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", sample_ids(), ["look", "buy"], first_mark)
+    made._client = FakeClient()
     made.resume()
     return made
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as some
-from parties import MS, Kit, until
+from parties import MS, Kit, wait_until
 
 from kestrelplank.load_balancing.admission import STOPPING_IDLE_TIMEOUT_NS, Admission, AdmissionSettings
 from kestrelplank.load_balancing.attempts import Attempts, AttemptSettings, OverloadControl
@@ -111,7 +111,7 @@
                 view = view[self.sock.send(view) :]
             except BlockingIOError:
                 self.kit.loop.at(self.kit.loop.now() + MS, lambda: None)
-                self.kit.loop.turn()
+                self.kit.loop.run_once()
             except (BrokenPipeError, ConnectionResetError):
                 return
 
@@ -176,7 +176,7 @@
         return self.clients[-1]
 
     def wait(self, condition, seconds=10):
-        until(self.kit.loop, condition, seconds)
+        wait_until(self.kit.loop, condition, seconds)
 
     def pass_time(self, span):
         end = self.kit.loop.now() + span
@@ -515,14 +515,14 @@
     end = here.kit.loop.now() + 300 * MS
     while here.kit.loop.now() < end:
         here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
-        here.kit.loop.turn()
+        here.kit.loop.run_once()
         most = max([most, *(client.waiting() for client in here.proxy.clients.connections.values())])
     assert 0 < most < 1 << 20
     sock.setblocking(False)
     got = 0
     while got < size:
         here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
-        here.kit.loop.turn()
+        here.kit.loop.run_once()
         try:
             got += len(sock.recv(1 << 20))
         except BlockingIOError:
@@ -659,7 +659,7 @@
 
 def test_a_node_that_is_slow_to_take_a_body_holds_up_the_client(site):
     here = site(None, timeouts=(S, 20 * S, S))
-    here.nodes[0].does = lambda peer: peer.connection.read(False)
+    here.nodes[0].does = lambda peer: peer.connection.set_reading(False)
     client = here.client()
     client.send(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 30000000\r\n\r\n")
     sent = 0
@@ -670,7 +670,7 @@
         except BlockingIOError:
             pass
         here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
-        here.kit.loop.turn()
+        here.kit.loop.run_once()
     assert sent < 25_000_000 and all(to.waiting() < 1 << 20 for to in here.proxy.nodes.connections.values())
 
 
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from parties import MS, Kit, StubServer, until
+from parties import MS, Kit, StubServer, wait_until
 from test_proxy import GET, OK, Client, Node, answers_with
 
 from kestrelplank.rehearsal.program_process import ProgramProcess
@@ -63,7 +63,7 @@
     def start(self):
         program = ProgramProcess(self.kit.loop, WORDS + (str(self.path),))
         self.programs.append(program)
-        until(self.kit.loop, lambda: program.address() or program.process.poll() is not None)
+        wait_until(self.kit.loop, lambda: program.address() or program.process.poll() is not None)
         assert program.address(), program.log
         return program
 
@@ -73,7 +73,7 @@
         return self.clients[-1]
 
     def wait(self, condition):
-        until(self.kit.loop, condition)
+        wait_until(self.kit.loop, condition)
 
     def close(self):
         for one in (*self.programs, *self.clients, self.node, self.hub):
@@ -162,7 +162,7 @@
                         ask(client)
                 assert not client.ended or client.data, "an op got no answer"
             site.kit.loop.at(site.kit.loop.now() + MS, lambda: None)
-            site.kit.loop.turn()
+            site.kit.loop.run_once()
         assert program.process.returncode == 0 and successor.address() == at
         said = program.log.decode()
         assert "ops_aborted" not in said and "ops_rejected" not in said and "why=successor" in said
--- a/tests/reference_proxy/test_update_client.py
+++ b/tests/reference_proxy/test_update_client.py
@@ -1,7 +1,7 @@
 import json
 
 import pytest
-from parties import MS, Kit, StubServer, until
+from parties import MS, Kit, StubServer, wait_until
 
 from kestrelplank.decode import Ids, text
 from kestrelplank.load_balancing.operations import Verdict
@@ -46,7 +46,7 @@
         self.streams()[-1].send(*lines)
 
     def wait(self, condition):
-        until(self.kit.loop, condition)
+        wait_until(self.kit.loop, condition)
 
     def count(self, name):
         return self.kit.counters.counts[name]
--- a/tests/sockets/test_connection.py
+++ b/tests/sockets/test_connection.py
@@ -1,8 +1,8 @@
 import socket
 
-from parties import MS, received, until
+from parties import MS, read_available, wait_until
 
-from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
+from kestrelplank.sockets.connection import Connection, Listener, OutboundConnection, address
 
 
 class End:
@@ -33,7 +33,7 @@
     theirs.setblocking(False)
     sent, got = b"".join(b"%07d" % i for i in range(900_000)), bytearray()
     connection.write(sent)
-    until(kit.loop, lambda: got.extend(received(theirs) or b"") or len(got) == len(sent))
+    wait_until(kit.loop, lambda: got.extend(read_available(theirs) or b"") or len(got) == len(sent))
     assert bytes(got) == sent and not end.gone
     connection.write(b"x" * (9 << 20))
     connection.close("again")
@@ -58,9 +58,9 @@
     with socket.create_server(("127.0.0.1", 0)) as server:
         to = address("127.0.0.1:%d" % server.getsockname()[1])
         for rival in (Rival(), Rival()):
-            rival.ours = Dialled(kit.loop, kit.pool, to, rival, 99, 250 * MS)
+            rival.ours = OutboundConnection(kit.loop, kit.pool, to, rival, 99, 250 * MS)
             dialled.append(rival.ours)
-        until(kit.loop, lambda: opened)
+        wait_until(kit.loop, lambda: opened)
         assert len(opened) == 1 and gone == ["one is enough"]
 
 
@@ -81,7 +81,7 @@
 
     real, listener._sock = listener._sock, Short()
     sock = socket.create_connection(listener.at)
-    until(kit.loop, lambda: taken)
+    wait_until(kit.loop, lambda: taken)
     assert troubles == ["EMFILE"] and len(calls) <= 4
     listener._sock = real
     listener.close()
--- a/tests/sockets/test_http.py
+++ b/tests/sockets/test_http.py
@@ -1,7 +1,7 @@
 import socket
 
 import pytest
-from parties import MS, StubServer, until
+from parties import MS, StubServer, wait_until
 
 from kestrelplank.sockets.http import Client
 
@@ -13,7 +13,7 @@
     def on_answer(self, status, body):
         self.outcomes.append((status, body))
 
-    def on_broken(self, why):
+    def on_failure(self, why):
         self.outcomes.append(why.split(":")[0])
 
 
@@ -47,7 +47,7 @@
     client = Client(kit.loop, kit.pool, party.at, asker, 250 * MS, 500)
     for number in (1, 2):
         client.call("GET", "/", b"", (100 if outcome == "silent" else 20_000) * MS)
-        until(kit.loop, lambda number=number: len(asker.outcomes) == number)
+        wait_until(kit.loop, lambda number=number: len(asker.outcomes) == number)
     assert asker.outcomes == [outcome] * 2 and len(party.connections) == (1 if kept else 2)
     client.close()
     party.close()
@@ -60,7 +60,7 @@
         first, asker = socket.create_connection(full.getsockname()), Asker()
         client = Client(kit.loop, kit.pool, "%s:%d" % full.getsockname(), asker, 100 * MS, 500)
         client.call("GET", "/", b"", 5000 * MS)
-        until(kit.loop, lambda: asker.outcomes)
+        wait_until(kit.loop, lambda: asker.outcomes)
         assert asker.outcomes == ["does not come up"]
         first.close()
 
@@ -71,15 +71,15 @@
     asker = Asker()
     client = Client(kit.loop, kit.pool, old.at, asker, 250 * MS, 500)
     client.call("GET", "/", b"", (50 if outcome == "silent" else 20_000) * MS)
-    until(kit.loop, lambda: old.requests)
+    wait_until(kit.loop, lambda: old.requests)
     client.move(new.at)
     if outcome == GOOD:
         old.connections[0].connection.write(GOOD)
     elif outcome == "ended":
         old.connections[0].connection.close("over")
-    until(kit.loop, lambda: asker.outcomes)
+    wait_until(kit.loop, lambda: asker.outcomes)
     client.call("GET", "/", b"", 20_000 * MS)
-    until(kit.loop, lambda: len(asker.outcomes) == 2)
+    wait_until(kit.loop, lambda: len(asker.outcomes) == 2)
     assert asker.outcomes == [(200, b"yes") if outcome == GOOD else outcome, (200, b"yes")]
     assert len(old.requests) == len(old.connections) == len(new.requests) == 1
     client.close()
--- a/tests/sockets/test_resp.py
+++ b/tests/sockets/test_resp.py
@@ -1,7 +1,7 @@
 import pytest
 from assigner_parties import REPORT
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.sockets import resp
 
 
@@ -30,5 +30,5 @@
     ],
 )
 def test_garbage_and_too_much_are_rejected_before_anything_is_kept(data):
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         list(resp.Parser().feed(data))
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -17,7 +17,7 @@
     PutRecord,
 )
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.control_state import NO_CHANGE, ApplyResult, ControlState
 
 MEMBERS = ChangeMembership(Membership(2, ("a:1/first", "b:1/first")))
@@ -171,7 +171,7 @@
 def test_a_snapshot_that_cannot_be_read_changes_nothing(snapshot, names):
     state, _ = applied(FIVE, VIEWS)
     before = state.snapshot()
-    with pytest.raises(Malformed, match=names):
+    with pytest.raises(MalformedError, match=names):
         state.restore(snapshot)
     assert state.snapshot() == before and state.parsed.key.version == 5
 
@@ -180,7 +180,7 @@
     state, _ = applied(BOTH, VIEWS, ORDERS)
     whole = state.snapshot()
     for end in range(len(whole)):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedError):
             ControlState().restore(whole[:end])
 
 
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.journal import MAGIC, Journal, compacted, recover
 
 VALUES = [["epoch", 1], ["stage", 1, 1, {"a": 1}], ["decided", 1, 1, {"a": 1}]]
@@ -34,7 +34,7 @@
         spoilt[place // 8] ^= 1 << place % 8
         try:
             found = recover(bytes(spoilt))
-        except Malformed as err:
+        except MalformedError as err:
             assert "byte " in str(err)
         else:
             assert [value for _, value in found.records] == VALUES[:2] and found.cut_reason
@@ -71,7 +71,7 @@
     "data, says", [(b"other\n", "byte 0"), (written() + written()[len(MAGIC) :], "record 1 follows 3")]
 )
 def test_what_is_no_journal_is_refused_with_its_place(data, says):
-    with pytest.raises(Malformed, match=says):
+    with pytest.raises(MalformedError, match=says):
         recover(data)
 
 
@@ -79,5 +79,5 @@
 def test_no_bytes_raise_anything_but_malformed(data):
     try:
         recover(MAGIC + data)
-    except Malformed:
+    except MalformedError:
         pass
--- a/tests/state/test_node_set_in_force.py
+++ b/tests/state/test_node_set_in_force.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.change_guard import ChangeLimits, Decision
 from kestrelplank.state.debounce import BUSY_FACTOR, Debounce, Reading
 from kestrelplank.state.node_set import ListedNode, NodeList, NodeListEntry
@@ -149,20 +149,20 @@
     ],
 )
 def test_what_was_stored_and_is_torn_or_changed_is_refused(spoil):
-    with pytest.raises(Malformed, match="torn or changed"):
+    with pytest.raises(MalformedError, match="torn or changed"):
         restored(spoil(stored().stored()))
 
 
 @given(some.integers(0, 10**4))
 def test_what_was_stored_and_is_cut_anywhere_is_refused(cut):
     data = stored().stored()
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         restored(data[: cut % (len(data) - 1)])
 
 
 def test_a_form_that_is_not_known_is_refused_by_name():
     body = b'{"form":9}'
-    with pytest.raises(Malformed, match="form 9 is not known, 1 is"):
+    with pytest.raises(MalformedError, match="form 9 is not known, 1 is"):
         restored(body + b"\n" + digest_of(body).encode() + b"\n")
 
 
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -14,7 +14,7 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.log_entries import Command, Entry, HardState, Snapshot
 from kestrelplank.control.shard_record import encode_record, read_record
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.sharding.timing import LEASE_DURATION_NS
 from kestrelplank.state import journal
 from kestrelplank.state.change_guard import ChangeLimits
@@ -176,7 +176,7 @@
         "history": [list(entry) for entry in history],
     } == values("node_list_state.values.json")
     assert NodeSetInForce(ChangeLimits(0.25, 0, False), nodes, version, history).stored() == data
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         restored(data[:-3])
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from parties import MS, Kit, StubServer, attach, instance, message, node_list, until
+from parties import MS, Kit, StubServer, attach, instance, message, node_list, wait_until
 
 from kestrelplank.assigner.health_checks import HealthChecks
 from kestrelplank.assigner.node_discovery import NodeDiscovery
@@ -163,7 +163,7 @@
                 version += 1
         return kit.loop.now() >= end
 
-    until(kit.loop, chaos)
+    wait_until(kit.loop, chaos)
     relay.calm = True
     for proxy in sorted(set(range(PROXIES)) - relay.joined):
         relay.join(proxy)
@@ -189,10 +189,10 @@
         )
 
     try:
-        until(kit.loop, agree)
+        wait_until(kit.loop, agree)
         later = kit.loop.now() + 500 * MS  # and nothing that was under way undoes it
-        until(kit.loop, lambda: kit.loop.now() > later)
-        until(kit.loop, agree)
+        wait_until(kit.loop, lambda: kit.loop.now() > later)
+        wait_until(kit.loop, agree)
     finally:
         for part in (told, orders, discovery, probes, relay, agent):
             part.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from parties import MS, Kit, StubServer, attach, instance, message, names, node_list, orders, until
+from parties import MS, Kit, StubServer, attach, instance, message, node_list, order_queue, sample_ids, wait_until
 
 from kestrelplank.assigner import proxy_updates
 from kestrelplank.assigner.counters import NonBlockingOutput
@@ -58,7 +58,7 @@
         path.write_text(json.dumps(config))
         super().__init__(kit.loop, ASSIGNER, NODE_CONFIG=str(path))
         self.loop, self.answers = kit.loop, b""
-        until(self.loop, lambda: self.address() or self.process.poll() is not None)
+        wait_until(self.loop, lambda: self.address() or self.process.poll() is not None)
         assert self.address(), f"the program ended before it listened: {self.log}"
         self.collector = socket.create_connection(self.address(), timeout=20)
         self.collector.setblocking(False)
@@ -81,12 +81,12 @@
     def hb(self):
         self.answers = b""
         self.collector.send(resp.encode(b"hb"))
-        until(self.loop, lambda: self.answers.endswith(b"hb_ok\r\n") or self.collector.fileno() < 0)
+        wait_until(self.loop, lambda: self.answers.endswith(b"hb_ok\r\n") or self.collector.fileno() < 0)
         return self.answers
 
     def end(self, number):
         self.kill(number)
-        until(self.loop, self.has_ended)
+        wait_until(self.loop, self.has_ended)
         self._leave()
         return self.process.returncode, self.log.decode()
 
@@ -177,12 +177,12 @@
     for number in (signal.SIGKILL, signal.SIGTERM):
         program = Program(kit, tmp_path / "c.json", discovery=agent.at, hub={"address": relay.at}, known=known)
         calls.clear()
-        until(kit.loop, lambda: any(order["verb"] == "eject" for call in calls for order in call))
+        wait_until(kit.loop, lambda: any(order["verb"] == "eject" for call in calls for order in call))
         orders = [order for call in calls for order in call]
         assert {"verb": "put", "cluster": 2, "endpoint": "s-2", "w": 1.0} in orders
         assert {"verb": "eject", "endpoint": "s-1"} in orders
         program.process.send_signal(signal.SIGUSR1)
-        until(kit.loop, lambda lines=program.log_lines: lines("event=counters"))
+        wait_until(kit.loop, lambda lines=program.log_lines: lines("event=counters"))
         code, _ = program.end(number)
         assert code == (0 if number == signal.SIGTERM else -signal.SIGKILL)
     assert len(lost) == 3 and lost[0] == lost[1] == lost[2]
@@ -219,20 +219,20 @@
             for party, number in ((parties[place], number), (parties[1 - place], 0))
         )
 
-    until(kit.loop, settled(0))
+    wait_until(kit.loop, settled(0))
     held = len(os.listdir(f"/proc/{program.process.pid}/fd"))
     for number, bad in enumerate(
         ("{", json.dumps(good | {"hub": {}}), json.dumps(good | {"settings": {"Tick": "soon"}})), 1
     ):
         reload(bad)
-        until(kit.loop, lambda number=number: len(program.log_lines("event=reloads_refused")) == number)
+        wait_until(kit.loop, lambda number=number: len(program.log_lines("event=reloads_refused")) == number)
     assert settled(0)()
     for turn in range(6):
         reload(json.dumps(good | places[1 - turn % 2]))  # also while the last move is under way
-    until(kit.loop, settled(0))
+    wait_until(kit.loop, settled(0))
     reload(json.dumps(good | places[1]))
-    until(kit.loop, lambda: any(b'"eject","endpoint":"s-1"' in body for _, _, body in relays[1].requests))
-    until(kit.loop, settled(1))
+    wait_until(kit.loop, lambda: any(b'"eject","endpoint":"s-1"' in body for _, _, body in relays[1].requests))
+    wait_until(kit.loop, settled(1))
     assert len(os.listdir(f"/proc/{program.process.pid}/fd")) == held and program.hb()
     code, said = program.end(signal.SIGTERM)
     assert code == 0 and "reloads_refused=3" in said and "defects" not in said
@@ -251,19 +251,19 @@
     ini.write_text(good)
     monkeypatch.setenv("KESTRELPLANK_INI", str(ini))
     program = Program(kit, tmp_path / "c.json", discovery=closed_port(), hub={"address": relay.at})
-    until(kit.loop, lambda: program.log_lines("event=files_accepted"))
+    wait_until(kit.loop, lambda: program.log_lines("event=files_accepted"))
     (tmp_path / "nodes.ini").write_text(NODES.replace("\n", " draining\n") % "")
-    until(kit.loop, lambda: program.log_lines("event=files_refused"))
+    wait_until(kit.loop, lambda: program.log_lines("event=files_refused"))
     (tmp_path / "nodes.ini").write_text(NODES % " draining")
-    until(kit.loop, lambda: any(b'"eject","endpoint":"s-1"' in body for _, _, body in relay.requests))
+    wait_until(kit.loop, lambda: any(b'"eject","endpoint":"s-1"' in body for _, _, body in relay.requests))
     ini.write_text(good.replace("quiet", "quite"))
     program.process.send_signal(signal.SIGHUP)
-    until(kit.loop, lambda: program.log_lines("is quiet meant?"))
+    wait_until(kit.loop, lambda: program.log_lines("is quiet meant?"))
     ini.write_text(good + "most_closed = 100%\n")
     program.process.send_signal(signal.SIGHUP)
-    until(kit.loop, lambda: program.log_lines("event=reloaded"))
+    wait_until(kit.loop, lambda: program.log_lines("event=reloaded"))
     (tmp_path / "nodes.ini").write_text(NODES.split("s-3")[0] % " draining")
-    until(kit.loop, lambda: len(program.log_lines("event=files_accepted")) == 3)
+    wait_until(kit.loop, lambda: len(program.log_lines("event=files_accepted")) == 3)
     code, said = program.end(signal.SIGTERM)
     assert code == 0 and "defects" not in said and b'"version":3' in (tmp_path / "state").read_bytes()
     relay.close()
@@ -298,13 +298,13 @@
         before = kit.counters.counts["news_started"]
         relay.connections[-1].connection.close("broken off")
         del relay.connections[:-1], relay.requests[:]
-        until(kit.loop, lambda before=before: kit.counters.counts["news_started"] > before)
+        wait_until(kit.loop, lambda before=before: kit.counters.counts["news_started"] > before)
         relay.connections[-1].send(*STANDING)
         sock.close()
-        until(kit.loop, lambda: not front._unjoined)
+        wait_until(kit.loop, lambda: not front._unjoined)
     kit.events.clear()
     end = kit.loop.now() + 300 * MS  # the longest deadline of a dial: its timer leaves the heap by then
-    until(kit.loop, lambda: kit.loop.now() > end)
+    wait_until(kit.loop, lambda: kit.loop.now() > end)
     gc.collect()
     wanted = sum(timer.callback is not None for due, _, timer in kit.loop._timers if due > end + 50 * MS)
     return len(os.listdir("/proc/self/fd")), wanted, kit.pool.out
@@ -317,12 +317,14 @@
 
 
 def test_connects_and_breaks_leave_nothing_behind(kit, monkeypatch):
-    limits = proxy_updates.STREAM_LIMITS._replace(first_pause_ns=MS, longest_pause_ns=10 * MS)
+    limits = proxy_updates.STREAM_LIMITS._replace(initial_backoff_ns=MS, max_backoff_ns=10 * MS)
     monkeypatch.setattr(proxy_updates, "STREAM_LIMITS", limits)
     relay = StubServer(kit, lambda visitor, path, body: visitor.begin_stream() if path == "/api/stream" else None)
-    front = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append)
-    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, names(), 9, 9, orders(kit), kit.events.append)
-    until(kit.loop, lambda: relay.requests)
+    front = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), sample_ids(), 9, kit.events.append)
+    told = ProxyUpdates(
+        kit.loop, kit.pool, kit.counters, relay.at, sample_ids(), 9, 9, order_queue(kit), kit.events.append
+    )
+    wait_until(kit.loop, lambda: relay.requests)
     before = cycles(kit, front, relay, 8)
     tracemalloc.start()
     cycles(kit, front, relay, 8)
@@ -341,14 +343,14 @@
 def test_no_bytes_of_any_party_raise_anything(kit, seed):
     random, front = (
         Random(seed),
-        TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), names(), 9, kit.events.append),
+        TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), sample_ids(), 9, kit.events.append),
     )
     dead = closed_port()
-    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, dead, names(), 9, 9, orders(kit), kit.events.append)
+    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, dead, sample_ids(), 9, 9, order_queue(kit), kit.events.append)
     told.on_stream_start()
-    listed = NodeDiscovery(kit.loop, kit.pool, kit.counters, dead, names(), kit.events.append)
+    listed = NodeDiscovery(kit.loop, kit.pool, kit.counters, dead, sample_ids(), kit.events.append)
     listed.start(None)
-    made = orders(kit)
+    made = order_queue(kit)
     values = [None, True, -1, 0, 1, 2.5, 1e400, 10**30, "s-1", "a", "", [], {}, [{}], "x" * 99, float("nan")]
     fields = [
         "node",
@@ -419,7 +421,7 @@
         "select",
         lambda wait: waits.append(wait) or ([] if len(waits) <= says_nothing else select(wait)),
     )
-    kit.loop.turn()
+    kit.loop.run_once()
     assert kit.events == [b"answer", "deadline"]
     ours.close()
     theirs.close()
