--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -125,7 +125,7 @@
         )
         source = NodeFiles(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
         took = []
-        while source.intake.node_set is None:
+        while source.node_set_in_force.node_set is None:
             kit.loop.at(kit.loop.now() + MS, lambda: None)
             kit.loop.turn()
         heard.clear()
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -83,7 +83,7 @@
         self._read_timers: dict[str, Timer] = {}  # of files that are to be read again
         self._decide_timer: Timer | None = None
         self._report_timer: Timer | None = None
-        self.intake = self._restored_intake()
+        self.node_set_in_force = self._restore_node_set_in_force()
         self._report_accepted()
         self._watcher = self._new_watcher()
 
@@ -98,7 +98,7 @@
     def reload(self, settings: NodeFileSettings) -> None:
         """Take the operator's file as it was read anew; files that it no longer names are no longer waited for."""
         self._settings = settings
-        self.intake.limits = self._guard_terms()
+        self.node_set_in_force.limits = self._guard_terms()
         self._reporter.set_terms(self._report_settings())
         former_paths = self._watcher.paths()
         self._watcher.close()
@@ -107,7 +107,7 @@
         for path in former_paths:
             if path not in self._watcher.paths():
                 self._debounce.forget(path)
-                self.intake.remove_file(path)
+                self.node_set_in_force.remove_file(path)
         self._decide()
 
     def close(self) -> None:
@@ -137,7 +137,7 @@
             on_trouble=lambda reason: self._counters.trouble("files_watch_troubles", reason),
         )
 
-    def _restored_intake(self) -> NodeSetInForce:
+    def _restore_node_set_in_force(self) -> NodeSetInForce:
         if not self._settings.state_path:
             return NodeSetInForce(self._guard_terms())
         try:
@@ -168,7 +168,7 @@
         outcome = self._debounce.see(now, path, digest)
         if outcome is Reading.SETTLED:
             self._counters.add("files_read")
-            self.intake.update_file(path, problem or self._parsed(path, data))
+            self.node_set_in_force.update_file(path, problem or self._parsed(path, data))
         elif isinstance(outcome, int):
             self._read_again_at(path, outcome)
         if outcome in (Reading.SETTLED, Reading.SAME) and self._debounce.at_rest(now):
@@ -190,9 +190,9 @@
     # Deciding is the cores' part; this does what they say.
 
     def _decide(self) -> None:
-        outcome = self.intake.decide(self._loop.now())
-        if self.intake.decide_at is not None:
-            self._decide_timer = self._replaced(self._decide_timer, self.intake.decide_at, self._decide)
+        outcome = self.node_set_in_force.decide(self._loop.now())
+        if self.node_set_in_force.decide_at is not None:
+            self._decide_timer = self._replaced(self._decide_timer, self.node_set_in_force.decide_at, self._decide)
         if outcome is None:
             return
         if outcome.decision is Decision.ACCEPTED:
@@ -208,14 +208,14 @@
         path = self._settings.state_path
         if path:
             try:
-                write_atomically(path, self.intake.stored())
+                write_atomically(path, self.node_set_in_force.stored())
             except OSError as err:  # the set holds all the same; a restart would know an older one
                 self._counters.trouble("files_state_not_saved", f"{path}: {err.strerror}")
 
     def _report_accepted(self) -> None:
         """Tell the policy of the set that is in force now, if there is one."""
-        if self.intake.node_set is not None:
-            self._reporter.accept(self._loop.now(), self.intake.node_set)
+        if self.node_set_in_force.node_set is not None:
+            self._reporter.accept(self._loop.now(), self.node_set_in_force.node_set)
             self._report()
 
     def _report(self) -> None:
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -116,11 +116,11 @@
 
 def keep(site):
     """A state file, as a conductor that has read these lists leaves it."""
-    intake = NodeSetInForce(ChangeLimits(0.25, 0, False))
-    intake.update_file("a", parse_node_list("a", NODES.encode(), max_nodes=9, trailer_required=True))
-    intake.decide(0)
-    (site / "state").write_bytes(intake.stored())
-    return intake.node_set.short_hash
+    node_set_in_force = NodeSetInForce(ChangeLimits(0.25, 0, False))
+    node_set_in_force.update_file("a", parse_node_list("a", NODES.encode(), max_nodes=9, trailer_required=True))
+    node_set_in_force.decide(0)
+    (site / "state").write_bytes(node_set_in_force.stored())
+    return node_set_in_force.node_set.short_hash
 
 
 def test_check_prints_what_each_file_is_and_names_conflicts(site, path):
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -150,7 +150,9 @@
         return self.kit.counters.counts[counter]
 
     def in_force(self):
-        return {} if self.source.intake.node_set is None else dict(self.source.intake.node_set.nodes)
+        return (
+            {} if self.source.node_set_in_force.node_set is None else dict(self.source.node_set_in_force.node_set.nodes)
+        )
 
     def told(self):
         """Name to condition, as a fold of what the module was told."""
@@ -188,7 +190,7 @@
     here.wait(lambda: here.told().get(name(8)) == "draining")
     assert here.told()[name(9)] == "up"
     here.wait(lambda: here.told().get(name(8)) == "removed")
-    assert here.source.intake.version == 2 and here.count("files_accepted") == 2
+    assert here.source.node_set_in_force.version == 2 and here.count("files_accepted") == 2
 
 
 def spoil_zone_twice(data):
@@ -212,7 +214,7 @@
     before, calls = here.in_force(), len(here.calls)
     here.write("a.ini", spoil(text_of(range(1, 9))))
     here.wait(lambda: here.count("files_refused"))
-    assert here.in_force() == before and here.source.intake.version == 1 and len(here.calls) <= calls + 1
+    assert here.in_force() == before and here.source.node_set_in_force.version == 1 and len(here.calls) <= calls + 1
     said = capfd.readouterr().err
     assert "files_refused" in said and says in said and "in_force=1" in said
 
@@ -232,7 +234,7 @@
     path.unlink()
     path.symlink_to(path)  # a link to itself: it can't be read
     here.wait(lambda: here.count("files_refused") == 4)
-    assert here.in_force() == before and here.source.intake.version == 1
+    assert here.in_force() == before and here.source.node_set_in_force.version == 1
     path.unlink()
     here.write("a.ini", text_of(range(1, 10)))
     here.wait(lambda: len(here.in_force()) == 9)
@@ -247,7 +249,7 @@
     here.write("a.ini", text_of(range(1, 9)))
     end += 400 * MS
     here.wait(lambda: here.kit.loop.now() > end)
-    assert not here.count("files_refused") and here.source.intake.version == 1
+    assert not here.count("files_refused") and here.source.node_set_in_force.version == 1
 
 
 @pytest.mark.parametrize("events", [True, False])
@@ -286,7 +288,7 @@
     here.write("a.ini", text_of([*range(1, 9), 11, 21]))  # node 11 goes over from one to the other
     here.write("b.ini", text_of(range(12, 15)))
     here.wait(lambda: len(here.in_force()) == 13)
-    assert here.source.intake.version == 2 and not here.count("files_refused")
+    assert here.source.node_set_in_force.version == 2 and not here.count("files_refused")
 
 
 def test_a_set_that_waits_is_in_force_with_its_marker(site):
@@ -295,7 +297,9 @@
     here.write("a.ini", text_of(range(1, 5)))
     here.wait(lambda: here.count("files_waiting"))
     assert len(here.in_force()) == 8
-    here.write("a.ini", f"[list]\nconfirm = {here.source.intake.node_set.short_hash}\n" + text_of(range(1, 5)))
+    here.write(
+        "a.ini", f"[list]\nconfirm = {here.source.node_set_in_force.node_set.short_hash}\n" + text_of(range(1, 5))
+    )
     here.wait(lambda: len(here.in_force()) == 4)
 
 
@@ -312,7 +316,7 @@
     here.wait(lambda: len(here.in_force()) == 8)
     again = site("[zone toronto\n")
     again.wait(lambda: again.count("files_refused"))
-    assert again.in_force() == here.in_force() and again.source.intake.version == 1
+    assert again.in_force() == here.in_force() and again.source.node_set_in_force.version == 1
     assert sorted(again.told()) == sorted(map(name, range(1, 9)))
 
 
@@ -327,7 +331,7 @@
     here = site(text_of(range(1, 9)))
     here.write("a.ini", text_of(range(1, 10)))
     here.wait(lambda: here.in_force())
-    assert len(here.in_force()) == 9 and here.source.intake.version == 1
+    assert len(here.in_force()) == 9 and here.source.node_set_in_force.version == 1
 
 
 def test_a_file_that_is_gone_leaves_the_set_when_the_operators_file_is_reloaded(site):
@@ -386,7 +390,9 @@
             here.write("a.ini", "" if how == "empty" else data)
         if how == "valid":  # it is taken, or waits for a second word
             here.wait(
-                lambda data=data: format_node_list(NodeSet(here.in_force())) == data or here.source.intake.waiting
+                lambda data=data: (
+                    format_node_list(NodeSet(here.in_force())) == data or here.source.node_set_in_force.waiting
+                )
             )
         else:
             end = here.kit.loop.now() + random.randrange(6) * MS
@@ -403,7 +409,7 @@
     here.wait(lambda: len(here.in_force()) == 16 and len(here.policy.slices) == SLICES)
     nodes = rewrites(here, Random(seed), int(os.environ.get("REWRITES", 500)))
     last = text_of(range(1, 17))
-    here.write("a.ini", f"[list]\nconfirm = {here.source.intake.node_set.short_hash}\n{last}")
+    here.write("a.ini", f"[list]\nconfirm = {here.source.node_set_in_force.node_set.short_hash}\n{last}")
     here.wait(lambda: format_node_list(NodeSet(here.in_force())) == last)
     for _, orders in here.calls:
         for order in orders:
