--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -23,7 +23,7 @@
 class HashedService(ShardedService):
     """Each key by itself, by consistent hashing."""
 
-    def holder(self, firsts, key):
+    def owner_of_key(self, firsts, key):
         return f"s{rendezvous(str(key), [(number, 1.0) for number in range(len(self.servers))])}"
 
 
@@ -38,7 +38,7 @@
             hot = has_hot_key and quarter == 1
             service.hot_key = (service.random.randrange(KEY_COUNT), 0.3) if hot else (0, 0.0)
             late[quarter] += service.run(seconds / 4) / seeds
-        busiest += service.busiest() / seeds
+        busiest += service.busiest_over_mean() / seeds
         moved += (service.key_ranges.moved_keys / KEY_COUNT - 1) / seeds
     return late, busiest, moved, 1000 * (time.process_time() - spent) / seconds / seeds
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -19,7 +19,7 @@
 import httptools
 from hdrh.histogram import HdrHistogram
 
-from kestrelplank.rehearsal.stub_server import SocketKit, StubServer, fail
+from kestrelplank.rehearsal.stub_server import SocketKit, StubServer, raise_error
 from kestrelplank.sockets.buffers import Pool
 from kestrelplank.sockets.connection import Connection, Dialled, Listener, address
 
@@ -86,7 +86,7 @@
             ours.connection = Connection(kit.loop, kit.pool, sock, ours, 1 << 24)
             theirs.connection = Dialled(kit.loop, kit.pool, address(to), theirs, 1 << 24, 250 * MS)
 
-    listener = Listener(kit.loop, ("127.0.0.1", 0), accept, fail, MS)
+    listener = Listener(kit.loop, ("127.0.0.1", 0), accept, raise_error, MS)
     print("%s:%d" % listener.at, flush=True)
     kit.loop.run()
 
--- a/kestrelplank/emulator/sharded_service.py
+++ b/kestrelplank/emulator/sharded_service.py
@@ -19,7 +19,7 @@
 from kestrelplank.time_units import SECOND
 
 WORK_SPREAD = 0.8  # standard deviation of the logarithm of a request's work
-MOST_WORK = 6  # times the mean
+MAX_WORK_FACTOR = 6  # times the mean
 REPORT_PERIOD_S, TICKS_PER_REPORT = 0.5, 10
 TICK_S = REPORT_PERIOD_S / TICKS_PER_REPORT
 STARTED_AT = 100 * SECOND  # by the clock of the code under test
@@ -28,10 +28,10 @@
 class ShardedService:
     """All servers of one service, `KeyRanges` and `Placement` over them, and a stream of requests.
 
-    Which keys they ask for follows a Zipf law over keys that lie side by side.
-    `hot_key`: a key that takes a share of all requests (key, share). `came`, `late`, `requests_by_server`: since the
-    last `run` began.
+    The keys of requests follow a Zipf law over a contiguous block of keys.
 
+    :ivar hot_key: a key and the share of all requests that are for it.
+    :ivar request_count: requests since the last `run` began; `late_count` and `requests_by_server` likewise.
     :param speeds: of the servers, as multiples of the usual.
     :param mean_work_s: of a request, at the usual speed.
     :param latency_target_s: beyond which an answer is late.
@@ -56,7 +56,7 @@
         self.servers = {f"s{number}": QueueingServer(2, speed) for number, speed in enumerate(speeds)}
         self.first_popular_key = self.random.randrange(KEY_COUNT)
         self.hot_key = (0, 0.0)
-        self.came = self.late = 0
+        self.request_count = self.late_count = 0
         self.requests_by_server = dict.fromkeys(self.servers, 0)
         self._requests_per_s = requests_per_s
         self._mean_work_s = mean_work_s
@@ -87,18 +87,18 @@
 
     def run(self, seconds: float) -> float:
         """Go on for so long. Return the share of requests that were late."""
-        self.came = self.late = 0
+        self.request_count = self.late_count = 0
         for name in self.requests_by_server:
             self.requests_by_server[name] = 0
         for _ in range(round(seconds / REPORT_PERIOD_S)):
             self._run_report_period()
-        return self.late / max(1, self.came)
+        return self.late_count / max(1, self.request_count)
 
-    def busiest(self) -> float:
+    def busiest_over_mean(self) -> float:
         """Return the busiest server's requests over the mean, since the last `run` began."""
-        return max(self.requests_by_server.values()) * len(self.servers) / max(1, self.came)
+        return max(self.requests_by_server.values()) * len(self.servers) / max(1, self.request_count)
 
-    def holder(self, firsts: list[int], key: int) -> str:
+    def owner_of_key(self, firsts: list[int], key: int) -> str:
         """Return the server that holds this key, "" while none does.
 
         :param firsts: the first keys of all ranges.
@@ -134,7 +134,7 @@
         while self._next_request_at < self._time_s:
             keys.append(self._draw_key())
             self._send(firsts, self._next_request_at, self._next_request_at, keys[-1])
-            self.came += 1
+            self.request_count += 1
             self._next_request_at += self.random.expovariate(self._requests_per_s)
         return keys
 
@@ -146,13 +146,13 @@
 
     def _send(self, firsts: list[int], at: float, came_at: float, key: int) -> None:
         """Send a request to the server that holds its key, or have it wait for one."""
-        name = self.holder(firsts, key)
+        name = self.owner_of_key(firsts, key)
         if not name:
             self._waiting.append((came_at, key))
             return
         log_mean = math.log(self._mean_work_s) - WORK_SPREAD**2 / 2
-        work = min(self.random.lognormvariate(log_mean, WORK_SPREAD), MOST_WORK * self._mean_work_s)
-        self.late += self.servers[name].serve(at, work, key) - came_at > self._latency_target_s
+        work = min(self.random.lognormvariate(log_mean, WORK_SPREAD), MAX_WORK_FACTOR * self._mean_work_s)
+        self.late_count += self.servers[name].serve(at, work, key) - came_at > self._latency_target_s
         self.requests_by_server[name] += 1
 
     def _carry_out_effects(self) -> None:
--- a/kestrelplank/rehearsal/stub_server.py
+++ b/kestrelplank/rehearsal/stub_server.py
@@ -15,7 +15,7 @@
 BUFFER_BYTES, BUFFERS = 1 << 16, 4
 
 
-def fail(err: object) -> None:
+def raise_error(err: object) -> None:
     """Raise what went wrong, for who must not go on after a defect."""
     raise err if isinstance(err, Exception) else RuntimeError(err)
 
@@ -24,7 +24,7 @@
     """The loop and the buffers that stand-ins share."""
 
     def __init__(self) -> None:
-        self.loop, self.pool = Loop(fail), Pool(BUFFER_BYTES, BUFFERS)
+        self.loop, self.pool = Loop(raise_error), Pool(BUFFER_BYTES, BUFFERS)
 
 
 class StubConnection:
@@ -102,7 +102,7 @@
     ) -> None:
         self.kit, self.answer = kit, answer
         self.connections: list[StubConnection] = []
-        self.listener = Listener(kit.loop, at, self._accept, fail, MILLISECOND)
+        self.listener = Listener(kit.loop, at, self._accept, raise_error, MILLISECOND)
         self.at = "%s:%d" % self.listener.at
 
     def _accept(self, sock: socket.socket) -> None:
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -9,7 +9,7 @@
 from kestrelplank.decode import Ids, text
 from kestrelplank.rehearsal import stub_server
 from kestrelplank.rehearsal.relay_messages import attach, instance, message, node_list
-from kestrelplank.rehearsal.stub_server import fail
+from kestrelplank.rehearsal.stub_server import raise_error
 from kestrelplank.time_units import MILLISECOND as MS
 
 __all__ = [
@@ -18,7 +18,7 @@
     "Kit",
     "StubServer",
     "attach",
-    "fail",
+    "raise_error",
     "instance",
     "kit",
     "message",
--- a/tests/sharding/test_shard_placement.py
+++ b/tests/sharding/test_shard_placement.py
@@ -56,7 +56,9 @@
             service = ShardedService(seed, SPEEDS, requests_per_s, 0.16, 0.6)
             service.run(40)
             service.run(40)
-            slow_shares.append(sum(service.requests_by_server[name] for name in servers_at(0.7)) / service.came)
+            slow_shares.append(
+                sum(service.requests_by_server[name] for name in servers_at(0.7)) / service.request_count
+            )
         shares.append(mean(slow_shares))
     proportional = 3 * 0.7 / sum(SPEEDS)
     assert shares[0] < 0.9 * proportional and shares[0] < shares[1] < 1.1 * proportional
