--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -133,12 +133,12 @@
         return self._state.leader
 
     @property
-    def heard_leader_at(self) -> int:
+    def leader_heard_at(self) -> int:
         """When a leader was heard last; 0: never."""
         return self._follower.contact.heard_at
 
     @property
-    def leader_heard_last(self) -> str:
+    def last_heard_leader(self) -> str:
         """Identity of the leader that was heard last, of whatever term; "": none yet."""
         return self._follower.contact.leader
 
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -41,8 +41,8 @@
         The former leader is the one of which we know better: it counts as silent since its last heartbeat.
         """
         self._elected_at = now
-        self._former_leader = self._node.leader_heard_last
-        self._former_leader_heard_at = max(self._node.heard_leader_at, now + FIRST_REPLY_TIME_NS - VOTER_TIMEOUT_NS)
+        self._former_leader = self._node.last_heard_leader
+        self._former_leader_heard_at = max(self._node.leader_heard_at, now + FIRST_REPLY_TIME_NS - VOTER_TIMEOUT_NS)
 
     def tick(self, now: int, *, stopping: bool) -> None:
         """Do what is due; only while this member leads.
--- a/tests/consensus/replacing_cluster.py
+++ b/tests/consensus/replacing_cluster.py
@@ -81,7 +81,7 @@
         node, now = machine.node, machine.clock(self.time)
         if not node.leads(now):
             if node.leader not in ("", machine.identity):
-                self._followed[machine.identity] = (node.leader, node.heard_leader_at)
+                self._followed[machine.identity] = (node.leader, node.leader_heard_at)
             return
         self._keep_learners(machine)
         known_members = self._known_members(machine)
