--- a/kestrelplank/consensus/consensus_messages.py
+++ b/kestrelplank/consensus/consensus_messages.py
@@ -1,7 +1,7 @@
-"""Messages of the consensus protocol itself, handled by `ConsensusNode`.
+"""Messages of the consensus protocol, handled by `ConsensusNode`.
 
-Every message has the sender's term and the epoch of the newest membership that the sender knows. Tags and the order of
-fields decide the bytes on the wire; names of fields do not.
+Every message carries the sender's term and the epoch of the newest membership known to the sender. Tags and the order
+of fields determine the bytes on the wire; field names do not.
 """
 
 import msgspec
@@ -12,11 +12,11 @@
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag="vote"):
     """A candidate asks for a vote.
 
-    :param term: the term that is asked for: with `pre_vote` the one after the candidate's.
+    :param term: the term of the election; with `pre_vote`, the candidate's term + 1.
     :param last_index: log index of the candidate's last entry.
     :param last_term: term of that entry.
-    :param pre_vote: only asks whether a vote would be granted; nothing is promised.
-    :param transfer: the leader asked for this election and leads no longer, so its lease need not be waited for.
+    :param pre_vote: only asks whether a vote would be granted; the answer commits the voter to nothing.
+    :param transfer: the leader has stepped down and asked for this election, so voters need not wait for its lease.
     """
 
     term: int
@@ -28,9 +28,9 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag="voted"):
-    """The answer to a `VoteRequest`.
+    """The reply to a `VoteRequest`.
 
-    :param term: the requested term where granted, else the voter's own.
+    :param term: the requested term if the vote is granted, else the voter's own.
     """
 
     term: int
@@ -40,17 +40,17 @@
 
 
 class Append(msgspec.Struct, frozen=True, array_like=True, tag="append"):
-    """The leader's entries that follow `previous_index`; a heartbeat has none.
+    """The leader's log entries after `previous_index`; a heartbeat has none.
 
-    :param previous_index: log index of the entry before the first of `entries`; 0 also where only an answer is asked
-        for and nothing about the log, as the follower needs a snapshot.
+    :param previous_index: log index of the entry before the first of `entries`; also 0 in a heartbeat to a follower
+        that needs a snapshot, which asks for a reply but says nothing about the log.
     :param previous_term: term of that entry.
-    :param commit_index: log index up to which entries are committed, as far as the leader knows.
-    :param heartbeat_round: number of the leader's newest heartbeat round, echoed in the reply: the lease counts from
-        when that round was begun.
-    :param nonce: echo of the newest nonce that the leader had from this follower (0: none). The follower knows when it
-        sent that nonce, so how old this message is at most.
-    :param lease_ns: for how long the leader's lease still ran when this was sent; 0 where it had none.
+    :param commit_index: log index up to which the leader knows entries to be committed.
+    :param heartbeat_round: number of the leader's newest heartbeat round, echoed in the reply; the lease is counted
+        from the start of that round.
+    :param nonce: echo of the newest nonce received from this follower (0: none). The follower knows when it sent that
+        nonce, which bounds the age of this message.
+    :param lease_ns: remaining time of the leader's lease when this was sent; 0: it had none.
     """
 
     term: int
@@ -65,12 +65,12 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag="appended"):
-    """The answer to an `Append`, and the notice that entries or a snapshot have become durable.
+    """The reply to an `Append`; also sent when entries or a snapshot have become durable.
 
-    :param success: whether the follower's log matches the leader's up to `match_index`, durably.
+    :param success: whether the follower's log on disk matches the leader's up to `match_index`.
     :param match_index: without `success`: an index up to which the logs may match.
-    :param heartbeat_round: echoed; 0 where this answers no heartbeat.
-    :param nonce: a number that no other reply has, which the leader echoes in its next `Append`; 0: none.
+    :param heartbeat_round: echo of the heartbeat's round; 0 if this does not reply to a heartbeat.
+    :param nonce: unique to this reply; the leader echoes it in its next `Append`; 0: none.
     """
 
     term: int
@@ -102,9 +102,9 @@
 
 
 class SnapshotReply(msgspec.Struct, frozen=True, array_like=True, tag="piece-taken"):
-    """The follower has all bytes before `offset` of the snapshot with that digest.
+    """Confirms that the follower has all bytes before `offset` of the snapshot with that digest.
 
-    :param heartbeat_round: echoed.
+    :param heartbeat_round: echo of the chunk's round.
     """
 
     term: int
@@ -115,9 +115,9 @@
 
 
 class TransferLeadership(msgspec.Struct, frozen=True, array_like=True, tag="transfer"):
-    """The sender led this term and has given up its lease; the receiver is to ask for votes at once.
+    """The sender led this term and has released its lease; the receiver starts an election at once.
 
-    It is called TimeoutNow in Ongaro's dissertation, section 3.10.
+    Called TimeoutNow in Ongaro's dissertation, section 3.10.
     """
 
     term: int
--- a/kestrelplank/consensus/effect_queue.py
+++ b/kestrelplank/consensus/effect_queue.py
@@ -1,4 +1,4 @@
-"""The effects that a call returns, in order, and the messages that wait until a write is durable."""
+"""Collects the effects that a call returns, in order, and the messages that wait until a write is durable."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -13,10 +13,10 @@
 class PendingWrite:
     """A `Persist` that is not durable yet.
 
-    :param first_index: log index of the first entry on disk that it replaces or adds; 0: it has no entries.
-    :param last_index: log index of the last entry that is on disk after it; 0: it has no entries.
-    :param has_hard_state: whether it brings a new hard state.
-    :param messages: to be sent once it is durable.
+    :param first_index: log index of the first entry that it replaces or adds on disk; 0: it has no entries.
+    :param last_index: log index of the last entry on disk after it; 0: it has no entries.
+    :param has_hard_state: whether it writes a hard state.
+    :param messages: sent once it is durable.
     """
 
     number: int
@@ -27,12 +27,12 @@
 
 
 class EffectQueue:
-    """The effects of the call under way, and the writes that are not durable yet.
+    """The effects of the current call, and the writes that are not durable yet.
 
-    All parts of a member add their effects here; `ConsensusNode` takes them at the end of each call. Writes become
+    All components of a member add their effects here; `ConsensusNode` takes them at the end of each call. Writes become
     durable in the order of their numbers, so a message waits for the last write that it depends on.
 
-    `durable_index`: log index up to which the log in memory is on disk. Entries that a later write replaces do not
+    `durable_index`: log index up to which the log in memory is on disk. Entries that a pending write replaces do not
     count, even if they are on disk.
     """
 
@@ -43,20 +43,20 @@
         self._last_number = 0
 
     def emit(self, effect: Effect) -> None:
-        """Add an effect behind those that this call has already."""
+        """Append an effect to those of the current call."""
         self._effects.append(effect)
 
     def take_effects(self) -> list[Effect]:
-        """Return the effects of the call that ends, and begin the next one's with none."""
+        """Return the effects of the current call and clear them."""
         effects, self._effects = self._effects, []
         return effects
 
     def send(self, to: str, message: ConsensusMessage) -> None:
-        """Send without waiting for any write; only for messages that a restart may forget."""
+        """Send without waiting for any write; for messages that remain valid if a restart loses pending writes."""
         self._effects.append(Send(to, message))
 
     def send_when_durable(self, to: str, message: ConsensusMessage) -> None:
-        """Send once term, vote and leader are on disk: a restart must not forget what the message promises."""
+        """Send once term, vote and leader are on disk, as the message must stay valid after a restart."""
         for write in reversed(self._writes):
             if write.has_hard_state:
                 write.messages.append(Send(to, message))
@@ -64,12 +64,12 @@
         self._effects.append(Send(to, message))
 
     def persist_hard_state(self, hard_state: HardState) -> None:
-        """Write the hard state."""
+        """Add a write of the hard state."""
         write = self._enqueue(PendingWrite(self._next_number(), has_hard_state=True))
         self._effects.append(Persist(write.number, hard_state))
 
     def persist_entries(self, entries: tuple[Entry, ...], then: Send | None = None) -> None:
-        """Write entries, which replace those on disk from the first one's index on; once durable, send `then`."""
+        """Add a write of entries, which replace those on disk from the first index on; once durable, send `then`."""
         messages = [] if then is None else [then]
         first_index, last_index = entries[0].index, entries[-1].index
         write = self._enqueue(PendingWrite(self._next_number(), first_index, last_index, messages=messages))
@@ -83,9 +83,9 @@
         matching_until: int,
         then: Send | None = None,
     ) -> None:
-        """Write a snapshot and the entries after it, which replace the complete log on disk.
+        """Add a write of a snapshot and the entries after it, which replace the complete log on disk.
 
-        :param hard_state: the present one: it is written again, as what is durable of it must stay so.
+        :param hard_state: the current one, written again so that it stays on disk.
         :param matching_until: log index up to which the log on disk matches the new one.
         :param then: sent once the write is durable.
         """
@@ -95,22 +95,22 @@
         self._effects.append(Persist(write.number, hard_state, snapshot, entries))
 
     def truncate(self, first_index: int) -> None:
-        """Take in that the log in memory changes from `first_index` on: what is on disk from there does not count."""
+        """Lower `durable_index` below `first_index`, as the log in memory changes from there on."""
         self.durable_index = min(self.durable_index, first_index - 1)
 
     def complete(self, number: int) -> Iterator[Send]:
-        """Take in, write by write, that all up to `number` are durable; yield the messages that waited for each.
+        """Mark the writes up to `number` as durable, one by one; yield the messages that waited for each.
 
-        The caller acts on each message before the next write counts as durable.
+        The caller handles each message before the next write is marked.
         """
         while self._writes and self._writes[0].number <= number:
             write = self._writes.popleft()
             if write.last_index:
-                self._count_durable(write)
+                self._update_durable_index(write)
             yield from write.messages
 
     def oldest_pending_write(self) -> int | None:
-        """Return the number of the first write that is not durable yet; None where all are."""
+        """Return the number of the first write that is not durable yet; None if all are."""
         return self._writes[0].number if self._writes else None
 
     def _next_number(self) -> int:
@@ -121,8 +121,8 @@
         self._writes.append(write)
         return write
 
-    def _count_durable(self, write: PendingWrite) -> None:
-        """Set `durable_index` after this write, not above what a later pending write is to replace."""
+    def _update_durable_index(self, write: PendingWrite) -> None:
+        """Set `durable_index` after this write, but below any entry that a pending write replaces."""
         with_entries = [later for later in self._writes if later.last_index]
         replaced_from = [later.first_index for later in with_entries if later.first_index <= write.last_index]
         self.durable_index = min([write.last_index, *(first_index - 1 for first_index in replaced_from)])
--- a/kestrelplank/consensus/effects.py
+++ b/kestrelplank/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What the consensus core wants done. An adapter carries effects out in order."""
+"""Effects requested by the consensus core. An adapter carries them out in order."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send `message` to the member with the identity `to`; it is lost where no session to that member is open."""
+    """Send `message` to the member with identity `to`; it is dropped if no session to that member is open."""
 
     to: str
     message: ConsensusMessage
@@ -17,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Make all of this durable together, or none of it, and only after every `Persist` before it.
+    """Write all of this to disk atomically, after every `Persist` before it.
 
     Then call `ConsensusNode.persisted(now, number)`. A write that fails is retried unchanged and in the same order.
 
-    :param number: grows by one with each write of a process.
-    :param hard_state: replaces the one on disk; None: that one stays.
-    :param snapshot: replaces the complete log on disk; None: the log stays.
+    :param number: increases by one with each write of a process.
+    :param hard_state: replaces the one on disk; None: leave it.
+    :param snapshot: replaces the complete log on disk; None: leave the log.
     :param entries: replace those on disk from the first one's index on.
     """
 
@@ -35,37 +35,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """Apply this entry, which is committed. Each index comes once, in order."""
+    """Apply this committed entry. Each index is emitted once, in order."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """Replace the replicated state by this snapshot's; what was applied before is part of it, or overtaken."""
+    """Replace the replicated state by this snapshot's, which includes or supersedes everything applied before."""
 
     snapshot: Snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Elected:
-    """This member leads the term and knows all that was ever committed."""
+    """This member leads the term and has every entry that was ever committed."""
 
     term: int
 
 
 class StepDownReason(StrEnum):
-    """Why a member leads no longer; the values are for the log."""
+    """Why a member stepped down; the values are written to the log."""
 
     NEWER_TERM = "a newer term has begun"
-    LEASE_EXPIRED = "its lease ran out, as no majority of the voters answered"
-    HANDED_OVER = "it handed leadership over"
-    DISK_HANGS = "its disk hangs, and another voter can lead"
+    LEASE_EXPIRED = "its lease expired, as no majority of the voters replied"
+    HANDED_OVER = "it transferred leadership"
+    DISK_HANGS = "a disk write has stalled, and another voter can lead"
 
 
 @dataclass(frozen=True, slots=True)
 class Deposed:
-    """This member leads no longer. It comes once after each `Elected`."""
+    """This member has stepped down. Emitted once after each `Elected`."""
 
     reason: StepDownReason
 
--- a/kestrelplank/consensus/election.py
+++ b/kestrelplank/consensus/election.py
@@ -1,7 +1,7 @@
-"""Votes: for whom a member may vote, when it campaigns, and how it is elected.
+"""Elections: which candidate a member may vote for, when it campaigns, and how it is elected.
 
 Source: D. Ongaro, *Consensus: Bridging Theory and Practice* (2014), sections 3.4 (elections), 3.10 (leadership
-transfer), 9.6 (pre-vote). What departs from it stands in the docstring of `Election`.
+transfer), 9.6 (pre-vote). The docstring of `Election` lists the differences.
 """
 
 from random import Random
@@ -16,18 +16,18 @@
 class Election:
     """One member's votes and campaigns.
 
-    - A member that has answered a leader votes for nobody else for `LEASE_NS` (its promise, on which the leader's lease
-      rests); after a restart for as long again, as it may have answered just before. Two exceptions: it may vote at
-      once for the leader that it followed last, which surely leads no longer if it asks; and, for the very next term,
-      for whom the leader asked to take over.
-    - A candidate first asks whether votes would be granted (pre-vote): a partitioned member raises no term.
-    - A candidate that is no voter of the newest membership that a voter knows to be committed is denied, unless the
-      candidate knows a newer one.
-    - A vote, also one for oneself, counts only once it is durable.
+    - A member that replied to a leader votes for no other candidate for `LEASE_NS`. This promise is what the leader's
+      lease relies on. After a restart it waits `LEASE_NS` again, as it may have replied just before. Two exceptions: it
+      may vote at once for the leader that it followed last, which no longer leads if it asks for votes; and, in the
+      term right after the current one, for the member that the leader asked to take over.
+    - A candidate first asks whether votes would be granted (pre-vote), so a partitioned member raises no term.
+    - A voter rejects a candidate that does not vote in the newest membership that the voter knows to be committed,
+      unless the candidate knows a newer membership.
+    - A vote, including a candidate's own, counts only once it is durable.
 
     `may_campaign`: False for a member that is about to stop.
 
-    :param first_start: the system has never run before, so no promise of a former process need be waited for.
+    :param first_start: the system has never run before, so no promise of an earlier process is outstanding.
     """
 
     def __init__(
@@ -37,32 +37,32 @@
         self._random = random
         self._state = state
         self._transitions = transitions
-        # Whom this member may vote for before `_promised_until`: the leader heard last (after a restart the one
-        # followed, or else voted for, last), or itself if it led last.
+        # The only member it may vote for before `_promised_until`: the last leader it heard from (after a restart, the
+        # last one followed or else voted for), or itself if it led last.
         self._promised_to = state.hard_state.leader or state.hard_state.voted_for
         self._promised_until = now if first_start else now + LEASE_NS
         self._campaign_at = now
-        self._pre_vote = False  # of the campaign under way: whether it only asks if votes would be granted
-        self._votes: set[str] = set()  # granted in the campaign under way
+        self._pre_vote = False  # whether the current campaign is a pre-vote
+        self._votes: set[str] = set()  # voters that granted a vote in the current campaign
 
     # Promises.
 
     def promise(self, now: int, leader: str) -> None:
-        """Vote for nobody but the leader that was just heard while its lease may run."""
+        """Vote only for this leader, which has just sent a message, while its lease may run."""
         self._promised_to, self._promised_until = leader, now + LEASE_NS
         self.schedule_campaign(now)
 
     def promise_to_itself(self) -> None:
-        """Take in that this member leads: once it leads no longer, it may campaign without waiting for any promise."""
+        """Record that this member leads: once it steps down, it may campaign without waiting for any promise."""
         self._promised_to = self._state.identity
 
     # Campaigns.
 
     def schedule_campaign(self, now: int) -> None:
-        """Set when this member campaigns if it hears no leader until then.
+        """Set when this member campaigns if no leader contacts it before then.
 
-        Voters campaign one after the other, in the order of the membership, so that they seldom split the votes. A
-        member that led last, or voted for itself, has promised nothing to another: it is free now, and the first.
+        Voters campaign one after the other, in the order of the membership, so that votes are seldom split. A member
+        that led last, or voted for itself, is bound by no promise to another member and campaigns first.
         """
         promised_to_itself = self._promised_to == self._state.identity
         free_at = now if promised_to_itself else max(now, self._promised_until)
@@ -70,21 +70,21 @@
         self._campaign_at = free_at + position * CAMPAIGN_STAGGER_NS + self._random.randrange(CAMPAIGN_STAGGER_NS)
 
     def _position_among_voters(self) -> int:
-        """Return this member's position in the order of the membership, behind all where it is no voter."""
+        """Return this member's position in the membership; after all voters if it does not vote."""
         identity, voters = self._state.identity, self._state.all_voters
         return voters.index(identity) if identity in voters else len(voters)
 
     def postpone_campaign(self, until: int) -> None:
-        """Campaign not before `until`, as this member has just handed leadership over."""
+        """Do not campaign before `until`, as this member has just handed leadership over."""
         self._campaign_at = until
 
     def tick(self, now: int) -> None:
-        """Campaign if it is due. Not to be called while this member leads."""
+        """Campaign if it is due. Must not be called while this member leads."""
         if now >= self._campaign_at:
             self._begin_pre_vote(now)
 
     def handle_transfer_leadership(self, now: int, sender: str, message: TransferLeadership) -> None:
-        """Campaign at once, as the leader of this term has asked for it."""
+        """Campaign at once if the leader of this term asks for it."""
         state = self._state
         from_leader = message.term == state.term and sender in (state.leader, state.hard_state.leader)
         if from_leader and state.role is Role.FOLLOWER and self._may_be_elected():
@@ -94,9 +94,9 @@
         return self.may_campaign and self._state.is_voter
 
     def _begin_pre_vote(self, now: int) -> None:
-        """Begin a campaign: ask whether votes would be granted; a term is begun only once a quorum would.
+        """Begin a campaign with a pre-vote; a new term begins only once a quorum would grant its vote.
 
-        A member that may not be elected becomes a follower instead, and looks again at the next retry.
+        A member that may not be elected becomes a follower instead, and checks again at the next retry.
         """
         state = self._state
         self._schedule_retry(now)
@@ -111,16 +111,16 @@
         self._count_votes(now)
 
     def _begin_election(self, now: int, *, transfer: bool) -> None:
-        """Begin a term and ask for votes in it.
+        """Begin a new term and request votes in it.
 
-        :param transfer: the leader of the last term asked for it, so voters need not wait for that leader's lease.
+        :param transfer: the leader of the previous term asked for it, so voters need not wait for that leader's lease.
         """
         state = self._state
         state.role, state.leader = Role.CANDIDATE, ""
         self._pre_vote, self._votes = False, set()
         self._schedule_retry(now)
-        state.remember(state.term + 1, state.identity, "")
-        # Our own vote is sent to ourselves, so that it counts only once durable: see `ConsensusNode.persisted`.
+        state.update_hard_state(state.term + 1, state.identity, "")
+        # The own vote is sent to this member itself, to count only once durable: see `ConsensusNode.persisted`.
         own_vote = VoteReply(state.term, state.epoch, granted=True)
         state.effects.send_when_durable(state.identity, own_vote)
         request = self._vote_request(state.term, transfer=transfer)
@@ -140,7 +140,7 @@
         return [voter for voter in self._state.all_voters if voter != self._state.identity]
 
     def handle_vote_reply(self, now: int, sender: str, reply: VoteReply) -> None:
-        """Count a vote, or take in that a newer term is known."""
+        """Count a vote, or adopt the newer term of a voter that rejects."""
         state = self._state
         if state.role is not Role.CANDIDATE or reply.pre_vote != self._pre_vote:
             return
@@ -162,45 +162,45 @@
     # Votes for others.
 
     def handle_vote_request(self, now: int, sender: str, request: VoteRequest) -> None:
-        """Answer a candidate, and vote for it where nothing stands against it."""
+        """Reply to a candidate, and vote for it if all conditions are met."""
         state = self._state
         granted = self._would_vote(now, sender, request)
         if request.pre_vote:
             self._answer_pre_vote(sender, request, granted=granted)
             return
-        # A member that is not free to vote ignores the newer term, so that the candidate does not depose the leader.
+        # While bound by a promise, ignore the newer term, so that the candidate does not depose the leader.
         if request.term > state.term and (granted or self._free_to_vote(now, sender, request)):
             self._transitions.adopt_term(now, request.term, sender if granted else "")
         elif granted:
-            state.remember(state.term, sender, state.hard_state.leader)
+            state.update_hard_state(state.term, sender, state.hard_state.leader)
         if granted:
             self.schedule_campaign(now)
-            # The member that we vote for has this long to win before we compete with it.
+            # The candidate has this long to win before this member campaigns itself.
             self._campaign_at = max(self._campaign_at, now + CAMPAIGN_RETRY_INTERVAL_NS)
         state.effects.send_when_durable(sender, VoteReply(state.term, state.epoch, granted))
 
     def _answer_pre_vote(self, sender: str, request: VoteRequest, *, granted: bool) -> None:
-        """Say whether a vote would be granted; nothing is promised, so nothing need be durable first."""
+        """Reply whether a vote would be granted; this changes no state, so no write has to be durable first."""
         state = self._state
         reply = VoteReply(request.term if granted else state.term, state.epoch, granted, pre_vote=True)
         state.effects.send(sender, reply)
 
     def _would_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
-        """Whether a vote may be given: of this or a newer term, once a term, to a log that is not older than ours."""
+        """Whether to grant a vote: one a term, not in an older term, and not to a candidate with an older log."""
         state = self._state
         if request.term < state.term or not self._free_to_vote(now, sender, request):
             return False
         if request.term == state.term:
             voted_for = state.hard_state.voted_for
             voted_for_another = bool(voted_for) and voted_for != sender
-            # A pre-vote asks for the term after the candidate's: one for our own term comes too late.
+            # A pre-vote asks for the candidate's term + 1: one for the current term of this member is too late.
             if request.pre_vote or voted_for_another or state.role is Role.LEADER:
                 return False
         # Section 3.6.1, "at least as up-to-date".
         return (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
 
     def _free_to_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
-        """Whether neither the committed membership nor a lease or promise forbids a vote for that member."""
+        """Whether the committed membership, the own lease and the last promise allow a vote for that member."""
         state = self._state
         committed = state.log.membership_at(state.commit_index)
         if committed is not None and sender not in committed.all_voters() and request.epoch <= committed.epoch:
--- a/kestrelplank/consensus/errors.py
+++ b/kestrelplank/consensus/errors.py
@@ -1,17 +1,17 @@
-"""Errors of the consensus core: calls and messages that contradict the replicated log. None should come in service."""
+"""Errors of the consensus core: a call or message contradicts the replicated log. None is expected in operation."""
 
 
 class ConsensusError(ValueError):
-    """The root of this package's errors: a call or message contradicts the replicated log."""
+    """Base class of this package's errors."""
 
 
 class EntryGapError(ConsensusError):
-    """An entry does not follow the last one of the log."""
+    """The index of an appended entry is not the last index of the log + 1."""
 
 
 class CommittedEntryError(ConsensusError):
-    """An entry differs from one that is committed here."""
+    """An entry from the leader differs from the local entry at that index, which is committed."""
 
 
 class NotJointError(ConsensusError):
-    """The end of a change of membership was asked for, but the membership is not joint."""
+    """A membership change was to be completed, but the membership is not joint."""
--- a/kestrelplank/consensus/leadership.py
+++ b/kestrelplank/consensus/leadership.py
@@ -1,7 +1,7 @@
-"""One term of a leader: heartbeat rounds, its lease, what is committed, changes of membership.
+"""A leader's state in one term: heartbeat rounds, lease, commit index and membership changes.
 
 Source: D. Ongaro and J. Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014), sections 5.3, 5.4
-(replication, commitment) and 6 (joint changes of membership).
+(replication, commitment) and 6 (joint membership changes).
 """
 
 from kestrelplank.consensus.consensus_messages import AppendReply, SnapshotReply
@@ -17,17 +17,17 @@
 from kestrelplank.consensus.timing import HEARTBEAT_INTERVAL_NS
 from kestrelplank.time_units import SECOND
 
-SUCCESSOR_TIMEOUT_NS = 2 * HEARTBEAT_INTERVAL_NS  # a voter that has not replied for longer is not asked to take over
-WRITE_STALL_NS = 1 * SECOND  # a leader one of whose writes takes longer hands over: its disk hangs
+SUCCESSOR_TIMEOUT_NS = 2 * HEARTBEAT_INTERVAL_NS  # a voter whose last reply is older is not asked to take over
+WRITE_STALL_NS = 1 * SECOND  # a leader hands over if one disk write takes longer
 
 
 class Leadership:
-    """What a member knows and does while it leads one term; made when it is voted for, dropped when it steps down.
+    """What a member knows and does while it leads one term; created when it wins the vote, dropped when it steps down.
 
-    It counts as elected only once the first entry of its term is committed while its lease runs: then it knows all that
-    was ever committed, and nobody else can have been elected since.
+    It counts as elected only once the first entry of its term is committed while its lease runs: then it has every
+    entry that was ever committed, and no other member can have been elected since.
 
-    - `unsuitable_successors`: voters that should not be handed leadership while another can take it.
+    - `unsuitable_successors`: voters that get leadership only if no other voter can take it.
     """
 
     def __init__(self, now: int, state: MemberState, lease: LeaderLease, transitions: RoleTransitions) -> None:
@@ -39,19 +39,19 @@
         self._begun_at = now
         self._next_heartbeat_at = now
         self._first_index_of_term = state.log.last_index + 1
-        self._oldest_write: int | None = None  # number of the write that the disk is at
+        self._oldest_write: int | None = None  # number of the write that the disk is executing
         self._oldest_write_since = now
 
     def begin(self, now: int) -> None:
-        """Append the first entry of the term, and ask for the first answers."""
+        """Append the first entry of the term, and send the first heartbeats."""
         self._append(now, Noop())
         self.tick(now)
 
     def tick(self, now: int) -> None:
-        """Stop leading once the lease has expired or the disk hangs; else begin a heartbeat round when it is due."""
+        """Step down if the lease has expired or a disk write has stalled; else begin a heartbeat round when it is due."""
         self._renew_lease(now)
         if self._lease.expired(now):
-            self._transitions.leave_after_lease(now)
+            self._transitions.step_down_after_lease(now)
             return
         if self._disk_hangs(now) and self.best_successor(now) is not None:
             self._transitions.hand_over(now, StepDownReason.DISK_HANGS)
@@ -63,27 +63,27 @@
         self.replication.send_heartbeats(now)
 
     def propose(self, now: int, command: Command) -> int | None:
-        """Append a command; return its log index, or None for a change of membership that may not begin now."""
-        if isinstance(command, ChangeMembership) and not self._may_begin(command.membership):
+        """Append a command; return its log index, or None for a membership change that may not begin now."""
+        if isinstance(command, ChangeMembership) and not self._may_begin_change(command.membership):
             return None
         return self._append(now, command)
 
     def handle_append_reply(self, now: int, sender: str, reply: AppendReply) -> None:
-        """Take in how far a follower's log goes, and that it has answered a heartbeat."""
-        if self._note_reply(now, sender, reply.heartbeat_round):
+        """Update a follower's progress and the lease, and commit entries that a quorum has."""
+        if self._record_reply(now, sender, reply.heartbeat_round):
             self.replication.handle_append_reply(now, sender, reply)
             self._renew_lease(now)
             self.advance_commit(now)
 
     def handle_snapshot_reply(self, now: int, sender: str, reply: SnapshotReply) -> None:
-        """Take in how much a follower has of a snapshot, and that it has answered a heartbeat."""
-        if self._note_reply(now, sender, reply.heartbeat_round):
+        """Record how much of a snapshot a follower has, and that it replied; send the next chunk."""
+        if self._record_reply(now, sender, reply.heartbeat_round):
             self.replication.handle_snapshot_reply(now, sender, reply)
 
     def advance_commit(self, now: int) -> None:
-        """Commit what a quorum has on disk, if the last entry of it is of this term.
+        """Commit the entries that a quorum has on disk, if the last of them is of this term.
 
-        Entries of former terms are committed only by one of this term behind them (section 5.4.2).
+        Entries of earlier terms are committed only by a later entry of this term (section 5.4.2).
         """
         state = self._state
         reached = reached_by_quorum(state.membership, self._durable_index_of)
@@ -92,16 +92,16 @@
         state.commit(reached)
         self._confirm_election(now)
         self.replication.send_new_entries(now)
-        # The others learn the commit index with the next tick.
+        # The next tick sends the new commit index to the followers.
         self._next_heartbeat_at = min(self._next_heartbeat_at, now)
         self._finish_change(now)
 
     def best_successor(self, now: int) -> str | None:
-        """Return the voter that should lead next, of those that answered within `SUCCESSOR_TIMEOUT_NS`.
+        """Return the voter that should lead next, of those that replied within `SUCCESSOR_TIMEOUT_NS`.
 
-        One that has all that is committed and is not among `unsuitable_successors`, else the one with most of the log.
-        Whether to hand over is decided elsewhere: by `membership_planning.should_hand_over`, by a change of membership
-        that removes the leader, or as its disk hangs.
+        Preferred is one that has all committed entries and is not in `unsuitable_successors`, else the one with the
+        longest log. Whether to hand over is decided elsewhere: by `membership_planning.should_hand_over`, by a
+        membership change that removes the leader, or because a disk write has stalled.
         """
         answering = [
             (voter, peer)
@@ -111,11 +111,11 @@
         return self._most_suitable(answering)
 
     def last_known_successor(self) -> str | None:
-        """Return the same of the voters that have answered at all in this term: for a leader that hears nobody now."""
+        """Return the best successor of the voters that have replied in this term, however long ago."""
         return self._most_suitable([(voter, peer) for voter, peer in self._peers_of(self._voters()) if peer.heard_at])
 
     def voter_missing(self, now: int) -> bool:
-        """Whether a voter has not replied for a while, so that fewer losses are tolerated than before."""
+        """Whether a voter has not replied for `FOLLOWER_TIMEOUT_NS`, so that fewer losses are tolerated."""
         return any(
             now - max(peer.heard_at, self._begun_at) > FOLLOWER_TIMEOUT_NS
             for _, peer in self._peers_of(self._state.all_voters)
@@ -133,14 +133,14 @@
         return self._state.membership.voters
 
     def _disk_hangs(self, now: int) -> bool:
-        """Whether our disk has been at one write for longer than `WRITE_STALL_NS`."""
+        """Whether the local disk has been executing one write for `WRITE_STALL_NS`."""
         oldest_write = self._state.effects.oldest_pending_write()
         if oldest_write is None or oldest_write != self._oldest_write:
             self._oldest_write, self._oldest_write_since = oldest_write, now
         return oldest_write is not None and now - self._oldest_write_since >= WRITE_STALL_NS
 
     def _durable_index_of(self, voter: str) -> int:
-        """Return the log index up to which that voter's log is known to match ours on its disk."""
+        """Return the log index up to which that voter's log on disk is known to match this log."""
         if voter == self._state.identity:
             return self._state.effects.durable_index
         peer = self.replication.peers.get(voter)
@@ -150,24 +150,24 @@
         peers = self.replication.peers
         return [(voter, peers[voter]) for voter in voters if voter in peers]
 
-    def _note_reply(self, now: int, sender: str, heartbeat_round: int) -> bool:
-        """Take in that a member has replied; return whether it is one that is sent the log."""
+    def _record_reply(self, now: int, sender: str, heartbeat_round: int) -> bool:
+        """Record that a member has replied; return whether the log is replicated to it."""
         peer = self.replication.peers.get(sender)
         if peer is None:
             return False
-        peer.note_reply(now, self._lease.round_begun_at(heartbeat_round))
+        peer.record_reply(now, self._lease.round_begun_at(heartbeat_round))
         return True
 
     def _append(self, now: int, command: Command) -> int:
-        """Append a command to our log, persist it and send it; return its log index.
+        """Append a command to the log, persist and send it; return its log index.
 
-        A change of membership counts from here on, before it is committed.
+        A new membership is in effect from here on, before it is committed.
         """
         state = self._state
         entry = Entry(state.log.last_index + 1, state.term, command)
         state.log.append((entry,))
         if isinstance(command, ChangeMembership):
-            self.replication.follow_membership()
+            self.replication.apply_membership_change()
         state.effects.persist_entries((entry,))
         self.replication.send_new_entries(now)
         return entry.index
@@ -175,7 +175,7 @@
     # The lease.
 
     def _renew_lease(self, now: int) -> None:
-        """Extend the lease by the newest heartbeat round that a quorum has answered; that may complete the election."""
+        """Extend the lease by the newest heartbeat round that a quorum replied to; this may complete the election."""
 
         def answered_round_begun_at(voter: str) -> int:
             if voter == self._state.identity:
@@ -187,16 +187,16 @@
         self._confirm_election(now)
 
     def _confirm_election(self, now: int) -> None:
-        """Emit `Elected`, once, when the first entry of the term is committed and the lease runs."""
+        """Emit `Elected` once, when the first entry of the term is committed and the lease runs."""
         lease = self._lease
         if not lease.elected and self._state.commit_index >= self._first_index_of_term and now < lease.until:
             lease.elected = True
             self._state.effects.emit(Elected(self._state.term))
 
-    # Changes of membership.
+    # Membership changes.
 
-    def _may_begin(self, proposed: Membership) -> bool:
-        """Whether no change is under way, and this one leads from the present voters to others, at the next epoch."""
+    def _may_begin_change(self, proposed: Membership) -> bool:
+        """Whether no change is in progress, and the proposed one starts from the current voters, at the next epoch."""
         state = self._state
         membership = state.membership
         if state.log.membership_index > state.commit_index or membership.joint:
@@ -207,8 +207,8 @@
     def _finish_change(self, now: int) -> None:
         """Append the membership of the new voters alone once the joint one is committed.
 
-        A leader that is none of the new voters hands over instead, and its successor appends that entry: were it in
-        this leader's log alone, this one could neither be elected nor vote for those that lack the entry.
+        A leader that is not a new voter hands over instead, and its successor appends that entry. If only this leader
+        had the entry, it could not be elected again, nor vote for members that lack the entry.
         """
         state = self._state
         membership = state.membership
--- a/kestrelplank/consensus/lease.py
+++ b/kestrelplank/consensus/lease.py
@@ -1,7 +1,7 @@
-"""The leader's lease, and how fresh a follower's contact is: both counted on each member's own steady clock.
+"""The leader's lease, and the age of a follower's contact with its leader, both on the member's own steady clock.
 
 Source: C. Gray and D. Cheriton, *Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency*
-(1989). A lease is counted from before the heartbeat was sent that it rests on, so no delay or freeze can lengthen it.
+(1989). A lease is counted from before its heartbeat was sent, so no delay or pause of a process can lengthen it.
 """
 
 from random import Random
@@ -9,21 +9,21 @@
 from kestrelplank.consensus.consensus_messages import Append
 from kestrelplank.consensus.timing import CURRENT_TIMEOUT_NS, LEASE_MARGIN_NS, LEASE_NS
 
-MAX_PENDING_NONCES = 1_024  # a bound on memory; a nonce that was dropped makes the follower current no more
-NONCE_PREFIX_BITS, NONCE_NUMBER_BITS = 40, 20  # nonces of two processes differ in the prefix, which is drawn
+MAX_PENDING_NONCES = 1_024  # bounds memory; an echo of a dropped nonce is ignored
+NONCE_PREFIX_BITS, NONCE_NUMBER_BITS = 40, 20  # the prefix is random and differs between processes
 
 
 class LeaderLease:
     """The lease of the leader of one term.
 
-    It runs until `LEASE_NS - LEASE_MARGIN_NS` after the start of the newest heartbeat round that a quorum has answered.
+    It runs until `LEASE_NS - LEASE_MARGIN_NS` after the start of the newest heartbeat round that a quorum replied to.
 
-    - `until`: when it ends; 0: no quorum has answered yet.
+    - `until`: when it ends; 0: no quorum has replied yet.
     - `round`: number of the newest heartbeat round.
-    - `elected`: the first entry of the term was committed while the lease ran, so the leader knows all that was ever
-      committed.
+    - `elected`: the first entry of the term was committed while the lease ran, so the leader has every entry that was
+      ever committed.
 
-    :param now: when this member was voted for.
+    :param now: when this member won the vote.
     """
 
     def __init__(self, now: int) -> None:
@@ -34,7 +34,7 @@
         self._rounds_begun_at: dict[int, int] = {}
 
     def begin_round(self, now: int) -> None:
-        """Begin the next heartbeat round, and forget those whose answers can't extend the lease any more."""
+        """Begin the next heartbeat round, and drop those too old to extend the lease."""
         self.round += 1
         self._rounds_begun_at[self.round] = now
         too_old = [number for number, begun_at in self._rounds_begun_at.items() if now - begun_at > LEASE_NS]
@@ -42,52 +42,52 @@
             del self._rounds_begun_at[number]
 
     def round_begun_at(self, number: int) -> int | None:
-        """Return when that heartbeat round was begun; None for one that is not known any more."""
+        """Return when that heartbeat round began; None if it was dropped."""
         return self._rounds_begun_at.get(number)
 
     def extend(self, begun_at: int) -> None:
-        """Take in that a quorum has answered heartbeat rounds begun at `begun_at` or later; 0: none has yet."""
+        """Extend the lease, as a quorum replied to heartbeat rounds begun at `begun_at` or later; 0: no quorum did."""
         if begun_at:
             self.until = max(self.until, begun_at + LEASE_NS - LEASE_MARGIN_NS)
 
     def leads(self, now: int) -> bool:
-        """Whether its holder may act as the leader."""
+        """Whether the lease holder may act as the leader."""
         return self.elected and now < self.until
 
     def renewed_within(self, now: int, duration_ns: int) -> bool:
-        """Whether a quorum has answered a heartbeat round that was begun less than `duration_ns` ago."""
+        """Whether a quorum replied to a heartbeat round that began less than `duration_ns` ago."""
         return now < self.until - (LEASE_NS - LEASE_MARGIN_NS) + duration_ns
 
     def expired(self, now: int) -> bool:
-        """Whether its holder must step down. Before the first answers it has `LEASE_NS` to get them."""
+        """Whether the lease holder must step down. It has `LEASE_NS` to get its first replies."""
         return now >= max(self.until, self._voted_for_at + LEASE_NS)
 
     def remaining_ns(self, now: int) -> int:
-        """Return for how long its holder may yet act as the leader; 0: it may not."""
+        """Return how long the lease holder may still act as the leader; 0: it may not."""
         return max(0, self.until - now) if self.elected else 0
 
 
 class LeaderContact:
-    """What a follower knows of the freshness of what its leader says.
+    """How recent the leader's messages to a follower are.
 
-    Each reply of a follower carries a new nonce, which the leader echoes. So a message of the leader was sent after the
-    nonce in it was, and counts as no younger than that, however long it was delayed.
+    Each reply of a follower carries a new nonce, which the leader echoes. A message counts as being as old as the
+    nonce in it, which was sent earlier, so a delayed message never counts as newer than it is.
 
-    - `heard_at`: when a leader was heard last; 0: never.
+    - `heard_at`: when the last message from a leader arrived; 0: never.
     - `leader`: the identity of that leader; "": none yet.
-    - `commit_index`: the highest that the leader of this term has named.
+    - `commit_index`: the highest commit index that the leader of this term has sent.
     """
 
     def __init__(self, random: Random) -> None:
         self.heard_at = 0
         self.leader = ""
         self.commit_index = 0
-        self._current_until = 0  # until then the leader's messages show that what it last said is the newest
+        self._current_until = 0  # until then the last received commit index counts as up to date
         self._nonce = random.getrandbits(NONCE_PREFIX_BITS) << NONCE_NUMBER_BITS
         self._nonces_sent_at: dict[int, int] = {}
 
     def next_nonce(self, now: int) -> int:
-        """Return a new nonce, for a reply that is sent now."""
+        """Return a new nonce for a reply that is sent now."""
         self._nonce += 1
         self._nonces_sent_at[self._nonce] = now
         while len(self._nonces_sent_at) > MAX_PENDING_NONCES:
@@ -95,24 +95,24 @@
         return self._nonce
 
     def update(self, message: Append) -> None:
-        """Take in what a message of the leader says of its commit index and its lease."""
+        """Record the commit index and the lease from a message of the leader."""
         self.commit_index = max(self.commit_index, message.commit_index)
         sent_at = self._nonces_sent_at.get(message.nonce)
         if sent_at is not None and message.lease_ns > 0:
             self._current_until = max(self._current_until, sent_at + min(CURRENT_TIMEOUT_NS, message.lease_ns))
 
     def begin_term(self, commit_index: int) -> None:
-        """Forget what the leader of a former term has said.
+        """Discard what the leader of an earlier term has sent.
 
-        :param commit_index: this member's own.
+        :param commit_index: of this member.
         """
         self._current_until, self.commit_index = 0, commit_index
         self._nonces_sent_at.clear()
 
-    def has_all(self, applied_index: int) -> bool:
-        """Whether a follower that has applied entries up to `applied_index` has all that the leader named committed."""
+    def has_applied_all(self, applied_index: int) -> bool:
+        """Whether a follower that has applied entries up to `applied_index` has reached the leader's commit index."""
         return applied_index >= self.commit_index
 
     def current(self, now: int, applied_index: int) -> bool:
-        """Whether a follower that has applied the entries up to `applied_index` is current."""
-        return now < self._current_until and self.has_all(applied_index)
+        """Whether a follower that has applied entries up to `applied_index` is up to date."""
+        return now < self._current_until and self.has_applied_all(applied_index)
--- a/kestrelplank/consensus/log.py
+++ b/kestrelplank/consensus/log.py
@@ -1,4 +1,4 @@
-"""The replicated log as one member holds it in memory."""
+"""The part of the replicated log that a member holds in memory."""
 
 from typing import NamedTuple
 
@@ -6,34 +6,34 @@
 from kestrelplank.consensus.log_entries import ChangeMembership, Entry, PutConfiguration, PutRecord, Snapshot
 from kestrelplank.consensus.membership import Membership
 
-ENTRIES_KEPT_BEFORE_SNAPSHOT = 64  # for followers that lag a little and then need no snapshot
-ENTRY_OVERHEAD_BYTES = 64  # of an entry on the wire, beside what its command carries
+ENTRIES_KEPT_BEFORE_SNAPSHOT = 64  # so that a follower that lags a little needs no snapshot
+ENTRY_OVERHEAD_BYTES = 64  # of an entry on the wire, without its payload
 
 
 class LoggedMembership(NamedTuple):
-    """A membership, and the log index of the entry that brought it; it counts from there on."""
+    """A membership, and the log index of its entry, from which on it is in effect."""
 
     log_index: int
     membership: Membership
 
 
 class ReplicatedLog:
-    """A snapshot, the entries since, some entries before it, and which membership counts.
+    """The newest snapshot, the entries after it, some entries before it, and the membership in effect.
 
     The entries from `base_index + 1` to `last_index` are in memory. Those up to `base_index`, the last of which is of
-    `base_term`, were dropped after a snapshot that covers them. Invariants: their indexes follow one another; the
-    snapshot's index lies between `base_index` and `last_index`; the memberships are those of the entries in memory, and
-    the newest one before them. Held by `tests/consensus/test_log_properties.py`.
+    `base_term`, were dropped after a snapshot that covers them. Invariants: indexes are contiguous; the snapshot's
+    index is between `base_index` and `last_index`; the memberships are those of the entries in memory, and the newest
+    one before them. Tested by `tests/consensus/test_log_properties.py`.
 
-    :param initial: the membership before any entry; None for a member that learns it from the log.
-    :param snapshot: what a restart begins with; None where the log was never compacted.
-    :param entries: what the disk has; those that the snapshot covers are left out.
+    :param initial: the membership before any entry; None for a member that gets it from the log.
+    :param snapshot: read from disk at a restart; None if the log was never compacted.
+    :param entries: read from disk; those that the snapshot covers are ignored.
     """
 
     def __init__(self, initial: Membership | None, snapshot: Snapshot | None, entries: tuple[Entry, ...]) -> None:
-        self._begin(initial, snapshot, entries)
+        self._reset(initial, snapshot, entries)
 
-    def _begin(self, initial: Membership | None, snapshot: Snapshot | None, entries: tuple[Entry, ...]) -> None:
+    def _reset(self, initial: Membership | None, snapshot: Snapshot | None, entries: tuple[Entry, ...]) -> None:
         self.snapshot = snapshot
         self.base_index = snapshot.index if snapshot else 0
         self.base_term = snapshot.term if snapshot else 0
@@ -77,7 +77,7 @@
         return None
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at `index`; None where it is not known here."""
+        """Return the term of the entry at `index`; None if it is neither in memory nor the base."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -85,11 +85,11 @@
         return self._entries[index - self.base_index - 1].term
 
     def entry(self, index: int) -> Entry:
-        """Return the entry at `index`, which is in memory."""
+        """Return the entry at `index`, which must be in memory."""
         return self._entries[index - self.base_index - 1]
 
     def entries_from(self, first: int, max_entries: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Return entries from index `first` on, within both bounds, but at least one where there is one."""
+        """Return entries from index `first` on, within both limits, but at least one if there is any."""
         entries: list[Entry] = []
         size_bytes = 0
         for index in range(first, min(self.last_index, first + max_entries - 1) + 1):
@@ -101,18 +101,18 @@
         return tuple(entries)
 
     def entries_after_snapshot(self) -> tuple[Entry, ...]:
-        """Return the entries behind the snapshot: with it, all that a restart needs."""
+        """Return the entries after the snapshot; a restart needs these and the snapshot."""
         first = self.snapshot.index + 1 if self.snapshot else self.base_index + 1
         return tuple(self._entries[first - self.base_index - 1 :])
 
     def append(self, entries: tuple[Entry, ...]) -> None:
         """Add entries after the last one.
 
-        :raises EntryGapError: an entry does not follow the one before it.
+        :raises EntryGapError: the index of an entry is not the previous index + 1.
         """
         for entry in entries:
             if entry.index != self.last_index + 1:
-                raise EntryGapError(f"entry {entry.index} does not follow {self.last_index}")
+                raise EntryGapError(f"entry {entry.index} does not follow the last entry, {self.last_index}")
             self._entries.append(entry)
             if isinstance(entry.command, ChangeMembership):
                 self._memberships.append(LoggedMembership(entry.index, entry.command.membership))
@@ -124,9 +124,9 @@
             self._memberships.pop()
 
     def compact(self, index: int, state: bytes) -> Snapshot | None:
-        """Make a snapshot of `state`, the replicated state after `index`, and drop entries long before it.
+        """Create a snapshot of `state`, the replicated state after `index`, and drop entries long before it.
 
-        Return None, and change nothing, where the membership at that index is not known.
+        Return None and change nothing if the membership or the term at that index is not known.
         """
         membership, term = self.membership_at(index), self.term_at(index)
         if membership is None or term is None:
@@ -136,7 +136,7 @@
         return self.snapshot
 
     def _drop_entries_before(self, first: int) -> None:
-        """Drop the entries before index `first`, and the memberships before them but the last, which counts there."""
+        """Drop the entries before index `first`, and all memberships before it except the newest, still in effect."""
         if first > self.base_index + 1:
             term_before = self.term_at(first - 1)
             del self._entries[: first - 1 - self.base_index]
@@ -146,15 +146,15 @@
         self._memberships = before[-1:] + after
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace everything by a snapshot, except entries after it if the log matches it."""
+        """Replace the log by a snapshot; keep the entries after it if the log matches it."""
         kept: tuple[Entry, ...] = ()
         if self.term_at(snapshot.index) == snapshot.term:
             kept = tuple(self._entries[snapshot.index - self.base_index :])
-        self._begin(None, snapshot, kept)
+        self._reset(None, snapshot, kept)
 
 
 def entry_size_bytes(entry: Entry) -> int:
-    """Return about how many bytes an entry takes on the wire, for the bounds on what is sent at once."""
+    """Return the approximate size of an entry on the wire, for limits on the size of messages."""
     match entry.command:
         case PutConfiguration(text=content) | PutRecord(record=content):
             return ENTRY_OVERHEAD_BYTES + len(content)
--- a/kestrelplank/consensus/log_entries.py
+++ b/kestrelplank/consensus/log_entries.py
@@ -1,6 +1,6 @@
-"""What the members replicate and keep on disk: commands, log entries, snapshots and the hard state.
+"""What the members replicate and store on disk: commands, log entries, snapshots and the hard state.
 
-Tags and the order of fields decide the bytes on disk and on the wire; names of fields do not.
+Tags and the order of fields determine the bytes on disk and on the wire; field names do not.
 """
 
 import msgspec
@@ -11,16 +11,16 @@
 class Noop(msgspec.Struct, frozen=True, array_like=True, tag="noop"):
     """The first entry of each term.
 
-    Once it is committed, all that earlier terms committed is known to the leader.
+    Once it is committed, the leader knows every entry that earlier terms committed.
     """
 
 
 class PutConfiguration(msgspec.Struct, frozen=True, array_like=True, tag="configuration"):
-    """An operator's configuration, already checked.
+    """An operator's configuration, already validated.
 
-    It comes into force if its version is above the one in force when it is applied; else it changes nothing.
+    It takes effect if its version is above the one in force when it is applied; else it changes nothing.
 
-    :param digest: tells this text from another one of the same version.
+    :param digest: distinguishes this text from another text of the same version.
     """
 
     version: int
@@ -29,9 +29,9 @@
 
 
 class PutRecord(msgspec.Struct, frozen=True, array_like=True, tag="record"):
-    """The record of one sharded service: its key ranges, and what is known of its servers.
+    """The record of one sharded service: its key ranges, and what is known about its servers.
 
-    :param record: msgpack of the shard assigner's own form, opaque here.
+    :param record: encoded with msgpack by the shard assigner, opaque here.
     """
 
     service: str
@@ -39,7 +39,7 @@
 
 
 class ChangeMembership(msgspec.Struct, frozen=True, array_like=True, tag="membership"):
-    """A new membership. It counts from the moment that it is in a member's log, committed or not."""
+    """A new membership, in effect as soon as it is in a member's log, committed or not."""
 
     membership: Membership
 
@@ -48,7 +48,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the replicated log: a command, with the term of the leader that appended it."""
+    """One entry of the replicated log: a command and the term of the leader that appended it."""
 
     index: int
     term: int
@@ -71,11 +71,11 @@
 
 
 class HardState(msgspec.Struct, frozen=True, array_like=True):
-    """What a member must not forget over a restart, besides its log ("HardState" as in etcd's raft).
+    """What a member must keep across a restart besides its log ("HardState" as in etcd's raft).
 
     :param term: the newest term it knows.
-    :param voted_for: whom it voted for in that term; "": nobody.
-    :param leader: who led that term, as far as it knows; "": nobody.
+    :param voted_for: identity of the candidate that it voted for in that term; "": none.
+    :param leader: identity of the leader of that term; "": not known.
     """
 
     term: int = 0
--- a/kestrelplank/consensus/member_messages.py
+++ b/kestrelplank/consensus/member_messages.py
@@ -1,6 +1,6 @@
-"""Messages between control members beside the consensus protocol, and the union of all messages.
+"""Messages between control members outside the consensus protocol, and the union of all messages.
 
-Tags and the order of fields decide the bytes on the wire; names of fields do not.
+Tags and the order of fields determine the bytes on the wire; field names do not.
 """
 
 import msgspec
@@ -11,12 +11,12 @@
 
 
 class MembershipRequest(msgspec.Struct, frozen=True, array_like=True, tag="join"):
-    """A running member's regular message to the leader: what the leader must know to decide whether it should vote.
+    """Sent regularly by a running member to the leader, which decides from it whether that member should vote.
 
-    :param term: the sender's.
-    :param epoch: of the newest membership that the sender knows.
+    :param term: term of the sender.
+    :param epoch: epoch of the newest membership that the sender knows.
     :param zone: the sender's failure domain; "": unknown.
-    :param eligible: whether the sender may vote, as the platform counts the loss of its machine.
+    :param eligible: whether the sender may be a voter (`quorum_member` in its settings).
     :param leaving: whether the sender is about to stop.
     """
 
@@ -28,11 +28,11 @@
 
 
 class CallId(msgspec.Struct, frozen=True, array_like=True):
-    """The identity of a call that a member forwards to the leader, never used twice.
+    """Unique id of a call that a member forwards to the leader.
 
     :param member: identity of the calling member.
-    :param start_id: drawn at each start of its process, so an answer to a former process matches nothing.
-    :param number: of the call within that process.
+    :param start_id: drawn at random at each start of its process, so a result for an earlier process matches no call.
+    :param number: number of the call within that process.
     """
 
     member: str
@@ -41,24 +41,24 @@
 
 
 class SubmitOrder(msgspec.Struct, frozen=True, array_like=True, tag="submit"):
-    """An operator's configuration, forwarded to the leader by the member that was asked."""
+    """A configuration that an operator submitted, forwarded to the leader by the member that received it."""
 
     call: CallId
     order: PutConfiguration
 
 
 class ReadConfiguration(msgspec.Struct, frozen=True, array_like=True, tag="read"):
-    """An operator's read of the configuration in force, forwarded to the leader by the member that was asked."""
+    """An operator's read of the configuration in force, forwarded to the leader by the member that received it."""
 
     call: CallId
 
 
 class OrderResult(msgspec.Struct, frozen=True, array_like=True, tag="submitted"):
-    """The answer to `SubmitOrder`.
+    """The reply to `SubmitOrder`.
 
-    :param acknowledged: the order is in force, or its version is not above the one in force. Else nothing is known of
-        it, and the caller may try again.
-    :param in_force: whether the text of this order, and not another one of the same version, is in force.
+    :param acknowledged: the order is in force, or its version is not above the one in force. Else the outcome is not
+        known, and the caller may retry.
+    :param in_force: whether the text of this order, and not another text of the same version, is in force.
     """
 
     call: CallId
@@ -67,10 +67,10 @@
 
 
 class ReadResult(msgspec.Struct, frozen=True, array_like=True, tag="found"):
-    """The answer to `ReadConfiguration`.
+    """The reply to `ReadConfiguration`.
 
-    :param known: whether the sender leads, so that `text` is the newest; else `text` says nothing.
-    :param text: of the configuration in force; None where none ever was.
+    :param known: whether the sender leads, so that `text` is the newest; else `text` has no meaning.
+    :param text: text of the configuration in force; None if there has never been one.
     """
 
     call: CallId
@@ -81,10 +81,10 @@
 class ServerListUpdate(msgspec.Struct, frozen=True, array_like=True, tag="servers"):
     """The platform's list of servers.
 
-    Members pass it on to each other and to edge machines; the consensus core does nothing with it.
+    Members forward it to each other and to edge machines; the consensus core ignores it.
 
-    :param age_ns: time since the list was fetched, when this was sent.
-    :param entries: the fields of a `transport.server_list.ListedServer` each.
+    :param age_ns: age of the list when this was sent.
+    :param entries: the fields of one `transport.server_list.ListedServer` each.
     """
 
     age_ns: int
@@ -92,15 +92,15 @@
 
 
 class MembershipQuery(msgspec.Struct, frozen=True, array_like=True, tag="who"):
-    """A member that does not know the others asks for the membership; any member answers with a `MembershipUpdate`."""
+    """Sent by a member that does not know the others; any member replies with a `MembershipUpdate`."""
 
 
 class MembershipUpdate(msgspec.Struct, frozen=True, array_like=True, tag="members"):
-    """What the sender knows of the members.
+    """The members that the sender knows.
 
-    :param membership: the newest that it knows.
-    :param leader: identity of the leader as far as it knows; "": nobody.
-    :param standbys: identities of the other running members that it has heard lately.
+    :param membership: the newest membership that it knows.
+    :param leader: identity of the leader; "": not known.
+    :param standbys: identities of the other running members that contacted it recently.
     """
 
     membership: Membership
--- a/kestrelplank/consensus/member_state.py
+++ b/kestrelplank/consensus/member_state.py
@@ -1,4 +1,4 @@
-"""The state that all parts of one member share."""
+"""The state shared by all components of a member."""
 
 from kestrelplank.consensus.effect_queue import EffectQueue
 from kestrelplank.consensus.effects import Applied
@@ -10,13 +10,13 @@
 
 
 class MemberState:
-    """Identity, log, term and role of one member, and the effects that its parts add.
+    """Identity, log, term and role of one member, and the effects that its components add.
 
-    - `leader`: identity of the leader of the current term as far as known; "": nobody.
-    - `lease`: of a leader, None in any other role.
+    - `leader`: identity of the leader of the current term; "": not known.
+    - `lease`: the lease of a leader; None in any other role.
     - `commit_index`, `applied_index`: log indexes up to which entries are committed, and were emitted as `Applied`.
 
-    :param membership: who votes before any entry; None for a member that learns it from the log.
+    :param membership: the membership before any entry; None for a member that gets it from the log.
     """
 
     def __init__(
@@ -43,37 +43,37 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of the newest membership known; -1 where none is."""
+        """Epoch of the newest membership known; -1 if none is."""
         membership = self.log.membership
         return membership.epoch if membership else -1
 
     @property
     def membership(self) -> Membership:
-        """The newest membership, of a member that asks for votes or leads and so knows one."""
+        """The newest membership, which a candidate or leader always knows."""
         membership = self.log.membership
         assert membership is not None
         return membership
 
     @property
     def all_voters(self) -> tuple[str, ...]:
-        """All who vote by the newest membership known, on either side of a change."""
+        """All voters of the newest membership known, on both sides of a change."""
         membership = self.log.membership
         return membership.all_voters() if membership else ()
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member votes by the newest membership known."""
+        """Whether this member is a voter of the newest membership known."""
         return self.identity in self.all_voters
 
-    def remember(self, term: int, voted_for: str, leader: str) -> None:
-        """Make term, vote and leader durable where they differ from what is remembered."""
+    def update_hard_state(self, term: int, voted_for: str, leader: str) -> None:
+        """Persist term, vote and leader if any of them has changed."""
         hard_state = HardState(term, voted_for, leader)
         if hard_state != self.hard_state:
             self.hard_state = hard_state
             self.effects.persist_hard_state(hard_state)
 
     def commit(self, index: int) -> None:
-        """Take in that the entries up to `index` are committed, and emit `Applied` for those that are new."""
+        """Advance the commit index to `index`, and emit `Applied` for the newly committed entries."""
         if index <= self.commit_index:
             return
         self.commit_index = index
@@ -82,6 +82,6 @@
             self.effects.emit(Applied(self.log.entry(self.applied_index)))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replace the log by a snapshot, which covers more than is committed here."""
+        """Replace the log by a snapshot that covers entries beyond the local commit index."""
         self.log.install(snapshot)
         self.commit_index = self.applied_index = snapshot.index
--- a/kestrelplank/consensus/membership_planning.py
+++ b/kestrelplank/consensus/membership_planning.py
@@ -1,13 +1,13 @@
-"""Which membership a leader should propose: the policy for replacing, adding and dropping voters.
+"""Which membership a leader should propose: the policy for replacing, adding and removing voters.
 
-No I/O, no state: the caller, on the leader, says what it knows of each member, and `plan_membership` returns the joint
-membership to propose, or None. Once the joint one is committed, the new voters alone are the membership, and the change
-is over. The policy is asked only while the newest membership in the leader's log is committed.
+No I/O, no state: the caller, on the leader, passes what it knows of each member, and `plan_membership` returns the
+joint membership to propose, or None. Once the joint one is committed, a membership of only the new voters completes the
+change. The policy is consulted only while the newest membership in the leader's log is committed.
 
-A leader never takes itself out while another voter can lead. `should_hand_over` says when it should transfer leadership
-first; the new leader then replaces the old one.
+A leader does not remove itself while another voter can lead. `should_hand_over` tells when it should transfer
+leadership first; the new leader then replaces the old one.
 
-Why it is done so, and what losses are tolerated at each moment: docs/membership.md.
+Reasons, and the losses tolerated at each moment: docs/membership.md.
 """
 
 from collections import Counter
@@ -21,21 +21,21 @@
 from kestrelplank.time_units import SECOND
 
 VOTER_TIMEOUT_NS = 2 * SECOND
-"""A voter that has answered nothing for so long is replaced, if there is a standby."""
+"""A voter that has not replied for this long is replaced, if there is a standby."""
 STANDBY_TIMEOUT_NS = 1 * SECOND
-"""A member becomes a voter only if it has answered within this time: one that has just died must not become one."""
+"""A member becomes a voter only if it replied within this time, so that one that has just failed is not chosen."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownMember:
-    """What the leader knows of one member that is a voter or asks to be one, itself included.
+    """What the leader knows of one member that is a voter or requests to be one, including itself.
 
     :param identity: address and incarnation.
     :param zone: failure domain; "": unknown.
-    :param eligible: whether it may vote, as the platform counts the loss of its machine.
-    :param leaving: whether it said that it is about to stop.
-    :param heard_at: on the leader's steady clock, when it last replied; for a voter that has not replied since the
-        election, when it was last heard before, or else when the leader was elected.
+    :param eligible: whether it may be a voter (`quorum_member` in its settings).
+    :param leaving: whether it has announced that it is about to stop.
+    :param heard_at: when it last replied, on the leader's steady clock; for a voter that has not replied since the
+        election, when its last message before arrived, or else when the leader was elected.
     :param caught_up: whether it has the leader's log up to the newest entry, or nearly.
     """
 
@@ -48,7 +48,7 @@
 
 
 class Condition(IntEnum):
-    """Why a voter should be replaced. The order is that of urgency, the least urgent first, and is compared."""
+    """Why a voter should be replaced. Values are compared: a higher one is more urgent."""
 
     HEALTHY = 0
     INELIGIBLE = 1
@@ -62,11 +62,11 @@
 ) -> Membership | None:
     """Return the joint membership that the leader should propose.
 
-    None: nothing is to be changed, a change is under way, or too few voters are reachable to complete one.
+    None: nothing needs to change, a change is in progress, or too few voters are reachable to complete one.
 
-    :param membership: the present one, which is committed.
-    :param leader: identity of the leader, which asks.
-    :param target_voters: how many voters tolerate the losses that the platform demands, 2 * losses + 1.
+    :param membership: the current one, which is committed.
+    :param leader: identity of the leader, which is the caller.
+    :param target_voters: number of voters that tolerates the losses required by the platform, 2 * losses + 1.
     """
     if membership.joint or leader not in membership.voters:
         return None
@@ -85,9 +85,9 @@
 def should_hand_over(now: int, membership: Membership, known_members: Iterable[KnownMember], leader: str) -> bool:
     """Whether the leader should transfer leadership to another voter now.
 
-    It hands over when it is leaving; when a change that it is no voter of awaits its end; and when it is not eligible
-    while a standby could replace it; but only while there is a voter that stays, has answered lately and is caught up.
-    Which one takes over is decided by `Leadership.best_successor`.
+    It should if it is leaving, if the current membership no longer includes it, or if it is not eligible and a standby
+    could replace it; but only while another voter is not leaving, has replied recently and is caught up.
+    `Leadership.best_successor` chooses which one takes over.
     """
     members = _Members(now, membership, known_members, leader)
     able = (voter for voter in membership.voters if voter != leader and members.may_lead(voter))
@@ -95,12 +95,12 @@
 
 
 def unsuitable_leaders(known_members: Iterable[KnownMember]) -> frozenset[str]:
-    """Return who should not be handed leadership though it may have all of the log: who leaves or is not eligible."""
+    """Return the members that should not become leader even if caught up: those leaving or not eligible."""
     return frozenset(member.identity for member in known_members if member.leaving or not member.eligible)
 
 
 class _Members:
-    """What the leader knows of all members at one moment, by identity."""
+    """What the leader knows of all members at one moment, with the policy's checks on them."""
 
     def __init__(self, now: int, membership: Membership, known_members: Iterable[KnownMember], leader: str) -> None:
         self._now = now
@@ -110,7 +110,7 @@
         self._identity_at = self._last_heard_by_address()
 
     def _last_heard_by_address(self) -> dict[str, str]:
-        """Return which identity runs at each address: the last one heard there, as a former one can't return."""
+        """Return the identity that runs at each address: the one that replied last, as an earlier one can't return."""
         running: dict[str, str] = {}
         for identity in sorted(self._known):
             address = address_of(identity)
@@ -124,18 +124,18 @@
         return identity == self._leader
 
     def zone(self, identity: str) -> str:
-        """Return the failure domain that the member gave, else the one in the membership; "": unknown."""
+        """Return the failure domain that the member reported, else the one in the membership; "": unknown."""
         member = self._known.get(identity)
         if member is not None and member.zone:
             return member.zone
         return self._membership.zones.get(identity, "")
 
     def order(self, identity: str) -> tuple[str, str]:
-        """Return the sort key by which members are taken where nothing else decides."""
+        """Return the sort key that orders members if no other criterion applies."""
         return self.zone(identity), identity
 
     def condition(self, voter: str) -> Condition:
-        """Return why `voter` should be replaced. The leader never is; `should_hand_over` is asked about it."""
+        """Return why `voter` should be replaced. The leader counts as healthy; see `should_hand_over`."""
         if voter == self._leader:
             return Condition.HEALTHY
         if self._identity_at.get(address_of(voter), voter) != voter:
@@ -152,17 +152,17 @@
         return Condition.HEALTHY
 
     def should_be_replaced(self, voter: str) -> bool:
-        """Whether a standby should take the place of `voter`."""
+        """Whether a standby should replace `voter`."""
         if self.is_leader(voter):
-            return self._leaves_no_voter_to_lead()
+            return self._is_sole_voter_handing_over()
         return self.condition(voter) is not Condition.HEALTHY
 
-    def _leaves_no_voter_to_lead(self) -> bool:
-        """Whether the leader should hand over and is the only voter, so that a standby must become a voter first."""
+    def _is_sole_voter_handing_over(self) -> bool:
+        """Whether the leader should hand over but is the only voter, so that a standby must become a voter first."""
         return self._membership.voters == (self._leader,) and self.leader_should_hand_over()
 
     def reachable(self) -> frozenset[str]:
-        """Return the leader and all others that have replied lately and whose disk is not lost."""
+        """Return the leader and all others that replied recently and whose disk is not lost."""
         heard = [
             identity
             for identity in self._known
@@ -182,17 +182,17 @@
         )
 
     def may_lead(self, voter: str) -> bool:
-        """Whether leadership may be transferred to `voter`: by the same conditions as a new voter's."""
+        """Whether leadership may be transferred to `voter`: the conditions are those for a new voter."""
         return voter in self._known and self.may_vote(voter)
 
     def standbys(self) -> list[str]:
-        """Return who could become a voter now, in order."""
+        """Return the members that could become voters now, in order."""
         voters = self._membership.voters
         able = [identity for identity in self._known if identity not in voters and self.may_vote(identity)]
         return sorted(able, key=self.order)
 
     def leader_should_hand_over(self) -> bool:
-        """Whether the leader is no voter, is leaving, or is not eligible while a standby could replace it."""
+        """Whether the leader is not a voter, is leaving, or is not eligible while a standby could replace it."""
         if self._leader not in self._membership.voters:
             return True
         member = self._known.get(self._leader)
@@ -204,7 +204,7 @@
 def _without_surplus(voters: tuple[str, ...], members: _Members, target_voters: int) -> list[str]:
     """Return `voters` without those beyond `target_voters`; the leader stays.
 
-    Dropped first is whoever should be replaced most urgently, then one from the zone with most voters.
+    Removed first is the voter that should be replaced most urgently, then one of the zone with most voters.
     """
     kept = list(voters)
     while len(kept) > max(1, target_voters):
@@ -219,7 +219,7 @@
 
 
 def _with_replacements(voters: list[str], members: _Members) -> tuple[list[str], list[str]]:
-    """Return `voters` with standbys instead of those that should be replaced, and the standbys that are left.
+    """Return `voters` with those that should be replaced exchanged for standbys, and the remaining standbys.
 
     The most urgent are replaced first. A machine that lost its disk replaces its own former identity before any other
     member does.
@@ -240,7 +240,7 @@
 
 
 def _at_same_address(voter: str, standbys: list[str]) -> str | None:
-    """Return the standby at the address of a voter whose disk was lost."""
+    """Return the standby at the address of `voter`, whose disk was lost; None if there is none."""
     return next((standby for standby in standbys if address_of(standby) == address_of(voter)), None)
 
 
@@ -250,26 +250,26 @@
 
 
 def _best_replacement(voters: list[str], standbys: list[str], voter: str, members: _Members) -> str:
-    """Return who replaces `voter`: one of its zone, else one of the zone with fewest voters."""
+    """Return the standby that replaces `voter`: one of its zone, else one of the zone with fewest voters."""
     same_zone = [standby for standby in standbys if members.zone(standby) == members.zone(voter)]
     if same_zone:
         return same_zone[0]
-    return _of_zone_with_fewest([other for other in voters if other != voter], standbys, members)
+    return _standby_of_smallest_zone([other for other in voters if other != voter], standbys, members)
 
 
 def _with_additions(voters: list[str], standbys: list[str], members: _Members, target_voters: int) -> list[str]:
-    """Return `voters` with as many standbys as raise the number of tolerated losses, up to `target_voters`."""
+    """Return `voters` with standbys added, up to `target_voters`, if that raises the number of tolerated losses."""
     count = min(target_voters, len(voters) + len(standbys))
-    count -= 1 - count % 2  # an even number tolerates no more losses than the odd one below
+    count -= 1 - count % 2  # an even number tolerates no more losses than the next lower odd one
     voters, standbys = list(voters), list(standbys)
     while len(voters) < count:
-        addition = _of_zone_with_fewest(voters, standbys, members)
+        addition = _standby_of_smallest_zone(voters, standbys, members)
         voters.append(addition)
         standbys.remove(addition)
     return voters
 
 
-def _of_zone_with_fewest(voters: list[str], standbys: list[str], members: _Members) -> str:
+def _standby_of_smallest_zone(voters: list[str], standbys: list[str], members: _Members) -> str:
     """Return the standby of the zone with fewest voters."""
     in_zone = _voters_by_zone(voters, members)
     return min(standbys, key=lambda standby: (in_zone[members.zone(standby)], members.order(standby)))
@@ -281,7 +281,7 @@
 
 
 def _joint(membership: Membership, voters: list[str], members: _Members) -> Membership:
-    """Return the change from `membership` to `voters`, under way."""
+    """Return the joint membership for the change from `membership` to `voters`."""
     ordered = tuple(sorted(voters, key=members.order))
     all_voters = dict.fromkeys((*ordered, *membership.voters))
     return Membership(
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of another member: how far its log goes, when it was heard, what it is being sent."""
+"""Replication progress of one member, as tracked by the leader: its log, its last reply, data in flight."""
 
 from collections import deque
 from typing import NamedTuple
@@ -10,17 +10,17 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 MAX_UNCONFIRMED_ENTRIES = 256
-MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 64 << 10, 1 << 20  # of entries in flight; the last entry may exceed the window
-FAST_CONFIRMATION_NS = 400 * MILLISECOND  # an entry confirmed sooner widens the window
-SLOW_CONFIRMATION_NS = 600 * MILLISECOND  # an entry confirmed later narrows it
-FOLLOWER_TIMEOUT_NS = 1 * SECOND  # a follower that has not replied for longer is sent no snapshot
-CHUNK_RETRY_INTERVAL_NS = 1 * SECOND  # without progress; doubled with each retry
+MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 64 << 10, 1 << 20  # bytes of entries in flight; the last entry may exceed it
+FAST_CONFIRMATION_NS = 400 * MILLISECOND  # an entry confirmed faster widens the window
+SLOW_CONFIRMATION_NS = 600 * MILLISECOND  # an entry confirmed more slowly narrows the window
+FOLLOWER_TIMEOUT_NS = 1 * SECOND  # a follower whose last reply is older is sent no snapshot
+CHUNK_RETRY_INTERVAL_NS = 1 * SECOND  # doubled with each retry, reset by a confirmed chunk
 MAX_CHUNK_RETRY_INTERVAL_NS = 8 * SECOND
-CAUGHT_UP_LAG_ENTRIES = 8  # that a follower may lack and yet count as caught up
+CAUGHT_UP_LAG_ENTRIES = 8  # a follower that lacks no more entries counts as caught up
 
 
 class EntryInFlight(NamedTuple):
-    """An entry that was sent and is not confirmed."""
+    """An entry that was sent and is not confirmed yet."""
 
     log_index: int
     size_bytes: int
@@ -28,15 +28,15 @@
 
 
 class Progress:
-    """One other member, as the leader of the current term sees it.
+    """The progress of one other member, as the leader of the current term knows it.
 
-    - `match_index`: up to there its log matches ours, durably.
+    - `match_index`: log index up to which its log on disk matches the leader's.
     - `next_index`: log index of the entry to send next.
-    - `log_matches`: whether its log is known to match ours up to `next_index - 1`. Until then it is sent no entries,
-      only asked for an index to go on from.
+    - `log_matches`: whether its log is known to match the leader's up to `next_index - 1`. Until then it is sent no
+      entries, only messages that look for the matching index.
     - `heard_at`: when it last replied; 0: never in this term.
-    - `answered_round_begun_at`: when the newest heartbeat round that it has answered was begun; 0: none.
-    - `nonce`: its newest one, to be echoed.
+    - `answered_round_begun_at`: when the newest heartbeat round that it replied to began; 0: none.
+    - `nonce`: the newest nonce that it sent, to be echoed.
     - `outgoing_snapshot`: the snapshot that it is being sent, if any.
 
     :param next_index: log index of the leader's next entry.
@@ -52,29 +52,29 @@
         self.outgoing_snapshot: OutgoingSnapshot | None = None
         self._in_flight: deque[EntryInFlight] = deque()
         self._bytes_in_flight = 0
-        self._window_bytes = MIN_WINDOW_BYTES  # heartbeats queue behind what is in flight, so it must not take long
+        self._window_bytes = MIN_WINDOW_BYTES  # small, as heartbeats queue behind the entries in flight
         self._chunk_retry_at = 0
         self._chunk_retry_ns = CHUNK_RETRY_INTERVAL_NS
 
-    def note_reply(self, now: int, round_begun_at: int | None) -> None:
-        """Take in that a reply has come.
+    def record_reply(self, now: int, round_begun_at: int | None) -> None:
+        """Record a reply.
 
-        :param round_begun_at: when the heartbeat round was begun that it answers; None: it answers none that is known.
+        :param round_begun_at: when the heartbeat round that it replies to began; None: not a reply to a known round.
         """
         self.heard_at = now
         if round_begun_at is not None:
             self.answered_round_begun_at = max(self.answered_round_begun_at, round_begun_at)
 
     def timed_out(self, now: int) -> bool:
-        """Whether it has not replied for a while, or never."""
+        """Whether it has not replied for `FOLLOWER_TIMEOUT_NS`, or never."""
         return now - self.heard_at > FOLLOWER_TIMEOUT_NS or self.heard_at == 0
 
     def caught_up(self, commit_index: int) -> bool:
-        """Whether it has all that is committed but for a little that may be in flight."""
+        """Whether it has all committed entries except a few that may be in flight."""
         return self.match_index > 0 and self.match_index + CAUGHT_UP_LAG_ENTRIES >= commit_index
 
     def update(self, now: int, reply: AppendReply) -> None:
-        """Take in what a reply says of the follower's log."""
+        """Update the progress from a reply."""
         self.nonce = reply.nonce or self.nonce
         if reply.success:
             self._advance(now, reply.match_index)
@@ -82,14 +82,14 @@
             self._go_back(reply.match_index)
 
     def _go_back(self, likely_match_index: int) -> None:
-        """Go back to an index up to which the logs may match, not below `match_index`, as the reply may be late."""
+        """Go back to an index up to which the logs may match; not below `match_index`, as the reply may be stale."""
         self.log_matches = False
         self.next_index = max(self.match_index, likely_match_index) + 1
         self._in_flight.clear()
         self._bytes_in_flight = 0
 
     def _advance(self, now: int, match_index: int) -> None:
-        """Take in that the logs match up to `match_index`, which ends entries and a snapshot in flight up to there."""
+        """Record that the logs match up to `match_index`, which confirms entries and a snapshot in flight."""
         self.match_index = max(self.match_index, match_index)
         self.next_index = max(self.next_index, self.match_index + 1)
         if self.outgoing_snapshot is not None and self.match_index >= self.outgoing_snapshot.index:
@@ -101,14 +101,14 @@
             self._adapt_window(now - confirmed.sent_at)
 
     def _adapt_window(self, confirmed_after_ns: int) -> None:
-        """Widen the window of bytes in flight where entries are confirmed fast, narrow it where they are not."""
+        """Widen the window of bytes in flight if entries are confirmed fast, narrow it if they are slow."""
         if confirmed_after_ns < FAST_CONFIRMATION_NS:
             self._window_bytes = min(2 * self._window_bytes, MAX_WINDOW_BYTES)
         elif confirmed_after_ns > SLOW_CONFIRMATION_NS:
             self._window_bytes = max(self._window_bytes // 2, MIN_WINDOW_BYTES)
 
     def may_send(self, last_index: int) -> bool:
-        """Whether there are entries up to `last_index` that the follower has not been sent and may be sent now."""
+        """Whether there are unsent entries up to `last_index` that the follower may be sent now."""
         if not self.log_matches or self.next_index > last_index:
             return False
         if self.next_index > self.match_index + MAX_UNCONFIRMED_ENTRIES:
@@ -116,7 +116,7 @@
         return self._bytes_in_flight < self._window_bytes
 
     def entries_sent(self, now: int, entries: tuple[Entry, ...]) -> None:
-        """Take in that these entries, the next ones, are in flight."""
+        """Record that these entries, the next ones, are in flight."""
         for entry in entries:
             size_bytes = entry_size_bytes(entry)
             self._in_flight.append(EntryInFlight(entry.index, size_bytes, now))
@@ -124,7 +124,7 @@
         self.next_index += len(entries)
 
     def chunk_sent(self, now: int) -> None:
-        """Take in that a chunk is in flight: its retry interval grows, as the link may be slow."""
+        """Record that a chunk is in flight, and double the retry interval, as the link may be slow."""
         self._chunk_retry_at = now + self._chunk_retry_ns
         self._chunk_retry_ns = min(2 * self._chunk_retry_ns, MAX_CHUNK_RETRY_INTERVAL_NS)
 
@@ -133,7 +133,7 @@
         return now >= self._chunk_retry_at
 
     def confirm_chunk(self, reply: SnapshotReply) -> bool:
-        """Take in a reply to a chunk; return whether the next chunk is to be sent at once."""
+        """Handle the reply to a chunk; return whether the next chunk is to be sent at once."""
         snapshot = self.outgoing_snapshot
         if snapshot is None or not snapshot.confirm(reply.digest, reply.offset):
             return False
@@ -141,9 +141,9 @@
         return True
 
     def drop_snapshot(self) -> None:
-        """Forget the snapshot that is being sent: once the follower is back it may need a newer one.
+        """Stop sending the snapshot: once the follower replies again it may need a newer one.
 
-        The follower keeps the chunks that it has, so a transfer of the same snapshot goes on where it broke off.
+        The follower keeps its chunks, so a transfer of the same snapshot resumes where it stopped.
         """
         self.outgoing_snapshot = None
         self._chunk_retry_at, self._chunk_retry_ns = 0, CHUNK_RETRY_INTERVAL_NS
--- a/kestrelplank/consensus/quorum.py
+++ b/kestrelplank/consensus/quorum.py
@@ -1,4 +1,4 @@
-"""Majorities of a membership. While a change is under way a majority of both its sides is needed.
+"""Majorities and quorums of a membership. A joint membership needs a majority of both its sides.
 
 Source: D. Ongaro and J. Ousterhout, *In Search of an Understandable Consensus Algorithm* (2014), section 6.
 """
@@ -9,7 +9,7 @@
 
 
 def majority(count: int) -> int:
-    """Return how many of `count` voters are a majority: the fewest such that any two majorities share a voter."""
+    """Return the size of a majority of `count` voters: the smallest for which any two majorities share a voter."""
     return count // 2 + 1
 
 
@@ -20,7 +20,7 @@
 
 
 def is_quorum(membership: Membership, agreeing: Iterable[str]) -> bool:
-    """Whether the members `agreeing` are a quorum: a majority, while a change is under way of each side."""
+    """Whether the members `agreeing` are a quorum: a majority of the voters and, if joint, of the outgoing voters."""
     agreed = frozenset(agreeing)
     if not has_majority(membership.voters, agreed):
         return False
@@ -28,9 +28,9 @@
 
 
 def reached_by_quorum(membership: Membership, reached_by: Callable[[str], int]) -> int:
-    """Return the highest number (a log index, an instant) that every member of some quorum has reached.
+    """Return the highest value (a log index, a time) that every member of some quorum has reached.
 
-    :param reached_by: the number that the member with that identity has reached.
+    :param reached_by: returns the value that the member with that identity has reached.
     """
     reached = _reached_by_majority(membership.voters, reached_by)
     if membership.joint:
@@ -39,6 +39,6 @@
 
 
 def _reached_by_majority(voters: tuple[str, ...], reached_by: Callable[[str], int]) -> int:
-    # A majority has reached the number at this position of the descending order, and those behind it are lower.
+    # In descending order, a majority has reached the value at this position, and later values are lower.
     descending = sorted((reached_by(voter) for voter in voters), reverse=True)
     return descending[majority(len(voters)) - 1]
--- a/kestrelplank/consensus/roles.py
+++ b/kestrelplank/consensus/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a member, and how far it has caught up."""
+"""The roles of a member, its catch-up states, and the interface for role transitions."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -7,18 +7,18 @@
 
 
 class Role(StrEnum):
-    """What a member is in the current term.
+    """The role of a member in the current term.
 
     | from | on | to | method |
     | --- | --- | --- | --- |
-    | follower, candidate | no leader heard until its campaign is due | candidate | `Election.tick` |
+    | follower, candidate | no message from a leader until its campaign is due | candidate | `Election.tick` |
     | follower | the leader asks it to take over | candidate | `Election.handle_transfer_leadership` |
-    | candidate | a quorum would vote for it | candidate, of a new term | `Election.handle_vote_reply` |
+    | candidate | a quorum would vote for it | candidate in a new term | `Election.handle_vote_reply` |
     | candidate | a quorum voted for it | leader | `ConsensusNode.become_leader` |
-    | candidate | it is no voter any more, or may not campaign, when it would ask again | follower | `Election.tick` |
-    | any | a newer term, or a leader of this one, is known | follower | `ConsensusNode.step_down` |
-    | leader | its lease has expired | follower | `ConsensusNode.leave_after_lease` |
-    | leader | it hands leadership over | follower | `ConsensusNode.hand_over` |
+    | candidate | its retry is due, but it is no longer a voter or may not campaign | follower | `Election.tick` |
+    | any | it learns of a newer term or of the leader of this term | follower | `ConsensusNode.step_down` |
+    | leader | its lease has expired | follower | `ConsensusNode.step_down_after_lease` |
+    | leader | it transfers leadership | follower | `ConsensusNode.hand_over` |
     """
 
     FOLLOWER = "follower"
@@ -27,32 +27,32 @@
 
 
 class CatchUpState(StrEnum):
-    """How far a member has caught up with the committed log; the values are shown to operators."""
+    """How far a member has caught up with the committed log; operators see the values."""
 
     EMPTY = "empty"  # no entry, no snapshot
-    BEHIND = "behind"  # the leader said that more is committed
+    BEHIND = "behind"  # the leader has sent a higher commit index
     RECEIVING_SNAPSHOT = "receiving snapshot"
-    FOLLOWING = "following"  # has applied all that the leader last named as committed, which may be out of date
-    CURRENT = "current"  # as `ConsensusNode.current` says
+    FOLLOWING = "following"  # has applied all up to the last known commit index, which may be stale
+    CURRENT = "current"  # see `ConsensusNode.current`
 
 
 class RoleTransitions(Protocol):
-    """Changes of role that concern several parts of a member. `ConsensusNode` carries them out."""
+    """Role transitions that involve several components of a member; implemented by `ConsensusNode`."""
 
     def become_leader(self, now: int) -> None:
-        """Lead the current term, for which a quorum has voted."""
+        """Lead the current term, after a quorum voted for this member."""
 
     def step_down(self, now: int, leader: str, reason: StepDownReason) -> None:
-        """Become a follower; emit `Deposed` where this member was elected.
+        """Become a follower; emit `Deposed` if this member was elected.
 
         :param leader: identity of the leader to follow; "": not known yet.
         """
 
     def adopt_term(self, now: int, term: int, voted_for: str = "") -> None:
-        """Step down into a newer term, whose leader is not known yet, and remember the vote that was given in it."""
+        """Step down into a newer term, whose leader is not known yet, and store the vote given in it."""
 
     def hand_over(self, now: int, reason: StepDownReason) -> None:
-        """Step down, and ask the best successor to campaign at once; nothing where this member does not lead."""
+        """Step down, and ask the best successor to campaign at once; no effect if this member does not lead."""
 
-    def leave_after_lease(self, now: int) -> None:
-        """Step down as the lease has expired; ask the last known successor to campaign, as it may hear us still."""
+    def step_down_after_lease(self, now: int) -> None:
+        """Step down as the lease has expired; ask the last known successor, which may be reachable, to campaign."""
--- a/kestrelplank/consensus/snapshots.py
+++ b/kestrelplank/consensus/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshots on their way from the leader to a follower: in chunks, installed complete or not at all.
+"""Snapshot transfer from the leader to a follower: in chunks, installed completely or not at all.
 
-A follower keeps what it has of a snapshot while the checksum stays the same. So a transfer goes on where it broke off,
-also from another leader that has made the same snapshot.
+A follower keeps the chunks of a snapshot while the checksum stays the same. So a transfer resumes where it stopped,
+even from another leader that has created the same snapshot.
 """
 
 import hashlib
@@ -24,7 +24,7 @@
 
 
 class OutgoingSnapshot:
-    """A snapshot that the leader sends to one follower, which has all its bytes before `offset`."""
+    """A snapshot that is sent to one follower, which has all bytes before `offset`."""
 
     def __init__(self, snapshot: Snapshot) -> None:
         self.index = snapshot.index
@@ -38,10 +38,10 @@
         return SnapshotChunk(term, epoch, self.index, len(self.data), self.digest, self.offset, data, heartbeat_round)
 
     def confirm(self, digest: bytes, offset: int) -> bool:
-        """Take in that the follower has all bytes before `offset` of the snapshot with that digest.
+        """Record that the follower has all bytes before `offset` of the snapshot with that digest.
 
-        Return whether the next chunk is to be sent: `offset` has changed, and the follower lacks more. It may have gone
-        back, as a follower that restarted has none of the chunks.
+        Return whether to send the next chunk: `offset` has changed, and bytes are missing. It may have decreased, as a
+        follower that restarted has none of the chunks.
         """
         if digest != self.digest or offset == self.offset or offset > len(self.data):
             return False
@@ -50,7 +50,7 @@
 
 
 class IncomingSnapshot:
-    """A snapshot that a follower has the first bytes of, or all.
+    """A snapshot that a follower is receiving.
 
     :param digest: checksum of the complete encoded snapshot.
     :param size_bytes: of the complete encoded snapshot.
@@ -61,17 +61,17 @@
         self.data = bytearray()
 
     def add(self, chunk: SnapshotChunk) -> None:
-        """Add a chunk if it is the next one; others change nothing."""
+        """Append a chunk if it is the next one; ignore any other."""
         if chunk.offset == len(self.data):
             self.data += chunk.data
 
     @property
     def complete(self) -> bool:
-        """Whether all bytes are here; whether they are the right ones is for `decode`."""
+        """Whether all bytes have arrived; `decode` verifies them."""
         return len(self.data) >= self.size_bytes
 
     def decode(self) -> Snapshot | None:
-        """Return the snapshot; None where the bytes do not fit the checksum."""
+        """Return the snapshot; None if the bytes do not match the checksum or can't be decoded."""
         data = bytes(self.data)
         if len(data) != self.size_bytes or checksum(data) != self.digest:
             return None
--- a/tests/consensus/test_cases.py
+++ b/tests/consensus/test_cases.py
@@ -291,7 +291,7 @@
     assert texts(cluster) == {b"9"}
 
 
-def test_a_member_frozen_with_the_leaders_message_in_its_queue_is_not_current_by_it():
+def test_delayed_messages_do_not_make_a_frozen_follower_current():
     cluster, leader, others = started()
     put_all(cluster, [5])
     cluster.run(100 * MILLISECOND)
@@ -309,7 +309,7 @@
 
 @pytest.mark.parametrize("tick_first", [False, True])
 @pytest.mark.parametrize("seed", range(2))
-def test_a_leader_frozen_before_it_heard_of_its_first_entry_is_not_elected_by_old_answers(seed, tick_first):
+def test_leader_frozen_before_its_first_commit_is_not_elected_by_stale_replies(seed, tick_first):
     cluster, leader, others = started(seed=seed)
     put_all(cluster, [5])
     cluster.kill(leader)
@@ -446,7 +446,7 @@
 
 
 @pytest.mark.parametrize("chunk", range(1, CHUNKS + 1))
-def test_a_receiver_killed_at_each_chunk_begins_anew_and_never_has_half_of_it(chunk):
+def test_receiver_killed_at_any_chunk_restarts_and_never_has_a_partial_snapshot(chunk):
     cluster, leader, away = behind_by_a_large_snapshot()
     cluster.start(away)
     cluster.until(lambda: chunks_received(cluster, away, chunk) or cluster.machines[away].replica.text == LARGE_TEXT)
--- a/tests/consensus/test_histories.py
+++ b/tests/consensus/test_histories.py
@@ -206,12 +206,12 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_random_history_of_three(seed):
+def test_invariants_hold_under_random_faults_with_three_members(seed):
     History(seed).play(40 * SECOND)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_history_of_five(seed):
+def test_invariants_hold_under_random_faults_with_five_members(seed):
     History(1000 + seed, 5).play(30 * SECOND)
 
 
--- a/tests/consensus/test_membership_model.py
+++ b/tests/consensus/test_membership_model.py
@@ -437,7 +437,7 @@
     return len(met), not queue, None
 
 
-def test_no_order_of_steps_breaks_an_invariant():
+def test_invariants_hold_in_every_explored_state():
     met, _, broken = explore(Bounds(), max_states=60_000)
     assert broken is None and met >= 60_000, broken
 
@@ -455,7 +455,7 @@
 
 
 @pytest.mark.parametrize("defect, invariant, last", [(name, *found) for name, found in DEFECTS.items()])
-def test_each_safeguard_left_out_is_found_with_a_shortest_trace(defect, invariant, last):
+def test_removing_a_safeguard_breaks_its_invariant_with_a_shortest_trace(defect, invariant, last):
     met, _, broken = explore(Bounds(), defect)
     assert broken is not None and met < 30_000
     assert broken[0].startswith(invariant) and broken[1][-1].split()[0] == last, (met, broken)
--- a/tests/consensus/test_model.py
+++ b/tests/consensus/test_model.py
@@ -364,7 +364,7 @@
     return SearchResult(len(met), not queue, None, "")
 
 
-def test_no_order_of_steps_breaks_an_invariant():
+def test_invariants_hold_in_every_explored_state():
     found = explore(Bounds(), max_states=60_000)
     assert found.trace is None and found.met >= 60_000, found
 
@@ -380,7 +380,7 @@
         (KEEPS_LEASE, Bounds(2, 1, 0, 0), 6, "a member leads without all that was acknowledged"),
     ],
 )
-def test_each_safeguard_left_out_is_found_with_a_shortest_trace(defect, bounds, steps_taken, broken):
+def test_removing_a_safeguard_breaks_its_invariant_with_a_shortest_trace(defect, bounds, steps_taken, broken):
     found = explore(bounds, defect, max_states=50_000)
     assert found.trace is not None and len(found.trace) == steps_taken and found.broken == broken, found
 
--- a/tests/consensus/test_replacement.py
+++ b/tests/consensus/test_replacement.py
@@ -321,7 +321,7 @@
     return machine.node.epoch > 1 and not machine.node.membership.joint
 
 
-def test_a_member_that_is_no_voter_any_more_is_sent_only_what_is_committed():
+def test_removed_voter_is_sent_only_committed_entries():
     """c leaves for d. The leader has the last entry of the change and reaches only c with it, then is lost. If c took it,
     c's log were newer than that of b, which needs the vote of c, and c could not be elected: nobody could be elected."""
     cluster, leader, _ = started()
@@ -339,7 +339,7 @@
 
 
 @pytest.mark.parametrize("power_lost", [False, True])
-def test_a_leader_that_is_removed_leaves_the_last_entry_to_its_successor(power_lost):
+def test_removed_leader_leaves_the_final_membership_entry_to_its_successor(power_lost):
     """The one member that counts leaves for d and is partitioned from it once both have the joint membership. Were the last
     entry in its log alone, it could not be elected any more, nor vote for d, whose log were older."""
     cluster, _, _ = started(counted=1, losses=0, spare=3)
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -193,7 +193,7 @@
         Membership(2, (), (A, B, C)),  # nobody is left
     ],
 )
-def test_a_change_of_membership_that_does_not_begin_with_all_voters_is_refused(following):
+def test_membership_change_that_is_not_joint_with_all_voters_is_rejected(following):
     node, now = leader()
     index, _ = node.propose(now, ChangeMembership(following))
     assert index is None and node.membership == ABC
@@ -208,7 +208,7 @@
 # Promises.
 
 
-def test_the_member_last_followed_is_voted_for_at_once_after_a_restart_and_others_after_the_lease():
+def test_restarted_member_votes_for_its_last_leader_at_once_and_for_others_after_the_lease():
     log = [order(1, 1)]
     for candidate, waits in ((A, False), (C, True)):
         node = member(B, HardState(1, A, A), log, first_start=False)
@@ -222,7 +222,7 @@
         assert late == [True]
 
 
-def test_a_vote_is_sent_only_once_it_is_durable_and_not_twice_after_a_restart():
+def test_vote_is_sent_only_when_durable_and_not_given_twice_after_restart():
     node = member(B)
     effects = node.receive(START, A, VoteRequest(1, 1, 0, 0))
     assert [effect for effect in effects if isinstance(effect, Send)] == []
