--- a/kestrelplank/consensus/leadership.py
+++ b/kestrelplank/consensus/leadership.py
@@ -48,7 +48,7 @@
         self.tick(now)
 
     def tick(self, now: int) -> None:
-        """Step down if the lease has expired or a disk write has stalled; else begin a heartbeat round when it is due."""
+        """Step down if the lease has expired or a disk write stalls; else begin a heartbeat round when it is due."""
         self._renew_lease(now)
         if self._lease.expired(now):
             self._transitions.step_down_after_lease(now)
--- a/kestrelplank/consensus/replication.py
+++ b/kestrelplank/consensus/replication.py
@@ -85,7 +85,7 @@
             self._send_chunk(now, sender, peer)
 
     def _send_heartbeat(self, now: int, identity: str, peer: Progress) -> None:
-        """Send a heartbeat, and go on with the snapshot if the follower needs one.
+        """Send a heartbeat, and continue the snapshot transfer if the follower needs one.
 
         If entries were lost in transit, the follower rejects the heartbeat, as its log ends before `next_index`.
         """
--- a/tests/consensus/replacing_cluster.py
+++ b/tests/consensus/replacing_cluster.py
@@ -1,6 +1,6 @@
-"""A simulated cluster whose leader carries out the membership policy, and losses before each point of a play.
+"""A simulated cluster whose leader applies the membership policy, and scenarios with a loss before each event of a run.
 
-A point is a delivery of a message or a durable write: between two points no member learns anything."""
+An event is the delivery of a message or a durable write; no member's state changes between two events."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -11,21 +11,21 @@
 from kestrelplank.consensus.membership_planning import KnownMember, plan_membership, should_hand_over
 from kestrelplank.time_units import SECOND
 
-SYNC_TIMEOUT_NS = 4 * SECOND  # after which a newcomer has taken its place
+SYNC_TIMEOUT_NS = 4 * SECOND  # within which a new member has become a voter
 GRACE_PERIOD_NS = 6 * SECOND  # between SIGTERM and the end of a process
 RECOVERY_TIMEOUT_NS = 10 * SECOND
-NO_POINT = 10**12
+NO_EVENT = 10**12
 
 
 class ReplacingCluster(Cluster):
-    """A cluster whose leader asks the policy five times a second.
+    """A cluster whose leader applies the membership policy five times a second.
 
-    `counted`: machines `a`, `b` and so on that are named at the first start; `spare`: those after them, which a test
-    starts. `losses`: how many are to be borne. `zones`: of machines, by address."""
+    `voter_count`: number of initial voters, machines `a`, `b` and so on; `spare`: number of further machines, which a test
+    starts. `losses`: number of tolerated losses. `zones`: zones of machines by address."""
 
     def __init__(
         self,
-        counted: int = 3,
+        voter_count: int = 3,
         losses: int = 1,
         seed: int = 1,
         *,
@@ -33,34 +33,34 @@
         zones: dict[str, str] | None = None,
         start: bool = True,
     ):
-        super().__init__(counted, seed, spare=spare, start=start)
+        super().__init__(voter_count, seed, spare=spare, start=start)
         self.target = 2 * losses + 1
         self.zones = zones or {}
         self.leaving: dict[str, None] = {}
-        self.changes: list[ChangeMembership] = []  # as proposed by leaders
-        self._led_since: dict[str, tuple[int, int]] = {}  # identity -> (term, when it began to lead, on its clock)
-        self._followed: dict[str, tuple[str, int]] = {}  # identity -> (its last leader, when it heard that one)
-        self.points = 0  # since `watch`
-        self._strike_at, self._strike = NO_POINT, None
+        self.changes: list[ChangeMembership] = []  # proposed by leaders
+        self._led_since: dict[str, tuple[int, int]] = {}  # identity -> (term, start of its leadership on its clock)
+        self._followed: dict[str, tuple[str, int]] = {}  # identity -> (its last leader, time of the last message)
+        self.events = 0  # since `count_events`
+        self._fault_at, self._inject_fault = NO_EVENT, None
 
-    # Points.
+    # Events.
 
-    def watch(self, strike_at: int = NO_POINT, strike: Callable[[], None] | None = None) -> None:
-        """From now on count points; just before the one with that number, call `strike`."""
-        self.points, self._strike_at, self._strike = 0, strike_at, strike
+    def count_events(self, fault_at: int = NO_EVENT, inject_fault: Callable[[], None] | None = None) -> None:
+        """Count events from now on; call `inject_fault` just before the one with number `fault_at`."""
+        self.events, self._fault_at, self._inject_fault = 0, fault_at, inject_fault
 
-    def _point(self) -> None:
-        if self.points == self._strike_at:
-            self._strike()
-        self.points += 1
+    def _count_event(self) -> None:
+        if self.events == self._fault_at:
+            self._inject_fault()
+        self.events += 1
 
     def _receive(self, machine, sender, message) -> None:
-        self._point()
+        self._count_event()
         if machine.runs:
             super()._receive(machine, sender, message)
 
     def _durable(self, machine, persist) -> None:
-        self._point()
+        self._count_event()
         if machine.runs:
             super()._durable(machine, persist)
 
@@ -71,11 +71,11 @@
         super().start(name, first)
 
     def terminate(self, name: str, grace: int = GRACE_PERIOD_NS) -> None:
-        """SIGTERM: the member says that it is leaving, and ends after `grace`."""
-        self.note("leaves", name)
+        """SIGTERM: the member announces that it is leaving, and ends after `grace`."""
+        self.trace("leaves", name)
         self.leaving[name] = None
         process = self.machines[name].process
-        self.at(grace, lambda: self.machines[name].process == process and self.kill(name))
+        self.schedule(grace, lambda: self.machines[name].process == process and self.kill(name))
 
     def discover(self, machine: Machine) -> None:
         node, now = machine.node, machine.clock(self.time)
@@ -83,7 +83,7 @@
             if node.leader not in ("", machine.identity):
                 self._followed[machine.identity] = (node.leader, node.leader_heard_at)
             return
-        self._keep_learners(machine)
+        self._update_learners(machine)
         known_members = self._known_members(machine)
         if should_hand_over(now, node.membership, known_members, machine.identity):
             self.transfer(machine)
@@ -95,18 +95,18 @@
             self._propose(machine, ChangeMembership(planned))
 
     def _propose(self, machine: Machine, change: ChangeMembership) -> None:
-        self.note("proposes", machine.identity, change)
+        self.trace("proposes", machine.identity, change)
         index, effects = machine.node.propose(machine.clock(self.time), change)
-        self.invariants.need(index is not None, machine.identity, "may not propose", change)
+        self.invariants.require(index is not None, machine.identity, "may not propose", change)
         self.changes.append(change)
         self.carry_out(machine, effects)
 
-    def _keep_learners(self, machine: Machine) -> None:
-        """The leader sends its log to all that run, and to nobody else but those that count."""
+    def _update_learners(self, machine: Machine) -> None:
+        """Make the running, reachable members that are not voters the leader's learners, and no others."""
         node = machine.node
-        counted = node.membership.all_voters()
+        voters = node.membership.all_voters()
         running = [
-            other.identity for other in self.running() if self.reach(machine, other) and other.identity not in counted
+            other.identity for other in self.running() if self.reach(machine, other) and other.identity not in voters
         ]
         for identity in running:
             node.add_learner(identity)
@@ -115,7 +115,7 @@
                 node.remove_learner(identity)
 
     def _known_members(self, machine: Machine) -> list[KnownMember]:
-        """What the leader at `machine` knows of itself and the others."""
+        """What the leader at `machine` knows of itself and the other members."""
         node, now = machine.node, machine.clock(self.time)
         if self._led_since.get(machine.identity, (0, 0))[0] != node.term:
             self._led_since[machine.identity] = (node.term, now)
@@ -128,7 +128,7 @@
         return found
 
     def _heard_before_election(self, machine: Machine, voter: str) -> int:
-        """When the leader heard a voter before it was elected: the former leader's heartbeats; else its election."""
+        """When a voter's last message before the election arrived: of the former leader, its last heartbeat; else the election."""
         former, heard_at = self._followed.get(machine.identity, ("", 0))
         return heard_at if voter == former else self._led_since[machine.identity][1]
 
@@ -137,44 +137,44 @@
         zone = self.zones.get(name, "")
         return KnownMember(identity, zone, True, name in self.leaving, heard_at, caught_up)
 
-    # What tests ask.
+    # Queries and waits for tests.
 
     def voters(self) -> str:
-        """Addresses of the voters by the newest committed membership, in order, joined."""
-        membership = self.invariants.membership(self.first)
+        """The addresses of the voters in the newest committed membership, sorted and joined."""
+        membership = self.invariants.membership(self.initial_membership)
         return "".join(sorted(address_of(voter) for voter in membership.voters))
 
     def has_voters(self, voters: str) -> bool:
-        """Whether exactly these count and run, no change is under way, and all have applied all."""
-        membership = self.invariants.membership(self.first)
+        """Whether exactly these are voters and run, no change is in progress, and all have caught up."""
+        membership = self.invariants.membership(self.initial_membership)
         if membership.joint or self.voters() != voters or not self.caught_up():
             return False
         return all(self.machines[address_of(voter)].identity == voter for voter in membership.voters)
 
-    def has_replaced(self, newcomer: str) -> bool:
-        """Whether a change that took `newcomer` in is over."""
-        return newcomer in self.voters() and self.has_voters(self.voters())
+    def has_joined(self, new_member: str) -> bool:
+        """Whether a change that made `new_member` a voter is complete."""
+        return new_member in self.voters() and self.has_voters(self.voters())
 
     def until_voters(self, voters: str, within: int = RECOVERY_TIMEOUT_NS) -> None:
         self.until(lambda: self.has_voters(voters), within)
 
-    def until_replaced(self, newcomer: str, within: int = RECOVERY_TIMEOUT_NS) -> None:
-        self.until(lambda: self.has_replaced(newcomer), within)
+    def until_joined(self, new_member: str, within: int = RECOVERY_TIMEOUT_NS) -> None:
+        self.until(lambda: self.has_joined(new_member), within)
 
-    def serves(self, version: int, within: int = RECOVERY_TIMEOUT_NS) -> None:
-        """An order is taken within that time, and whoever leads then has it in force."""
+    def check_serves(self, version: int, within: int = RECOVERY_TIMEOUT_NS) -> None:
+        """Check that an order is acknowledged within that time, and that the leader then has it in force."""
         assert self.put(version, b"%d" % version, within=within) == IN_FORCE
         assert self.elect().replica.version == version
 
     def partition_off(self, name: str, others: str) -> None:
-        """Nothing that is on its way between `name` and `others` arrives, nor what is sent from now on."""
+        """Drop messages between `name` and `others`, both those in flight and those sent from now on."""
         for other in others:
             self.partition(name, other)
             self.reset(name, other)
 
 
-def started(**settings) -> tuple[ReplacingCluster, str, list[str]]:
-    """A cluster with version 1 in force and all caught up; the addresses of the leader and of the others."""
+def started_cluster(**settings) -> tuple[ReplacingCluster, str, list[str]]:
+    """A cluster with version 1 in force and all members caught up; the addresses of the leader and of the others."""
     cluster = ReplacingCluster(**settings)
     leader = cluster.elect().address
     assert cluster.put(1, b"first") == IN_FORCE
@@ -187,7 +187,7 @@
 
 @dataclass(frozen=True)
 class Loss:
-    """What happens to a machine, and what ends it after `lasts` ns."""
+    """A fault of a machine, and its end after `lasts` ns."""
 
     name: str
     begin: Callable[[ReplacingCluster, str], None]
@@ -218,7 +218,7 @@
 
 @dataclass
 class Coverage:
-    """How much of all plays is played: in CI each point meets each victim with one loss, in turn."""
+    """How many scenarios are run: all, or (in CI) one kind of loss for each event and victim, in turn."""
 
     thorough: bool = False
     seed: int = 1
@@ -228,49 +228,49 @@
 
 
 @dataclass(frozen=True)
-class Play:
-    """A cluster right after a loss."""
+class Scenario:
+    """A cluster just after a loss."""
 
     cluster: ReplacingCluster
     loss: Loss
     victim: str
 
 
-def every_point(
+def scenarios_with_loss(
     begin: Callable[[], ReplacingCluster],
-    over: Callable[[ReplacingCluster], bool],
+    is_complete: Callable[[ReplacingCluster], bool],
     victims: str,
     losses: tuple[Loss, ...] = LOSSES,
     stride: int = 1,
-) -> Iterator[Play]:
-    """Plays `begin` again and again, each time with a loss of a victim before another point, as far as the play without a
-    loss has points until it is `over`. `stride`: of so many points one, unless the coverage is thorough."""
+) -> Iterator[Scenario]:
+    """Run `begin` repeatedly, each time with a loss of a victim before another event, for all events that a run without a
+    loss has until it `is_complete`. `stride`: use one of this many events, unless the coverage is thorough."""
     cluster = begin()
-    cluster.watch()
-    cluster.until(lambda: over(cluster))
-    points = cluster.points
-    assert points > 10
+    cluster.count_events()
+    cluster.until(lambda: is_complete(cluster))
+    event_count = cluster.events
+    assert event_count > 10
     for position, victim in enumerate(victims):
-        for point in range(0, points, 1 if COVERAGE.thorough else stride):
+        for event in range(0, event_count, 1 if COVERAGE.thorough else stride):
             if COVERAGE.thorough:
                 chosen = losses
             else:
-                chosen = (losses[(point // stride + position) % len(losses)],)
+                chosen = (losses[(event // stride + position) % len(losses)],)
             for loss in chosen:
-                yield Play(struck(begin, loss, victim, point), loss, victim)
+                yield Scenario(cluster_after_loss(begin, loss, victim, event), loss, victim)
 
 
-def struck(begin: Callable[[], ReplacingCluster], loss: Loss, victim: str, point: int) -> ReplacingCluster:
-    """The cluster just after the loss before that point; its end comes by itself."""
+def cluster_after_loss(begin: Callable[[], ReplacingCluster], loss: Loss, victim: str, event: int) -> ReplacingCluster:
+    """The cluster just after a loss before that event; the loss ends by itself."""
     cluster = begin()
-    struck_at: list[int] = []
+    injected_at: list[int] = []
 
-    def strike() -> None:
-        struck_at.append(cluster.time)
-        cluster.note("LOSS:", victim, loss.name, "before point", point)
+    def inject_fault() -> None:
+        injected_at.append(cluster.time)
+        cluster.trace("LOSS:", victim, loss.name, "before event", event)
         loss.begin(cluster, victim)
-        cluster.at(loss.lasts, lambda: loss.end(cluster, victim))
+        cluster.schedule(loss.lasts, lambda: loss.end(cluster, victim))
 
-    cluster.watch(point, strike)
-    cluster.until(lambda: struck_at)
+    cluster.count_events(event, inject_fault)
+    cluster.until(lambda: injected_at)
     return cluster
--- a/tests/consensus/test_cases.py
+++ b/tests/consensus/test_cases.py
@@ -1,22 +1,22 @@
-"""Hard cases by name: one number and one text under partitions, freezes, kills and lost answers, and catching up after hundreds
-of changes. `Cluster` holds all invariants after every step; a test adds what its case must come to."""
+"""Single fault scenarios on a simulated cluster: one text for each version under partitions, freezes, kills and lost
+answers, and catch-up after hundreds of changes. `Cluster` checks all invariants after every step."""
 
 from itertools import permutations
 
 import pytest
 
-from consensus.simulated_cluster import IN_FORCE, OVERTAKEN, UNKNOWN, Cluster, Conditions
+from consensus.simulated_cluster import IN_FORCE, SUPERSEDED, UNKNOWN, Cluster, Conditions
 from kestrelplank.consensus.roles import Role
 from kestrelplank.consensus.snapshots import CHUNK_BYTES
 from kestrelplank.consensus.timing import LEASE_MARGIN_NS, LEASE_NS
 from kestrelplank.time_units import MILLISECOND, SECOND
 
-RECOVERY_TIMEOUT_NS = 10 * SECOND  # by which a cluster without fault has a leader and all are current
-LARGE_TEXT = b"x" * (4 * CHUNK_BYTES + 17)  # a configuration whose snapshot takes five chunks
+RECOVERY_TIMEOUT_NS = 10 * SECOND  # within which a cluster without faults has a leader and all members are current
+LARGE_TEXT = b"x" * (4 * CHUNK_BYTES + 17)  # a configuration whose snapshot has five chunks
 CHUNKS = 5
 
 
-def started(count=3, seed=1, **others):
+def started_cluster(count=3, seed=1, **others):
     """A cluster with a leader, and the addresses of the leader and of the others."""
     cluster = Cluster(count, seed, **others)
     leader = cluster.elect().address
@@ -39,25 +39,25 @@
 
 
 def put_all(cluster, versions, text=b"%d"):
-    """Puts these versions one after the other."""
+    """Submit these versions one after the other."""
     for version in versions:
         assert cluster.put(version, text % version) == IN_FORCE
 
 
 def answers(cluster, orders, within=RECOVERY_TIMEOUT_NS):
-    """Sends each (name, version, text) at once, and each again to anybody every 300 ms until it is answered; the answers."""
+    """Send each (name, version, text) at once, retry each at a random member every 300 ms, and return the answers."""
     results = [None] * len(orders)
 
     def send(index, name):
         attempt = cluster.order(name, *orders[index][1:])
 
-        def look():
-            if attempt.answer in (IN_FORCE, OVERTAKEN):
+        def check_answer():
+            if attempt.answer in (IN_FORCE, SUPERSEDED):
                 results[index] = attempt.answer
             else:
                 send(index, cluster.random.choice(list(cluster.machines)))
 
-        cluster.at(300 * MILLISECOND, look)
+        cluster.schedule(300 * MILLISECOND, check_answer)
 
     for index, order in enumerate(orders):
         send(index, order[0])
@@ -65,25 +65,25 @@
     return results
 
 
-# One number, one text.
+# One text for each version.
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_two_operators_send_one_number_with_different_texts_to_two_members_that_do_not_hear_each_other(seed):
-    cluster, _, _ = started(seed=seed)
+def test_of_two_texts_for_one_version_sent_to_partitioned_members_one_comes_into_force(seed):
+    cluster, _, _ = started_cluster(seed=seed)
     cluster.partition("a", "b")
     results = answers(cluster, [("a", 7, b"one"), ("b", 7, b"other")])
-    assert sorted(results) == [IN_FORCE, OVERTAKEN]
-    cluster.calm()
+    assert sorted(results) == [IN_FORCE, SUPERSEDED]
+    cluster.recover()
     assert texts(cluster) == {(b"one", b"other")[results.index(IN_FORCE)]}
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_two_operators_and_two_members_that_have_half_of_the_others_each(seed):
-    cluster, _, _ = started(5, seed=seed)
-    for one in "ac":
-        for other in "bd":
-            cluster.partition(one, other)
+def test_no_order_is_acknowledged_while_no_partition_has_a_majority(seed):
+    cluster, _, _ = started_cluster(5, seed=seed)
+    for first in "ac":
+        for second in "bd":
+            cluster.partition(first, second)
     cluster.isolate("e")
     early = [cluster.order("a", 7, b"one"), cluster.order("b", 7, b"other")]
     cluster.run(4 * SECOND)
@@ -91,28 +91,28 @@
     cluster.heal("e", "a")
     cluster.heal("e", "b")
     results = answers(cluster, [("a", 7, b"one"), ("b", 7, b"other")], within=2 * RECOVERY_TIMEOUT_NS)
-    assert sorted(results) == [IN_FORCE, OVERTAKEN]
-    cluster.calm()
+    assert sorted(results) == [IN_FORCE, SUPERSEDED]
+    cluster.recover()
     assert texts(cluster) == {(b"one", b"other")[results.index(IN_FORCE)]}
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_losing_text_again_after_a_restart_of_all(seed):
-    cluster, _, _ = started(seed=seed)
+def test_superseded_text_stays_superseded_after_a_restart_of_all(seed):
+    cluster, _, _ = started_cluster(seed=seed)
     results = answers(cluster, [("a", 7, b"one"), ("b", 7, b"other")])
     winner, loser = (b"one", b"other") if results[0] == IN_FORCE else (b"other", b"one")
     for name in cluster.machines:
         cluster.kill(name)
-    cluster.calm()
+    cluster.recover()
     for name in cluster.machines:
-        assert cluster.put(7, loser, at=name) == OVERTAKEN
+        assert cluster.put(7, loser, at=name) == SUPERSEDED
         assert cluster.put(7, winner, at=name) == IN_FORCE
     assert texts(cluster) == {winner}
 
 
-def test_two_texts_half_written_at_two_members_are_decided_alike_after_all_lost_power():
-    """Each of two leaders of following terms has its text on its own disk alone."""
-    cluster, leader, others = started()
+def test_two_texts_on_one_disk_each_end_in_one_text_after_power_loss():
+    """The leaders of two successive terms have their texts only on their own disks."""
+    cluster, leader, others = started_cluster()
     cluster.isolate(leader)
     cluster.order(leader, 7, b"one")
     cluster.until(lambda: cluster.leader() is not None and cluster.leader().address != leader)
@@ -124,23 +124,23 @@
     assert sorted(getattr(entries[-1].command, "text", b"") for entries in disks) == [b"", b"one", b"other"]
     for name in cluster.machines:
         cluster.kill(name)
-    cluster.calm()
+    cluster.recover()
     assert len(texts(cluster)) == 1
-    assert sorted(answers(cluster, [("a", 7, b"one"), ("b", 7, b"other")])) == [IN_FORCE, OVERTAKEN]
+    assert sorted(answers(cluster, [("a", 7, b"one"), ("b", 7, b"other")])) == [IN_FORCE, SUPERSEDED]
     cluster.until(cluster.caught_up)
     assert len(texts(cluster)) == 1
 
 
-def test_the_same_number_and_text_by_three_members_at_once():
-    cluster, _, _ = started()
+def test_same_order_sent_to_three_members_at_once_is_in_force_for_each():
+    cluster, _, _ = started_cluster()
     attempts = [cluster.order(name, 7, b"text") for name in cluster.machines]
     cluster.run(SECOND)
     assert [attempt.answer for attempt in attempts] == [IN_FORCE] * 3
 
 
 @pytest.mark.parametrize("lost_disk", [False, True])
-def test_an_order_whose_answer_was_lost_again_after_200_later_versions(lost_disk):
-    cluster, _, others = started()
+def test_order_retried_after_200_later_versions_is_superseded(lost_disk):
+    cluster, _, others = started_cluster()
     cluster.conditions = Conditions(answer_loss=1.0)
     lost = cluster.order("b", 7, b"text")
     cluster.run(SECOND)
@@ -155,12 +155,12 @@
             cluster.restart(name)
     cluster.until(cluster.caught_up)
     for name in cluster.machines:
-        assert cluster.put(7, b"text", at=name) == OVERTAKEN
+        assert cluster.put(7, b"text", at=name) == SUPERSEDED
     assert texts(cluster) == {b"207"}
 
 
-def test_the_same_order_again_while_the_first_is_in_flight():
-    cluster, leader, others = started()
+def test_order_retried_while_in_flight_is_answered_like_the_first():
+    cluster, leader, others = started_cluster()
     for name in others:
         cluster.hang(name)
     first = cluster.order(leader, 7, b"text")
@@ -176,37 +176,37 @@
 
 @pytest.mark.parametrize("keep", [False, True])
 @pytest.mark.parametrize("inward, outward", [(True, True), (True, False), (False, True)])
-def test_a_leader_partitioned_for_20_s_with_a_change_meanwhile_and_one_as_it_returns(inward, outward, keep):
-    cluster, leader, others = started(seed=2)
+def test_leader_partitioned_for_20_s_steps_down_and_adopts_later_changes(inward, outward, keep):
+    cluster, leader, others = started_cluster(seed=2)
     put_all(cluster, [5])
     cluster.isolate(leader, inward=inward, outward=outward, keep=keep)
     partitioned_at = cluster.time
-    without_leader = []  # moments at which nobody leads
+    without_leader = []  # times without a leader
     while cluster.time < partitioned_at + 3 * LEASE_NS:
         cluster.step()
         if cluster.leader() is None:
             without_leader.append(cluster.time)
     assert without_leader and not leads(cluster, leader) and cluster.leader().address in others
-    # An answer may have been on its way as the cut began.
+    # A reply may have been in flight when the partition began.
     assert without_leader[0] <= partitioned_at + 1.01 * (LEASE_NS - LEASE_MARGIN_NS) + 10 * MILLISECOND
-    there = cluster.order(leader, 9, b"at the leader that is partitioned")
+    isolated_order = cluster.order(leader, 9, b"at the leader that is partitioned")
     assert cluster.put(6, b"during", at=others[0]) == IN_FORCE
     cluster.run(20 * SECOND - (cluster.time - partitioned_at))
-    assert not leads(cluster, leader) and not current(cluster, leader) and there.result in (None, UNKNOWN)
+    assert not leads(cluster, leader) and not current(cluster, leader) and isolated_order.result in (None, UNKNOWN)
     cluster.heal()
-    returned = cluster.order(leader, 7, b"as it returns")
+    returned_order = cluster.order(leader, 7, b"as it returns")
     read = cluster.read(leader)
     cluster.run(2 * SECOND)
     assert read.read_value in (None, (6, b"during"), (7, b"as it returns"), (9, b"at the leader that is partitioned"))
-    assert returned.answer in (None, UNKNOWN, IN_FORCE, OVERTAKEN)
+    assert returned_order.answer in (None, UNKNOWN, IN_FORCE, SUPERSEDED)
     assert cluster.put(10, b"afterwards", at=leader) == IN_FORCE
-    cluster.calm(RECOVERY_TIMEOUT_NS)
+    cluster.recover(RECOVERY_TIMEOUT_NS)
     assert texts(cluster) == {b"afterwards"}
 
 
 @pytest.mark.parametrize("inward, outward", [(True, True), (True, False), (False, True)])
-def test_a_follower_that_is_partitioned_is_not_current_and_the_others_go_on(inward, outward):
-    cluster, leader, others = started()
+def test_partitioned_follower_is_not_current_and_the_leader_keeps_leading(inward, outward):
+    cluster, leader, others = started_cluster()
     cluster.isolate(others[0], inward=inward, outward=outward)
     cluster.run(20 * SECOND)
     assert cluster.leader().address == leader and not current(cluster, others[0])
@@ -216,19 +216,19 @@
     assert cluster.leader().address == leader and texts(cluster) == {b"on"}
 
 
-def test_partitions_in_a_ring_leave_somebody_who_leads():
-    """Each member hears one of the others, and is heard by the other one: no two hear each other both ways."""
-    cluster, _, _ = started()
+def test_orders_are_acknowledged_after_one_way_partitions_in_a_ring():
+    """Each member receives messages from one of the others only, so no two members reach each other in both directions."""
+    cluster, _, _ = started_cluster()
     cluster.partition("a", "b", both=False)
     cluster.partition("b", "c", both=False)
     cluster.partition("c", "a", both=False)
     cluster.run(20 * SECOND)
-    cluster.calm(RECOVERY_TIMEOUT_NS)
+    cluster.recover(RECOVERY_TIMEOUT_NS)
     assert cluster.put(5, b"text") == IN_FORCE
 
 
-def test_a_freeze_of_the_leader_between_majority_and_answer():
-    cluster, leader, others = started()
+def test_order_on_a_majority_of_disks_survives_a_freeze_of_the_leader():
+    cluster, leader, others = started_cluster()
     attempt = cluster.order(leader, 7, b"text")
 
     def on_two_disks():
@@ -240,12 +240,12 @@
     cluster.freeze(leader)
     cluster.until(lambda: cluster.leader() is not None and cluster.leader().address != leader)
     assert texts(cluster) >= {b"text"}
-    assert cluster.put(7, b"other", at=others[0]) == OVERTAKEN
+    assert cluster.put(7, b"other", at=others[0]) == SUPERSEDED
     assert cluster.put(8, b"next", at=others[0]) == IN_FORCE
     cluster.thaw(leader)
     cluster.run(SECOND)
-    assert attempt.answer in (UNKNOWN, OVERTAKEN, IN_FORCE)
-    assert cluster.put(7, b"text", at=leader) == OVERTAKEN
+    assert attempt.answer in (UNKNOWN, SUPERSEDED, IN_FORCE)
+    assert cluster.put(7, b"text", at=leader) == SUPERSEDED
     assert texts(cluster) == {b"next"}
 
 
@@ -253,50 +253,52 @@
     return [getattr(entry.command, "version", 0) for entry in machine.disk.entries]
 
 
-def test_all_killed_between_the_second_disk_and_the_answer():
-    cluster, leader, others = started()
+def test_order_on_a_majority_of_disks_survives_a_kill_of_all():
+    cluster, leader, others = started_cluster()
     put_all(cluster, [5])
     attempt = cluster.order(leader, 7, b"text")
     cluster.until(lambda: sum(7 in versions_on_disk(machine) for machine in cluster.machines.values()) >= 2)
     assert attempt.result is None
     for name in cluster.machines:
         cluster.kill(name)
-    cluster.calm()
+    cluster.recover()
     assert texts(cluster) == {b"text"}
-    assert cluster.put(7, b"other") == OVERTAKEN and cluster.put(7, b"text") == IN_FORCE
+    assert cluster.put(7, b"other") == SUPERSEDED and cluster.put(7, b"text") == IN_FORCE
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_eight_orders_in_flight_answered_out_of_order(seed):
-    cluster, _, _ = started(seed=seed)
-    cluster.conditions = Conditions(delay=(1 * MILLISECOND, 150 * MILLISECOND), loss=0.05, double=0.2, answer_loss=0.2)
+def test_newest_of_eight_concurrent_orders_comes_into_force(seed):
+    cluster, _, _ = started_cluster(seed=seed)
+    cluster.conditions = Conditions(
+        delay=(1 * MILLISECOND, 150 * MILLISECOND), loss=0.05, duplication=0.2, answer_loss=0.2
+    )
     numbers = list(range(10, 18))
     cluster.random.shuffle(numbers)
     orders = [(cluster.random.choice("abc"), version, b"%d" % version) for version in numbers]
     results = answers(cluster, orders, within=2 * RECOVERY_TIMEOUT_NS)
     assert results[numbers.index(17)] == IN_FORCE
-    cluster.calm()
+    cluster.recover()
     assert texts(cluster) == {b"17"}
 
 
 @pytest.mark.parametrize("order", list(permutations((5, 7, 9)))[1:3])
-def test_an_older_change_again_alters_nothing(order):
-    cluster, _, _ = started()
+def test_older_version_sent_again_changes_nothing(order):
+    cluster, _, _ = started_cluster()
     put_all(cluster, range(1, 10))
     for version in order:
         for name in cluster.machines:
-            assert cluster.put(version, b"%d" % version, at=name) == (IN_FORCE if version == 9 else OVERTAKEN)
-            assert cluster.put(version, b"another text", at=name) == OVERTAKEN
+            assert cluster.put(version, b"%d" % version, at=name) == (IN_FORCE if version == 9 else SUPERSEDED)
+            assert cluster.put(version, b"another text", at=name) == SUPERSEDED
     cluster.until(cluster.caught_up)
     assert texts(cluster) == {b"9"}
 
 
 def test_delayed_messages_do_not_make_a_frozen_follower_current():
-    cluster, leader, others = started()
+    cluster, leader, others = started_cluster()
     put_all(cluster, [5])
     cluster.run(100 * MILLISECOND)
     cluster.freeze(others[0])
-    cluster.run(300 * MILLISECOND)  # heartbeats of that time wait for it
+    cluster.run(300 * MILLISECOND)  # heartbeats queue up
     cluster.isolate(others[0])
     put_all(cluster, [6])
     cluster.run(20 * SECOND)
@@ -310,13 +312,13 @@
 @pytest.mark.parametrize("tick_first", [False, True])
 @pytest.mark.parametrize("seed", range(2))
 def test_leader_frozen_before_its_first_commit_is_not_elected_by_stale_replies(seed, tick_first):
-    cluster, leader, others = started(seed=seed)
+    cluster, leader, others = started_cluster(seed=seed)
     put_all(cluster, [5])
     cluster.kill(leader)
     cluster.until(lambda: any(machine.node.role == Role.LEADER for machine in cluster.running()))
     frozen = next(machine.address for machine in cluster.running() if machine.node.role == Role.LEADER)
     assert not leads(cluster, frozen)
-    cluster.freeze(frozen)  # the answers to its first entry and heartbeat wait for it
+    cluster.freeze(frozen)  # the replies to its first entry and heartbeat queue up
     cluster.run(500 * MILLISECOND)
     cluster.start(leader)
     cluster.until(lambda: cluster.leader() is not None, 2 * RECOVERY_TIMEOUT_NS)
@@ -331,8 +333,8 @@
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
-def test_a_restart_after_500_changes_with_nothing_missed(role):
-    cluster, leader, others = started()
+def test_restarted_member_is_current_after_500_changes(role):
+    cluster, leader, others = started_cluster()
     put_all(cluster, range(1, 501))
     name = leader if role == "leader" else others[0]
     disk = cluster.machines[name].disk
@@ -344,8 +346,8 @@
 
 
 @pytest.mark.parametrize("lost_disk", [False, True])
-def test_a_restart_after_500_changes_with_all_missed(lost_disk):
-    cluster, leader, others = started()
+def test_member_that_missed_500_changes_catches_up(lost_disk):
+    cluster, leader, others = started_cluster()
     cluster.kill(others[0])
     put_all(cluster, range(1, 501))
     if lost_disk:
@@ -356,8 +358,8 @@
 
 
 def behind_by_a_large_snapshot(seed=1, first=1):
-    """A cluster whose member `away` lacks a snapshot of five chunks, and is off."""
-    cluster, leader, others = started(seed=seed)
+    """A cluster whose stopped member `away` lacks a snapshot of five chunks."""
+    cluster, leader, others = started_cluster(seed=seed)
     away = others[0]
     cluster.kill(away)
     for machine in cluster.machines.values():
@@ -369,7 +371,7 @@
 
 
 def append_records(cluster, count):
-    """That many entries that alter nothing, so that the log is compacted."""
+    """Append `count` entries that do not change the configuration, so that the log is compacted."""
     leader = cluster.elect()
     for _ in range(count):
         index = leader.replica.index
@@ -378,14 +380,14 @@
 
 
 def chunks_received(cluster, name, count):
-    """Whether the member has that many bytes of a snapshot that it still receives."""
+    """Whether the member is receiving a snapshot and has `count` chunks of it."""
     incoming = cluster.machines[name].node.incoming_snapshot
     return incoming is not None and len(incoming.data) >= count * CHUNK_BYTES
 
 
 @pytest.mark.parametrize("fault", ["reset", "partition", "frozen"])
 @pytest.mark.parametrize("chunk", range(1, CHUNKS))
-def test_a_snapshot_interrupted_at_each_chunk_goes_on_where_it_broke_off(chunk, fault):
+def test_interrupted_snapshot_transfer_resumes_where_it_stopped(chunk, fault):
     cluster, leader, away = behind_by_a_large_snapshot()
     cluster.start(away)
     cluster.until(lambda: chunks_received(cluster, away, chunk))
@@ -406,7 +408,7 @@
     assert cluster.chunks_sent - before <= CHUNKS - chunk + 3
 
 
-def test_a_member_that_returns_is_sent_the_newest_snapshot_and_no_older_one():
+def test_returning_member_is_sent_only_the_newest_snapshot():
     cluster, leader, away = behind_by_a_large_snapshot()
     before = cluster.chunks_sent
     cluster.start(away)
@@ -422,7 +424,7 @@
     assert results == [1000] and cluster.chunks_sent - before <= CHUNKS + 1
 
 
-def test_a_snapshot_over_a_slow_link_leaves_room_for_heartbeats():
+def test_snapshot_over_a_slow_link_does_not_cause_an_election():
     cluster, leader, away = behind_by_a_large_snapshot()
     cluster.conditions = Conditions(bytes_per_s=250_000)
     before, elections = cluster.chunks_sent, cluster.machines[leader].elections
@@ -433,8 +435,8 @@
     assert cluster.leader().address == leader and cluster.machines[leader].elections == elections
 
 
-def test_large_entries_over_a_slow_link_are_not_sent_again_and_again():
-    cluster, leader, others = started()
+def test_large_entries_over_a_slow_link_are_not_resent_excessively():
+    cluster, leader, others = started_cluster()
     cluster.conditions = Conditions(bytes_per_s=250_000)
     before = cluster.bytes_sent
     for version in range(1, 9):
@@ -458,7 +460,7 @@
 
 
 @pytest.mark.parametrize("chunk", range(1, CHUNKS))
-def test_a_newer_snapshot_while_one_is_in_flight(chunk):
+def test_newer_snapshot_replaces_one_in_transfer(chunk):
     cluster, leader, away = behind_by_a_large_snapshot()
     cluster.start(away)
     cluster.until(lambda: chunks_received(cluster, away, chunk))
@@ -471,7 +473,7 @@
 
 
 @pytest.mark.parametrize("chunk", range(1, CHUNKS))
-def test_the_source_dies_in_the_middle(chunk):
+def test_snapshot_transfer_completes_after_the_sender_is_killed(chunk):
     cluster, leader, away = behind_by_a_large_snapshot()
     cluster.start(away)
     cluster.until(lambda: chunks_received(cluster, away, chunk))
@@ -483,7 +485,7 @@
 
 
 @pytest.mark.parametrize("lost_disk", [False, True])
-def test_changes_every_100_ms_during_the_catch_up(lost_disk):
+def test_member_catches_up_during_changes_every_100_ms(lost_disk):
     cluster, leader, away = behind_by_a_large_snapshot()
     cluster.conditions = Conditions(delay=(100 * MILLISECOND, 200 * MILLISECOND))
     if lost_disk:
@@ -495,7 +497,7 @@
     assert current(cluster, away) and cluster.machines[away].replica.version > 2100
 
 
-def test_a_disk_that_takes_nothing_during_a_snapshot():
+def test_member_whose_disk_hangs_during_a_snapshot_catches_up_after_a_restart():
     cluster, leader, away = behind_by_a_large_snapshot()
     cluster.start(away)
     cluster.until(lambda: chunks_received(cluster, away, 2))
@@ -512,8 +514,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_power_of_all_lost_during_compaction(seed):
-    cluster, leader, others = started(seed=seed)
+def test_power_loss_of_all_during_compaction_loses_no_acknowledged_order(seed):
+    cluster, leader, others = started_cluster(seed=seed)
     put_all(cluster, range(1, 64))
 
     def compacting():
@@ -528,13 +530,13 @@
     for name in cluster.machines:
         cluster.kill(name)
     acknowledged = cluster.invariants.newest_acknowledged
-    cluster.calm()
+    cluster.recover()
     assert acknowledged >= 63 and cluster.leader().replica.version >= acknowledged
     assert cluster.put(1000, b"on") == IN_FORCE
 
 
-def test_a_member_that_was_off_for_the_whole_time_returns_as_the_others_die():
-    cluster, leader, others = started()
+def test_outdated_member_that_runs_alone_neither_leads_nor_is_current():
+    cluster, leader, others = started_cluster()
     away, stays = others
     cluster.kill(away)
     put_all(cluster, range(1, 301))
@@ -553,7 +555,7 @@
     assert texts(cluster) == {b"300"}
 
 
-def test_a_leader_elected_in_the_middle_of_a_catch_up_is_not_the_one_that_is_behind():
+def test_member_that_is_catching_up_is_not_elected():
     cluster, leader, away = behind_by_a_large_snapshot()
     stays = next(name for name in cluster.machines if name not in (leader, away))
     cluster.start(away)
--- a/tests/consensus/test_effects_recorded.py
+++ b/tests/consensus/test_effects_recorded.py
@@ -1,8 +1,8 @@
 """The effects of seeded histories, compared with recorded digests.
 
-They hold the core's behaviour, down to the order of random draws, of effects and of writes, through a restructuring. A
-change of behaviour that is wanted changes these digests: run this file as a script to print the new ones, and say why in
-the commit.
+They detect any change of the core's behaviour, down to the order of random draws, effects and writes, during a
+refactoring. An intended change of behaviour changes these digests: run this file as a script to print the new ones, and
+give the reason in the commit.
 
     PYTHONPATH=tests python tests/consensus/test_effects_recorded.py
 """
@@ -19,7 +19,7 @@
 from kestrelplank.consensus.effects import Applied, Deposed, Effect, Elected, Persist, Restored, Send
 from kestrelplank.time_units import SECOND
 
-STEPS = 20_000  # played of each history
+STEPS = 20_000  # executed of each history
 
 RECORDED = {
     "three members, seed 1": "500475dd23e1cecd1258d9a970746759",
@@ -33,7 +33,7 @@
 
 
 def flattened(effect: Effect) -> tuple[object, ...]:
-    """What an effect asks for, free of the names of its fields."""
+    """The content of an effect, without field names."""
     if isinstance(effect, Send):
         return ("send", effect.to, effect.message)
     if isinstance(effect, Persist):
@@ -49,7 +49,7 @@
 
 
 class Recorder:
-    """A digest of all effects that the members of a cluster ask for, and of what they say of themselves."""
+    """A digest of all effects of the members of a cluster, and of their states."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -69,32 +69,38 @@
     def _add(self, *values: object) -> None:
         self._digest.update(msgspec.msgpack.encode((self.cluster.time, *values)))
 
-    def play(self, steps: int) -> str:
-        """Play so many steps; the digest after them."""
+    def run(self, steps: int) -> str:
+        """Scenario so many steps; the digest after them."""
         for _ in range(steps):
             self.cluster.step()
             for machine in self.cluster.running():
                 node, now = machine.node, machine.clock(self.cluster.time)
-                shown = str(node.catch_up_state(now))
+                catch_up_state = str(node.catch_up_state(now))
                 durable = (node.term, node.epoch, node.commit_index, node.applied_index, node.durable_index)
                 self._add(
-                    machine.identity, str(node.role), node.leader, node.leads(now), node.current(now), shown, durable
+                    machine.identity,
+                    str(node.role),
+                    node.leader,
+                    node.leads(now),
+                    node.current(now),
+                    catch_up_state,
+                    durable,
                 )
         return self._digest.hexdigest()
 
 
 def history(seed: int, count: int) -> Recorder:
-    """A random history of `count` members under all faults that are tolerated."""
-    played = History(seed, count)
-    recorder = Recorder(played.cluster)
-    played.cluster.at(0, played.operate)
-    played.cluster.at(2 * SECOND, played.inject_fault)
+    """A random history of `count` members under all tolerated faults."""
+    history_run = History(seed, count)
+    recorder = Recorder(history_run.cluster)
+    history_run.cluster.schedule(0, history_run.send_orders)
+    history_run.cluster.schedule(2 * SECOND, history_run.inject_fault)
     return recorder
 
 
 def replacements(seed: int, text_bytes: int = 4) -> Recorder:
-    """Voters that leave and are replaced by standbys, the leader among them, while orders of that size are taken."""
-    cluster = ReplacingCluster(counted=3, losses=1, seed=seed, spare=3)
+    """Leaving voters, including the leader, are replaced by standbys while orders of `text_bytes` are sent."""
+    cluster = ReplacingCluster(voter_count=3, losses=1, seed=seed, spare=3)
     recorder = Recorder(cluster)
     for machine in cluster.machines.values():
         machine.compact_after = 16
@@ -105,20 +111,20 @@
             cluster.terminate(leader.address)
             down = [name for name, machine in cluster.machines.items() if not machine.runs]
             cluster.start(cluster.random.choice(down))
-        cluster.at(7 * SECOND, leave)
+        cluster.schedule(7 * SECOND, leave)
 
     def operate(version: int) -> None:
         running = [machine.address for machine in cluster.running()]
         cluster.order(cluster.random.choice(running), version, (b"%d" % version).ljust(text_bytes))
-        cluster.at(SECOND // 10, lambda: operate(version + 1))
+        cluster.schedule(SECOND // 10, lambda: operate(version + 1))
 
-    cluster.at(2 * SECOND, leave)
-    cluster.at(SECOND, lambda: operate(1))
+    cluster.schedule(2 * SECOND, leave)
+    cluster.schedule(SECOND, lambda: operate(1))
     return recorder
 
 
 def slow_links(seed: int) -> Recorder:
-    """Large orders over slow links that lose messages, with a follower that is away again and again: chunks are retried."""
+    """Large orders over slow, lossy links, with a follower that freezes repeatedly, so that chunks are retried."""
     cluster = Cluster(3, seed)
     recorder = Recorder(cluster)
     for machine in cluster.machines.values():
@@ -129,27 +135,27 @@
         leader = cluster.leader()
         name = cluster.random.choice([name for name in cluster.machines if leader is None or name != leader.address])
         cluster.freeze(name)
-        cluster.at(cluster.random.randrange(16 * SECOND), lambda: cluster.thaw(name))
-        cluster.at(20 * SECOND, leave)
+        cluster.schedule(cluster.random.randrange(16 * SECOND), lambda: cluster.thaw(name))
+        cluster.schedule(20 * SECOND, leave)
 
     def operate(version: int) -> None:
         running = [machine.address for machine in cluster.running()]
         cluster.order(cluster.random.choice(running), version, (b"%d" % version).ljust(100_000))
-        cluster.at(2 * SECOND, lambda: operate(version + 1))
+        cluster.schedule(2 * SECOND, lambda: operate(version + 1))
 
     def record(number: int) -> None:
         leader = cluster.leader()
         if leader is not None:
             cluster.propose(leader, b"%d" % number)
-        cluster.at(SECOND // 20, lambda: record(number + 1))
+        cluster.schedule(SECOND // 20, lambda: record(number + 1))
 
-    cluster.at(2 * SECOND, leave)
-    cluster.at(SECOND, lambda: operate(1))
-    cluster.at(SECOND, lambda: record(1))
+    cluster.schedule(2 * SECOND, leave)
+    cluster.schedule(SECOND, lambda: operate(1))
+    cluster.schedule(SECOND, lambda: record(1))
     return recorder
 
 
-PLAYED = {
+RECORDERS = {
     "three members, seed 1": lambda: history(1, 3),
     "three members, seed 2": lambda: history(2, 3),
     "five members, seed 3": lambda: history(3, 5),
@@ -160,12 +166,12 @@
 }
 
 
-@pytest.mark.parametrize("name", PLAYED)
+@pytest.mark.parametrize("name", RECORDERS)
 def test_effects_are_those_recorded(name):
-    assert PLAYED[name]().play(STEPS) == RECORDED[name]
+    assert RECORDERS[name]().run(STEPS) == RECORDED[name]
 
 
 if __name__ == "__main__":
-    for name, begin in PLAYED.items():
+    for name, begin in RECORDERS.items():
         recorder = begin()
-        print(f'    "{name}": "{recorder.play(STEPS)}",  # {dict(recorder.counts)}')
+        print(f'    "{name}": "{recorder.run(STEPS)}",  # {dict(recorder.counts)}')
--- a/tests/consensus/test_membership_model.py
+++ b/tests/consensus/test_membership_model.py
@@ -1,32 +1,29 @@
-"""A search, in small, of what keeps committed entries safe while members are replaced and lose their disks.
-
-Three members vote at first, two more may become voters. Every order of the steps below is taken from every state, breadth
-first, so a broken invariant comes with a shortest trace. States that differ only in which of the first members, or of the
-newcomers, is which count as one. In CI the first states of the sound protocol are met, by the number in the test;
-`python tests/consensus/test_membership_model.py` meets all there are, by the table at its end.
-
-    elect m Q      m begins a term and has the votes of Q, a least quorum of the newest membership in its log (of both
-                   sides of a joint one); who votes has no newer log, and takes the term
-    value m        leader m adds a value to its log
-    change m W     leader m adds a joint membership with voters W; the newest membership in its log is committed
-    finish m       leader m adds the membership that ends the change; the joint one is committed
-    send m y       m's log reaches y, which answers, if y knows no newer term; without this step the message was lost
-    restart m      a loss: m comes back with what is on its disk, and leads no longer
-    wipe m         a loss: m's disk is gone, and with it the identity m, for ever; the machine's new identity is a newcomer
-
-An entry is committed when a quorum of the newest membership in the log of the leader that wrote it has answered. A
-machine that was wiped is out until the committed membership, and all newer ones in a log, do without it; `wipe` happens
-only if no more than `TOLERATED` are out then. A slow, frozen or cut-off member is one that takes no step meanwhile.
+"""Model check of membership changes with lost disks: committed entries are never lost, and a leader can be elected.
+
+Three initial voters, two more members that may become voters, breadth-first search over all orders of steps, so a violation
+comes with a shortest trace. States that differ only by a renaming of the initial voters, or of the others, count as one. CI
+explores the first states; `python tests/consensus/test_membership_model.py` explores all states within the bounds in `TABLE`.
+
+    elect m Q      m starts a term with the votes of Q, a minimal quorum of the newest membership in its log (of both
+                   sides if joint); voters have no newer log, and adopt the term
+    value m        leader m appends a value to its log
+    change m W     leader m appends a joint membership with voters W; the newest membership in its log is committed
+    finish m       leader m appends the membership that completes the change; the joint one is committed
+    send m y       y copies m's log and replies, if it knows no newer term; a lost message is a step that is not taken
+    restart m      a loss: m restarts from its disk and is no longer the leader
+    wipe m         a loss: m's disk and identity are lost for good; the machine's new identity is a new member
+
+An entry is committed once a quorum of the newest membership in its leader's log has replied. A wiped member counts as lost
+until the committed membership and all later ones in any log exclude it; `wipe` happens only if at most `TOLERATED`
+members are lost then. A slow, frozen or partitioned member is one that takes no steps.
 
 Invariants:
 
-- kept: two leaders never commit different entries at one index, and whoever is elected has all that was ever committed.
-- one leader: of two leaders only the one of the newer term has a quorum that would still answer it, so majorities of
-  different epochs that can both decide always meet.
-- available: with one more machine out, up to `TOLERATED`, somebody can be elected by the others.
+- durability: no two different entries are committed at one index, and an elected leader has all committed entries.
+- single leader: of two leaders, only the one of the newer term has a quorum of members that would still reply to it.
+- availability: with one more member lost, up to `TOLERATED`, the others can elect a leader.
 
-What the model takes for granted: writes are durable at once, a vote that does not suffice changes nothing, messages arrive
-at once or not at all. The simulated clusters beside this file are for what that leaves out.
+Not modelled: delayed writes, unsuccessful votes, delayed messages. The simulated clusters beside this file cover these.
 """
 
 from collections import deque
@@ -36,8 +33,8 @@
 
 import pytest
 
-FOUNDERS, NEWCOMERS, SIZE, TOLERATED = 3, 2, 3, 1
-EVERYBODY = range(FOUNDERS + NEWCOMERS)
+INITIAL_VOTERS, NEW_MEMBERS, SIZE, TOLERATED = 3, 2, 3, 1
+ALL_MEMBERS = range(INITIAL_VOTERS + NEW_MEMBERS)
 VALUE = 0  # kind of an entry; others are memberships
 
 
@@ -49,7 +46,7 @@
 
 
 class Group(NamedTuple):
-    """A membership; both sides are sets of members, as bits. `outgoing` 0: not joint."""
+    """A membership; both sides are bit masks of members. `outgoing` 0: not joint."""
 
     voters: int
     outgoing: int = 0
@@ -68,22 +65,22 @@
 class Member(NamedTuple):
     term: int = 0
     log: tuple[Entry, ...] = ()
-    match: tuple[int, ...] | None = None  # of a leader: how much of its log each member has answered for
-    gone: bool = False
+    match: tuple[int, ...] | None = None  # of a leader: number of its entries that each member has
+    wiped: bool = False
 
 
 class State(NamedTuple):
     members: tuple[Member, ...]
     committed: tuple[Entry, ...]
-    left: Bounds  # what may happen yet
+    remaining: Bounds  # remaining steps of each kind
 
 
-class Broken(Exception):
-    """An invariant does not hold in a state that was reached."""
+class InvariantViolation(Exception):
+    """An invariant does not hold in a reached state."""
 
 
-FIRST = Group(sum(1 << member_id for member_id in range(FOUNDERS)))
-EMPTY = State((Member(),) * len(EVERYBODY), (), Bounds())
+INITIAL_GROUP = Group(sum(1 << member_id for member_id in range(INITIAL_VOTERS)))
+EMPTY = State((Member(),) * len(ALL_MEMBERS), (), Bounds())
 
 
 # Memberships and quorums.
@@ -91,16 +88,16 @@
 
 @cache
 def newest(log):
-    """The newest membership in a log, and its index there; 0 where it is the one of the first start."""
+    """The newest membership in a log, and its index; 0 if it is the initial one."""
     for index in range(len(log), 0, -1):
         if log[index - 1].group is not None:
             return log[index - 1].group, index
-    return FIRST, 0
+    return INITIAL_GROUP, 0
 
 
 @cache
 def epoch(log):
-    """How many memberships are in a log."""
+    """The number of memberships in a log."""
     return sum(entry.group is not None for entry in log)
 
 
@@ -113,19 +110,19 @@
 
 
 @cache
-def least_quorums(group, defect=None):
-    """The quorums that are none any more if anyone is taken out."""
+def minimal_quorums(group, defect=None):
+    """The quorums that are no quorum without any one of their members."""
     found = []
-    for agreeing in range(1 << len(EVERYBODY)):
+    for agreeing in range(1 << len(ALL_MEMBERS)):
         if is_quorum(group, agreeing, defect):
-            smaller = [agreeing & ~(1 << identity) for identity in EVERYBODY if agreeing >> identity & 1]
+            smaller = [agreeing & ~(1 << identity) for identity in ALL_MEMBERS if agreeing >> identity & 1]
             if not any(is_quorum(group, other, defect) for other in smaller):
                 found.append(agreeing)
     return found
 
 
 def freshness(log):
-    """What a voter compares: a candidate's must not be lower than its own."""
+    """The value that a voter compares: a candidate's must not be lower than its own."""
     return (log[-1].term if log else 0, len(log))
 
 
@@ -135,102 +132,104 @@
 
 @cache
 def members_in(mask):
-    return tuple(member_id for member_id in EVERYBODY if mask >> member_id & 1)
+    return tuple(member_id for member_id in ALL_MEMBERS if mask >> member_id & 1)
 
 
 # Steps.
 
 
-def put(values, member_id, value):
+def replace_at(values, member_id, value):
     return (*values[:member_id], value, *values[member_id + 1 :])
 
 
 def with_member(state, member_id, **changed):
-    return state._replace(members=put(state.members, member_id, state.members[member_id]._replace(**changed)))
+    return state._replace(members=replace_at(state.members, member_id, state.members[member_id]._replace(**changed)))
 
 
-def spend(state, **spent):
+def use_up(state, **spent):
     return state._replace(
-        left=state.left._replace(**{name: getattr(state.left, name) - count for name, count in spent.items()})
+        remaining=state.remaining._replace(
+            **{name: getattr(state.remaining, name) - count for name, count in spent.items()}
+        )
     )
 
 
 def steps(state, defect, bounds):
-    """Every (name, next state) from here. `defect`: one safeguard that is left out."""
-    for me, member in enumerate(state.members):
-        if member.gone:
+    """Every (name, next state) from this state. `defect`: the safeguard that is removed."""
+    for member_id, member in enumerate(state.members):
+        if member.wiped:
             continue
         if member.match is None:
-            yield from elections(state, me, member, defect, bounds)
+            yield from election_steps(state, member_id, member, defect, bounds)
         else:
-            yield from leads(state, me, member, defect)
-        yield from losses(state, me, member, defect)
+            yield from leader_steps(state, member_id, member, defect)
+        yield from loss_steps(state, member_id, member, defect)
 
 
-def elections(state, me, member, defect, bounds):
+def election_steps(state, member_id, member, defect, bounds):
     group, _ = newest(member.log)
-    if not group.all_voters >> me & 1:
+    if not group.all_voters >> member_id & 1:
         return
-    for quorum in least_quorums(group, defect):
+    for quorum in minimal_quorums(group, defect):
         chosen = members_in(quorum)
-        if me not in chosen:
+        if member_id not in chosen:
             continue
         voters = [state.members[identity] for identity in chosen]
         term = max(voter.term for voter in voters) + 1
         if term > bounds.terms:
             continue
-        if not all(would_vote(state, identity, me, defect) for identity in chosen):
+        if not all(would_vote(state, identity, member_id, defect) for identity in chosen):
             continue
         members = list(state.members)
         for identity in chosen:
             members[identity] = members[identity]._replace(term=term, match=None)
-        members[me] = members[me]._replace(match=own_match(me, member.log))
+        members[member_id] = members[member_id]._replace(match=own_match(member_id, member.log))
         if member.log[: len(state.committed)] != state.committed:
-            raise Broken("kept: elected without all that is committed", f"elect {me} {chosen}")
-        yield f"elect {me} {chosen}", state._replace(members=tuple(members))
+            raise InvariantViolation("durability: elected without all committed entries", f"elect {member_id} {chosen}")
+        yield f"elect {member_id} {chosen}", state._replace(members=tuple(members))
 
 
 def would_vote(state, voter, candidate, defect):
-    """Whether `voter` runs and finds the candidate's log new enough."""
+    """Whether `voter` runs and the candidate's log is at least as up-to-date as its own."""
     own, asked = state.members[voter], state.members[candidate]
-    if own.gone or freshness(own.log) > freshness(asked.log):
+    if own.wiped or freshness(own.log) > freshness(asked.log):
         return False
-    if defect != "votes denied to whom an uncommitted membership leaves out":
+    if defect != "votes denied to candidates that an uncommitted membership excludes":
         return True
     known = epoch(own.log)
-    if known == 0 and voter >= FOUNDERS:
-        return True  # it was in_order of no membership yet
+    if known == 0 and voter >= INITIAL_VOTERS:
+        return True  # it knows no membership yet
     group, _ = newest(own.log)
     return bool(group.all_voters >> candidate & 1) or epoch(asked.log) > known
 
 
-def own_match(me, log):
-    return tuple(len(log) if member_id == me else 0 for member_id in EVERYBODY)
+def own_match(leader_id, log):
+    return tuple(len(log) if member_id == leader_id else 0 for member_id in ALL_MEMBERS)
 
 
-def leads(state, me, member, defect):
-    """What a leader does: adds an entry, or sends its log."""
-    if state.left.values:
-        yield f"value {me}", spend(added(state, me, member, None), values=1)
+def leader_steps(state, member_id, member, defect):
+    """The steps of a leader: append an entry, or send its log."""
+    if state.remaining.values:
+        yield f"value {member_id}", use_up(with_entry(state, member_id, member, None), values=1)
     group, index = newest(member.log)
     known = index <= len(state.committed) and member.log[:index] == state.committed[:index]
     if group.outgoing:
-        stays = group.voters >> me & 1 or defect == "finished by a leader that is removed"
+        stays = group.voters >> member_id & 1 or defect == "finished by a leader that is removed"
         if stays and (known or defect == "finished before the joint one is committed"):
-            yield f"finish {me}", added(state, me, member, Group(group.voters))
-    if state.left.changes and (
+            yield f"finish {member_id}", with_entry(state, member_id, member, Group(group.voters))
+    if state.remaining.changes and (
         (known and not group.outgoing) or defect == "a change before the former one is committed"
     ):
-        for chosen in combinations(EVERYBODY, SIZE):
+        for chosen in combinations(ALL_MEMBERS, SIZE):
             voters = bits(chosen)
-            if voters == group.voters or not (me in chosen or defect == "finished by a leader that is removed"):
+            if voters == group.voters or not (member_id in chosen or defect == "finished by a leader that is removed"):
                 continue
             joint = Group(voters) if defect == "no joint phase" else Group(voters, group.voters)
             after = caught_up(state, member, voters & ~group.voters)
             if after is not None:
-                yield f"change {me} {chosen}", spend(added(after, me, member, joint), changes=1)
+                yield f"change {member_id} {chosen}", use_up(with_entry(after, member_id, member, joint), changes=1)
     for other, peer in enumerate(state.members):
-        if other == me or peer.gone or peer.term > member.term:
+        if other == member_id or peer.wiped or peer.term > member.term:
             continue
         if not group.all_voters >> other & 1 and defect != "uncommitted entries for members that are no voters":
             continue
@@ -238,73 +237,73 @@
         if peer.term == member.term and log == peer.log and member.match[other] == len(member.log):
             continue
         after = with_member(state, other, term=member.term, log=log, match=None)
-        after = with_member(after, me, match=put(member.match, other, len(member.log)))
-        yield f"send {me} {other}", commits(after, me, defect, f"send {me} {other}")
+        after = with_member(after, member_id, match=replace_at(member.match, other, len(member.log)))
+        yield f"send {member_id} {other}", commits(after, member_id, defect, f"send {member_id} {other}")
 
 
-def caught_up(state, leader, newcomers):
-    """The state in which the newcomers have all that is committed; None where one of them cannot."""
-    for identity in members_in(newcomers):
+def caught_up(state, leader, new_members):
+    """The state in which the new members have all committed entries; None if one of them cannot."""
+    for identity in members_in(new_members):
         peer = state.members[identity]
-        if peer.gone or peer.term > leader.term:
+        if peer.wiped or peer.term > leader.term:
             return None
         log = peer.log if peer.log[: len(state.committed)] == state.committed else state.committed
         state = with_member(state, identity, term=leader.term, log=log, match=None)
     return state
 
 
-def added(state, me, member, group):
-    log = (*member.log, Entry(member.term, me, group))
-    return with_member(state, me, log=log, match=put(member.match, me, len(log)))
+def with_entry(state, member_id, member, group):
+    log = (*member.log, Entry(member.term, member_id, group))
+    return with_member(state, member_id, log=log, match=replace_at(member.match, member_id, len(log)))
 
 
-def commits(state, me, defect, name):
-    """The state with what leader `me` may call committed now."""
-    leader = state.members[me]
+def commits(state, member_id, defect, name):
+    """The state after leader `member_id` commits what a quorum has."""
+    leader = state.members[member_id]
     group, _ = newest(leader.log)
     for index in range(len(leader.log), 0, -1):
         if leader.log[index - 1].term != leader.term:
             return state
-        if is_quorum(group, bits(identity for identity in EVERYBODY if leader.match[identity] >= index), defect):
+        if is_quorum(group, bits(identity for identity in ALL_MEMBERS if leader.match[identity] >= index), defect):
             common = min(index, len(state.committed))
             if leader.log[:common] != state.committed[:common]:
-                raise Broken("kept: two leaders committed different entries", name)
+                raise InvariantViolation("durability: two leaders committed different entries", name)
             if index > len(state.committed):
                 return state._replace(committed=leader.log[:index])
             return state
     return state
 
 
-def losses(state, me, member, defect):
-    if not state.left.losses:
+def loss_steps(state, member_id, member, defect):
+    if not state.remaining.losses:
         return
     if member.match is not None:
-        yield f"restart {me}", spend(with_member(state, me, match=None), losses=1)
+        yield f"restart {member_id}", use_up(with_member(state, member_id, match=None), losses=1)
     if defect == "an identity kept across a lost disk":
-        yield f"wipe {me}", spend(with_member(state, me, term=0, log=(), match=None), losses=1)
+        yield f"wipe {member_id}", use_up(with_member(state, member_id, term=0, log=(), match=None), losses=1)
         return
-    after = state._replace(members=put(state.members, me, Member(gone=True)))
-    if len(out(after)) <= TOLERATED and member.log:
-        yield f"wipe {me}", spend(after, losses=1)
+    after = state._replace(members=replace_at(state.members, member_id, Member(wiped=True)))
+    if len(lost_members(after)) <= TOLERATED and member.log:
+        yield f"wipe {member_id}", use_up(after, losses=1)
 
 
-def out(state):
-    """The wiped members that may still be needed."""
+def lost_members(state):
+    """The wiped members that a membership in effect or in a log still includes."""
     group, index = newest(state.committed)
-    counted = group.all_voters
+    included = group.all_voters
     for member in state.members:
-        if not member.gone:
+        if not member.wiped:
             for entry in member.log[index:]:
                 if entry.group is not None:
-                    counted |= entry.group.all_voters
-    return [identity for identity in EVERYBODY if state.members[identity].gone and counted >> identity & 1]
+                    included |= entry.group.all_voters
+    return [identity for identity in ALL_MEMBERS if state.members[identity].wiped and included >> identity & 1]
 
 
 # Invariants.
 
 
 def check(state, defect):
-    """Raises `Broken` if two leaders can decide, or if one loss too few is tolerated."""
+    """Raise `InvariantViolation` if two leaders can commit, or if fewer losses than `TOLERATED` are tolerated."""
     leaders = [(member.term, member_id) for member_id, member in enumerate(state.members) if member.match is not None]
     newest_term = max(leaders, default=(0, 0))[0]
     for term, member_id in leaders:
@@ -313,81 +312,79 @@
             continue
         answering = bits(
             identity
-            for identity in EVERYBODY
-            if not state.members[identity].gone and state.members[identity].term <= term
+            for identity in ALL_MEMBERS
+            if not state.members[identity].wiped and state.members[identity].term <= term
         )
         if term == newest_term or is_quorum(newest(state.members[member_id].log)[0], answering, defect):
-            raise Broken("one leader: two leaders have majorities that do not meet", "")
-    lost = bits(out(state))
+            raise InvariantViolation("single leader: two leaders have quorums that do not intersect", "")
+    lost = bits(lost_members(state))
     if lost.bit_count() < TOLERATED:
-        running = [identity for identity in EVERYBODY if not state.members[identity].gone]
+        running = [identity for identity in ALL_MEMBERS if not state.members[identity].wiped]
         if not all(electable(state, identity, defect) for identity in running):
-            raise Broken("available: the next loss is not tolerated", "")
+            raise InvariantViolation("availability: the next loss is not tolerated", "")
     elif not electable(state, None, defect):
-        raise Broken("available: nobody can be elected", "")
+        raise InvariantViolation("availability: no member can be elected", "")
 
 
 def electable(state, missing, defect):
-    """Whether somebody can be elected while `missing`, too, is out."""
-    running = [identity for identity in EVERYBODY if identity != missing and not state.members[identity].gone]
-    for me in running:
-        group, _ = newest(state.members[me].log)
-        if not group.all_voters >> me & 1:
+    """Whether a member can be elected while `missing` is lost as well."""
+    running = [identity for identity in ALL_MEMBERS if identity != missing and not state.members[identity].wiped]
+    for member_id in running:
+        group, _ = newest(state.members[member_id].log)
+        if not group.all_voters >> member_id & 1:
             continue
-        would = 0
+        granting = 0
         for identity in running:
-            if would_vote(state, identity, me, defect):
-                would |= 1 << identity
-        if is_quorum(group, would, defect):
+            if would_vote(state, identity, member_id, defect):
+                granting |= 1 << identity
+        if is_quorum(group, granting, defect):
             return True
     return False
 
 
-# States that are alike.
+# Equivalent states.
 
 
 @cache
 def renamings(ranks):
-    """The orders, each a new member_id for every member, that put the first members and the newcomers in order of rank;
-    more than one where ranks are alike."""
+    """The renamings that sort the initial voters and the other members by rank; more than one if ranks are equal. Each is a
+    sequence of members and its inverse."""
     found = []
-    for founders in permutations(range(FOUNDERS)):
-        for newcomers in permutations(range(FOUNDERS, len(EVERYBODY))):
-            sequence = (*founders, *newcomers)  # who comes first, second ...
+    for initial in permutations(range(INITIAL_VOTERS)):
+        for new_members in permutations(range(INITIAL_VOTERS, len(ALL_MEMBERS))):
+            sequence = (*initial, *new_members)  # member at each position
             in_order = [ranks[identity] for identity in sequence]
-            if in_order[:FOUNDERS] == sorted(in_order[:FOUNDERS]) and in_order[FOUNDERS:] == sorted(
-                in_order[FOUNDERS:]
+            if in_order[:INITIAL_VOTERS] == sorted(in_order[:INITIAL_VOTERS]) and in_order[INITIAL_VOTERS:] == sorted(
+                in_order[INITIAL_VOTERS:]
             ):
-                found.append((sequence, tuple(sequence.index(identity) for identity in EVERYBODY)))
+                found.append((sequence, tuple(sequence.index(identity) for identity in ALL_MEMBERS)))
     return found
 
 
 @cache
-def moved_group(group, order):
+def renamed_group(group, order):
     return group and Group(*(bits(order[identity] for identity in members_in(side)) for side in group))
 
 
-class Numbers:
-    """Logs by number, and which log each becomes when members are renamed; numbers are quick to compare."""
+class LogNumbers:
+    """A number for each log after a renaming of members; numbers are faster to compare than logs."""
 
     def __init__(self):
         self._numbers = {}
-        self._moved = {}
+        self._renamed = {}
 
-    def moved(self, log, order):
-        found = self._moved.get((log, order))
+    def number_after_renaming(self, log, order):
+        found = self._renamed.get((log, order))
         if found is None:
-            renamed = tuple(
-                Entry(identity.term, order[identity.author], moved_group(identity.group, order)) for identity in log
-            )
-            found = self._moved[log, order] = self._numbers.setdefault(renamed, len(self._numbers))
+            renamed = tuple(Entry(entry.term, order[entry.author], renamed_group(entry.group, order)) for entry in log)
+            found = self._renamed[log, order] = self._numbers.setdefault(renamed, len(self._numbers))
         return found
 
 
 def rank(member):
-    """What does not change when members are renamed."""
+    """The properties of a member that a renaming does not change."""
     return (
-        member.gone,
+        member.wiped,
         member.term,
         freshness(member.log),
         -1 if member.match is None else sum(member.match),
@@ -395,89 +392,89 @@
 
 
 def key(state, numbers):
-    """The same for all states that are alike."""
+    """A key that is equal for equivalent states."""
     ranks = [rank(member) for member in state.members]
     ordered = sorted(set(ranks))
     best = None
     for sequence, order in renamings(tuple(ordered.index(identity) for identity in ranks)):
-        found = [numbers.moved(state.committed, order)]
+        found = [numbers.number_after_renaming(state.committed, order)]
         for identity in sequence:
             member = state.members[identity]
             match = member.match and tuple([member.match[other] for other in sequence])
-            found.append((member.term, member.gone, numbers.moved(member.log, order), match or ()))
+            found.append((member.term, member.wiped, numbers.number_after_renaming(member.log, order), match or ()))
         if best is None or found < best:
             best = found
-    return hash((tuple(best), state.left))
+    return hash((tuple(best), state.remaining))
 
 
 def explore(bounds, defect=None, max_states=10**9, traced=True):
-    """How many states were met that are not alike, whether those are all, and what broke with its shortest trace.
-    Of states that were met a number is kept, as they are many; without `traced` also not the way to them."""
-    numbers = Numbers()
-    first = EMPTY._replace(left=bounds)
-    met, queue = {key(first, numbers)}, deque([(first, None)])
-    while queue and len(met) < max_states:
-        state, way = queue.popleft()
+    """The number of different states, whether those are all, and the violated invariant with a shortest trace. Only a hash of
+    each visited state is stored, to save memory; `traced` False stores no traces either."""
+    numbers = LogNumbers()
+    first = EMPTY._replace(remaining=bounds)
+    visited, queue = {key(first, numbers)}, deque([(first, None)])
+    while queue and len(visited) < max_states:
+        state, trace_links = queue.popleft()
         name = ""
         try:
             for name, after in steps(state, defect, bounds):
                 found = key(after, numbers)
-                if found in met:
+                if found in visited:
                     continue
-                met.add(found)
+                visited.add(found)
                 check(after, defect)
-                queue.append((after, (name, way) if traced else None))
-        except Broken as broken:
-            invariant, last = broken.args
+                queue.append((after, (name, trace_links) if traced else None))
+        except InvariantViolation as violation:
+            invariant, last = violation.args
             trace = [last or name]
-            while way is not None:
-                name, way = way
+            while trace_links is not None:
+                name, trace_links = trace_links
                 trace.append(name)
-            return len(met), False, (invariant, trace[::-1])
-    return len(met), not queue, None
+            return len(visited), False, (invariant, trace[::-1])
+    return len(visited), not queue, None
 
 
 def test_invariants_hold_in_every_explored_state():
-    met, _, broken = explore(Bounds(), max_states=60_000)
-    assert broken is None and met >= 60_000, broken
+    visited, _, violation = explore(Bounds(), max_states=60_000)
+    assert violation is None and visited >= 60_000, violation
 
 
 DEFECTS = {
-    "no joint phase": ("one leader", "elect"),
-    "an identity kept across a lost disk": ("one leader", "wipe"),
-    "a change before the former one is committed": ("one leader", "elect"),
-    "finished before the joint one is committed": ("one leader", "elect"),
-    "one majority of both sides together": ("one leader", "elect"),
-    "uncommitted entries for members that are no voters": ("available", "send"),
-    "finished by a leader that is removed": ("available", "finish"),
-    "votes denied to whom an uncommitted membership leaves out": ("available", "send"),
+    "no joint phase": ("single leader", "elect"),
+    "an identity kept across a lost disk": ("single leader", "wipe"),
+    "a change before the former one is committed": ("single leader", "elect"),
+    "finished before the joint one is committed": ("single leader", "elect"),
+    "one majority of both sides together": ("single leader", "elect"),
+    "uncommitted entries for members that are no voters": ("availability", "send"),
+    "finished by a leader that is removed": ("availability", "finish"),
+    "votes denied to candidates that an uncommitted membership excludes": ("availability", "send"),
 }
 
 
 @pytest.mark.parametrize("defect, invariant, last", [(name, *found) for name, found in DEFECTS.items()])
 def test_removing_a_safeguard_breaks_its_invariant_with_a_shortest_trace(defect, invariant, last):
-    met, _, broken = explore(Bounds(), defect)
-    assert broken is not None and met < 30_000
-    assert broken[0].startswith(invariant) and broken[1][-1].split()[0] == last, (met, broken)
+    visited, _, violation = explore(Bounds(), defect)
+    assert violation is not None and visited < 30_000
+    assert violation[0].startswith(invariant) and violation[1][-1].split()[0] == last, (visited, violation)
 
 
 def test_a_smaller_search_is_complete():
-    met, complete, broken = explore(Bounds(terms=2, values=1, changes=1, losses=1))
-    assert complete and broken is None, (met, broken)
+    visited, complete, violation = explore(Bounds(terms=2, values=1, changes=1, losses=1))
+    assert complete and violation is None, (visited, violation)
 
 
 def main():
     import time
 
     for defect in DEFECTS:
-        met, _, broken = explore(Bounds(), defect)
-        print(f"{defect}: {broken[0]}, after {met} states: {', '.join(broken[1])}", flush=True)
+        visited, _, violation = explore(Bounds(), defect)
+        print(f"{defect}: {violation[0]}, after {visited} states: {', '.join(violation[1])}", flush=True)
     for bounds in TABLE:
-        began = time.perf_counter()
-        met, complete, broken = explore(bounds, traced=False)
+        started_at = time.perf_counter()
+        visited, complete, violation = explore(bounds, traced=False)
         print(
-            f"{bounds.terms} terms, {bounds.values} values, {bounds.changes} changes, {bounds.losses} losses: {met} states, "
-            f"{'all' if complete else 'not all'}, {broken or 'nothing broken'}, {time.perf_counter() - began:.0f} s",
+            f"{bounds.terms} terms, {bounds.values} values, {bounds.changes} changes, {bounds.losses} losses: {visited} states, "
+            f"{'all' if complete else 'not all'}, {violation or 'no violation'}, {time.perf_counter() - started_at:.0f} s",
             flush=True,
         )
 
--- a/tests/consensus/test_named_invariants.py
+++ b/tests/consensus/test_named_invariants.py
@@ -1,4 +1,4 @@
-"""The tests that docstrings of the core name as those that hold an invariant."""
+"""Every test that a docstring of the consensus core refers to exists."""
 
 import re
 from pathlib import Path
@@ -8,7 +8,7 @@
 PACKAGE = Path(kestrelplank.consensus.__file__).parent
 
 
-def test_each_test_that_the_core_names_exists():
+def test_each_test_named_in_a_docstring_exists():
     named = {name for module in PACKAGE.glob("*.py") for name in re.findall(r"`(test_\w+)`", module.read_text())}
     tests = "\n".join(module.read_text() for module in Path(__file__).parent.glob("test_*.py"))
     defined = set(re.findall(r"^def (test_\w+)", tests, re.MULTILINE))
--- a/tests/consensus/test_progress.py
+++ b/tests/consensus/test_progress.py
@@ -1,6 +1,6 @@
-"""What a leader sends a follower that lacks a snapshot: retries of chunks, and none while it does not reply."""
+"""Snapshot transfer by a leader: chunks are retried with backoff, and not sent to a follower that does not reply."""
 
-from consensus.test_review import A, B, leading_term_3, written
+from consensus.test_review import A, B, leading_term_3, persist_all
 from kestrelplank.consensus.consensus_messages import AppendReply, SnapshotChunk, SnapshotReply
 from kestrelplank.consensus.log_entries import Snapshot
 from kestrelplank.consensus.membership import Membership
@@ -14,7 +14,7 @@
 
 
 def retry_after_s(progress, now):
-    """Whole seconds from sending a chunk until it is overdue."""
+    """Whole seconds from sending a chunk until it counts as overdue."""
     progress.chunk_sent(now)
     seconds = next(seconds for seconds in range(1, 20) if progress.chunk_overdue(now + seconds * SECOND))
     assert not progress.chunk_overdue(now + seconds * SECOND - 1)
@@ -45,17 +45,17 @@
         nonlocal now
         while now < until:
             now += HEARTBEAT_INTERVAL_NS
-            sent = written(leader, now, leader.tick(now))
+            sent = persist_all(leader, now, leader.tick(now))
             heartbeat_round = max(effect.message.heartbeat_round for effect in sent)
             chunks.extend(now for effect in sent if isinstance(effect.message, SnapshotChunk))
-            written(leader, now, leader.receive(now, A, AppendReply(3, 1, True, 21, heartbeat_round)))
+            persist_all(leader, now, leader.receive(now, A, AppendReply(3, 1, True, 21, heartbeat_round)))
 
-    sent = written(leader, now, leader.receive(now, B, AppendReply(3, 1, False, 0, 1)))
+    sent = persist_all(leader, now, leader.receive(now, B, AppendReply(3, 1, False, 0, 1)))
     assert [type(effect.message) for effect in sent if effect.to == B] == [SnapshotChunk]
     begun_at = now
     pass_time(begun_at + SECOND)
     assert len(chunks) <= 1 and leader.peers[B].outgoing_snapshot is not None
     pass_time(begun_at + 3 * SECOND)
     assert leader.peers[B].outgoing_snapshot is None and all(sent_at <= begun_at + SECOND for sent_at in chunks)
-    sent = written(leader, now, leader.receive(now, B, AppendReply(3, 1, False, 0, 1)))
+    sent = persist_all(leader, now, leader.receive(now, B, AppendReply(3, 1, False, 0, 1)))
     assert [type(effect.message) for effect in sent if effect.to == B] == [SnapshotChunk]
--- a/tests/consensus/test_recorded_bytes.py
+++ b/tests/consensus/test_recorded_bytes.py
@@ -1,6 +1,6 @@
-"""The bytes of each message, command and durable record, as commit 4f929ce packed them.
+"""The encoded bytes of each message, command and durable record, as recorded at commit 4f929ce.
 
-Names of fields may change, the bytes between members of different releases and on their disks may not.
+Field names may change; the bytes exchanged between members of different releases, and on their disks, may not.
 """
 
 import msgspec
@@ -91,23 +91,23 @@
 }
 
 
-def packed(value):
+def encoded(value):
     return msgspec.msgpack.encode(value).hex()
 
 
 @pytest.mark.parametrize("recorded, message", MESSAGES.items())
 def test_a_message_has_the_recorded_bytes(recorded, message):
-    assert packed(message) == recorded
+    assert encoded(message) == recorded
     assert msgspec.msgpack.decode(bytes.fromhex(recorded), type=Message) == message
 
 
 @pytest.mark.parametrize("recorded, command", COMMANDS.items())
 def test_a_command_has_the_recorded_bytes(recorded, command):
-    assert packed(command) == recorded
+    assert encoded(command) == recorded
     assert msgspec.msgpack.decode(bytes.fromhex(recorded), type=Command) == command
 
 
 @pytest.mark.parametrize("recorded, record", RECORDS.items())
 def test_a_durable_record_has_the_recorded_bytes(recorded, record):
-    assert packed(record) == recorded
+    assert encoded(record) == recorded
     assert msgspec.msgpack.decode(bytes.fromhex(recorded), type=type(record)) == record
--- a/tests/consensus/test_replacement.py
+++ b/tests/consensus/test_replacement.py
@@ -1,8 +1,8 @@
-"""Members that are replaced, planned and unplanned, with the next fault at each step: the real core and the real policy
-in a simulated cluster, which holds all invariants after every event.
+"""Planned and unplanned replacement of members with another fault before each event, on a simulated cluster: no
+acknowledged order is lost, and the change completes.
 
-Machines are `a`, `b`, `c` and so on; those that count at the first start come first. In CI each point of a change meets
-each victim with one kind of loss; `python tests/consensus/test_replacement.py [SEEDS]` plays all kinds with several seeds.
+Machines are `a`, `b`, `c` and so on; the initial voters come first. In CI each event and victim gets one kind of loss;
+`python tests/consensus/test_replacement.py [SEEDS]` runs all kinds with several seeds.
 """
 
 import pytest
@@ -18,8 +18,8 @@
     SYNC_TIMEOUT_NS,
     WIPED,
     ReplacingCluster,
-    every_point,
-    started,
+    scenarios_with_loss,
+    started_cluster,
 )
 from consensus.simulated_cluster import IN_FORCE
 from kestrelplank.consensus.identity import FIRST_INCARNATION, identity_of
@@ -31,11 +31,11 @@
 
 
 def seeded(**settings):
-    return started(seed=COVERAGE.seed, **settings)
+    return started_cluster(seed=COVERAGE.seed, **settings)
 
 
 def planned_replacement(leaver):
-    """Begins with the newcomer d up for a second as `leaver` (0: the leader) is told to end."""
+    """A scenario whose new member d has run for a second when `leaver` (0: the leader) gets SIGTERM."""
 
     def begin():
         cluster, leader, others = seeded()
@@ -48,26 +48,26 @@
 
 
 def d_is_a_voter(cluster):
-    return cluster.has_replaced("d")
+    return cluster.has_joined("d")
 
 
-# A second loss at each step.
+# Another loss before each event.
 
 
 @pytest.mark.parametrize("leaver", [0, 1], ids=["leader", "follower"])
-def test_a_loss_at_each_step_of_a_planned_replacement(leaver):
-    """The newcomer runs before the SIGTERM. Whoever is lost, at whichever step: orders are taken, and also after the
-    leaver has ended, which does not count as lost, as its successor ran in time."""
-    for play in every_point(planned_replacement(leaver), d_is_a_voter, "abcd"):
-        play.cluster.serves(2)
-        if play.loss is GONE:
-            play.cluster.run(RECOVERY_TIMEOUT_NS)
-            play.cluster.serves(3)
+def test_planned_replacement_tolerates_a_loss_before_any_event(leaver):
+    """The new member runs before the SIGTERM. Orders are acknowledged after any other loss, and again after the leaver has
+    stopped, which does not count as a loss."""
+    for scenario in scenarios_with_loss(planned_replacement(leaver), d_is_a_voter, "abcd"):
+        scenario.cluster.check_serves(2)
+        if scenario.loss is GONE:
+            scenario.cluster.run(RECOVERY_TIMEOUT_NS)
+            scenario.cluster.check_serves(3)
 
 
-def test_a_loss_at_each_step_of_an_unplanned_replacement():
-    """c dies, d starts a second later. A second loss before d counts is one too many, so the machine comes back with its
-    disk; nothing acknowledged is lost, and the replacement is carried through."""
+def test_unplanned_replacement_completes_after_a_second_fault_before_any_event():
+    """c is killed, d starts a second later. A second loss before d is a voter exceeds the tolerated losses, so that machine
+    returns with its disk; then no acknowledged order is lost and the replacement completes."""
 
     def begin():
         cluster, _, _ = seeded()
@@ -76,15 +76,15 @@
         cluster.start("d")
         return cluster
 
-    for play in every_point(begin, d_is_a_voter, "abd", (KILLED, ISOLATED, FROZEN), stride=2):
-        play.cluster.until_replaced("d", 30 * SECOND)
-        play.cluster.serves(2)
+    for scenario in scenarios_with_loss(begin, d_is_a_voter, "abd", (KILLED, ISOLATED, FROZEN), stride=2):
+        scenario.cluster.until_joined("d", 30 * SECOND)
+        scenario.cluster.check_serves(2)
 
 
 @pytest.mark.parametrize("wait", [0, 500 * MILLISECOND, SECOND, 5 * SECOND])
 @pytest.mark.parametrize("victim", "abc")
-def test_the_next_loss_is_borne_once_a_newcomer_has_run_for_the_platforms_time(victim, wait):
-    """Whoever is lost first, and whether the newcomer starts at once or later: then any other may go for good."""
+def test_another_loss_is_tolerated_once_a_new_member_has_run_for_the_sync_time(victim, wait):
+    """After any first loss, and a new member that starts at once or later, any other member may be lost for good."""
     for second in "abcd".replace(victim, ""):
         cluster, _, _ = seeded()
         cluster.kill(victim)
@@ -93,73 +93,77 @@
         cluster.run(SYNC_TIMEOUT_NS)
         assert cluster.voters() == "abcd".replace(victim, "")
         cluster.wipe(second)
-        cluster.serves(2)
+        cluster.check_serves(2)
 
 
-def test_all_lose_power_at_each_step_of_a_change():
+def test_change_completes_after_power_loss_of_all_before_any_event():
     for leaver in (0, 1):
-        for play in every_point(planned_replacement(leaver), d_is_a_voter, "-", (POWER_LOST,)):
-            play.cluster.run(SECOND)
-            play.cluster.serves(2)
-            play.cluster.until(lambda cluster=play.cluster: cluster.has_voters(cluster.voters()), RECOVERY_TIMEOUT_NS)
+        for scenario in scenarios_with_loss(planned_replacement(leaver), d_is_a_voter, "-", (POWER_LOST,)):
+            scenario.cluster.run(SECOND)
+            scenario.cluster.check_serves(2)
+            scenario.cluster.until(
+                lambda cluster=scenario.cluster: cluster.has_voters(cluster.voters()), RECOVERY_TIMEOUT_NS
+            )
 
 
-def test_a_wiped_member_at_each_step_of_anothers_joining():
-    """Five count, two losses are borne. c is dead and f joins for it; a second machine loses its disk."""
+def test_disk_loss_before_any_event_of_an_unplanned_replacement_is_tolerated():
+    """Five voters, two tolerated losses. f replaces the stopped c, and another machine loses its disk."""
 
     def begin():
-        cluster, _, _ = seeded(counted=5, losses=2, spare=1)
+        cluster, _, _ = seeded(voter_count=5, losses=2, spare=1)
         cluster.kill("c")
         cluster.run(1500 * MILLISECOND)
         cluster.start("f")
         return cluster
 
-    for play in every_point(begin, lambda cluster: cluster.has_voters("abdef"), "abdef", (WIPED, GONE), stride=5):
-        play.cluster.serves(2)
-        if play.loss is WIPED:
-            play.cluster.run(play.loss.lasts)
-            play.cluster.until_voters("abdef", SYNC_TIMEOUT_NS)
+    for scenario in scenarios_with_loss(
+        begin, lambda cluster: cluster.has_voters("abdef"), "abdef", (WIPED, GONE), stride=5
+    ):
+        scenario.cluster.check_serves(2)
+        if scenario.loss is WIPED:
+            scenario.cluster.run(scenario.loss.lasts)
+            scenario.cluster.until_voters("abdef", SYNC_TIMEOUT_NS)
 
 
-def test_a_wiped_member_at_each_step_of_anothers_planned_joining():
-    """Three count. c leaves for d, and a or b loses its disk, and comes back as another member, which takes its place."""
+def test_disk_loss_before_any_event_of_a_planned_replacement_is_tolerated():
+    """Three voters. d replaces the leaving c while a machine loses its disk and returns with a new identity."""
 
     def kept(cluster):
         return len(cluster.voters()) == 3 and cluster.has_voters(cluster.voters())
 
-    for play in every_point(planned_replacement(1), d_is_a_voter, "abcd", (WIPED,), stride=3):
-        play.cluster.run(play.loss.lasts)
-        play.cluster.until(lambda cluster=play.cluster: kept(cluster), RECOVERY_TIMEOUT_NS)
-        play.cluster.serves(2)
+    for scenario in scenarios_with_loss(planned_replacement(1), d_is_a_voter, "abcd", (WIPED,), stride=3):
+        scenario.cluster.run(scenario.loss.lasts)
+        scenario.cluster.until(lambda cluster=scenario.cluster: kept(cluster), RECOVERY_TIMEOUT_NS)
+        scenario.cluster.check_serves(2)
 
 
-def test_growth_from_three_to_five_with_a_loss_at_each_step():
-    """Eleven machines start together, three of them are named at the first start; two losses are to be borne."""
+def test_growth_from_three_to_five_voters_tolerates_a_loss_before_any_event():
+    """Eleven machines start together, three as initial voters; two losses are to be tolerated."""
 
     def begin():
         cluster = ReplacingCluster(losses=2, spare=8, seed=COVERAGE.seed)
         for name in "defghijk":
-            cluster.at(cluster.random.randrange(300 * MILLISECOND), lambda name=name: cluster.start(name))
+            cluster.schedule(cluster.random.randrange(300 * MILLISECOND), lambda name=name: cluster.start(name))
         cluster.elect()
         return cluster
 
     def five(cluster):
         return len(cluster.voters()) == 5 and cluster.has_voters(cluster.voters())
 
-    for play in every_point(begin, five, "abcde", (GONE, WIPED), stride=60):
-        play.cluster.serves(1)
-        play.cluster.run(SYNC_TIMEOUT_NS)
-        assert len(play.cluster.voters()) == 5
-        play.cluster.serves(2)
+    for scenario in scenarios_with_loss(begin, five, "abcde", (GONE, WIPED), stride=60):
+        scenario.cluster.check_serves(1)
+        scenario.cluster.run(SYNC_TIMEOUT_NS)
+        assert len(scenario.cluster.voters()) == 5
+        scenario.cluster.check_serves(2)
 
 
-# Who leaves, who comes.
+# Leaving and joining members.
 
 
 @pytest.mark.parametrize("leaving, lost", [("c", "a"), ("a", "c")])
-def test_a_leaving_member_holds_the_newest_entry(leaving, lost):
-    """b was partitioned while version 2 came to a and c. One of these leaves, d joins for it, and the other is lost at each
-    step: version 2 is in force on all the rest."""
+def test_newest_entry_survives_when_one_of_its_two_holders_leaves_and_the_other_is_lost(leaving, lost):
+    """b is partitioned while a and c get version 2. d replaces one of these, and the other is lost before each event: version
+    2 stays in force."""
 
     def begin():
         cluster, leader, _ = seeded()
@@ -172,33 +176,33 @@
         cluster.terminate(leaving)
         return cluster
 
-    for play in every_point(begin, d_is_a_voter, lost, (GONE, WIPED)):
-        play.cluster.until(lambda cluster=play.cluster: cluster.leader(), RECOVERY_TIMEOUT_NS)
-        assert play.cluster.leader().replica.text == b"second"
-        play.cluster.run(RECOVERY_TIMEOUT_NS)
-        play.cluster.serves(3)
+    for scenario in scenarios_with_loss(begin, d_is_a_voter, lost, (GONE, WIPED)):
+        scenario.cluster.until(lambda cluster=scenario.cluster: cluster.leader(), RECOVERY_TIMEOUT_NS)
+        assert scenario.cluster.leader().replica.text == b"second"
+        scenario.cluster.run(RECOVERY_TIMEOUT_NS)
+        scenario.cluster.check_serves(3)
 
 
-def test_a_member_replaced_twice_in_ten_seconds_loses_nothing():
-    """c is lost, d replaces it and is lost too, e takes that; then c is back with its old disk and does not count."""
+def test_replaced_voter_that_returns_after_two_replacements_is_not_a_voter():
+    """d replaces the lost c, e replaces the lost d; then c returns with its old disk and is not a voter."""
     cluster, _, _ = seeded()
     begun_at = cluster.time
-    for lost, newcomer in (("c", "d"), ("d", "e")):
+    for lost, new_member in (("c", "d"), ("d", "e")):
         cluster.kill(lost)
-        cluster.start(newcomer)
-        cluster.until_replaced(newcomer, SYNC_TIMEOUT_NS)
+        cluster.start(new_member)
+        cluster.until_joined(new_member, SYNC_TIMEOUT_NS)
     assert cluster.time - begun_at < 10 * SECOND
     cluster.start("c")
     cluster.until_voters("abe")
     cluster.run(3 * SECOND)
     assert cluster.has_voters("abe")
     cluster.kill("a")
-    cluster.serves(2)
+    cluster.check_serves(2)
 
 
 @pytest.mark.parametrize("gap", [0, 1 * MILLISECOND, 100 * MILLISECOND])
-def test_two_newcomers_for_one_voter(gap):
-    """One is taken; the other waits, and replaces the next that is lost."""
+def test_of_two_new_members_one_replaces_the_lost_voter_and_one_stays_standby(gap):
+    """One becomes a voter; the other stays a standby, and replaces the next voter that is lost."""
     cluster, _, _ = seeded()
     cluster.kill("c")
     cluster.start("d")
@@ -211,11 +215,11 @@
     cluster.kill("b")
     cluster.until_voters("ade", SYNC_TIMEOUT_NS)
     cluster.wipe(taken)
-    cluster.serves(2)
+    cluster.check_serves(2)
     assert waits in cluster.voters()
 
 
-def test_a_newcomer_of_the_same_zone_is_taken_first():
+def test_new_member_of_the_same_zone_is_preferred():
     cluster, _, _ = seeded(zones={"a": "x", "b": "y", "c": "z", "d": "y", "e": "z"})
     cluster.kill("c")
     cluster.start("d")
@@ -223,19 +227,19 @@
     cluster.until_voters("abe", SYNC_TIMEOUT_NS)
 
 
-def test_two_wiped_at_once_of_five_again_and_again():
-    cluster, _, _ = seeded(counted=5, losses=2, spare=0)
+def test_five_voters_tolerate_repeated_loss_of_two_disks():
+    cluster, _, _ = seeded(voter_count=5, losses=2, spare=0)
     for version, lost in enumerate(("ab", "cd", "ea", "bc"), 2):
-        cluster.serves(version)
+        cluster.check_serves(version)
         for name in lost:
             cluster.wipe(name)
-            cluster.at(SECOND, lambda name=name: cluster.start(name))
+            cluster.schedule(SECOND, lambda name=name: cluster.start(name))
         cluster.run(SECOND)
         cluster.until_voters("abcde", SYNC_TIMEOUT_NS)
-    cluster.serves(6)
+    cluster.check_serves(6)
 
 
-def test_a_flapping_voter_without_a_standby_stays():
+def test_flapping_voter_without_a_standby_stays_a_voter():
     cluster, _, others = seeded()
     for _ in range(4):
         cluster.isolate(others[0])
@@ -245,7 +249,7 @@
     assert not cluster.changes and cluster.has_voters("abc")
 
 
-def test_a_member_that_is_stopped_and_started_stays_a_voter_without_a_standby():
+def test_restarted_member_without_a_standby_stays_a_voter():
     cluster, leader, others = seeded()
     for name in (*others, leader):
         cluster.terminate(name, grace=SECOND)
@@ -255,13 +259,13 @@
     assert not cluster.changes and cluster.has_voters("abc")
 
 
-# Old epochs.
+# Former epochs.
 
 
-@pytest.mark.parametrize("keep", [False, True], ids=["lost", "held up"])
-def test_an_old_leader_returns_after_a_partition_believing_in_the_old_epoch_with_clients(keep):
-    """The leader is partitioned with a client, and replaced. Orders that it takes then are never in force, nor does it answer
-    reads; once the partition is healed it follows, under the newest epoch."""
+@pytest.mark.parametrize("keep", [False, True], ids=["lost", "delayed"])
+def test_partitioned_former_leader_acknowledges_nothing_and_adopts_the_newest_epoch(keep):
+    """The leader is partitioned together with a client, and replaced. Orders that it receives meanwhile never come into force,
+    and it answers no reads; once the partition is healed it follows, in the newest epoch."""
     cluster, leader, others = seeded()
     cluster.start("d")
     cluster.run(SECOND)
@@ -285,11 +289,10 @@
     assert cluster.has_voters(members)
 
 
-def test_a_change_proposed_by_two_members_at_once():
-    """The leader proposes that d replaces the silent c, and from some point on reaches nobody but d. The others
-    elect, where they can, one that proposes a change of its own, of the same epoch. Once all partitions are healed, one membership
-    counts, and all follow it."""
-    rivals = 0
+def test_two_rival_changes_in_one_epoch_end_in_one_membership():
+    """The leader proposes that d replaces a killed voter, and from some event on reaches only d. Another leader may propose
+    a different change in the same epoch. After all partitions are healed, all members have the same membership."""
+    rival_changes = 0
     for point in range(40):
         cluster, leader, (second, third) = seeded()
         cluster.kill(third)
@@ -302,29 +305,29 @@
             cluster.partition_off("d", second + third + "e")
             cluster.start(third)
 
-        cluster.watch(point, separate)
+        cluster.count_events(point, separate)
         cluster.run(6 * SECOND)
         epochs = [change.membership.epoch for change in cluster.changes]
-        rivals += len(epochs) > len(set(epochs))
+        rival_changes += len(epochs) > len(set(epochs))
         cluster.heal()
         cluster.until(lambda cluster=cluster: cluster.has_voters(cluster.voters()), RECOVERY_TIMEOUT_NS)
-        cluster.serves(2)
+        cluster.check_serves(2)
         assert len({machine.node.epoch for machine in cluster.running()}) == 1
-    assert rivals > 0
+    assert rival_changes > 0
 
 
-# Worlds that the search in `test_membership_model` finds where a safeguard is left out.
+# Situations that the search in `test_membership_model` finds if a safeguard is removed.
 
 
 def has_final(machine):
-    """Whether the newest membership in the log there is one that ends a change."""
+    """Whether the newest membership in that member's log completes a change."""
     return machine.node.epoch > 1 and not machine.node.membership.joint
 
 
 def test_removed_voter_is_sent_only_committed_entries():
-    """c leaves for d. The leader has the last entry of the change and reaches only c with it, then is lost. If c took it,
-    c's log were newer than that of b, which needs the vote of c, and c could not be elected: nobody could be elected."""
-    cluster, leader, _ = started()
+    """d replaces c. The leader appends the last entry of the change, reaches only c and is lost. If c had received that
+    entry, its log would be newer than that of b, which needs the vote of c, and no member could be elected."""
+    cluster, leader, _ = started_cluster()
     assert leader == "a"
     cluster.start("d")
     cluster.run(SECOND)
@@ -333,16 +336,16 @@
     cluster.partition_off("a", "bd")
     cluster.run(600 * MILLISECOND)
     cluster.kill("a")
-    cluster.serves(2)
+    cluster.check_serves(2)
     cluster.run(RECOVERY_TIMEOUT_NS)
-    cluster.serves(3)
+    cluster.check_serves(3)
 
 
 @pytest.mark.parametrize("power_lost", [False, True])
 def test_removed_leader_leaves_the_final_membership_entry_to_its_successor(power_lost):
-    """The one member that counts leaves for d and is partitioned from it once both have the joint membership. Were the last
-    entry in its log alone, it could not be elected any more, nor vote for d, whose log were older."""
-    cluster, _, _ = started(counted=1, losses=0, spare=3)
+    """d replaces the only voter, which is partitioned from d once both have the joint membership. If only the old voter had
+    the last entry, it could not be elected again, nor vote for d, whose log would be older."""
+    cluster, _, _ = started_cluster(voter_count=1, losses=0, spare=3)
     cluster.start("d")
     cluster.run(SECOND)
     cluster.terminate("a", grace=60 * SECOND)
@@ -355,30 +358,30 @@
         cluster.restart("d")
     cluster.heal()
     cluster.run(SECOND)
-    cluster.serves(2)
+    cluster.check_serves(2)
     cluster.until_voters("d")
 
 
-def test_a_sole_member_is_replaced_with_power_lost_at_each_step():
-    """No loss is to be borne, so one member counts; it leaves for d."""
+def test_sole_voter_is_replaced_despite_power_loss_before_any_event():
+    """No losses are tolerated, so there is one voter; d replaces it."""
 
     def begin():
-        cluster, _, _ = seeded(counted=1, losses=0, spare=3)
+        cluster, _, _ = seeded(voter_count=1, losses=0, spare=3)
         cluster.start("d")
         cluster.run(SECOND)
         cluster.terminate("a", grace=60 * SECOND)
         return cluster
 
-    for play in every_point(begin, lambda cluster: cluster.has_voters("d"), "-", (POWER_LOST,)):
-        play.cluster.run(SECOND)
-        play.cluster.serves(2)
+    for scenario in scenarios_with_loss(begin, lambda cluster: cluster.has_voters("d"), "-", (POWER_LOST,)):
+        scenario.cluster.run(SECOND)
+        scenario.cluster.check_serves(2)
 
 
-def test_votes_are_not_denied_by_a_membership_that_is_not_committed():
-    """a has a change that nobody else has, (a, b, d); b, elected after it, made another of the same epoch, (b, c, e), and
-    one more entry, which only e has; b is lost. Only e can be elected, and needs the vote of a."""
+def test_uncommitted_membership_does_not_deny_votes():
+    """Only a has a change to (a, b, d). b, the next leader, proposed another one in the same epoch, to (b, c, e), and one more
+    entry, which only e has; b is lost. Only e can be elected, and needs the vote of a."""
     cluster = ReplacingCluster(start=False)
-    a, b, c = cluster.first.voters
+    a, b, c = cluster.initial_membership.voters
     d, e = (identity_of(name, "new") for name in "de")
     first = Entry(1, 1, Noop())
     change_of_a = Entry(2, 1, ChangeMembership(Membership(2, (a, b, d), (a, b, c))))
@@ -393,47 +396,47 @@
     for name, (hard_state, entries) in logs.items():
         disk = cluster.machines[name].disk
         disk.incarnation = FIRST_INCARNATION if name in "abc" else "new"
-        disk.membership = cluster.first if name in "abc" else None
+        disk.membership = cluster.initial_membership if name in "abc" else None
         disk.hard_state, disk.entries = hard_state, entries
         cluster.start(name)
     assert cluster.elect().address == "e"
 
 
-# By hand.
+# Measurements, printed by `main`.
 
 
-def until_borne(lost, wait, seed):
-    """Two times in ms until a change that took the newcomer in was over: from the loss, and from the newcomer's start.
-    `lost`: place of who goes, 0 for the leader. `wait`: ns from the loss to the newcomer's start; None: the member at its
-    address comes back empty after a second."""
-    cluster, leader, others = started(seed=seed)
+def measure_replacement(lost, wait, seed):
+    """Two times in ms until the change that adds the new member is complete: since the loss, and since the new member's start.
+    `lost`: index of the lost member, 0 for the leader. `wait`: ns from the loss to the new member's start; None: the lost
+    machine returns with an empty disk after a second."""
+    cluster, leader, others = started_cluster(seed=seed)
     name = [leader, *others][lost]
     lost_at = cluster.time
-    newcomer = name if wait is None else "d"
+    new_member = name if wait is None else "d"
     (cluster.wipe if wait is None else cluster.kill)(name)
     cluster.run(SECOND if wait is None else wait)
-    cluster.start(newcomer)
+    cluster.start(new_member)
     started_at = cluster.time
-    cluster.until(lambda: cluster.changes and cluster.has_replaced(newcomer))
+    cluster.until(lambda: cluster.changes and cluster.has_joined(new_member))
     return (cluster.time - lost_at) // MILLISECOND, (cluster.time - started_at) // MILLISECOND
 
 
-def until_handed_over(leaver, seed):
-    """Time in ms from a SIGTERM, with a newcomer up and caught up, until a change that took it in was over."""
-    cluster, leader, others = started(seed=seed)
+def measure_handover(leaver, seed):
+    """Time in ms from a SIGTERM, with a new member caught up, until the change that adds it is complete."""
+    cluster, leader, others = started_cluster(seed=seed)
     cluster.start("d")
     cluster.run(SECOND)
-    told_at = cluster.time
+    terminated_at = cluster.time
     cluster.terminate([leader, *others][leaver])
-    cluster.until(lambda: cluster.has_replaced("d"))
-    return (cluster.time - told_at) // MILLISECOND
+    cluster.until(lambda: cluster.has_joined("d"))
+    return (cluster.time - terminated_at) // MILLISECOND
 
 
 def print_times(seeds):
-    """Middle and longest times over `seeds` plays, for each case."""
+    """Print median and longest times over `seeds` runs for each case."""
     for who, leaver in (("leader", 0), ("follower", 1)):
-        times = sorted(until_handed_over(leaver, seed) for seed in range(1, seeds + 1))
-        print(f"{who} leaves, newcomer there: since the SIGTERM {times[seeds // 2]}, at most {times[-1]} ms")
+        times = sorted(measure_handover(leaver, seed) for seed in range(1, seeds + 1))
+        print(f"{who} leaves, new member ready: {times[seeds // 2]} ms since the SIGTERM, at most {times[-1]} ms")
     for who, lost in (("leader", 0), ("follower", 1)):
         for what, wait in (
             ("at once", 0),
@@ -441,9 +444,11 @@
             ("after 5 s", 5 * SECOND),
             ("wiped, back after 1 s", None),
         ):
-            plays = [until_borne(lost, wait, seed) for seed in range(1, seeds + 1)]
-            told = [f"{sorted(times)[len(times) // 2]}, at most {max(times)} ms" for times in zip(*plays)]
-            print(f"{who} lost, newcomer {what}: since the loss {told[0]}; since the newcomer's start {told[1]}")
+            times_by_seed = [measure_replacement(lost, wait, seed) for seed in range(1, seeds + 1)]
+            results = [f"{sorted(times)[len(times) // 2]}, at most {max(times)} ms" for times in zip(*times_by_seed)]
+            print(
+                f"{who} lost, new member {what}: since the loss {results[0]}; since the new member's start {results[1]}"
+            )
 
 
 def main(seeds):
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -1,4 +1,4 @@
-"""What a review of the core doubted, each brought about on the real `ConsensusNode` without a cluster round it."""
+"""Regression tests for faults suspected in a review, mostly on a single `ConsensusNode` without a cluster."""
 
 from random import Random
 
@@ -38,8 +38,8 @@
     return Entry(index, term, PutConfiguration(index, f"{term}", b"%d of term %d" % (index, term)))
 
 
-def written(node, now, effects):
-    """All of it becomes durable; what is sent then and at once."""
+def persist_all(node, now, effects):
+    """Make all writes durable; return the messages sent at once and after the writes."""
     sent = [effect for effect in effects if isinstance(effect, Send)]
     for effect in effects:
         if isinstance(effect, Persist):
@@ -48,36 +48,36 @@
 
 
 def elected(node, now, answering):
-    """Plays until the node leads its next term by the vote of `answering`; the time then."""
+    """Run until the node wins its next term with the vote of `answering`, and return that time."""
     for _ in range(100):
         now += 50 * MILLISECOND
-        sent = written(node, now, node.tick(now))
+        sent = persist_all(node, now, node.tick(now))
         while sent and node.role != Role.LEADER:
             request = sent.pop(0)
             if isinstance(request.message, VoteRequest) and request.to == answering:
                 reply = VoteReply(request.message.term, 1, granted=True, pre_vote=request.message.pre_vote)
-                sent += written(node, now, node.receive(now, answering, reply))
+                sent += persist_all(node, now, node.receive(now, answering, reply))
         if node.role == Role.LEADER:
             return now
     raise AssertionError(f"{node.identity} is not elected")
 
 
-def leader():
-    """A leads term 1 by the vote of B, and both have its first entry."""
+def elected_leader():
+    """A leads term 1 with the vote of B, and both have its first entry."""
     node = member(A)
     now = elected(node, START, B) + HEARTBEAT_INTERVAL_NS
-    written(node, now, node.tick(now))
-    written(node, now, node.receive(now, B, AppendReply(1, 1, True, 1, 2)))
+    persist_all(node, now, node.tick(now))
+    persist_all(node, now, node.receive(now, B, AppendReply(1, 1, True, 1, 2)))
     assert node.leads(now)
     return node, now
 
 
-# What is durable is kept apart from what is in memory.
+# The durable log and the log in memory may differ.
 
 
 def follower_with_uncommitted_tail():
-    """A follower whose disk has entries 1 to 30 of term 1, of which nobody committed any, and the snapshot at 20 of
-    term 2 that the leader of term 3 sends it."""
+    """A follower whose disk has entries 1 to 30 of term 1, none of them committed, and the snapshot at index 20 of term 2
+    that the leader of term 3 sends it."""
     follower = member(B, HardState(1, A, A), [order(index, 1) for index in range(1, 31)], first_start=False)
     snapshot = Snapshot(20, 2, ABC, b"state")
     return follower, OutgoingSnapshot(snapshot).next_chunk(3, 1, 1)
@@ -95,7 +95,7 @@
 
 
 def test_entries_that_a_snapshot_replaces_are_not_acknowledged_before_the_snapshot_is_durable():
-    """The same chunk again, as its answer was late, while the disk has not written the snapshot yet."""
+    """The chunk arrives again, as its reply was late, before the disk has written the snapshot."""
     follower, chunk = follower_with_uncommitted_tail()
     now = START + 10 * MILLISECOND
     first = follower.receive(now, C, chunk)
@@ -105,11 +105,11 @@
         *follower.persisted(now + 2 * MILLISECOND, hard_state.number),
     ]
     assert highest_match(effect for effect in again if isinstance(effect, Send)) == 0
-    assert highest_match(written(follower, now + 3 * MILLISECOND, [with_snapshot])) == 20
+    assert highest_match(persist_all(follower, now + 3 * MILLISECOND, [with_snapshot])) == 20
 
 
 def test_a_member_killed_while_a_snapshot_replaces_old_entries_catches_up_after_its_restart():
-    """As before; then the member is killed before the snapshot is durable, and starts with its old entries."""
+    """As above, but the member is killed before the snapshot is durable, and restarts with its old entries."""
     follower, chunk = follower_with_uncommitted_tail()
     now = START + 10 * MILLISECOND
     hard_state = next(effect for effect in follower.receive(now, C, chunk) if isinstance(effect, Persist))
@@ -117,37 +117,39 @@
         *follower.receive(now + MILLISECOND, C, chunk),
         *follower.persisted(now + 2 * MILLISECOND, hard_state.number),
     ]
-    chief, leader_now = leading_term_3()
+    leader, leader_now = leading_term_3()
     for reply in replies:
         if isinstance(reply, Send) and isinstance(reply.message, AppendReply):
-            chief.receive(leader_now, B, reply.message)
+            leader.receive(leader_now, B, reply.message)
     follower = member(B, hard_state.hard_state, [order(index, 1) for index in range(1, 31)], first_start=False)
     messages = []
     for _ in range(200):
         leader_now += 50 * MILLISECOND
-        messages += [sent.message for sent in written(chief, leader_now, chief.tick(leader_now)) if sent.to == B]
+        messages += [sent.message for sent in persist_all(leader, leader_now, leader.tick(leader_now)) if sent.to == B]
         if not messages:
             continue
         message = messages.pop(0)
-        for reply in written(follower, START + leader_now, follower.receive(START + leader_now, C, message)):
-            answer = chief.receive(leader_now, B, reply.message)
-            messages += [sent.message for sent in written(chief, leader_now, answer) if sent.to == B]
-        written(chief, leader_now, chief.receive(leader_now, A, AppendReply(3, 1, True, 21, chief._state.lease.round)))
+        for reply in persist_all(follower, START + leader_now, follower.receive(START + leader_now, C, message)):
+            answer = leader.receive(leader_now, B, reply.message)
+            messages += [sent.message for sent in persist_all(leader, leader_now, answer) if sent.to == B]
+        persist_all(
+            leader, leader_now, leader.receive(leader_now, A, AppendReply(3, 1, True, 21, leader._state.lease.round))
+        )
         if follower.log.last_term == 3:
             return
     raise AssertionError(f"the follower's log still ends with {follower.log.last_index} of {follower.log.last_term}")
 
 
 def leading_term_3():
-    """C leads term 3 by the vote of A, from a disk that has the snapshot at 20 of term 2."""
+    """C leads term 3 with the vote of A; its disk has the snapshot at index 20 of term 2."""
     node = member(C, HardState(2, C, C), snapshot=Snapshot(20, 2, ABC, b"state"), first_start=False)
     return node, elected(node, START, A)
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_a_former_leader_killed_while_a_snapshot_replaces_its_entries_catches_up_without_a_storm_of_messages(seed):
-    """The same in a complete cluster: a leader is cut off with 30 orders of its own, the others go on and restart, and it
-    is killed after it has answered the snapshot's chunk a second time, before its disk has the snapshot."""
+def test_former_leader_killed_while_a_snapshot_replaces_its_entries_catches_up_within_3000_steps(seed):
+    """The same in a complete cluster: a leader is isolated with 30 uncommitted orders, the others commit more and restart, and
+    it is killed after replying twice to the snapshot's chunk, before its disk has the snapshot."""
     cluster = Cluster(3, seed)
     for machine in cluster.machines.values():
         machine.compact_after = 1
@@ -167,40 +169,40 @@
     cluster.run(MILLISECOND)
     cluster.elect()
     cluster.run(300 * MILLISECOND)
-    cluster.conditions.double = 1.0
+    cluster.conditions.duplication = 1.0
     cluster.heal()
     cluster.until(lambda: former.node.commit_index > 7)
     cluster.hang(name)
     cluster.run(30 * MILLISECOND)
     cluster.kill(name)
-    cluster.conditions.double = 0.0
+    cluster.conditions.duplication = 0.0
     cluster.hang(name, False)
     cluster.start(name)
     before = cluster.steps
     cluster.run(3 * SECOND)
-    assert cluster.steps - before < 3_000  # 552 and 560 where it catches up at once
+    assert cluster.steps - before < 3_000  # catching up takes far fewer steps
     assert cluster.caught_up()
 
 
-# A change of membership begins with both sides.
+# A membership change begins with a joint membership.
 
 
 @pytest.mark.parametrize(
-    "following",
+    "proposed",
     [
         Membership(2, (A, B, D)),  # not joint
-        Membership(2, (D,), (A,)),  # joint, but with others than those who count
-        Membership(2, (), (A, B, C)),  # nobody is left
+        Membership(2, (D,), (A,)),  # joint, but the outgoing side is not the current voters
+        Membership(2, (), (A, B, C)),  # no voters
     ],
 )
-def test_membership_change_that_is_not_joint_with_all_voters_is_rejected(following):
-    node, now = leader()
-    index, _ = node.propose(now, ChangeMembership(following))
+def test_membership_change_that_is_not_joint_with_all_voters_is_rejected(proposed):
+    node, now = elected_leader()
+    index, _ = node.propose(now, ChangeMembership(proposed))
     assert index is None and node.membership == ABC
 
 
-def test_a_joint_change_from_those_who_count_is_taken():
-    node, now = leader()
+def test_joint_membership_change_from_all_voters_is_accepted():
+    node, now = elected_leader()
     index, _ = node.propose(now, ChangeMembership(Membership(2, (A, B, D), (A, B, C))))
     assert index is not None
 
@@ -213,11 +215,11 @@
     for candidate, waits in ((A, False), (C, True)):
         node = member(B, HardState(1, A, A), log, first_start=False)
         request = VoteRequest(2, 1, 1, 1)
-        early = [s.message.granted for s in written(node, START, node.receive(START, candidate, request))]
+        early = [sent.message.granted for sent in persist_all(node, START, node.receive(START, candidate, request))]
         assert early == [not waits]
         late = [
-            s.message.granted
-            for s in written(node, START + LEASE_NS, node.receive(START + LEASE_NS, candidate, request))
+            sent.message.granted
+            for sent in persist_all(node, START + LEASE_NS, node.receive(START + LEASE_NS, candidate, request))
         ]
         assert late == [True]
 
@@ -228,38 +230,38 @@
     assert [effect for effect in effects if isinstance(effect, Send)] == []
     persist = next(effect for effect in effects if isinstance(effect, Persist))
     assert persist.hard_state == HardState(1, A, "")
-    again = member(B, persist.hard_state, first_start=False)
+    restarted = member(B, persist.hard_state, first_start=False)
     later = START + 2 * LEASE_NS
-    refused = written(again, later, again.receive(later, C, VoteRequest(1, 1, 9, 1)))
+    refused = persist_all(restarted, later, restarted.receive(later, C, VoteRequest(1, 1, 9, 1)))
     assert [sent.message.granted for sent in refused] == [False]
 
 
-def test_a_request_by_transfer_of_a_former_term_does_not_break_a_promise():
-    """The leader of term 1 handed over; the vote that its successor asked for arrives when term 2 has another leader."""
+def test_stale_vote_request_by_transfer_is_rejected():
+    """The leader of term 1 transferred leadership; its successor's vote request arrives when term 2 has another leader."""
     node = member(B, HardState(1, A, A), [order(1, 1)], first_start=False)
     heartbeat = Append(2, 1, 1, 1, (), 0, 1)
-    written(node, START, node.receive(START, C, heartbeat))
+    persist_all(node, START, node.receive(START, C, heartbeat))
     stale = VoteRequest(2, 1, 1, 1, transfer=True)
-    replies = written(node, START + MILLISECOND, node.receive(START + MILLISECOND, A, stale))
+    replies = persist_all(node, START + MILLISECOND, node.receive(START + MILLISECOND, A, stale))
     assert [reply.message.granted for reply in replies] == [False] and node.leader == C
 
 
-def test_the_former_sides_lease_ends_before_the_new_side_alone_can_elect():
-    """A newcomer that has acknowledged the joint membership votes for nobody else for a complete lease."""
-    newcomer = ConsensusNode(START - 2 * LEASE_NS, Random(2), D, None, HardState(), (), None, False)
+def test_new_voter_votes_for_no_other_until_the_leaders_lease_has_ended():
+    """A new voter that has acknowledged the joint membership votes for no other member for one lease duration."""
+    new_voter = ConsensusNode(START - 2 * LEASE_NS, Random(2), D, None, HardState(), (), None, False)
     joint = Entry(1, 1, ChangeMembership(Membership(2, (B, C, D), (A, B, C))))
-    replies = written(newcomer, START, newcomer.receive(START, A, Append(1, 2, 0, 0, (joint,), 0, 1)))
+    replies = persist_all(new_voter, START, new_voter.receive(START, A, Append(1, 2, 0, 0, (joint,), 0, 1)))
     assert highest_match(replies) == 1
     request = VoteRequest(2, 3, 2, 1)
-    for when, grants in ((START + LEASE_NS - 1, False), (START + LEASE_NS, True)):
-        found = [s.message.granted for s in written(newcomer, when, newcomer.receive(when, C, request))]
-        assert found == [grants]
+    for when, expected in ((START + LEASE_NS - 1, False), (START + LEASE_NS, True)):
+        granted = [sent.message.granted for sent in persist_all(new_voter, when, new_voter.receive(when, C, request))]
+        assert granted == [expected]
 
 
 # Progress.
 
 
-def test_a_late_refusal_does_not_take_back_what_is_known_to_be_durable():
+def test_stale_rejection_does_not_lower_the_match_index():
     peer = Progress(11)
     peer.update(START, AppendReply(1, 1, True, 10, 1))
     peer.update(START, AppendReply(1, 1, False, 3, 1))
@@ -267,14 +269,14 @@
 
 
 @pytest.mark.parametrize("appends, is_current", [(MAX_PENDING_NONCES, True), (MAX_PENDING_NONCES + 1, False)])
-def test_a_follower_is_current_by_its_oldest_nonce_that_is_kept(appends, is_current):
-    """More answers in flight than are kept leave it not current: the bound on appends during one way there and back."""
+def test_follower_is_current_only_by_a_nonce_that_is_still_stored(appends, is_current):
+    """With more replies in flight than nonces are stored, the oldest nonce is dropped: limits appends per round trip."""
     node = member(B)
     heartbeat = Append(1, 1, 0, 0, (), 0, 1)
     nonce = 0
     for offset in range(appends):
-        (reply,) = written(node, START + offset, node.receive(START + offset, A, heartbeat))
+        (reply,) = persist_all(node, START + offset, node.receive(START + offset, A, heartbeat))
         nonce = nonce or reply.message.nonce
     now = START + 50 * MILLISECOND
-    written(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, nonce=nonce, lease_ns=LEASE_NS)))
+    persist_all(node, now, node.receive(now, A, Append(1, 1, 0, 0, (), 0, 2, nonce=nonce, lease_ns=LEASE_NS)))
     assert node.current(now) is is_current
