--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -16,7 +16,7 @@
 FOLLOWER_TIMEOUT_NS = 1 * SECOND  # a follower whose last reply is older is sent no snapshot
 CHUNK_RETRY_INTERVAL_NS = 1 * SECOND  # doubled with each retry, reset by a confirmed chunk
 MAX_CHUNK_RETRY_INTERVAL_NS = 8 * SECOND
-CAUGHT_UP_LAG_ENTRIES = 8  # a follower that lacks no more entries counts as caught up
+CAUGHT_UP_LAG_ENTRIES = 8  # a follower that lacks at most this many is caught up
 
 
 class EntryInFlight(NamedTuple):
