--- a/kestrelplank/consensus/membership_planning.py
+++ b/kestrelplank/consensus/membership_planning.py
@@ -85,8 +85,8 @@
 def should_hand_over(now: int, membership: Membership, known_members: Iterable[KnownMember], leader: str) -> bool:
     """Whether the leader should transfer leadership to another voter now.
 
-    It should if it is leaving, if it is not among the new voters of a change, or if it is not eligible and a standby could
-    replace it; but only while another voter is not leaving, has replied recently and is caught up.
+    It should if it is leaving, if it is not among the new voters of a change, or if it is not eligible and a standby
+    could replace it; but only while another voter is not leaving, has replied recently and is caught up.
     `Leadership.best_successor` chooses which one takes over.
     """
     members = _Members(now, membership, known_members, leader)
