--- a/kestrelplank/control/__init__.py
+++ b/kestrelplank/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control program: what the operator says, who the members are, which server holds which keys."""
+"""The control program: the replicated configuration, the membership of the control group and key range assignment."""
--- a/kestrelplank/control/bootstrap.py
+++ b/kestrelplank/control/bootstrap.py
@@ -1,8 +1,8 @@
-"""How a control member starts: who it is, and what its disk has.
+"""The start of a control member: its identity, and the log that its disk holds.
 
-At the first start of the whole system the members at the seeds are the first voters. They must name each other before
-they have spoken, so their incarnation is `FIRST_INCARNATION`. Any other member that finds its disk empty draws an
-incarnation and waits until the voters make it one of theirs.
+At the first start of the whole system the members at the seed addresses are the first voters. They have to know each
+other's identities before they exchange any message, so their incarnation is `FIRST_INCARNATION`. Any other member with
+an empty disk draws a random incarnation and waits until the voters add it to the membership.
 """
 
 from random import Random
@@ -21,10 +21,10 @@
 
 
 class DurableLog(Protocol):
-    """A member's log on disk, as far as a start uses it."""
+    """The operations on a member's log on disk that its start needs."""
 
     def load(self) -> LogContent:
-        """Return what the disk holds."""
+        """Return the content of the log on disk."""
         ...
 
     def keep_incarnation(self, incarnation: str) -> None:
@@ -32,7 +32,7 @@
         ...
 
     def write(self, persists: list[Persist]) -> None:
-        """Make these durable together."""
+        """Make these writes durable in one step."""
         ...
 
 
@@ -44,19 +44,19 @@
 def start_member(
     now: int, random: Random, address: str, profile: MemberProfile, log: DurableLog, initial_boot: bool
 ) -> ControlMember:
-    """Return the member at `address` as its disk has it, or a new one where the disk is empty.
+    """Return the member at `address`, restored from its disk, or a new one if the disk is empty.
 
     :param address: the member's own control address.
-    :param initial_boot: the platform starts the whole system for the first time; counts only where the disk is empty.
-    :raises OSError: the disk refuses.
+    :param initial_boot: the platform starts the whole system for the first time; ignored unless the disk is empty.
+    :raises OSError: the disk can't be read or written.
     """
     loaded = log.load()
     first_start = initial_boot and loaded.snapshot is None and not loaded.entries
-    # The incarnation is written before the first snapshot: it alone means that a first start was cut short.
-    first_start_broke_off = loaded.incarnation == FIRST_INCARNATION and first_start
-    if loaded.incarnation is None or first_start_broke_off:
+    # The incarnation is written before the first snapshot: without a snapshot it means an interrupted first start.
+    first_start_interrupted = loaded.incarnation == FIRST_INCARNATION and first_start
+    if loaded.incarnation is None or first_start_interrupted:
         loaded = initialize_log(random, address, profile, log, initial_boot)
-    assert loaded.incarnation is not None  # a log that was initialized has one
+    assert loaded.incarnation is not None  # an initialized log always has one
     identity = identity_of(address, loaded.incarnation)
     return ControlMember(
         now, random, identity, profile, loaded.hard_state, loaded.snapshot, loaded.entries, first_start
@@ -66,9 +66,9 @@
 def initialize_log(
     random: Random, address: str, profile: MemberProfile, log: DurableLog, initial_boot: bool
 ) -> LogContent:
-    """Begin the log on an empty disk and return what it holds then.
+    """Initialize the log on an empty disk and return its content.
 
-    :raises OSError: the disk refuses.
+    :raises OSError: the disk can't be written.
     """
     if not initial_boot or address not in profile.seeds:
         incarnation = f"{random.getrandbits(INCARNATION_BITS):016x}"
--- a/kestrelplank/control/edge_updates.py
+++ b/kestrelplank/control/edge_updates.py
@@ -1,6 +1,6 @@
-"""What a control member sends an edge machine in answer to its heartbeat. No I/O.
+"""Replies of a control member to heartbeats of edge machines. No I/O.
 
-Its own heartbeat, and all that the edge machine lacks.
+A reply has the member's own heartbeat and every update that the edge machine lacks.
 """
 
 from kestrelplank.consensus.identity import address_of
@@ -20,9 +20,9 @@
 
 
 class EdgeUpdates:
-    """The answers to heartbeats of edge machines.
+    """Builds the replies to heartbeats of edge machines.
 
-    Only what is committed goes out; an edge machine that has it already gets none of it again.
+    Only committed data is sent, and only if the edge machine does not have it yet.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._assigners = assigners
 
     def handle_edge_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> list[ToEdge]:
-        """Return the answers to a heartbeat, which says what the edge machine has: ours, then what it lacks.
+        """Return this member's heartbeat, then the updates that the edge machine lacks according to its own heartbeat.
 
         :param edge_count: how many edge machines are in session with this member.
         """
@@ -53,9 +53,9 @@
         return answers
 
     def _key_ranges_update(self, now: int, service: str, known: KeyRangesVersion) -> KeyRangesUpdate | None:
-        """Return a service's key ranges; None where the edge machine has them, or newer ones than are known here.
+        """Return a service's key ranges; None if the edge machine has this version or a newer one.
 
-        :param known: what the edge machine has.
+        :param known: the version that the edge machine has.
         """
         assigner, record = self._assigners.leading_assigner(now, service), self._replica.record(service)
         if assigner is not None:
--- a/kestrelplank/control/effects.py
+++ b/kestrelplank/control/effects.py
@@ -1,4 +1,4 @@
-"""What a control member wants done. An adapter carries effects out in order."""
+"""Effects that a control member returns. An adapter carries them out in order."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send `message` to the member whose identity is `to`; it is lost where there is no session with it."""
+    """Send `message` to the member whose identity is `to`; it is dropped if there is no session with it."""
 
     to: str
     message: Message
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToAddress:
-    """Send `message` to whoever serves control at `address`; it is lost where there is no session with it."""
+    """Send `message` to the member at control address `address`; it is dropped if there is no session with it."""
 
     address: str
     message: Message
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallServer:
-    """Grant or release keys at a server; then `ControlMember.handle_server_call_ended`.
+    """Grant or release keys at a server, then call `ControlMember.handle_server_call_ended`.
 
-    :param leader_lease_until: when this member's lease of leadership ends (ns): from then on no grant is sent.
+    :param leader_lease_until: end of this member's leader lease (ns): from then on no grant is sent.
     """
 
     service: str
@@ -47,8 +47,8 @@
 class AnswerOrder:
     """Answer the operator's order `ticket`.
 
-    :param acknowledged: it is in force, or can't be any more; else the outcome is unknown and it may be sent again.
-    :param in_force: this very text is in force; else a higher version is, or another text of the same.
+    :param acknowledged: the order is in force or superseded; if false, its outcome is unknown and it may be sent again.
+    :param in_force: this text is in force; if false, a higher version or another text of the same version is.
     """
 
     ticket: int
@@ -60,8 +60,8 @@
 class AnswerRead:
     """Answer the operator's read `ticket`.
 
-    :param known: `text` is the newest configuration that was acknowledged; else the newest can't be known here.
-    :param text: None where no configuration was ever acknowledged, or it is not known.
+    :param known: `text` is the newest acknowledged configuration; if false, this member can't determine it.
+    :param text: None if no configuration was ever acknowledged, or `known` is false.
     """
 
     ticket: int
@@ -70,8 +70,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepConfigurationCopy:
-    """Keep a readable copy of the configuration in force beside the log; nothing waits for it."""
+class WriteConfigurationCopy:
+    """Write a readable copy of the configuration in force next to the log; nothing waits for its completion."""
 
     version: int
     text: bytes
@@ -91,7 +91,7 @@
     | CallServer
     | AnswerOrder
     | AnswerRead
-    | KeepConfigurationCopy
+    | WriteConfigurationCopy
     | LogLine
     | Persist
 )
--- a/kestrelplank/control/inbound_connections.py
+++ b/kestrelplank/control/inbound_connections.py
@@ -1,6 +1,6 @@
-"""Connections that other members and edge machines dialled to us.
+"""Connections that other members and edge machines opened to this member.
 
-When each was last heard, and which edge machine is in session on which.
+Tracks when each last received a message and which edge machine has its session on it.
 """
 
 from kestrelplank.control.member_sessions import MemberConnection
@@ -8,12 +8,12 @@
 from kestrelplank.time_units import SECOND
 from kestrelplank.transport.sessions import Sessions
 
-SILENCE_TIMEOUT_NS = 2 * SECOND
-"""A connection on which nothing has come for so long is ended."""
+IDLE_TIMEOUT_NS = 2 * SECOND
+"""A connection is reset after this time without a message."""
 
 
 class InboundConnections:
-    """All connections that came in, from the first message on."""
+    """All inbound connections, each from its first message on."""
 
     def __init__(self) -> None:
         self._heard_at: dict[MemberConnection, int] = {}
@@ -21,19 +21,19 @@
 
     @property
     def edge_count(self) -> int:
-        """How many edge machines are in session."""
+        """The number of edge machines in session."""
         return len(self._edges.by_name)
 
-    def handle_heard(self, now: int, connection: MemberConnection) -> None:
-        """Note that a message has come on the connection."""
+    def record_activity(self, now: int, connection: MemberConnection) -> None:
+        """Record that a message arrived on the connection."""
         self._heard_at[connection] = now
 
-    def handle_edge_heard(self, now: int, connection: MemberConnection, edge: str, version: int | None) -> bool:
-        """Note that a heartbeat of an edge machine has come. Return False where it counts for nothing.
+    def handle_edge_heartbeat(self, now: int, connection: MemberConnection, edge: str, version: int | None) -> bool:
+        """Record a heartbeat of an edge machine. Return False if it must be ignored.
 
-        That is so on a connection that the edge machine has replaced by a newer one.
+        It is ignored on a connection that the edge machine has replaced by a newer one.
 
-        :param version: of the configuration that it has in force; None: none yet.
+        :param version: of the configuration that the edge machine has in force; None if it has none yet.
         """
         session = self._edges.on_message(now, connection, edge)
         if session is None:
@@ -42,18 +42,18 @@
         return True
 
     def handle_ended(self, connection: MemberConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self._heard_at.pop(connection, None)
         self._edges.on_closed(connection)
 
-    def reset_silent(self, now: int) -> None:
-        """End connections on which nothing has come for too long."""
+    def reset_idle(self, now: int) -> None:
+        """Reset connections that received no message for `IDLE_TIMEOUT_NS`."""
         for connection, heard_at in list(self._heard_at.items()):
-            if now - heard_at > SILENCE_TIMEOUT_NS:
+            if now - heard_at > IDLE_TIMEOUT_NS:
                 connection.reset()
 
     def send_to_edges(self, data: bytes) -> None:
-        """Send a packed message to every edge machine in session."""
+        """Send an encoded frame to every edge machine in session."""
         for connection in self._edges.connections():
             connection.send(data)
 
--- a/kestrelplank/control/log_writer.py
+++ b/kestrelplank/control/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes of the replicated log to disk: by one thread, in order, several that wait in one write."""
+"""Writes of the replicated log to disk: by one thread, in order, with pending writes batched."""
 
 import asyncio
 import logging
@@ -9,19 +9,19 @@
 from kestrelplank.storage.log_file import LogFile
 
 RETRY_INTERVAL_S = 0.3
-"""Until a write that the disk refused is tried again."""
+"""Delay before a failed write is retried."""
 
 log = logging.getLogger("storage")
 
 
 class LogWriter:
-    """The writes of one member, by the thread that alone touches its file.
+    """Writes one member's log, from the only thread that accesses its file.
 
-    What holds at all times, and the test of each (`tests/control/test_log_writer.py`):
+    Invariants, each with its test (`tests/control/test_log_writer.py`):
 
-    - Writes are made in the order in which they were taken, and reported durable in that order:
+    - Writes are made, and reported durable, in the order in which they were submitted:
       `test_writes_that_wait_are_made_in_one_and_reported_in_order`.
-    - No write passes one that the disk refuses:
+    - A failed write is retried before any later write is made:
       `test_a_refused_write_is_made_again_with_the_same_and_nothing_passes_it`.
 
     :param handle_persisted: called in the loop's thread with the number of each `Persist` that is durable.
@@ -37,16 +37,16 @@
 
     @property
     def log_size_bytes(self) -> int:
-        """Of the log on disk."""
+        """Size of the log on disk."""
         return self._file.size_bytes
 
     def write(self, persist: Persist) -> None:
-        """Take a write; it is made after all that were taken before it."""
+        """Queue a write; it is made after all writes queued before it."""
         self._pending.append(persist)
         self._work_pending.set()
 
     def write_configuration_copy(self, version: int, text: bytes) -> None:
-        """Take a readable copy of a configuration, made when no write waits. Only the last of several is made."""
+        """Queue a readable copy of a configuration, written when no log write is pending; only the last is written."""
         self._pending_copy = (version, text)
         self._work_pending.set()
 
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -1,7 +1,7 @@
 """One control member without I/O.
 
-The replicated log and what it adds up to, operators' calls, the assignment of keys to servers, and what edge machines
-are sent. Each `handle_...` method takes one event and returns effects (`control.effects`), to be carried out in order.
+It combines the replicated log and its state, operators' calls, the assignment of keys to servers, and updates to edge
+machines. Each `handle_...` method takes one event and returns effects (`control.effects`), to be carried out in order.
 """
 
 from random import Random
@@ -34,7 +34,7 @@
 from kestrelplank.consensus.membership import Membership
 from kestrelplank.consensus.node import ConsensusNode
 from kestrelplank.control.edge_updates import EdgeUpdates
-from kestrelplank.control.effects import CallServer, Effect, KeepConfigurationCopy, PushToEdges
+from kestrelplank.control.effects import CallServer, Effect, PushToEdges, WriteConfigurationCopy
 from kestrelplank.control.member_lifecycle import MemberLifecycle
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.control.membership_reconciler import MembershipReconciler
@@ -52,33 +52,33 @@
 
 
 class ControlMember:
-    """The member `identity`, composed of its parts. Times are whole ns of the steady clock.
+    """A control member without sockets and disk. Times are integer nanoseconds of the monotonic clock.
 
-    Whoever leads the log assigns keys, acknowledges orders and answers reads. Another member that is current forwards
-    operators' calls to the leader; one that is not rejects them at once, and says so to edge machines.
+    The leader assigns keys, acknowledges orders and answers reads. A member that is current but does not lead forwards
+    operators' calls to the leader; a member that is not current rejects them at once and tells edge machines so.
 
-    What holds at all times, and the test of each (`tests/control/`; most are also checked after each step of
+    Invariants, each with its test (`tests/control/`; most are also checked after each step of
     `test_whatever_happens_no_key_is_held_twice_and_nothing_acknowledged_is_lost`):
 
-    - No two members lead at one moment: `test_a_leader_frozen_beyond_its_lease_does_no_harm`.
-    - A configuration is in force, and acknowledged, only once a majority has it on disk:
+    - No two members lead at the same time: `test_a_leader_frozen_beyond_its_lease_does_no_harm`.
+    - A configuration is put in force and acknowledged only after a majority has it on disk:
       `test_a_change_is_in_force_once_two_disks_have_it`.
-    - What was acknowledged outlives every loss that is tolerated:
+    - An acknowledged configuration survives every tolerated loss:
       `test_no_loss_that_is_borne_loses_an_acknowledged_change`.
-    - A version has one text: `test_of_two_operators_with_one_number_at_two_members_one_prevails`.
+    - A version never has two texts: `test_of_two_operators_with_one_number_at_two_members_one_prevails`.
     - Only a leader answers a read or an order:
       `test_a_member_that_does_not_lead_answers_a_forwarded_call_with_not_known`.
-    - A member that is not current rejects calls at once and does not vouch for its configuration:
+    - A member that is not current rejects calls at once and does not confirm its configuration to edge machines:
       `test_a_member_cut_off_for_20_s_refuses_at_once_and_tells_edge_machines_that_it_is_not_current`.
-    - A member with an empty disk is another one, and vouches for nothing:
+    - A member with an empty disk has a new identity and confirms no configuration:
       `test_a_member_with_an_empty_disk_answers_nothing_and_vouches_for_nothing`.
-    - Key ranges are committed before a server is granted them, so no key has two servers:
+    - Key ranges are committed before they are granted to a server, so no key has two servers:
       `test_all_power_lost_right_after_a_move_leaves_the_key_with_one_server`.
-    - A member that stops hands leadership over first, and takes nothing acknowledged with it:
+    - A stopping member transfers leadership first, and no acknowledged order is lost:
       `test_a_leader_that_leaves_right_after_an_order_takes_nothing_with_it`.
 
     :param identity: control address and incarnation.
-    :param hard_state: what the disk has, as are `snapshot` and `entries`.
+    :param hard_state: read from disk, as are `snapshot` and `entries`.
     :param first_start: the system has never run before.
     """
 
@@ -94,7 +94,7 @@
         first_start: bool,
     ) -> None:
         self.identity = identity
-        membership = None  # it is in the snapshot or the entries, or comes from the leader
+        membership = None  # read from the snapshot or the entries, or sent by the leader
         self.node = ConsensusNode(now, random, identity, membership, hard_state, entries, snapshot, first_start)
         self.state = ControlState()
         if snapshot is not None:
@@ -112,18 +112,18 @@
 
     @property
     def committed_membership(self) -> Membership | None:
-        """The newest membership that is committed in our log."""
+        """The newest membership that is committed in this member's log."""
         return self._replica.committed_membership
 
     @property
     def shard_assigners(self) -> dict[str, ShardAssigner]:
-        """The assigners of this member, by service; empty again once it was deposed."""
+        """The shard assigners of this member, by service; empty once it is deposed."""
         return self._assigners.by_service
 
     # Events from outside.
 
     def handle_message(self, now: int, sender: str, message: Message) -> list[Effect]:
-        """Take a message of the member whose identity is `sender`."""
+        """Handle a message from the member whose identity is `sender`."""
         self._directory.handle_contact(now, sender)
         match message:
             case (
@@ -157,48 +157,48 @@
         return self._take_effects(now)
 
     def handle_persisted(self, now: int, number: int) -> list[Effect]:
-        """Go on now that the `Persist` with that number is durable, and all before it."""
+        """Handle that the `Persist` with that number, and all before it, are durable."""
         self._replica.handle_persisted(now, number)
         return self._take_effects(now)
 
     def handle_replace_call(self, now: int, ticket: int, configuration: Configuration) -> list[Effect]:
-        """Take an operator's configuration that has passed the checks; `AnswerOrder` with the ticket follows."""
+        """Handle an operator's validated configuration; `AnswerOrder` with the ticket follows."""
         self._operator_calls.handle_replace_call(now, ticket, configuration)
         return self._take_effects(now)
 
     def handle_show_call(self, now: int, ticket: int) -> list[Effect]:
-        """Take an operator's read of the newest configuration; `AnswerRead` with the ticket follows."""
+        """Handle an operator's read of the newest configuration; `AnswerRead` with the ticket follows."""
         self._operator_calls.handle_show_call(now, ticket)
         return self._take_effects(now)
 
     def handle_servers_fetched(self, now: int, entries: list[ListedServer]) -> list[Effect]:
-        """Take the platform's list of servers, which we have just fetched."""
+        """Handle the platform's list of servers that this member has just fetched."""
         self._discovery.handle_fetched(now, entries)
         return self._take_effects(now)
 
     def handle_server_call_ended(self, now: int, call: CallServer, result: ServerCallResult) -> list[Effect]:
-        """Take how a grant or release has ended."""
+        """Handle the result of a grant or release."""
         self._assigners.handle_call_ended(now, call, result)
         return self._take_effects(now)
 
     def handle_load_report(self, now: int, report: LoadReport) -> None:
-        """Take what an edge machine has seen of servers and keys."""
+        """Record an edge machine's report on the load of servers and keys."""
         self._assigners.handle_load_report(now, report)
 
     def handle_edge_heartbeat(self, now: int, heartbeat: EdgeHeartbeat, edge_count: int) -> list[ToEdge]:
-        """Return what is sent to an edge machine in answer to its heartbeat.
+        """Return the messages that answer an edge machine's heartbeat.
 
-        :param edge_count: how many edge machines are in session.
+        :param edge_count: the number of edge machines in session.
         """
         return self._edge_updates.handle_edge_heartbeat(now, heartbeat, edge_count)
 
     def tick(self, now: int, log_size_bytes: int = 0) -> list[Effect]:
-        """Do what is due; to be called at least every 50 ms.
+        """Do all timed work that is due. Must be called at least every 50 ms.
 
-        :param log_size_bytes: of the log on disk.
+        :param log_size_bytes: size of the log on disk.
         """
         self._replica.add_events(self.node.tick(now))
-        self._handle_consensus_events(now)  # before the rest, which asks who leads
+        self._handle_consensus_events(now)  # first, as the following steps depend on who leads
         self._operator_calls.tick(now)
         self.lifecycle.tick(now)
         if self.node.leads(now):
@@ -208,39 +208,39 @@
         return self._take_effects(now)
 
     def begin_stop(self, now: int) -> list[Effect]:
-        """Hand leadership over and ask to be replaced; the member goes on serving until `may_stop`."""
+        """Transfer leadership and ask to be replaced as a voter; the member keeps serving until `may_stop`."""
         self.lifecycle.begin_stop(now)
         self._handle_consensus_events(now)
         self.lifecycle.tick(now)
         return self._take_effects(now)
 
-    # Questions of the program.
+    # Queries of the program.
 
     def may_stop(self, now: int) -> bool:
-        """Whether nothing more can be done for what this member holds."""
+        """Whether this member may exit, as waiting longer would make no data safer."""
         return self.lifecycle.may_stop(now)
 
     def addresses_to_dial(self, now: int) -> list[str]:
-        """Return the control addresses of the members that a session is wanted with."""
+        """Return the control addresses of the members to keep sessions with."""
         return self.lifecycle.addresses_to_dial(now)
 
     def server_fetch_due_in_ns(self, now: int) -> int | None:
-        """Return the time until this member should fetch the platform's list of servers; None: it need not."""
+        """Return the time until this member should fetch the platform's list of servers; None if it need not."""
         return self._discovery.fetch_due_in_ns(now)
 
     def status(self, now: int) -> MemberStatus:
-        """Return this member as an operator sees it, without edge machines."""
+        """Return the status of this member for operators, without edge machines."""
         return member_status(now, self._replica, self.lifecycle, self._servers, self._assigners)
 
-    # What the consensus node wants done (`consensus.effects`): an event here.
+    # Effects of the consensus node (`consensus.effects`), which are events here.
 
     def _take_effects(self, now: int) -> list[Effect]:
-        """Handle what the node wants done, then return all effects of the present call."""
+        """Handle the consensus node's effects, then return all effects of the current call."""
         self._handle_consensus_events(now)
         return self._replica.take_effects()
 
     def _handle_consensus_events(self, now: int) -> None:
-        """Handle what the node wants done, in order, until it wants nothing more."""
+        """Handle the consensus node's effects in order until none is left."""
         events = self._replica.events
         while events:
             event = events.popleft()
@@ -261,7 +261,7 @@
                     assert_never(event)
 
     def _handle_applied(self, now: int, entry: Entry) -> None:
-        """Apply a committed entry to the state, and let every part that waits for it go on."""
+        """Apply a committed entry to the state and notify every component that waits for it."""
         in_force = self.state.apply(entry).in_force
         command = entry.command
         if isinstance(command, ChangeMembership):
@@ -274,8 +274,8 @@
 
     def _handle_configuration_in_force(self, now: int, order: PutConfiguration) -> None:
         self._replica.log(f"configuration {order.version:08x} is in force: its entry is committed")
-        self._replica.emit(KeepConfigurationCopy(order.version, order.text))
-        self._assigners.keep_only(self._replica.sharded_services())
+        self._replica.emit(WriteConfigurationCopy(order.version, order.text))
+        self._assigners.retain_only(self._replica.sharded_services())
         if self.node.leads(now):
             self._replica.emit(PushToEdges(ConfigurationUpdate(order.version, order.text)))
 
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -1,7 +1,7 @@
-"""How one member finds the others, asks to be a voter, and shuts down gracefully. No I/O.
+"""Discovery of the other members, requests to be a voter, and graceful shutdown of one member. No I/O.
 
 A member that is current only repeats its `MembershipRequest` to the leader. One that is not current searches for the
-others at every address it has heard of, for as long as it runs.
+other members at every known address until it is.
 """
 
 from kestrelplank.consensus.identity import address_of
@@ -14,21 +14,21 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 REQUEST_INTERVAL_NS = 300 * MILLISECOND
-"""From one `MembershipRequest` to the next, of a member that is no voter, searches for the others, or is stopping."""
+"""Between `MembershipRequest` messages of a member that is not a voter, is searching, or is stopping."""
 VOTER_REQUEST_INTERVAL_NS = SECOND
-"""The same of any other voter: by these the leader knows its zone, and whether it may be a voter."""
+"""The same for any other voter; its requests tell the leader its zone and whether it is eligible."""
 SEARCH_DELAY_NS = SECOND
-"""A member that has not been current for so long searches for the others."""
+"""A member that has not been current for this time searches for the others."""
 STOP_MARGIN_NS = 3 * SECOND // 2
-"""This member stops so long before its grace time is over, which is left for connections and requests in hand."""
+"""Part of the grace period that is reserved for closing connections and finishing calls in flight."""
 STANDBY_REPLY_WAIT_NS = SECOND
-"""A member that is stopping waits so long at least for the others to say which standbys run."""
+"""Minimum time that a stopping member waits for other members to report which standbys run."""
 
 
 class MemberLifecycle:
-    """Search for the others, requests to be a voter, and the stop of one member.
+    """Searches for other members, requests voter status, and shuts one member down.
 
-    :param address: our own control address.
+    :param address: this member's own control address.
     """
 
     def __init__(
@@ -40,10 +40,10 @@
         self._directory = directory
         self._node = replica.node
         self._started_at = self._next_request_at = now
-        self._last_current_at: int | None = None  # when this member was last current since its start
+        self._last_current_at: int | None = None  # None if not current since the start
         self._stop_requested_at: int | None = None
 
-    # What is known.
+    # Known membership.
 
     @property
     def stopping(self) -> bool:
@@ -51,11 +51,11 @@
         return self._stop_requested_at is not None
 
     def newest_membership(self) -> Membership | None:
-        """Return the newest membership known, from our log or from other members."""
+        """Return the newest membership known, from this member's log or from other members."""
         return newer(self._node.membership, self._directory.newest_membership)
 
     def committed_membership(self) -> Membership | None:
-        """Return the newest membership known to be committed, from our log or from other members."""
+        """Return the newest membership known to be committed, from this member's log or from other members."""
         return newer(self._replica.committed_membership, self._directory.newest_membership)
 
     def is_voter(self) -> bool:
@@ -64,14 +64,14 @@
         return newest is not None and self._node.identity in newest.all_voters()
 
     def is_searching(self, now: int) -> bool:
-        """Whether the others must be searched for at any address, as those known here do not make us current."""
+        """Whether to search all known addresses, as contact with the known voters has not made this member current."""
         if self._last_current_at is None:
             knows_members = self._node.membership is not None
             return not knows_members or now - self._started_at >= SEARCH_DELAY_NS
         return now - self._last_current_at >= SEARCH_DELAY_NS
 
     def addresses_to_dial(self, now: int) -> list[str]:
-        """Return the control addresses of the members that a session is wanted with."""
+        """Return the control addresses of the members to keep sessions with."""
         newest = self.newest_membership()
         voters = [*self._replica.voters(), *(newest.all_voters() if newest else ())]
         addresses = dict.fromkeys(map(address_of, voters))
@@ -80,19 +80,19 @@
         addresses.pop(self._address, None)
         return list(addresses)
 
-    # What others ask.
+    # Requests of other members.
 
     def handle_membership_request(self, now: int, sender: str, request: MembershipRequest) -> None:
-        """Note that a member asks to be or to stay a voter.
+        """Record that a member asks to become or stay a voter.
 
-        A member that does not lead answers who the voters are and who leads, so that the sender asks there.
+        If this member does not lead, it replies with the voters and the leader, so that the sender asks the leader.
         """
         self._directory.handle_membership_request(now, sender, request)
         if not self._node.leads(now):
             self.handle_membership_query(now, sender)
 
     def handle_membership_query(self, now: int, sender: str) -> None:
-        """Send a member who the voters are, who leads and who else runs, as far as known here."""
+        """Send a member the voters, the leader and the standbys that this member knows."""
         membership = self.committed_membership()
         if membership is None:
             return
@@ -100,38 +100,38 @@
         self._replica.send(sender, MembershipUpdate(membership, leader, self.standbys(now)))
 
     def standbys(self, now: int) -> tuple[str, ...]:
-        """Return the members that run and are no voters."""
+        """Return the members that run and are not voters."""
         membership = self.committed_membership()
         voters = membership.all_voters() if membership else ()
         return tuple(identity for identity in self._directory.running(now) if identity not in voters)
 
-    # What this member asks.
+    # Requests of this member.
 
     def tick(self, now: int) -> None:
-        """Search for the others and send our request to the leader, where that is due."""
+        """Search for other members and send a membership request to the leader, if due."""
         if self._node.current(now):
             self._last_current_at = now
         if now < self._next_request_at:
             return
         searching = self.is_searching(now)
-        settled = self.is_voter() and not searching and not self.stopping
-        self._next_request_at = now + (VOTER_REQUEST_INTERVAL_NS if settled else REQUEST_INTERVAL_NS)
+        steady_voter = self.is_voter() and not searching and not self.stopping
+        self._next_request_at = now + (VOTER_REQUEST_INTERVAL_NS if steady_voter else REQUEST_INTERVAL_NS)
         if searching:
             for address in self.addresses_to_dial(now):
                 self._replica.emit(SendToAddress(address, MembershipQuery()))
         self._request_membership(searching)
 
     def _request_membership(self, searching: bool) -> None:
-        """Ask to be or to stay a voter, or, when stopping, to be replaced."""
+        """Ask to become or stay a voter, or, when stopping, to be replaced."""
         profile, node = self._profile, self._node
         request = MembershipRequest(node.term, node.epoch, profile.zone, profile.eligible, self.stopping)
         for identity in self._likely_leaders(searching):
             self._replica.send(identity, request)
-            if self.stopping:  # who else runs decides how long we stay
+            if self.stopping:  # which standbys run decides how long this member waits
                 self._replica.send(identity, MembershipQuery())
 
     def _likely_leaders(self, searching: bool) -> list[str]:
-        """Return the leader as far as it is known; where none is or we are searching, all voters."""
+        """Return the known leader; if there is none or this member is searching, all voters."""
         if self._node.leader and not searching:
             identities = [self._node.leader]
         else:
@@ -139,10 +139,10 @@
             identities = [self._directory.leader, *(newest.all_voters() if newest else ())]
         return [identity for identity in dict.fromkeys(identities) if identity not in ("", self._node.identity)]
 
-    # Stopping.
+    # Shutdown.
 
     def begin_stop(self, now: int) -> None:
-        """Hand leadership over, and ask to be replaced. The member goes on serving until `may_stop`."""
+        """Transfer leadership and ask to be replaced as a voter. The member keeps serving until `may_stop`."""
         if self.stopping:
             return
         self._stop_requested_at = self._next_request_at = now
@@ -150,21 +150,22 @@
         self._replica.transfer_leadership(now)
 
     def may_stop(self, now: int) -> bool:
-        """Whether this member may end, as waiting longer would keep nothing safer.
+        """Whether this member may exit, as waiting longer would make no data safer.
 
-        It is no voter any more; or the others have all that it has, and no standby could replace it; or its time is up.
+        True if it is not a voter any more, if its grace period is over, or if its log is committed and no standby
+        could replace it.
         """
         if self._stop_requested_at is None:
             return False
         if not self.is_voter() or now >= self._stop_requested_at + self._profile.stop_grace_ns - STOP_MARGIN_NS:
             return True
-        if now < self._stop_requested_at + STANDBY_REPLY_WAIT_NS or self._directory.other_standbys_run(now):
+        if now < self._stop_requested_at + STANDBY_REPLY_WAIT_NS or self._directory.has_other_standbys(now):
             return False
         return self._node.commit_index == self._node.log.last_index and self._node.current(now)
 
 
 def newer(first: Membership | None, second: Membership | None) -> Membership | None:
-    """Return the membership of the higher epoch, the first of two that are equal."""
+    """Return the membership with the higher epoch, or `first` if the epochs are equal."""
     if first is None or second is None:
         return first or second
     return second if second.epoch > first.epoch else first
--- a/kestrelplank/control/member_profile.py
+++ b/kestrelplank/control/member_profile.py
@@ -1,4 +1,4 @@
-"""What the platform says of one control member."""
+"""The platform's settings for one control member."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberProfile:
-    """A member's machine, and what the platform demands of the system.
+    """Properties of a member's machine, and the platform's requirements on the system.
 
     :param zone: the failure domain of the machine.
     :param eligible: whether the member may be a voter (`quorum_member` in the settings).
-    :param seeds: control addresses that the platform names.
-    :param machine_losses: how many machines may be lost at once.
-    :param stop_grace_ns: how long a member may take to stop, from SIGTERM on.
+    :param seeds: control addresses listed in the platform settings.
+    :param machine_losses: the number of simultaneous machine losses to tolerate.
+    :param stop_grace_ns: how long a member may take to stop after SIGTERM.
     :param max_key_lease_ns: the longest lease on keys that servers accept.
     """
 
@@ -26,5 +26,5 @@
 
     @property
     def target_voters(self) -> int:
-        """How many voters keep a majority after `machine_losses`."""
+        """The number of voters that keeps a majority after `machine_losses`."""
         return 2 * self.machine_losses + 1
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -1,7 +1,7 @@
-"""Connections to the other control members: dialled by us, or by them to us.
+"""Connections to the other control members, outbound and inbound.
 
-A message goes over the connection that we dialled to its receiver's address, else over the one on which the receiver
-speaks to us. Whatever comes bears its sender's identity, and a connection speaks for one identity only.
+A message goes over the outbound connection to its receiver's address or, if there is none, over the receiver's inbound
+connection. Every message carries its sender's identity, and a connection is bound to one identity.
 """
 
 import asyncio
@@ -18,30 +18,30 @@
 
 DIAL_TIMEOUT_S = 0.6
 REDIAL_INTERVAL_S = 0.25
-"""Between dials of a member that does not answer."""
+"""Delay after a failed dial."""
 REDIAL_AFTER_END_S = REDIAL_INTERVAL_S / 2
-"""From the end of a connection to the next dial."""
+"""Delay from the end of a connection to the next dial."""
 UNANSWERED_TIMEOUT_NS = 3 * SECOND // 2
-"""A connection that we dialled is dialled anew if its member is not heard for so long after we sent something on it.
+"""An outbound connection is reset and dialled again if a message sent on it gets no reply within this time.
 
-Less than the time after which the other end ends a silent connection (`inbound_connections.SILENCE_TIMEOUT_NS`): its
-reset may be lost in a partition of one direction, and TCP may not find out that there is no other end.
+Shorter than the peer's idle time-out (`inbound_connections.IDLE_TIMEOUT_NS`): the peer's reset may be lost in a one-way
+partition, and TCP may not detect that the peer has closed the connection.
 """
 
 MemberConnection = FrameConnection[ToMember]
-"""A connection on which a control member receives."""
+"""A connection that delivers messages to a control member."""
 MessageHandler = Callable[[str, Message], None]
 
 
 class MemberSessions:
-    """Sessions of one member with the others. It owns the connections that it dialled and the tasks that keep them.
+    """Sessions of one member with the others. It owns its outbound connections and the tasks that maintain them.
 
-    A connection whose other end is gone unnoticed is given up within `UNANSWERED_TIMEOUT_NS`
+    A connection whose peer has vanished without notice is reset after `UNANSWERED_TIMEOUT_NS`
     (`test_a_connection_whose_other_end_is_gone_unnoticed_is_dialled_anew`).
 
-    :param identity: our own.
-    :param port: where members listen for each other.
-    :param handle_message: called with the sender's identity and each message that is for us.
+    :param identity: this member's own identity.
+    :param port: the port on which all members listen for each other.
+    :param handle_message: called with the sender's identity and each message addressed to this member.
     """
 
     def __init__(self, identity: str, port: int, handle_message: MessageHandler) -> None:
@@ -51,11 +51,11 @@
         self._inbound: Sessions[MemberConnection] = Sessions()
         self._dialled: dict[str, MemberConnection] = {}  # by control address
         self._dialling: dict[str, asyncio.Task[None]] = {}  # by control address
-        # By control address: when the first message was sent on the dialled connection since the member was heard last.
+        # By control address: when the oldest message was sent to which the member has not replied.
         self._unanswered_since: dict[str, int] = {}
 
     def keep_sessions_with(self, addresses: list[str]) -> None:
-        """Dial these addresses, again whenever a connection ends, and end connections that we dialled to others."""
+        """Keep an outbound connection to each of these addresses, and close those to all other addresses."""
         for address in addresses:
             if address not in self._dialling:
                 self._dialling[address] = asyncio.create_task(self._keep_connected(address))
@@ -67,7 +67,7 @@
                 connection.reset()
 
     def reset_unanswered(self, now: int) -> None:
-        """End connections that we dialled to members that do not answer, so that they are dialled anew."""
+        """Reset outbound connections to members that do not reply, so that they are dialled again."""
         for address, since in list(self._unanswered_since.items()):
             if now - since > UNANSWERED_TIMEOUT_NS:
                 del self._unanswered_since[address]
@@ -76,7 +76,7 @@
                     connection.reset()
 
     def send(self, to: str, message: Message) -> None:
-        """Send to the member of that identity; lost where there is no session."""
+        """Send to the member with that identity; the message is dropped if there is no session."""
         address = address_of(to)
         connection = self._dialled.get(address)
         session = self._inbound.by_name.get(to)
@@ -87,29 +87,29 @@
             session.connection.send(Envelope(self._identity, to, message))
 
     def send_to_address(self, address: str, message: Message) -> None:
-        """Send to whoever is at that control address; lost where we have no connection to it."""
+        """Send to the member at that control address; the message is dropped if there is no outbound connection."""
         connection = self._dialled.get(address)
         if connection is not None:
             self._unanswered_since.setdefault(address, time.monotonic_ns())
             connection.send(Envelope(self._identity, "", message))
 
     def handle_inbound(self, connection: MemberConnection, envelope: Envelope) -> None:
-        """Deliver a message on a connection that came in."""
+        """Deliver a message from an inbound connection."""
         if self._inbound.on_message(time.monotonic_ns(), connection, envelope.sender) is not None:
             self._deliver(envelope)
 
     def handle_inbound_ended(self, connection: MemberConnection) -> None:
-        """Forget a connection that came in and has ended."""
+        """Remove an inbound connection that has ended."""
         self._inbound.on_closed(connection)
 
     def close(self) -> None:
-        """End all connections that we dialled."""
+        """Close all outbound connections."""
         self.keep_sessions_with([])
 
     def _handle_dialled(self, connection: MemberConnection, envelope: ToMember) -> None:
-        """Deliver a message on a connection that we dialled.
+        """Deliver a message from an outbound connection.
 
-        `connection.peer` has the address that we dialled, and who has spoken there first: None before anybody has.
+        `connection.peer` is the dialled address and the identity of the first sender, None until a message arrives.
         """
         address, speaker = connection.peer
         if self._dialled.get(address) is not connection or not isinstance(envelope, Envelope):
@@ -126,7 +126,7 @@
             self._handle_message(envelope.sender, envelope.message)
 
     async def _keep_connected(self, address: str) -> None:
-        """Keep a connection to that address, dialled anew whenever it has ended."""
+        """Keep a connection to that address, dialling again whenever it ends."""
         while True:
             ended = asyncio.Event()
             try:
@@ -148,8 +148,8 @@
     async def _connect(self, address: str, ended: asyncio.Event) -> MemberConnection:
         """Return a new connection, which sets `ended` when it has ended.
 
-        :raises OSError: it is refused.
-        :raises TimeoutError: nobody answers.
+        :raises OSError: the connection is refused.
+        :raises TimeoutError: the dial takes longer than `DIAL_TIMEOUT_S`.
         """
         host = parse_address(address)[0]
         async with asyncio.timeout(DIAL_TIMEOUT_S):
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -1,7 +1,7 @@
-"""What a leader does about who the voters are. No I/O.
+"""Management of learners and voters by the leader. No I/O.
 
-It sends the log to members that ask to be a voter, and changes the membership where `consensus.membership_planning`
-says so.
+The leader replicates the log to members that ask to be voters, and makes the membership changes planned by
+`consensus.membership_planning`.
 """
 
 from kestrelplank.consensus.log_entries import ChangeMembership
@@ -20,11 +20,11 @@
 from kestrelplank.time_units import SECOND
 
 FIRST_REPLY_TIME_NS = 3 * HEARTBEAT_INTERVAL_NS // 2
-"""So long at least a former leader has to reply to its successor, before it counts as silent."""
+"""Minimum time that a former leader has to reply to its successor before it counts as unreachable."""
 
 
 class MembershipReconciler:
-    """Keeps learners and voters as the platform demands, while this member leads. One change at a time."""
+    """Adjusts learners and voters to the platform's requirements while this member leads, one change at a time."""
 
     def __init__(self, now: int, profile: MemberProfile, replica: Replica, directory: PeerDirectory) -> None:
         self._profile = profile
@@ -36,18 +36,18 @@
         self._former_leader_heard_at = now
 
     def handle_elected(self, now: int) -> None:
-        """Count each voter as heard now: a member that has just been elected has not had answers from them yet.
+        """Count each voter as heard now, as a newly elected leader has no replies from them yet.
 
-        The former leader is the one of which we know better: it counts as silent since its last heartbeat.
+        The exception is the former leader, which was last heard at its last heartbeat.
         """
         self._elected_at = now
         self._former_leader = self._node.leader_heard_last
         self._former_leader_heard_at = max(self._node.heard_leader_at, now + FIRST_REPLY_TIME_NS - VOTER_TIMEOUT_NS)
 
     def tick(self, now: int, *, stopping: bool) -> None:
-        """Do what is due; only while this member leads.
+        """Do the work that is due. Only called while this member leads.
 
-        :param stopping: this member is about to stop.
+        :param stopping: this member is shutting down.
         """
         self._reconcile_learners(now)
         candidates = self.candidates(now, stopping=stopping)
@@ -62,7 +62,7 @@
             self._hand_over(now, membership, stopping=stopping)
 
     def candidates(self, now: int, *, stopping: bool) -> list[KnownMember]:
-        """Return what the leader knows of each member that is a voter or asks to be one, itself first."""
+        """Return the known state of each member that is a voter or asks to be one, the leader itself first."""
         own = self._node.identity
         requesting = {member.identity: member for member in self._directory.requesting(now)}
         others = [identity for identity in dict.fromkeys((*self._replica.voters(), *requesting)) if identity != own]
@@ -70,7 +70,7 @@
         return [itself, *(self._candidate(identity, requesting.get(identity)) for identity in others)]
 
     def _candidate(self, identity: str, requesting: RequestingMember | None) -> KnownMember:
-        """Return what is known of another member; of a voter that has sent no request: eligible, not stopping."""
+        """Return the known state of another member; one that sent no request counts as eligible and not stopping."""
         peer = self._node.peers.get(identity)
         heard_at = peer.heard_at if peer is not None else 0
         if identity in self._replica.voters():
@@ -83,7 +83,7 @@
         return KnownMember(identity, request.zone, request.eligible, request.leaving, heard_at, caught_up)
 
     def _heard_before_election_at(self, identity: str) -> int:
-        """Return when a voter that has not replied since our election counts as heard last."""
+        """Return the last-heard time assumed for a voter that has not replied since this leader's election."""
         return self._former_leader_heard_at if identity == self._former_leader else self._elected_at
 
     def _propose(self, now: int, planned: Membership, candidates: list[KnownMember]) -> None:
@@ -97,7 +97,7 @@
         )
 
     def _hand_over(self, now: int, membership: Membership, *, stopping: bool) -> None:
-        """Give up leading, and log which of the reasons that `membership_planning.should_hand_over` has it is."""
+        """Transfer leadership, and log which reason of `membership_planning.should_hand_over` applies."""
         if stopping:
             reason = "this member is stopping"
         elif self._node.identity not in membership.voters:
@@ -108,7 +108,7 @@
         self._replica.transfer_leadership(now)
 
     def _reconcile_learners(self, now: int) -> None:
-        """Make the members that ask to be voters and are none yet the learners, and nobody else."""
+        """Make exactly the members that ask to be voters and are not voters yet the learners."""
         voters = self._replica.voters()
         asking = [member.identity for member in self._directory.requesting(now) if member.identity not in voters]
         for identity in asking:
@@ -118,7 +118,7 @@
 
 
 def describe(now: int, candidate: KnownMember) -> str:
-    """Return why a voter is replaced, for the log line: what the leader knows of it."""
+    """Return the facts that explain why a voter is replaced, for the log line."""
     facts = [f"last heard {(now - candidate.heard_at) / SECOND:.1f} s ago"]
     if candidate.leaving:
         facts.append("stopping")
--- a/kestrelplank/control/operator_api.py
+++ b/kestrelplank/control/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API: one handler object for each resource."""
+"""The operators' HTTP API, with one handler object per resource."""
 
 from collections.abc import Awaitable, Callable, MutableMapping
 from http import HTTPStatus
@@ -18,7 +18,7 @@
     ResourceNotFoundError,
 )
 
-MAX_BODY_BYTES = 8 << 20  # a configuration goes to the other members in one message
+MAX_BODY_BYTES = 8 << 20  # a configuration is sent to other members in one message
 
 Result = tuple[int, bytes]  # status and body
 Scope = MutableMapping[str, object]
@@ -29,35 +29,35 @@
 
 
 class Acknowledged(msgspec.Struct, frozen=True):
-    """The body that acknowledges an order."""
+    """The response body for an acknowledged order."""
 
     config_version: str
     in_force: bool
 
 
 def rejected(error: type[RequestError], why: str) -> Result:
-    """Return the answer to a call that failed."""
+    """Return the response to a failed call."""
     return error.status, msgspec.json.encode({"error": error.reason, "why": why})
 
 
 class OperatorCallTarget(Protocol):
-    """What a handler may ask of the control program, which hands it on to its member."""
+    """The operations of the control program that handlers call; it passes them to its member."""
 
     async def replace_configuration(self, configuration: Configuration) -> AnswerOrder:
-        """Return what became of an order."""
+        """Submit a configuration and return the outcome."""
         ...
 
     async def show_configuration(self) -> AnswerRead:
-        """Return the newest configuration, if the member can know it."""
+        """Return the newest configuration, if the member can determine it."""
         ...
 
     def status(self) -> MemberStatus:
-        """Return the member as it sees itself and the others."""
+        """Return the member's view of itself and of the other members."""
         ...
 
 
 class Handler(Protocol):
-    """A resource of the API, which is called by one method."""
+    """A resource of the API, which supports one HTTP method."""
 
     @property
     def method(self) -> str:
@@ -66,25 +66,25 @@
 
     @property
     def path(self) -> str:
-        """The path, all of it."""
+        """The complete path."""
         ...
 
     async def answer(self, member: OperatorCallTarget, body: bytes) -> Result:
-        """Return status and body of the answer to a call with that body."""
+        """Return status and body of the response to a call with that request body."""
         ...
 
 
 class ReplaceConfiguration:
-    """`POST /api/configuration/replace`: a complete configuration.
+    """`POST /api/configuration/replace`: submit a complete configuration.
 
-    One that is not above the one in force is acknowledged and changes nothing; `in_force` in the answer tells it from
-    one that prevailed.
+    A version that is not above the one in force is acknowledged without effect; `in_force` in the response says
+    whether the submitted configuration is in force.
     """
 
     method, path = "POST", "/api/configuration/replace"
 
     async def answer(self, member: OperatorCallTarget, body: bytes) -> Result:
-        """Put the configuration in force, once enough members have it."""
+        """Put the configuration in force once a majority of voters has stored it."""
         parsed = parse_configuration(body)
         configuration = parsed.value_or(None)
         if configuration is None:
@@ -97,7 +97,7 @@
 
 
 class ShowConfiguration:
-    """`GET /api/configuration/show`: the newest configuration, to the byte as it was sent."""
+    """`GET /api/configuration/show`: the newest configuration, byte for byte as submitted."""
 
     method, path = "GET", "/api/configuration/show"
 
@@ -107,12 +107,12 @@
         if not answer.known:
             return rejected(NoMajorityError, "no member that is in touch with a majority answered")
         if answer.text is None:
-            return rejected(ResourceNotFoundError, "no configuration has come yet")
+            return rejected(ResourceNotFoundError, "no configuration has been submitted yet")
         return HTTPStatus.OK, answer.text
 
 
 class ShowStatus:
-    """`GET /api/status`: this member as it sees itself and the others."""
+    """`GET /api/status`: this member's view of itself and of the other members."""
 
     method, path = "GET", "/api/status"
 
@@ -125,7 +125,7 @@
 
 
 def application(member: OperatorCallTarget) -> Application:
-    """Return the ASGI application round the handlers."""
+    """Return the ASGI application that dispatches to the handlers."""
     handlers = {(handler.method, handler.path): handler for handler in HANDLERS}
 
     async def app(scope: Scope, receive: Receive, send: Send) -> None:
@@ -142,7 +142,7 @@
 
 
 async def read_body(receive: Receive) -> bytes | None:
-    """Return a request's body, cut off once it is over `MAX_BODY_BYTES`; None where the client went before its end."""
+    """Return a request's body, read until it exceeds `MAX_BODY_BYTES`; None if the client disconnects first."""
     chunks: list[bytes] = []
     size = 0
     while True:
@@ -158,12 +158,12 @@
 
 
 async def answer_call(handler: Handler | None, path: str, member: OperatorCallTarget, body: bytes) -> Result:
-    """Return status and body of the answer to a call.
+    """Return status and body of the response to a call.
 
-    :param handler: of the resource at `path`; None where there is none.
+    :param handler: for the resource at `path`; None if there is no such resource.
     """
     if len(body) > MAX_BODY_BYTES:
-        return rejected(BodyTooLargeError, f"over {MAX_BODY_BYTES} bytes")
+        return rejected(BodyTooLargeError, f"the body exceeds {MAX_BODY_BYTES} bytes")
     if handler is None:
         return rejected(ResourceNotFoundError, path)
     return await handler.answer(member, body)
--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -1,6 +1,7 @@
-"""Operators' orders (to replace the configuration) and reads (of the newest). No I/O.
+"""Operators' orders (replace the configuration) and reads (return the newest one). No I/O.
 
-The leader answers them, a member that is current forwards them to it, any other rejects them at once.
+The leader answers them, any other current member forwards them to the leader, and a member that is not current rejects
+them at once.
 """
 
 from kestrelplank.configuration.route_table import Configuration
@@ -18,9 +19,9 @@
 
 
 class OperatorCalls:
-    """Calls that an operator made to this member, or that another member forwarded to it.
+    """Handles calls that an operator made to this member or that another member forwarded to it.
 
-    :param start_id: drawn anew at each start of the member.
+    :param start_id: random, drawn at each start of the member.
     """
 
     def __init__(self, replica: Replica, start_id: int) -> None:
@@ -29,10 +30,10 @@
         self._orders = PendingOrders()
         self._forwarded = ForwardedCalls(replica.node.identity, start_id)
 
-    # Calls of the operator to this member.
+    # Calls of an operator to this member.
 
     def handle_replace_call(self, now: int, ticket: int, configuration: Configuration) -> None:
-        """Take an order that has passed the checks; `AnswerOrder` follows."""
+        """Handle a validated order; `AnswerOrder` follows."""
         order = PutConfiguration(configuration.key.version, configuration.key.digest, configuration.text)
         if self._node.leads(now):
             self._handle_order(now, LocalCaller(ticket), order)
@@ -43,7 +44,7 @@
             self._answer_order_unknown(LocalCaller(ticket))
 
     def handle_show_call(self, now: int, ticket: int) -> None:
-        """Take a read; `AnswerRead` follows."""
+        """Handle a read; `AnswerRead` follows."""
         if self._node.leads(now):
             self._answer_read_by_state(now, LocalCaller(ticket))
         elif self._can_forward(now):
@@ -52,34 +53,34 @@
         else:
             self._answer_read_unknown(LocalCaller(ticket))
 
-    # Messages of other members.
+    # Messages from other members.
 
     def handle_submit_order(self, now: int, sender: str, message: SubmitOrder) -> None:
-        """Take an order that another member forwards."""
+        """Handle an order that another member forwarded."""
         self._handle_order(now, ForwardingMember(sender, message.call), message.order)
 
     def handle_read_configuration(self, now: int, sender: str, message: ReadConfiguration) -> None:
-        """Answer a read that another member forwards."""
+        """Answer a read that another member forwarded."""
         self._answer_read_by_state(now, ForwardingMember(sender, message.call))
 
     def handle_order_result(self, sender: str, result: OrderResult) -> None:
-        """Pass on the answer to an order that we forwarded."""
+        """Return the leader's result of an order that this member forwarded to its operator."""
         forwarded = self._forwarded.take_answered(sender, result.call, is_read=False)
         if forwarded is not None:
             self._answer_order(LocalCaller(forwarded.ticket), result.acknowledged, result.in_force)
 
     def handle_read_result(self, sender: str, result: ReadResult) -> None:
-        """Pass on the answer to a read that we forwarded."""
+        """Return the leader's result of a read that this member forwarded to its operator."""
         forwarded = self._forwarded.take_answered(sender, result.call, is_read=True)
         if forwarded is not None:
             self._answer_read(LocalCaller(forwarded.ticket), result.known, result.text)
 
-    # Events of the replicated log, and time.
+    # Events of the replicated log, and time-outs.
 
     def handle_applied(self, entry: Entry, *, came_into_force: bool) -> None:
-        """Answer those whose order this committed entry decides.
+        """Answer the callers whose order is decided by this committed entry.
 
-        :param came_into_force: the entry is an order, and its configuration is in force now.
+        :param came_into_force: the entry is an order, and it has just put its configuration in force.
         """
         decided = self._orders.handle_applied(entry)
         for caller in decided.acknowledged:
@@ -88,12 +89,12 @@
             self._answer_order_unknown(caller)
 
     def handle_deposed(self) -> None:
-        """Answer all whose order is pending: this member leads no longer, so its outcome is unknown."""
+        """Answer all pending orders with an unknown outcome, as this member no longer leads."""
         for caller in self._orders.take_all():
             self._answer_order_unknown(caller)
 
     def tick(self, now: int) -> None:
-        """End calls that have waited too long, and all of them once nobody is heard that they wait for."""
+        """End calls that have timed out; without contact to a majority or the leader, end all calls."""
         in_contact = self._node.in_contact(now)
         for caller in self._orders.take_expired(now) if in_contact else self._orders.take_waiting():
             self._answer_order_unknown(caller)
@@ -110,7 +111,7 @@
         return another_leads and in_reach and not self._forwarded.full()
 
     def _handle_order(self, now: int, caller: Caller, order: PutConfiguration) -> None:
-        """Answer the order, or let the caller wait until it is committed."""
+        """Answer the order at once, or add the caller to those waiting for its commit."""
         if not self._node.leads(now):
             self._answer_order_unknown(caller)
         elif self._replica.state.acknowledges(order):
@@ -128,7 +129,7 @@
             self._orders.add(now, caller, order, index, self._node.term)
 
     def _answer_read_by_state(self, now: int, caller: Caller) -> None:
-        """Answer a read. Only a leader can: all that was ever acknowledged is applied here."""
+        """Answer a read if this member leads: only the leader has surely applied every acknowledged configuration."""
         if not self._node.leads(now):
             self._answer_read_unknown(caller)
             return
@@ -136,7 +137,7 @@
         self._answer_read(caller, True, configuration.text if configuration else None)
 
     def _answer_order_unknown(self, caller: Caller) -> None:
-        """Say that the order may be in force later, or never: the caller may send it again."""
+        """Answer that the order's outcome is unknown: the caller may send it again."""
         self._answer_order(caller, False, False)
 
     def _answer_order(self, caller: Caller, acknowledged: bool, in_force: bool) -> None:
@@ -147,7 +148,7 @@
                 self._replica.send(caller.identity, OrderResult(caller.call, acknowledged, in_force))
 
     def _answer_read_unknown(self, caller: Caller) -> None:
-        """Say that this member can't know the newest configuration."""
+        """Answer that this member can't determine the newest configuration."""
         self._answer_read(caller, False, None)
 
     def _answer_read(self, caller: Caller, known: bool, text: bytes | None) -> None:
--- a/kestrelplank/control/platform_client.py
+++ b/kestrelplank/control/platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's list of servers, asked for over HTTP on one kept connection."""
+"""HTTP client for the platform's list of servers, with one persistent connection."""
 
 import asyncio
 import logging
@@ -14,8 +14,8 @@
 
 DIAL_TIMEOUT_S = 0.6
 FETCH_TIMEOUT_S = 1.5
-"""For all pages."""
-FAILURES = (
+"""Time-out for all pages together."""
+FETCH_ERRORS = (
     OSError,
     TimeoutError,
     httpcore.NetworkError,
@@ -28,7 +28,7 @@
 
 
 class Instance(msgspec.Struct):
-    """A server as the platform lists it; other fields are skipped."""
+    """A server in the platform's list; other fields are ignored."""
 
     server_id: str
     target_service: str
@@ -40,27 +40,27 @@
 
 
 class Page(msgspec.Struct):
-    """One page of the list, and what to ask for the next one."""
+    """One page of the list, and the token of the next page; None or empty on the last page."""
 
     instances: list[Instance]
     next_token: str | None = None
 
 
 class PlatformClient:
-    """The platform at that address. It owns the connection to it, and ends that when a fetch fails."""
+    """Client of the platform at `address`. It owns the connection and resets it when a fetch fails."""
 
     def __init__(self, address: str) -> None:
         self._address = parse_address(address)
         self._connection: Connection | None = None
 
     async def fetch_servers(self) -> list[ListedServer] | None:
-        """Return the complete list; None where it could not be fetched."""
+        """Return the complete list; None if the fetch failed."""
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 return await self._fetch_pages()
-        except FAILURES as err:
+        except FETCH_ERRORS as err:
             log.warning(
-                "Control: can't fetch the platform's list of servers, the last one stays: %s", type(err).__name__
+                "Control: can't fetch the platform's list of servers, keeping the previous one: %s", type(err).__name__
             )
             self._reset()
             return None
@@ -92,7 +92,7 @@
 
 
 def server_entry(instance: Instance) -> ListedServer:
-    """Return the server as our processes send it to each other."""
+    """Convert a server to the form that control members and edge machines exchange."""
     return ListedServer(
         instance.server_id,
         instance.target_service,
--- a/kestrelplank/control/program.py
+++ b/kestrelplank/control/program.py
@@ -1,6 +1,6 @@
-"""The control program: one `ControlMember` on sockets, disk and the steady clock.
+"""The control program: runs one `ControlMember` with sockets, disk and the monotonic clock.
 
-It translates, sends and writes, and decides nothing.
+It only does I/O; all decisions are made by `ControlMember`.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
     AnswerRead,
     CallServer,
     Effect,
-    KeepConfigurationCopy,
     LogLine,
     PushToEdges,
     SendMessage,
     SendToAddress,
+    WriteConfigurationCopy,
 )
 from kestrelplank.control.inbound_connections import InboundConnections
 from kestrelplank.control.log_writer import LogWriter
@@ -53,21 +53,21 @@
 
 TICK_INTERVAL_S = 0.05
 SERVER_FETCH_CHECK_INTERVAL_S = 0.5
-"""At most so long passes until we look again whether the platform's list of servers is ours to fetch."""
+"""Maximum delay between checks whether this member should fetch the platform's list of servers."""
 SERVER_FETCH_RETRY_S, SERVER_FETCH_RETRY_JITTER_S = 0.3, 0.2
-"""From a failed fetch to the next: the first, and a random share of the second."""
+"""A failed fetch is retried after the first value plus a random share of the second."""
 START_RETRY_INTERVAL_S = 0.3
-"""Until a disk that refused at the start is asked again."""
+"""Delay before opening the log is retried after a disk error."""
 OPERATOR_IDLE_S = 15
-"""How long an operator's connection is kept between calls."""
+"""How long an operator's connection may be idle between calls."""
 OPERATOR_DRAIN_S = 1
-"""How long calls in hand may take to finish when the program stops."""
+"""How long calls in flight may take to finish when the program stops."""
 
 log = logging.getLogger("control")
 
 
 async def run(settings: PlatformSettings) -> int:
-    """Run the program until SIGTERM or SIGINT. Return the exit code: 1 where a task failed by a defect, else 0."""
+    """Run the program until SIGTERM or SIGINT. Return the exit code: 1 if a critical task failed, else 0."""
     stop = stop_on_signals()
     random = Random(SystemRandom().getrandbits(64))
     disk = DiskThread()
@@ -84,7 +84,7 @@
 
 
 def stop_on_signals() -> asyncio.Event:
-    """Return an event that SIGTERM or SIGINT sets. SIGHUP is ignored: our settings don't change while we run."""
+    """Return an event that SIGTERM or SIGINT sets. SIGHUP is ignored, as settings are only read at the start."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -96,7 +96,7 @@
 async def start_from_disk(
     settings: PlatformSettings, random: Random, disk: DiskThread
 ) -> tuple[LogFile, ControlMember]:
-    """Return the log and the member as the disk has them; a disk that refuses is asked again until it does not."""
+    """Return the log and the member restored from disk; disk errors are retried until they stop."""
     local = settings.local_system
     host, port = settings.listen_address("control_plane")
     profile = MemberProfile(
@@ -117,20 +117,20 @@
         try:
             return await disk.call(start)
         except OSError as err:
-            log.warning("Storage: can't begin, trying again in %s s: %s", START_RETRY_INTERVAL_S, err)
+            log.warning("Storage: can't open the log, trying again in %s s: %s", START_RETRY_INTERVAL_S, err)
             await asyncio.sleep(START_RETRY_INTERVAL_S)
 
 
 class ControlProgram:
-    """The program round a member that has started. One loop; the disk has a thread of its own.
+    """Runs a started member on one event loop; the disk has its own thread.
 
-    What owns which resource, in the order in which `run` lets them go:
+    Owners of resources, in the order in which `run` releases them:
 
-    - the operators' HTTP server: their connections, ended once calls in hand are answered;
-    - the members' listener (`_listen_for_peers`): accepts connections; `_inbound` keeps what came in;
-    - `CriticalTasks`: those of `_log_writer`, `_tick` and `_fetch_servers`;
-    - `_sessions`: the connections that we dialled to other members;
-    - `_server_calls`: connections to servers, one object an address; they end with the process.
+    - the operators' HTTP server: their connections, closed once calls in flight are answered;
+    - the members' listener (`_listen_for_peers`): accepts connections; `_inbound` tracks them;
+    - `CriticalTasks`: the tasks of `_log_writer`, `_tick` and `_fetch_servers`;
+    - `_sessions`: outbound connections to other members;
+    - `_server_calls`: connections to servers, one `ServerCalls` per address; they end with the process.
     """
 
     def __init__(
@@ -149,7 +149,7 @@
         self._reads = WaitingCalls[AnswerRead](tickets)
 
     async def run(self, stop: asyncio.Event) -> int:
-        """Run until `stop` is set, then stop in order. Return the exit code."""
+        """Run until `stop` is set, then shut down gracefully. Return the exit code."""
         tasks = CriticalTasks("Control", stop)
         with closing(self._sessions):
             try:
@@ -170,7 +170,7 @@
 
     @asynccontextmanager
     async def _listen_for_peers(self) -> AsyncIterator[None]:
-        """Accept connections of other members and of edge machines."""
+        """Accept connections from other members and edge machines."""
         listening = await asyncio.get_running_loop().create_server(
             lambda: FrameConnection(decode_at_member, self._handle_inbound_message, self._handle_inbound_ended),
             self._settings.local_system.ip_address,
@@ -183,7 +183,7 @@
 
     @asynccontextmanager
     async def _serve_operators(self) -> AsyncIterator[None]:
-        """Serve the operators' API; at the end calls in hand are answered first."""
+        """Serve the operators' API; on exit, calls in flight are answered first."""
         http_server = create_server(application(self), OPERATOR_IDLE_S, OPERATOR_DRAIN_S)
         serving = asyncio.create_task(
             http_server.serve([listening_socket(*self._settings.listen_address("control_plane"))])
@@ -197,17 +197,17 @@
     # Tasks.
 
     async def _tick(self) -> None:
-        """Let the member do what is due, and end connections on which nothing comes."""
+        """Tick the member regularly, update its sessions, and reset idle connections."""
         while True:
             await asyncio.sleep(TICK_INTERVAL_S)
             now = time.monotonic_ns()
             self._carry_out(self._member.tick(now, self._log_writer.log_size_bytes))
             self._sessions.keep_sessions_with(self._member.addresses_to_dial(now))
             self._sessions.reset_unanswered(now)
-            self._inbound.reset_silent(now)
+            self._inbound.reset_idle(now)
 
     async def _fetch_servers(self) -> None:
-        """Fetch the platform's list of servers whenever it is ours to fetch."""
+        """Fetch the platform's list of servers whenever this member should."""
         while True:
             due_in_ns = self._member.server_fetch_due_in_ns(time.monotonic_ns())
             if due_in_ns is None:
@@ -225,7 +225,7 @@
             self._carry_out(self._member.handle_servers_fetched(time.monotonic_ns(), entries))
 
     async def _stop_member(self) -> None:
-        """Have the member stop, and wait until it may end."""
+        """Start the member's shutdown and wait until it may exit."""
         self._carry_out(self._member.begin_stop(time.monotonic_ns()))
         while not self._member.may_stop(time.monotonic_ns()):
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -253,7 +253,7 @@
                 self._orders.resolve(effect)
             case AnswerRead():
                 self._reads.resolve(effect)
-            case KeepConfigurationCopy():
+            case WriteConfigurationCopy():
                 self._log_writer.write_configuration_copy(effect.version, effect.text)
             case LogLine():
                 log.info("Control: %s", effect.text)
@@ -276,13 +276,13 @@
         self._carry_out(self._member.handle_server_call_ended(time.monotonic_ns(), call, result))
 
     def _handle_peer_message(self, sender: str, message: Message) -> None:
-        """Take a message of the member `sender`, on a connection that either of us dialled."""
+        """Handle a message from the member `sender`, on an inbound or outbound connection."""
         self._carry_out(self._member.handle_message(time.monotonic_ns(), sender, message))
 
     def _handle_inbound_message(self, connection: MemberConnection, message: ToMember) -> None:
-        """Take a message on a connection that came in."""
+        """Handle a message on an inbound connection."""
         now = time.monotonic_ns()
-        self._inbound.handle_heard(now, connection)
+        self._inbound.record_activity(now, connection)
         match message:
             case Envelope():
                 self._sessions.handle_inbound(connection, message)
@@ -294,7 +294,7 @@
                 assert_never(message)
 
     def _handle_edge_heartbeat(self, now: int, connection: MemberConnection, heartbeat: EdgeHeartbeat) -> None:
-        if not self._inbound.handle_edge_heard(now, connection, heartbeat.edge, heartbeat.configuration_version):
+        if not self._inbound.handle_edge_heartbeat(now, connection, heartbeat.edge, heartbeat.configuration_version):
             return
         for answer in self._member.handle_edge_heartbeat(now, heartbeat, self._inbound.edge_count):
             connection.send(answer)
@@ -303,21 +303,21 @@
         self._inbound.handle_ended(connection)
         self._sessions.handle_inbound_ended(connection)
 
-    # Calls of the operator (`operator_api.OperatorCallTarget`).
+    # Calls of an operator (`operator_api.OperatorCallTarget`).
 
     async def replace_configuration(self, configuration: Configuration) -> AnswerOrder:
-        """Return what became of an order."""
+        """Submit a configuration and return the outcome."""
         return await self._orders.call(
             lambda ticket: self._carry_out(self._member.handle_replace_call(time.monotonic_ns(), ticket, configuration))
         )
 
     async def show_configuration(self) -> AnswerRead:
-        """Return the newest configuration, if this member can know it."""
+        """Return the newest configuration, if this member can determine it."""
         return await self._reads.call(
             lambda ticket: self._carry_out(self._member.handle_show_call(time.monotonic_ns(), ticket))
         )
 
     def status(self) -> MemberStatus:
-        """Return this member as an operator sees it."""
+        """Return the status of this member for operators."""
         now = time.monotonic_ns()
         return msgspec.structs.replace(self._member.status(now), edges=self._inbound.edge_statuses(now))
--- a/kestrelplank/control/server_calls.py
+++ b/kestrelplank/control/server_calls.py
@@ -1,11 +1,11 @@
 """Grants and releases as calls to one server.
 
-They go out side by side, a bounded number of each, every call alone on a connection while it is out.
+Calls run concurrently, a bounded number of each kind, and each has a connection to itself while it is in flight.
 
-The adapter decides nothing: it sends each call that the deciding core asked for, once, and reports how it ended. An
-answer bears no name of its call, so it is tied to it by the connection: a connection on which anything has come that
-nobody asked for, or that ended without a complete answer, is never used again, and one that has carried a release
-carries no other one, so that a second answer to the first can't be taken for the other's.
+This adapter makes no decisions: it sends each requested call once and reports its result. A response does not name its
+call, so it is matched by its connection: a connection that received unexpected bytes, or ended without a complete
+response, is not used again, and one that has carried a release never carries another release, so that a duplicate
+response to the first can't be taken for the response to the second.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class ReleaseBody(msgspec.Struct):
-    """The body of a release, in the servers' names.
+    """The body of a release, with the field names of the servers' API.
 
     :param source: the first key.
     :param target_version: the last key.
@@ -43,9 +43,9 @@
 
 
 class GrantBody(ReleaseBody, omit_defaults=True):
-    """The body of a grant, in the servers' names.
+    """The body of a grant, with the field names of the servers' API.
 
-    :param hold_s: how long the server may hold the keys, from when the grant arrives.
+    :param hold_s: the lease duration, counted from the arrival of the grant.
     """
 
     hold_s: float
@@ -53,11 +53,11 @@
 
 
 @dataclass(slots=True)
-class KeptConnection:
-    """A connection to the server.
+class PooledConnection:
+    """A reusable connection to the server.
 
-    :param idle_until: it may be used again until then (ns).
-    :param carried_release: a release went out on it.
+    :param idle_until: the connection may be reused until then (ns).
+    :param carried_release: whether a release was sent on it.
     """
 
     connection: Connection
@@ -68,7 +68,7 @@
 class ServerCalls:
     """Calls to one server.
 
-    :param call_ended: is called with each call that was put in, once, when it has ended.
+    :param call_ended: called once for each call, with its result, when the call has ended.
     """
 
     def __init__(self, call_ended: CallEnded, address: str) -> None:
@@ -77,26 +77,26 @@
         self._queue: asyncio.Queue[CallServer] = asyncio.Queue()
         self._grants = asyncio.Semaphore(MAX_CONCURRENT_GRANTS)
         self._releases = asyncio.Semaphore(MAX_CONCURRENT_RELEASES)
-        self._idle: list[KeptConnection] = []
+        self._idle: list[PooledConnection] = []
         self._calls: set[asyncio.Task[None]] = set()
         self._task = asyncio.create_task(self._run())
 
     def put(self, call: CallServer) -> None:
-        """Send this call as soon as fewer than `MAX_CONCURRENT_GRANTS`, or `..._RELEASES`, are out."""
+        """Send this call once fewer than `MAX_CONCURRENT_GRANTS`, or `MAX_CONCURRENT_RELEASES`, are in flight."""
         self._queue.put_nowait(call)
 
     def close(self) -> None:
-        """End all calls and connections."""
+        """Cancel all calls and reset idle connections."""
         for task in (self._task, *self._calls):
             task.cancel()
-        for kept in self._idle:
-            kept.connection.reset()
+        for pooled in self._idle:
+            pooled.connection.reset()
         self._idle.clear()
 
     async def _run(self) -> None:
-        """Begin a task for each call, which waits there until it may be sent.
+        """Start a task for each call, in which the call waits until it may be sent.
 
-        Tasks are bounded by the number of key ranges, each of which has one call at a time.
+        The number of tasks is bounded, as each key range has at most one call at a time.
         """
         while True:
             call = await self._queue.get()
@@ -105,9 +105,9 @@
             task.add_done_callback(self._calls.discard)
 
     async def _carry_out(self, call: CallServer) -> None:
-        """Wait until the call may be sent, send it, and report how it ended."""
+        """Wait until the call may be sent, send it, and report its result."""
         async with self._grants if isinstance(call.request, GrantKeyRange) else self._releases:
-            sent, answer = await self._ask(call)
+            sent, answer = await self._send_call(call)
         handover = answer.fields.get(b"x-handover") if answer else None
         self._call_ended(
             call,
@@ -118,25 +118,25 @@
             ),
         )
 
-    async def _ask(self, call: CallServer) -> tuple[bool, Answer | None]:
-        """Return whether anything was sent, and the answer if a complete one came."""
+    async def _send_call(self, call: CallServer) -> tuple[bool, Answer | None]:
+        """Return whether any bytes were sent, and the response if a complete one arrived."""
         is_grant = isinstance(call.request, GrantKeyRange)
-        kept: KeptConnection | None = None
+        pooled: PooledConnection | None = None
         answer: Answer | None = None
         try:
             async with asyncio.timeout((GRANT_TIMEOUT_NS if is_grant else RELEASE_TIMEOUT_NS) / SECOND):
-                kept = self._take_idle(call.request) or KeptConnection(await dial(self._address, CONNECT_TIMEOUT_S))
-                kept.connection.stream.begin_call()
-                # Right before it is sent: the wait for its turn and the dial took time.
+                pooled = self._take_idle(call.request) or PooledConnection(await dial(self._address, CONNECT_TIMEOUT_S))
+                pooled.connection.stream.begin_call()
+                # Checked right before sending: the queue and the dial took time.
                 if is_grant and time.monotonic_ns() >= call.leader_lease_until:
                     return False, None
-                kept.carried_release |= not is_grant
-                answer = await self._send(kept.connection, call.request)
+                pooled.carried_release |= not is_grant
+                answer = await self._send(pooled.connection, call.request)
         except CALL_ERRORS:
             pass
         finally:
-            self._give_back(kept, answer)
-        return kept is not None and kept.connection.stream.sent_bytes > 0, answer
+            self._return_to_pool(pooled, answer)
+        return pooled is not None and pooled.connection.stream.sent_bytes > 0, answer
 
     async def _send(self, connection: Connection, request: ServerRequest) -> Answer:
         target, body = encode_request(request)
@@ -148,31 +148,31 @@
         ]
         return await connection.call(b"POST", target, headers, body)
 
-    def _take_idle(self, request: ServerRequest) -> KeptConnection | None:
-        """Return an idle connection for this request, the one used last first."""
+    def _take_idle(self, request: ServerRequest) -> PooledConnection | None:
+        """Return an idle connection for this request, the most recently used one first."""
         now = time.monotonic_ns()
-        for kept in reversed(self._idle):
-            if now >= kept.idle_until or kept.connection.is_stale():
-                self._idle.remove(kept)
-                kept.connection.reset()
-            elif isinstance(request, GrantKeyRange) or not kept.carried_release:
-                self._idle.remove(kept)
-                return kept
+        for pooled in reversed(self._idle):
+            if now >= pooled.idle_until or pooled.connection.is_stale():
+                self._idle.remove(pooled)
+                pooled.connection.reset()
+            elif isinstance(request, GrantKeyRange) or not pooled.carried_release:
+                self._idle.remove(pooled)
+                return pooled
         return None
 
-    def _give_back(self, kept: KeptConnection | None, answer: Answer | None) -> None:
-        """Keep the connection for another call only after a complete answer with nothing behind it."""
-        if kept is None:
+    def _return_to_pool(self, pooled: PooledConnection | None, answer: Answer | None) -> None:
+        """Keep the connection for reuse if it got a complete response and no bytes after it; reset it otherwise."""
+        if pooled is None:
             return
-        if answer is None or not kept.connection.reusable:
-            kept.connection.reset()
+        if answer is None or not pooled.connection.reusable:
+            pooled.connection.reset()
             return
-        kept.idle_until = time.monotonic_ns() + answer.max_idle_ns()
-        self._idle.append(kept)
+        pooled.idle_until = time.monotonic_ns() + answer.max_idle_ns()
+        self._idle.append(pooled)
 
 
 def encode_request(request: ServerRequest) -> tuple[bytes, bytes]:
-    """Return the path and the body of a request, by what its key range is now."""
+    """Return the path and the body of a request, from the current state of its key range."""
     keys = request.key_range
     match request:
         case GrantKeyRange():
--- a/kestrelplank/control/server_discovery.py
+++ b/kestrelplank/control/server_discovery.py
@@ -1,6 +1,6 @@
-"""The platform's list of servers at one control member, and whose turn it is to fetch it. No I/O.
+"""The platform's list of servers at one control member, and when this member has to fetch it. No I/O.
 
-One member fetches the list and sends it to the other voters: the leader, as long as it does so in time, else the next
+One member fetches the list and sends it to the other voters: normally the leader; if the list gets too old, the next
 voter in order.
 """
 
@@ -14,13 +14,13 @@
 from kestrelplank.transport.server_list import ListedServer, ServerList
 
 FETCH_INTERVAL_NS = SECOND // 2
-"""How old the list may become at the leader."""
+"""Age of the list at which the leader fetches it."""
 FETCH_STAGGER_NS = SECOND // 2
-"""How much older the list may become at each further voter before that fetches it in place of those before it."""
+"""Additional age of the list at which each next voter, in order, fetches it in place of those before it."""
 
 
 class ServerDiscovery:
-    """Keeps `servers` fresh, and has the shard assigners take what changed."""
+    """Keeps `servers` up to date and notifies the shard assigners of changes."""
 
     def __init__(self, replica: Replica, servers: ServerList, assigners: ShardAssigners) -> None:
         self._replica = replica
@@ -29,9 +29,9 @@
         self._assigners = assigners
 
     def fetch_due_in_ns(self, now: int) -> int | None:
-        """Return the time until this member should fetch the list, unless a newer one comes before.
+        """Return the time until this member should fetch the list, unless a newer list arrives before.
 
-        None: it is no voter, so it need not.
+        None if it is not a voter, as only voters fetch the list.
         """
         own, leader = self._node.identity, self._node.leader
         other_voters = [voter for voter in self._replica.voters() if voter != leader]
@@ -42,8 +42,8 @@
         return 0 if age is None else max(0, FETCH_INTERVAL_NS + rank * FETCH_STAGGER_NS - age)
 
     def handle_fetched(self, now: int, entries: list[ListedServer]) -> None:
-        """Take the list that we have just fetched, and send it to the other voters and, if it changed, to edges."""
-        changed = self._take(now, 0, entries)
+        """Store the list that this member fetched; send it to the other voters and, if changed, to edge machines."""
+        changed = self._store(now, 0, entries)
         update = self._servers.update_message(now)
         for voter in self._replica.voters():
             if voter != self._node.identity:
@@ -52,11 +52,11 @@
             self._replica.emit(PushToEdges(update))
 
     def handle_server_list_update(self, now: int, update: ServerListUpdate) -> None:
-        """Take the list that another member fetched, if it is newer than ours."""
-        self._take(now, update.age_ns, update.entries)
+        """Store the list that another member fetched, if it is newer than the one known here."""
+        self._store(now, update.age_ns, update.entries)
 
-    def _take(self, now: int, age_ns: int, entries: Sequence[tuple[str, str, str, str, int, str, int]]) -> bool:
-        """Take a list if it is newer than ours. Return whether anything in it changed."""
+    def _store(self, now: int, age_ns: int, entries: Sequence[tuple[str, str, str, str, int, str, int]]) -> bool:
+        """Store a list if it is newer than the one known here. Return whether any entry changed."""
         changed = self._servers.update(now, age_ns, entries)
         if changed:
             self._assigners.handle_server_list(now)
--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -1,9 +1,9 @@
-"""One sharded service as the leader decides for it.
+"""The leader's decisions for one sharded service.
 
-That is: which server holds which keys, what of that is recorded in the log, and what edge machines are sent. No I/O.
+They are: which server holds which keys, which records are written to the log, and what edge machines are sent. No I/O.
 
-Key ranges are recorded in the log (`CommitRecord`), then granted. Edge machines are sent a record once it is
-committed, and ranges that leave their server at once.
+Key ranges are recorded in the log (`CommitRecord`) before they are granted. Edge machines are sent a record once it is
+committed, and ranges that are being released at once.
 """
 
 from dataclasses import dataclass
@@ -31,12 +31,13 @@
 
 DEFAULT_MAX_LEASE_NS = 10 * SECOND
 FIRST_RANGES_PER_SERVER = 4
-LIST_SETTLING_NS = 1600 * MILLISECOND  # unchanged for so long, the first list is taken as complete: it fills slowly
+SERVER_LIST_STABLE_NS = 1600 * MILLISECOND
+"""The first list fills slowly; it counts as complete once it is unchanged for this time."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommitRecord:
-    """Have this record committed in the log, then call `ShardAssigner.handle_record_committed`."""
+    """Commit this record in the log, then call `ShardAssigner.handle_record_committed`."""
 
     record: bytes
 
@@ -52,12 +53,12 @@
 
 
 class ShardAssigner:
-    """Decides for one service as long as this member leads.
+    """Assigns the keys of one service to its servers while this member leads.
 
-    :param term: the leader's term in the log.
+    :param term: the leader's term.
     :param record: the newest record in the log.
-    :param latency_target_ns: within which the service's requests should be answered.
-    :param seed: of the placement's random draws.
+    :param latency_target_ns: the target for the service's response times.
+    :param seed: seed of the placement's random numbers.
     :param max_lease_ns: the longest lease that servers accept.
     """
 
@@ -85,24 +86,24 @@
 
     @property
     def version(self) -> KeyRangesVersion:
-        """The version of the key ranges that an edge machine has once it was sent everything."""
+        """The version of the key ranges at an edge machine that received all updates."""
         return self._version
 
     def unowned_s(self) -> float:
-        """Return the seconds that keys had no holder since this member leads, weighted by their share of all keys."""
+        """Return how long keys had no holder since this member leads (s), weighted by their share of all keys."""
         return self.key_ranges.unowned_key_ns / KEY_COUNT / SECOND
 
     # Events.
 
     def handle_server_list(self, now: int, servers: list[ShardServer]) -> None:
-        """Take the platform's list, as it has changed."""
+        """Handle a change of the platform's list of servers."""
         self.key_ranges.handle_server_list(now, servers)
         self.placement.handle_server_list()
 
     def handle_call_ended(self, now: int, request: ServerRequest, result: ServerCallResult) -> bool:
-        """Take the end of a grant or release.
+        """Handle the result of a grant or release.
 
-        Return whether to call `tick` at once: the answer to a renewal changes nothing that can't wait.
+        Return whether `tick` must be called at once; after a renewal the next regular tick is soon enough.
         """
         if request.key_range not in self.key_ranges.ranges:
             return False
@@ -110,7 +111,7 @@
         return request.key_range.state is not KeyRangeState.HELD
 
     def handle_record_committed(self, now: int) -> PushKeyRanges:
-        """Go on with the record that was proposed last, as it is committed."""
+        """Handle the commit of the last proposed record; its key ranges may now be granted."""
         assert self._proposed is not None
         record, self._proposed = self._proposed, None
         self.key_ranges.handle_recorded(now)
@@ -119,9 +120,9 @@
         return PushKeyRanges(KeyRangesDelta(self.service, since, self._version, changes))
 
     def _changes(self, record: ShardRecord) -> list[RangeHolder]:
-        """Return what `record` changes for edge machines.
+        """Return the key ranges that `record` changes for edge machines.
 
-        Ranges are compared by their tokens, as one may have left its server and come back to it.
+        Ranges are compared with their fencing tokens, as a range may have left its server and returned to it.
         """
         known = {(old.first, old.last, old.fencing_token) for old in self._committed.ranges}
         holders = {
@@ -134,20 +135,20 @@
                 continue
             if holders.get(new.first, new.server) == new.server:
                 changes.append(RangeHolder(new.first, new.last, new.server, new.address))
-            else:  # it has been taken from that server since the record was proposed
+            else:  # it was released from that server after the record was proposed
                 changes.append(without_holder(new))
         return changes
 
     # Effects.
 
     def tick(self, now: int, list_changed_at: int, *, voter_missing: bool = False) -> list[ShardAssignerEffect]:
-        """Return what is due. Only while this member leads.
+        """Return the effects that are due. Only called while this member leads.
 
-        :param list_changed_at: when the platform's list of servers last changed.
-        :param voter_missing: a voter of the replicated log has not been heard lately.
+        :param list_changed_at: when the platform's list of servers last changed (ns).
+        :param voter_missing: whether a voter of the replicated log is currently unreachable.
         """
         if not self.key_ranges.ranges:
-            if not self.key_ranges.servers or now - list_changed_at < LIST_SETTLING_NS:
+            if not self.key_ranges.servers or now - list_changed_at < SERVER_LIST_STABLE_NS:
                 return []
             self.key_ranges.divide(FIRST_RANGES_PER_SERVER * len(self.key_ranges.servers))
         range_count = len(self.key_ranges.ranges)
@@ -166,7 +167,7 @@
                 case _:
                     assert_never(effect)
         effects += self.key_ranges.newly_stalled(now)
-        # Edge machines hear first of what leaves its server, as requests for these keys had better wait.
+        # Edge machines are notified of releasing ranges first, so that they hold requests for these keys back.
         return [self._push_releasing(releasing), *effects] if releasing else effects
 
     def _propose(self, due: RecordKeyRanges) -> CommitRecord:
@@ -183,7 +184,7 @@
         return PushKeyRanges(KeyRangesDelta(self.service, since, self._version, changes))
 
     def full_update(self) -> KeyRangesUpdate:
-        """Return all ranges for an edge machine that lacks some: as recorded, and what left its server since."""
+        """Return all recorded ranges, and those that left their servers since, for an edge machine that lacks some."""
         recorded = KeyRangeTable(self._version, range_holders(self._committed.ranges))
         releasing = []
         for key_range in self.key_ranges.ranges:
@@ -194,5 +195,5 @@
 
 
 def without_holder(key_range: KeyRange | RecordedKeyRange) -> RangeHolder:
-    """Return these keys, for edge machines, as held by no server."""
+    """Return this key range without a holder, in the form that edge machines are sent."""
     return RangeHolder(key_range.first, key_range.last, "", "")
--- a/kestrelplank/control/shard_assigners.py
+++ b/kestrelplank/control/shard_assigners.py
@@ -1,4 +1,4 @@
-"""All sharded services as the leader decides for them: one `ShardAssigner` each while this member leads. No I/O."""
+"""The shard assigners of all sharded services: one `ShardAssigner` each while this member leads. No I/O."""
 
 from dataclasses import dataclass
 from random import Random
@@ -20,21 +20,21 @@
 from kestrelplank.transport.messages import LoadReport
 from kestrelplank.transport.server_list import READY, ServerList
 
-DEFAULT_LATENCY_TARGET_NS = SECOND  # of a service that no route leads to
+DEFAULT_LATENCY_TARGET_NS = SECOND  # for a service without routes
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRecord:
-    """The index and term in the log of a service's record that was proposed and is not committed yet."""
+    """The log index and term of a service's record that is proposed but not committed yet."""
 
     index: int
     term: int
 
 
 class ShardAssigners:
-    """The assigners of all sharded services that this member has decided for since it leads.
+    """The assigners of all sharded services that this member has assigned keys for since it leads.
 
-    :param servers: the platform's list.
+    :param servers: the platform's list of servers.
     :param max_key_lease_ns: the longest lease on keys that servers accept.
     """
 
@@ -47,20 +47,20 @@
         self._pending_records: dict[str, PendingRecord] = {}
 
     def leading_assigner(self, now: int, service: str) -> ShardAssigner | None:
-        """Return the service's assigner here, while this member leads."""
+        """Return the service's assigner; None if this member does not lead or has not started one."""
         return self.by_service.get(service) if self._replica.node.leads(now) else None
 
     def stop_leading(self) -> None:
-        """Give up all services, as this member no longer leads."""
+        """Drop the assigners of all services, as this member no longer leads."""
         for service in list(self.by_service):
-            self._give_up(service, "this member no longer leads")
+            self._drop(service, "this member no longer leads")
 
-    def keep_only(self, services: list[str]) -> None:
-        """Give up all other services, as the configuration in force divides only these by key."""
+    def retain_only(self, services: list[str]) -> None:
+        """Drop the assigners of all other services, as only these are sharded in the configuration in force."""
         for service in [service for service in self.by_service if service not in services]:
-            self._give_up(service, "the configuration in force does not divide it by key")
+            self._drop(service, "the configuration in force does not shard it")
 
-    def _give_up(self, service: str, reason: str) -> None:
+    def _drop(self, service: str, reason: str) -> None:
         del self.by_service[service]
         self._pending_records.pop(service, None)
         self._replica.log(f"{service}: no longer assigning its key ranges, as {reason}")
@@ -68,23 +68,23 @@
     # Events.
 
     def tick(self, now: int) -> None:
-        """Do what a leader does in each tick; begin with services that it has not decided for yet."""
+        """Do the leader's work that is due; start assigners for services that have none."""
         if self._servers.fetched_at is None:
             return
         for service in self._replica.sharded_services():
             assigner = self.by_service.get(service)
             if assigner is None:
-                assigner = self._begin(now, service)
+                assigner = self._start_assigner(now, service)
             self._tick(now, assigner)
 
     def handle_call_ended(self, now: int, call: CallServer, result: ServerCallResult) -> None:
-        """Take the end of a grant or release."""
+        """Handle the result of a grant or release."""
         assigner = self.by_service.get(call.service)
         if assigner is not None and assigner.handle_call_ended(now, call.request, result):
             self._tick(now, assigner)
 
     def handle_record_committed(self, now: int, entry: Entry, command: PutRecord) -> None:
-        """Take a record that is committed; if it is the one that we proposed last, grants may follow."""
+        """Handle a committed record; if it is the last one that this member proposed, grants may follow."""
         service = command.service
         pending, assigner = self._pending_records.get(service), self.by_service.get(service)
         if pending is None or assigner is None or (pending.index, pending.term) != (entry.index, entry.term):
@@ -96,19 +96,19 @@
             self._tick(now, assigner)
 
     def handle_server_list(self, now: int) -> None:
-        """Take the platform's list, as it has changed."""
+        """Handle a change of the platform's list of servers."""
         for service, assigner in self.by_service.items():
             assigner.handle_server_list(now, self._servers_of(service))
 
     def handle_load_report(self, now: int, report: LoadReport) -> None:
-        """Take an edge machine's report of keys and servers."""
+        """Pass an edge machine's load report to the placement of its service."""
         assigner = self.by_service.get(report.service)
         if assigner is not None:
             assigner.placement.handle_load_report(now, report.keys, report.servers)
 
     # Effects.
 
-    def _begin(self, now: int, service: str) -> ShardAssigner:
+    def _start_assigner(self, now: int, service: str) -> ShardAssigner:
         term = self._replica.node.term
         assigner = self.by_service[service] = ShardAssigner(
             now,
@@ -125,7 +125,7 @@
         return assigner
 
     def _tick(self, now: int, assigner: ShardAssigner) -> None:
-        """Do what is due for a service's key ranges."""
+        """Do the work that is due for a service's key ranges."""
         if not self._replica.node.leads(now):
             return
         voter_missing = self._replica.node.voter_missing(now)
@@ -136,7 +136,7 @@
         match effect:
             case CommitRecord(record):
                 index = self._replica.propose(now, PutRecord(service, record))
-                if index is not None:  # else this member leads no longer, and gives the service up
+                if index is not None:  # None: this member no longer leads and will drop the assigner
                     self._pending_records[service] = PendingRecord(index, self._replica.node.term)
             case PushKeyRanges(message):
                 self._replica.emit(PushToEdges(message))
@@ -146,9 +146,9 @@
                 duration_s = duration_ns / SECOND
                 self._replica.log(f"{service}: keys {keys.first}-{keys.last} had no holder for {duration_s:.3f} s")
             case KeyRangeStalled(keys):
-                last_holder = keys.server or "nobody"
+                last_holder = keys.server or "none"
                 self._replica.log(
-                    f"{service}: keys {keys.first}-{keys.last} still have no holder, last was {last_holder}"
+                    f"{service}: keys {keys.first}-{keys.last} still have no holder, last holder: {last_holder}"
                 )
             case _:
                 assert_never(effect)
@@ -171,7 +171,7 @@
     def _latency_target_ns(self, service: str) -> int:
         """Return the shortest latency target of the routes that lead to the service."""
         configuration = self._replica.state.parsed
-        assert configuration is not None, "it names the service"
+        assert configuration is not None, "a sharded service comes from the configuration in force"
         routes = [route for paths in configuration.routes_by_host.values() for route in paths.values()]
         targets = [
             route.latency_target_ns for route in routes if any(name == service for name, _ in route.traffic_split)
--- a/kestrelplank/control/shard_record.py
+++ b/kestrelplank/control/shard_record.py
@@ -1,4 +1,4 @@
-"""What the log keeps of a sharded service's key ranges, and what edge machines are sent of it."""
+"""The log record of a sharded service's key ranges, and its form for edge machines."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -11,12 +11,12 @@
 
 
 class ShardRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A record of one service: the order of the fields is the format on disk.
+    """A record of one service. The order of the fields is the format on disk.
 
-    :param term: of the leader that made it.
+    :param term: of the leader that proposed it.
     :param number: of the record in that term.
-    :param learned_speeds: what was learned of servers, see `Placement.learned_speeds`.
-    :param max_lease_ns: no lease that was granted by this record is longer. Left out on disk where it is the usual one.
+    :param learned_speeds: measurements of servers, see `Placement.learned_speeds`.
+    :param max_lease_ns: upper bound of the leases granted by this record. Omitted on disk if it is the default.
     """
 
     term: int
@@ -27,63 +27,63 @@
 
     @property
     def version(self) -> KeyRangesVersion:
-        """The version of the key ranges that an edge machine has once it was sent this record, and nothing since."""
+        """The version of the key ranges at an edge machine whose last update was this record."""
         return KeyRangesVersion(self.term, self.number)
 
 
-class RecordBeforeLog(msgspec.Struct, frozen=True, array_like=True):
-    """A record as it was kept before there was a log."""
+class LegacyShardRecord(msgspec.Struct, frozen=True, array_like=True):
+    """The former record format, from before the replicated log was introduced."""
 
     ranges: list[RecordedKeyRange]
     learned_speeds: dict[str, list[float]]
 
 
-Form = TypeVar("Form")
+Decoded = TypeVar("Decoded")
 
-NO_RECORD = ShardRecord(0, 0, [], {})
+EMPTY_RECORD = ShardRecord(0, 0, [], {})
 _encoder = msgspec.msgpack.Encoder()
 
 
 def encode_record(record: ShardRecord) -> bytes:
-    """Return the record as it is kept in the log."""
+    """Return the record in its log format."""
     if record.max_lease_ns == LEASE_DURATION_NS:
         return _encoder.encode((record.term, record.number, record.ranges, record.learned_speeds))
     return _encoder.encode(record)
 
 
 def read_record(data: bytes | None) -> ShardRecord:
-    """Return the record in these bytes, of this or a former version: ranges and speeds, or ranges alone.
+    """Decode a record in the current or a former format: ranges and speeds, or only ranges.
 
     :param data: None if nothing was ever recorded.
-    :raises ValueError: if it is none of these.
+    :raises ValueError: the bytes have none of these formats.
     """
     if data is None:
-        return NO_RECORD
+        return EMPTY_RECORD
     record = _decoded(data, ShardRecord)
     if record is not None:
         return record
-    before_log = _decoded(data, RecordBeforeLog)
-    if before_log is not None:
-        return ShardRecord(0, 0, before_log.ranges, before_log.learned_speeds)
+    legacy_record = _decoded(data, LegacyShardRecord)
+    if legacy_record is not None:
+        return ShardRecord(0, 0, legacy_record.ranges, legacy_record.learned_speeds)
     ranges = _decoded(data, list[RecordedKeyRange])
     if ranges is not None:
         return ShardRecord(0, 0, ranges, {})
-    raise ValueError("no record of key ranges")
+    raise ValueError("expected a key range record in the current or a former format")
 
 
-def _decoded(data: bytes, form: type[Form]) -> Form | None:
-    """Return these bytes as a `form`; None if they are none."""
+def _decoded(data: bytes, expected_type: type[Decoded]) -> Decoded | None:
+    """Decode these bytes as `expected_type`; None if they have another format."""
     try:
-        return msgspec.msgpack.decode(data, type=form)
+        return msgspec.msgpack.decode(data, type=expected_type)
     except msgspec.ValidationError:
         return None
 
 
 def range_holders(ranges: Iterable[RecordedKeyRange]) -> list[RangeHolder]:
-    """Return recorded ranges as edge machines are sent them."""
-    return [RangeHolder(known.first, known.last, known.server, known.address) for known in ranges]
+    """Return recorded ranges in the form that edge machines are sent."""
+    return [RangeHolder(key_range.first, key_range.last, key_range.server, key_range.address) for key_range in ranges]
 
 
 def key_ranges_update(service: str, record: ShardRecord) -> KeyRangesUpdate:
-    """Return a record for edge machines, as a member sends it that does not lead."""
+    """Return the update for edge machines that a member sends from a record when it does not lead."""
     return KeyRangesUpdate(service, record.version, range_holders(record.ranges))
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -1,4 +1,4 @@
-"""What `GET /api/status` answers: one control member as it sees itself and the others. Ages are in seconds."""
+"""The response of `GET /api/status`: one control member's view of itself and the others. Ages are in seconds."""
 
 import msgspec
 
@@ -14,11 +14,11 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """Another member as the leader sees it.
+    """Another member as seen by the leader.
 
-    :param match_index: the last entry of the log that it surely has.
-    :param last_heard_s: how long ago it last answered; None where it has not in this term.
-    :param caught_up: whether it has the leader's log, or nearly.
+    :param match_index: the last log entry that it is known to have.
+    :param last_heard_s: time since its last reply; None if it has not replied in this term.
+    :param caught_up: whether it has all or nearly all of the leader's log.
     """
 
     match_index: int
@@ -30,9 +30,9 @@
     """A range of keys and its server.
 
     :param first: the lowest key.
-    :param last: the highest key, which is part of the range.
+    :param last: the highest key, inclusive.
     :param state: a value of `KeyRangeState`.
-    :param lease_remaining_s: until the server's lease has surely ended; negative where it has, or there is none.
+    :param lease_remaining_s: time until the server's lease has certainly expired; negative if it has, or there is none.
     """
 
     first: int
@@ -46,12 +46,12 @@
 class ServiceStatus(msgspec.Struct, frozen=True):
     """A sharded service.
 
-    :param assigned_here: whether this member assigns its keys to servers; what only an assigner has is empty elsewhere.
+    :param assigned_here: whether this member assigns its keys; if not, fields that only the assigner knows are empty.
     :param record_term: the term of the newest record in the log.
     :param record_number: its number in that term.
-    :param unowned_s: an assigner's: how long keys had no server, times their share of all keys.
-    :param key_ranges: an assigner's.
-    :param learned_speeds: what was measured of its servers, by name (`sharding.placement`).
+    :param unowned_s: how long keys had no server, times their share of all keys; only known to the assigner.
+    :param key_ranges: only known to the assigner.
+    :param learned_speeds: measurements of its servers, by server name (`sharding.placement`).
     """
 
     assigned_here: bool
@@ -63,7 +63,7 @@
 
 
 class EdgeStatus(msgspec.Struct, frozen=True):
-    """An edge machine in session: the configuration that it goes by (None: none yet), and when it was last heard."""
+    """An edge machine in session: its configuration in force (None: none yet) and the time since its last heartbeat."""
 
     configuration_version: str | None
     last_heard_s: float
@@ -72,20 +72,20 @@
 class MemberStatus(msgspec.Struct, frozen=True):
     """A control member.
 
-    :param state: how far it has what is agreed (`ConsensusNode.catch_up_state`).
-    :param leader: identity of the leader as far as known here; "": nobody.
-    :param leads: whether this member may answer as the leader right now.
-    :param current: whether it leads, or has lately heard the leader and has all that is committed.
-    :param epoch: of the newest committed membership known; None where none is.
-    :param voters: identities in that membership, on either side of a change.
-    :param standbys: other members that run.
+    :param state: how far it has caught up with the committed log (`ConsensusNode.catch_up_state`).
+    :param leader: identity of the leader known here; "" if none is known.
+    :param leads: whether this member may currently answer calls as the leader.
+    :param current: whether it leads, or recently heard from the leader and has all committed entries.
+    :param epoch: of the newest committed membership known; None if none is known.
+    :param voters: identities in that membership; during a change, both old and new voters.
+    :param standbys: identities of running members that are not voters.
     :param commit_index: the last entry of the log known to be committed.
-    :param applied_index: the last entry that is part of the state here.
-    :param last_index: the last entry in the log here.
-    :param configuration_version: in force here; None where none is.
-    :param peers: at the leader: the other members, by identity.
+    :param applied_index: the last entry applied to this member's state.
+    :param last_index: the last entry in this member's log.
+    :param configuration_version: in force at this member; None if none is.
+    :param peers: the other members, by identity; only filled at the leader.
     :param server_count: how many servers the platform lists.
-    :param server_list_age_s: how old that list is; None where none has come.
+    :param server_list_age_s: the age of that list; None if none has arrived.
     :param edges: the edge machines in session, by name.
     """
 
@@ -117,7 +117,7 @@
     servers: ServerList,
     assigners: ShardAssigners,
 ) -> MemberStatus:
-    """Return the status of the member that has these parts, without edge machines."""
+    """Return the status of the member with these components, without edge machines."""
     node = replica.node
     membership = lifecycle.committed_membership()
     configuration = replica.state.configuration
@@ -146,21 +146,21 @@
     )
 
 
-def peer_status(now: int, peer: Progress, commit: int) -> PeerStatus:
+def peer_status(now: int, peer: Progress, commit_index: int) -> PeerStatus:
     """Return the status of another member.
 
-    :param peer: what the leader knows of it.
-    :param commit: the last entry that is committed.
+    :param peer: its replication progress, as tracked by the leader.
+    :param commit_index: index of the last committed entry.
     """
     heard_s = seconds(now - peer.heard_at) if peer.heard_at else None
-    return PeerStatus(peer.match_index, heard_s, peer.caught_up(commit))
+    return PeerStatus(peer.match_index, heard_s, peer.caught_up(commit_index))
 
 
 def service_status(now: int, assigner: ShardAssigner | None, record: ShardRecord) -> ServiceStatus:
     """Return the status of a sharded service.
 
-    :param assigner: its assigner where this member leads.
-    :param record: the newest committed record of it.
+    :param assigner: its assigner; None if this member does not lead.
+    :param record: its newest committed record.
     """
     return ServiceStatus(
         assigned_here=assigner is not None,
@@ -173,7 +173,7 @@
 
 
 def key_range_status(now: int, key_range: KeyRange) -> KeyRangeStatus:
-    """Return the status of a key range of ours."""
+    """Return the status of a key range that this member assigns."""
     return KeyRangeStatus(
         first=key_range.first,
         last=key_range.last,
--- a/kestrelplank/control/waiting_calls.py
+++ b/kestrelplank/control/waiting_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls that wait in the program for the member's answer; `pending_calls` has the member's side."""
+"""Operators' calls in the program that wait for the member's answer; `pending_calls` is the member's counterpart."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -10,9 +10,9 @@
 
 
 class WaitingCalls(Generic[Answer]):
-    """Calls of one kind, by ticket. The member's time-outs bound how long and how many wait.
+    """Calls of one kind, by ticket. The member's time-outs and limits bound their waiting time and number.
 
-    :param tickets: numbers that no other call of the program has.
+    :param tickets: numbers that are unique among all calls of the program.
     """
 
     def __init__(self, tickets: Iterator[int]) -> None:
@@ -20,7 +20,7 @@
         self._futures: dict[int, asyncio.Future[Answer]] = {}
 
     async def call(self, submit: Callable[[int], None]) -> Answer:
-        """Return the answer to the call that `submit(ticket)` hands to the member."""
+        """Submit a call to the member by `submit(ticket)` and return its answer."""
         ticket = next(self._tickets)
         future = self._futures[ticket] = asyncio.get_running_loop().create_future()
         try:
@@ -31,7 +31,7 @@
             self._futures.pop(ticket, None)
 
     def resolve(self, answer: Answer) -> None:
-        """Hand over the member's answer, if its call still waits."""
+        """Deliver the member's answer if its call is still waiting."""
         future = self._futures.pop(answer.ticket, None)
         if future is not None and not future.done():
             future.set_result(answer)
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -17,11 +17,11 @@
     AnswerOrder,
     AnswerRead,
     CallServer,
-    KeepConfigurationCopy,
     LogLine,
     PushToEdges,
     SendMessage,
     SendToAddress,
+    WriteConfigurationCopy,
 )
 from kestrelplank.control.member_profile import MemberProfile
 from kestrelplank.sharding.effects import GrantKeyRange, ReleaseKeyRange, ServerCallResult
@@ -164,7 +164,7 @@
             elif isinstance(effect, LogLine):
                 self.logged.append((self.now, name, effect.text))
             else:
-                assert isinstance(effect, KeepConfigurationCopy)
+                assert isinstance(effect, WriteConfigurationCopy)
                 self.check_one_text(effect.version, effect.text)
 
     # Messages.
--- a/tests/control/test_member_sessions.py
+++ b/tests/control/test_member_sessions.py
@@ -5,7 +5,7 @@
 
 from kestrelplank.consensus.member_messages import MembershipQuery, MembershipUpdate
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.control.inbound_connections import SILENCE_TIMEOUT_NS
+from kestrelplank.control.inbound_connections import IDLE_TIMEOUT_NS
 from kestrelplank.control.member_sessions import UNANSWERED_TIMEOUT_NS, MemberSessions
 from kestrelplank.rehearsal.loopback import free_port
 from kestrelplank.time_units import SECOND
@@ -174,4 +174,4 @@
 
 
 def test_a_silent_connection_is_given_up_before_its_other_end_gives_it_up():
-    assert UNANSWERED_TIMEOUT_NS + SECOND // 4 < SILENCE_TIMEOUT_NS
+    assert UNANSWERED_TIMEOUT_NS + SECOND // 4 < IDLE_TIMEOUT_NS
--- a/tests/control/test_recorded_runs.py
+++ b/tests/control/test_recorded_runs.py
@@ -18,11 +18,11 @@
     AnswerOrder,
     AnswerRead,
     CallServer,
-    KeepConfigurationCopy,
     LogLine,
     PushToEdges,
     SendMessage,
     SendToAddress,
+    WriteConfigurationCopy,
 )
 from kestrelplank.sharding.effects import GrantKeyRange
 from kestrelplank.time_units import SECOND
@@ -55,7 +55,7 @@
             return "order", ticket, acknowledged, in_force
         case AnswerRead(ticket, known, text):
             return "read", ticket, known, text
-        case KeepConfigurationCopy(version, text):
+        case WriteConfigurationCopy(version, text):
             return "copy", version, text
         case LogLine():
             return ("log",)
