--- a/kestrelplank/control/log_writer.py
+++ b/kestrelplank/control/log_writer.py
@@ -20,9 +20,9 @@
     Invariants, each with its test (`tests/control/test_log_writer.py`):
 
     - Writes are made, and reported durable, in the order in which they were submitted:
-      `test_writes_that_wait_are_made_in_one_and_reported_in_order`.
+      `test_pending_writes_are_batched_and_reported_in_order`.
     - A failed write is retried before any later write is made:
-      `test_a_refused_write_is_made_again_with_the_same_and_nothing_passes_it`.
+      `test_a_failed_write_is_retried_unchanged_before_any_later_write`.
 
     :param handle_persisted: called in the loop's thread with the number of each `Persist` that is durable.
     """
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -58,24 +58,24 @@
     operators' calls to the leader; a member that is not current rejects them at once and tells edge machines so.
 
     Invariants, each with its test (`tests/control/`; most are also checked after each step of
-    `test_whatever_happens_no_key_is_held_twice_and_nothing_acknowledged_is_lost`):
+    `test_random_faults_cause_no_double_ownership_and_lose_no_acknowledged_order`):
 
-    - No two members lead at the same time: `test_a_leader_frozen_beyond_its_lease_does_no_harm`.
+    - No two members lead at the same time: `test_a_leader_frozen_beyond_its_lease_is_replaced_and_all_keys_stay_owned`.
     - A configuration is put in force and acknowledged only after a majority has it on disk:
-      `test_a_change_is_in_force_once_two_disks_have_it`.
+      `test_an_order_is_in_force_once_it_is_on_two_disks`.
     - An acknowledged configuration survives every tolerated loss:
-      `test_no_loss_that_is_borne_loses_an_acknowledged_change`.
-    - A version never has two texts: `test_of_two_operators_with_one_number_at_two_members_one_prevails`.
+      `test_no_tolerated_loss_loses_an_acknowledged_order`.
+    - A version never has two texts: `test_of_two_orders_with_the_same_version_at_two_members_one_prevails`.
     - Only a leader answers a read or an order:
-      `test_a_member_that_does_not_lead_answers_a_forwarded_call_with_not_known`.
+      `test_a_member_that_does_not_lead_answers_forwarded_calls_as_unknown`.
     - A member that is not current rejects calls at once and does not confirm its configuration to edge machines:
-      `test_a_member_cut_off_for_20_s_refuses_at_once_and_tells_edge_machines_that_it_is_not_current`.
+      `test_a_member_partitioned_for_20_s_rejects_calls_at_once_and_reports_that_it_is_not_current`.
     - A member with an empty disk has a new identity and confirms no configuration:
-      `test_a_member_with_an_empty_disk_answers_nothing_and_vouches_for_nothing`.
+      `test_a_member_with_an_empty_disk_rejects_calls_and_confirms_no_configuration`.
     - Key ranges are committed before they are granted to a server, so no key has two servers:
-      `test_all_power_lost_right_after_a_move_leaves_the_key_with_one_server`.
+      `test_a_power_loss_of_all_members_during_a_move_leaves_each_key_with_one_server`.
     - A stopping member transfers leadership first, and no acknowledged order is lost:
-      `test_a_leader_that_leaves_right_after_an_order_takes_nothing_with_it`.
+      `test_a_leader_stopped_right_after_an_order_loses_no_acknowledged_order`.
 
     :param identity: control address and incarnation.
     :param hard_state: read from disk, as are `snapshot` and `entries`.
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -37,7 +37,7 @@
     """Sessions of one member with the others. It owns its outbound connections and the tasks that maintain them.
 
     A connection whose peer has vanished without notice is reset after `UNANSWERED_TIMEOUT_NS`
-    (`test_a_connection_whose_other_end_is_gone_unnoticed_is_dialled_anew`).
+    (`test_a_connection_whose_peer_vanished_is_reset_and_dialled_again`).
 
     :param identity: this member's own identity.
     :param port: the port on which all members listen for each other.
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -1,7 +1,7 @@
-"""Control members, their disks, servers, an edge machine and an operator on one clock that the test moves.
+"""A simulation of control members, their disks, servers, an edge machine and an operator on one simulated clock.
 
-After each step the rules are checked: no key is held by two servers, an acknowledged configuration is never gone, and a
-number has one text, whoever is asked or told.
+After each step the invariants are checked: no key has two owners, at most one member leads, an acknowledged
+configuration is never lost, and a version never has two texts.
 """
 
 from random import Random
@@ -34,31 +34,35 @@
 NAMES = ("10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80")
 FOURTH, FIFTH = "10.0.0.4:80", "10.0.0.5:80"
 EDGE = "edge"
-PROBES = range(0, KEY_COUNT, 1024)  # keys that are watched
+SAMPLED_KEYS = range(0, KEY_COUNT, 1024)  # keys whose owners are checked
 HEARTBEAT_INTERVAL_NS, REPORT_INTERVAL_NS = 400 * MILLISECOND, 500 * MILLISECOND  # of the edge machine
 
 
-class Holding:
-    """The fencing tokens and leases that a server has, on a clock 2% slow."""
+class SimulatedServer:
+    """A server's fencing tokens and leases, on a clock that is 2% slow."""
 
     def __init__(self):
-        self.fences, self.until, self.up = dict.fromkeys(PROBES, -1), dict.fromkeys(PROBES, 0), True
+        self.fencing_tokens, self.lease_ends, self.up = (
+            dict.fromkeys(SAMPLED_KEYS, -1),
+            dict.fromkeys(SAMPLED_KEYS, 0),
+            True,
+        )
 
-    def take(self, now, request, body):
-        keys = [key for key in PROBES if body["first"] <= key <= body["last"]]
+    def handle_call(self, now, request, body):
+        keys = [key for key in SAMPLED_KEYS if body["first"] <= key <= body["last"]]
         if isinstance(request, GrantKeyRange):
-            if any(self.fences[key] > body["fence"] for key in keys):
+            if any(self.fencing_tokens[key] > body["fence"] for key in keys):
                 return 409
             for key in keys:
-                self.fences[key], self.until[key] = body["fence"], now + body["lease_ns"] * 102 // 100
+                self.fencing_tokens[key], self.lease_ends[key] = body["fence"], now + body["lease_ns"] * 102 // 100
         else:
             for key in keys:
-                self.fences[key], self.until[key] = max(self.fences[key], body["fence"]), 0
+                self.fencing_tokens[key], self.lease_ends[key] = max(self.fencing_tokens[key], body["fence"]), 0
         return 200
 
 
 class Order:
-    """What became of an order: `acknowledged` None while it is under way."""
+    """An order and its outcome; `acknowledged` is None while it is pending."""
 
     def __init__(self, version, text, sent_at):
         self.version, self.text, self.sent_at = version, text, sent_at
@@ -66,15 +70,15 @@
 
 
 class Read:
-    """What became of a read; `least`: the newest version acknowledged when it began."""
+    """A read and its outcome; `min_version`: the newest version acknowledged when the read began."""
 
-    def __init__(self, least, sent_at):
-        self.least, self.sent_at = least, sent_at
+    def __init__(self, min_version, sent_at):
+        self.min_version, self.sent_at = min_version, sent_at
         self.known, self.text, self.answered_at = None, None, None
 
 
 class Simulation:
-    """`names`: machines of the first start, by control address; `losses`: how many the platform lets be lost."""
+    """`names`: control addresses of the first members; `losses`: the number of machine losses to tolerate."""
 
     def __init__(self, seed, servers=4, names=NAMES, losses=1):
         self.random, self.now = Random(seed), 1000 * SECOND
@@ -82,19 +86,19 @@
         self.disks, self.starts = {}, {}
         self.members, self.stopping = {}, {}
         self.zones, self.ineligible = {}, set()
-        self.waiting, self.writing = {}, {}  # writes of each member
-        self.events, self.count = [], 0
-        self.cut, self.one_way, self.frozen = set(), set(), {}
+        self.pending_writes, self.write_in_flight = {}, {}  # by member
+        self.events, self.event_count = [], 0
+        self.partitions, self.one_way_partitions, self.frozen = set(), set(), {}
         self.stalled = set()  # members whose disks hang
-        self.refuses = 0.0  # part of all writes that a disk refuses
+        self.write_failure_rate = 0.0  # fraction of writes that fail
         self.ticket, self.orders, self.reads = 0, {}, {}
-        self.acknowledged, self.texts = -1, {}  # newest version acknowledged; by version its one text
-        self.logged = []
-        self.servers = {f"i-{number}": Holding() for number in range(servers)}
-        self.state, self.addresses = dict.fromkeys(self.servers, "ready"), {}
-        self.unowned_probes = 0
-        self.edge, self.hot = EdgeView(EDGE, self.seeds), None  # the edge machine, and where it sends most
-        self.edge_loses_pushes = False
+        self.newest_acknowledged, self.text_by_version = -1, {}  # newest acknowledged version; text by version
+        self.log_lines = []
+        self.servers = {f"i-{number}": SimulatedServer() for number in range(servers)}
+        self.server_states, self.server_addresses = dict.fromkeys(self.servers, "ready"), {}
+        self.unowned_samples = 0
+        self.edge, self.hot_key = EdgeView(EDGE, self.seeds), None  # `hot_key`: first key of the hot range
+        self.drop_edge_pushes = False
         for name in names:
             self.start(name, first=True)
 
@@ -105,10 +109,10 @@
         return MemberProfile(zone, name not in self.ineligible, tuple(seeds or self.seeds), self.losses, 6 * SECOND)
 
     def start(self, name, first=False, seeds=None):
-        """`seeds`: what the platform names, where it is not what it was at first."""
+        """`seeds`: seed addresses that differ from those of the first start."""
         disk = self.disks.setdefault(name, MemoryLog())
         self.starts[name] = self.starts.get(name, 0) + 1
-        self.waiting[name], self.writing[name] = [], False
+        self.pending_writes[name], self.write_in_flight[name] = [], False
         self.members[name] = start_member(
             self.now, Random(self.random.random()), name, self.profile(name, seeds), disk, first
         )
@@ -121,32 +125,36 @@
             self.disks[name] = MemoryLog()
 
     def stop(self, name):
-        """SIGTERM: it ends when it may."""
+        """Stop a member as SIGTERM does; it exits once `may_stop`."""
         self.carry_out(name, self.members[name].begin_stop(self.now))
         self.stopping[name] = self.now
 
-    def schedule(self, delay, what, *given):
-        self.count += 1
-        self.events.append((self.now + delay, self.count, what, given))
+    def schedule(self, delay, what, *args):
+        self.event_count += 1
+        self.events.append((self.now + delay, self.event_count, what, args))
 
-    def reaches(self, one, other):
-        return one == other or frozenset((one, other)) not in self.cut and (one, other) not in self.one_way
+    def reaches(self, source, target):
+        return (
+            source == target
+            or frozenset((source, target)) not in self.partitions
+            and (source, target) not in self.one_way_partitions
+        )
 
     def in_session(self, one, other):
-        """Whether one of the two dials the other."""
+        """Whether either member dials the other."""
         return other in self.members[one].addresses_to_dial(self.now) or (
             other in self.members and one in self.members[other].addresses_to_dial(self.now)
         )
 
     def carry_out(self, name, effects):
-        """Carries out what the member wants done."""
+        """Carry out the member's effects."""
         start_number = self.starts[name]
         for effect in effects:
             if isinstance(effect, SendMessage | SendToAddress):
                 to = effect.to if isinstance(effect, SendMessage) else effect.address
                 self.send(name, to, effect.message)
             elif isinstance(effect, Persist):
-                self.waiting[name].append(effect)
+                self.pending_writes[name].append(effect)
                 self.write(name, start_number)
             elif isinstance(effect, CallServer):
                 keys = effect.request.key_range
@@ -158,11 +166,11 @@
             elif isinstance(effect, PushToEdges):
                 self.push(name, effect.message)
             elif isinstance(effect, AnswerOrder):
-                self.order_answered(effect)
+                self.handle_order_answer(effect)
             elif isinstance(effect, AnswerRead):
-                self.read_answered(effect)
+                self.handle_read_answer(effect)
             elif isinstance(effect, LogLine):
-                self.logged.append((self.now, name, effect.text))
+                self.log_lines.append((self.now, name, effect.text))
             else:
                 assert isinstance(effect, WriteConfigurationCopy)
                 self.check_one_text(effect.version, effect.text)
@@ -184,7 +192,7 @@
             self.carry_out(name, self.members[name].handle_message(self.now, sender, message))
 
     def push(self, name, message):
-        if name in self.edge.addresses_to_dial(self.now) and self.reaches(name, EDGE) and not self.edge_loses_pushes:
+        if name in self.edge.addresses_to_dial(self.now) and self.reaches(name, EDGE) and not self.drop_edge_pushes:
             self.send_to_edge(name, message)
 
     def send_to_edge(self, name, message):
@@ -195,16 +203,16 @@
         assert (self.edge.configuration.key.version if self.edge.configuration else -1) >= before
 
     def send_edge_heartbeats(self):
-        """The edge machine's heartbeat to each member."""
+        """Send the edge machine's heartbeat to each member, and deliver the replies."""
         for name in self.edge_sessions():
             for message in self.members[name].handle_edge_heartbeat(self.now, self.edge.heartbeat(self.now), 1):
                 self.send_to_edge(name, message)
 
     def send_load_reports(self):
-        """The edge machine's report: 40 requests, most of them for the keys from `hot` on."""
+        """Send the edge machine's load report: 40 requests, 80% of them for the 300 keys from `hot_key` on."""
         for name in self.edge_sessions():
             keys = [
-                self.hot + self.random.randrange(300)
+                self.hot_key + self.random.randrange(300)
                 if self.random.random() < 0.8
                 else self.random.randrange(KEY_COUNT)
                 for _ in range(40)
@@ -212,7 +220,7 @@
             self.members[name].handle_load_report(self.now, LoadReport("views", keys, {}))
 
     def edge_sessions(self):
-        """Members that the edge machine is in session with."""
+        """The members that the edge machine is in session with."""
         return [
             name
             for name in self.edge.addresses_to_dial(self.now)
@@ -225,33 +233,33 @@
     # The disks.
 
     def write(self, name, start_number):
-        """All that waits in one write, after the one under way."""
-        if self.writing[name] or not self.waiting[name]:
+        """Start one write of all pending `Persist` effects, unless a write is in flight."""
+        if self.write_in_flight[name] or not self.pending_writes[name]:
             return
-        self.writing[name] = True
-        batch, self.waiting[name] = self.waiting[name], []
-        self.schedule(self.random.choice((3, 5, 40)) * MILLISECOND, self.written, name, start_number, batch)
+        self.write_in_flight[name] = True
+        batch, self.pending_writes[name] = self.pending_writes[name], []
+        self.schedule(self.random.choice((3, 5, 40)) * MILLISECOND, self.complete_write, name, start_number, batch)
 
-    def written(self, name, start_number, batch):
+    def complete_write(self, name, start_number, batch):
         if self.starts[name] != start_number:
             return
         if name in self.stalled:
-            self.schedule(10 * MILLISECOND, self.written, name, start_number, batch)
+            self.schedule(10 * MILLISECOND, self.complete_write, name, start_number, batch)
             return
-        if self.random.random() < self.refuses:
-            self.schedule(300 * MILLISECOND, self.written, name, start_number, batch)
+        if self.random.random() < self.write_failure_rate:
+            self.schedule(300 * MILLISECOND, self.complete_write, name, start_number, batch)
             return
         self.disks[name].write(batch)
-        self.durable(name, start_number, batch)
+        self.report_durable(name, start_number, batch)
 
-    def durable(self, name, start_number, batch):
-        """The member hears of it, if it runs."""
+    def report_durable(self, name, start_number, batch):
+        """Report the write as durable to the member, if it runs."""
         if self.starts[name] != start_number:
             return
         if name in self.frozen:
-            self.schedule(10 * MILLISECOND, self.durable, name, start_number, batch)
+            self.schedule(10 * MILLISECOND, self.report_durable, name, start_number, batch)
             return
-        self.writing[name] = False
+        self.write_in_flight[name] = False
         for persist in batch:
             self.carry_out(name, self.members[name].handle_persisted(self.now, persist.number))
         self.write(name, start_number)
@@ -261,18 +269,18 @@
     def call_server(self, name, start_number, call, body):
         if self.starts[name] != start_number:
             return
-        if name in self.frozen:  # it looks at its lease when it is thawed, as the adapter does
+        if name in self.frozen:  # the lease is checked when the member resumes, as in the adapter
             self.schedule(10 * MILLISECOND, self.call_server, name, start_number, call, body)
             return
-        holding = self.servers[call.request.server]
-        releases = isinstance(call.request, ReleaseKeyRange)
-        sent = (releases or self.now < call.leader_lease_until) and holding.up  # one that is down answers no dial
+        server = self.servers[call.request.server]
+        is_release = isinstance(call.request, ReleaseKeyRange)
+        sent = (is_release or self.now < call.leader_lease_until) and server.up  # else the connection is refused
         status = None
-        if sent and frozenset((name, call.request.server)) not in self.cut:
-            status = holding.take(self.now, call.request, body)
+        if sent and frozenset((name, call.request.server)) not in self.partitions:
+            status = server.handle_call(self.now, call.request, body)
             if self.random.random() < 0.05:
-                status = None  # it arrived, and its answer is lost
-        handover = "h" if status == 200 and releases else None
+                status = None  # the request arrived, but its response is lost
+        handover = "h" if status == 200 and is_release else None
         self.schedule(
             (5 if status else 800) * MILLISECOND, self.call_ended, name, start_number, call, sent, status, handover
         )
@@ -284,8 +292,8 @@
 
     def listed_servers(self):
         return [
-            ListedServer(server, "views", self.addresses.get(server, f"{server}:80"), "z", 2, state, 0)
-            for server, state in self.state.items()
+            ListedServer(server, "views", self.server_addresses.get(server, f"{server}:80"), "z", 2, state, 0)
+            for server, state in self.server_states.items()
         ]
 
     # Time.
@@ -307,7 +315,7 @@
                     self.tick(name)
         if self.now % HEARTBEAT_INTERVAL_NS == 0:
             self.send_edge_heartbeats()
-        if self.now % REPORT_INTERVAL_NS == 0 and self.hot is not None:
+        if self.now % REPORT_INTERVAL_NS == 0 and self.hot_key is not None:
             self.send_load_reports()
         self.check()
 
@@ -323,42 +331,40 @@
         for _ in range(round(seconds * 100)):
             self.step()
 
-    # The rules.
+    # Invariants.
 
     def check(self):
-        for key in PROBES:
-            holders = [
-                server for server, holding in self.servers.items() if holding.up and holding.until[key] > self.now
-            ]
+        for key in SAMPLED_KEYS:
+            holders = [name for name, server in self.servers.items() if server.up and server.lease_ends[key] > self.now]
             assert len(holders) <= 1, (key, holders, self.now)
-            self.unowned_probes += not holders
+            self.unowned_samples += not holders
         leading = [name for name, member in self.members.items() if member.node.leads(self.now)]
         assert len(leading) <= 1, (leading, self.now)
 
     def check_one_text(self, version, text):
-        assert self.texts.setdefault(version, text) == text
+        assert self.text_by_version.setdefault(version, text) == text
 
-    def order_answered(self, answer):
+    def handle_order_answer(self, answer):
         order = self.orders[answer.ticket]
         assert order.acknowledged is None
         order.acknowledged, order.in_force, order.answered_at = answer.acknowledged, answer.in_force, self.now
         if answer.acknowledged:
-            self.acknowledged = max(self.acknowledged, order.version)
+            self.newest_acknowledged = max(self.newest_acknowledged, order.version)
 
-    def read_answered(self, answer):
-        found = self.reads[answer.ticket]
-        assert found.known is None
-        found.known, found.text, found.answered_at = answer.known, answer.text, self.now
+    def handle_read_answer(self, answer):
+        read = self.reads[answer.ticket]
+        assert read.known is None
+        read.known, read.text, read.answered_at = answer.known, answer.text, self.now
         if answer.known:
             version = parse_configuration(answer.text).unwrap().key.version if answer.text else -1
-            assert version >= found.least
+            assert version >= read.min_version
             if answer.text:
                 self.check_one_text(version, answer.text)
 
     # The operator.
 
-    def put(self, name, version, **changes):
-        """Sends an order to that member; returns what becomes of it."""
+    def submit_order(self, name, version, **changes):
+        """Submit an order to that member; return the order, which will have its outcome."""
         text = encoded(version=f"{version:08x}", **changes)
         self.ticket += 1
         order = self.orders[self.ticket] = Order(version, text, self.now)
@@ -367,21 +373,21 @@
         )
         return order
 
-    def show(self, name):
+    def read_configuration(self, name):
         self.ticket += 1
-        found = self.reads[self.ticket] = Read(self.acknowledged, self.now)
+        read = self.reads[self.ticket] = Read(self.newest_acknowledged, self.now)
         self.carry_out(name, self.members[name].handle_show_call(self.now, self.ticket))
-        return found
+        return read
 
     def is_acknowledged(self, version):
         return any(order.acknowledged for order in self.orders.values() if order.version == version)
 
-    # What can be seen.
+    # Observations.
 
-    def versions(self):
-        """The versions in force at the members."""
-        found = [member.state.configuration for member in self.members.values()]
-        return {force.version if force else None for force in found}
+    def versions_in_force(self):
+        """The versions in force at the running members."""
+        configurations = [member.state.configuration for member in self.members.values()]
+        return {configuration.version if configuration else None for configuration in configurations}
 
     def leader(self):
         return next((name for name, member in self.members.items() if member.node.leads(self.now)), None)
@@ -394,43 +400,44 @@
         return [name for name in self.members if name != self.leader()]
 
     def voters(self):
-        """Addresses of all voters, as the leader has it."""
-        return [address_of(one) for one in self.members[self.leader()].committed_membership.all_voters()]
+        """Addresses of all voters in the leader's committed membership."""
+        return [address_of(identity) for identity in self.members[self.leader()].committed_membership.all_voters()]
 
     def key_ranges(self):
-        """The key ranges at the member that assigns them."""
+        """The key ranges at the member that assigns keys."""
         name = self.assigner()
         return self.members[name].shard_assigners["views"].key_ranges.ranges if name else []
 
     def owned_ranges(self):
-        return [(line.first, line.last, line.server) for line in self.key_ranges()]
+        return [(key_range.first, key_range.last, key_range.server) for key_range in self.key_ranges()]
 
-    def moving(self):
-        """Whether some key range is on its way from one server to another."""
-        return any(line.state is not KeyRangeState.HELD for line in self.key_ranges())
+    def has_moving_ranges(self):
+        """Whether any key range is not held by a server, as during a move."""
+        return any(key_range.state is not KeyRangeState.HELD for key_range in self.key_ranges())
 
-    def all_held(self):
+    def all_keys_owned(self):
         return all(
-            any(holding.up and holding.until[key] > self.now for holding in self.servers.values()) for key in PROBES
+            any(server.up and server.lease_ends[key] > self.now for server in self.servers.values())
+            for key in SAMPLED_KEYS
         )
 
     def all_current(self):
         return all(member.node.current(self.now) for member in self.members.values())
 
     def all_are_voters(self):
-        """Whether every member that runs is a voter of a membership that each of them knows to be committed, with no
-        change under way: whoever lost a disk is one again."""
+        """Whether all running members are voters of the committed membership that each of them knows, without a
+        pending change; members that lost their disks included."""
         known = [member.committed_membership for member in self.members.values()]
         return all(
-            counts is not None and not counts.joint and member.identity in counts.voters
+            membership is not None and not membership.joint and member.identity in membership.voters
             for member in self.members.values()
-            for counts in known
+            for membership in known
         )
 
-    def begin(self):
-        """Until servers hold all keys by the first configuration."""
+    def start_up(self):
+        """Submit the first configuration and run until servers own all keys."""
         self.run_for(0.5)
-        first = self.put(NAMES[0], 1)
+        first = self.submit_order(NAMES[0], 1)
         self.run_for(4)
-        assert first.acknowledged and self.all_held()
-        self.unowned_probes = 0
+        assert first.acknowledged and self.all_keys_owned()
+        self.unowned_samples = 0
--- a/tests/control/test_log_writer.py
+++ b/tests/control/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Writes of the log: in order, joined, and again with the same where the disk refuses."""
+"""Log writes are made in order, batched while one is in flight, and retried after a disk error."""
 
 import asyncio
 import threading
@@ -11,103 +11,103 @@
 from kestrelplank.storage.disk_thread import DiskThread
 
 
-class File:
-    """A log file that takes a write when it is let, and refuses as often as told."""
+class FakeLogFile:
+    """A log file whose writes block until `may_finish` is set; the first `failures` writes fail."""
 
     size = 7
 
-    def __init__(self, refusals=0):
-        self.refusals, self.tried, self.copies = refusals, [], []
-        self.let, self.begun = threading.Event(), threading.Event()
+    def __init__(self, failures=0):
+        self.failures, self.attempts, self.copies = failures, [], []
+        self.may_finish, self.write_started = threading.Event(), threading.Event()
 
     def write(self, persists):
-        self.tried.append([persist.number for persist in persists])
-        self.begun.set()
-        self.let.wait(10)
-        if self.refusals:
-            self.refusals -= 1
-            raise OSError("no room")
+        self.attempts.append([persist.number for persist in persists])
+        self.write_started.set()
+        self.may_finish.wait(10)
+        if self.failures:
+            self.failures -= 1
+            raise OSError("no space left")
 
     def keep_copy(self, version, text):
         self.copies.append(version)
 
 
-def played(file, play):
-    """The numbers that were told to be durable, in order."""
-    told = []
+def run_scenario(file, scenario):
+    """Run `scenario(writer, reported)`; return the numbers reported as durable, in order."""
+    reported = []
 
-    async def whole():
-        writer = LogWriter(file, DiskThread(), told.append)
+    async def run():
+        writer = LogWriter(file, DiskThread(), reported.append)
         writing = asyncio.create_task(writer.run())
         try:
             async with asyncio.timeout(10):
-                await play(writer, told)
+                await scenario(writer, reported)
         finally:
-            file.let.set()
+            file.may_finish.set()
             writing.cancel()
 
-    asyncio.run(whole())
-    return told
+    asyncio.run(run())
+    return reported
 
 
-async def until(condition):
+async def wait_until(condition):
     while not condition():
         await asyncio.sleep(0)
 
 
-def test_writes_that_wait_are_made_in_one_and_reported_in_order():
-    file = File()
+def test_pending_writes_are_batched_and_reported_in_order():
+    file = FakeLogFile()
 
-    async def play(writer, told):
+    async def scenario(writer, reported):
         writer.write(Persist(1))
-        await until(file.begun.is_set)
+        await wait_until(file.write_started.is_set)
         writer.write(Persist(2))
         writer.write(Persist(3))
-        assert told == []
-        file.let.set()
-        await until(lambda: len(told) == 3)
+        assert reported == []
+        file.may_finish.set()
+        await wait_until(lambda: len(reported) == 3)
 
-    assert played(file, play) == [1, 2, 3] and file.tried == [[1], [2, 3]]
+    assert run_scenario(file, scenario) == [1, 2, 3] and file.attempts == [[1], [2, 3]]
 
 
-def test_a_refused_write_is_made_again_with_the_same_and_nothing_passes_it(monkeypatch):
+def test_a_failed_write_is_retried_unchanged_before_any_later_write(monkeypatch):
     monkeypatch.setattr(log_writer, "RETRY_INTERVAL_S", 0)
-    file = File(refusals=2)
-    file.let.set()
+    file = FakeLogFile(failures=2)
+    file.may_finish.set()
 
-    async def play(writer, told):
+    async def scenario(writer, reported):
         writer.write(Persist(1))
-        await until(file.begun.is_set)
+        await wait_until(file.write_started.is_set)
         writer.write(Persist(2))
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(reported) == 2)
 
-    assert played(file, play) == [1, 2]
-    assert file.tried == [[1], [1], [1], [2]]
+    assert run_scenario(file, scenario) == [1, 2]
+    assert file.attempts == [[1], [1], [1], [2]]
 
 
-def test_of_copies_that_wait_the_last_is_made_after_all_writes():
-    file = File()
+def test_only_the_last_pending_copy_is_written_after_all_log_writes():
+    file = FakeLogFile()
 
-    async def play(writer, told):
+    async def scenario(writer, reported):
         writer.write(Persist(1))
-        await until(file.begun.is_set)
+        await wait_until(file.write_started.is_set)
         for version in (5, 6):
             writer.write_configuration_copy(version, b"")
         writer.write(Persist(2))
-        file.let.set()
-        await until(lambda: file.copies)
-        assert told == [1, 2]
+        file.may_finish.set()
+        await wait_until(lambda: file.copies)
+        assert reported == [1, 2]
 
-    played(file, play)
+    run_scenario(file, scenario)
     assert file.copies == [6]
 
 
 @pytest.mark.parametrize("size", [0, 9])
-def test_the_size_is_the_files(size):
-    file = File()
+def test_the_log_size_is_the_size_of_the_file(size):
+    file = FakeLogFile()
     file.size_bytes = size
 
-    async def play(writer, told):
+    async def scenario(writer, reported):
         assert writer.log_size_bytes == size
 
-    played(file, play)
+    run_scenario(file, scenario)
--- a/tests/control/test_member_sessions.py
+++ b/tests/control/test_member_sessions.py
@@ -67,7 +67,7 @@
         await asyncio.sleep(0)
 
 
-def test_a_message_goes_over_the_session_that_was_dialled_and_its_answer_back_over_it():
+def test_a_message_and_its_reply_use_the_same_dialled_connection():
     async def play(one, two):
         one.sessions.keep_sessions_with([f"{TWO}:80"])  # the other dials nobody
         await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
@@ -79,7 +79,7 @@
     played(play)
 
 
-def test_what_is_meant_for_a_former_incarnation_reaches_nobody():
+def test_a_message_to_a_former_incarnation_is_not_delivered():
     async def play(one, two):
         one.sessions.keep_sessions_with([f"{TWO}:80"])
         await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
@@ -92,7 +92,7 @@
     played(play)
 
 
-def test_a_connection_speaks_for_one_member_only_whoever_dialled_it():
+def test_messages_from_a_second_sender_on_a_connection_are_dropped():
     async def play(one, two):
         loop = asyncio.get_running_loop()
         _, wire = await loop.create_connection(
@@ -115,7 +115,7 @@
     played(play)
 
 
-def test_words_of_edge_machines_on_a_connection_that_we_dialled_are_nobodys():
+def test_edge_heartbeats_on_an_outbound_connection_are_ignored():
     async def play(one, two):
         one.sessions.keep_sessions_with([f"{TWO}:80"])
         await told(one, lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery()), two)
@@ -128,7 +128,7 @@
     played(play)
 
 
-def test_who_is_no_longer_wanted_is_let_go_of_and_who_ended_is_dialled_anew():
+def test_an_ended_connection_is_dialled_again_and_a_removed_address_is_disconnected():
     async def play(one, two):
         one.sessions.keep_sessions_with([f"{TWO}:80"])
         send = lambda: one.sessions.send_to_address(f"{TWO}:80", MembershipQuery())  # noqa: E731
@@ -143,7 +143,7 @@
     played(play)
 
 
-def test_a_connection_whose_other_end_is_gone_unnoticed_is_dialled_anew():
+def test_a_connection_whose_peer_vanished_is_reset_and_dialled_again():
     """A partition of one direction swallows the other end's reset: what was sent on that connection was lost for good."""
 
     async def play(one, two):
@@ -161,7 +161,7 @@
     played(play)
 
 
-def test_a_connection_is_kept_while_its_member_answers_or_nothing_is_sent():
+def test_a_connection_is_kept_while_its_peer_replies_or_nothing_is_sent():
     async def play(one, two):
         one.sessions.keep_sessions_with([f"{TWO}:80"])
         await told(one, lambda: one.sessions.send(two.identity, NEWS), two)
@@ -173,5 +173,5 @@
     played(play)
 
 
-def test_a_silent_connection_is_given_up_before_its_other_end_gives_it_up():
+def test_an_unanswered_connection_is_reset_before_the_idle_timeout_of_the_peer():
     assert UNANSWERED_TIMEOUT_NS + SECOND // 4 < IDLE_TIMEOUT_NS
--- a/tests/control/test_membership_changes.py
+++ b/tests/control/test_membership_changes.py
@@ -14,7 +14,7 @@
 
 def running_system(seed=1, **given):
     system = Simulation(seed, **given)
-    system.begin()
+    system.start_up()
     return system
 
 
@@ -28,15 +28,15 @@
 
 def put_and_read(system, version):
     """An order at the leader, read back everywhere."""
-    order = system.put(system.leader(), version)
+    order = system.submit_order(system.leader(), version)
     system.run_for(0.6)
-    found = [system.show(name) for name in system.members]
+    found = [system.read_configuration(name) for name in system.members]
     system.run_for(0.3)
     return order.acknowledged and all(one.known and one.text == order.text for one in found)
 
 
 @pytest.mark.parametrize("lost", ["leader", "follower"])
-def test_a_newcomer_takes_the_place_of_one_that_is_dead_and_the_next_loss_is_borne(lost):
+def test_a_new_member_replaces_a_dead_voter_and_the_next_loss_is_tolerated(lost):
     system = running_system()
     dead = system.leader() if lost == "leader" else system.followers()[0]
     put_and_read(system, 5)
@@ -48,10 +48,10 @@
     assert voters_are(system, *left, FOURTH)
     system.kill(system.leader())
     system.run_for(4)
-    assert system.versions() == {5} and put_and_read(system, 6)
+    assert system.versions_in_force() == {5} and put_and_read(system, 6)
 
 
-def test_a_newcomer_that_starts_as_the_leader_dies_counts_two_and_a_half_seconds_later():
+def test_a_new_member_started_when_the_leader_dies_is_a_voter_two_and_a_half_seconds_later():
     """The former leader counts as silent since its last heartbeat, not since the election of the next one."""
     for seed in range(12):
         system = running_system(seed)
@@ -62,22 +62,22 @@
         assert voters_are(system, *[name for name in NAMES if name != dead], FOURTH)
 
 
-def test_a_former_leader_that_is_there_stays_a_voter():
+def test_a_reachable_former_leader_stays_a_voter():
     """Guards against replacing it, while its standby waits, because it was last heard before it was replaced as leader."""
     for seed in range(6):
         system = running_system(seed)
         former = system.leader()
         system.start(FOURTH)
         system.run_for(1)
-        system.one_way = {(other, former) for other in (*NAMES, FOURTH) if other != former}
+        system.one_way_partitions = {(other, former) for other in (*NAMES, FOURTH) if other != former}
         system.run_for((LEASE_NS + 200 * MILLISECOND) / SECOND)
         assert system.leader() not in (None, former)
-        system.one_way = set()
+        system.one_way_partitions = set()
         system.run_for(4)
         assert voters_are(system, *NAMES)
 
 
-def test_a_newcomer_that_comes_before_the_old_ones_sigterm_takes_its_place_before_it_stops():
+def test_a_new_member_started_before_a_voters_sigterm_replaces_the_voter_before_it_stops():
     for old in NAMES:
         system = running_system()
         system.start(FOURTH)
@@ -92,9 +92,9 @@
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
-def test_a_member_that_nobody_can_replace_stops_soon_and_a_leader_hands_over_first(role):
+def test_a_member_without_a_standby_stops_early_and_a_leader_transfers_leadership_first(role):
     system = running_system()
-    order = system.put(system.leader(), 5)
+    order = system.submit_order(system.leader(), 5)
     system.run_for(0.3)
     going = system.leader() if role == "leader" else system.followers()[0]
     system.stop(going)
@@ -102,26 +102,26 @@
     assert system.leader() not in (None, going) and going in system.members
     system.run_for(2)
     assert going not in system.members and order.acknowledged
-    assert put_and_read(system, 6) and system.unowned_probes == 0
+    assert put_and_read(system, 6) and system.unowned_samples == 0
     system.start(going)
     system.run_for(3)
     assert voters_are(system, *NAMES) and system.all_current()
 
 
-def test_a_leader_that_leaves_right_after_an_order_takes_nothing_with_it():
+def test_a_leader_stopped_right_after_an_order_loses_no_acknowledged_order():
     for delay in range(0, 60, 10):
         system = running_system()
         going = system.leader()
-        order = system.put(going, 5)
+        order = system.submit_order(going, 5)
         system.run_for(delay / 1000)
         system.stop(going)
         system.run_for(GRACE)
         assert going not in system.members
         if order.acknowledged:
-            assert system.versions() == {5}
+            assert system.versions_in_force() == {5}
 
 
-def test_all_stop_in_order_within_their_grace():
+def test_all_members_stop_within_their_grace_period_and_restart_without_loss():
     system = running_system()
     for name in NAMES:
         system.stop(name)
@@ -130,7 +130,7 @@
     for name in NAMES:
         system.start(name)
     system.run_for(4)
-    assert system.versions() == {1} and put_and_read(system, 5)
+    assert system.versions_in_force() == {1} and put_and_read(system, 5)
 
 
 def test_a_member_replaced_twice_in_ten_seconds_loses_nothing():
@@ -144,13 +144,13 @@
     system.start(FIFTH)
     system.run_for(5)
     left = [name for name in NAMES if name != first]
-    assert voters_are(system, *left, FIFTH) and system.versions() == {5}
+    assert voters_are(system, *left, FIFTH) and system.versions_in_force() == {5}
     system.kill(left[0])
     system.run_for(4)
     assert put_and_read(system, 6)
 
 
-def test_of_two_newcomers_for_one_voter_one_becomes_a_voter():
+def test_of_two_new_members_only_one_replaces_a_dead_voter():
     system = running_system()
     dead = system.followers()[0]
     system.kill(dead)
@@ -164,7 +164,7 @@
     assert system.voters() == counted and system.all_current() and put_and_read(system, 5)
 
 
-def test_a_member_that_lost_its_disk_comes_back_as_another_and_counts_again():
+def test_a_member_that_lost_its_disk_restarts_with_a_new_identity_and_becomes_a_voter_again():
     system = running_system()
     for name in NAMES:  # each after the other
         put_and_read(system, 2 + NAMES.index(name))
@@ -175,10 +175,10 @@
         system.run_for(SYNC + 2)
         assert system.members[name].identity != before
         assert voters_are(system, *NAMES) and system.all_current()
-    assert system.versions() == {4}
+    assert system.versions_in_force() == {4}
 
 
-def test_a_member_that_lost_its_disk_while_another_is_being_replaced():
+def test_a_member_that_loses_its_disk_after_another_was_replaced_becomes_a_voter_again():
     system = running_system()
     one, two, three = system.leader(), *system.followers()
     system.kill(three)
@@ -192,7 +192,7 @@
     assert voters_are(system, one, two, FOURTH) and put_and_read(system, 5)
 
 
-def test_a_newcomer_that_finds_nobody_goes_on_asking_until_a_seed_is_back():
+def test_a_new_member_that_finds_no_other_keeps_searching_until_a_seed_returns():
     system = running_system()
     for name in NAMES:
         system.kill(name)
@@ -207,7 +207,7 @@
     assert FOURTH in system.voters()
 
 
-def test_a_newcomer_finds_the_others_by_one_seed_that_is_no_voter_any_more():
+def test_a_new_member_finds_the_voters_through_a_seed_that_is_no_longer_a_voter():
     system = running_system()
     first = system.followers()[0]
     system.kill(first)
@@ -221,7 +221,7 @@
     assert system.members[FIFTH].node.current(system.now)
 
 
-def test_a_member_whose_seeds_are_all_gone_finds_the_others_by_what_its_disk_has():
+def test_a_member_whose_seeds_are_all_gone_finds_the_others_through_its_log():
     system = running_system()
     name = system.followers()[0]
     system.kill(name)
@@ -230,7 +230,7 @@
     assert system.members[name].node.current(system.now)
 
 
-def test_a_member_that_was_off_while_all_others_were_replaced_finds_them_by_its_seeds():
+def test_a_member_that_was_down_while_all_others_were_replaced_finds_them_through_its_seeds():
     system = running_system()
     put_and_read(system, 5)
     name = system.followers()[0]
@@ -248,39 +248,39 @@
     put_and_read(system, 6)
     system.start(name, seeds=(FOURTH, FIFTH))
     system.run_for(3)
-    assert system.members[name].node.current(system.now) and system.versions() == {6}
+    assert system.members[name].node.current(system.now) and system.versions_in_force() == {6}
     assert not system.members[name].node.is_voter
 
 
-def test_an_old_member_that_returns_from_a_cut_in_the_old_epoch_does_no_harm():
+def test_a_replaced_leader_that_returns_from_a_partition_does_not_disturb_the_new_epoch():
     system = running_system()
     put_and_read(system, 5)
     lone = system.leader()
     others = [name for name in NAMES if name != lone]
-    system.cut = {frozenset((lone, other)) for other in (*others, FOURTH)}
+    system.partitions = {frozenset((lone, other)) for other in (*others, FOURTH)}
     system.run_for(2)
     system.start(FOURTH)
     system.run_for(SYNC + 1)
     assert voters_are(system, *others, FOURTH)
-    order = system.put(system.leader(), 6)
+    order = system.submit_order(system.leader(), 6)
     system.run_for(1)
-    refused, found = system.put(lone, 9), system.show(lone)
+    refused, found = system.submit_order(lone, 9), system.read_configuration(lone)
     assert order.acknowledged and refused.acknowledged is False and found.known is False
     leader = system.leader()
-    system.cut = set()
+    system.partitions = set()
     system.run_for(3)
     assert system.leader() == leader  # it disturbs nobody
-    assert voters_are(system, *others, FOURTH) and system.versions() == {6} and system.all_current()
+    assert voters_are(system, *others, FOURTH) and system.versions_in_force() == {6} and system.all_current()
 
 
-def test_all_lose_power_in_the_middle_of_a_change():
+def test_a_power_loss_of_all_members_during_a_membership_change_loses_nothing():
     for steps in range(0, 12, 2):
         system = running_system()
         put_and_read(system, 5)
         dead = system.followers()[0]
         system.kill(dead)
         system.start(FOURTH)
-        while not any("proposes membership epoch" in text for _, _, text in system.logged):
+        while not any("proposes membership epoch" in text for _, _, text in system.log_lines):
             system.step()
         for _ in range(steps):
             system.step()
@@ -301,7 +301,7 @@
         dead = system.followers()[0]
         system.kill(dead)
         system.start(FOURTH)
-        while not any("proposes membership epoch" in text for _, _, text in system.logged):
+        while not any("proposes membership epoch" in text for _, _, text in system.log_lines):
             system.step()
         for _ in range(steps):
             system.step()
@@ -320,10 +320,10 @@
     going = system.assigner()
     system.stop(going)
     system.run_for(LEASE_DURATION_NS / SECOND + 2)
-    assert going not in system.members and system.assigner() and system.unowned_probes == 0 and system.all_held()
+    assert going not in system.members and system.assigner() and system.unowned_samples == 0 and system.all_keys_owned()
 
 
-def test_edge_machines_find_newcomers_and_let_go_of_those_that_left():
+def test_edge_machines_dial_new_members_and_drop_replaced_ones():
     system = running_system()
     system.start(FOURTH)
     system.run_for(1)
@@ -333,16 +333,16 @@
     assert sorted(system.edge.addresses_to_dial(system.now)) == sorted(
         [*(name for name in NAMES if name != going), FOURTH]
     )
-    system.cut = {frozenset((name, "edge")) for name in NAMES}  # the newcomer is all that it reaches
-    order = system.put(system.leader(), 5)
+    system.partitions = {frozenset((name, "edge")) for name in NAMES}  # the newcomer is all that it reaches
+    order = system.submit_order(system.leader(), 5)
     system.run_for(1)
     assert order.acknowledged and system.edge.configuration.key.version == 5
 
 
-def test_as_many_count_as_bear_two_losses():
+def test_five_voters_are_kept_to_tolerate_two_losses():
     names = (*NAMES, FOURTH, FIFTH, "10.0.0.6:80")
     system = Simulation(3, names=names, losses=2)
-    system.begin()
+    system.start_up()
     system.run_for(2)
     assert len(system.voters()) == 5
     put_and_read(system, 5)
@@ -350,11 +350,11 @@
     for name in dead:
         system.kill(name)
     system.run_for(2 * SYNC)
-    assert system.versions() == {5} and put_and_read(system, 6)
+    assert system.versions_in_force() == {5} and put_and_read(system, 6)
     assert sum(name in system.members for name in system.voters()) >= 3
 
 
-def test_a_member_that_the_platform_does_not_count_becomes_no_voter():
+def test_an_ineligible_member_does_not_become_a_voter():
     system = running_system()
     system.kill(system.followers()[0])
     system.ineligible = {FOURTH}
@@ -363,10 +363,10 @@
     assert FOURTH not in system.voters() and system.members[FOURTH].node.current(system.now)
 
 
-def test_a_member_that_loses_its_disk_right_after_an_acknowledgement_loses_nothing():
+def test_a_disk_lost_right_after_an_acknowledgement_loses_no_acknowledged_order():
     for name in NAMES:
         system = running_system()
-        order = system.put(system.leader(), 5)
+        order = system.submit_order(system.leader(), 5)
         while order.acknowledged is None:
             system.step()
         system.kill(name, wipe=True)
@@ -376,23 +376,23 @@
         for other in NAMES:
             system.start(other)
         system.run_for(SYNC + 4)
-        assert system.versions() == {5} and voters_are(system, *NAMES)
+        assert system.versions_in_force() == {5} and voters_are(system, *NAMES)
 
 
-def test_a_member_that_comes_back_while_the_log_has_moved_on_by_500_changes_is_current_in_time():
+def test_a_member_restarted_after_500_changes_is_current_within_the_sync_time():
     system = running_system()
     name = system.followers()[0]
     system.kill(name)
     text = [{"host_name": f"h{number}.example", "host_routes": []} for number in range(300)]
     for version in range(2, 502):
-        order = system.put(system.leader(), version, virtual_hosts=text)
+        order = system.submit_order(system.leader(), version, virtual_hosts=text)
         system.run_for(0.12)
         assert order.acknowledged
     leader = system.members[system.leader()]
     assert leader.node.log.snapshot.index > 0  # the log was cut short meanwhile
     system.start(name)
     system.run_for(SYNC)
-    assert system.members[name].node.current(system.now) and system.versions() == {501}
+    assert system.members[name].node.current(system.now) and system.versions_in_force() == {501}
     assert leader.node.log.last_index - leader.node.log.base_index < 500
     assert all(disk.size_bytes < (1 << 20) for disk in system.disks.values())
     assert system.now > 50 * MILLISECOND
--- a/tests/control/test_operator_api.py
+++ b/tests/control/test_operator_api.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("when", ["before the majority", "after the majority"])
-def test_operators_call_whose_connection_is_reset(when):
+def test_an_order_whose_connection_is_reset_is_stored_once_and_acknowledged_when_repeated(when):
     """The order goes its way; the same order, sent again, is acknowledged and changes nothing."""
     text = encoded()
 
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("part", [0.5, 0.999])
-def test_an_order_that_breaks_off_is_no_order(part):
+def test_an_order_with_an_incomplete_body_does_not_reach_the_member(part):
     """A reset within its body: nothing of it reaches the member."""
     text = encoded()
 
--- a/tests/control/test_program_start.py
+++ b/tests/control/test_program_start.py
@@ -1,4 +1,4 @@
-"""The start of the control program from a disk that hangs or refuses."""
+"""Start of the control program from a disk that hangs or fails."""
 
 import asyncio
 import os
@@ -26,46 +26,46 @@
     )
 
 
-def terminated(settings, once):
-    """The program's exit code, where SIGTERM comes after `once` is set."""
+def exit_code_after_sigterm(settings, ready):
+    """Run the program, send SIGTERM once `ready` is set, and return the exit code."""
 
-    async def play():
+    async def run():
         running = asyncio.create_task(program.run(settings))
-        while not once.is_set():
+        while not ready.is_set():
             await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGTERM)
         async with asyncio.timeout(10):
             return await running
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
-def test_a_disk_that_hangs_at_the_start_does_not_hold_up_sigterm(settings, monkeypatch):
-    reading, let = threading.Event(), threading.Event()
+def test_sigterm_ends_the_program_while_the_disk_hangs_at_the_start(settings, monkeypatch):
+    reading, may_load = threading.Event(), threading.Event()
 
     class HangingLog(LogFile):
         def load(self):
             reading.set()
-            let.wait(30)
+            may_load.wait(30)
             return super().load()
 
     monkeypatch.setattr(program, "LogFile", HangingLog)
     try:
-        assert terminated(settings, reading) == 0
+        assert exit_code_after_sigterm(settings, reading) == 0
     finally:
-        let.set()
+        may_load.set()
 
 
-def test_a_disk_that_refuses_at_the_start_is_asked_again(settings, monkeypatch):
-    refusals, loaded = [OSError("no folder"), OSError("no folder")], threading.Event()
+def test_a_disk_error_at_the_start_is_retried(settings, monkeypatch):
+    failures, loaded = [OSError("no folder"), OSError("no folder")], threading.Event()
 
-    class RefusingLog(LogFile):
+    class FailingLog(LogFile):
         def __init__(self, folder):
-            if refusals:
-                raise refusals.pop()
+            if failures:
+                raise failures.pop()
             super().__init__(folder)
             loaded.set()
 
-    monkeypatch.setattr(program, "LogFile", RefusingLog)
+    monkeypatch.setattr(program, "LogFile", FailingLog)
     monkeypatch.setattr(program, "START_RETRY_INTERVAL_S", 0)
-    assert terminated(settings, loaded) == 0 and not refusals
+    assert exit_code_after_sigterm(settings, loaded) == 0 and not failures
--- a/tests/control/test_recorded_runs.py
+++ b/tests/control/test_recorded_runs.py
@@ -88,13 +88,13 @@
 def played(seed):
     """Forty seconds with orders, reads, losses, a newcomer, a drain, a cut, and a member that stops."""
     system, chance = RecordedSimulation(seed), Random(seed)
-    system.begin()
-    system.hot = 20_000
+    system.start_up()
+    system.hot_key = 20_000
     for version in range(2, 6):
-        system.put(chance.choice(NAMES), version)
-        system.show(chance.choice(NAMES))
+        system.submit_order(chance.choice(NAMES), version)
+        system.read_configuration(chance.choice(NAMES))
         system.run_for(0.5)
-    system.state["i-1"] = "draining"
+    system.server_states["i-1"] = "draining"
     lost = chance.choice(NAMES)
     system.kill(lost, wipe=seed % 2 == 0)
     system.run_for(4)
@@ -102,10 +102,10 @@
     system.start("10.0.0.4:80")
     system.run_for(5)
     lone = system.leader()
-    system.cut = {frozenset((lone, other)) for other in system.members if other != lone}
-    system.put(lone, 9)
+    system.partitions = {frozenset((lone, other)) for other in system.members if other != lone}
+    system.submit_order(lone, 9)
     system.run_for(4)
-    system.cut = set()
+    system.partitions = set()
     system.run_for(3)
     system.stop(system.leader())
     system.run_for(6)
@@ -121,5 +121,5 @@
 
 
 @pytest.mark.parametrize("seed", sorted(RECORDED))
-def test_a_run_gives_the_effects_that_were_recorded(seed):
+def test_a_run_produces_the_recorded_effects(seed):
     assert played(seed) == RECORDED[seed]
--- a/tests/control/test_server_calls.py
+++ b/tests/control/test_server_calls.py
@@ -76,7 +76,7 @@
     return requests
 
 
-def test_releases_to_one_server_go_out_side_by_side_a_bounded_number_and_hold_no_grant_up():
+def test_releases_run_concurrently_up_to_their_limit_and_do_not_delay_grants():
     may_answer = asyncio.Event()
 
     async def script(server, connection):
@@ -131,7 +131,7 @@
     run_against(script, play)
 
 
-def test_a_call_to_nobody_is_reported_as_not_sent():
+def test_a_call_to_a_closed_port_is_reported_as_not_sent():
     async def play(calls):
         calls.server.listening.close()
         await calls.server.listening.wait_closed()
@@ -145,7 +145,7 @@
     run_against(script, play)
 
 
-def test_a_grant_is_not_sent_once_the_lease_has_ended():
+def test_a_grant_is_not_sent_once_the_leader_lease_has_ended():
     """As it waited in the queue, or for its connection."""
 
     async def script(server, connection):
@@ -160,7 +160,7 @@
     run_against(script, play)
 
 
-def test_a_second_answer_to_a_release_is_not_taken_for_the_next_ones():
+def test_a_duplicate_response_to_a_release_is_not_taken_for_the_response_to_the_next():
     """It comes late, just as the next release has been sent: that one goes out on another connection."""
     sent = asyncio.Event()
 
@@ -186,7 +186,7 @@
     run_against(script, play)
 
 
-def test_an_answer_with_anything_behind_it_costs_the_connection():
+def test_a_connection_with_extra_bytes_after_a_response_is_not_reused():
     async def script(server, connection):
         while True:
             await connection.request()
