--- a/tests/control/test_membership_changes.py
+++ b/tests/control/test_membership_changes.py
@@ -1,4 +1,4 @@
-"""Control members that come, go, come back empty and are replaced, with losses right after and in between."""
+"""Control members that join, stop, lose their disks and are replaced, with losses during and after the changes."""
 
 import pytest
 from control.simulation import FIFTH, FOURTH, NAMES, Simulation
@@ -7,52 +7,52 @@
 from kestrelplank.sharding.timing import LEASE_DURATION_NS
 from kestrelplank.time_units import MILLISECOND, SECOND
 
-SYNC = 4  # s within which the platform wants a newcomer to count for the next loss
-GRACE = 6  # s between SIGTERM and SIGKILL
-GONE = ("10.9.0.1:80", "10.9.0.2:80", "10.9.0.3:80")
+SYNC_S = 4  # within which a new member must be a voter that counts for the next loss
+GRACE_S = 6  # between SIGTERM and SIGKILL
+UNREACHABLE_SEEDS = ("10.9.0.1:80", "10.9.0.2:80", "10.9.0.3:80")
 
 
-def running_system(seed=1, **given):
-    system = Simulation(seed, **given)
+def running_system(seed=1, **options):
+    system = Simulation(seed, **options)
     system.start_up()
     return system
 
 
 def voters_are(system, *names):
-    """Whether exactly these count, and no change is under way."""
+    """Whether exactly these members are voters, and no membership change is pending."""
     name = system.leader()
     if name is None or system.members[name].committed_membership.joint:
         return False
     return sorted(system.voters()) == sorted(names)
 
 
-def put_and_read(system, version):
-    """An order at the leader, read back everywhere."""
+def submit_and_read_back(system, version):
+    """Submit an order to the leader; return whether it is acknowledged and every member returns its text."""
     order = system.submit_order(system.leader(), version)
     system.run_for(0.6)
-    found = [system.read_configuration(name) for name in system.members]
+    reads = [system.read_configuration(name) for name in system.members]
     system.run_for(0.3)
-    return order.acknowledged and all(one.known and one.text == order.text for one in found)
+    return order.acknowledged and all(read.known and read.text == order.text for read in reads)
 
 
 @pytest.mark.parametrize("lost", ["leader", "follower"])
 def test_a_new_member_replaces_a_dead_voter_and_the_next_loss_is_tolerated(lost):
     system = running_system()
     dead = system.leader() if lost == "leader" else system.followers()[0]
-    put_and_read(system, 5)
+    submit_and_read_back(system, 5)
     system.kill(dead)
     system.run_for(1)
     system.start(FOURTH)
-    system.run_for(SYNC)
-    left = [name for name in NAMES if name != dead]
-    assert voters_are(system, *left, FOURTH)
+    system.run_for(SYNC_S)
+    remaining = [name for name in NAMES if name != dead]
+    assert voters_are(system, *remaining, FOURTH)
     system.kill(system.leader())
     system.run_for(4)
-    assert system.versions_in_force() == {5} and put_and_read(system, 6)
+    assert system.versions_in_force() == {5} and submit_and_read_back(system, 6)
 
 
 def test_a_new_member_started_when_the_leader_dies_is_a_voter_two_and_a_half_seconds_later():
-    """The former leader counts as silent since its last heartbeat, not since the election of the next one."""
+    """The former leader counts as unreachable since its last heartbeat, not since the election of its successor."""
     for seed in range(12):
         system = running_system(seed)
         dead = system.leader()
@@ -63,7 +63,7 @@
 
 
 def test_a_reachable_former_leader_stays_a_voter():
-    """Guards against replacing it, while its standby waits, because it was last heard before it was replaced as leader."""
+    """Guards against replacing it by a standby because its last reply is older than the election."""
     for seed in range(6):
         system = running_system(seed)
         former = system.leader()
@@ -82,13 +82,13 @@
         system = running_system()
         system.start(FOURTH)
         system.run_for(2)
-        assert voters_are(system, *NAMES)  # three are enough
+        assert voters_are(system, *NAMES)  # the standby is not needed
         system.stop(old)
-        system.run_for(GRACE - 1.5)
+        system.run_for(GRACE_S - 1.5)
         assert old not in system.members and voters_are(system, *(name for name in NAMES if name != old), FOURTH)
-        system.kill(system.followers()[0])  # the next loss right after
+        system.kill(system.followers()[0])  # the next loss follows at once
         system.run_for(3)
-        assert put_and_read(system, 5)
+        assert submit_and_read_back(system, 5)
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
@@ -96,14 +96,14 @@
     system = running_system()
     order = system.submit_order(system.leader(), 5)
     system.run_for(0.3)
-    going = system.leader() if role == "leader" else system.followers()[0]
-    system.stop(going)
+    leaving = system.leader() if role == "leader" else system.followers()[0]
+    system.stop(leaving)
     system.run_for(0.3)
-    assert system.leader() not in (None, going) and going in system.members
+    assert system.leader() not in (None, leaving) and leaving in system.members
     system.run_for(2)
-    assert going not in system.members and order.acknowledged
-    assert put_and_read(system, 6) and system.unowned_samples == 0
-    system.start(going)
+    assert leaving not in system.members and order.acknowledged
+    assert submit_and_read_back(system, 6) and system.unowned_samples == 0
+    system.start(leaving)
     system.run_for(3)
     assert voters_are(system, *NAMES) and system.all_current()
 
@@ -111,12 +111,12 @@
 def test_a_leader_stopped_right_after_an_order_loses_no_acknowledged_order():
     for delay in range(0, 60, 10):
         system = running_system()
-        going = system.leader()
-        order = system.submit_order(going, 5)
+        leaving = system.leader()
+        order = system.submit_order(leaving, 5)
         system.run_for(delay / 1000)
-        system.stop(going)
-        system.run_for(GRACE)
-        assert going not in system.members
+        system.stop(leaving)
+        system.run_for(GRACE_S)
+        assert leaving not in system.members
         if order.acknowledged:
             assert system.versions_in_force() == {5}
 
@@ -125,17 +125,17 @@
     system = running_system()
     for name in NAMES:
         system.stop(name)
-    system.run_for(GRACE - 1.4)
+    system.run_for(GRACE_S - 1.4)
     assert not system.members
     for name in NAMES:
         system.start(name)
     system.run_for(4)
-    assert system.versions_in_force() == {1} and put_and_read(system, 5)
+    assert system.versions_in_force() == {1} and submit_and_read_back(system, 5)
 
 
 def test_a_member_replaced_twice_in_ten_seconds_loses_nothing():
     system = running_system()
-    put_and_read(system, 5)
+    submit_and_read_back(system, 5)
     first = system.leader()
     system.kill(first)
     system.start(FOURTH)
@@ -143,11 +143,11 @@
     system.kill(FOURTH)
     system.start(FIFTH)
     system.run_for(5)
-    left = [name for name in NAMES if name != first]
-    assert voters_are(system, *left, FIFTH) and system.versions_in_force() == {5}
-    system.kill(left[0])
+    remaining = [name for name in NAMES if name != first]
+    assert voters_are(system, *remaining, FIFTH) and system.versions_in_force() == {5}
+    system.kill(remaining[0])
     system.run_for(4)
-    assert put_and_read(system, 6)
+    assert submit_and_read_back(system, 6)
 
 
 def test_of_two_new_members_only_one_replaces_a_dead_voter():
@@ -156,23 +156,23 @@
     system.kill(dead)
     system.start(FOURTH)
     system.start(FIFTH)
-    system.run_for(SYNC + 1)
-    counted = system.voters()
-    assert len(counted) == 3 and dead not in counted and system.all_current()
-    system.start(dead)  # it returns after its place was given
+    system.run_for(SYNC_S + 1)
+    voters = system.voters()
+    assert len(voters) == 3 and dead not in voters and system.all_current()
+    system.start(dead)  # it returns after it was replaced
     system.run_for(3)
-    assert system.voters() == counted and system.all_current() and put_and_read(system, 5)
+    assert system.voters() == voters and system.all_current() and submit_and_read_back(system, 5)
 
 
 def test_a_member_that_lost_its_disk_restarts_with_a_new_identity_and_becomes_a_voter_again():
     system = running_system()
-    for name in NAMES:  # each after the other
-        put_and_read(system, 2 + NAMES.index(name))
+    for name in NAMES:  # one after another
+        submit_and_read_back(system, 2 + NAMES.index(name))
         before = system.members[name].identity
         system.kill(name, wipe=True)
         system.run_for(0.5)
         system.start(name)
-        system.run_for(SYNC + 2)
+        system.run_for(SYNC_S + 2)
         assert system.members[name].identity != before
         assert voters_are(system, *NAMES) and system.all_current()
     assert system.versions_in_force() == {4}
@@ -180,16 +180,16 @@
 
 def test_a_member_that_loses_its_disk_after_another_was_replaced_becomes_a_voter_again():
     system = running_system()
-    one, two, three = system.leader(), *system.followers()
-    system.kill(three)
+    leader, second, third = system.leader(), *system.followers()
+    system.kill(third)
     system.start(FOURTH)
     system.run_for(3.2)
-    while not voters_are(system, one, two, FOURTH):
+    while not voters_are(system, leader, second, FOURTH):
         system.step()
-    system.kill(two, wipe=True)
-    system.start(two)
-    system.run_for(SYNC + 2)
-    assert voters_are(system, one, two, FOURTH) and put_and_read(system, 5)
+    system.kill(second, wipe=True)
+    system.start(second)
+    system.run_for(SYNC_S + 2)
+    assert voters_are(system, leader, second, FOURTH) and submit_and_read_back(system, 5)
 
 
 def test_a_new_member_that_finds_no_other_keeps_searching_until_a_seed_returns():
@@ -203,7 +203,7 @@
     system.run_for(5)
     assert system.members[FOURTH].node.current(system.now)
     system.kill(system.followers()[0] if system.followers()[0] != FOURTH else system.followers()[1])
-    system.run_for(SYNC)
+    system.run_for(SYNC_S)
     assert FOURTH in system.voters()
 
 
@@ -212,11 +212,11 @@
     first = system.followers()[0]
     system.kill(first)
     system.start(FOURTH)
-    system.run_for(SYNC)
+    system.run_for(SYNC_S)
     system.start(first)
     system.run_for(2)
     assert first not in system.voters()
-    system.start(FIFTH, seeds=(first, *GONE[:2]))
+    system.start(FIFTH, seeds=(first, *UNREACHABLE_SEEDS[:2]))
     system.run_for(2)
     assert system.members[FIFTH].node.current(system.now)
 
@@ -225,27 +225,27 @@
     system = running_system()
     name = system.followers()[0]
     system.kill(name)
-    system.start(name, seeds=GONE)
+    system.start(name, seeds=UNREACHABLE_SEEDS)
     system.run_for(3)
     assert system.members[name].node.current(system.now)
 
 
 def test_a_member_that_was_down_while_all_others_were_replaced_finds_them_through_its_seeds():
     system = running_system()
-    put_and_read(system, 5)
+    submit_and_read_back(system, 5)
     name = system.followers()[0]
     system.kill(name)
     system.start(FOURTH)
-    system.run_for(SYNC + 1)
-    others = [one for one in NAMES if one != name]
+    system.run_for(SYNC_S + 1)
+    others = [other for other in NAMES if other != name]
     for old, new in zip(others, (FIFTH, "10.0.0.6:80")):
         system.start(new, seeds=(FOURTH,))
         system.run_for(1)
         system.stop(old)
-        system.run_for(GRACE)
+        system.run_for(GRACE_S)
         assert old not in system.members
     assert voters_are(system, FOURTH, FIFTH, "10.0.0.6:80")
-    put_and_read(system, 6)
+    submit_and_read_back(system, 6)
     system.start(name, seeds=(FOURTH, FIFTH))
     system.run_for(3)
     assert system.members[name].node.current(system.now) and system.versions_in_force() == {6}
@@ -254,29 +254,29 @@
 
 def test_a_replaced_leader_that_returns_from_a_partition_does_not_disturb_the_new_epoch():
     system = running_system()
-    put_and_read(system, 5)
-    lone = system.leader()
-    others = [name for name in NAMES if name != lone]
-    system.partitions = {frozenset((lone, other)) for other in (*others, FOURTH)}
+    submit_and_read_back(system, 5)
+    isolated = system.leader()
+    others = [name for name in NAMES if name != isolated]
+    system.partitions = {frozenset((isolated, other)) for other in (*others, FOURTH)}
     system.run_for(2)
     system.start(FOURTH)
-    system.run_for(SYNC + 1)
+    system.run_for(SYNC_S + 1)
     assert voters_are(system, *others, FOURTH)
     order = system.submit_order(system.leader(), 6)
     system.run_for(1)
-    refused, found = system.submit_order(lone, 9), system.read_configuration(lone)
-    assert order.acknowledged and refused.acknowledged is False and found.known is False
+    rejected, read = system.submit_order(isolated, 9), system.read_configuration(isolated)
+    assert order.acknowledged and rejected.acknowledged is False and read.known is False
     leader = system.leader()
     system.partitions = set()
     system.run_for(3)
-    assert system.leader() == leader  # it disturbs nobody
+    assert system.leader() == leader  # the returned member does not disturb the leader
     assert voters_are(system, *others, FOURTH) and system.versions_in_force() == {6} and system.all_current()
 
 
 def test_a_power_loss_of_all_members_during_a_membership_change_loses_nothing():
     for steps in range(0, 12, 2):
         system = running_system()
-        put_and_read(system, 5)
+        submit_and_read_back(system, 5)
         dead = system.followers()[0]
         system.kill(dead)
         system.start(FOURTH)
@@ -287,17 +287,17 @@
         for name in list(system.members):
             system.kill(name)
         system.run_for(0.5)
-        for name in (*(one for one in NAMES if one != dead), FOURTH):
+        for name in (*(other for other in NAMES if other != dead), FOURTH):
             system.start(name)
         system.run_for(7)
-        assert voters_are(system, *(name for name in NAMES if name != dead), FOURTH) and put_and_read(system, 6)
+        assert voters_are(system, *(name for name in NAMES if name != dead), FOURTH) and submit_and_read_back(system, 6)
 
 
 def test_a_second_loss_at_each_step_of_a_replacement_loses_nothing():
-    """The newcomer dies while it is taken in: with the other two the system goes on, and the next one is taken in."""
+    """The new member dies while it is being added: the other two voters carry on and add the next new member."""
     for steps in range(0, 30, 5):
         system = running_system()
-        put_and_read(system, 5)
+        submit_and_read_back(system, 5)
         dead = system.followers()[0]
         system.kill(dead)
         system.start(FOURTH)
@@ -308,32 +308,34 @@
         system.kill(FOURTH, wipe=True)
         system.run_for(0.5)
         system.start(FIFTH)
-        system.run_for(2 * SYNC)
-        left = [name for name in NAMES if name != dead]
-        assert voters_are(system, *left, FIFTH) and put_and_read(system, 6)
+        system.run_for(2 * SYNC_S)
+        remaining = [name for name in NAMES if name != dead]
+        assert voters_are(system, *remaining, FIFTH) and submit_and_read_back(system, 6)
 
 
 def test_when_the_leader_is_replaced_every_key_keeps_its_server():
     system = running_system()
     system.start(FOURTH)
     system.run_for(1)
-    going = system.assigner()
-    system.stop(going)
+    leaving = system.assigner()
+    system.stop(leaving)
     system.run_for(LEASE_DURATION_NS / SECOND + 2)
-    assert going not in system.members and system.assigner() and system.unowned_samples == 0 and system.all_keys_owned()
+    assert (
+        leaving not in system.members and system.assigner() and system.unowned_samples == 0 and system.all_keys_owned()
+    )
 
 
 def test_edge_machines_dial_new_members_and_drop_replaced_ones():
     system = running_system()
     system.start(FOURTH)
     system.run_for(1)
-    going = system.leader()
-    system.stop(going)
-    system.run_for(GRACE)
+    leaving = system.leader()
+    system.stop(leaving)
+    system.run_for(GRACE_S)
     assert sorted(system.edge.addresses_to_dial(system.now)) == sorted(
-        [*(name for name in NAMES if name != going), FOURTH]
+        [*(name for name in NAMES if name != leaving), FOURTH]
     )
-    system.partitions = {frozenset((name, "edge")) for name in NAMES}  # the newcomer is all that it reaches
+    system.partitions = {frozenset((name, "edge")) for name in NAMES}  # the edge machine reaches only the new member
     order = system.submit_order(system.leader(), 5)
     system.run_for(1)
     assert order.acknowledged and system.edge.configuration.key.version == 5
@@ -345,12 +347,12 @@
     system.start_up()
     system.run_for(2)
     assert len(system.voters()) == 5
-    put_and_read(system, 5)
+    submit_and_read_back(system, 5)
     dead = [name for name in system.voters()[:2]]
     for name in dead:
         system.kill(name)
-    system.run_for(2 * SYNC)
-    assert system.versions_in_force() == {5} and put_and_read(system, 6)
+    system.run_for(2 * SYNC_S)
+    assert system.versions_in_force() == {5} and submit_and_read_back(system, 6)
     assert sum(name in system.members for name in system.voters()) >= 3
 
 
@@ -359,7 +361,7 @@
     system.kill(system.followers()[0])
     system.ineligible = {FOURTH}
     system.start(FOURTH)
-    system.run_for(SYNC + 1)
+    system.run_for(SYNC_S + 1)
     assert FOURTH not in system.voters() and system.members[FOURTH].node.current(system.now)
 
 
@@ -375,7 +377,7 @@
                 system.kill(other)
         for other in NAMES:
             system.start(other)
-        system.run_for(SYNC + 4)
+        system.run_for(SYNC_S + 4)
         assert system.versions_in_force() == {5} and voters_are(system, *NAMES)
 
 
@@ -383,15 +385,15 @@
     system = running_system()
     name = system.followers()[0]
     system.kill(name)
-    text = [{"host_name": f"h{number}.example", "host_routes": []} for number in range(300)]
+    hosts = [{"host_name": f"h{number}.example", "host_routes": []} for number in range(300)]
     for version in range(2, 502):
-        order = system.submit_order(system.leader(), version, virtual_hosts=text)
+        order = system.submit_order(system.leader(), version, virtual_hosts=hosts)
         system.run_for(0.12)
         assert order.acknowledged
     leader = system.members[system.leader()]
-    assert leader.node.log.snapshot.index > 0  # the log was cut short meanwhile
+    assert leader.node.log.snapshot.index > 0  # the log was compacted in the meantime
     system.start(name)
-    system.run_for(SYNC)
+    system.run_for(SYNC_S)
     assert system.members[name].node.current(system.now) and system.versions_in_force() == {501}
     assert leader.node.log.last_index - leader.node.log.base_index < 500
     assert all(disk.size_bytes < (1 << 20) for disk in system.disks.values())
--- a/tests/control/test_operator_orders.py
+++ b/tests/control/test_operator_orders.py
@@ -1,5 +1,7 @@
-"""Operators' orders and reads: one number, one text, and who may answer. `simulation` checks after each step that an
-acknowledged configuration is never gone, and that a number has one text, whoever is asked or told."""
+"""Operators' orders and reads: which configuration prevails, and which members may answer.
+
+`simulation` checks after each step that an acknowledged configuration is never lost and that a version has one text.
+"""
 
 from itertools import combinations
 
@@ -19,8 +21,8 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.messages import EdgeHeartbeat
 
-OTHER = {"service_table": [{"name": "views", "sharded": True}, {"name": "orders"}, {"name": "more"}]}
-AT_ONCE = 0
+OTHER_SERVICES = {"service_table": [{"name": "views", "sharded": True}, {"name": "orders"}, {"name": "more"}]}
+IMMEDIATELY = 0
 
 
 def running_system(seed=1):
@@ -29,44 +31,44 @@
     return system
 
 
-def took(call):
-    """ns that a call took."""
+def duration(call):
+    """Duration of a call (ns)."""
     return call.answered_at - call.sent_at
 
 
-def cut_off(system, name):
-    """Cuts a member off from the others, not from its edge machines and operators."""
+def isolate(system, name):
+    """Partition a member from the other members, but not from edge machines and operators."""
     system.partitions |= {frozenset((name, other)) for other in NAMES if other != name}
 
 
-def vouches(system, name):
-    """Whether that member tells edge machines that it is current."""
-    (beat, *_) = system.members[name].handle_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)
-    return beat.may_vouch
+def confirms_configuration(system, name):
+    """Whether that member tells edge machines that it is current, so that its configuration is the one in force."""
+    (heartbeat, *_) = system.members[name].handle_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)
+    return heartbeat.may_vouch
 
 
 def in_force(system):
-    """The texts in force at all members that run."""
+    """The texts in force at the running members."""
     return {member.state.configuration.text for member in system.members.values()}
 
 
 def test_a_read_before_the_first_order_returns_no_configuration():
     system = Simulation(1)
     system.run_for(1)
-    found = [system.read_configuration(name) for name in NAMES]
+    reads = [system.read_configuration(name) for name in NAMES]
     system.run_for(0.2)
-    assert all(one.known and one.text is None for one in found)
+    assert all(read.known and read.text is None for read in reads)
 
 
-@pytest.mark.parametrize("asked", ["leader", "follower"])
-def test_an_order_to_any_member_is_acknowledged_and_read_back_from_all_members(asked):
+@pytest.mark.parametrize("receiver", ["leader", "follower"])
+def test_an_order_to_any_member_is_acknowledged_and_read_back_from_all_members(receiver):
     system = running_system()
-    name = system.leader() if asked == "leader" else system.followers()[0]
+    name = system.leader() if receiver == "leader" else system.followers()[0]
     order = system.submit_order(name, 5)
     system.run_for(0.3)
-    found = [system.read_configuration(name) for name in NAMES]
+    reads = [system.read_configuration(name) for name in NAMES]
     system.run_for(0.1)
-    assert order.acknowledged and all(one.text == order.text for one in found)
+    assert order.acknowledged and all(read.text == order.text for read in reads)
 
 
 def test_an_order_is_in_force_once_it_is_on_two_disks():
@@ -93,11 +95,11 @@
     system = running_system()
     name = system.followers()[0]
     system.kill(name, wipe=True)
-    cut_off(system, name)
+    isolate(system, name)
     system.start(name)
     system.run_for(3)
-    order, found = system.submit_order(name, 5), system.read_configuration(name)
-    assert order.acknowledged is False and found.known is False and not vouches(system, name)
+    order, read = system.submit_order(name, 5), system.read_configuration(name)
+    assert order.acknowledged is False and read.known is False and not confirms_configuration(system, name)
     assert (
         system.members[name]
         .handle_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)[0]
@@ -107,7 +109,7 @@
 
 
 def test_no_tolerated_loss_loses_an_acknowledged_order():
-    """Power of all is lost while some disks hang, one disk is lost besides, and one machine after that."""
+    """All members lose power while some disks hang, one disk is lost, and then one machine."""
     for wiped in NAMES:
         for stalled in (set(), *({name} for name in NAMES), *map(set, combinations(NAMES, 2))):
             system = running_system()
@@ -124,52 +126,52 @@
             assert system.all_are_voters() and min(system.versions_in_force()) >= acknowledged, (wiped, stalled)
             system.kill(system.leader())
             system.run_for(4)
-            found = system.read_configuration(system.leader())
-            assert found.known and found.text and min(system.versions_in_force()) >= acknowledged
+            read = system.read_configuration(system.leader())
+            assert read.known and read.text and min(system.versions_in_force()) >= acknowledged
 
 
 def test_of_two_orders_with_the_same_version_at_two_members_one_prevails():
     for seed in range(8):
         system = running_system(seed)
-        one, other = NAMES[seed % 3], NAMES[(seed + 1) % 3]
-        first, second = system.submit_order(one, 5), system.submit_order(other, 5, **OTHER)
+        name, other = NAMES[seed % 3], NAMES[(seed + 1) % 3]
+        first, second = system.submit_order(name, 5), system.submit_order(other, 5, **OTHER_SERVICES)
         system.run_for(1)
-        assert first.acknowledged and second.acknowledged  # the later one as a version not above the one in force
-        assert sorted((first.in_force, second.in_force)) == [False, True]  # and told that it is not
+        assert first.acknowledged and second.acknowledged  # the losing one as not above the version in force
+        assert sorted((first.in_force, second.in_force)) == [False, True]  # only one is reported as in force
         assert len(in_force(system)) == 1 and in_force(system) <= {first.text, second.text}
 
 
 def test_of_two_orders_on_both_sides_of_a_partition_the_majority_side_prevails():
     system = running_system()
-    lone = system.leader()
-    cut_off(system, lone)
+    isolated = system.leader()
+    isolate(system, isolated)
     system.step()
-    first = system.submit_order(lone, 5)
+    first = system.submit_order(isolated, 5)
     system.run_for(3)
-    second = system.submit_order(next(name for name in NAMES if name != lone), 5, **OTHER)
+    second = system.submit_order(next(name for name in NAMES if name != isolated), 5, **OTHER_SERVICES)
     system.run_for(1)
     assert not first.acknowledged and second.acknowledged
     system.partitions = set()
     system.run_for(3)
-    again = system.submit_order(lone, 5)
+    repeated = system.submit_order(isolated, 5)
     system.run_for(0.3)
-    assert again.acknowledged and in_force(system) == {second.text}
+    assert repeated.acknowledged and in_force(system) == {second.text}
 
 
 def test_a_losing_order_sent_again_after_a_restart_of_all_members_changes_nothing():
     system = running_system()
-    first, second = system.submit_order(NAMES[0], 5), system.submit_order(NAMES[1], 5, **OTHER)
+    first, second = system.submit_order(NAMES[0], 5), system.submit_order(NAMES[1], 5, **OTHER_SERVICES)
     system.run_for(1)
-    prevails = in_force(system)
-    loser = OTHER if prevails == {first.text} else {}
+    winner = in_force(system)
+    loser = OTHER_SERVICES if winner == {first.text} else {}
     for name in NAMES:
         system.kill(name)
     for name in NAMES:
         system.start(name)
     system.run_for(4)
-    again = [system.submit_order(name, 5, **loser) for name in NAMES]
+    repeated = [system.submit_order(name, 5, **loser) for name in NAMES]
     system.run_for(0.5)
-    assert all(one.acknowledged for one in again) and in_force(system) == prevails
+    assert all(order.acknowledged for order in repeated) and in_force(system) == winner
     assert second.text != first.text
 
 
@@ -194,11 +196,11 @@
         assert order.acknowledged
     newest = in_force(system)
     system.kill(NAMES[0])
-    system.start(NAMES[0])  # it knows of its numbers only what its disk has
+    system.start(NAMES[0])  # it only knows the versions on its disk
     system.run_for(3)
-    again = [system.submit_order(name, 2) for name in NAMES]
+    repeated = [system.submit_order(name, 2) for name in NAMES]
     system.run_for(0.3)
-    assert first.text == again[0].text and all(one.acknowledged for one in again)
+    assert first.text == repeated[0].text and all(order.acknowledged for order in repeated)
     assert in_force(system) == newest
 
 
@@ -207,12 +209,12 @@
     system.submit_order(system.leader(), 7)
     system.run_for(0.5)
     before = system.members[system.leader()].node.log.last_index
-    again = [system.submit_order(name, version) for name in NAMES for version in (1, 7)]
+    repeated = [system.submit_order(name, version) for name in NAMES for version in (1, 7)]
     system.run_for(0.05)
     log = system.members[system.leader()].node.log
-    late = [log.entry(index).command for index in range(before + 1, log.last_index + 1)]
-    assert all(one.acknowledged for one in again)
-    assert not any(isinstance(command, PutConfiguration) for command in late)
+    new_commands = [log.entry(index).command for index in range(before + 1, log.last_index + 1)]
+    assert all(order.acknowledged for order in repeated)
+    assert not any(isinstance(command, PutConfiguration) for command in new_commands)
 
 
 def test_a_member_that_does_not_lead_answers_forwarded_calls_as_unknown():
@@ -232,7 +234,7 @@
     system = running_system()
     system.submit_order(NAMES[0], 7)
     system.run_for(0.5)
-    older = system.submit_order(NAMES[1], 6, **OTHER)
+    older = system.submit_order(NAMES[1], 6, **OTHER_SERVICES)
     system.run_for(0.5)
     assert older.acknowledged and system.versions_in_force() == {7}
 
@@ -240,54 +242,59 @@
 @pytest.mark.parametrize("role", ["leader", "follower"])
 def test_a_member_partitioned_for_20_s_rejects_calls_at_once_and_reports_that_it_is_not_current(role):
     system = running_system()
-    lone = system.leader() if role == "leader" else system.followers()[0]
-    cut_off(system, lone)
+    isolated = system.leader() if role == "leader" else system.followers()[0]
+    isolate(system, isolated)
     system.run_for(1.5)
-    assert not vouches(system, lone)
+    assert not confirms_configuration(system, isolated)
     system.run_for(2.5)
-    during = system.submit_order(next(name for name in NAMES if name != lone), 5)
+    order_elsewhere = system.submit_order(next(name for name in NAMES if name != isolated), 5)
     for _ in range(16):
-        order, found = system.submit_order(lone, 9), system.read_configuration(lone)
-        assert (order.acknowledged, took(order)) == (False, AT_ONCE)
-        assert (found.known, took(found)) == (False, AT_ONCE)
-        assert not vouches(system, lone)
+        order, read = system.submit_order(isolated, 9), system.read_configuration(isolated)
+        assert (order.acknowledged, duration(order)) == (False, IMMEDIATELY)
+        assert (read.known, duration(read)) == (False, IMMEDIATELY)
+        assert not confirms_configuration(system, isolated)
         system.run_for(1)
-    assert during.acknowledged and not system.is_acknowledged(9)
+    assert order_elsewhere.acknowledged and not system.is_acknowledged(9)
     system.partitions = set()
-    returned = system.submit_order(lone, 12)  # at the very moment
+    returned = system.submit_order(isolated, 12)  # before any message arrives
     assert returned.acknowledged is False
     system.run_for(2)
-    again, found = system.submit_order(lone, 12), system.read_configuration(lone)
+    repeated, read = system.submit_order(isolated, 12), system.read_configuration(isolated)
     system.run_for(0.5)
-    assert again.acknowledged and found.known and vouches(system, lone) and system.versions_in_force() == {12}
+    assert (
+        repeated.acknowledged
+        and read.known
+        and confirms_configuration(system, isolated)
+        and system.versions_in_force() == {12}
+    )
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
 def test_a_partitioned_member_rejects_pending_and_new_calls_within_half_a_second(role):
-    """Not only once its lease, or what made it current, has run out: the operator goes elsewhere after a second."""
+    """Rejects before its lease or current state expires, as the operator's time-out is one second."""
     for seed in range(4):
         system = running_system(seed)
-        lone = system.leader() if role == "leader" else system.followers()[0]
-        cut_off(system, lone)
-        waiting = [system.submit_order(lone, 9), system.read_configuration(lone)]
+        isolated = system.leader() if role == "leader" else system.followers()[0]
+        isolate(system, isolated)
+        waiting = [system.submit_order(isolated, 9), system.read_configuration(isolated)]
         system.run_for(0.56)
-        assert system.members[lone].node.current(system.now)
+        assert system.members[isolated].node.current(system.now)
         assert waiting[0].acknowledged is False
-        assert all(took(call) <= CONTACT_TIMEOUT_NS + 50 * MILLISECOND for call in waiting)
-        order, found = system.submit_order(lone, 9), system.read_configuration(lone)
+        assert all(duration(call) <= CONTACT_TIMEOUT_NS + 50 * MILLISECOND for call in waiting)
+        order, read = system.submit_order(isolated, 9), system.read_configuration(isolated)
         system.run_for(0.06)
-        assert order.acknowledged is False and took(order) <= 50 * MILLISECOND
+        assert order.acknowledged is False and duration(order) <= 50 * MILLISECOND
         if role == "follower":
-            assert (found.known, took(found)) == (False, AT_ONCE)
+            assert (read.known, duration(read)) == (False, IMMEDIATELY)
 
 
 def test_a_leader_that_receives_no_messages_is_replaced_when_its_lease_ends():
-    """Its heartbeats go on renewing the promises of the others until then: they waited for twice as long."""
+    """Guards against its heartbeats delaying the election of a successor beyond its lease."""
     for seed in range(6):
         system = running_system(seed)
-        lone = system.leader()
-        others = [name for name in NAMES if name != lone]
-        system.one_way_partitions = {(other, lone) for other in others}
+        isolated = system.leader()
+        others = [name for name in NAMES if name != isolated]
+        system.one_way_partitions = {(other, isolated) for other in others}
         system.run_for((LEASE_NS + 300 * MILLISECOND) / SECOND)
         assert system.leader() in others
         order = system.submit_order(system.leader(), 5)
@@ -298,30 +305,32 @@
 def test_a_member_partitioned_right_after_an_order_never_returns_an_older_configuration():
     for seed in range(6):
         system = running_system(seed)
-        lone = system.followers()[seed % 2]
+        isolated = system.followers()[seed % 2]
         order = system.submit_order(system.leader(), 5)
         system.run_for(0.01 * seed)
-        cut_off(system, lone)
+        isolate(system, isolated)
         system.run_for(1)
         if order.acknowledged:
-            found = system.read_configuration(lone)
+            read = system.read_configuration(isolated)
             system.run_for(1)
-            assert not found.known or found.text == order.text
+            assert not read.known or read.text == order.text
 
 
-@pytest.mark.parametrize("way", ["nothing in", "nothing out"])
+@pytest.mark.parametrize("direction", ["nothing in", "nothing out"])
 @pytest.mark.parametrize("role", ["leader", "follower"])
-def test_orders_are_acknowledged_during_a_one_way_partition_of_a_member(role, way):
+def test_orders_are_acknowledged_during_a_one_way_partition_of_a_member(role, direction):
     system = running_system()
-    lone = system.leader() if role == "leader" else system.followers()[0]
-    others = [name for name in NAMES if name != lone]
-    system.one_way_partitions = {(other, lone) if way == "nothing in" else (lone, other) for other in others}
+    isolated = system.leader() if role == "leader" else system.followers()[0]
+    others = [name for name in NAMES if name != isolated]
+    system.one_way_partitions = {
+        (other, isolated) if direction == "nothing in" else (isolated, other) for other in others
+    }
     system.run_for(5)
-    order, refused = system.submit_order(others[0], 5), system.submit_order(lone, 9)
+    order, rejected = system.submit_order(others[0], 5), system.submit_order(isolated, 9)
     system.run_for(2)
-    assert order.acknowledged and not refused.acknowledged and system.leader() in others
-    if way == "nothing in":
-        assert not vouches(system, lone)
+    assert order.acknowledged and not rejected.acknowledged and system.leader() in others
+    if direction == "nothing in":
+        assert not confirms_configuration(system, isolated)
     system.one_way_partitions = set()
     system.run_for(3)
     assert system.all_current() and system.versions_in_force() in ({5}, {9})
@@ -332,24 +341,25 @@
     leader = system.leader()
     followers = system.followers()
     order = system.submit_order(leader, 5)
-    while not any(system.members[name].node.log.last_term and self_has(system, name, 5) for name in followers):
+    while not any(system.members[name].node.log.last_term and has_durable_order(system, name, 5) for name in followers):
         system.step()
     system.frozen[leader] = system.now + 6 * SECOND
     system.run_for(4)
-    found = system.read_configuration(followers[0])
+    read = system.read_configuration(followers[0])
     system.run_for(0.5)
-    assert found.known and found.text == order.text  # a majority had it, though nobody was told so
+    assert read.known and read.text == order.text  # a majority has it, although it was not acknowledged
     system.run_for(5)
     assert system.versions_in_force() == {5} and system.all_current()
 
 
-def self_has(system, name, version):
-    """Whether an order of that version is in the member's log, and durable there."""
+def has_durable_order(system, name, version):
+    """Whether an order of that version is durable in the member's log."""
     node = system.members[name].node
     log = node.log
-    found = [index for index in range(log.base_index + 1, log.last_index + 1)]
+    indices = [index for index in range(log.base_index + 1, log.last_index + 1)]
     return any(
-        getattr(log.entry(index).command, "version", None) == version and node.durable_index >= index for index in found
+        getattr(log.entry(index).command, "version", None) == version and node.durable_index >= index
+        for index in indices
     )
 
 
@@ -359,8 +369,8 @@
         leader, followers = system.leader(), system.followers()
         order = system.submit_order(leader, 5)
         system.run_for(0.01)
-        system.one_way_partitions = {(name, leader) for name in followers}  # what they have on disk is not heard of
-        while sum(self_has(system, name, 5) for name in NAMES) < 2:
+        system.one_way_partitions = {(name, leader) for name in followers}  # their replies do not reach the leader
+        while sum(has_durable_order(system, name, 5) for name in NAMES) < 2:
             system.step()
         assert order.acknowledged is None
         for name in NAMES:
@@ -376,7 +386,7 @@
     for seed in range(6):
         system = running_system(seed)
         versions = [9, 4, 7, 2, 8, 3, 6, 5]
-        orders = [system.submit_order(NAMES[(seed + place) % 3], version) for place, version in enumerate(versions)]
+        orders = [system.submit_order(NAMES[(seed + number) % 3], version) for number, version in enumerate(versions)]
         system.run_for(1)
         assert all(order.acknowledged for order in orders) and system.versions_in_force() == {9}
 
@@ -384,40 +394,42 @@
 def test_orders_beyond_the_limit_are_rejected_at_once_and_the_others_within_a_second():
     system = running_system()
     leader = system.leader()
-    cut_off(system, leader)
+    isolate(system, leader)
     orders = [system.submit_order(leader, 100 + number) for number in range(MAX_PENDING_CALLS + 3)]
     assert [order.acknowledged for order in orders] == [None] * MAX_PENDING_CALLS + [False] * 3
     system.run_for(1)
-    assert all(order.acknowledged is False and took(order) <= CALL_TIMEOUT_NS + 50 * MILLISECOND for order in orders)
+    assert all(
+        order.acknowledged is False and duration(order) <= CALL_TIMEOUT_NS + 50 * MILLISECOND for order in orders
+    )
 
 
 def test_an_order_that_a_deposed_leader_did_not_commit_is_rejected_and_may_be_sent_again():
     system = running_system()
-    lone = system.leader()
-    cut_off(system, lone)
+    isolated = system.leader()
+    isolate(system, isolated)
     system.run_for(1)
-    order = system.submit_order(lone, 5)
+    order = system.submit_order(isolated, 5)
     system.run_for(0.7)
     assert order.acknowledged is False
     system.run_for(2)
-    again = system.submit_order(system.leader(), 5)
+    repeated = system.submit_order(system.leader(), 5)
     system.run_for(0.3)
     system.partitions = set()
     system.run_for(3)
-    assert again.acknowledged and system.versions_in_force() == {5}
+    assert repeated.acknowledged and system.versions_in_force() == {5}
 
 
 def test_a_reply_to_a_call_made_before_a_restart_answers_no_later_call():
     system = running_system()
-    lone = system.followers()[0]
-    system.one_way_partitions = {(system.leader(), lone)}  # answers are held up
-    before = system.submit_order(lone, 5)
+    isolated = system.followers()[0]
+    system.one_way_partitions = {(system.leader(), isolated)}  # replies are dropped
+    before = system.submit_order(isolated, 5)
     system.run_for(0.02)
-    system.kill(lone)
+    system.kill(isolated)
     system.one_way_partitions = set()
-    system.start(lone)
+    system.start(isolated)
     system.run_for(2)
-    after = system.submit_order(lone, 6)
+    after = system.submit_order(isolated, 6)
     system.run_for(0.5)
     assert before.acknowledged is None and after.acknowledged
 
--- a/tests/control/test_recorded_runs.py
+++ b/tests/control/test_recorded_runs.py
@@ -1,9 +1,9 @@
-"""Whole runs give the effects that were recorded: which, of whom, when and in what order, to the byte.
+"""Complete simulated runs produce the recorded effects: content, member, time and order, byte for byte.
 
-A change of behaviour that is wanted changes the digests; its commit says why.
+An intended change of behaviour changes the digests; its commit gives the reason.
 
-Each effect is hashed as it is encoded on the wire or on disk, so that names in the code may change. Of a line of the
-log only its moment counts.
+Each effect is hashed in its encoding on the wire or on disk, so that names in the code may change. Of a log line, only
+its member and time are hashed.
 """
 
 from hashlib import blake2b
@@ -27,7 +27,7 @@
 from kestrelplank.sharding.effects import GrantKeyRange
 from kestrelplank.time_units import SECOND
 
-# By seed: number of effects and answers to the edge machine, and their digest.
+# By seed: the number of effects and replies to the edge machine, and their digest.
 RECORDED = {
     0: (3634, "308b0441ff7bf7e4ac7764fdaecadc55"),
     1: (3473, "bbac3b723e75d51483d33a2d1b2cdccf"),
@@ -39,7 +39,7 @@
 
 
 def content(effect):
-    """What an effect says, without names of the code: a tag, and values in a fixed order."""
+    """The content of an effect without names of the code: a tag, and values in a fixed order."""
     match effect:
         case SendMessage(to, message):
             return "send", to, message
@@ -65,14 +65,14 @@
 
 
 class RecordedSimulation(Simulation):
-    """A simulation that hashes what its members want done, and what they answer to the edge machine."""
+    """A simulation that hashes its members' effects and their replies to the edge machine."""
 
     def __init__(self, seed):
-        self.digest, self.count_recorded = blake2b(digest_size=16), 0
+        self.digest, self.effect_count = blake2b(digest_size=16), 0
         super().__init__(seed)
 
     def record(self, name, *values):
-        self.count_recorded += 1
+        self.effect_count += 1
         self.digest.update(msgspec.msgpack.encode((self.now, name, *values)))
 
     def carry_out(self, name, effects):
@@ -85,25 +85,25 @@
         super().send_to_edge(name, message)
 
 
-def played(seed):
-    """Forty seconds with orders, reads, losses, a newcomer, a drain, a cut, and a member that stops."""
-    system, chance = RecordedSimulation(seed), Random(seed)
+def recorded_run(seed):
+    """Run 40 seconds with orders, reads, losses, a new member, a drain, a partition and a stop; return the record."""
+    system, random = RecordedSimulation(seed), Random(seed)
     system.start_up()
     system.hot_key = 20_000
     for version in range(2, 6):
-        system.submit_order(chance.choice(NAMES), version)
-        system.read_configuration(chance.choice(NAMES))
+        system.submit_order(random.choice(NAMES), version)
+        system.read_configuration(random.choice(NAMES))
         system.run_for(0.5)
     system.server_states["i-1"] = "draining"
-    lost = chance.choice(NAMES)
+    lost = random.choice(NAMES)
     system.kill(lost, wipe=seed % 2 == 0)
     system.run_for(4)
     system.start(lost)
     system.start("10.0.0.4:80")
     system.run_for(5)
-    lone = system.leader()
-    system.partitions = {frozenset((lone, other)) for other in system.members if other != lone}
-    system.submit_order(lone, 9)
+    isolated = system.leader()
+    system.partitions = {frozenset((isolated, other)) for other in system.members if other != isolated}
+    system.submit_order(isolated, 9)
     system.run_for(4)
     system.partitions = set()
     system.run_for(3)
@@ -117,9 +117,9 @@
     system.run_for(8)
     system.frozen[system.leader() or NAMES[0]] = system.now + 4 * SECOND
     system.run_for(6)
-    return system.count_recorded, system.digest.hexdigest()
+    return system.effect_count, system.digest.hexdigest()
 
 
 @pytest.mark.parametrize("seed", sorted(RECORDED))
 def test_a_run_produces_the_recorded_effects(seed):
-    assert played(seed) == RECORDED[seed]
+    assert recorded_run(seed) == RECORDED[seed]
--- a/tests/control/test_server_calls.py
+++ b/tests/control/test_server_calls.py
@@ -1,4 +1,4 @@
-"""Grants and releases on the wire: each goes out once, and its end is reported once. On loopback; servers are scripts."""
+"""Grants and releases over loopback to scripted servers: each is sent once and its result is reported once."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class Calls:
-    """The calls to one scripted server. `ended`: the type of each request and how it ended, by its first key."""
+    """The calls to one scripted server. `ended`: the type and the result of each request, by its first key."""
 
     def __init__(self, server):
         self.server, self.ended, self.more = server, {}, asyncio.Event()
@@ -50,14 +50,14 @@
             await self.more.wait()
 
 
-def run_against(script, play):
+def run_against(script, scenario):
     async def run():
         server = ScriptedServer("s", script)
         await server.start()
         calls = Calls(server)
         try:
             async with asyncio.timeout(20):
-                await play(calls)
+                await scenario(calls)
         finally:
             calls.calls.close()
             await server.stop()
@@ -66,7 +66,7 @@
 
 
 def requests_in(data):
-    """The requests in these bytes: path and body of each."""
+    """The path and the body of each request in these bytes."""
     requests, rest = [], data
     while rest:
         head, _, rest = rest.partition(b"\r\n\r\n")
@@ -91,7 +91,7 @@
             else:
                 connection.write(answer())
 
-    async def play(calls):
+    async def scenario(calls):
         calls.server.more = asyncio.Event()
         for first in range(MAX_CONCURRENT_RELEASES + 3):
             calls.release(first)
@@ -111,7 +111,7 @@
         ] * (MAX_CONCURRENT_RELEASES + 3)
         assert len(calls.server.connections) <= MAX_CONCURRENT_RELEASES + 3 + MAX_CONCURRENT_GRANTS
 
-    run_against(script, play)
+    run_against(script, scenario)
 
 
 @pytest.mark.parametrize("ends", ["reset", "close", "half", "garbage"])
@@ -122,17 +122,17 @@
         if ends == "reset":
             connection.reset()
 
-    async def play(calls):
+    async def scenario(calls):
         calls.grant(1)
         await calls.until_ended(1)
         assert calls.ended[1] == (GrantKeyRange, ServerCallResult(True))
         assert len(calls.server.connections) == 1 and len(requests_in(calls.server.connections[0].received)) == 1
 
-    run_against(script, play)
+    run_against(script, scenario)
 
 
 def test_a_call_to_a_closed_port_is_reported_as_not_sent():
-    async def play(calls):
+    async def scenario(calls):
         calls.server.listening.close()
         await calls.server.listening.wait_closed()
         calls.grant(1)
@@ -142,26 +142,26 @@
     async def script(server, connection):
         pass
 
-    run_against(script, play)
+    run_against(script, scenario)
 
 
 def test_a_grant_is_not_sent_once_the_leader_lease_has_ended():
-    """As it waited in the queue, or for its connection."""
+    """The lease can end while the grant waits in the queue or for its connection."""
 
     async def script(server, connection):
         await connection.reader.read()
 
-    async def play(calls):
+    async def scenario(calls):
         calls.grant(1, lease_until=time.monotonic_ns())
         await calls.until_ended(1)
         assert calls.ended[1] == (GrantKeyRange, ServerCallResult(False))
         assert all(not connection.received for connection in calls.server.connections)
 
-    run_against(script, play)
+    run_against(script, scenario)
 
 
 def test_a_duplicate_response_to_a_release_is_not_taken_for_the_response_to_the_next():
-    """It comes late, just as the next release has been sent: that one goes out on another connection."""
+    """The duplicate arrives late, when the next release was sent: that release uses another connection."""
     sent = asyncio.Event()
 
     async def script(server, connection):
@@ -169,12 +169,12 @@
         if json.loads(body)["source"] == 1:
             connection.write(RELEASED)
             await sent.wait()
-            connection.write(RELEASED)  # again
+            connection.write(RELEASED)  # the duplicate
             await connection.reader.read()
         sent.set()
-        await asyncio.Event().wait()  # work still runs on these keys
+        await asyncio.Event().wait()  # no response: work on these keys has not finished
 
-    async def play(calls):
+    async def scenario(calls):
         calls.release(1)
         await calls.until_ended(1)
         calls.release(2)
@@ -183,7 +183,7 @@
         await asyncio.sleep(0)
         assert 2 not in calls.ended and len(calls.server.connections) == 2
 
-    run_against(script, play)
+    run_against(script, scenario)
 
 
 def test_a_connection_with_extra_bytes_after_a_response_is_not_reused():
@@ -192,13 +192,13 @@
             await connection.request()
             connection.write(answer() + answer(409))
 
-    async def play(calls):
+    async def scenario(calls):
         for first in (1, 2):
             calls.grant(first)
             await calls.until_ended(first)
         assert [calls.ended[first][1].status for first in (1, 2)] == [200, 200] and len(calls.server.connections) == 2
 
-    run_against(script, play)
+    run_against(script, scenario)
 
 
 def test_a_grant_carries_its_lease_and_handover_and_renewals_share_a_connection():
@@ -207,7 +207,7 @@
             await connection.request()
             connection.write(answer(more="Keep-Alive: timeout=10\r\n"))
 
-    async def play(calls):
+    async def scenario(calls):
         for first in (1, 2):
             calls.grant(first)
             await calls.until_ended(first)
@@ -217,4 +217,4 @@
             ("/api/grant", {"source": first, **wanted, "target_version": first}) for first in (1, 2)
         ]
 
-    run_against(script, play)
+    run_against(script, scenario)
