--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -51,7 +51,7 @@
         self._inbound: Sessions[MemberConnection] = Sessions()
         self._dialled: dict[str, MemberConnection] = {}  # by control address
         self._dialling: dict[str, asyncio.Task[None]] = {}  # by control address
-        # By control address: when the oldest message was sent to which the member has not replied.
+        # By control address: time of the first message sent on the outbound connection since the member was last heard.
         self._unanswered_since: dict[str, int] = {}
 
     def keep_sessions_with(self, addresses: list[str]) -> None:
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -63,11 +63,13 @@
 
     def candidates(self, now: int, *, stopping: bool) -> list[KnownMember]:
         """Return the known state of each member that is a voter or asks to be one, the leader itself first."""
-        own = self._node.identity
+        own_identity = self._node.identity
         requesting = {member.identity: member for member in self._directory.requesting(now)}
-        others = [identity for identity in dict.fromkeys((*self._replica.voters(), *requesting)) if identity != own]
-        itself = KnownMember(own, self._profile.zone, self._profile.eligible, stopping, now, caught_up=True)
-        return [itself, *(self._candidate(identity, requesting.get(identity)) for identity in others)]
+        others = [
+            identity for identity in dict.fromkeys((*self._replica.voters(), *requesting)) if identity != own_identity
+        ]
+        own_entry = KnownMember(own_identity, self._profile.zone, self._profile.eligible, stopping, now, caught_up=True)
+        return [own_entry, *(self._candidate(identity, requesting.get(identity)) for identity in others)]
 
     def _candidate(self, identity: str, requesting: RequestingMember | None) -> KnownMember:
         """Return the known state of another member; one that sent no request counts as eligible and not stopping."""
@@ -110,10 +112,10 @@
     def _reconcile_learners(self, now: int) -> None:
         """Make exactly the members that ask to be voters and are not voters yet the learners."""
         voters = self._replica.voters()
-        asking = [member.identity for member in self._directory.requesting(now) if member.identity not in voters]
-        for identity in asking:
+        requesting = [member.identity for member in self._directory.requesting(now) if member.identity not in voters]
+        for identity in requesting:
             self._node.add_learner(identity)
-        for identity in [identity for identity in self._node.learners if identity not in asking]:
+        for identity in [identity for identity in self._node.learners if identity not in requesting]:
             self._node.remove_learner(identity)
 
 
--- a/kestrelplank/control/operator_calls.py
+++ b/kestrelplank/control/operator_calls.py
@@ -64,13 +64,13 @@
         self._answer_read_by_state(now, ForwardingMember(sender, message.call))
 
     def handle_order_result(self, sender: str, result: OrderResult) -> None:
-        """Return the leader's result of an order that this member forwarded to its operator."""
+        """Answer an operator's order that this member forwarded with the leader's result."""
         forwarded = self._forwarded.take_answered(sender, result.call, is_read=False)
         if forwarded is not None:
             self._answer_order(LocalCaller(forwarded.ticket), result.acknowledged, result.in_force)
 
     def handle_read_result(self, sender: str, result: ReadResult) -> None:
-        """Return the leader's result of a read that this member forwarded to its operator."""
+        """Answer an operator's read that this member forwarded with the leader's result."""
         forwarded = self._forwarded.take_answered(sender, result.call, is_read=True)
         if forwarded is not None:
             self._answer_read(LocalCaller(forwarded.ticket), result.known, result.text)
--- a/kestrelplank/control/pending_calls.py
+++ b/kestrelplank/control/pending_calls.py
@@ -2,8 +2,8 @@
 
 They are kept at the leader, and at a member that forwarded them to the leader. An order is answered once its own log
 entry, with the same index and term, is applied. If another entry is applied at that index, the leader is deposed, or
-the call times out, the outcome is unknown: the operator sends the order again, and the then leader finds it in force or
-proposes it again.
+the call times out, the outcome is unknown: the operator sends the order again, and the leader at that time finds it in
+force or proposes it again.
 """
 
 from dataclasses import dataclass, field
--- a/kestrelplank/control/server_discovery.py
+++ b/kestrelplank/control/server_discovery.py
@@ -33,11 +33,11 @@
 
         None if it is not a voter, as only voters fetch the list.
         """
-        own, leader = self._node.identity, self._node.leader
+        own_identity, leader = self._node.identity, self._node.leader
         other_voters = [voter for voter in self._replica.voters() if voter != leader]
-        if own != leader and own not in other_voters:
+        if own_identity != leader and own_identity not in other_voters:
             return None
-        rank = 0 if own == leader else other_voters.index(own) + 1
+        rank = 0 if own_identity == leader else other_voters.index(own_identity) + 1
         age = self._servers.age_ns(now)
         return 0 if age is None else max(0, FETCH_INTERVAL_NS + rank * FETCH_STAGGER_NS - age)
 
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -129,9 +129,9 @@
         self.carry_out(name, self.members[name].begin_stop(self.now))
         self.stopping[name] = self.now
 
-    def schedule(self, delay, what, *args):
+    def schedule(self, delay, action, *args):
         self.event_count += 1
-        self.events.append((self.now + delay, self.event_count, what, args))
+        self.events.append((self.now + delay, self.event_count, action, args))
 
     def reaches(self, source, target):
         return (
@@ -140,10 +140,10 @@
             and (source, target) not in self.one_way_partitions
         )
 
-    def in_session(self, one, other):
+    def in_session(self, name, other):
         """Whether either member dials the other."""
-        return other in self.members[one].addresses_to_dial(self.now) or (
-            other in self.members and one in self.members[other].addresses_to_dial(self.now)
+        return other in self.members[name].addresses_to_dial(self.now) or (
+            other in self.members and name in self.members[other].addresses_to_dial(self.now)
         )
 
     def carry_out(self, name, effects):
@@ -425,8 +425,8 @@
         return all(member.node.current(self.now) for member in self.members.values())
 
     def all_are_voters(self):
-        """Whether all running members are voters of the committed membership that each of them knows, without a
-        pending change; members that lost their disks included."""
+        """Whether every running member is a voter of each running member's committed membership, and no membership
+        change is pending."""
         known = [member.committed_membership for member in self.members.values()]
         return all(
             membership is not None and not membership.joint and member.identity in membership.voters
