--- a/benchmarks/key_ranges.py
+++ b/benchmarks/key_ranges.py
@@ -46,7 +46,7 @@
                 for at, name in enumerate(self.names)
             ],
         )
-        self.key_ranges.divide(RANGES_PER_SERVER * servers)
+        self.key_ranges.create_initial_ranges(RANGES_PER_SERVER * servers)
         self.placement = Placement(self.now, seed, self.key_ranges, SECOND, None)
         self.hottest = self.random.randrange(KEY_COUNT)
         self.spent = dict.fromkeys(COSTS, 0.0)
--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -149,7 +149,7 @@
         if not self.key_ranges.ranges:
             if not self.key_ranges.servers or now - list_changed_at < LIST_SETTLING_NS:
                 return []
-            self.key_ranges.divide(FIRST_RANGES_PER_SERVER * len(self.key_ranges.servers))
+            self.key_ranges.create_initial_ranges(FIRST_RANGES_PER_SERVER * len(self.key_ranges.servers))
         range_count = len(self.key_ranges.ranges)
         self.key_ranges.terms = self._lease_terms.terms(now, range_count, voter_missing=voter_missing)
         self.placement.tick(now)
--- a/kestrelplank/emulator/sharded_service.py
+++ b/kestrelplank/emulator/sharded_service.py
@@ -68,7 +68,7 @@
         self._waiting: list[tuple[float, int]] = []  # requests for keys that nobody holds: when they came, and the key
         self._releases: list[tuple[float, ReleaseKeyRange]] = []  # when each is answered
         self.begin_term(1, None, None)
-        self.key_ranges.divide(4 * len(speeds))
+        self.key_ranges.create_initial_ranges(4 * len(speeds))
 
     def begin_term(
         self,
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -99,7 +99,7 @@
 
     # Changes that the placement asks for.
 
-    def divide(self, count: int) -> None:
+    def create_initial_ranges(self, count: int) -> None:
         """Make `count` unowned ranges of equal length, as nothing was ever recorded."""
         for number in range(count):
             key_range = KeyRange(KEY_COUNT * number // count, KEY_COUNT * (number + 1) // count - 1, "", "", 0)
--- a/tests/sharding/test_key_ranges.py
+++ b/tests/sharding/test_key_ranges.py
@@ -34,7 +34,7 @@
     """Key ranges of listed servers; `count` unowned ones if nothing is `recorded`."""
     key_ranges = KeyRanges(NOW, term, recorded)
     if recorded is None:
-        key_ranges.divide(count)
+        key_ranges.create_initial_ranges(count)
     key_ranges.handle_server_list(NOW, [server(name) for name in names])
     return key_ranges
 
--- a/tests/sharding/test_shard_placement.py
+++ b/tests/sharding/test_shard_placement.py
@@ -114,7 +114,7 @@
     now = 100 * SECOND
     key_ranges = KeyRanges(now, 1, None)
     key_ranges.handle_server_list(now, [ShardServer(name, f"{name}:80", "z", 2, True, 0) for name in "abc"])
-    key_ranges.divide(6)
+    key_ranges.create_initial_ranges(6)
     placement, reports = Placement(now, 1, key_ranges, SECOND), []
     for later, keys, attempts in reports_in_time:
         now += later
