--- a/kestrelplank/policy/assigner_policy.py
+++ b/kestrelplank/policy/assigner_policy.py
@@ -1,4 +1,4 @@
-"""One assigner's policy: takes the events of a round, decides in steps, and orders."""
+"""One assigner's policy: processes the events of a round, decides in steps and issues orders."""
 
 from collections.abc import Iterable
 from typing import assert_never
@@ -8,23 +8,23 @@
 from kestrelplank.policy.balancing import balance
 from kestrelplank.policy.channel import Channel
 from kestrelplank.policy.ejection import eject_unhealthy
-from kestrelplank.policy.evacuation import evacuate, relieve_cold_nodes
+from kestrelplank.policy.evacuation import evacuate, relieve_warming_nodes
 from kestrelplank.policy.load_shedding import LoadShedder
 from kestrelplank.policy.node import Node, NodeState
 from kestrelplank.policy.publication import Publisher
 from kestrelplank.policy.slices import Slice
 from kestrelplank.policy.state import AssignerState
 
-ROUND_TIMER = "beat"  # a name on the wire
+ROUND_TIMER = "beat"  # this name is written to the wire
 
 
 class Policy:
     """All decisions of one assigner.
 
-    The order of steps in a round, and that in which nodes and slices became known, are part of the decisions
-    (`test_a_recorded_day_gives_the_recorded_orders`). A withdrawal leaves no slice without an endpoint, but late in its
-    deadline (`test_a_withdrawal_waits_for_the_slice_it_would_leave_without_an_endpoint`). An exclusive slice has one
-    owner at a time (`test_an_exclusive_slice_opens_only_when_the_old_owner_is_surely_done`).
+    Decisions depend on the order of steps in a round and on the order in which nodes and slices became known
+    (`test_a_recorded_day_gives_the_recorded_orders`). A withdrawal never leaves a slice without an endpoint, except
+    late in its deadline (`test_withdrawal_is_ordered_only_with_a_replacement_endpoint_for_the_slice`). An exclusive
+    slice has one owner at a time (`test_exclusive_slice_opens_only_after_its_old_owner_has_surely_stopped`).
     """
 
     def __init__(self, now: int, seed: int, settings: interface.PolicySettings) -> None:
@@ -32,16 +32,16 @@
         self.nodes, self.slices = state.nodes, state.slices
         self.channel, self.shedder = Channel(settings), LoadShedder(settings)
         self.publisher = Publisher(state, self.channel, self.shedder)
-        self.talks = settings.peers_may_talk and settings.assigners > 1
-        self.listed = False  # a list of this incarnation has come
+        self.shares_loads = settings.peers_may_talk and settings.assigners > 1
+        self.list_received = False  # this incarnation has received a node list
         self._subscribe_at: int | None = now
         self._period_ends_at = now + state.period_ns
         self._retry_mode = settings.initial_retry_mode
-        self._slices_reported = False  # since cold nodes were last relieved
+        self._slices_reported = False  # since the last call of relieve_warming_nodes
         self._next_round_at, self._next_balancing_at = now, now + parameters.BALANCING_INTERVAL_NS
 
     def round(self, now: int, events: Iterable[interface.Event], out: interface.OrderWriter) -> None:
-        """Take all that has happened since the last round, and order what follows."""
+        """Process all events since the last round, decide, and write the resulting orders to `out`."""
         for event in events:
             self.handle(now, event)
         self._subscribe_to_nodes(now, out)
@@ -49,9 +49,9 @@
             self.close_period(now)
         self._set_retry_mode(out)
         evacuate(self.state, now)
-        if self._slices_reported and now >= self.state.moves_from_at:
+        if self._slices_reported and now >= self.state.moves_allowed_at:
             self._slices_reported = False
-            relieve_cold_nodes(self.state, now)
+            relieve_warming_nodes(self.state, now)
         if now >= self._next_balancing_at:
             self._next_balancing_at = now + self._balancing_interval_ns()
             self.balance(now)
@@ -60,8 +60,8 @@
         if now >= self._next_round_at:
             self._next_round_at = now + parameters.ROUND_INTERVAL_NS
             out.set_timer(self._next_round_at, ROUND_TIMER)
-            self._release_gone_nodes(now, out)
-        if self.slices:  # else no proxy would get or acknowledge it
+            self._forget_removed_nodes(now, out)
+        if self.slices:  # without slices no proxy would receive or acknowledge the orders
             self.publisher.publish(now, out)
         self._share_loads(now, out)
 
@@ -74,7 +74,7 @@
             self._subscribe_at = None
 
     def close_period(self, now: int) -> None:
-        """End a report period, and judge the fleet by it."""
+        """End a report period, then update load shedding and ejections."""
         self._period_ends_at += self.state.period_ns
         for node in self.nodes.values():
             node.close_period()
@@ -85,7 +85,7 @@
 
     def eject_unhealthy(self, now: int) -> None:
         """Eject unhealthy nodes."""
-        eject_unhealthy(now, self.nodes.values(), self.shedder.strained)
+        eject_unhealthy(now, self.nodes.values(), self.shedder.overloaded)
 
     def balance(self, now: int) -> None:
         """Run the ordinary balancing pass."""
@@ -94,10 +94,10 @@
     def _balancing_interval_ns(self) -> int:
         """Return the time to the next pass.
 
-        Spread by chance where assigners hear each other: so each sees what others have moved.
+        Randomised where assigners share loads, so that each sees what the others have moved.
         """
         interval_ns = parameters.BALANCING_INTERVAL_NS
-        return interval_ns // 2 + int(self.state.random.random() * interval_ns) if self.talks else interval_ns
+        return interval_ns // 2 + int(self.state.random.random() * interval_ns) if self.shares_loads else interval_ns
 
     def _set_retry_mode(self, out: interface.OrderWriter) -> None:
         if self._retry_mode != parameters.RETRY_MODE:
@@ -105,51 +105,52 @@
             self._retry_mode = parameters.RETRY_MODE
 
     def _decide_withdrawals(self, now: int) -> None:
-        """Withdraw nodes that must be; let others in again, but only once no table names them without need."""
+        """Withdraw nodes where required; readmit the others once their unwanted endpoints are removed from tables."""
         for index, node in self.nodes.items():
-            if node.must_withdraw(now) == node.withdrawn or node.withdrawn and self._has_endpoint_to_remove(index):
+            if node.must_withdraw(now) == node.withdrawn or node.withdrawn and self._has_endpoints_to_remove(index):
                 continue
             node.withdrawn, node.withdrawal_changed_at, node.order_due = not node.withdrawn, now, True
 
-    def _has_endpoint_to_remove(self, index: int) -> bool:
+    def _has_endpoints_to_remove(self, index: int) -> bool:
         return any(index in owned.ordered and index not in owned.desired for owned in self.slices.values())
 
-    def _release_gone_nodes(self, now: int, out: interface.OrderWriter) -> None:
-        """Make orders due that waited for this, and let in, then forget nodes long gone and in no table: ids pile up.
+    def _forget_removed_nodes(self, now: int, out: interface.OrderWriter) -> None:
+        """Mark orders for joined proxies as due, then readmit and forget nodes that are long gone and in no table.
 
-        One that only the store names is removed once lists would name it. The price: ejections are forgotten as well.
+        Without this their ids accumulate. A node that is only in the store counts as removed once a list should have
+        named it. Cost: the ejections of a forgotten node are forgotten as well.
         """
-        named = {index for owned in self.slices.values() for index in (*owned.desired, *owned.ordered)}
+        referenced = {index for owned in self.slices.values() for index in (*owned.desired, *owned.ordered)}
         for index, node in list(self.nodes.items()):
-            if node.joined_order_due:  # once for all proxies that joined since the last time
+            if node.joined_order_due:  # one order for all proxies that joined since the last round
                 node.order_due, node.joined_order_due = True, False
             unchanged_ns = now - node.withdrawal_changed_at
-            idle = index not in named and unchanged_ns > parameters.LONGEST_EJECTION_NS and not node.sums().attempts
+            idle = index not in referenced and unchanged_ns > parameters.MAX_EJECTION_NS and not node.sums().attempts
             if idle and node.state in (NodeState.REMOVED, NodeState.DROPPED):
-                node.state, node.emptied = NodeState.UNLISTED, True
+                node.state, node.former_slices_removed = NodeState.UNLISTED, True
             elif idle and node.state is NodeState.UNLISTED:
                 if not node.withdrawn and not (node.order_due and self.slices):
                     del self.nodes[index]
                     out.forget_node(index)
-            elif index in named and node.state is NodeState.UNLISTED and self._list_would_name(now, unchanged_ns):
+            elif index in referenced and node.state is NodeState.UNLISTED and self._list_overdue(now, unchanged_ns):
                 node.state = NodeState.REMOVED
 
-    def _list_would_name(self, now: int, known_ns: int) -> bool:
-        """Whether a list would by now tell of a node that only the store has named, so long ago."""
-        lists_bind = self.listed and not self.state.settings.only_draining_binds
-        settled = lists_bind or now >= self.state.moves_from_at
-        return known_ns > self.state.settings.withdrawal_deadline_ns // 3 and settled
+    def _list_overdue(self, now: int, known_for_ns: int) -> bool:
+        """Whether a list should by now have named a node known only from the store, for `known_for_ns`."""
+        list_removals_bind = self.list_received and not self.state.settings.only_draining_binds
+        settling_over = list_removals_bind or now >= self.state.moves_allowed_at
+        return known_for_ns > self.state.settings.withdrawal_deadline_ns // 3 and settling_over
 
     def _share_loads(self, now: int, out: interface.OrderWriter) -> None:
-        if self.talks and now >= self.state.share_loads_at:
+        if self.shares_loads and now >= self.state.share_loads_at:
             self.state.share_loads_at = now + parameters.BALANCING_INTERVAL_NS // 2
             loads = self.state.slice_loads()
             out.share_loads({index: ops for index, ops in loads.items() if self.nodes[index].state is NodeState.UP})
 
     # Events.
 
-    def handle(self, now: int, event: interface.Event) -> None:  # noqa: C901, PLR0912  one case an event
-        """Take one event."""
+    def handle(self, now: int, event: interface.Event) -> None:  # noqa: C901, PLR0912  one case per event
+        """Update the state by one event."""
         match event:
             case interface.SliceReport():
                 self._handle_slice_report(event)
@@ -174,7 +175,7 @@
                 self.channel.leave(now, event.proxy)
                 self.state.proxies_left_until = now + self.state.settings.ownership_lease_ns
             case interface.ProxyReport() | interface.HealthChecked() | interface.PeerMessage() | interface.TimerFired():
-                pass  # decide nothing yet
+                pass  # no decision uses these yet
             case _:
                 assert_never(event)
 
@@ -185,7 +186,7 @@
             self.shedder.count(report.op_type, report.ops)
 
     def _handle_peer_loads(self, now: int, event: interface.PeerLoads) -> None:
-        self.state.peers_heard_at[event.sender] = now
+        self.state.peer_loads_received_at[event.sender] = now
         for index, ops in event.loads:
             if index in self.nodes:
                 self.nodes[index].peer_loads[event.sender] = ops, now
@@ -194,19 +195,19 @@
         if update.kind == interface.NodeListKind.FAILED:
             self._subscribe_at = now + interface.SECOND // 2 + int(self.state.random.random() * interface.SECOND)
             return
-        self.listed = self.listed or update.kind != interface.NodeListKind.CACHED
+        self.list_received = self.list_received or update.kind != interface.NodeListKind.CACHED
         is_delta = update.kind == interface.NodeListKind.DELTA
         for node in () if is_delta else self.nodes.values():
             if node.state is not NodeState.UNLISTED:
-                node.state = self._state_once_removed(node)
+                node.state = self._state_after_removal(node)
         for entry in update.entries:
             self._handle_node_entry(now, interface.NodeEntry(*entry), is_delta)
 
     def _handle_node_entry(self, now: int, entry: interface.NodeEntry, is_delta: bool) -> None:
         node = self.state.node(entry.node, now)
         if node.state is NodeState.UNLISTED and is_delta:
-            node.filling = True
-        # An older list may come again: only a later start counts, and no drain is taken back without one.
+            node.awaiting_load = True
+        # An older list may arrive again: only a later start counts, and only a later start ends a drain.
         started_at = entry.started_at
         started = started_at is not None and (node.started_at is None or started_at > node.started_at)
         if started_at is not None and started:
@@ -214,35 +215,35 @@
             if now - started_at < self.state.settings.warm_up_ns:
                 self._handle_restart(now, node)
         if entry.condition == interface.NodeCondition.REMOVED:
-            node.state = self._state_once_removed(node)
+            node.state = self._state_after_removal(node)
         elif node.state is not NodeState.DRAINING or started:
             node.state = NodeState(entry.condition)
         node.zone, node.weight = entry.zone, entry.weight or 1.0
 
     def _handle_restart(self, now: int, node: Node) -> None:
-        """Mark a node as cold, and as flapping if it has started not long ago.
+        """Record a node's restart, and mark the node as flapping if it also started recently.
 
-        Slices must not follow a flapping node back each time; the price: a sound one that is started twice idles.
+        Slices must not move back to a flapping node each time. Cost: a healthy node that is started twice idles.
         """
-        node.emptied, node.filling = False, True
+        node.former_slices_removed, node.awaiting_load = False, True
         node.periods.clear()
         node.recent_starts = (*(at for at in node.recent_starts if now - at < parameters.FLAP_WINDOW_NS), now)
         starts = len(node.recent_starts)
         if starts > 1:
-            node.flapping_until = now + min(2 * parameters.LONGEST_EJECTION_NS, parameters.EJECTION_NS << starts - 1)
+            node.flapping_until = now + min(2 * parameters.MAX_EJECTION_NS, parameters.MIN_EJECTION_NS << starts - 1)
 
-    def _state_once_removed(self, node: Node) -> NodeState:
-        """Return the state of a node that a list drops: where only draining binds it works until it fails."""
-        sound = self.state.settings.only_draining_binds and node.state in (NodeState.UP, NodeState.DROPPED)
-        return NodeState.DROPPED if sound else NodeState.REMOVED
+    def _state_after_removal(self, node: Node) -> NodeState:
+        """Return the state of a node that a list omits or removes: DROPPED if it works and only draining binds."""
+        still_works = self.state.settings.only_draining_binds and node.state in (NodeState.UP, NodeState.DROPPED)
+        return NodeState.DROPPED if still_works else NodeState.REMOVED
 
     def _handle_ownership(self, now: int, event: interface.SliceOwnership) -> None:
         if event.owned:
             settings = self.state.settings
             owned = self.slices[event.slice] = Slice(event.slice)
-            # For an empty table: another assigner may have closed it, while writes to its node still run.
+            # For an empty table: another assigner may have closed it while writes to its node are in flight.
             owned.opens_at = now + settings.ownership_lease_ns + settings.write_timeout_ns
-            self.state.moves_from_at = now + parameters.PERIODS * self.state.period_ns
+            self.state.moves_allowed_at = now + parameters.LOAD_PERIODS * self.state.period_ns
         else:
             self.slices.pop(event.slice, None)
 
@@ -250,19 +251,22 @@
         owned = self.slices.get(event.slice)
         if owned is not None and event.weight > 0:
             node = self.state.node(event.node, now)
-            # A withdrawal that was ordered before the proxies had this table may not hold.
+            # A withdrawal that was ordered before the proxies had this table may not apply to it.
             node.joined_order_due = node.joined_order_due or node.withdrawn
             owned.desired[event.node] = owned.ordered[event.node] = event.weight
 
     def _handle_joined_proxy(self, now: int, event: interface.ProxyJoined) -> None:
-        """Plan the withdrawals that a proxy must be told of.
+        """Mark the withdrawals that must be ordered again for a proxy that joined.
 
-        A proxy keeps withdrawals when we restart: one not taken back leaves it without an endpoint, one missed lets it
-        send (rules 1, 3). One that was here before missed what was ordered since: more would fill the channel.
+        A proxy keeps withdrawals when the assigner restarts: a stale one leaves it without an endpoint, after a missed
+        one it keeps sending (rules 1, 3). A proxy known before gets only those it may have missed, to keep the queue
+        short.
         """
         applied_until = self.channel.join(now, event.proxy)
-        here_before = applied_until >= 0
-        self.state.former_incarnation = self.state.former_incarnation or not event.fresh and not here_before
+        known_before = applied_until >= 0
+        self.state.proxies_from_former_incarnation = (
+            self.state.proxies_from_former_incarnation or not event.fresh and not known_before
+        )
         for node in self.nodes.values():
-            missed = not here_before or node.ordered_at is not None and node.ordered_at >= applied_until
+            missed = not known_before or node.ordered_at is not None and node.ordered_at >= applied_until
             node.joined_order_due = node.joined_order_due or node.withdrawn or not event.fresh and missed
--- a/kestrelplank/policy/balancing.py
+++ b/kestrelplank/policy/balancing.py
@@ -1,33 +1,33 @@
-"""The ordinary balancing pass. Paper: greedy solver, a single pass, costliest first.
+"""The ordinary balancing pass. Mirador paper: greedy solver, a single pass, costliest first.
 
-Departures: fresh nodes are filled and hot slices split before slices move, a batch of moves is capped, and a difference
-that chance alone may have made moves nothing.
+Departures: new nodes get slices and hot slices get more endpoints before slices move, the number of moves in a pass is
+limited, and differences that are within statistical noise cause no move.
 """
 
 from collections.abc import Iterable
 
 from kestrelplank.interface import SECOND
 from kestrelplank.policy.fleet_load import FleetLoad
-from kestrelplank.policy.parameters import BAND, CHANCE_DEVIATIONS, MOVES_DIVISOR, PERIODS
+from kestrelplank.policy.parameters import BALANCE_TOLERANCE, LOAD_PERIODS, MOVES_DIVISOR, SIGNIFICANT_DEVIATIONS
 from kestrelplank.policy.slices import Slice
 from kestrelplank.policy.state import AssignerState
 
 
 def balance(state: AssignerState, now: int) -> None:
-    """Run one pass, where loads are known."""
+    """Run one pass if loads are known."""
     fleet = FleetLoad(state, now)
-    if now >= state.moves_from_at and fleet.weights:
+    if now >= state.moves_allowed_at and fleet.weights:
         balancing = BalancingPass(state, now, fleet)
-        balancing.fill_fresh_nodes()
+        balancing.fill_new_nodes()
         if not state.settings.exclusive_slices:
-            balancing.split_and_join_slices()
+            balancing.adjust_endpoint_counts()
         balancing.move_slices()
 
 
 class BalancingPass:
-    """One pass, which keeps account of every move it makes.
+    """One pass, which updates loads and levels with every move.
 
-    `levels` is a node's load for its weight, `mean` the mean of these, `ceiling` the level above which slices move.
+    `levels`: each node's load divided by its weight. `mean`: their mean. `ceiling`: the level above which slices move.
     """
 
     def __init__(self, state: AssignerState, now: int, fleet: FleetLoad) -> None:
@@ -36,21 +36,21 @@
         self.mean = sum(self.levels.values()) / len(self.levels)
         mean_load = sum(fleet.loads[index] for index in fleet.weights) / len(fleet.weights)
         ops = max(1.0, mean_load * state.load_window_ns / SECOND)
-        self.ceiling = self.mean * (1 + max(BAND, CHANCE_DEVIATIONS / ops**0.5))
+        self.ceiling = self.mean * (1 + max(BALANCE_TOLERANCE, SIGNIFICANT_DEVIATIONS / ops**0.5))
         self._slice_loads = {owned.number: owned.load(state.period_ns) for owned in state.slices.values()}
 
-    def _fits(self, load: float, index: int, limit: float) -> bool:
-        """Whether a node with this load added stays within its own limit, and below this level."""
+    def _fits(self, load: float, index: int, max_level: float) -> bool:
+        """Whether a node with this load added stays within its own limit and at most at `max_level`."""
         fleet = self._fleet
         if fleet.loads[index] + load > fleet.limits[index]:
             return False
-        return self.levels[index] + load / fleet.weights[index] <= limit
+        return self.levels[index] + load / fleet.weights[index] <= max_level
 
     def _least_loaded(self, load: float, nodes: Iterable[int]) -> int | None:
-        """Return the least loaded of the nodes that with this load added stay below the ceiling."""
+        """Return the least loaded of the nodes that stay below the ceiling with this load added, if any."""
         levels, weights = self.levels, self._fleet.weights
-        fitting = [index for index in nodes if self._fits(load, index, self.ceiling)]
-        return min(fitting, key=lambda index: levels[index] + load / weights[index], default=None)
+        candidates = [index for index in nodes if self._fits(load, index, self.ceiling)]
+        return min(candidates, key=lambda index: levels[index] + load / weights[index], default=None)
 
     def _add_endpoint(self, owned: Slice, load: float, target: int) -> None:
         owned.desired[target] = 1.0
@@ -58,22 +58,22 @@
         self.levels[target] += load / self._fleet.weights[target]
 
     def _remove_endpoint(self, owned: Slice, load: float, source: int) -> None:
-        """Remove an endpoint and lower its node's level; `_move` instead lets a slice count on both nodes."""
+        """Remove an endpoint and lower its node's level; `_move` in contrast counts a slice on both nodes."""
         del owned.desired[source]
         self.levels[source] -= load / self._fleet.weights[source]
 
-    def fill_fresh_nodes(self) -> None:
-        """Give each fresh node the hottest endpoint that keeps it below the mean, from the fullest node with one."""
+    def fill_new_nodes(self) -> None:
+        """Give each new node the busiest endpoint that keeps it below the mean, from the most loaded node with one."""
         nodes = self._state.nodes
-        fresh = sorted((index for index in self.levels if nodes[index].filling), key=self.levels.__getitem__)
-        candidates = self._endpoints_above_mean() if fresh else []
-        for index in fresh:
-            nodes[index].filling = self.levels[index] < self.mean * (1 - BAND)
-            if nodes[index].filling:
+        new = sorted((index for index in self.levels if nodes[index].awaiting_load), key=self.levels.__getitem__)
+        candidates = self._endpoints_above_mean() if new else []
+        for index in new:
+            nodes[index].awaiting_load = self.levels[index] < self.mean * (1 - BALANCE_TOLERANCE)
+            if nodes[index].awaiting_load:
                 self._fill(index, candidates)
 
     def _endpoints_above_mean(self) -> list[tuple[float, int, Slice]]:
-        """Return load, node and slice of endpoints on nodes above the mean, of the fullest nodes first."""
+        """Return load, node and slice of endpoints on nodes above the mean, those of the most loaded nodes first."""
         endpoints = [
             (self.levels[index], self._slice_loads[owned.number] / len(owned.desired), index, owned)
             for owned in self._state.slices.values()
@@ -92,34 +92,34 @@
                 self._add_endpoint(owned, load, target)
                 return
 
-    def split_and_join_slices(self) -> None:
-        """Give a slice that pins its node another endpoint, and take one from a split slice that has cooled."""
+    def adjust_endpoint_counts(self) -> None:
+        """Add an endpoint to slices too busy for their node, and remove one from slices that no longer need several."""
         for owned in self._state.slices.values():
             node = owned.first_node()
             if node is None or node not in self.levels:
                 continue
             load, endpoints = self._slice_loads[owned.number], len(owned.desired)
-            part_of_mean = load / (self.mean * self._fleet.weights[node]) if self.mean else 0
-            threshold = self._state.split_threshold
-            splittable = endpoints < self._state.most_endpoints and part_of_mean > threshold * (2 * endpoints - 1)
-            if splittable and self.levels[node] > self.ceiling:
-                self._split(owned, load / (endpoints + 1))
-            elif endpoints > 1 and part_of_mean < threshold / 2:
-                self._join(owned, load / endpoints)
-
-    def _split(self, owned: Slice, load: float) -> None:
+            share_of_mean = load / (self.mean * self._fleet.weights[node]) if self.mean else 0
+            threshold = self._state.hot_slice_threshold
+            can_add = endpoints < self._state.max_endpoints and share_of_mean > threshold * (2 * endpoints - 1)
+            if can_add and self.levels[node] > self.ceiling:
+                self._add_another_endpoint(owned, load / (endpoints + 1))
+            elif endpoints > 1 and share_of_mean < threshold / 2:
+                self._remove_most_loaded_endpoint(owned, load / endpoints)
+
+    def _add_another_endpoint(self, owned: Slice, load: float) -> None:
         target = self._least_loaded(load, [index for index in self.levels if index not in owned.desired])
         if target is not None:
             self._add_endpoint(owned, load, target)
 
-    def _join(self, owned: Slice, load: float) -> None:
-        """Take the endpoint on the fullest node away, if that is above the ceiling; else it may stay."""
-        fullest = max(owned.desired, key=lambda index: self.levels.get(index, 0))
-        if self.levels.get(fullest, 0) > self.ceiling:
-            self._remove_endpoint(owned, load, fullest)
+    def _remove_most_loaded_endpoint(self, owned: Slice, load: float) -> None:
+        """Remove the endpoint on the most loaded node if that node is above the ceiling; otherwise keep it."""
+        most_loaded = max(owned.desired, key=lambda index: self.levels.get(index, 0))
+        if self.levels.get(most_loaded, 0) > self.ceiling:
+            self._remove_endpoint(owned, load, most_loaded)
 
     def move_slices(self) -> None:
-        """Move slices off nodes above the ceiling, costliest first, in a capped batch."""
+        """Move slices off nodes above the ceiling, costliest first, up to the limit of moves in a pass."""
         remaining = max(1, len(self._state.slices) // MOVES_DIVISOR)
         for source, owned in self._slices_above_ceiling():
             if not remaining:
@@ -127,7 +127,7 @@
             remaining -= self._move(source, owned)
 
     def _slices_above_ceiling(self) -> list[tuple[int, Slice]]:
-        """Return node and slice, of the fullest nodes and the hottest slices first; split slices stay."""
+        """Return node and slice, most loaded nodes and busiest slices first; only slices with one endpoint move."""
         movable = [
             (next(iter(owned.desired)), owned)
             for owned in self._state.slices.values()
@@ -138,24 +138,24 @@
         return movable
 
     def _move(self, source: int, owned: Slice) -> bool:
-        """Move one slice to the least loaded node that stays below the ceiling; return whether there was one."""
+        """Move one slice to the least loaded node that stays below the ceiling; return whether it moved."""
         nodes, now, load = self._state.nodes, self._now, self._slice_loads[owned.number]
-        below_mean_without = self.levels[source] - load / self._fleet.weights[source] < self.mean
-        if now < nodes[source].settled_at or below_mean_without:
+        drops_below_mean = self.levels[source] - load / self._fleet.weights[source] < self.mean
+        if now < nodes[source].moves_allowed_at or drops_below_mean:
             return False
         target = self._least_loaded(
-            load, [index for index in self.levels if index != source and now >= nodes[index].settled_at]
+            load, [index for index in self.levels if index != source and now >= nodes[index].moves_allowed_at]
         )
         if target is None:
             return False
         del owned.desired[source]
         self._add_endpoint(owned, load, target)
-        self._settle(source)
-        self._settle(target)
+        self._delay_moves(source)
+        self._delay_moves(target)
         return True
 
-    def _settle(self, index: int) -> None:
-        """Let a node take part in no move until reports show this one; a cold node can't wait for so many."""
+    def _delay_moves(self, index: int) -> None:
+        """Keep a node out of further moves until reports show this one; a warming node waits for one second only."""
         node = self._state.nodes[index]
-        cold = self._state.capacity_share(node, self._now) < 1.0
-        node.settled_at = self._now + SECOND + (0 if cold else PERIODS * self._state.period_ns)
+        warming_up = self._state.capacity_share(node, self._now) < 1.0
+        node.moves_allowed_at = self._now + SECOND + (0 if warming_up else LOAD_PERIODS * self._state.period_ns)
--- a/kestrelplank/policy/fleet_load.py
+++ b/kestrelplank/policy/fleet_load.py
@@ -1,4 +1,4 @@
-"""What each usable node can take, and what it carries."""
+"""The load of each node, and the limits of usable ones."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,11 +10,11 @@
 
 
 class FleetLoad:
-    """Loads and limits by node, as a step of a round changes them. Paper: storage model.
+    """Loads and limits by node, which a step of a round updates as it moves slices. Mirador paper: storage model.
 
-    `loads` covers all nodes; `weights` and `limits` the usable ones, which is where slices may be put. A load is what a
-    node's reports show or what its slices bring, whichever is more: so a move weighs on both ends until the reports of
-    the source have run out.
+    `loads` covers all nodes; `weights` and `limits` only usable ones, which may be given slices. A load is the larger
+    of what a node's reports show and what its slices bring: so a moved slice counts on both nodes until the averages
+    no longer include the source's old reports.
     """
 
     def __init__(self, state: AssignerState, now: int) -> None:
@@ -27,44 +27,44 @@
         }
         self.loads = {index: ops + state.nodes[index].peer_load(now) for index, ops in own.items()}
         usable = [node for node in state.nodes.values() if node.usable(now)]
-        # Ops a second for each unit of weight: what overloads no cold node (rule 4), what one may get; -1: not known.
-        self.overload_rate = cold_rate = -1.0
-        if usable and now >= state.moves_from_at:
+        # Ops a second per unit of weight that don't overload a warming node (rule 4), and that it may get; -1: unknown.
+        self.overload_rate = warming_rate = -1.0
+        if usable and now >= state.moves_allowed_at:
             weight, total, total_own = sum(node.weight for node in usable), sum(self.loads.values()), sum(own.values())
             acknowledged = sum(sums[node.index].attempts - sums[node.index].failures for node in usable)
-            acknowledged = acknowledged / parameters.PERIODS / seconds * (total / total_own if total_own else 1.0)
+            acknowledged = acknowledged / parameters.LOAD_PERIODS / seconds * (total / total_own if total_own else 1.0)
             self.overload_rate = acknowledged * state.settings.overload_multiple * parameters.OVERLOAD_SHARE / weight
-            cold_rate = min(self.overload_rate, total / weight)
-        self.weights: dict[int, float] = {}  # listed weight, scaled by warm-up and speed
-        self.limits: dict[int, float] = {}  # ops a second that a node may be given in all
-        self._weigh(state, now, usable, relative_speeds(state.nodes, sums), cold_rate)
+            warming_rate = min(self.overload_rate, total / weight)
+        self.weights: dict[int, float] = {}  # weight from the node list, scaled by warm-up and speed
+        self.limits: dict[int, float] = {}  # ops a second that a node may be given in total
+        self._weigh(state, now, usable, relative_speeds(state.nodes, sums), warming_rate)
 
     def _weigh(
-        self, state: AssignerState, now: int, usable: list[Node], speeds: Mapping[int, float], cold_rate: float
+        self, state: AssignerState, now: int, usable: list[Node], speeds: Mapping[int, float], warming_rate: float
     ) -> None:
         """Set weights and limits."""
         for node in usable:
             capacity_share = state.capacity_share(node, now)
             self.weights[node.index] = node.weight * capacity_share * speeds.get(node.index, 1.0)
             warm = capacity_share >= 1.0
-            self.limits[node.index] = float("inf") if warm else cold_rate * node.weight * capacity_share
+            self.limits[node.index] = float("inf") if warm else warming_rate * node.weight * capacity_share
             if now < node.flapping_until:
-                self.limits[node.index] = -1.0  # only where nothing else is usable
+                self.limits[node.index] = -1.0  # used only where no other node is usable
 
-    def with_room(self, load: float) -> list[int]:
-        """Return the nodes that may be given this load."""
+    def with_capacity(self, load: float) -> list[int]:
+        """Return the nodes whose limit allows this additional load."""
         return [index for index in self.weights if self.loads[index] + load <= self.limits[index]]
 
     def least_loaded(self, nodes: Iterable[int], load: float) -> int:
-        """Return the node that carries least for its weight with this load added."""
+        """Return the node with the least load for its weight once this load is added."""
         return min(nodes, key=lambda index: (self.loads[index] + load) / self.weights[index])
 
 
 def relative_speeds(nodes: Mapping[int, Node], sums: Mapping[int, ReportSums]) -> dict[int, float]:
-    """Return nodes' speeds against the median, bounded and damped, of those that have reported enough.
+    """Return nodes' speeds relative to the median, bounded and damped, for nodes with enough reports.
 
-    By what an op uses of a node, where nodes tell that, else by latency. Departure from the paper, whose devices are
-    alike: the root and the bounds keep a queue from being taken for a slow machine.
+    Measured by a node's utilization per op where nodes report it, by latency otherwise. Departure from the paper, whose
+    devices are alike: the root and the bounds limit the error where a queue looks like a slow machine.
     """
     costs = {
         index: nodes[index].weight * reports.utilization / reports.acknowledged_per_s
@@ -73,10 +73,10 @@
     } or {
         index: reports.latency_s / reports.attempts
         for index, reports in sums.items()
-        if reports.attempts - reports.failures >= parameters.LEAST_ANSWERS and reports.latency_s
+        if reports.attempts - reports.failures >= parameters.MIN_ANSWERS and reports.latency_s
     }
     median_cost = median(costs.values()) if costs else 0.0
     return {
-        index: min(parameters.FASTEST, max(parameters.SLOWEST, median_cost / cost)) ** parameters.SPEED_EXPONENT
+        index: min(parameters.MAX_SPEED, max(parameters.MIN_SPEED, median_cost / cost)) ** parameters.SPEED_EXPONENT
         for index, cost in costs.items()
     }
--- a/kestrelplank/policy/node.py
+++ b/kestrelplank/policy/node.py
@@ -1,4 +1,4 @@
-"""A node as far as an assigner knows it."""
+"""An assigner's state of one node."""
 
 from collections import deque
 from enum import Enum
@@ -6,28 +6,28 @@
 from typing import NamedTuple
 
 from kestrelplank.interface import SECOND, NodeReport
-from kestrelplank.policy.parameters import EJECTION_NS, LONGEST_EJECTION_NS, PEER_LOADS_VALID_NS, PERIODS
+from kestrelplank.policy.parameters import LOAD_PERIODS, MAX_EJECTION_NS, MIN_EJECTION_NS, PEER_LOADS_VALID_NS
 
 
 class NodeState(Enum):
-    """What lists say of a node."""
+    """A node's condition by the node lists."""
 
     UNLISTED = "unlisted"
     UP = "up"
     DRAINING = "draining"
     REMOVED = "removed"
-    DROPPED = "dropped"  # as REMOVED, at a site where only draining binds: it works until it fails
+    DROPPED = "dropped"  # missing from the list where only draining binds: used until it fails
 
 
 TO_EVACUATE = (NodeState.DRAINING, NodeState.REMOVED)
 
 
 class ReportSums(NamedTuple):
-    """Sums of reports on a node; `zone_...` counts those of proxies in the node's own zone only."""
+    """Sums of reports on a node; `zone_...` covers only proxies in the node's own zone."""
 
     attempts: float = 0.0
     failures: float = 0.0
-    latency_s: float = 0.0  # of all attempts together
+    latency_s: float = 0.0  # sum over all attempts
     zone_attempts: float = 0.0
     zone_failures: float = 0.0
     zone_latency_s: float = 0.0
@@ -39,9 +39,9 @@
 
 
 class Node:
-    """All that is known of one node.
+    """An assigner's state of one node.
 
-    Whether proxies are to be kept from it is `withdrawn`; the order that says so is due while `order_due`.
+    `withdrawn`: proxies must not use it. `order_due`: the order for the present value of `withdrawn` is not sent yet.
     """
 
     def __init__(self, index: int, now: int) -> None:
@@ -51,30 +51,30 @@
         self.started_at: int | None = None
         self.state = NodeState.UNLISTED
         self.withdrawn, self.withdrawal_changed_at = False, now
-        self.order_due = False  # some joined proxy may hold another state of `withdrawn`
-        self.joined_order_due = False  # as that, because a proxy has joined: ordered from the next timed round on
-        self.ordered_at: int | None = None  # when it was last withdrawn or let in by order
+        self.order_due = False  # a joined proxy may have another value of `withdrawn`
+        self.joined_order_due = False  # likewise for a proxy that just joined; sets `order_due` in the next timed round
+        self.ordered_at: int | None = None  # when a withdrawal or readmission was last ordered
         self.current_period = NO_REPORTS
-        self.periods: deque[ReportSums] = deque(maxlen=PERIODS)
-        self.ejected_until, self.ejection_ns = -LONGEST_EJECTION_NS, EJECTION_NS
-        self.settled_at = 0  # takes part in no move before
-        self.peer_loads: dict[int, tuple[float, int]] = {}  # by peer: ops a second of its slices here, heard at
+        self.periods: deque[ReportSums] = deque(maxlen=LOAD_PERIODS)
+        self.ejected_until, self.ejection_ns = -MAX_EJECTION_NS, MIN_EJECTION_NS
+        self.moves_allowed_at = 0  # no slice is moved from or to it before
+        self.peer_loads: dict[int, tuple[float, int]] = {}  # by peer: ops a second of its slices here, received at
         self.recent_starts: tuple[int, ...] = ()
-        self.flapping_until = 0  # given nothing before
-        self.filling = False  # new or restarted, and not up to its share of the load yet
-        self.emptied = True  # since its last start it has lost every slice that it had before
+        self.flapping_until = 0  # gets no slices before
+        self.awaiting_load = False  # new or restarted, and below its share of the load
+        self.former_slices_removed = True  # all slices that it had before its last start are removed from it
 
     def usable(self, now: int) -> bool:
-        """Whether slices may be put here."""
+        """Whether it may be given slices."""
         return self.state is NodeState.UP and not self.withdrawn and not self.must_withdraw(now)
 
-    def bound_to_withdraw(self) -> bool:
-        """Whether a rule wants it withdrawn: it drains, is gone, or came back cold with all that it had before."""
-        return self.state in TO_EVACUATE or not self.emptied
+    def withdrawal_required(self) -> bool:
+        """Whether a rule requires its withdrawal: it is draining, gone, or restarted with former slices left."""
+        return self.state in TO_EVACUATE or not self.former_slices_removed
 
     def must_withdraw(self, now: int) -> bool:
-        """Whether it is to be withdrawn, by a rule or as unhealthy."""
-        return self.bound_to_withdraw() or now < self.ejected_until
+        """Whether it must be withdrawn, by a rule or because it is ejected as unhealthy."""
+        return self.withdrawal_required() or now < self.ejected_until
 
     def add_report(self, report: NodeReport) -> None:
         """Count a report in the current period."""
@@ -97,16 +97,16 @@
         self.periods.append(self.current_period)
         self.current_period = NO_REPORTS
 
-    def sums(self, last: int = PERIODS) -> ReportSums:
-        """Return the sums over the last so many periods that have ended."""
+    def sums(self, last: int = LOAD_PERIODS) -> ReportSums:
+        """Return the sums over the `last` most recent complete periods."""
         recent = list(self.periods)[-last:]
         return ReportSums(*map(sum, zip(*recent))) if recent else NO_REPORTS
 
     def peer_load(self, now: int) -> float:
-        """Return the ops a second that other assigners' slices bring here, as far as they sent it lately."""
-        return sum(ops for ops, heard_at in self.peer_loads.values() if now - heard_at < PEER_LOADS_VALID_NS)
+        """Return the ops a second that other assigners' slices bring here, by their messages that are still valid."""
+        return sum(ops for ops, received_at in self.peer_loads.values() if now - received_at < PEER_LOADS_VALID_NS)
 
     def zone_latency_s(self, last: int) -> float | None:
-        """Return its mean latency as its own zone saw it, since a slow way between zones is no strain."""
+        """Return its mean latency (s) seen from its own zone, or None: latency between zones is not overload."""
         sums = self.sums(last)
         return sums.zone_latency_s / sums.zone_attempts if sums.zone_attempts > sums.zone_failures else None
--- a/kestrelplank/policy/parameters.py
+++ b/kestrelplank/policy/parameters.py
@@ -1,41 +1,43 @@
-"""The tuned values of all decisions; docs/design.md gives the reason for each."""
+"""The parameters of all decisions; docs/design.md gives the reason for each."""
 
 from kestrelplank.interface import SECOND
 
-# How often.
-ROUND_INTERVAL_NS = SECOND // 10  # a round at least, also when nothing comes in
+# Intervals.
+ROUND_INTERVAL_NS = SECOND // 10  # between timed rounds, which run without events too
 BALANCING_INTERVAL_NS = 2 * SECOND
-PERIODS = 5  # loads are averages over this many report periods, and a move settles for as many
+LOAD_PERIODS = 5  # report periods that loads are averaged over; nodes take part in no move for as long after one
 
 # Load balancing.
-BAND = 0.20  # a load up to this far above the mean moves nothing
-CHANCE_DEVIATIONS = 3  # nor does a difference within so many standard deviations of chance
-SLOWEST, FASTEST = 0.1, 2.0  # bounds of a node's speed against the median
-SPEED_EXPONENT = 0.5  # damps it
-OVERLOAD_SHARE = 0.5  # how much of the multiple that overloads a cold node may be used
-SPLIT_THRESHOLD, MOST_ENDPOINTS = 0.4, 2  # a hot slice has this share of a mean node's load
-SPLIT_THRESHOLD_PICK_OF_TWO, MOST_ENDPOINTS_PICK_OF_TWO = 0.3, 4  # where proxies pick the less loaded of two
+BALANCE_TOLERANCE = 0.20  # loads up to this share above the mean cause no move
+SIGNIFICANT_DEVIATIONS = 3  # nor do differences within this many standard deviations of noise
+MIN_SPEED, MAX_SPEED = 0.1, 2.0  # bounds of a node's speed relative to the median
+SPEED_EXPONENT = 0.5  # dampens relative speeds
+OVERLOAD_SHARE = 0.5  # usable share of the setting overload_multiple, for warming nodes
+# A slice is hot above this share of a mean node's load. PICK_OF_TWO: proxies pick the less loaded of two endpoints.
+HOT_SLICE_THRESHOLD, MAX_ENDPOINTS = 0.4, 2
+HOT_SLICE_THRESHOLD_PICK_OF_TWO, MAX_ENDPOINTS_PICK_OF_TWO = 0.3, 4
 MOVES_DIVISOR = 20  # a pass moves at most one in this many of the assigner's slices
 PEER_LOADS_VALID_NS = 2 * BALANCING_INTERVAL_NS
 
 # Ejection of unhealthy nodes, and of flapping ones.
-UNHEALTHY_EXCESS = 0.5  # eject a node whose share of failures is so far above the median
-LEAST_FAILURES = 4  # and that has failed at least so often
-LEAST_ANSWERS = 4  # before a node's latency says anything of its speed
-SLOW_MULTIPLE = 1.5  # of the median latency: such a node is overloaded, not unhealthy
+UNHEALTHY_EXCESS = 0.5  # eject a node whose share of failures is this far above the median
+MIN_FAILURES = 4  # and that has at least this many failures
+MIN_ANSWERS = 4  # before a node's latency is used as its speed
+SLOW_MULTIPLE = 1.5  # of the median latency; slower nodes count as overloaded, not unhealthy
 EJECTED_DIVISOR = 7  # at most one in this many nodes is ejected
-EJECTION_NS, LONGEST_EJECTION_NS = 6 * SECOND, 24 * SECOND  # doubles from the one to the other
-FLAP_WINDOW_NS = 60 * SECOND  # a node that starts more than once within that is given nothing for a while
+MIN_EJECTION_NS, MAX_EJECTION_NS = 6 * SECOND, 24 * SECOND  # doubles with each ejection, between these bounds
+FLAP_WINDOW_NS = 60 * SECOND  # a node with several starts within it gets no slices for a while
 
 # Load shedding.
-STRAINED, RELAXED = 0.35, 0.25  # median latency over its target: shed above, shed less below
-BEST_FADING = 0.98  # each report period, of the most that a node was seen to acknowledge
-SHED_MARGIN, MOST_SHED, SHED_STEP = 1.05, 0.9, 0.05
+# Median latency over its target: shed more above the first, less below the second.
+OVERLOAD_LATENCY_RATIO, RECOVERED_LATENCY_RATIO = 0.35, 0.25
+BEST_DECAY = 0.98  # per report period, of the most ops that a node acknowledged
+SHED_MARGIN, MAX_SHED, SHED_STEP = 1.05, 0.9, 0.05
 
 # The channel to the proxies.
-URGENT_QUEUE_SHARE = 0.8  # of the permitted queue, for orders that bind
-ORDINARY_QUEUE_SHARES = 0.3, 0.65  # bounds for the others, as a drain must still get through
-SPARE_MESSAGES = 2  # left for urgent orders, where messages are limited
-MOST_WATERMARKS = 65_536
-SENT_TIMES_KEPT = 4096  # of messages; a proxy that left with an older one unacknowledged is sent everything again
-RETRY_MODE = 1  # another attempt only once the first provably never ran: safe for every op type (rule 2)
+URGENT_QUEUE_SHARE = 0.8  # of the permitted queue, for orders that a rule requires
+ORDINARY_QUEUE_SHARES = 0.3, 0.65  # bounds for the others, so that orders for a drain still fit
+RESERVED_MESSAGES = 2  # kept for urgent orders where the number of messages is limited
+WATERMARK_COUNT = 65_536
+MAX_SENT_TIMES = 4096  # a proxy that left with an older message unacknowledged is sent everything again
+RETRY_MODE = 1  # retry only attempts that provably never ran: safe for every op type (rule 2)
--- a/kestrelplank/policy/publication.py
+++ b/kestrelplank/policy/publication.py
@@ -1,7 +1,7 @@
-"""Publishes what has changed, within what the channel holds. Paper: actuation.
+"""Publishes changed state as orders, within the channel's capacity. Mirador paper: actuation.
 
-A load move is one message, the new endpoint first; off a withdrawn node new endpoints go first, then the withdrawal,
-and the old endpoints are removed later. Departure: exclusive slices close before they open elsewhere.
+A load move is one message, with the new endpoint first. For a withdrawn node the new endpoints are ordered first, then
+the withdrawal, and later the removal of old endpoints. Departure: exclusive slices close before they open elsewhere.
 """
 
 from collections.abc import Container
@@ -10,37 +10,38 @@
 from kestrelplank.policy.channel import Channel
 from kestrelplank.policy.load_shedding import LoadShedder
 from kestrelplank.policy.node import Node, NodeState
-from kestrelplank.policy.parameters import ORDINARY_QUEUE_SHARES, RETRY_MODE, SPARE_MESSAGES, URGENT_QUEUE_SHARE
+from kestrelplank.policy.parameters import ORDINARY_QUEUE_SHARES, RESERVED_MESSAGES, RETRY_MODE, URGENT_QUEUE_SHARE
 from kestrelplank.policy.slices import Slice
 from kestrelplank.policy.state import AssignerState
 
 
 class Publisher:
-    """Orders differences between what is desired and what was ordered, what binds first (rules 1, 3, 4)."""
+    """Orders the differences between desired and ordered state, those that a rule requires first (rules 1, 3, 4)."""
 
     def __init__(self, state: AssignerState, channel: Channel, shedder: LoadShedder) -> None:
         self._state, self._channel, self._shedder = state, channel, shedder
         settings = state.settings
-        least, most = ORDINARY_QUEUE_SHARES
-        in_deadline = settings.withdrawal_deadline_ns / SECOND * settings.orders_per_s / max(1, settings.queue_limit)
-        self.ordinary_share = min(most, max(least, in_deadline / 3))  # of the queue: a drain must still get through
-        self._orders, self._room = 0, 0.0  # of the present message
+        min_share, max_share = ORDINARY_QUEUE_SHARES
+        deadline_share = settings.withdrawal_deadline_ns / SECOND * settings.orders_per_s / max(1, settings.queue_limit)
+        # Share of the queue for ordinary orders, so that orders for a drain still fit.
+        self.ordinary_share = min(max_share, max(min_share, deadline_share / 3))
+        self._orders, self._capacity = 0, 0.0  # of the current message
 
     def publish(self, now: int, out: OrderWriter) -> None:
-        """Order what is due as one message, as far as there is room."""
+        """Write the due orders that fit as one message."""
         withdrawn = {node.index: node for node in self._state.nodes.values() if node.withdrawn}
         urgent, ordinary = self._changed_slices(withdrawn)
         due = [node for node in self._state.nodes.values() if node.order_due]
-        due.sort(key=lambda node: (node.withdrawn, not node.bound_to_withdraw()))
+        due.sort(key=lambda node: (node.withdrawn, not node.withdrawal_required()))
         self._orders = 0
-        self._room = self._channel.room(now, URGENT_QUEUE_SHARE, 0, len(urgent) + len(due))
-        self._order_withdrawals_that_do_not_wait(now, due, out)
+        self._capacity = self._channel.capacity(now, URGENT_QUEUE_SHARE, 0, len(urgent) + len(due))
+        self._order_unconditional_withdrawals(now, due, out)
         self._order_slices(now, urgent, withdrawn, out)
         self._order_other_withdrawals(now, due, withdrawn, out)
         self._order_admission(out)
-        self._room = 0
+        self._capacity = 0
         if ordinary:
-            self._room = self._channel.room(now, self.ordinary_share, SPARE_MESSAGES, 2 * len(ordinary))
+            self._capacity = self._channel.capacity(now, self.ordinary_share, RESERVED_MESSAGES, 2 * len(ordinary))
         self._order_slices(now, ordinary, (), out)
         if self._orders:
             self._channel.send(now, self._orders, out)
@@ -48,11 +49,11 @@
     def _changed_slices(self, withdrawn: dict[int, Node]) -> tuple[list[Slice], list[Slice]]:
         """Return urgent slices, which need an endpoint in place of one on a withdrawn node, and the other changed ones.
 
-        Urgent ones that a rule binds go first, and of these those that nothing else serves; of the others those that
-        keep a node from being let in again.
+        Urgent slices that a rule requires to move come first, among them those without another endpoint. Of the other
+        slices those that delay the readmission of a node come first.
         """
-        bound = {index for index, node in withdrawn.items() if node.bound_to_withdraw()}
-        waiting = {index for index, node in withdrawn.items() if node.state is NodeState.UP}
+        required = {index for index, node in withdrawn.items() if node.withdrawal_required()}
+        awaiting_readmission = {index for index, node in withdrawn.items() if node.state is NodeState.UP}
         urgent: list[Slice] = []
         ordinary: list[Slice] = []
         for owned in self._state.slices.values():
@@ -60,26 +61,28 @@
                 gains = not owned.ordered.keys() >= owned.desired.keys()
                 loses = not withdrawn.keys().isdisjoint(owned.ordered)
                 (urgent if loses and gains or not owned.ordered else ordinary).append(owned)
-        urgent.sort(key=lambda owned: (bound.isdisjoint(owned.ordered), not withdrawn.keys() >= owned.ordered.keys()))
-        ordinary.sort(key=lambda owned: waiting.isdisjoint(owned.ordered.keys() - owned.desired.keys()))
+        urgent.sort(
+            key=lambda owned: (required.isdisjoint(owned.ordered), not withdrawn.keys() >= owned.ordered.keys())
+        )
+        ordinary.sort(key=lambda owned: awaiting_readmission.isdisjoint(owned.ordered.keys() - owned.desired.keys()))
         return urgent, ordinary
 
-    def _order_withdrawals_that_do_not_wait(self, now: int, due: list[Node], out: OrderWriter) -> None:
-        """Let nodes in; withdraw restarted ones, and bound ones late in their deadline, whatever they still serve."""
+    def _order_unconditional_withdrawals(self, now: int, due: list[Node], out: OrderWriter) -> None:
+        """Readmit nodes; withdraw restarted ones, and required ones late in their deadline, even if still needed."""
         late_ns = self._state.settings.withdrawal_deadline_ns // 4
         for node in due:
-            late = node.bound_to_withdraw() and now - node.withdrawal_changed_at > late_ns
-            if self._orders < self._room and (not node.withdrawn or not node.emptied or late):
+            late = node.withdrawal_required() and now - node.withdrawal_changed_at > late_ns
+            if self._orders < self._capacity and (not node.withdrawn or not node.former_slices_removed or late):
                 self._order_withdrawal(now, node, out)
 
     def _order_other_withdrawals(self, now: int, due: list[Node], withdrawn: dict[int, Node], out: OrderWriter) -> None:
-        """Withdraw nodes where that leaves no slice without an endpoint."""
+        """Withdraw nodes whose withdrawal leaves no slice without an endpoint."""
         needed: set[int] = set()
         for owned in self._state.slices.values():
             if withdrawn.keys() >= owned.ordered.keys():
                 needed.update(owned.ordered)
         for node in due:
-            if self._orders < self._room and node.order_due and node.index not in needed:
+            if self._orders < self._capacity and node.order_due and node.index not in needed:
                 self._order_withdrawal(now, node, out)
 
     def _order_withdrawal(self, now: int, node: Node, out: OrderWriter) -> None:
@@ -88,7 +91,7 @@
         self._orders += 1
 
     def _order_admission(self, out: OrderWriter) -> None:
-        if self._shedder.active and self._orders < self._room:
+        if self._shedder.active and self._orders < self._capacity:
             for op_type, share in self._shedder.shares().items():
                 if self._shedder.ordered.get(op_type, 1.0) != share:
                     out.set_admission(ALL_TABLES, 1 << op_type, share, RETRY_MODE)
@@ -96,16 +99,17 @@
                     self._orders += 1
 
     def _order_slices(self, now: int, changed: list[Slice], kept_nodes: Container[int], out: OrderWriter) -> None:
-        """Order slices while there is room, without removing endpoints on `kept_nodes`."""
+        """Order slices while the message has capacity, without removing endpoints on `kept_nodes`."""
         exclusive = self._state.settings.exclusive_slices
         for owned in changed:
-            if self._orders < self._room:
+            if self._orders < self._capacity:
                 self._orders += self.hand_over(now, owned, out) if exclusive else order_slice(owned, kept_nodes, out)
 
     def hand_over(self, now: int, owned: Slice, out: OrderWriter) -> int:
         """Order the next step of an exclusive slice's handover; return the number of orders.
 
-        The old endpoint goes; the new one comes once all proxies have acknowledged that and writes are over (rule 2).
+        First the old endpoint is removed; the new one is added once all proxies have acknowledged the removal and
+        writes have ended (rule 2).
         """
         if owned.ordered:
             out.set_endpoint(owned.number, next(iter(owned.ordered)), 0)
@@ -124,7 +128,7 @@
 
 
 def order_slice(owned: Slice, kept_nodes: Container[int], out: OrderWriter) -> int:
-    """Order a slice's new endpoints, then the end of old ones; return the number of orders."""
+    """Order a slice's new endpoints, then the removal of old ones; return the number of orders."""
     changes = [(index, weight) for index, weight in owned.desired.items() if owned.ordered.get(index) != weight]
     changes += [(index, 0) for index in owned.ordered if index not in owned.desired and index not in kept_nodes]
     for index, weight in changes:
--- a/kestrelplank/policy/slices.py
+++ b/kestrelplank/policy/slices.py
@@ -3,28 +3,28 @@
 from collections import deque
 
 from kestrelplank.interface import SECOND
-from kestrelplank.policy.parameters import PERIODS
+from kestrelplank.policy.parameters import LOAD_PERIODS
 
 
 class Slice:
-    """A slice with its `desired` endpoints and those last `ordered`, node to weight."""
+    """A slice with its `desired` and its last `ordered` endpoints, both as weight by node."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.desired: dict[int, float] = {}
         self.ordered: dict[int, float] = {}
-        # Exclusive slices only: the acknowledgement that the old owner's end waits for, and when a new one may begin.
+        # Exclusive slices only: the message that removes the old owner, and when a new owner may start.
         self.closing_watermark: int | None = None
         self.opens_at: int | None = None
         self.current_ops = 0.0  # of the current report period
-        self.ops_by_period: deque[float] = deque(maxlen=PERIODS)
+        self.ops_by_period: deque[float] = deque(maxlen=LOAD_PERIODS)
 
     def load(self, period_ns: int) -> float:
-        """Return the ops a second that come for it."""
+        """Return its load in ops a second."""
         return sum(self.ops_by_period) / max(1, len(self.ops_by_period)) / (period_ns / SECOND)
 
     def newest_ops(self) -> float:
-        """Return the ops that came for it by the newest report."""
+        """Return its ops in the newest report period."""
         return max(self.current_ops, self.ops_by_period[-1] if self.ops_by_period else 0.0)
 
     def first_node(self) -> int | None:
@@ -37,8 +37,8 @@
         self.current_ops = 0.0
 
     def split_off(self, number: int, share: float) -> "Slice":
-        """Return a new slice that takes this share of the past load; it has no endpoint yet."""
-        other = Slice(number)
-        other.ops_by_period.extend(ops * share for ops in self.ops_by_period)
-        self.ops_by_period = deque((ops * (1 - share) for ops in self.ops_by_period), PERIODS)
-        return other
+        """Return a new slice that takes this share of the past load and has no endpoint yet."""
+        new_slice = Slice(number)
+        new_slice.ops_by_period.extend(ops * share for ops in self.ops_by_period)
+        self.ops_by_period = deque((ops * (1 - share) for ops in self.ops_by_period), LOAD_PERIODS)
+        return new_slice
--- a/kestrelplank/sharding/__init__.py
+++ b/kestrelplank/sharding/__init__.py
@@ -1,1 +1,1 @@
-"""Keys: which range is held by whom until when, and who decides about it."""
+"""Sharded services: which server holds a lease on which key range, and where ranges are placed."""
--- a/kestrelplank/sharding/attempt_window.py
+++ b/kestrelplank/sharding/attempt_window.py
@@ -1,4 +1,4 @@
-"""How many attempts servers were sent lately, and how many of them failed."""
+"""Recent attempts and failures by server."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -6,14 +6,14 @@
 
 from kestrelplank.sharding.request_window import WINDOW_NS
 
-# What an edge machine measured of a server since its last report, as `transport.messages.LoadReport` carries it:
-# attempts, failures, then the four numbers of `ServiceTimeEstimate.add`.
+# An edge machine's measurements of a server since its last report, as in `transport.messages.LoadReport`:
+# attempts, failures, then the four measurements that `ServiceTimeEstimate.add` takes.
 ServerReport = tuple[float, ...]
 
 
 @dataclass(slots=True)
 class AttemptSums:
-    """Sums over the reports that name a server."""
+    """Sums over the reports that include a server."""
 
     attempts: float = 0
     failures: float = 0
@@ -21,9 +21,9 @@
 
 
 class AttemptWindow:
-    """Sums by server over all reports within `WINDOW_NS`.
+    """Sums by server over all reports received within `WINDOW_NS`.
 
-    Guarded by `test_the_window_holds_the_sums_of_all_reports_in_it`.
+    Guarded by `test_window_sums_equal_the_sums_of_the_reports_in_the_window`.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,10 @@
         self._reports: deque[tuple[int, Mapping[str, ServerReport]]] = deque()
 
     def add(self, now: int, servers: Mapping[str, ServerReport]) -> None:
-        """Take an edge machine's report, by server."""
+        """Add an edge machine's report.
+
+        :param servers: its measurements by server name.
+        """
         self._reports.append((now, servers))
         for name, (attempts, failures, *_) in servers.items():
             sums = self.sums.get(name)
@@ -42,7 +45,7 @@
             sums.reports += 1
 
     def advance(self, now: int) -> None:
-        """Drop what has grown too old."""
+        """Remove reports that are older than the window."""
         while self._reports and now - self._reports[0][0] >= WINDOW_NS:
             for name, (attempts, failures, *_) in self._reports.popleft()[1].items():
                 sums = self.sums[name]
--- a/kestrelplank/sharding/effects.py
+++ b/kestrelplank/sharding/effects.py
@@ -1,4 +1,4 @@
-"""What the leader's key ranges want done, and how a call to a server ended."""
+"""Effects that the leader's key ranges request, and the result of a call to a server."""
 
 import msgspec
 
@@ -7,11 +7,11 @@
 
 
 class GrantKeyRange(msgspec.Struct, frozen=True):
-    """Grant the keys to this server, or renew its lease; then `KeyRanges.handle_call_ended`.
+    """Send the server a grant of the keys or a lease renewal; then call `KeyRanges.handle_call_ended`.
 
-    The server is named here too, as the range may pass to another one while the call is out.
+    `server` and `address` are copied from the range, which may be assigned to another server during the call.
 
-    :param lease_ns: how long the server may hold the keys, from when the grant arrives.
+    :param lease_ns: how long the server may hold the keys, counted from the arrival of the grant.
     """
 
     server: str
@@ -21,7 +21,7 @@
 
 
 class ReleaseKeyRange(msgspec.Struct, frozen=True):
-    """Have this server give the keys up; then `KeyRanges.handle_call_ended`."""
+    """Ask the server to release the keys; then call `KeyRanges.handle_call_ended`."""
 
     server: str
     address: str
@@ -29,9 +29,9 @@
 
 
 class RecordKeyRanges(msgspec.Struct, frozen=True):
-    """Have the log commit which server has which keys, all ranges at once; then `KeyRanges.handle_recorded`.
+    """Commit all ranges with their servers to the log; then call `KeyRanges.handle_recorded`.
 
-    :param max_lease_ns: no lease that is granted by this record, or runs still, is longer.
+    :param max_lease_ns: upper bound of all leases that are running or are granted under this record.
     """
 
     ranges: list[RecordedKeyRange]
@@ -39,35 +39,35 @@
 
 
 class KeyRangeReleasing(msgspec.Struct, frozen=True):
-    """The range was just taken from its server: whoever sends it requests should know."""
+    """The release of the range has started: edge machines should be notified."""
 
     key_range: KeyRange
 
 
 class KeyRangeUnownedFor(msgspec.Struct, frozen=True):
-    """The keys had no holder for `duration_ns`, and have one now."""
+    """The keys have a holder again, after `duration_ns` without one."""
 
     key_range: KeyRange
     duration_ns: int
 
 
 class KeyRangeStalled(msgspec.Struct, frozen=True):
-    """The keys have had no holder for `STALLED_AFTER_NS`, and still have none. Of `KeyRanges.newly_stalled`."""
+    """The keys have had no holder for `STALLED_AFTER_NS`. Returned by `KeyRanges.newly_stalled`."""
 
     key_range: KeyRange
 
 
 ServerRequest = GrantKeyRange | ReleaseKeyRange
-# What `KeyRanges.tick` returns.
+# The effects that `KeyRanges.tick` returns.
 KeyRangesEffect = ServerRequest | RecordKeyRanges | KeyRangeReleasing | KeyRangeUnownedFor
 
 
 class ServerCallResult(msgspec.Struct, frozen=True):
-    """How a grant or release ended.
+    """The result of a grant or release.
 
-    :param sent: something of it left us.
-    :param status: the answer's; None if no complete answer came.
-    :param handover: what the answer carried for the next holder.
+    :param sent: at least a part of the request was sent.
+    :param status: the response's HTTP status; None without a complete response.
+    :param handover: data in the response that is for the next holder.
     """
 
     sent: bool
--- a/kestrelplank/sharding/greedy_pass.py
+++ b/kestrelplank/sharding/greedy_pass.py
@@ -1,7 +1,7 @@
-"""The decision module's greedy pass (`policy.Policy`) over one service's key ranges.
+"""Runs the balancing policy (`policy.Policy`) over one service's key ranges.
 
-They are passed to it in its own terms: ranges are its slices, servers its nodes, the leader its only assigner. What
-happened is gathered as its events; `run` hands them over, and calls back for each range that it wants elsewhere.
+Ranges are represented as the policy's slices, servers as its nodes, and the leader as its only assigner. Events are
+collected; `run` passes them to the policy and calls back for each range that is to move.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -27,42 +27,42 @@
 from kestrelplank.sharding.shard_server import ShardServer
 from kestrelplank.time_units import MILLISECOND, SECOND
 
-IDLE_INTERVAL_NS = 100 * MILLISECOND  # how often the pass looks at what is due, where nothing has happened
-WARM_UP_NS = 3 * SECOND  # a server that has just started is slow for so long
-WARM_UP_START_SHARE = 0.5  # of its weight, that a server begins with
+IDLE_INTERVAL_NS = 100 * MILLISECOND  # between runs without events
+WARM_UP_NS = 3 * SECOND  # how long a server that has just started is slow
+WARM_UP_START_SHARE = 0.5  # share of its weight that a server starts with
 
 
 class PlacementOrders:
-    """Takes the pass's orders, of which only the node that each slice is to be at has a meaning here.
+    """Receives the policy's orders and keeps only the node that each slice is assigned to.
 
-    Edge machines get the ranges' record and ask for what they lack, so there is no channel to them, nothing to
-    acknowledge and no proxy to bar from a node. `nodes`: the ordered node by slice, since they were last cleared.
+    Edge machines are sent the recorded ranges and request missing updates, so the policy's messages to proxies, their
+    acknowledgements and withdrawals are not used. `nodes`: the ordered node by slice, since it was last cleared.
     """
 
     def __init__(self) -> None:
         self.nodes: dict[int, int] = {}
 
     def set_endpoint(self, table: int, node: int, weight: float) -> None:
-        """Keep that the slice `table` goes to a node.
+        """Store the node of the slice `table`.
 
-        A weight of 0 takes it from the node: that is skipped, as the order for its next node says the same.
+        A weight of 0 removes the slice from the node; that is skipped, as the order for its next node implies it.
         """
         if weight:
             self.nodes[table] = node
 
     def ignore(self, *_: object, **__: object) -> None:
-        """Do nothing."""
+        """Ignore the order."""
 
     clear_table = set_withdrawn = set_admission = request_acknowledgement = bind_proxy = check_health = ignore
     send_to_peers = share_loads = watch_nodes = fetch_nodes = set_timer = forget_node = log = ignore
 
 
 class GreedyPass:
-    """One service's pass.
+    """The policy of one service.
 
-    `slice_numbers`: the slice's number of each range that the pass decides on.
+    `slice_numbers`: the slice number of each range that the policy places.
 
-    :param latency_target_ns: within which the service's requests should be answered.
+    :param latency_target_ns: time within which the service's requests should be answered.
     """
 
     def __init__(self, seed: int, latency_target_ns: int) -> None:
@@ -81,19 +81,22 @@
 
     @property
     def started(self) -> bool:
-        """Whether `start` was called."""
+        """Whether `start` has been called."""
         return self._policy is not None
 
     def start(self, now: int) -> None:
-        """Begin: the pass's periods count from now on."""
+        """Create the policy, whose periods start now."""
         self._policy = Policy(now, self._seed, policy_settings(self._latency_target_ns))
 
     # Events since the last run.
 
     def set_servers(self, now: int, servers: Mapping[str, ShardServer], slot_weights: Mapping[str, float]) -> None:
-        """Take all servers as listed, weighed by what is known of their speed."""
+        """Pass all listed servers to the policy.
+
+        :param slot_weights: by server, the weight of each of its slots; 1.0 where missing.
+        """
         warming = sum(server.warming_until > now for server in servers.values())
-        # Where most are warming up, the service itself has just started: no warm server could take their load.
+        # If most are warming up, the service itself has just started, and the others could not take their load.
         only_some_warming = 2 * warming < len(servers)
         entries = []
         for server in servers.values():
@@ -105,7 +108,7 @@
         self._events.append(NodeListUpdate(NodeListKind.FULL, entries))
 
     def add_new_ranges(self, ranges: Iterable[KeyRange], excluded: Mapping[KeyRange, KeyRange]) -> None:
-        """Have the pass decide on those of `ranges` that it does not know yet, but for `excluded`."""
+        """Pass those of `ranges` to the policy that it does not know yet, except for those in `excluded`."""
         for key_range in ranges:
             if key_range not in self.slice_numbers and key_range not in excluded:
                 number = self._assign_number(key_range)
@@ -114,23 +117,26 @@
                     self._events.append(EndpointStored(number, self._node_number(key_range.server), 1.0))
 
     def split_range(self, lower: KeyRange, upper: KeyRange, upper_share: float) -> None:
-        """Note that `upper` was split off from `lower`, with that share of its requests."""
+        """Tell the policy that `upper` was split off from `lower`.
+
+        :param upper_share: the share of the requests to `lower` that are now for `upper`.
+        """
         number = self._assign_number(upper)
         self._events.append(SliceSplit(self.slice_numbers[lower], number, upper_share))
 
     def remove_range(self, key_range: KeyRange) -> None:
-        """Have the pass no longer decide on this range."""
+        """Remove the range from the policy, which no longer places it."""
         number = self.slice_numbers.pop(key_range)
         del self._ranges[number]
         self._events.append(SliceOwnership(number, False))
 
     def add_requests(self, key_range: KeyRange, requests: float) -> None:
-        """Count so many requests for the range's keys in this report period."""
+        """Report the number of requests for the range's keys in this report period."""
         if key_range in self.slice_numbers:
             self._events.append(SliceReport(self.slice_numbers[key_range], 0, requests, 0, REPORT_PERIOD_NS))
 
     def add_attempts(self, server: ShardServer, attempts: float, failures: float) -> None:
-        """Count so many attempts at the server in this report period."""
+        """Report the numbers of attempts and failures at the server in this report period."""
         zone = self._zones.get(server.zone)
         node = self._node_number(server.name)
         self._events.append(NodeReport(node, zone, attempts, failures, 0, REPORT_PERIOD_NS, NodeLoad()))
@@ -138,7 +144,7 @@
     # Decisions.
 
     def run(self, now: int, move: Callable[[int, KeyRange, str], None]) -> None:
-        """Run the pass if there are events or it is due, and call `move` for each range that is to go elsewhere.
+        """Run the policy if there are events or it is due, and call `move` for each range that is to move.
 
         :param move: called with `now`, the range and the name of its next server.
         """
@@ -150,18 +156,18 @@
         self._policy.round(now, events, self._orders)
         for number, node in self._orders.nodes.items():
             move(now, self._ranges[number], self._server_names[node])
-            self._next_run_at = now  # the pass moves a range in two steps: the next one is due at once
+            self._next_run_at = now  # the policy moves a range in two steps, and the second one is due at once
         self._orders.nodes.clear()
 
     def _assign_number(self, key_range: KeyRange) -> int:
-        """Return the new number of a range that the pass does not know yet."""
+        """Return a new slice number for a range that the policy does not know yet."""
         self._last_number += 1
         self.slice_numbers[key_range] = self._last_number
         self._ranges[self._last_number] = key_range
         return self._last_number
 
     def _node_number(self, server: str) -> int:
-        """Return the server's number, a new one where it has none."""
+        """Return the server's node number, assigning a new one if it has none."""
         if server not in self._node_numbers:
             self._node_numbers[server] = len(self._node_numbers)
             self._server_names[self._node_numbers[server]] = server
@@ -169,7 +175,7 @@
 
 
 def policy_settings(latency_target_ns: int) -> PolicySettings:
-    """Return what the pass is made with: slices have one owner; limits of messages and admission are off."""
+    """Return the policy's settings: exclusive slices, no message limits, no load shedding."""
     return PolicySettings(
         message_overhead=0,
         queue_limit=1e9,
--- a/kestrelplank/sharding/key_range.py
+++ b/kestrelplank/sharding/key_range.py
@@ -1,4 +1,4 @@
-"""One range of a sharded service's keys: the server that may hold them, and how far a change of server has come.
+"""One key range of a sharded service: the server that may hold it, and the state of a change of server.
 
 HELD ──start_release──> RELEASING ──lose_holder──> UNOWNED ──assign──> HELD
   └──────────────────lose_holder────────────────────┘
@@ -11,15 +11,15 @@
 
 
 class KeyRangeState(Enum):
-    """How far a change of server has come. The values are what `GET /api/status` shows."""
+    """State of a range's ownership. `GET /api/status` shows the values."""
 
-    HELD = "held"  # granted to its server, or about to be
-    RELEASING = "releasing"  # taken from its server, which may hold it until it answers the release or its lease ends
-    UNOWNED = "unowned"  # surely held by no server
+    HELD = "held"  # granted to its server, or a grant is due
+    RELEASING = "releasing"  # its server may hold it until it answers the release or its lease ends
+    UNOWNED = "unowned"  # certainly held by no server
 
 
 class RecordedKeyRange(NamedTuple):
-    """A key range as it is recorded in the log: the order of the fields is the format on disk."""
+    """A key range as recorded in the log. The order of the fields is the format on disk."""
 
     first: int
     last: int
@@ -30,20 +30,20 @@
 
 
 class KeyRange:
-    """Keys `first` to `last`, both included, as the leader sees them.
+    """The leader's state of keys `first` to `last`, both included.
 
     `server`, `address`: the only server that may hold the keys; "" if none ever did.
-    `fencing_token`: what the next grant or release carries; a server refuses lower ones than it has seen.
-    `handover`: what the former holder answered to its release; the next grant carries it.
-    `recorded`: that `server` may be granted the keys is committed in the log. No grant goes out before.
-    `held_until`: when the last lease that `server` can have has surely ended (ns); 0 or past where it has none.
-    `call_in_flight`: a grant or release is out. There is never more than one for a range.
-    `answer_is_stale`: the call that is out went to a server that has ended, so its answer counts for nothing.
+    `fencing_token`: sent with the next grant or release; a server rejects tokens lower than the highest it has seen.
+    `handover`: data that the former holder returned with its release, for the next grant.
+    `recorded`: the assignment to `server` is committed in the log. No grant is sent before.
+    `held_until`: when the last lease that `server` can have has certainly ended (ns); 0 or past if it has none.
+    `call_in_flight`: a grant or release is in flight, at most one for a range.
+    `answer_is_stale`: the call in flight went to a server that has ended, so its answer is ignored.
     `next_call_at`: when the next grant or release is due (ns).
-    `refusals`: grants refused in a row because the server had seen a higher fencing token.
-    `successor`: the server that is to get the keys once they are UNOWNED, if one is known.
-    `unowned_since`: since when no server serves the keys, as far as is known (ns); None while one does.
-    `stall_reported`: that they have been unowned for long was logged.
+    `refusals`: consecutive grants rejected because the server had seen a higher fencing token.
+    `successor`: the server to assign once the range is UNOWNED, if known.
+    `unowned_since`: when the keys were left without a server, as far as is known (ns); None while one serves them.
+    `stall_reported`: it was logged that the range is stalled.
     """
 
     __slots__ = (
@@ -87,30 +87,30 @@
 
     @property
     def key_count(self) -> int:
-        """The number of its keys."""
+        """The number of keys in the range."""
         return self.last - self.first + 1
 
     def to_record(self) -> RecordedKeyRange:
-        """Return what the log keeps of it."""
+        """Return the range as it is recorded in the log."""
         return RecordedKeyRange(self.first, self.last, self.server, self.address, self.fencing_token, self.handover)
 
     def start_release(self, now: int, successor: str | None) -> None:
-        """HELD to RELEASING: a release is due at once."""
+        """Change from HELD to RELEASING; a release is due at once."""
         self.state = KeyRangeState.RELEASING
         self.successor = successor
         self.next_call_at = now
 
     def lose_holder(self, now: int, handover: str | None = None) -> None:
-        """Any state to UNOWNED: it is certain that `server` holds nothing.
+        """Change from any state to UNOWNED, as `server` certainly holds no key of the range.
 
-        :param handover: what `server` answered to its release, if it did.
+        :param handover: data that `server` returned with its release, if any.
         """
         self.state = KeyRangeState.UNOWNED
         self.handover = handover
         self.mark_unowned(now)
 
     def assign(self, server: str, address: str, fencing_token: int) -> None:
-        """UNOWNED to HELD: grants to `server` follow once that is recorded."""
+        """Change from UNOWNED to HELD; grants to `server` are sent once that is recorded."""
         self.server = server
         self.address = address
         self.fencing_token = fencing_token
@@ -122,14 +122,14 @@
         self.refusals = 0
 
     def mark_unowned(self, now: int) -> None:
-        """Note that no server serves the keys from now on, unless that was so before."""
+        """Set `unowned_since` to `now` unless it is set."""
         if self.unowned_since is None:
             self.unowned_since = now
 
     def split(self, at: int) -> "KeyRange":
-        """Cut the range short at `at`; return the keys from there on as a new range in the same state.
+        """Shorten the range to the keys below `at`; return the keys from `at` on as a new range in the same state.
 
-        Not while a call is in flight: its answer is for the range as it was sent.
+        Not allowed while a call is in flight, whose answer is for the range as it was sent.
         """
         upper = KeyRange(at, self.last, self.server, self.address, self.fencing_token, self.handover)
         upper.state = self.state
@@ -142,7 +142,7 @@
         return upper
 
     def can_merge(self) -> bool:
-        """Whether nothing is under way that a merge with a neighbour would disturb."""
+        """Whether the range is held, recorded and served, with no call in flight, so that it may be merged."""
         return (
             self.state is KeyRangeState.HELD
             and self.recorded
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -1,6 +1,6 @@
 """All key ranges of one sharded service while this member leads.
 
-No I/O: `tick` returns effects, and the adapter checks the leader's lease once more right before it sends a grant.
+No I/O: `tick` returns effects. The adapter checks the leader's lease again right before it sends a grant.
 """
 
 from collections.abc import Iterable, Sequence
@@ -33,43 +33,41 @@
 )
 
 FENCING_TOKENS_PER_TERM = 1_000_000
-MAX_REFUSALS = 24  # grants refused in a row, each followed by a higher fencing token, before another server is tried
-GRANTED, FENCED = 200, 409  # statuses of a server's answers
-CLIENT_ERROR = 4  # first digit of a status by which the server says that it did nothing
+MAX_REFUSALS = 24  # consecutive rejected grants, each followed by a higher fencing token, before the range is released
+GRANTED, FENCED = 200, 409  # HTTP statuses of a server's answers
+CLIENT_ERROR = 4  # first digit of statuses with which a server reports that it did nothing
 
-# As module names, since `tick` compares them for every range 20 times a second.
+# Module constants, as `tick` compares them for every range 20 times a second.
 HELD, RELEASING, UNOWNED = KeyRangeState.HELD, KeyRangeState.RELEASING, KeyRangeState.UNOWNED
 
 
 class KeyRanges:
     """All key ranges of one service, in the order of their keys.
 
-    What keeps two servers from holding a key at once:
+    Two servers never hold a key at once, because:
 
     - A recorded range names the only server that may have been granted its keys. It is committed in the log before the
-      first grant goes out (`test_neighbours_of_one_server_become_one_range_under_a_token_above_both`,
-      `test_each_safeguard_left_out_is_found_with_a_shortest_trace`, defect "no record").
+      first grant is sent (`test_merged_range_is_recorded_with_a_higher_token_before_it_is_renewed`,
+      `test_each_removed_safeguard_is_detected_with_a_shortest_trace`, defect "no record").
     - Another server gets the keys only after the old one answered the release
-      (`test_only_its_own_answer_ends_a_release`), or after every lease has surely ended
-      (`test_a_release_that_is_never_answered_is_waited_for_and_no_longer_than_the_lease`). A call without an answer may
-      have arrived, as late as `LATE_DELIVERY_NS` after it was reset
-      (`test_a_grant_that_may_have_arrived_may_hold_the_keys`).
-    - Fencing tokens grow with the leader's term and with each change, so a server that has heard from us refuses what a
-      former leader, or a former call of ours, still sends it
-      (`test_fencing_tokens_after_everything_was_lost_but_the_servers_live`).
-    - An answer to a call counts only for the server that it went to
-      (`test_the_answer_of_a_server_that_is_gone_counts_for_nothing`).
-
+      (`test_release_ends_only_with_its_own_answer`), or after every lease has certainly ended
+      (`test_unanswered_release_ends_when_the_lease_ends`). A call without an answer may have arrived, as late as
+      `LATE_DELIVERY_NS` after its connection was reset (`test_grant_that_may_have_arrived_counts_as_a_lease`).
+    - Fencing tokens grow with the leader's term and with each change, so a server rejects calls of a former leader and
+      outdated calls of the present one, once it has received a newer call
+      (`test_fencing_tokens_rise_above_those_seen_by_servers_after_the_log_was_lost`).
+    - An answer to a call counts only for the server that the call went to
+      (`test_answer_of_a_replaced_server_is_ignored`).
     - A lease longer than the recorded bound is granted only once a higher bound is committed, and the bound is lowered
-      only after every longer lease has surely ended, so a new leader knows how long leases may run
-      (`test_longer_leases_are_granted_only_once_their_length_is_recorded`,
-      `test_the_recorded_length_of_leases_falls_only_when_no_longer_one_can_run`).
+      only after every longer lease has certainly ended, so a new leader knows how long leases may run
+      (`test_longer_leases_are_granted_only_after_their_length_is_recorded`,
+      `test_recorded_lease_length_is_lowered_only_after_longer_leases_have_ended`).
 
-    `terms`: of the leases that are wanted now; set by the owner.
+    `terms`: duration and renewal interval of the next grants; set by the owner.
 
     :param term: the leader's term in the log.
-    :param recorded: the ranges that were recorded last; None or empty if none ever were.
-    :param max_lease_ns: the longest lease that may have been granted by that record.
+    :param recorded: the newest recorded ranges; None or empty if none were ever recorded.
+    :param max_lease_ns: upper bound of the leases granted under that record.
     """
 
     def __init__(
@@ -80,44 +78,44 @@
         max_lease_ns: int = LEASE_DURATION_NS,
     ) -> None:
         recorded = recorded or ()
-        # Recorded tokens may be above those of their leader's term: `_handle_fenced` raises them in large steps.
+        # Recorded tokens may be above those of their leader's term, as `_raise_fencing_token` takes large steps.
         token_term = max(term, *(known.fencing_token // FENCING_TOKENS_PER_TERM + 1 for known in recorded), 0)
         self.highest_token = token_term * FENCING_TOKENS_PER_TERM
         self.ranges = [KeyRange(*known) for known in recorded]
-        for key_range in self.ranges:  # the former leader may have renewed each until just now
+        for key_range in self.ranges:  # the former leader may have renewed each lease until now
             key_range.held_until = latest_lease_end(now + GRANT_TIMEOUT_NS + LATE_DELIVERY_NS, max_lease_ns)
         self.terms = LeaseTerms(LEASE_DURATION_NS, RENEWAL_INTERVAL_NS)
         self._max_lease_ns = max_lease_ns  # as recorded
         self._max_lease_being_recorded_ns = max_lease_ns
-        # When every lease has surely ended that is longer than those of ordinary terms.
+        # When every lease longer than `LEASE_DURATION_NS` has certainly ended.
         self._long_leases_until = max((key_range.held_until for key_range in self.ranges), default=0)
         self.servers: dict[str, ShardServer] = {}
-        self.moved_keys = 0  # keys that changed server
-        self.unowned_key_ns = 0  # sum over keys of the time that they had no holder
+        self.moved_keys = 0  # number of keys that changed server
+        self.unowned_key_ns = 0  # time without a holder, summed over keys
         self._being_recorded: list[KeyRange] | None = None
         self._pending_effects: list[KeyRangesEffect] = []
 
-    # Changes that the placement asks for.
+    # Changes requested by the placement.
 
     def create_initial_ranges(self, count: int) -> None:
-        """Make `count` unowned ranges of equal length, as nothing was ever recorded."""
+        """Create `count` unowned ranges of equal length. Called if no ranges were ever recorded."""
         for number in range(count):
             key_range = KeyRange(KEY_COUNT * number // count, KEY_COUNT * (number + 1) // count - 1, "", "", 0)
             key_range.state = UNOWNED
             self.ranges.append(key_range)
 
     def split(self, key_range: KeyRange, at: int) -> KeyRange:
-        """Make the keys from `at` on a range of their own, and return it. Not while a call is in flight."""
+        """Split off the keys from `at` on as a new range, and return it. Not allowed while a call is in flight."""
         upper = key_range.split(at)
         self.ranges.insert(self.ranges.index(key_range) + 1, upper)
         return upper
 
     def can_merge(self, lower: KeyRange, upper: KeyRange) -> bool:
-        """Whether `upper`, the range behind `lower`, can become part of it: one server holds both, undisturbed."""
+        """Whether `lower` and `upper`, the range after it, may be merged: one server holds both, neither is changing."""
         return lower.server == upper.server and lower.can_merge() and upper.can_merge()
 
     def merge(self, lower: KeyRange, upper: KeyRange) -> None:
-        """Make `upper` part of `lower`, under a fencing token above both, which is recorded before it is used."""
+        """Merge `upper` into `lower`, under a fencing token above both, which is recorded before it is used."""
         lower.last = upper.last
         lower.fencing_token = self._next_token()
         lower.recorded = False
@@ -126,29 +124,29 @@
         self.ranges.remove(upper)
 
     def assignable(self) -> list[KeyRange]:
-        """Return the ranges that nobody holds and that are not being recorded for a server."""
+        """Return the unowned ranges without an assignment that is still to be recorded."""
         return [key_range for key_range in self.ranges if key_range.state is UNOWNED and key_range.recorded]
 
     def assign(self, key_range: KeyRange, server: ShardServer) -> None:
-        """Give an unowned range to `server`, which gets grants once that is recorded."""
+        """Assign an unowned range to `server`, which is sent grants once that is recorded."""
         if key_range.server != server.name:
             self.moved_keys += key_range.key_count
         key_range.assign(server.name, server.address, self._next_token())
 
     def start_release(self, now: int, key_range: KeyRange, successor: str | None) -> None:
-        """Take a held range from its server, for `successor` if one is known."""
+        """Start the release of a held range; it is assigned to `successor` next if one is known."""
         if key_range.state is HELD:
             key_range.start_release(now, successor)
             self._pending_effects.append(KeyRangeReleasing(key_range))
 
     def to_record(self) -> list[RecordedKeyRange]:
-        """Return all ranges as the log is to keep them."""
+        """Return all ranges as they are recorded in the log."""
         return [key_range.to_record() for key_range in self.ranges]
 
     # Events.
 
     def handle_server_list(self, now: int, servers: Iterable[ShardServer]) -> None:
-        """Take the platform's list of this service's servers."""
+        """Process the platform's list of this service's servers."""
         self.servers = {server.name: server for server in servers}
         addresses = {server.address for server in self.servers.values()}
         for key_range in self.ranges:
@@ -156,20 +154,20 @@
                 continue
             server = self.servers.get(key_range.server)
             if server is None and key_range.address in addresses:
-                self._handle_server_replaced(now, key_range)
+                self._handle_replaced_server(now, key_range)
             elif key_range.state is HELD and (server is None or not server.ready):
                 self.start_release(now, key_range, None)
                 if server is None:
                     key_range.mark_unowned(now)
 
-    def _handle_server_replaced(self, now: int, key_range: KeyRange) -> None:
-        """Take the range from its server at once, which has ended: another one is listed at its address."""
+    def _handle_replaced_server(self, now: int, key_range: KeyRange) -> None:
+        """Mark the range as unowned: its server has ended, as another one is listed at its address."""
         key_range.lose_holder(now)
         key_range.held_until = 0
         key_range.answer_is_stale = key_range.call_in_flight
 
     def handle_recorded(self, now: int) -> None:
-        """Let grants go out by the record that was asked for last, as it is committed."""
+        """Allow grants of the ranges in the newest requested record, which is committed."""
         for key_range in self._being_recorded or ():
             key_range.recorded = True
             key_range.next_call_at = now
@@ -177,7 +175,7 @@
         self._max_lease_ns = self._max_lease_being_recorded_ns
 
     def handle_call_ended(self, now: int, request: ServerRequest, result: ServerCallResult) -> None:
-        """Take the end of a grant or release, unless it was that of a server that has ended."""
+        """Process the result of a grant or release; ignore it if the server has ended."""
         key_range = request.key_range
         key_range.call_in_flight = False
         if key_range.answer_is_stale:
@@ -194,26 +192,26 @@
             key_range.held_until = max(key_range.held_until, latest_lease_end(now, grant.lease_ns))
             key_range.handover = None
             key_range.refusals = 0
-            self._handle_served(now, key_range)
+            self._mark_owned(now, key_range)
             return
         if verdict(CallKind.GRANT, outcome).execution is not Execution.NOT_EXECUTED:
             ends_at = latest_lease_end(now + LATE_DELIVERY_NS, grant.lease_ns)
             key_range.held_until = max(key_range.held_until, ends_at)
         if result.status == FENCED:
-            self._handle_fenced(now, key_range)
+            self._raise_fencing_token(now, key_range)
         else:
             key_range.next_call_at = now + RETRY_INTERVAL_NS
 
     def _handle_release_ended(self, now: int, key_range: KeyRange, result: ServerCallResult) -> None:
-        """Only the release's own answer proves that the work on these keys has ended."""
+        """Process a release's result: only its own answer proves that the server no longer works on the keys."""
         if verdict(CallKind.RELEASE, outcome_of_release(result)).execution is Execution.EXECUTED:
             key_range.lose_holder(now, result.handover)
             key_range.held_until = 0
         else:
             key_range.next_call_at = now + RETRY_INTERVAL_NS
 
-    def _handle_served(self, now: int, key_range: KeyRange) -> None:
-        """Note that the range's server holds its keys."""
+    def _mark_owned(self, now: int, key_range: KeyRange) -> None:
+        """Record that the range's server holds its keys."""
         key_range.stall_reported = False
         if key_range.unowned_since is None or key_range.state is not HELD:
             return
@@ -222,16 +220,16 @@
         self.unowned_key_ns += duration_ns * key_range.key_count
         self._pending_effects.append(KeyRangeUnownedFor(key_range, duration_ns))
 
-    def _handle_fenced(self, now: int, key_range: KeyRange) -> None:
-        """Give the range a higher fencing token, as the server has seen a higher one; it is recorded before it is used.
+    def _raise_fencing_token(self, now: int, key_range: KeyRange) -> None:
+        """Raise the range's fencing token, as the server has seen a higher one; it is recorded before it is used.
 
-        After `MAX_REFUSALS` in a row the range is taken from that server instead.
+        After `MAX_REFUSALS` consecutive rejections the range is released instead.
         """
         key_range.refusals += 1
         if key_range.refusals > MAX_REFUSALS and key_range.state is HELD:
             self.start_release(now, key_range, None)
             return
-        # In growing steps, as it may have seen the tokens of a system whose disks are all lost.
+        # In growing steps: the server may have seen tokens of a log that was lost with all disks.
         self.highest_token += 1 if key_range.refusals == 1 else FENCING_TOKENS_PER_TERM << key_range.refusals
         key_range.fencing_token = self.highest_token
         key_range.recorded = False
@@ -239,7 +237,7 @@
     # Effects.
 
     def tick(self, now: int) -> list[KeyRangesEffect]:
-        """Return the grants, releases and records that are due, after what happened since the last tick."""
+        """Return the effects that are due: grants, releases, records and pending notifications."""
         effects, self._pending_effects = self._pending_effects, []
         for key_range in self.ranges:
             if key_range.state is RELEASING and not key_range.call_in_flight and now >= key_range.held_until:
@@ -257,14 +255,14 @@
         return effects
 
     def _record(self, now: int, changed: list[KeyRange]) -> RecordKeyRanges:
-        """Record all ranges, and the bound of their leases: it falls only when no longer lease can run any more."""
+        """Record all ranges and the bound of their leases, which is lowered only after longer leases have ended."""
         self._being_recorded = changed
         lowest_ns = LEASE_DURATION_NS if now >= self._long_leases_until else self._max_lease_ns
         self._max_lease_being_recorded_ns = max(self.terms.duration_ns, lowest_ns)
         return RecordKeyRanges(self.to_record(), self._max_lease_being_recorded_ns)
 
     def _grant(self, now: int, key_range: KeyRange) -> GrantKeyRange:
-        """Grant the range by the terms of now, within what is recorded, and within what is being recorded."""
+        """Grant the range by the current terms, limited by the recorded bound and the one being recorded."""
         key_range.call_in_flight = True
         key_range.next_call_at = now + self.terms.renewal_interval_ns
         lease_ns = min(self.terms.duration_ns, self._max_lease_ns, self._max_lease_being_recorded_ns)
@@ -276,7 +274,7 @@
     def _release(self, now: int, key_range: KeyRange) -> ReleaseKeyRange:
         key_range.call_in_flight = True
         key_range.next_call_at = now + RELEASE_INTERVAL_NS
-        key_range.fencing_token = self._next_token()  # a grant that arrives after it meets a higher token
+        key_range.fencing_token = self._next_token()  # the server rejects a grant that arrives after the release
         return ReleaseKeyRange(key_range.server, key_range.address, key_range)
 
     def _next_token(self) -> int:
@@ -284,7 +282,7 @@
         return self.highest_token
 
     def newly_stalled(self, now: int) -> list[KeyRangeStalled]:
-        """Return the ranges that have had no holder for long, each once until it has one again."""
+        """Return the ranges without a holder for `STALLED_AFTER_NS`, each once until it has a holder again."""
         stalled = [
             key_range
             for key_range in self.ranges
@@ -298,7 +296,7 @@
 
 
 def outcome_of_grant(result: ServerCallResult) -> CallOutcome:
-    """Return what the end of a grant shows, in the terms of `forwarding.retry_policy`."""
+    """Return the outcome of a grant as defined by `forwarding.retry_policy`."""
     if result.status is None:
         return CallOutcome.TIMEOUT if result.sent else CallOutcome.CONNECT_FAIL
     if result.status == GRANTED:
@@ -307,9 +305,9 @@
 
 
 def outcome_of_release(result: ServerCallResult) -> CallOutcome:
-    """Return what the end of a release shows.
+    """Return the outcome of a release as defined by `forwarding.retry_policy`.
 
-    A release is answered with a handover: a 200 without one is not its answer, but may be an older grant's.
+    A release is answered with a handover: a 200 without one may be the answer to an older grant.
     """
     outcome = outcome_of_grant(result)
     return CallOutcome.MALFORMED if outcome is CallOutcome.ANSWERED and result.handover is None else outcome
--- a/kestrelplank/sharding/placement.py
+++ b/kestrelplank/sharding/placement.py
@@ -1,9 +1,8 @@
-"""Which server each key range of a service should be at.
+"""Decides which server each key range of a service should be assigned to.
 
-The greedy pass decides that, by what edge machines report and the speed that servers show. What is added to it here:
-request rates are taken from a longer window than it averages over; a server's weight is the share of all requests that
-it can take without its queue costing more than another's; and ranges with much load are split, as a busy range that is
-moved in one piece only moves the overload.
+The greedy pass decides by the reports of edge machines and the measured speed of servers. This module adds: request
+rates over a longer window than the pass averages over; server weights for which the mean request time is least; and
+splitting of busy ranges, as moving one as a whole would only move the overload.
 """
 
 from collections.abc import Mapping, Sequence
@@ -22,9 +21,9 @@
 class Placement:
     """One service's placement while this member leads.
 
-    :param seed: of the pass's random draws.
-    :param latency_target_ns: within which the service's requests should be answered.
-    :param learned_speeds: what the former leader had learned of servers, as its `learned_speeds` returned it.
+    :param seed: of the pass's random number generator.
+    :param latency_target_ns: time within which the service's requests should be answered.
+    :param learned_speeds: the former leader's estimates of server speeds, as returned by its `learned_speeds`.
     """
 
     def __init__(
@@ -45,27 +44,31 @@
         self._servers_changed = True
 
     def learned_speeds(self) -> dict[str, list[float]]:
-        """Return what is known of each server's speed, for the record."""
-        return self.server_weights.learned()
+        """Return the estimates of server speeds, to be recorded for the next leader."""
+        return self.server_weights.to_record()
 
     def handle_load_report(self, now: int, keys: Sequence[int], servers: Mapping[str, ServerReport]) -> None:
-        """Take an edge machine's report: the keys that it was asked for, and what it met of servers."""
+        """Add an edge machine's report.
+
+        :param keys: the key of each request.
+        :param servers: its measurements by server name.
+        """
         self.requests.add(now, keys)
         self.attempts.add(now, servers)
         self.server_weights.add(servers)
 
     def handle_server_list(self) -> None:
-        """Have the next tick give the pass the platform's list, as it has changed."""
+        """Mark the list of servers as changed; the next tick passes it on to the pass."""
         self._servers_changed = True
 
     def tick(self, now: int) -> None:
-        """Have the pass decide by what has come since the last tick, and move ranges as it says.
+        """Run the pass over the events since the last tick, and move ranges as it decides.
 
         A range that is to move is released first; it is assigned to its successor in the tick that finds it unowned.
         """
         if not self._pass.started:
             self._pass.start(now)
-            self._assign_first()
+            self._assign_initially()
         if self._servers_changed:
             self._servers_changed = False
             self._pass.set_servers(now, self._key_ranges.servers, self.server_weights.slot_weights)
@@ -79,10 +82,10 @@
             if server is not None and server.ready:
                 self._key_ranges.assign(key_range, server)
 
-    def _assign_first(self) -> None:
-        """Spread keys that no server ever held evenly by slots, neighbours apart, as busy keys lie close together."""
+    def _assign_initially(self) -> None:
+        """Assign ranges that no server ever held evenly by slots; neighbours apart, as busy keys lie close together."""
         servers = [server for server in self._key_ranges.servers.values() if server.ready]
-        # The load that each would have with one more range, least first.
+        # A heap of each server's load with one more range, least first.
         loads = [((position + 1) / len(servers) / server.slots, position) for position, server in enumerate(servers)]
         heapify(loads)
         for key_range in self._key_ranges.ranges if servers else ():
@@ -92,14 +95,14 @@
                 heapreplace(loads, (load + 1 / servers[position].slots, position))
 
     def _move(self, now: int, key_range: KeyRange, server: str) -> None:
-        """Release the range for `server`; where it is being released already, `server` becomes its successor."""
+        """Start the release of the range for `server`; if it is not held, make `server` its successor."""
         if key_range.state is not KeyRangeState.HELD:
             key_range.successor = server
         elif key_range.server != server:
             self._key_ranges.start_release(now, key_range, server)
 
     def _close_period(self, now: int) -> None:
-        """Sum up a period of reports: weigh servers, split and merge ranges, and report to the pass."""
+        """Close a report period: update server weights, split and merge ranges, and report loads to the pass."""
         servers = self._key_ranges.servers
         self.requests.advance(now)
         self.attempts.advance(now)
@@ -116,8 +119,8 @@
     def _report_to_pass(self, rates: Mapping[KeyRange, float]) -> None:
         """Report the requests to the pass, by range and by server.
 
-        A server counts for the requests to its ranges now, not for its attempts: so a range that has moved counts at
-        its old server for the pass's own average of five periods, and not for as long as the request window.
+        A server's load is the requests to its present ranges, not its attempts: so a moved range counts at its old
+        server for the five periods that the pass averages over, instead of the longer request window.
         """
         loads: dict[str, float] = {}
         for key_range, rate in rates.items():
@@ -127,5 +130,5 @@
         for name, sums in self.attempts.sums.items():
             if name in self._key_ranges.servers:
                 load = loads.get(name, 0.0)
-                failing = load * sums.failures / sums.attempts if sums.attempts else 0.0
-                self._pass.add_attempts(self._key_ranges.servers[name], load, failing)
+                failures = load * sums.failures / sums.attempts if sums.attempts else 0.0
+                self._pass.add_attempts(self._key_ranges.servers[name], load, failures)
--- a/kestrelplank/sharding/range_resizing.py
+++ b/kestrelplank/sharding/range_resizing.py
@@ -1,8 +1,8 @@
-"""Key ranges that are split where the requests are, and merged where they are not.
+"""Splits key ranges with much load, and merges neighbours with little.
 
-A range with much of a server's load is split, as moving it in one piece would only move the overload: the part that is
-split off goes to the server where it fits. Where ranges become many, neighbours with little load are merged, so that
-further splits stay possible where the requests go next. (Slicer splits and merges ranges likewise.)
+A range with much of a server's load is split, as moving it as a whole would only move the overload; the new range can
+be moved to a server with capacity for it. If there are many ranges, neighbours with little load are merged, so that
+further splits stay within the limit of ranges. Source: Slicer splits and merges ranges likewise.
 """
 
 from bisect import bisect_right
@@ -12,18 +12,18 @@
 from kestrelplank.sharding.key_ranges import KeyRanges
 from kestrelplank.sharding.request_window import RequestWindow
 
-SPLIT_LOAD_SHARE = 0.4  # of a mean server's load; the pass splits slices at the same share elsewhere
-UPPER_SHARE_BOUNDS = 0.05, 0.95  # an upper part with less or more of the requests: one key has nearly all of them
-MAX_RANGES_PER_SERVER = 6  # then nothing is split any more
+SPLIT_LOAD_SHARE = 0.4  # share of a mean server's load above which a range is split; as for the policy's hot slices
+UPPER_SHARE_BOUNDS = 0.05, 0.95  # no split if the upper range gets less or more of the requests: one key has nearly all
+MAX_RANGES_PER_SERVER = 6  # no range is split above it
 MERGE_ABOVE_RANGES_PER_SERVER = 5
-MERGE_LOAD_SHARE = 0.1  # of a mean server's load, for the two together
+MERGE_LOAD_SHARE = 0.1  # share of a mean server's load, for both ranges together
 
 
 class RangeResizing:
     """Splits and merges one service's ranges.
 
-    `merging`: ranges on their way to the server of the range before them, which they are merged with there. The pass
-    does not decide on them meanwhile.
+    `merging`: for each range that is to be merged, the range before it. It moves to that range's server first; the pass
+    does not place it meanwhile.
     """
 
     def __init__(self, key_ranges: KeyRanges, greedy_pass: GreedyPass, requests: RequestWindow) -> None:
@@ -33,10 +33,10 @@
         self._requests = requests
 
     def split(self, rates: dict[KeyRange, float], mean_rate: float) -> None:
-        """Split ranges with too many requests, those with most first, each in two at its median request.
+        """Split ranges with too many requests in two at the median requested key, busiest ranges first.
 
-        :param rates: requests a second by range; brought up to date.
-        :param mean_rate: requests a second for each server that is ready.
+        :param rates: requests a second by range; updated in place.
+        :param mean_rate: requests a second per ready server.
         """
         key_ranges = self._key_ranges
         max_splits = MAX_RANGES_PER_SERVER * max(1, len(key_ranges.servers)) - len(key_ranges.ranges)
@@ -65,10 +65,10 @@
         )
 
     def merge(self, now: int, rates: dict[KeyRange, float], mean_rate: float) -> None:
-        """Finish merges whose two ranges are at one server now, and begin one more where ranges are many.
+        """Finish merges whose two ranges are at one server, and start another if there are many ranges.
 
-        :param rates: requests a second by range; brought up to date.
-        :param mean_rate: requests a second for each server that is ready.
+        :param rates: requests a second by range; updated in place.
+        :param mean_rate: requests a second per ready server.
         """
         self._finish_merges(rates)
         key_ranges = self._key_ranges
@@ -83,7 +83,7 @@
         ]
         if not pairs:
             return
-        *_, lower, upper = min(pairs, key=lambda pair: pair[:3])  # the one for which fewest keys change server
+        *_, lower, upper = min(pairs, key=lambda pair: pair[:3])  # the pair for which the fewest keys change server
         self.merging[upper] = lower
         if upper.server != lower.server:
             key_ranges.start_release(now, upper, lower.server)
@@ -93,7 +93,7 @@
         return key_range.state is KeyRangeState.HELD and key_range.recorded and key_range in self._pass.slice_numbers
 
     def _finish_merges(self, rates: dict[KeyRange, float]) -> None:
-        """Merge pairs that are neighbours at one server, and give up those that can't be any more."""
+        """Merge pairs that are neighbours at one server, and cancel those that can no longer be merged."""
         ranges = self._key_ranges.ranges
         positions = {key_range: position for position, key_range in enumerate(ranges)}
         for upper, lower in list(self.merging.items()):
@@ -104,4 +104,4 @@
                 del self.merging[upper]
                 rates[lower] += rates.pop(upper)
             elif not adjacent or (upper.state is KeyRangeState.HELD and upper.server != lower.server):
-                del self.merging[upper]  # one of the two has gone elsewhere: the pass decides on it again
+                del self.merging[upper]  # one of the two has moved elsewhere: the pass places it again
--- a/kestrelplank/sharding/server_weights.py
+++ b/kestrelplank/sharding/server_weights.py
@@ -1,10 +1,10 @@
-"""How much of all requests each server should take, by what was learned of its speed.
+"""Computes from measured speeds which share of all requests each server should take.
 
-A server's weight is the share by which the mean time of all requests is least: what it can do a second, less its share
-of the spare capacity, which goes by the square root of what it can do. So fast servers keep less spare capacity for
-each request than slow ones, where a request that queues waits for longer.
+With these weights the mean time of all requests is least: a server's weight is its capacity in requests a second less
+its part of the total spare capacity, which is divided in proportion to the square root of capacity. So fast servers
+keep relatively less spare capacity than slow ones, where a queued request waits longer.
 
-Source: the square-root rule of Bell and Stidham (1983) for servers side by side.
+Source: the square-root rule of Bell and Stidham (1983) for parallel servers.
 """
 
 import math
@@ -15,46 +15,46 @@
 from kestrelplank.sharding.shard_server import ShardServer
 from kestrelplank.time_units import SECOND
 
-PRIOR_ANSWERS = 14.0  # the median speed weighs as much as so many answers of the server itself
-MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED = 0.4, 2.0  # bounds of a server's speed against the median
-MIN_USED_SHARE = 0.1  # of what a server can do, that it should take at least
-SIGNIFICANT_CHANGE = 0.1  # a weight that changes by more than this share of it is passed on to the pass
+PRIOR_ANSWERS = 14.0  # weight of the median speed, in answers of the server itself
+MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED = 0.4, 2.0  # bounds of a server's speed relative to the median
+MIN_USED_SHARE = 0.1  # smallest share of its capacity that a server should use
+SIGNIFICANT_CHANGE = 0.1  # relative change of a weight above which new weights take effect
 
 
 class ServerWeights:
-    """What was learned of all servers' speed, and the weights that follow.
+    """Estimates of all servers' speeds, and the weights computed from them.
 
-    `slot_weights`: by server, the weight of each of its slots; 1.0 where nothing is known.
+    `slot_weights`: by server, the weight of each of its slots; 1.0 where missing.
 
-    :param learned: what the former leader had learned, as its `learned` returned it.
+    :param recorded: the former leader's estimates, as returned by its `to_record`.
     """
 
-    def __init__(self, now: int, learned: Mapping[str, Sequence[float]] | None) -> None:
+    def __init__(self, now: int, recorded: Mapping[str, Sequence[float]] | None) -> None:
         self.slot_weights: dict[str, float] = {}
-        self._estimates = {name: ServiceTimeEstimate(known) for name, known in (learned or {}).items()}
+        self._estimates = {name: ServiceTimeEstimate(sums) for name, sums in (recorded or {}).items()}
         self._period_began_at = now
         self._reported: dict[str, list[float]] = {}  # by server: sums over this period's reports
 
-    def learned(self) -> dict[str, list[float]]:
-        """Return what is known of each server, for the record: otherwise each new leader would begin with nothing."""
-        return {name: estimate.to_record() for name, estimate in self._estimates.items() if estimate.evidence() >= 1}
+    def to_record(self) -> dict[str, list[float]]:
+        """Return each server's estimate, which is recorded so that a new leader can start with it."""
+        return {name: estimate.to_record() for name, estimate in self._estimates.items() if estimate.sample_size() >= 1}
 
     def add(self, servers: Mapping[str, ServerReport]) -> None:
-        """Take an edge machine's report."""
+        """Add an edge machine's report."""
         for name, (_, _, *measured) in servers.items():
             sums = self._reported.setdefault(name, [0.0, 0.0, 0.0, 0.0])
             for field, value in enumerate(measured):
                 sums[field] += value
 
     def close_period(self, now: int, servers: Mapping[str, ShardServer], request_rate: float) -> bool:
-        """Weigh the servers by this period's reports and all before it.
+        """Update the weights by the reports of this period and all earlier ones.
 
-        :param request_rate: requests a second to all of them.
+        :param request_rate: requests a second to all servers together.
         :returns: whether weights have changed.
         """
-        self._learn(now, servers)
+        self._update_estimates(now, servers)
         self._period_began_at = now
-        estimates = {name: estimate for name, estimate in self._estimates.items() if estimate.evidence() >= 1}
+        estimates = {name: estimate for name, estimate in self._estimates.items() if estimate.sample_size() >= 1}
         if not estimates:
             return False
         median_rate, rates = slot_rates(servers, estimates)
@@ -66,8 +66,8 @@
             self.slot_weights = weights
         return changed
 
-    def _learn(self, now: int, servers: Mapping[str, ShardServer]) -> None:
-        """Add this period's reports to the estimates, and forget servers that are not listed any more."""
+    def _update_estimates(self, now: int, servers: Mapping[str, ShardServer]) -> None:
+        """Add this period's reports to the estimates, and remove those of servers that are no longer listed."""
         for name in [name for name in self._estimates if name not in servers]:
             del self._estimates[name]
         period_s = (now - self._period_began_at) / SECOND
@@ -80,10 +80,10 @@
 def slot_rates(
     servers: Mapping[str, ShardServer], estimates: Mapping[str, ServiceTimeEstimate]
 ) -> tuple[float, dict[str, float]]:
-    """Return the requests a second that a slot does: the median server's, and each server's.
+    """Return the requests a second that one slot can serve: at the median server, and by server.
 
-    A server of which little is known counts as nearly the median one. All is done in logarithms of seconds, as
-    `ServiceTimeEstimate` is; `log_offset` makes its two methods comparable.
+    A server with few measured answers gets nearly the median rate. Computed with logarithms of seconds, as in
+    `ServiceTimeEstimate`; `log_offset` makes its two methods comparable.
     """
     unqueued = sum(estimate.unqueued_answers for estimate in estimates.values())
     total_busy_s = sum(estimate.busy_s for estimate in estimates.values())
@@ -94,8 +94,8 @@
     median_rate = math.exp(-median_log_time)
     rates = dict.fromkeys(servers, median_rate)
     for name, log_time in log_times.items():
-        evidence = estimates[name].evidence()
-        log_speed = (median_log_time - log_time) * evidence / (evidence + PRIOR_ANSWERS)
+        sample_size = estimates[name].sample_size()
+        log_speed = (median_log_time - log_time) * sample_size / (sample_size + PRIOR_ANSWERS)
         rates[name] *= min(MAX_RELATIVE_SPEED, max(MIN_RELATIVE_SPEED, math.exp(log_speed)))
     return median_rate, rates
 
@@ -103,7 +103,7 @@
 def square_root_weights(
     servers: Mapping[str, ShardServer], median_rate: float, rates: Mapping[str, float], request_rate: float
 ) -> dict[str, float]:
-    """Return the weight of each server's slots at that rate of requests, by the rule in the module's docstring."""
+    """Return each server's slot weight at this request rate, by the rule in the module's docstring."""
     capacities = {name: rates[name] * server.slots for name, server in servers.items()}
     spare = max(0.0, sum(capacities.values()) - request_rate)
     spare /= sum(math.sqrt(capacity) for capacity in capacities.values())
--- a/kestrelplank/sharding/service_time.py
+++ b/kestrelplank/sharding/service_time.py
@@ -1,21 +1,21 @@
-"""How long a server works on a request, without the time in its queue."""
+"""Estimates a server's service time, which excludes the time that a request is queued."""
 
 import math
 from collections.abc import Sequence
 
-RETENTION_PER_PERIOD = 0.985  # of what is known of a server, from one report period to the next
+RETENTION_PER_PERIOD = 0.985  # share of an estimate's weight that is kept from one report period to the next
 
 
 class ServiceTimeEstimate:
     """A server's service time, by two methods whose errors are independent.
 
-    Little's law: requests in service over answers a second, as an answer that leaves sees the same queue as time does
-    (PASTA, and level crossing). And the times of answers that left no queue behind, by the mean of their logarithms,
-    which a single long one does not spoil.
+    The first is Little's law: mean requests in service divided by answers a second; the requests in service are sampled
+    when answers leave, which gives the mean over time (PASTA and level crossing). The second is the mean logarithm of
+    the times of answers that left no queue behind; the logarithm limits the influence of single long times.
 
-    `busy_s`: seconds that slots were busy, in sum. `answers`: the answers that this was measured by.
-    `log_seconds`: of the answers that left no queue, the logarithms of their seconds in sum. `unqueued_answers`: how
-    many these are. All are weighted by age.
+    `busy_s`: sum of the seconds that slots were busy. `answers`: number of answers that it was measured with.
+    `log_seconds`: sum of the logarithms of the seconds of answers that left no queue. `unqueued_answers`: their number.
+    All four are weighted by age.
     """
 
     __slots__ = ("busy_s", "answers", "log_seconds", "unqueued_answers")
@@ -24,16 +24,16 @@
         self.busy_s, self.answers, self.log_seconds, self.unqueued_answers = recorded
 
     def to_record(self) -> list[float]:
-        """Return what is known, for the next leader's estimate."""
+        """Return the four sums, for the next leader's estimate."""
         return [round(sum_, 2) for sum_ in (self.busy_s, self.answers, self.log_seconds, self.unqueued_answers)]
 
     def add(
         self, period_s: float, busy_slots: float, answers: float, log_seconds: float, unqueued_answers: float
     ) -> None:
-        """Take what was measured by the answers of one period.
+        """Add the measurements of one period.
 
-        :param busy_slots: the slots that were busy as each of `answers` left, in sum.
-        :param log_seconds: of the `unqueued_answers`, those that left no queue, the logarithms of their seconds in sum.
+        :param busy_slots: sum over `answers` of the slots that were busy when the answer left.
+        :param log_seconds: sum of the logarithms of the seconds of the `unqueued_answers`, which left no queue.
         """
         busy_s = busy_slots / answers * period_s if answers else 0.0
         self.busy_s = self.busy_s * RETENTION_PER_PERIOD + busy_s
@@ -41,14 +41,14 @@
         self.log_seconds = self.log_seconds * RETENTION_PER_PERIOD + log_seconds
         self.unqueued_answers = self.unqueued_answers * RETENTION_PER_PERIOD + unqueued_answers
 
-    def evidence(self) -> float:
-        """Return how many answers the estimate rests on; 0 before the first that shows a load."""
+    def sample_size(self) -> float:
+        """Return the weighted number of answers in the estimate; 0 until one is measured with a busy slot."""
         return self.answers + self.unqueued_answers if self.answers and self.busy_s > 0 else 0.0
 
     def log_service_time(self, log_offset: float) -> float:
         """Return the logarithm of the service time in seconds.
 
-        :param log_offset: by how much the mean of all servers' logarithms lies below the logarithm of their mean time.
+        :param log_offset: logarithm of all servers' mean time, less the mean of the logarithms.
         """
         by_load = self.answers * math.log(self.busy_s / self.answers)
-        return (by_load + self.log_seconds + log_offset * self.unqueued_answers) / self.evidence()
+        return (by_load + self.log_seconds + log_offset * self.unqueued_answers) / self.sample_size()
--- a/kestrelplank/sharding/shard_server.py
+++ b/kestrelplank/sharding/shard_server.py
@@ -1,14 +1,14 @@
-"""A server of a sharded service, as the platform lists it."""
+"""A server of a sharded service, from the platform's list."""
 
 from typing import NamedTuple
 
 
 class ShardServer(NamedTuple):
-    """One start of a server: its name is its own, while its address may pass to the next one.
+    """One incarnation of a server: its name is unique, while a later server may have the same address.
 
-    :param slots: requests that it works on at a time.
-    :param ready: it may be given keys; False while it drains.
-    :param warming_until: it has just started, and is slower than it will be until then (ns, our steady clock).
+    :param slots: the number of requests that it processes at a time.
+    :param ready: it may be given keys; False while it is draining.
+    :param warming_until: when its warm-up ends, until which it is slower (ns of this process's monotonic clock).
     """
 
     name: str
--- a/tests/sharding/test_key_ranges.py
+++ b/tests/sharding/test_key_ranges.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("seen", [1, 5_000_000, 77_000_000_000])
-def test_fencing_tokens_after_everything_was_lost_but_the_servers_live(seen):
+def test_fencing_tokens_rise_above_those_seen_by_servers_after_the_log_was_lost(seen):
     key_ranges, seen_tokens = key_ranges_over(), {"s": seen, "t": seen}
 
     def fenced_by_what_was_seen(request):
@@ -95,7 +95,7 @@
     assert key_ranges_over(recorded=key_ranges.to_record(), term=2).highest_token > max(seen_tokens.values())
 
 
-def test_neighbours_of_one_server_become_one_range_under_a_token_above_both():
+def test_merged_range_is_recorded_with_a_higher_token_before_it_is_renewed():
     key_ranges = key_ranges_over(names=("s",))
     for key_range in key_ranges.ranges:
         key_ranges.assign(key_range, key_ranges.servers["s"])
@@ -109,7 +109,7 @@
     assert key_ranges.to_record() == [(0, KEY_COUNT - 1, "s", "s:80", highest + 1, None)]
 
 
-def test_a_releasing_range_is_reported_before_its_release_and_the_time_without_holder_after_its_grant():
+def test_release_is_announced_before_it_is_sent_and_unowned_time_is_reported_after_the_next_grant():
     key_ranges = held_by("s", "s")
     key_range = key_ranges.ranges[0]
     key_ranges.start_release(NOW, key_range, "t")
@@ -123,7 +123,7 @@
     assert key_ranges.unowned_key_ns == SECOND // 4 * KEY_COUNT // 2 and key_range.unowned_since is None
 
 
-def test_a_release_that_is_never_answered_is_waited_for_and_no_longer_than_the_lease():
+def test_unanswered_release_ends_when_the_lease_ends():
     key_ranges = held_by("s")
     key_range = key_ranges.ranges[0]
     key_ranges.start_release(NOW, key_range, "t")
@@ -136,7 +136,7 @@
     assert LEASE_DURATION_NS * 1.02 <= now - NOW <= LEASE_DURATION_NS * 1.02 + SECOND // 5
 
 
-def test_keys_that_nobody_knows_anything_of_are_spread_evenly_neighbours_apart():
+def test_initial_ranges_are_spread_by_slots_with_neighbours_apart():
     key_ranges = key_ranges_over(names=(), count=24)
     key_ranges.handle_server_list(NOW, [server("s"), server("t", slots=4), server("gone", ready=False)])
     Placement(NOW, 1, key_ranges, SECOND).tick(NOW)
@@ -144,7 +144,7 @@
     assert names.count("s") == 8 and names.count("t") == 16 and "s s" not in " ".join(names)
 
 
-def test_the_answer_of_a_server_that_is_gone_counts_for_nothing():
+def test_answer_of_a_replaced_server_is_ignored():
     """Guards against a grant that is out when another server answers at the address: its answer would have been taken
     for that of the server that gets the keys next."""
     key_ranges = key_ranges_over(count=1)
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("status, handover", [(200, None), (500, "h"), (409, "h"), (None, None)])
-def test_only_its_own_answer_ends_a_release(status, handover):
+def test_release_ends_only_with_its_own_answer(status, handover):
     """Every release is answered with a handover: a 200 without one is an older grant's, come late."""
     key_ranges = held_by("s")
     key_range = key_ranges.ranges[0]
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize(
     "sent, status, may_hold", [(True, None, True), (True, 500, True), (False, None, False), (True, 421, False)]
 )
-def test_a_grant_that_may_have_arrived_may_hold_the_keys(sent, status, may_hold):
+def test_grant_that_may_have_arrived_counts_as_a_lease(sent, status, may_hold):
     key_ranges = key_ranges_over(count=1)
     key_range = key_ranges.ranges[0]
     key_ranges.assign(key_range, key_ranges.servers["s"])
@@ -207,7 +207,7 @@
     assert key_ranges.newly_stalled(NOW + 12 * SECOND) == []
 
 
-def test_a_range_that_was_assigned_has_no_successor_any_more():
+def test_assigning_a_range_clears_its_successor():
     """Guards against going on with a move that is over, once its new server is gone."""
     key_ranges = held_by("s")
     (key_range,) = key_ranges.ranges
@@ -232,7 +232,7 @@
     return [effect for effect in effects if isinstance(effect, GrantKeyRange)]
 
 
-def test_longer_leases_are_granted_only_once_their_length_is_recorded():
+def test_longer_leases_are_granted_only_after_their_length_is_recorded():
     """A new leader waits for as long as the record says: it must not say less than was granted."""
     key_ranges = held_under(LONG)
     now = NOW + SECOND
@@ -247,7 +247,7 @@
     assert all(known.held_until == latest_lease_end(now, LONG.duration_ns) for known in key_ranges.ranges)
 
 
-def test_the_recorded_length_of_leases_falls_only_when_no_longer_one_can_run():
+def test_recorded_lease_length_is_lowered_only_after_longer_leases_have_ended():
     key_ranges = held_under(LONG)
     settle(key_ranges, NOW + SECOND)
     settle(key_ranges, NOW + 2 * SECOND)
@@ -266,7 +266,7 @@
     assert recorded[-1][1] == LEASE_DURATION_NS
 
 
-def test_a_new_leader_waits_for_the_recorded_length_of_leases():
+def test_new_leader_waits_for_the_recorded_lease_length():
     recorded = held_by("s", "t").to_record()
     for length in (LEASE_DURATION_NS, LONG.duration_ns):
         key_ranges = KeyRanges(NOW, 2, recorded, length)
--- a/tests/sharding/test_model.py
+++ b/tests/sharding/test_model.py
@@ -293,7 +293,7 @@
     return len(visited), not queue, None
 
 
-def test_no_order_of_steps_has_two_servers_hold_the_key():
+def test_two_servers_never_hold_the_key_in_visited_states():
     visited, _, trace = explore(3, 2, most=20_000)
     assert trace is None and visited >= 20_000, trace
 
@@ -301,7 +301,7 @@
 @pytest.mark.parametrize(
     "defect, last", [("no wait", "grant"), ("no record", "grant"), ("wiped counts", "grant"), ("old token", "arrives")]
 )
-def test_each_safeguard_left_out_is_found_with_a_shortest_trace(defect, last):
+def test_each_removed_safeguard_is_detected_with_a_shortest_trace(defect, last):
     visited, _, trace = explore(3, 2, defect)
     assert trace is not None and trace[-1].split()[0] == last and visited < 50_000, (visited, trace)
 
--- a/tests/sharding/test_recorded_run.py
+++ b/tests/sharding/test_recorded_run.py
@@ -68,5 +68,5 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_recorded_run_is_decided_as_it_was(seed):
+def test_recorded_run_gives_the_recorded_digests(seed):
     assert RecordedRun(Subject, seed).run() == recorded()[str(seed)]
--- a/tests/sharding/test_shard_placement.py
+++ b/tests/sharding/test_shard_placement.py
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("load", [0.3, 0.6, 0.85])
 @pytest.mark.parametrize("speed", [0.7, 1.5])
-def test_a_servers_speed_is_seen_with_and_without_a_queue(load, speed):
+def test_relative_speed_is_estimated_with_and_without_queueing(load, speed):
     log_speeds = []
     for seed in range(8):
         random, estimates, at = Random(seed), [ServiceTimeEstimate(), ServiceTimeEstimate()], 0.0
@@ -47,7 +47,7 @@
     assert abs(mean(log_speeds) - math.log(speed)) < 0.12
 
 
-def test_the_mean_time_is_least_where_slow_servers_keep_more_spare_capacity():
+def test_slow_servers_get_less_than_their_proportional_share_at_low_load():
     """At little load a slow server takes less than its speed would say; the busier all are, the nearer to it."""
     shares = []
     for requests_per_s in (40, 110):
@@ -62,7 +62,7 @@
     assert shares[0] < 0.9 * proportional and shares[0] < shares[1] < 1.1 * proportional
 
 
-def test_the_next_leader_begins_with_what_was_learned():
+def test_new_leader_uses_recorded_speed_estimates():
     ratios = []
     for kept in (False, True):
         service = ShardedService(3, SPEEDS, 80, 0.16, 0.6)
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("seed", [0, 1, 25])
-def test_wandering_load_is_followed_and_no_range_is_lost_on_the_way(seed):
+def test_ranges_cover_all_keys_while_the_popular_region_moves(seed):
     """Guards against a pass that meets a range which it was not told of: a neighbour that was to merge and did not."""
     service = ShardedService(seed, [1.0] * 6, 60, 0.08, 0.6, popular_keys=2000)
     for _ in range(8):
@@ -88,13 +88,13 @@
         assert ranges[-1].last == KEY_COUNT - 1 and len(ranges) <= 6 * len(service.servers)
 
 
-def test_an_estimate_is_recorded_in_full():
+def test_recorded_estimate_gives_the_same_service_time():
     estimate = ServiceTimeEstimate()
     estimate.add(0.5, 7.0, 4, -8.25, 3)
     assert ServiceTimeEstimate(estimate.to_record()).log_service_time(0.3) == pytest.approx(
         estimate.log_service_time(0.3), rel=0.01
     )
-    assert ServiceTimeEstimate().evidence() == 0
+    assert ServiceTimeEstimate().sample_size() == 0
     assert round(SECOND * 0.5) == SECOND // 2
 
 
@@ -109,7 +109,7 @@
 
 
 @given(reports_in_time)
-def test_the_window_holds_the_sums_of_all_reports_in_it(reports_in_time):
+def test_window_sums_equal_the_sums_of_the_reports_in_the_window(reports_in_time):
     """Whatever is reported when: the sorted keys and the sums are those of the reports that the window still has."""
     now = 100 * SECOND
     key_ranges = KeyRanges(now, 1, None)
@@ -136,7 +136,7 @@
 
 
 @given(st.lists(st.integers(0, 20)), st.data())
-def test_keys_are_taken_out_one_for_one(keys, data):
+def test_each_expired_key_removes_one_equal_key(keys, data):
     keys.sort()
     expired = sorted(data.draw(st.lists(st.sampled_from(keys), max_size=len(keys)))) if keys else []
     expired = sorted((Counter(expired) & Counter(keys)).elements())
