--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -111,7 +111,7 @@
         return upper
 
     def can_merge(self, lower: KeyRange, upper: KeyRange) -> bool:
-        """Whether `lower` and `upper`, the range after it, may be merged: one server holds both, neither is changing."""
+        """Whether `lower` and `upper`, the range after it, may be merged: one server holds both, none is changing."""
         return lower.server == upper.server and lower.can_merge() and upper.can_merge()
 
     def merge(self, lower: KeyRange, upper: KeyRange) -> None:
--- a/tests/sharding/test_key_ranges.py
+++ b/tests/sharding/test_key_ranges.py
@@ -1,4 +1,4 @@
-"""Key ranges by themselves: fencing tokens that servers have seen, merged ranges, what is reported of unowned keys."""
+"""Key ranges without placement: fencing tokens, merges, releases, leases, and reports on unowned keys."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 from kestrelplank.time_units import SECOND
 
 NOW = 100 * SECOND
-USUAL, LONG = LeaseTerms(LEASE_DURATION_NS, SECOND), LeaseTerms(LONG_LEASE_NS, SECOND)
+SHORT, LONG = LeaseTerms(LEASE_DURATION_NS, SECOND), LeaseTerms(LONG_LEASE_NS, SECOND)
 GRANTED, RELEASED = ServerCallResult(True, 200), ServerCallResult(True, 200, "h")
 
 
@@ -31,7 +31,7 @@
 
 
 def key_ranges_over(names=("s", "t"), count=2, recorded=None, term=1):
-    """Key ranges of listed servers; `count` unowned ones if nothing is `recorded`."""
+    """Key ranges with these servers; `count` unowned ones if nothing is `recorded`."""
     key_ranges = KeyRanges(NOW, term, recorded)
     if recorded is None:
         key_ranges.create_initial_ranges(count)
@@ -39,15 +39,15 @@
     return key_ranges
 
 
-def succeed(request):
-    """How a call ends at a server that takes it."""
+def success_of(request):
+    """The result of a call that the server accepts."""
     return RELEASED if isinstance(request, ReleaseKeyRange) else GRANTED
 
 
-def settle(key_ranges, now, result_of=succeed, most=99):
-    """Carry out what follows, with calls that end at once, until nothing does. Return the effects."""
+def tick_until_idle(key_ranges, now, result_of=success_of, max_ticks=99):
+    """Tick until there are no more effects, with calls that end at once. Return all effects."""
     carried_out = []
-    for _ in range(most):
+    for _ in range(max_ticks):
         effects = key_ranges.tick(now)
         if not effects:
             return carried_out
@@ -62,11 +62,11 @@
 
 
 def held_by(*names, servers=("s", "t")):
-    """Key ranges that these servers hold, one each."""
+    """One key range for each name, held by that server."""
     key_ranges = key_ranges_over(servers, len(names))
     for key_range, name in zip(key_ranges.ranges, names):
         key_ranges.assign(key_range, key_ranges.servers[name])
-    settle(key_ranges, NOW)
+    tick_until_idle(key_ranges, NOW)
     return key_ranges
 
 
@@ -74,11 +74,11 @@
     return [type(effect) for effect in effects]
 
 
-@pytest.mark.parametrize("seen", [1, 5_000_000, 77_000_000_000])
-def test_fencing_tokens_rise_above_those_seen_by_servers_after_the_log_was_lost(seen):
-    key_ranges, seen_tokens = key_ranges_over(), {"s": seen, "t": seen}
+@pytest.mark.parametrize("seen_token", [1, 5_000_000, 77_000_000_000])
+def test_fencing_tokens_rise_above_those_seen_by_servers_after_the_log_was_lost(seen_token):
+    key_ranges, seen_tokens = key_ranges_over(), {"s": seen_token, "t": seen_token}
 
-    def fenced_by_what_was_seen(request):
+    def answer_by_seen_tokens(request):
         token = request.key_range.fencing_token
         if token < seen_tokens[request.server]:
             return ServerCallResult(True, 409)
@@ -87,11 +87,11 @@
 
     for key_range, name in zip(key_ranges.ranges, ("s", "t")):
         key_ranges.assign(key_range, key_ranges.servers[name])
-    settle(key_ranges, NOW, fenced_by_what_was_seen)
+    tick_until_idle(key_ranges, NOW, answer_by_seen_tokens)
     assert [(keys.server, keys.state, keys.held_until) for keys in key_ranges.ranges] == [
         (name, KeyRangeState.HELD, latest_lease_end(NOW)) for name in ("s", "t")
     ]
-    # The next leader's tokens are higher yet, though its term is low.
+    # The next leader's tokens are higher still, although its term is low.
     assert key_ranges_over(recorded=key_ranges.to_record(), term=2).highest_token > max(seen_tokens.values())
 
 
@@ -100,12 +100,12 @@
     for key_range in key_ranges.ranges:
         key_ranges.assign(key_range, key_ranges.servers["s"])
     assert not key_ranges.can_merge(*key_ranges.ranges)  # not recorded yet
-    settle(key_ranges, NOW)
+    tick_until_idle(key_ranges, NOW)
     lower, upper = key_ranges.ranges
     highest = max(lower.fencing_token, upper.fencing_token)
     key_ranges.merge(lower, upper)
-    effects = settle(key_ranges, NOW)
-    assert kinds(effects) == [RecordKeyRanges, GrantKeyRange]  # not renewed before a majority knows it
+    effects = tick_until_idle(key_ranges, NOW)
+    assert kinds(effects) == [RecordKeyRanges, GrantKeyRange]  # not renewed before it is recorded
     assert key_ranges.to_record() == [(0, KEY_COUNT - 1, "s", "s:80", highest + 1, None)]
 
 
@@ -113,10 +113,10 @@
     key_ranges = held_by("s", "s")
     key_range = key_ranges.ranges[0]
     key_ranges.start_release(NOW, key_range, "t")
-    assert kinds(settle(key_ranges, NOW)) == [KeyRangeReleasing, ReleaseKeyRange]
+    assert kinds(tick_until_idle(key_ranges, NOW)) == [KeyRangeReleasing, ReleaseKeyRange]
     assert key_range.state is KeyRangeState.UNOWNED
     key_ranges.assign(key_range, key_ranges.servers["t"])
-    effects = settle(key_ranges, NOW + SECOND // 4)
+    effects = tick_until_idle(key_ranges, NOW + SECOND // 4)
     assert [effect for effect in effects if isinstance(effect, KeyRangeUnownedFor)] == [
         KeyRangeUnownedFor(key_range, SECOND // 4)
     ]
@@ -145,8 +145,7 @@
 
 
 def test_answer_of_a_replaced_server_is_ignored():
-    """Guards against a grant that is out when another server answers at the address: its answer would have been taken
-    for that of the server that gets the keys next."""
+    """Guards against a grant in flight while its server is replaced: its answer must not count for the next holder."""
     key_ranges = key_ranges_over(count=1)
     key_range = key_ranges.ranges[0]
     key_ranges.assign(key_range, key_ranges.servers["s"])
@@ -170,7 +169,7 @@
 
 @pytest.mark.parametrize("status, handover", [(200, None), (500, "h"), (409, "h"), (None, None)])
 def test_release_ends_only_with_its_own_answer(status, handover):
-    """Every release is answered with a handover: a 200 without one is an older grant's, come late."""
+    """Every release is answered with a handover: a 200 without one is a late answer to an older grant."""
     key_ranges = held_by("s")
     key_range = key_ranges.ranges[0]
     key_ranges.start_release(NOW, key_range, "t")
@@ -201,28 +200,28 @@
 def test_a_stalled_range_is_reported_once():
     key_ranges = held_by("s")
     key_range = key_ranges.ranges[0]
-    key_ranges.handle_server_list(NOW, [server("t")])  # its server is gone, and may hold its keys yet
+    key_ranges.handle_server_list(NOW, [server("t")])  # its server is gone, and may still hold its keys
     assert key_ranges.newly_stalled(NOW + 9 * SECOND) == []
     assert key_ranges.newly_stalled(NOW + 11 * SECOND) == [KeyRangeStalled(key_range)]
     assert key_ranges.newly_stalled(NOW + 12 * SECOND) == []
 
 
 def test_assigning_a_range_clears_its_successor():
-    """Guards against going on with a move that is over, once its new server is gone."""
+    """Guards against repeating a finished move after its new server is gone."""
     key_ranges = held_by("s")
     (key_range,) = key_ranges.ranges
     key_ranges.start_release(NOW, key_range, "t")
-    settle(key_ranges, NOW)
+    tick_until_idle(key_ranges, NOW)
     assert key_range.state is KeyRangeState.UNOWNED and key_range.successor == "t"
     key_ranges.assign(key_range, key_ranges.servers["t"])
     assert key_range.successor is None
-    settle(key_ranges, NOW)
+    tick_until_idle(key_ranges, NOW)
     key_ranges.handle_server_list(NOW + SECOND, [server("s"), server("u", address="t:80")])
     assert key_ranges.assignable() == [key_range] and key_range.successor is None
 
 
-def held_under(terms, count=2):
-    """Key ranges held by one server, under these terms."""
+def held_with_terms(terms, count=2):
+    """Key ranges held by one server, with these lease terms set for further grants."""
     key_ranges = held_by(*["s"] * count)
     key_ranges.terms = terms
     return key_ranges
@@ -233,8 +232,8 @@
 
 
 def test_longer_leases_are_granted_only_after_their_length_is_recorded():
-    """A new leader waits for as long as the record says: it must not say less than was granted."""
-    key_ranges = held_under(LONG)
+    """A new leader waits for the recorded lease length, so it must not be shorter than a granted lease."""
+    key_ranges = held_with_terms(LONG)
     now = NOW + SECOND
     effects = key_ranges.tick(now)
     assert [effect.max_lease_ns for effect in effects if isinstance(effect, RecordKeyRanges)] == [LONG.duration_ns]
@@ -243,21 +242,21 @@
         key_ranges.handle_call_ended(now, grant, GRANTED)
     key_ranges.handle_recorded(now)
     now += SECOND
-    assert {grant.lease_ns for grant in grants(settle(key_ranges, now))} == {LONG.duration_ns}
-    assert all(known.held_until == latest_lease_end(now, LONG.duration_ns) for known in key_ranges.ranges)
+    assert {grant.lease_ns for grant in grants(tick_until_idle(key_ranges, now))} == {LONG.duration_ns}
+    assert all(key_range.held_until == latest_lease_end(now, LONG.duration_ns) for key_range in key_ranges.ranges)
 
 
 def test_recorded_lease_length_is_lowered_only_after_longer_leases_have_ended():
-    key_ranges = held_under(LONG)
-    settle(key_ranges, NOW + SECOND)
-    settle(key_ranges, NOW + 2 * SECOND)
-    key_ranges.terms = USUAL
+    key_ranges = held_with_terms(LONG)
+    tick_until_idle(key_ranges, NOW + SECOND)
+    tick_until_idle(key_ranges, NOW + 2 * SECOND)
+    key_ranges.terms = SHORT
     recorded, now = [], NOW + 2 * SECOND
     while now < NOW + 20 * SECOND:
         now += SECOND
         key_ranges.ranges[0].fencing_token += 1  # something else to record, each second
         key_ranges.ranges[0].recorded = False
-        effects = settle(key_ranges, now)
+        effects = tick_until_idle(key_ranges, now)
         assert {grant.lease_ns for grant in grants(effects)} <= {LEASE_DURATION_NS}
         lengths = [effect.max_lease_ns for effect in effects if isinstance(effect, RecordKeyRanges)]
         recorded += [(now, length) for length in lengths]
@@ -270,4 +269,4 @@
     recorded = held_by("s", "t").to_record()
     for length in (LEASE_DURATION_NS, LONG.duration_ns):
         key_ranges = KeyRanges(NOW, 2, recorded, length)
-        assert all(known.held_until >= latest_lease_end(NOW, length) for known in key_ranges.ranges)
+        assert all(key_range.held_until >= latest_lease_end(NOW, length) for key_range in key_ranges.ranges)
--- a/tests/sharding/test_recorded_run.py
+++ b/tests/sharding/test_recorded_run.py
@@ -1,8 +1,8 @@
-"""What a leader decides of key ranges is, byte for byte, what 4f929ce decided: records, calls, messages to edges."""
+"""Guards against changed decisions on key ranges: records, calls and messages equal those of 4f929ce byte for byte."""
 
 import msgspec
 import pytest
-from sharding.recorded_run import RecordedRun, recorded
+from sharding.recorded_run import RecordedRun, recorded_digests
 
 from kestrelplank.control.shard_assigner import CommitRecord, PushKeyRanges, ShardAssigner
 from kestrelplank.control.shard_record import read_record
@@ -18,26 +18,26 @@
 
 
 class Subject:
-    """The code under test, by neutral names."""
+    """Adapts the code under test to the names that RecordedRun uses."""
 
     def __init__(self, now, term, record, servers, seed):
         self.assigner = ShardAssigner(
-            now, "views", term, read_record(record), self.listing(servers), 500 * MILLISECOND, seed
+            now, "views", term, read_record(record), self.shard_servers(servers), 500 * MILLISECOND, seed
         )
 
-    def listing(self, servers):
+    def shard_servers(self, servers):
         return [ShardServer(name, *fields[:5]) for name, fields in servers.items()]
 
-    def listed(self, now, servers):
-        self.assigner.handle_server_list(now, self.listing(servers))
+    def servers_listed(self, now, servers):
+        self.assigner.handle_server_list(now, self.shard_servers(servers))
 
-    def report(self, now, keys, met):
-        self.assigner.placement.handle_load_report(now, keys, met)
+    def report(self, now, keys, measurements):
+        self.assigner.placement.handle_load_report(now, keys, measurements)
 
-    def called(self, now, request, sent, status, handover):
+    def call_ended(self, now, request, sent, status, handover):
         return self.assigner.handle_call_ended(now, request, ServerCallResult(sent, status, handover))
 
-    def recorded(self, now):
+    def record_committed(self, now):
         return msgspec.msgpack.encode(self.assigner.handle_record_committed(now).message)
 
     def update(self):
@@ -50,7 +50,7 @@
             self.assigner.placement.learned_speeds(),
         )
 
-    def work(self, now):
+    def due_effects(self, now):
         for effect in self.assigner.tick(now, 0):
             match effect:
                 case CommitRecord(record):
@@ -69,4 +69,4 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_recorded_run_gives_the_recorded_digests(seed):
-    assert RecordedRun(Subject, seed).run() == recorded()[str(seed)]
+    assert RecordedRun(Subject, seed).run() == recorded_digests()[str(seed)]
--- a/tests/sharding/test_shard_placement.py
+++ b/tests/sharding/test_shard_placement.py
@@ -1,4 +1,4 @@
-"""Where keys go, over servers with queues: what is learned of servers, what they weigh, and that a new leader keeps it."""
+"""Placement on emulated servers with queues: speed estimates, server weights, handover to a new leader, windows."""
 
 import math
 from collections import Counter
@@ -48,7 +48,7 @@
 
 
 def test_slow_servers_get_less_than_their_proportional_share_at_low_load():
-    """At little load a slow server takes less than its speed would say; the busier all are, the nearer to it."""
+    """At low load a slow server gets less than in proportion to its speed; at high load nearly in proportion."""
     shares = []
     for requests_per_s in (40, 110):
         slow_shares = []
@@ -64,10 +64,10 @@
 
 def test_new_leader_uses_recorded_speed_estimates():
     ratios = []
-    for kept in (False, True):
+    for recorded in (False, True):
         service = ShardedService(3, SPEEDS, 80, 0.16, 0.6)
         service.run(30)
-        learned_speeds = service.placement.learned_speeds() if kept else None
+        learned_speeds = service.placement.learned_speeds() if recorded else None
         service.begin_term(2, service.key_ranges.to_record(), learned_speeds)
         service.run(1)
         weights = service.placement.server_weights.slot_weights
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("seed", [0, 1, 25])
 def test_ranges_cover_all_keys_while_the_popular_region_moves(seed):
-    """Guards against a pass that meets a range which it was not told of: a neighbour that was to merge and did not."""
+    """Guards against a range that the policy does not know: a neighbour whose merge was cancelled."""
     service = ShardedService(seed, [1.0] * 6, 60, 0.08, 0.6, popular_keys=2000)
     for _ in range(8):
         service.first_popular_key = service.random.randrange(KEY_COUNT)
@@ -110,7 +110,7 @@
 
 @given(reports_in_time)
 def test_window_sums_equal_the_sums_of_the_reports_in_the_window(reports_in_time):
-    """Whatever is reported when: the sorted keys and the sums are those of the reports that the window still has."""
+    """For random reports, the sorted keys and the sums equal those of the reports within the window."""
     now = 100 * SECOND
     key_ranges = KeyRanges(now, 1, None)
     key_ranges.handle_server_list(now, [ShardServer(name, f"{name}:80", "z", 2, True, 0) for name in "abc"])
@@ -130,8 +130,8 @@
     sums = {}
     for at, _, servers in reports:
         for name, (attempts, failures, *_) in servers.items() if now - at < WINDOW_NS else ():
-            known = sums.get(name, AttemptSums(0, 0, 0))
-            sums[name] = AttemptSums(known.attempts + attempts, known.failures + failures, known.reports + 1)
+            previous = sums.get(name, AttemptSums(0, 0, 0))
+            sums[name] = AttemptSums(previous.attempts + attempts, previous.failures + failures, previous.reports + 1)
     assert placement.attempts.sums == sums
 
 
