--- a/kestrelplank/policy/assigner_policy.py
+++ b/kestrelplank/policy/assigner_policy.py
@@ -15,7 +15,7 @@
 from kestrelplank.policy.slices import Slice
 from kestrelplank.policy.state import AssignerState
 
-ROUND_TIMER = "beat"  # this name is written to the wire
+ROUND_TIMER = "beat"  # the timer's name on the wire
 
 
 class Policy:
@@ -122,7 +122,7 @@
         """
         referenced = {index for owned in self.slices.values() for index in (*owned.desired, *owned.ordered)}
         for index, node in list(self.nodes.items()):
-            if node.joined_order_due:  # one order for all proxies that joined since the last round
+            if node.joined_order_due:  # one order for all proxies that joined since the last timed round
                 node.order_due, node.joined_order_due = True, False
             unchanged_ns = now - node.withdrawal_changed_at
             idle = index not in referenced and unchanged_ns > parameters.MAX_EJECTION_NS and not node.sums().attempts
@@ -136,7 +136,7 @@
                 node.state = NodeState.REMOVED
 
     def _list_overdue(self, now: int, known_for_ns: int) -> bool:
-        """Whether a list should by now have named a node known only from the store, for `known_for_ns`."""
+        """Whether a list should by now have named a node that only the store has named, `known_for_ns` ago."""
         list_removals_bind = self.list_received and not self.state.settings.only_draining_binds
         settling_over = list_removals_bind or now >= self.state.moves_allowed_at
         return known_for_ns > self.state.settings.withdrawal_deadline_ns // 3 and settling_over
--- a/kestrelplank/policy/balancing.py
+++ b/kestrelplank/policy/balancing.py
@@ -155,7 +155,7 @@
         return True
 
     def _delay_moves(self, index: int) -> None:
-        """Keep a node out of further moves until reports show this one; a warming node waits for one second only."""
+        """Keep a node out of further moves until reports show this one; a warming node waits for only one second."""
         node = self._state.nodes[index]
         warming_up = self._state.capacity_share(node, self._now) < 1.0
         node.moves_allowed_at = self._now + SECOND + (0 if warming_up else LOAD_PERIODS * self._state.period_ns)
--- a/kestrelplank/policy/channel.py
+++ b/kestrelplank/policy/channel.py
@@ -22,7 +22,7 @@
 class Channel:
     """Tracks the messages that proxies have not acknowledged yet.
 
-    Messages are sent in order, so an acknowledgement of one proves that all older ones have been sent.
+    Messages leave the queue in order, so an acknowledgement of one proves that all older ones have left it.
     """
 
     def __init__(self, settings: PolicySettings) -> None:
@@ -69,7 +69,7 @@
         return not any(watermark in queue for queue in self.unacknowledged.values())
 
     def capacity(self, now: int, queue_share: float, reserved_messages: int, orders_due: int) -> float:
-        """Return how many orders a message may hold.
+        """Return how many orders the next message may hold.
 
         0 until all due orders fit, or half of what an empty queue holds: small messages would fill it with overhead.
         """
@@ -85,7 +85,7 @@
         return capacity if capacity >= min(orders_due, capacity_when_empty / 2) else 0
 
     def queued(self) -> float:
-        """Return the number of orders in the channel that are not known to have left."""
+        """Return the number of orders that are not known to have left the queue, overhead included."""
         return sum(message.cost * message.proxies for message in self.in_flight.values())
 
     def send(self, now: int, orders: int, out: OrderWriter) -> None:
--- a/kestrelplank/policy/load_shedding.py
+++ b/kestrelplank/policy/load_shedding.py
@@ -25,7 +25,7 @@
         self.ordered: dict[int, float] = {}  # by op type: the admitted share that was last ordered
         self.overloaded = False
         self._recent_shed: deque[float] = deque(maxlen=parameters.LOAD_PERIODS)
-        self.best_acknowledged = 0.0  # most ops that a usable node acknowledged in a period, decaying
+        self.best_acknowledged = 0.0  # highest mean of acknowledged ops per usable node in a period, decaying
 
     def count(self, op_type: int, ops: float) -> None:
         """Count received ops; none while shedding, as clients retry rejected ones."""
--- a/kestrelplank/policy/node.py
+++ b/kestrelplank/policy/node.py
@@ -57,10 +57,10 @@
         self.current_period = NO_REPORTS
         self.periods: deque[ReportSums] = deque(maxlen=LOAD_PERIODS)
         self.ejected_until, self.ejection_ns = -MAX_EJECTION_NS, MIN_EJECTION_NS
-        self.moves_allowed_at = 0  # no slice is moved from or to it before
+        self.moves_allowed_at = 0  # the balancing pass moves no slice from or to it before
         self.peer_loads: dict[int, tuple[float, int]] = {}  # by peer: ops a second of its slices here, received at
         self.recent_starts: tuple[int, ...] = ()
-        self.flapping_until = 0  # gets no slices before
+        self.flapping_until = 0  # until then it gets slices only if no other node is usable
         self.awaiting_load = False  # new or restarted, and below its share of the load
         self.former_slices_removed = True  # all slices that it had before its last start are removed from it
 
@@ -107,6 +107,6 @@
         return sum(ops for ops, received_at in self.peer_loads.values() if now - received_at < PEER_LOADS_VALID_NS)
 
     def zone_latency_s(self, last: int) -> float | None:
-        """Return its mean latency (s) seen from its own zone, or None: latency between zones is not overload."""
+        """Return its mean latency (s) from its own zone, as inter-zone latency is not overload; None if unknown."""
         sums = self.sums(last)
         return sums.zone_latency_s / sums.zone_attempts if sums.zone_attempts > sums.zone_failures else None
--- a/kestrelplank/policy/parameters.py
+++ b/kestrelplank/policy/parameters.py
@@ -31,7 +31,7 @@
 # Load shedding.
 # Median latency over its target: shed more above the first, less below the second.
 OVERLOAD_LATENCY_RATIO, RECOVERED_LATENCY_RATIO = 0.35, 0.25
-BEST_DECAY = 0.98  # per report period, of the most ops that a node acknowledged
+BEST_DECAY = 0.98  # per report period, of the highest mean of acknowledged ops per node
 SHED_MARGIN, MAX_SHED, SHED_STEP = 1.05, 0.9, 0.05
 
 # The channel to the proxies.
--- a/kestrelplank/sharding/placement.py
+++ b/kestrelplank/sharding/placement.py
@@ -83,7 +83,7 @@
                 self._key_ranges.assign(key_range, server)
 
     def _assign_initially(self) -> None:
-        """Assign ranges that no server ever held evenly by slots; neighbours apart, as busy keys lie close together."""
+        """Spread ranges without a former server evenly by slots, neighbours apart, as busy keys lie close together."""
         servers = [server for server in self._key_ranges.servers.values() if server.ready]
         # A heap of each server's load with one more range, least first.
         loads = [((position + 1) / len(servers) / server.slots, position) for position, server in enumerate(servers)]
--- a/tests/sharding/recorded_run.py
+++ b/tests/sharding/recorded_run.py
@@ -29,7 +29,7 @@
         # by name: address, zone, slots, ready, warm_at, speed
         self.servers = {f"s{number}": self.server(number, speed) for number, speed in enumerate(SPEEDS)}
         self.next_server = len(SPEEDS)
-        self.hottest = self.random.randrange(KEY_COUNT)
+        self.first_popular_key = self.random.randrange(KEY_COUNT)
         self.calls = []  # end time, a number that breaks ties, request, sent, status, handover
         self.call_count = 0
         self.committed, self.commit_at = None, None
@@ -68,7 +68,7 @@
 
     def inject_events(self, tick):
         if tick % 200 == 0:
-            self.hottest = self.random.randrange(KEY_COUNT)
+            self.first_popular_key = self.random.randrange(KEY_COUNT)
         if tick % 60 == 0:
             self.change_servers()
         if tick % 1300 == 0:
@@ -102,7 +102,7 @@
         for _ in range(2):
             keys, measurements = [], {}
             for _ in range(15):
-                keys.append((self.hottest + int(KEY_COUNT * self.random.random() ** 3)) % KEY_COUNT)
+                keys.append((self.first_popular_key + int(KEY_COUNT * self.random.random() ** 3)) % KEY_COUNT)
             for name, server in self.servers.items():
                 answers = self.random.randrange(5)
                 log = self.random.gauss(-2.0, 0.5)
