--- a/kestrelplank/sharding/greedy_pass.py
+++ b/kestrelplank/sharding/greedy_pass.py
@@ -58,7 +58,7 @@
 
 
 class GreedyPass:
-    """The policy of one service.
+    """The policy of one service, which other modules of this package call the pass.
 
     `slice_numbers`: the slice number of each range that the policy places.
 
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -79,9 +79,9 @@
     ) -> None:
         recorded = recorded or ()
         # Recorded tokens may be above those of their leader's term, as `_raise_fencing_token` takes large steps.
-        token_term = max(term, *(known.fencing_token // FENCING_TOKENS_PER_TERM + 1 for known in recorded), 0)
+        token_term = max(term, *(entry.fencing_token // FENCING_TOKENS_PER_TERM + 1 for entry in recorded), 0)
         self.highest_token = token_term * FENCING_TOKENS_PER_TERM
-        self.ranges = [KeyRange(*known) for known in recorded]
+        self.ranges = [KeyRange(*entry) for entry in recorded]
         for key_range in self.ranges:  # the former leader may have renewed each lease until now
             key_range.held_until = latest_lease_end(now + GRANT_TIMEOUT_NS + LATE_DELIVERY_NS, max_lease_ns)
         self.terms = LeaseTerms(LEASE_DURATION_NS, RENEWAL_INTERVAL_NS)
