--- a/kestrelplank/control/inbound_connections.py
+++ b/kestrelplank/control/inbound_connections.py
@@ -62,7 +62,7 @@
         return {
             name: EdgeStatus(
                 configuration_version=None if session.reported_version is None else f"{session.reported_version:08x}",
-                last_heard_s=round(session.silence_ns(now) / SECOND, 3),
+                last_heard_s=round(session.idle_ns(now) / SECOND, 3),
             )
             for name, session in sorted(self._edges.by_name.items())
         }
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -104,7 +104,7 @@
     def _vouches(self, now: int, heartbeat: MemberHeartbeat) -> bool:
         """Whether a member confirms by this that no newer configuration than the one held here is in force."""
         recent = now - heartbeat.heartbeat_sent_at <= VOUCH_MAX_AGE_NS
-        if not (heartbeat.may_vouch and recent) or self.configuration is None:
+        if not (heartbeat.is_current and recent) or self.configuration is None:
             return False
         in_force = heartbeat.configuration_version
         return in_force is None or in_force <= self.configuration.key.version
--- a/kestrelplank/transport/messages.py
+++ b/kestrelplank/transport/messages.py
@@ -83,7 +83,7 @@
 
     :param epoch: of the newest membership that is committed here.
     :param leader: control address of who leads in `term` as far as is known here, "": nobody.
-    :param may_vouch: whether the sender is current, so that its `configuration_version` is the one in force.
+    :param is_current: whether the sender is current, so that its `configuration_version` is the one in force.
     :param configuration_version: None where there is no configuration yet.
     :param voters: control addresses of the voters of that membership, on both sides of a change.
     :param edge_count: edge machines in session with the sender.
@@ -93,7 +93,7 @@
     epoch: int
     term: int
     leader: str
-    may_vouch: bool
+    is_current: bool
     configuration_version: int | None
     voters: tuple[str, ...]
     edge_count: int
--- a/kestrelplank/transport/sessions.py
+++ b/kestrelplank/transport/sessions.py
@@ -29,7 +29,7 @@
         self.connection, self.heard_at = connection, heard_at
         self.reported_version: int | None = None  # of the configuration that the peer reports to have in force
 
-    def silence_ns(self, now: int) -> int:
+    def idle_ns(self, now: int) -> int:
         """Return for how long nothing has come."""
         return now - self.heard_at
 
--- a/tests/control/test_operator_orders.py
+++ b/tests/control/test_operator_orders.py
@@ -42,7 +42,7 @@
 def vouches(system, name):
     """Whether that member tells edge machines that it is current."""
     (beat, *_) = system.members[name].handle_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)
-    return beat.may_vouch
+    return beat.is_current
 
 
 def in_force(system):
--- a/tests/transport/test_edge_view.py
+++ b/tests/transport/test_edge_view.py
@@ -18,8 +18,8 @@
 MEMBERS = ("a:1", "b:1", "c:1")
 
 
-def heartbeat(version=None, voters=MEMBERS, epoch=0, term=1, leader="a:1", may_vouch=True, heartbeat_sent_at=0):
-    return MemberHeartbeat(epoch, term, leader, may_vouch, version, voters, 12, heartbeat_sent_at)
+def heartbeat(version=None, voters=MEMBERS, epoch=0, term=1, leader="a:1", is_current=True, heartbeat_sent_at=0):
+    return MemberHeartbeat(epoch, term, leader, is_current, version, voters, 12, heartbeat_sent_at)
 
 
 def configuration(version):
@@ -48,7 +48,7 @@
 def test_ready_is_who_holds_what_a_current_member_vouches_for():
     view = holding(5)
     assert not view.ready()
-    view.receive(0, "a:1", heartbeat(5, may_vouch=False))  # it is cut off: what it says counts for nothing
+    view.receive(0, "a:1", heartbeat(5, is_current=False))  # it is cut off: what it says counts for nothing
     assert not view.ready()
     view.receive(0, "b:1", heartbeat(9))
     assert not view.ready()  # a newer one is in force
--- a/tests/transport/test_sessions.py
+++ b/tests/transport/test_sessions.py
@@ -16,7 +16,7 @@
 
 def test_a_newer_connection_takes_the_place_of_the_older_whose_late_messages_count_for_nothing():
     sessions, old, new = Sessions(), Connection(), Connection()
-    assert sessions.on_message(1 * SECOND, old, "a").silence_ns(3 * SECOND) == 2 * SECOND
+    assert sessions.on_message(1 * SECOND, old, "a").idle_ns(3 * SECOND) == 2 * SECOND
     session = sessions.on_message(2 * SECOND, new, "a")
     assert session.connection is new and old.resets == 1
     assert sessions.on_message(3 * SECOND, old, "a") is None  # it was under way, or the former process's
