--- a/kestrelplank/forwarding/endpoint.py
+++ b/kestrelplank/forwarding/endpoint.py
@@ -1,7 +1,7 @@
 """One server as one edge machine sees it.
 
-This edge's requests in flight there, the load that the server reported, how long answers take, and the statistics since
-the last load report to the control members.
+Keeps this edge's requests in flight at the server, the load that the server reported, its latency, and the statistics
+since the last load report to the control members.
 """
 
 import math
@@ -9,26 +9,26 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 from kestrelplank.transport.server_list import READY, ListedServer
 
-LOAD_HALF_LIFE_NS = 300 * MILLISECOND  # of the reported requests of other edges: they count for half after that time
-INITIAL_LATENCY_S = 0.15  # of a request at a server that has not answered yet
-LATENCY_WEIGHT = 0.1  # of the newest answer in the moving average of latencies
+LOAD_HALF_LIFE_NS = 300 * MILLISECOND  # the last reported load of other edges counts for half after this time
+INITIAL_LATENCY_S = 0.15  # assumed for a server that has not answered yet
+LATENCY_WEIGHT = 0.1  # of the newest sample in the moving average of latencies
 MAX_LATENCY_SAMPLE_S = 2.0
 NEGLIGIBLE_LOAD = 0.01  # requests
-MAX_QUEUED = 4  # requests that may wait at a server: beyond that it might take one that it never answers
-# Until a server whose last report is older than this reports again, this edge sends it at most its part of the server's
-# capacity, or so many requests where that part is smaller.
+MAX_QUEUED = 4  # requests queued at a server; one beyond that might never be answered
+# If a server's last load report is older than LOAD_FRESH_NS, this edge sends it at most its share of the server's
+# capacity, or MIN_UNREPORTED_IN_FLIGHT requests where that share is smaller.
 LOAD_FRESH_NS = 1 * SECOND
 MIN_UNREPORTED_IN_FLIGHT = 2
-DRAIN_SEND_FRACTION = 0.36  # of the drain time: for so long a draining server may still be sent requests
+DRAIN_SEND_FRACTION = 0.36  # of the drain time, during which a draining server may still be sent requests
 
 ServerLoad = tuple[int, int, int]  # running, waiting, slots
-EndpointStats = tuple[float, ...]  # on the wire of load reports; `Endpoint.stats` names the figures in order
+EndpointStats = tuple[float, ...]  # sent in load reports; `Endpoint.stats` lists the figures in order
 
 
 class Endpoint:
-    """One server, in one of its incarnations.
+    """One incarnation of a server.
 
-    :param number: of this incarnation, given by `Endpoints` and never used twice.
+    :param number: unique number of this incarnation, assigned by `Endpoints`.
     """
 
     __slots__ = (
@@ -40,11 +40,11 @@
         "slots",
         "ready",
         "listed",
-        "warm_at",
+        "warm_up_ends_at",
         "drain_listed_at",
         "in_flight",
         "idle_connections",
-        "load_of_others",
+        "other_edges_load",
         "load_reported_at",
         "latency_s",
         "attempts",
@@ -58,27 +58,27 @@
     def __init__(self, number: int, entry: ListedServer) -> None:
         self.number, self.server, self.service, self.address = number, entry.server, entry.service, entry.address
         self.zone, self.slots = entry.zone, max(1, entry.slots)
-        self.ready, self.listed, self.warm_at = entry.state == READY, True, 0
-        self.drain_listed_at = 0  # when the list that first showed it draining was fetched; 0: it was never ready here
-        self.in_flight = 0  # requests of this edge
-        self.idle_connections = 0  # of this edge, set by the adapter
-        self.load_of_others, self.load_reported_at = 0.0, 0  # requests of other edges, as of its last report
+        self.ready, self.listed, self.warm_up_ends_at = entry.state == READY, True, 0
+        self.drain_listed_at = 0  # when the first list that showed it draining was fetched; 0: it was never ready here
+        self.in_flight = 0  # requests of this edge at the server
+        self.idle_connections = 0  # connections of this edge, set by the adapter
+        self.other_edges_load, self.load_reported_at = 0.0, 0  # requests, as of the last load report
         self.latency_s = INITIAL_LATENCY_S
         self.reset_stats()
 
-    # Its load, as far as is known.
+    # Estimated load.
 
     def load(self, now: int) -> float:
-        """Return how many requests it has in hand, ours and others', as far as is known."""
+        """Return the estimated number of requests at the server, of this edge and of others."""
         others = 0.0
-        if self.load_of_others > NEGLIGIBLE_LOAD:
-            others = self.load_of_others * 0.5 ** ((now - self.load_reported_at) / LOAD_HALF_LIFE_NS)
+        if self.other_edges_load > NEGLIGIBLE_LOAD:
+            others = self.other_edges_load * 0.5 ** ((now - self.load_reported_at) / LOAD_HALF_LIFE_NS)
         return self.in_flight + others
 
     def has_capacity(self, now: int, edge_count: int) -> bool:
-        """Whether it can take one more request and keep its queue short.
+        """Whether the server can take one more request without its queue exceeding `MAX_QUEUED`.
 
-        All edges may send there at once: one without a fresh load report of the server sends no more than its part.
+        All edges may send there at once, so without a recent load report each edge sends no more than its share.
 
         :param edge_count: how many edge machines there are.
         """
@@ -88,42 +88,42 @@
         return self.load(now) < capacity
 
     def expected_wait_s(self, now: int) -> float:
-        """Return the seconds until a further request would be answered, as estimated."""
+        """Return the estimated seconds until one more request would be answered."""
         queued = max(0.0, self.load(now) + 1 - self.slots)
         return self.latency_s * (1 + queued / self.slots)
 
     def is_drained(self, now: int, drain_ns: int) -> bool:
-        """Whether nothing may be sent there any more, as it is about to stop; it may still hold keys.
+        """Whether the server is about to stop, so that nothing may be sent to it; it may still hold keys.
 
-        The list may be older by a poll or two than what it shows, and a connection takes time: so the server counts as
-        drained well before its time is over.
+        The server list may lag by a poll or two, and connecting takes time: so the server counts as drained well before
+        the drain time is over.
 
-        :param drain_ns: time from the platform's listing a server as draining until no request may reach it.
+        :param drain_ns: time from the platform listing a server as draining until no request may reach it.
         """
         return not self.ready and now >= self.drain_listed_at + int(drain_ns * DRAIN_SEND_FRACTION)
 
-    # Attempts, and what is learned from them.
+    # Attempts.
 
     def attempt_started(self) -> None:
-        """Count an attempt that is about to be sent there."""
+        """Count an attempt that is about to be sent."""
         self.in_flight += 1
         self.attempts += 1
         self.idle_connections = max(0, self.idle_connections - 1)
 
     def attempt_discarded(self) -> None:
-        """Take back the attempt that was started: it was not sent, for a reason of our own."""
+        """Uncount an attempt that was started but not sent, for a reason unrelated to the server."""
         self.in_flight -= 1
         self.attempts -= 1
 
     def attempt_abandoned(self) -> None:
-        """Count the end of an attempt that we broke off: nothing is learned from it, but it may have run."""
+        """Count the end of an attempt that this edge aborted: it may have run, but says nothing about the server."""
         self.in_flight -= 1
 
     def attempt_ended(self, now: int, succeeded: bool, duration_ns: int, load: ServerLoad | None) -> None:
-        """Count the end of an attempt, and learn from it.
+        """Count the end of an attempt, and update latency and load from it.
 
-        :param succeeded: its outcome is none that speaks against the server (`forwarder.SERVER_HEALTHY`).
-        :param load: what the server reported with its answer, None: nothing.
+        :param succeeded: its outcome is not a failure of the server (`forwarder.HEALTHY_SERVER_OUTCOMES`).
+        :param load: the load that the server reported with its answer; None: it reported none.
         """
         self.in_flight -= 1
         self.failures += not succeeded
@@ -134,27 +134,27 @@
             self._load_reported(now, succeeded, duration_ns, load)
 
     def _load_reported(self, now: int, succeeded: bool, duration_ns: int, load: ServerLoad) -> None:
-        """Take the load that came with an answer; the server counted our request, which has just ended, too."""
+        """Update the load from an answer; the reported load includes the request that has just ended."""
         running, waiting, slots = load
-        in_hand = running + waiting
-        self.load_of_others, self.load_reported_at = max(0.0, in_hand - self.in_flight - 1.0), now
+        reported_requests = running + waiting
+        self.other_edges_load, self.load_reported_at = max(0.0, reported_requests - self.in_flight - 1.0), now
         self.slots = max(1, slots)
-        if now < self.warm_at:
+        if now < self.warm_up_ends_at:
             return
-        # What is left at work when this one has gone: the next in its queue has begun by then.
-        self.busy_slots_sum += min(max(0, in_hand - 1), self.slots)
+        # The slots busy after this request: the next one in the queue, if any, takes its slot.
+        self.busy_slots_sum += min(max(0, reported_requests - 1), self.slots)
         self.load_reports += 1
-        if succeeded and duration_ns > 0 and in_hand <= self.slots:
+        if succeeded and duration_ns > 0 and reported_requests <= self.slots:
             self.unqueued_log_latency_sum += math.log(duration_ns / SECOND)
             self.unqueued_answers += 1
 
-    # Statistics for the member that assigns keys.
+    # Statistics, for the member that assigns key ranges.
 
     def stats(self) -> EndpointStats:
         """Return the statistics since `reset_stats`.
 
-        Attempts, failures, the sum of busy slots over its load reports, how many these were, the sum of the logarithms
-        of latencies (s) of answers that left no queue, and how many these were.
+        In order: attempts, failures, the sum of busy slots over the server's load reports, the number of those reports,
+        the sum of the logarithms of latencies (s) of answers from a server without a queue, and their number.
         """
         return (
             self.attempts,
@@ -166,7 +166,7 @@
         )
 
     def reset_stats(self) -> None:
-        """Begin the statistics anew, as they have been reported."""
+        """Reset the statistics to 0, after they have been reported."""
         self.attempts, self.failures = 0, 0
         self.busy_slots_sum, self.load_reports = 0.0, 0
         self.unqueued_log_latency_sum, self.unqueued_answers = 0.0, 0
--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -1,4 +1,4 @@
-"""All servers as one edge machine sees them: which are listed, which are ejected for a while, and the choice of one."""
+"""All servers as one edge machine sees them: which are listed, which are ejected, and the choice among them."""
 
 from collections.abc import Iterable
 from random import Random
@@ -8,17 +8,17 @@
 from kestrelplank.time_units import SECOND
 from kestrelplank.transport.server_list import READY, ListedServer
 
-EJECTION_TIME_NS = (1 * SECOND, 2 * SECOND)  # least and most, drawn at each ejection
+EJECTION_TIME_NS = (1 * SECOND, 2 * SECOND)  # bounds, drawn at random for each ejection
 CONSECUTIVE_FAILURES = 2  # after which a server is ejected
 
-# Factors on the expected wait at a server, when one is chosen. Connections and bytes between zones cost money.
-CONNECT_COST = 1.4  # no idle connection: one must be made, and all edges share the number that a server accepts
+# Factors on the expected wait when a server is chosen. Connections and traffic between zones cost money.
+CONNECT_COST = 1.4  # no idle connection: one must be opened, and all edges share the server's connection limit
 OTHER_ZONE_COST = 1.15
-OTHER_ZONE_BODY_BYTES = 80_000  # to another zone, each so many bytes of body add 1 to the factor
-WARMING_UP_WEIGHT = 0.5  # a divisor, of a server that is still slow after its start
-TIE_BREAK_JITTER = 0.3  # up to this is added at random for each server, lest all edges choose the same among equals
+OTHER_ZONE_BODY_BYTES = 80_000  # to another zone, each multiple of this body size adds 1 to the factor
+WARMING_UP_WEIGHT = 0.5  # divisor of the cost of a server that is warming up (slow start)
+TIE_BREAK_JITTER = 0.3  # random, so that edges spread over servers of equal cost
 
-UNUSED_NUMBER = 0  # no endpoint has it
+UNUSED_NUMBER = 0  # of no endpoint
 
 
 class Endpoints:
@@ -35,7 +35,7 @@
         self._last_number = UNUSED_NUMBER
 
     def update(self, fetched_at: int, entries: Iterable[ListedServer]) -> None:
-        """Take a new list of servers: those that are gone or draining get nothing new.
+        """Replace the server list; servers that are no longer listed or are draining get no new requests.
 
         :param fetched_at: when the list was fetched from the platform.
         """
@@ -44,27 +44,27 @@
             listed[entry.server] = self._updated_endpoint(fetched_at, entry)
         for name, endpoint in self.by_name.items():
             if name not in listed:
-                endpoint.ready = endpoint.listed = False  # requests that are out there still refer to it
+                endpoint.ready = endpoint.listed = False  # requests in flight still refer to it
         self.by_name = listed
         self.services = {}
         for endpoint in listed.values():
             self.services.setdefault(endpoint.service, []).append(endpoint)
 
     def _updated_endpoint(self, fetched_at: int, entry: ListedServer) -> Endpoint:
-        """Return the endpoint of that entry as the list now has it, a new one if the server was not listed before."""
+        """Return the endpoint of the entry, updated; a new one if the server was not listed before."""
         endpoint = self.by_name.get(entry.server)
         if endpoint is None:
             self._last_number += 1
             endpoint = Endpoint(self._last_number, entry)
         if endpoint.ready and entry.state != READY:
             endpoint.drain_listed_at = fetched_at
-        endpoint.ready, endpoint.warm_at = entry.state == READY, fetched_at + entry.warm_up_ns
+        endpoint.ready, endpoint.warm_up_ends_at = entry.state == READY, fetched_at + entry.warm_up_ns
         return endpoint
 
     def choose(self, now: int, service: str, excluded: tuple[str, ...], body_bytes: int = 0) -> Endpoint | None:
-        """Return the server with the least cost of all that may be used; None where there is none.
+        """Return the usable server with the lowest cost; None if no server is usable.
 
-        :param excluded: names of servers that this request was already sent to.
+        :param excluded: names of the servers that this request was already sent to.
         """
         usable = [
             endpoint
@@ -80,17 +80,17 @@
         return min(usable, key=lambda endpoint: self._cost(now, endpoint, body_bytes))
 
     def _cost(self, now: int, endpoint: Endpoint, body_bytes: int) -> float:
-        """Return the expected wait there (s), times the factors that apply."""
+        """Return the expected wait at the server (s), times the factors that apply."""
         zone_cost = 1 if endpoint.zone == self._zone else OTHER_ZONE_COST + body_bytes / OTHER_ZONE_BODY_BYTES
         cost = endpoint.expected_wait_s(now) * zone_cost
         if not endpoint.idle_connections:
             cost *= CONNECT_COST
         cost *= 1 + TIE_BREAK_JITTER * self._random.random()
-        return cost / WARMING_UP_WEIGHT if now < endpoint.warm_at else cost
+        return cost / WARMING_UP_WEIGHT if now < endpoint.warm_up_ends_at else cost
 
     def is_ejected(self, now: int, endpoint: Endpoint) -> bool:
-        """Whether the server is ejected now, as attempts there failed in a row."""
-        # With another candidate, as `without_ejected` returns all candidates where all are ejected.
+        """Whether the server is ejected now, after consecutive failures."""
+        # A second candidate is needed, as `without_ejected` returns all candidates if all of them are ejected.
         healthy = self._ejection.without_ejected(now, [(endpoint.number, 1.0), (UNUSED_NUMBER, 1.0)])
         return healthy[0][0] != endpoint.number
 
@@ -101,7 +101,7 @@
     def attempt_ended(
         self, now: int, endpoint: Endpoint, succeeded: bool, duration_ns: int, load: ServerLoad | None
     ) -> None:
-        """Count the end of an attempt, as `Endpoint.attempt_ended` has it; eject a server that fails in a row."""
+        """Record the end of an attempt (`Endpoint.attempt_ended`); eject the server after consecutive failures."""
         if endpoint.listed:
             self._ejection.record_attempt(now, endpoint.number, succeeded)
         endpoint.attempt_ended(now, succeeded, duration_ns, load)
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -1,15 +1,15 @@
-"""A client's request at an edge machine, from its admission to its answer: all decisions, and no I/O.
+"""A client's request at an edge machine, from its admission to its answer: all decisions, without I/O.
 
-An adapter calls `Forwarder.admit` for each request that has come in full, then carries out one step after the other
-(`forwarding.steps`) until the client has its answer:
+An adapter calls `Forwarder.admit` for each request that was received in full, then carries out one step after the
+other (`forwarding.steps`) until the client has its answer:
 
     admit ─> next_step ─> Send ─> attempt_ended ─┬─> ForwardAnswer
                 │  ▲                 │           │
                 │  └── Wait          │ retry     ├─> Refuse
                 └────────────────────┴───────────┘
 
-The states between the steps are those of `forwarding.request.RequestState`. Whether a request may be sent again is not
-decided here but in `forwarding.retry_policy`; attempts, deadline and budget narrow that.
+The states between the steps are those of `forwarding.request.RequestState`. `forwarding.retry_policy` decides whether a
+request may be retried; attempts, deadline and retry budget limit that further.
 """
 
 from random import Random
@@ -39,47 +39,50 @@
 
 SHARD_KEYS = 65_536
 
-# The deadline.
-ANSWER_MARGIN_NS = 30 * MILLISECOND  # so long before the deadline we answer ourselves, as the answer takes time too
-MIN_ATTEMPT_DIVISOR = 10  # an attempt is made only if at least latency target / 10 is left of the deadline
+# Deadline.
+ANSWER_MARGIN_NS = 30 * MILLISECOND  # kept before the deadline for an answer of the gateway's own
+MIN_ATTEMPT_DIVISOR = 10  # an attempt needs at least latency target / 10 before the deadline
 
 # Attempts.
-MAX_UNSENT_ATTEMPTS = 4  # of one request: its connection did not come up, so they use up no attempt
-# Nothing was sent, and not for the server's fault.
-NOT_BEGUN = (CallOutcome.NO_CONNECTION_FREE, CallOutcome.UNSENDABLE, CallOutcome.NOT_SENT)
-SERVER_HEALTHY = (CallOutcome.ANSWERED, CallOutcome.NOT_EXECUTED)  # do not count as failures of the server
-# An attempt that another server may repeat times out after so many times the latency usual there, and not before so
-# much of the latency target.
+MAX_UNSENT_ATTEMPTS = 4  # of one request; its connection failed, so it does not count as an attempt
+# Nothing was sent, for a reason unrelated to the server.
+NOT_STARTED_OUTCOMES = (CallOutcome.NO_CONNECTION_FREE, CallOutcome.UNSENDABLE, CallOutcome.NOT_SENT)
+HEALTHY_SERVER_OUTCOMES = (CallOutcome.ANSWERED, CallOutcome.NOT_EXECUTED)  # not failures of the server
+# An attempt that another server may repeat times out early: after this multiple of the server's average latency, but
+# not before this fraction of the latency target.
 EARLY_TIMEOUT_LATENCIES = 4
 EARLY_TIMEOUT_TARGET_FRACTION = 0.6
 
 # Waiting.
-CAPACITY_POLL_INTERVAL_NS = 60 * MILLISECOND  # how often a waiting request looks again whether a server has capacity
+CAPACITY_POLL_INTERVAL_NS = 60 * MILLISECOND  # how often a waiting request checks a server's capacity
 
 # Connections.
-CONNECTION_SHARE = 0.8  # of the connections that a server accepts from all callers: for all edges together
-WANTED_CONNECTIONS = 2  # one in use and one that comes up, where a server accepts as many from each edge
+CONNECTION_SHARE = 0.8  # of a server's connection limit, divided among all edges
+WANTED_CONNECTIONS = 2  # per edge, where the server's limit allows: one in use, one being opened
 
 # Retry-After.
 NOT_READY_RETRY_AFTER_NS = 300 * MILLISECOND
 NO_HOLDER_RETRY_AFTER_NS = 250 * MILLISECOND
-RETRY_AFTER_JITTER = 0.5  # so that those who come back do not come together
+RETRY_AFTER_JITTER = 0.5  # so that clients do not retry at the same time
 
 
 class Forwarder:
     """All requests of one edge machine.
 
-    Invariants: a request that may have run is neither sent again nor refused with a promise unless its route is
-    idempotent (`test_what_may_have_run_is_never_sent_again_nor_promised`); one keeps the route it came under
-    (`test_a_route_keeps_its_requests_through_a_change`); states follow `TRANSITIONS`
-    (`test_states_of_a_request_follow_the_table`); every attempt that is started is ended or discarded
-    (`test_where_all_connections_are_in_use_a_request_waits_here_and_nothing_counts_against_the_server`), also where the
-    client has gone (`test_a_client_that_has_gone_starts_no_further_attempt`).
+    Invariants, each with its test in `tests/forwarding/test_forwarder.py`:
+
+    - A non-idempotent request that may have run is neither retried nor answered as not run
+      (`test_what_may_have_run_is_never_sent_again_nor_promised`).
+    - A request keeps the route that it was admitted with (`test_a_route_keeps_its_requests_through_a_change`).
+    - States follow `TRANSITIONS` (`test_states_of_a_request_follow_the_table`).
+    - Every attempt that is started is ended or discarded
+      (`test_where_all_connections_are_in_use_a_request_waits_here_and_nothing_counts_against_the_server`), also after
+      the client has disconnected (`test_a_client_that_has_gone_starts_no_further_attempt`).
 
     :param zone: of this edge machine.
     :param retry_ratio: retries per request that the operator allows all edges together.
-    :param retry_allowance: retries beyond that ratio, likewise.
-    :param drain_ns: time from the platform's listing a server as draining until no request may reach it.
+    :param retry_allowance: retries beyond that ratio, also for all edges together.
+    :param drain_ns: time from the platform listing a server as draining until no request may reach it.
     """
 
     def __init__(
@@ -102,10 +105,10 @@
     def admit(
         self, now: int, host: str, path: str, shard_key: str | None, client_timeout_ns: int, body_bytes: int = 0
     ) -> ForwardedRequest:
-        """Admit a request that has come in full.
+        """Admit a request that was received in full.
 
-        :param client_timeout_ns: for how long its client still waits.
-        :raises RequestError: it is refused; nothing is kept of it.
+        :param client_timeout_ns: the time that its client still waits.
+        :raises RequestError: the request is refused; no state is kept for it.
         """
         configuration, route = self._route(host, path)
         service = configuration.services[self._splitter.choose(configuration, route)]
@@ -124,7 +127,7 @@
         return configuration, route
 
     def _shard_key(self, service: Service, shard_key: str | None) -> int | None:
-        """Return the shard key, and count it for the load report; None where the service is not sharded."""
+        """Return the shard key, and record it for the load report; None if the service is not sharded."""
         if not service.sharded:
             return None
         if shard_key is None or not shard_key.isdecimal() or int(shard_key) >= SHARD_KEYS:
@@ -133,7 +136,7 @@
         self.requested_keys.setdefault(service.name, []).append(key)
         return key
 
-    # 2. Choice of server.
+    # 2. Choice of a server.
 
     def next_step(self, now: int, request: ForwardedRequest) -> Step:
         """Decide where the request goes: after its admission, after a wait, and before a retry."""
@@ -163,19 +166,19 @@
         return self._start_attempt(now, request, endpoint)
 
     def _is_unusable_holder(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> bool:
-        """Whether nothing should go to the holder now, though it is the only server that could serve the key."""
+        """Whether the request must not be sent to the key holder now, although no other server could serve the key."""
         if endpoint.is_drained(now, self._drain_ns):
             return True
         if not endpoint.ready and endpoint.server in request.attempted_servers:
-            return True  # it is draining or gone, and failed already: the key is about to move
+            return True  # draining or no longer listed, and has failed: the key is about to move
         if request.last_outcome is CallOutcome.NOT_EXECUTED and endpoint.server == request.attempted_servers[-1]:
-            return True  # it holds the key no longer: we are about to hear of another holder
+            return True  # it no longer holds the key: an update will name the new holder
         return bool(request.unsent_attempts) and self.endpoints.is_ejected(now, endpoint)
 
-    # 3. Waiting here and not at a server: what was sent can't be taken back, nor refused as surely not run.
+    # 3. Waiting at the edge: a request sent to a server can't be withdrawn, nor refused as certainly not run.
 
     def _wait_for_holder(self, now: int, request: ForwardedRequest) -> Step:
-        """Wait for a new holder of the key, until half the latency target is over; then refuse."""
+        """Wait for a new holder of the key for up to half the latency target, then refuse."""
         until = request.received_at + request.route.latency_target_ns // 2
         if now >= until:
             return self._refuse(request, NoKeyHolderError, NO_HOLDER_RETRY_AFTER_NS)
@@ -183,7 +186,7 @@
         return Wait(until)
 
     def _wait_for_capacity(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
-        """Wait until the server chosen has capacity, while the latency target can still be met; then refuse."""
+        """Wait for capacity at the server while the latency target can still be met, then refuse."""
         until = request.received_at + request.route.latency_target_ns - int(endpoint.latency_s * SECOND)
         if now >= until:
             expected_wait_ns = int(endpoint.expected_wait_s(now) * SECOND)
@@ -191,10 +194,10 @@
         request.begin_wait()
         return Wait(min(until, now + CAPACITY_POLL_INTERVAL_NS))
 
-    # 4. The attempt, and its time-out.
+    # 4. Attempts and their time-outs.
 
     def _start_attempt(self, now: int, request: ForwardedRequest, endpoint: Endpoint) -> Step:
-        """Send the request there, with the time that is left, or less where another server may repeat it."""
+        """Send the request; the time-out is the time left, or less where another server may repeat the attempt."""
         request.start_attempt(now, endpoint)
         endpoint.attempt_started()
         timeout_ns = request.deadline_at - now
@@ -208,7 +211,7 @@
     def _may_time_out_early(self, request: ForwardedRequest) -> bool:
         """Whether this attempt may time out before the deadline.
 
-        Only if another server and another attempt are left, and the retry policy allows a retry after a time-out.
+        It may if another server and another attempt are left and the retry policy allows a retry after a time-out.
         """
         return (
             request.key is None
@@ -218,38 +221,38 @@
         )
 
     def max_connections(self, request: ForwardedRequest) -> int:
-        """Return how many connections this edge may have to one server of its service; each edge has the same share."""
+        """Return how many connections this edge may have to a server of the service; all edges have equal shares."""
         share = int(CONNECTION_SHARE * request.max_connections / self.view.edge_count)
         least = WANTED_CONNECTIONS if WANTED_CONNECTIONS * self.view.edge_count <= request.max_connections else 1
         return max(least, share)
 
     @staticmethod
     def may_abandon(request: ForwardedRequest) -> bool:
-        """Whether an attempt in flight may be broken off once the client has disconnected."""
+        """Whether an attempt in flight may be aborted once the client has disconnected."""
         return is_idempotent(request.call_kind)
 
-    # 5. The attempt's end: retry, or give up.
+    # 5. The end of an attempt: retry or give up.
 
     @staticmethod
     def client_disconnected(request: ForwardedRequest) -> None:
-        """Take in that the client has gone: no step that follows is carried out, so no further attempt is started."""
+        """Record that the client has disconnected: later steps are not carried out, so no attempt is started."""
         request.client_gone = True
 
     def attempt_ended(
         self, now: int, request: ForwardedRequest, outcome: CallOutcome, load: ServerLoad | None = None
     ) -> Step:
-        """Decide what follows the attempt that has just ended.
+        """Return the step after an attempt that has ended.
 
-        :param load: what the server reported of its load, None: nothing.
+        :param load: the load that the server reported; None: it reported none.
         """
         endpoint = request.endpoint
-        assert endpoint is not None  # an attempt is out
-        if outcome in NOT_BEGUN:
-            return self._attempt_not_begun(now, request, endpoint, outcome)
-        if self._says_nothing_of_server(now, request, endpoint, outcome):
+        assert endpoint is not None  # an attempt is in flight
+        if outcome in NOT_STARTED_OUTCOMES:
+            return self._handle_unsent(now, request, endpoint, outcome)
+        if self._is_inconclusive(now, request, endpoint, outcome):
             endpoint.attempt_abandoned()
         else:
-            self.endpoints.attempt_ended(now, endpoint, outcome in SERVER_HEALTHY, now - request.sent_at, load)
+            self.endpoints.attempt_ended(now, endpoint, outcome in HEALTHY_SERVER_OUTCOMES, now - request.sent_at, load)
         result = verdict(request.call_kind, outcome)
         request.end_attempt(endpoint.server, outcome, result)
         if result.retry is RetryTarget.NONE or not self._may_retry(now, request, result):
@@ -257,14 +260,14 @@
         return self.next_step(now, request)
 
     @staticmethod
-    def _says_nothing_of_server(now: int, request: ForwardedRequest, endpoint: Endpoint, outcome: CallOutcome) -> bool:
-        """Whether the attempt ended by our own doing, sooner than the server could have been expected to answer."""
+    def _is_inconclusive(now: int, request: ForwardedRequest, endpoint: Endpoint, outcome: CallOutcome) -> bool:
+        """Whether this edge ended the attempt before the server could have been expected to answer."""
         if outcome is CallOutcome.ABANDONED:
             return True
         return outcome is CallOutcome.TIMEOUT and now - request.sent_at < int(endpoint.latency_s * SECOND)
 
-    def _attempt_not_begun(self, now: int, request: ForwardedRequest, endpoint: Endpoint, outcome: CallOutcome) -> Step:
-        """Decide what follows an attempt of which nothing was sent, for a reason that says nothing of the server."""
+    def _handle_unsent(self, now: int, request: ForwardedRequest, endpoint: Endpoint, outcome: CallOutcome) -> Step:
+        """Return the step after an attempt of which nothing was sent, for a reason unrelated to the server."""
         request.discard_attempt()
         endpoint.attempt_discarded()
         if outcome is CallOutcome.NO_CONNECTION_FREE:
@@ -272,7 +275,7 @@
         return self._refuse(request, BadRequestError)
 
     def _may_retry(self, now: int, request: ForwardedRequest, result: Verdict) -> bool:
-        """Whether client, attempts, deadline and budget leave room for the retry that the policy allows."""
+        """Whether client, attempts, deadline and retry budget permit the retry that the policy allows."""
         if request.client_gone:
             return False
         if not result.counts_as_attempt:
@@ -284,7 +287,7 @@
         )
 
     def _give_up(self, request: ForwardedRequest, outcome: CallOutcome) -> Step:
-        """Choose the answer to the client, as no retry follows the attempt that has just ended so."""
+        """Return the final step after an attempt that ended with `outcome` and is not retried."""
         if outcome is CallOutcome.ANSWERED:
             return self._forward_answer(request)
         if outcome is CallOutcome.NOT_EXECUTED:
@@ -303,9 +306,9 @@
     def _refuse(self, request: ForwardedRequest, error: type[RequestError], retry_after_ns: int = 0) -> Step:
         """End the request without a further attempt: with `error`, unless an attempt may have run.
 
-        Then nothing may be promised: the client gets the 5xx that the last server answered, else 504 or 502.
+        If one may have run, the client gets the last server's 5xx answer, or else 504 or 502.
 
-        :param retry_after_ns: of the error, before jitter.
+        :param retry_after_ns: the error's `retry_after_ns` before jitter.
         """
         if not request.may_have_run:
             request.refuse()
@@ -320,10 +323,10 @@
     def _jittered(self, retry_after_ns: int) -> int:
         return int(retry_after_ns * (1 + RETRY_AFTER_JITTER * self._random.random()))
 
-    # Statistics, for the member that assigns keys.
+    # Statistics, for the member that assigns key ranges.
 
     def take_load_reports(self) -> dict[str, tuple[list[int], dict[str, EndpointStats]]]:
-        """Return the statistics since the last call by sharded service, and begin anew.
+        """Return the statistics of each sharded service since the last call, and reset them.
 
         For each: the shard keys of its requests, and `Endpoint.stats` of each server that had attempts or load reports.
         """
--- a/kestrelplank/forwarding/retry_budget.py
+++ b/kestrelplank/forwarding/retry_budget.py
@@ -2,22 +2,22 @@
 
 
 class RetryBudget:
-    """A token bucket of retries for each service: every request adds a part of one, every retry takes one.
+    """A token bucket of retries for each service: every request adds a fraction of a token, every retry takes one.
 
-    All edges together stay within the operator's bound even when they hear nothing of each other, as each may save up
-    only its part (`test_the_retry_budget_keeps_all_edges_together_within_the_operators_bound`).
+    All edges together stay within the configured limit without communicating, as each may save up only its share
+    (`test_the_retry_budget_keeps_all_edges_together_within_the_operators_bound`).
 
-    Source: Finagle's and gRPC's retry budgets, see `load_balancing.retry_budget`; here the saved part shrinks as edges
-    are added.
+    Source: Finagle's and gRPC's retry budgets, see `load_balancing.retry_budget`; here the bucket's capacity shrinks as
+    edges are added.
 
     :param ratio: retries per request that the operator allows all edges together.
-    :param allowance: retries beyond that ratio, likewise.
+    :param allowance: retries beyond that ratio, also for all edges together.
     """
 
-    # Margins below the operator's bound.
+    # Margins below the configured limit.
     RATIO_SHARE = 0.7  # of the ratio
     ALLOWANCE_SHARE = 0.5  # of the allowance, for all edges together
-    MAX_BALANCE = 6.0  # retries saved up for one service, however few edges there are
+    MAX_BALANCE = 6.0  # retries saved up for one service, for any number of edges
 
     def __init__(self, ratio: float, allowance: float) -> None:
         self._ratio, self._allowance = ratio, allowance
@@ -29,12 +29,12 @@
         return max(1.0, min(self.MAX_BALANCE, self.ALLOWANCE_SHARE * self._allowance / self.edge_count))
 
     def deposit(self, service: str) -> None:
-        """Credit the service with one client's request."""
+        """Credit the service for one client's request."""
         capacity = self.capacity()
         self._balance[service] = min(capacity, self._balance.get(service, capacity) + self.RATIO_SHARE * self._ratio)
 
     def try_withdraw(self, service: str) -> bool:
-        """Whether the service may have one more retry, which then counts as made."""
+        """Take one retry from the service's balance; return False if less than one is left."""
         balance = self._balance.get(service, self.capacity())
         if balance < 1:
             return False
--- a/kestrelplank/forwarding/retry_policy.py
+++ b/kestrelplank/forwarding/retry_policy.py
@@ -1,11 +1,11 @@
-"""The one place that decides whether a call may be sent again: a table from the kind of call to how it ended.
+"""Decides whether a call may be retried: a table from the kind of call and its outcome to a verdict.
 
-Whoever makes a call reports how it ended (`CallOutcome`) and does what `verdict` says. Limits on retries (attempts,
-deadline, budget) only ever narrow a verdict. docs/requests.md shows the same table with how each answer is tied to its
-call.
+The caller reports the outcome (`CallOutcome`) and follows `verdict`; no other module decides on retries. Limits on
+retries (attempts, deadline, budget) only ever narrow a verdict. docs/requests.md shows the same table, and how each
+answer is matched to its call.
 
-Only a server's own statement (`X-Not-Executed`, 421), or that no byte was sent, proves that a call has not run. A
-reset, a close, a time-out, a truncated or malformed answer and one that belongs to another call prove nothing.
+A call is proved not to have run only if the server says so (`X-Not-Executed`, 421) or no byte of it was sent. A reset,
+a close, a time-out, a truncated or malformed answer and one that belongs to another call prove nothing.
 """
 
 from dataclasses import dataclass
@@ -13,39 +13,39 @@
 
 
 class CallKind(Enum):
-    """Every kind of call that this system makes, by what a second one would do."""
+    """Every kind of call that this system makes, by the effect of a second execution."""
 
     IDEMPOTENT_REQUEST = "idempotent request"  # edge to server
-    # Edge to server, on a non-idempotent or upload route: at most one run for each time that a client sends it.
+    # Edge to server, on a non-idempotent or upload route: runs at most once each time that a client sends it.
     NON_IDEMPOTENT_REQUEST = "non-idempotent request"
     GRANT = "grant"  # control to server
     RELEASE = "release"  # control to server
     SERVER_LIST = "server list"  # control to platform
-    OPERATOR_CHANGE = "operator change"  # passed on to the leader by the member that was asked
-    OPERATOR_READ = "operator read"  # passed on likewise
-    STATE_UPDATE = "state update"  # heartbeats and reports between edges and members: each replaces the one before
+    OPERATOR_CHANGE = "operator change"  # forwarded to the leader by the member that received it
+    OPERATOR_READ = "operator read"  # forwarded in the same way
+    STATE_UPDATE = "state update"  # heartbeats and reports between edges and members: each replaces the previous one
 
 
 class CallOutcome(Enum):
-    """How a call ended, as its caller saw it. The values are names of counters and stand in logs."""
-
-    ANSWERED = "answered"  # a complete answer tied to this call
-    SERVER_ERROR = "5xx"  # the same with a 5xx that does not say that it has not run
-    NOT_EXECUTED = "not_executed"  # an answer tied to this call says that it has not run
-    NO_CONNECTION_FREE = "no_connection_free"  # nothing was sent: all connections that we may have there are in use
-    UNSENDABLE = "unsendable"  # it can't be put on the wire: no byte has left us, here or anywhere
-    NOT_SENT = "not_sent"  # we gave it up before its first byte, as its client had gone meanwhile
-    CONNECT_FAIL = "connect_fail"  # no connection came up, or it had ended: no byte of the call has left us
+    """How a call ended, as its caller saw it. The values are names of counters and appear in logs."""
+
+    ANSWERED = "answered"  # a complete answer that matches the call
+    SERVER_ERROR = "5xx"  # the same, a 5xx that does not say that the call has not run
+    NOT_EXECUTED = "not_executed"  # an answer that matches the call says that it has not run
+    NO_CONNECTION_FREE = "no_connection_free"  # nothing was sent: all connections allowed to the server are in use
+    UNSENDABLE = "unsendable"  # can't be encoded: no byte was sent, nor would be to another server
+    NOT_SENT = "not_sent"  # abandoned before its first byte, as the client had disconnected
+    CONNECT_FAIL = "connect_fail"  # connecting failed, or the connection had ended: no byte was sent
     RESET = "reset"  # after the first byte sent, before the first of an answer
-    CLOSED = "closed"  # the same, by an orderly end of the connection
+    CLOSED = "closed"  # the same, by an orderly close of the connection
     TRUNCATED = "truncated"  # the connection ended within an answer
-    MALFORMED = "malformed"  # bytes that are no answer, or an answer that can't be this call's
-    TIMEOUT = "timeout"  # bytes were sent and no answer came in time
-    ABANDONED = "abandoned"  # we gave it up ourselves after its first byte: its client has gone, or we stop
+    MALFORMED = "malformed"  # not a valid answer, or one that can't belong to the call
+    TIMEOUT = "timeout"  # bytes were sent and no answer arrived in time
+    ABANDONED = "abandoned"  # abandoned after its first byte: the client disconnected, or the gateway stops
 
 
 class Execution(Enum):
-    """What is proved of the call at the other side."""
+    """Whether the call is proved to have run at the receiver."""
 
     EXECUTED = "executed"
     NOT_EXECUTED = "not executed"
@@ -53,27 +53,26 @@
 
 
 class RetryTarget(Enum):
-    """Where the caller may send the call again by itself.
+    """Where the caller may retry the call.
 
-    The forwarder makes no difference between the two targets: without a shard key it excludes all servers that were
-    asked before; with one only the key's holder comes into question.
+    The forwarder treats OTHER_SERVER and ANY_SERVER alike: without a shard key it excludes all servers that were tried
+    before; with one only the key's holder can be used.
     """
 
     NONE = "none"
-    OTHER_SERVER = "other server"  # not to the server that has just answered
+    OTHER_SERVER = "other server"  # not the server that has just answered
     ANY_SERVER = "any server"
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What follows of a call that ended in some way.
+    """The consequences of a call's outcome.
 
-    Whoever is behind the call (client, operator) may repeat one that is not idempotent only if `execution` is
-    NOT_EXECUTED.
+    The originator of a non-idempotent call (client or operator) may repeat it only if `execution` is NOT_EXECUTED.
 
-    :param execution: what is proved of the call.
-    :param retry: where the caller may send it again.
-    :param counts_as_attempt: it may have reached the other side, so sending it again is a retry.
+    :param execution: whether the call is proved to have run.
+    :param retry: where the caller may retry it.
+    :param counts_as_attempt: whether the call may have reached the receiver, so that the next one counts as a retry.
     """
 
     execution: Execution
@@ -82,11 +81,11 @@
 
 
 SUCCEEDED = Verdict(Execution.EXECUTED, RetryTarget.NONE)
-FAILED_AND_IDEMPOTENT = Verdict(Execution.EXECUTED, RetryTarget.ANY_SERVER)
-NOT_EXECUTED_THERE = Verdict(Execution.NOT_EXECUTED, RetryTarget.OTHER_SERVER)
-NOT_EXECUTED_ANYWHERE = Verdict(Execution.NOT_EXECUTED, RetryTarget.NONE)
+EXECUTED_AND_IDEMPOTENT = Verdict(Execution.EXECUTED, RetryTarget.ANY_SERVER)
+NOT_EXECUTED_RETRY_ELSEWHERE = Verdict(Execution.NOT_EXECUTED, RetryTarget.OTHER_SERVER)
+NOT_EXECUTED_NO_RETRY = Verdict(Execution.NOT_EXECUTED, RetryTarget.NONE)
 NOT_SENT = Verdict(Execution.NOT_EXECUTED, RetryTarget.ANY_SERVER, counts_as_attempt=False)
-NEVER_SENDABLE = Verdict(Execution.NOT_EXECUTED, RetryTarget.NONE, counts_as_attempt=False)
+NOT_SENT_NO_RETRY = Verdict(Execution.NOT_EXECUTED, RetryTarget.NONE, counts_as_attempt=False)
 UNKNOWN_NO_RETRY = Verdict(Execution.UNKNOWN, RetryTarget.NONE)
 UNKNOWN_BUT_IDEMPOTENT = Verdict(Execution.UNKNOWN, RetryTarget.ANY_SERVER)
 
@@ -102,14 +101,14 @@
 def _row(
     answered: Verdict, server_error: Verdict, not_executed: Verdict, unproven: Verdict, abandoned: Verdict
 ) -> dict[CallOutcome, Verdict]:
-    """Return the row of one kind of call: what was never sent is alike for all kinds, and so is what proves nothing."""
+    """Return the row of a kind of call; calls never sent have the same verdicts for all kinds."""
     return {
         CallOutcome.ANSWERED: answered,
         CallOutcome.SERVER_ERROR: server_error,
         CallOutcome.NOT_EXECUTED: not_executed,
         CallOutcome.NO_CONNECTION_FREE: NOT_SENT,
-        CallOutcome.UNSENDABLE: NEVER_SENDABLE,
-        CallOutcome.NOT_SENT: NEVER_SENDABLE,
+        CallOutcome.UNSENDABLE: NOT_SENT_NO_RETRY,
+        CallOutcome.NOT_SENT: NOT_SENT_NO_RETRY,
         CallOutcome.CONNECT_FAIL: NOT_SENT,
         **dict.fromkeys(UNPROVEN_OUTCOMES, unproven),
         CallOutcome.ABANDONED: abandoned,
@@ -117,49 +116,49 @@
 
 
 def _uniform_row(failed: Verdict) -> dict[CallOutcome, Verdict]:
-    """Return the row of a kind of call for which all that was sent and has no answer is alike."""
+    """Return the row of a kind of call with one verdict for everything sent that was not answered successfully."""
     return _row(answered=SUCCEEDED, server_error=failed, not_executed=failed, unproven=failed, abandoned=failed)
 
 
 RETRY_TABLE: dict[CallKind, dict[CallOutcome, Verdict]] = {
     CallKind.IDEMPOTENT_REQUEST: _row(
         answered=SUCCEEDED,
-        server_error=FAILED_AND_IDEMPOTENT,
-        not_executed=NOT_EXECUTED_THERE,
+        server_error=EXECUTED_AND_IDEMPOTENT,
+        not_executed=NOT_EXECUTED_RETRY_ELSEWHERE,
         unproven=UNKNOWN_BUT_IDEMPOTENT,
         abandoned=UNKNOWN_NO_RETRY,
     ),
     CallKind.NON_IDEMPOTENT_REQUEST: _row(
         answered=SUCCEEDED,
         server_error=SUCCEEDED,
-        not_executed=NOT_EXECUTED_THERE,
+        not_executed=NOT_EXECUTED_RETRY_ELSEWHERE,
         unproven=UNKNOWN_NO_RETRY,
         abandoned=UNKNOWN_NO_RETRY,
     ),
-    # The fencing token makes a second grant or release harmless: the same call renews a grant, and a release is never
-    # refused. "Not executed" of a grant is a 409: it needs a higher fencing token, so it is another call.
+    # The fencing token makes a second grant or release harmless: a repeated grant renews it, and a release is never
+    # refused. NOT_EXECUTED for a grant is a 409: the next grant needs a higher fencing token, so it is another call.
     CallKind.GRANT: _row(
         answered=SUCCEEDED,
         server_error=UNKNOWN_BUT_IDEMPOTENT,
-        not_executed=NOT_EXECUTED_ANYWHERE,
+        not_executed=NOT_EXECUTED_NO_RETRY,
         unproven=UNKNOWN_BUT_IDEMPOTENT,
         abandoned=UNKNOWN_BUT_IDEMPOTENT,
     ),
     CallKind.RELEASE: _uniform_row(UNKNOWN_BUT_IDEMPOTENT),
     CallKind.SERVER_LIST: _uniform_row(UNKNOWN_BUT_IDEMPOTENT),
     CallKind.STATE_UPDATE: _uniform_row(UNKNOWN_BUT_IDEMPOTENT),
-    # The operator sends a call again by itself, to any member, and the log's order makes that harmless; a member that
-    # did so as well would only double it.
+    # Operators' clients retry calls themselves, at any member, which is harmless as the log orders them; retries by
+    # members would only add duplicates.
     CallKind.OPERATOR_CHANGE: _uniform_row(UNKNOWN_NO_RETRY),
     CallKind.OPERATOR_READ: _uniform_row(UNKNOWN_NO_RETRY),
 }
 
 
 def verdict(kind: CallKind, outcome: CallOutcome) -> Verdict:
-    """Return what follows a call of that kind that ended so."""
+    """Return the verdict on a call of that kind with that outcome."""
     return RETRY_TABLE[kind][outcome]
 
 
 def is_idempotent(kind: CallKind) -> bool:
-    """Whether a call of that kind may run twice: it may be retried after a time-out, and broken off in flight."""
+    """Whether a call of that kind may run twice: it may be retried after a time-out, and aborted in flight."""
     return verdict(kind, CallOutcome.TIMEOUT).retry is not RetryTarget.NONE
--- a/kestrelplank/forwarding/steps.py
+++ b/kestrelplank/forwarding/steps.py
@@ -1,4 +1,4 @@
-"""What an edge machine is to do next about a request: values that `Forwarder` returns and an adapter carries out."""
+"""The next action for a request: values that `Forwarder` returns and an adapter carries out."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 class Send:
     """Send the request to `endpoint`, then call `Forwarder.attempt_ended`.
 
-    :param timeout_ns: for the attempt from now on; the server is sent it as the time that remains.
+    :param timeout_ns: of the attempt from now on; sent to the server as the remaining time.
     """
 
     endpoint: Endpoint
@@ -19,19 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Call `Forwarder.next_step` at `until`, or sooner where key ranges, servers or their load have changed."""
+    """Call `Forwarder.next_step` at `until`, or sooner if key ranges, servers or their load have changed."""
 
     until: int
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardAnswer:
-    """Pass the answer of the last attempt on to the client."""
+    """Forward the answer of the last attempt to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the client ourselves, as the error says."""
+    """Answer the client with the status and body of `error`."""
 
     error: RequestError
 
--- a/kestrelplank/forwarding/traffic_split.py
+++ b/kestrelplank/forwarding/traffic_split.py
@@ -1,12 +1,12 @@
-"""Which of the services of a route's `traffic_split` a request goes to, so that short windows have the weights' shares.
+"""Chooses a service from a route's `traffic_split`, so that even short windows of requests match the weights.
 
-Each edge machine walks the unit interval by steps of the golden ratio, and a request goes to the service on whose part
-of the interval its point lies. Points of this sequence are spread as evenly as those of any additive one: of every `n`
-that follow one another, a part of the interval gets its share of them but for about `log(n)`. Every edge begins at a
-random point, so that the errors of many edges cancel, and none has to hear of another.
+Each edge machine steps through the unit interval by the golden ratio, modulo 1; a request is sent to the service whose
+section of the interval contains the point. This sequence is as evenly spread as any additive one: of `n` consecutive
+points, each section gets its share within about `log(n)`. Every edge starts at a random point, so that the errors of
+many edges cancel without coordination.
 
 Source: H. Weyl, *Über die Gleichverteilung von Zahlen mod. Eins* (1916); D. Knuth, *The Art of Computer Programming*,
-volume 3, section 6.4 (why the golden ratio). Ways weighed: docs/requests.md, "Shares of a traffic split".
+volume 3, section 6.4 (why the golden ratio). Alternatives: docs/requests.md, "Shares of a traffic split".
 """
 
 from random import Random
@@ -19,8 +19,8 @@
 class TrafficSplitter:
     """The next point of each split route at one edge machine.
 
-    Invariant: any window of requests of one edge has each service's share within a few requests, whatever the weights
-    (`test_every_window_of_one_edge_has_the_shares_of_the_weights`), also over a change of weights
+    Invariant: in any window of one edge's requests, each service's share is within a few requests of its weight
+    (`test_every_window_of_one_edge_has_the_shares_of_the_weights`), also across a change of weights
     (`test_a_change_of_weights_in_the_middle_of_a_window_counts_from_then_on`).
     """
 
@@ -30,11 +30,11 @@
         self._points: dict[tuple[str, str], float] = {}  # by host and path prefix
 
     def choose(self, configuration: Configuration, route: Route) -> str:
-        """Return the name of the service that the next request of the route goes to."""
+        """Return the name of the service for the next request of the route."""
         if len(route.traffic_split) == 1:
             return route.traffic_split[0][0]
         if configuration is not self._configuration:
-            self._keep_routes_of(configuration)
+            self._drop_removed_routes(configuration)
         key = route.host, route.path_prefix
         point = self._points.get(key)
         if point is None:
@@ -42,8 +42,8 @@
         self._points[key] = (point + GOLDEN_RATIO_FRACTION) % 1.0
         return route.service_at(point)
 
-    def _keep_routes_of(self, configuration: Configuration) -> None:
-        """Forget the points of routes that the configuration does not have."""
+    def _drop_removed_routes(self, configuration: Configuration) -> None:
+        """Drop the points of routes that the configuration does not have."""
         self._configuration = configuration
         routes = configuration.routes_by_host
         self._points = {
