--- a/kestrelplank/configuration/__init__.py
+++ b/kestrelplank/configuration/__init__.py
@@ -1,5 +1,5 @@
-"""The operator's configuration: a document is parsed and validated, and becomes a route table.
+"""The operator's configuration: a document is parsed and validated, and compiled to a route table.
 
-Read `parsing` first; `document` has the form that operators send, `validation` what a document must hold beyond
-its form, `route_table` what a request is looked up in, `differences` what one configuration changes of another.
+Read `parsing` first; `document` defines the JSON document that operators send, `validation` checks the values of its
+fields, `route_table` finds the route of a request, `differences` compares two configurations.
 """
--- a/kestrelplank/configuration/differences.py
+++ b/kestrelplank/configuration/differences.py
@@ -1,7 +1,7 @@
-"""What differs between two configurations, route by route and field by field.
+"""The differences between two configurations: limits, services, and routes field by field.
 
-Fields of routes have the operators' names and units. Limits have short names of our own and are in ns or bytes;
-services are compared with all their fields at once. The command line prints all this, so it stays.
+Fields of routes have the names and units of the document. Limits have shorter names and are in ns or bytes; a service
+that differs is reported with all its fields. The command line prints these names and values, so they must not change.
 """
 
 from typing import NamedTuple
@@ -10,7 +10,7 @@
 from kestrelplank.time_units import SECOND
 
 ADDED, DROPPED = "added", "dropped"
-OPERATORS_FIELD_NAMES = {
+DOCUMENT_FIELD_NAMES = {
     "route_type": "route_type",
     "timeout_ns": "timeout_s",
     "latency_target_ns": "target_latency_s",
@@ -30,10 +30,10 @@
 
 
 class Difference(NamedTuple):
-    """One thing that differs, as the command line prints it.
+    """One difference, as the command line prints it.
 
-    `host` and `prefix` are empty for limits and services. For a route that one side lacks, `field` is `added` or
-    `dropped` and both values are None.
+    `host` and `prefix` are empty for limits and services. For a route that only one configuration has, `field` is
+    `added` or `dropped` and both values are None.
     """
 
     host: str
@@ -50,7 +50,7 @@
 
 
 def differences(old: Configuration, new: Configuration) -> list[Difference]:
-    """Return all that `new` changes: limits, then services by name, then routes by host and prefix."""
+    """Return all differences: limits, then services by name, then routes by host and prefix."""
     changes = _limit_differences(old, new)
     for name in sorted(old.services.keys() | new.services.keys()):
         changes += _service_differences(name, old.services.get(name), new.services.get(name))
@@ -62,48 +62,48 @@
 
 
 def _limit_differences(old: Configuration, new: Configuration) -> list[Difference]:
-    """Return the limits on clients that differ; times are in ns."""
+    """Return the differing limits on clients; times are in ns."""
     return [
-        Difference("", "", operators_name, getattr(old, name), getattr(new, name))
-        for name, operators_name in LIMIT_NAMES.items()
+        Difference("", "", printed_name, getattr(old, name), getattr(new, name))
+        for name, printed_name in LIMIT_NAMES.items()
         if getattr(old, name) != getattr(new, name)
     ]
 
 
 def _service_differences(name: str, old: Service | None, new: Service | None) -> list[Difference]:
-    """Return one difference if the service differs, with all its fields but the name, in the order of `Service`."""
+    """Return one difference if the service differs, with all its fields except the name, in the order of `Service`."""
     if old == new:
         return []
     return [Difference("", "", f"service {name}", old and tuple(old[1:]), new and tuple(new[1:]))]
 
 
 def _route_differences(host: str, prefix: str, old: Route | None, new: Route | None) -> list[Difference]:
-    """Return what differs of the route with that host and prefix."""
+    """Return the differences of the route with that host and prefix."""
     if old is None or new is None:
         return [Difference(host, prefix, ADDED if old is None else DROPPED, None, None)]
     return [
-        Difference(host, prefix, operators_name, _as_operators_write(old, name), _as_operators_write(new, name))
-        for name, operators_name in OPERATORS_FIELD_NAMES.items()
+        Difference(host, prefix, printed_name, _document_value(old, name), _document_value(new, name))
+        for name, printed_name in DOCUMENT_FIELD_NAMES.items()
         if getattr(old, name) != getattr(new, name)
     ]
 
 
-def _as_operators_write(route: Route, name: str) -> Value:
-    """Return a route's field as the operator writes it: times in seconds, a traffic split as one line of text."""
+def _document_value(route: Route, name: str) -> Value:
+    """Return a route's field in the units of the document: times in seconds, a traffic split as one line of text."""
     match name:
         case "timeout_ns":
             return route.timeout_ns / SECOND
         case "latency_target_ns":
             return route.latency_target_ns / SECOND
         case "traffic_split":
-            return _written_split(route.traffic_split)
+            return _format_traffic_split(route.traffic_split)
         case _:
             value: Value = getattr(route, name)
             return value
 
 
-def _written_split(split: tuple[tuple[str, float], ...]) -> str:
-    """Return the name of a single service, or the services with their weights."""
+def _format_traffic_split(split: tuple[tuple[str, float], ...]) -> str:
+    """Return the name of a single service, or all services with their weights."""
     if len(split) == 1:
         return split[0][0]
     return ", ".join(f"{service} {weight:g}" for service, weight in split)
--- a/kestrelplank/configuration/document.py
+++ b/kestrelplank/configuration/document.py
@@ -1,7 +1,7 @@
-"""The form of a configuration as operators send it: a JSON document, whose names and units are the operators'.
+"""The JSON document in which operators send a configuration, with its field names and units.
 
-Fields that are not named here are ignored. Only `parsing`, `validation` and `route_table` read these classes; times are
-in seconds here and in nanoseconds everywhere else.
+Unknown fields are ignored. Only `parsing`, `validation` and `route_table` read these classes; times are in seconds here
+and in nanoseconds everywhere else.
 """
 
 from dataclasses import field
@@ -13,7 +13,7 @@
 
 @checked_dataclass
 class TrafficSplitDocument:
-    """A service that takes a part of a route's requests, by its weight among the others."""
+    """A service that gets a share of a route's requests, in proportion to its weight."""
 
     target_service: str
     weight: int | float
@@ -21,7 +21,7 @@
 
 @checked_dataclass
 class RouteDocument:
-    """A route of a host; it names either one service or several with weights."""
+    """A route of a host, to one service or to several with weights."""
 
     path_prefix: str
     route_type: str
@@ -44,7 +44,7 @@
 
 @checked_dataclass
 class ServiceDocument:
-    """A service that routes may name."""
+    """A service that routes may refer to."""
 
     name: str
     health_check_path: str = "/health"
@@ -55,7 +55,7 @@
 
 @checked_dataclass
 class LimitsDocument:
-    """What clients may send, and how long they may take."""
+    """Limits on the size of clients' requests and on the time that clients may take."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 67108864
@@ -65,7 +65,7 @@
 
 @checked_dataclass
 class ConfigurationDocument:
-    """The document itself; `config_version` is a hexadecimal number."""
+    """The top level of the document; `config_version` is a hexadecimal number."""
 
     config_version: str
     service_table: list[ServiceDocument]
--- a/kestrelplank/configuration/errors.py
+++ b/kestrelplank/configuration/errors.py
@@ -1,4 +1,4 @@
-"""Why a configuration is refused. The text of each is one line for the operator."""
+"""Errors for which a configuration is refused. The text of each is one line for the operator."""
 
 
 class ConfigurationError(ValueError):
@@ -6,14 +6,14 @@
 
 
 class MalformedDocumentError(ConfigurationError):
-    """The bytes are no JSON, or are nested too deeply to be read."""
+    """The bytes are not valid JSON, or are nested too deeply to be parsed."""
 
 
 class InvalidFieldError(ConfigurationError):
-    """A field of the document does not hold what it must.
+    """A field of the document is missing or has an invalid type or value.
 
-    :param field: the path of the field, as `virtual_hosts[0].host_routes[2].timeout_s`.
-    :param reason: what is wrong with it.
+    :param field: the path of the field, for example `virtual_hosts[0].host_routes[2].timeout_s`.
+    :param reason: why it is invalid.
     """
 
     def __init__(self, field: str, reason: str) -> None:
--- a/kestrelplank/configuration/parsing.py
+++ b/kestrelplank/configuration/parsing.py
@@ -1,4 +1,4 @@
-"""Parsing of configurations: bytes become a `Configuration`, or are refused in full with one reason."""
+"""Parsing of configurations: bytes give a `Configuration`, or an error with one reason."""
 
 import hashlib
 
@@ -16,9 +16,9 @@
 
 
 def parse_configuration(text: bytes) -> Result[Configuration, ConfigurationError]:
-    """Return the configuration in these bytes, or why it is refused.
+    """Return the configuration that the bytes encode, or the error for which it is refused.
 
-    The refusal's text is one line that names the field, or the byte at which the bytes stop being JSON.
+    The error's text is one line that names the field, or the byte at which the JSON is invalid.
     """
     try:
         document = parse_document(text)
@@ -29,16 +29,16 @@
 
 
 def parse_document(text: bytes) -> ConfigurationDocument:
-    """Return the document in these bytes, each field of the right type.
+    """Return the document that the bytes encode, with the type of each field checked.
 
-    :raises MalformedDocumentError: the bytes are no JSON.
+    :raises MalformedDocumentError: the bytes are not valid JSON, or are nested too deeply.
     :raises InvalidFieldError: a field is missing or has another type.
     """
     try:
         data: object = msgspec.json.decode(text)
         return decode_checked(ConfigurationDocument, data)
     except msgspec.DecodeError as err:
-        raise MalformedDocumentError(f"not whole: {err}") from err
+        raise MalformedDocumentError(f"invalid JSON: {err}") from err
     except RecursionError as err:
         raise MalformedDocumentError(str(err)) from err
     except InvalidSettingsError as err:
@@ -46,5 +46,5 @@
 
 
 def version_key(document: ConfigurationDocument, text: bytes) -> VersionKey:
-    """Return what a valid configuration is compared by."""
+    """Return the key by which valid configurations are compared."""
     return VersionKey(int(document.config_version, 16), hashlib.blake2b(text, digest_size=DIGEST_BYTES).hexdigest())
--- a/kestrelplank/configuration/route_table.py
+++ b/kestrelplank/configuration/route_table.py
@@ -1,4 +1,4 @@
-"""A configuration in force: its version, its services, its limits, and the table that finds a request's route."""
+"""A compiled configuration: its version, services and limits, and the table that finds a request's route."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -13,7 +13,7 @@
 
 
 class RouteType(StrEnum):
-    """What the operator says of a route's requests: whether one may run twice, and whether its body is large."""
+    """The operator's classification of a route's requests: whether they may run twice, and whether bodies are large."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -21,7 +21,7 @@
 
 
 class VersionKey(NamedTuple):
-    """What configurations are compared by: the operator's number, and a digest of the text that came with it."""
+    """The key by which configurations are compared: the operator's version number, then a digest of the text."""
 
     version: int
     digest: str
@@ -30,8 +30,9 @@
 class Service(NamedTuple):
     """A service that routes lead to.
 
-    `max_connections` is what one server accepts from all callers. The keys of a sharded service are divided among its
-    servers; one that takes keys without a handover is slow with them for `prewarm_ns`.
+    `max_connections` is the number of connections that one server accepts from all callers. The keys of a sharded
+    service are divided among its servers; a server that takes over keys without a handover serves them slowly for
+    `prewarm_ns`.
     """
 
     name: str
@@ -59,22 +60,22 @@
         return self.route_type == RouteType.IDEMPOTENT
 
     def service_at(self, point: float) -> str:
-        """Return the name of the service on whose part of the unit interval, by weight, that point lies."""
+        """Return the name of the service whose section of the unit interval, divided by weight, contains `point`."""
         remaining = point * sum(weight for _, weight in self.traffic_split)
         for name, weight in self.traffic_split:
             remaining -= weight
             if remaining < 0:
                 return name
-        # Rounding has left a little: the last service that takes requests gets it.
+        # Rounding left a remainder: use the last service whose weight is not 0.
         return next(name for name, weight in reversed(self.traffic_split) if weight > 0)
 
 
 class Configuration:
     """A valid configuration, compiled for look-up.
 
-    :param key: its version, as it is compared with others.
+    :param key: by which it is compared with other configurations.
     :param text: the document, byte for byte as it was sent.
-    :param document: the same, parsed and validated.
+    :param document: the parsed and validated text.
     """
 
     def __init__(self, key: VersionKey, text: bytes, document: ConfigurationDocument) -> None:
@@ -90,12 +91,12 @@
             routes.update((route.path_prefix, _route(host, route)) for route in host.host_routes)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix of the path; a port in `host` is ignored."""
+        """Return the host's route with the longest matching path prefix; a port in `host` is ignored."""
         routes = self.routes_by_host.get(host.rsplit(":", 1)[0].lower() if ":" in host else host.lower())
         if routes is None:
             return None
         end = path.rfind("/")
-        while end >= 0:  # every prefix ends with a slash, so nothing else can be the end of one
+        while end >= 0:  # every route's prefix ends with a slash
             route = routes.get(path[: end + 1])
             if route is not None:
                 return route
@@ -133,5 +134,5 @@
     if route.traffic_split is not None:
         return tuple((target.target_service, target.weight) for target in route.traffic_split)
     if route.target_service is None:
-        raise ValueError("a route without a service is refused by validation")
+        raise ValueError("route has neither target_service nor traffic_split; expected a validated document")
     return ((route.target_service, 1.0),)
--- a/kestrelplank/configuration/validation.py
+++ b/kestrelplank/configuration/validation.py
@@ -1,7 +1,7 @@
-"""What a document must hold beyond its form: known services, distinct routes, time-outs and weights within bounds.
+"""Validation of a document's values: known services, distinct routes, time-outs and weights within bounds.
 
-Each function raises InvalidFieldError for the first field that is wrong: version, services, then hosts and routes in
-their order. Limits and `max_attempts` have no bounds here.
+Each function raises InvalidFieldError for the first invalid field, in this order: version, services, then hosts and
+routes in the order of the document. `limits` and `max_attempts` are not checked here.
 """
 
 import math
@@ -25,10 +25,12 @@
 def validate(document: ConfigurationDocument) -> None:
     """Check a document whose fields have the right types.
 
-    :raises InvalidFieldError: a field holds what it must not.
+    :raises InvalidFieldError: a field has an invalid value.
     """
     if not VERSION.fullmatch(document.config_version):
-        raise InvalidFieldError("config_version", f"{document.config_version!r} is no hexadecimal number")
+        raise InvalidFieldError(
+            "config_version", f"{document.config_version!r} is not a hexadecimal number of 1 to 16 digits"
+        )
     service_names = _validated_service_names(document.service_table)
     prefixes_by_host: dict[str, set[str]] = {}
     for index, host in enumerate(document.virtual_hosts):
@@ -37,10 +39,10 @@
 
 
 def _validated_service_names(service_table: list[ServiceDocument]) -> set[str]:
-    """Return the names of the services, each of which is given once."""
+    """Return the names of the services, after checking that they are not empty and distinct."""
     names = {service.name for service in service_table}
     if len(names) != len(service_table) or "" in names:
-        raise InvalidFieldError("service_table", "names must be given, each once")
+        raise InvalidFieldError("service_table", "names must not be empty and must be distinct")
     return names
 
 
@@ -48,42 +50,44 @@
     """Check a host and its routes.
 
     :param path: the path of the host in the document.
-    :param prefixes: those of earlier entries of the same host; this entry's are added to them.
+    :param prefixes: the path prefixes of earlier entries of the same host; those of this entry are added to them.
     """
     if not host.host_name.strip():
-        raise InvalidFieldError(f"{path}.host_name", "empty")
+        raise InvalidFieldError(f"{path}.host_name", "must not be empty")
     for index, route in enumerate(host.host_routes):
         route_path = f"{path}.host_routes[{index}]"
         _validate_route(route, route_path, service_names)
         if route.path_prefix in prefixes:
-            reason = f"{route.path_prefix!r} stands twice on {host.host_name!r}"
+            reason = f"{route.path_prefix!r} is given twice for host {host.host_name!r}; prefixes must be distinct"
             raise InvalidFieldError(f"{route_path}.path_prefix", reason)
         prefixes.add(route.path_prefix)
 
 
 def _validate_route(route: RouteDocument, path: str, service_names: set[str]) -> None:
-    """Check a route, but for whether its prefix is distinct."""
+    """Check a route, except that its prefix is distinct."""
     if route.route_type not in ROUTE_TYPES:
-        raise InvalidFieldError(f"{path}.route_type", f"{route.route_type!r} is none of {', '.join(ROUTE_TYPES)}")
+        raise InvalidFieldError(f"{path}.route_type", f"{route.route_type!r} is not one of {', '.join(ROUTE_TYPES)}")
     if not 0 < route.timeout_s <= MAX_ROUTE_TIMEOUT_S:
-        reason = f"{route.timeout_s} is not above 0 and at most {MAX_ROUTE_TIMEOUT_S}"
+        reason = f"{route.timeout_s} is out of range; expected seconds above 0 and at most {MAX_ROUTE_TIMEOUT_S}"
         raise InvalidFieldError(f"{path}.timeout_s", reason)
     if not route.path_prefix.startswith("/") or not route.path_prefix.endswith("/"):
-        raise InvalidFieldError(f"{path}.path_prefix", f"{route.path_prefix!r} does not begin and end with a slash")
+        raise InvalidFieldError(f"{path}.path_prefix", f"{route.path_prefix!r} must begin and end with a slash")
     if route.traffic_split is not None:
         _validate_traffic_split(route.traffic_split, f"{path}.traffic_split", service_names)
     elif route.target_service is None:
-        raise InvalidFieldError(f"{path}.target_service", "missing, and no traffic_split")
+        raise InvalidFieldError(f"{path}.target_service", "missing; expected target_service or traffic_split")
     elif route.target_service not in service_names:
-        raise InvalidFieldError(f"{path}.target_service", f"{route.target_service!r} is unknown")
+        raise InvalidFieldError(f"{path}.target_service", f"{route.target_service!r} is not in service_table")
 
 
 def _validate_traffic_split(split: list[TrafficSplitDocument], path: str, service_names: set[str]) -> None:
-    """Check the services that share a route, and that one of them takes requests."""
+    """Check the services of a traffic split, and that at least one weight is above 0."""
     for index, target in enumerate(split):
         if target.target_service not in service_names:
-            raise InvalidFieldError(f"{path}[{index}].target_service", f"{target.target_service!r} is unknown")
+            raise InvalidFieldError(
+                f"{path}[{index}].target_service", f"{target.target_service!r} is not in service_table"
+            )
         if not 0 <= target.weight < math.inf:
-            raise InvalidFieldError(f"{path}[{index}].weight", f"{target.weight} is not 0 or more")
+            raise InvalidFieldError(f"{path}[{index}].weight", f"{target.weight} is not a finite number of at least 0")
     if not sum(target.weight for target in split) > 0:
-        raise InvalidFieldError(path, "the weights add up to 0")
+        raise InvalidFieldError(path, "the weights add up to 0; at least one must be above 0")
