--- a/kestrelplank/transport/__init__.py
+++ b/kestrelplank/transport/__init__.py
@@ -1,1 +1,1 @@
-"""What our processes send each other: messages, frames over TCP, sessions, and an edge machine's view."""
+"""Communication between the gateway's processes: messages, frames over TCP, sessions, and an edge machine's view."""
--- a/kestrelplank/transport/messages.py
+++ b/kestrelplank/transport/messages.py
@@ -1,16 +1,17 @@
-"""Messages between the gateway's processes: those of edge machines, and the envelope of members' messages.
+"""Messages between edge machines and control members, and the envelope of messages between control members.
 
-What is sent when:
+Protocol:
 
-- An edge machine sends each control member in session an `EdgeHeartbeat` at every heartbeat interval. The member
-  answers with a `MemberHeartbeat`, followed by whatever the heartbeat shows to be missing: a `ConfigurationUpdate`, a
-  `KeyRangesUpdate` a service, a `ServerListUpdate`.
-- What changes between heartbeats is pushed to all edge machines in session: a `ConfigurationUpdate`, and as a
-  `KeyRangesDelta` what the leader recorded of a service, or that a range is leaving its holder.
-- An edge machine sends a `LoadReport` a service to the member that assigns the service's keys, twice a second.
-- Every message between control members travels in an `Envelope`.
+- An edge machine sends an `EdgeHeartbeat` at every heartbeat interval to each control member with which it has a
+  session. The member answers with a `MemberHeartbeat`, followed by updates of what the heartbeat shows to be outdated:
+  a `ConfigurationUpdate`, a `KeyRangesUpdate` for each service, a `ServerListUpdate`.
+- Changes between heartbeats are pushed to all edge machines in session: a new configuration as a `ConfigurationUpdate`;
+  key ranges that the leader recorded, or that their holder is releasing, as a `KeyRangesDelta`.
+- Twice a second an edge machine sends a `LoadReport` for each service to the member that assigns the service's keys.
+- Every message between control members is sent in an `Envelope`.
 
-All are msgpack arrays: the tag and the order of the fields are the wire, names of fields are not on it.
+Messages are encoded as msgpack arrays: the tag and the order of fields are part of the wire format, names of fields are
+not.
 """
 
 import msgspec
@@ -19,11 +20,11 @@
 
 
 class KeyRangesVersion(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The version of a service's key ranges. Versions are compared field by field; the greater is the newer.
+    """The version of a service's key ranges; versions are ordered field by field.
 
-    :param term: of the leader that recorded them.
+    :param term: term of the leader that recorded them.
     :param record: number of the record in that term.
-    :param notice: how many times the leader has announced, since that record, that ranges are leaving their holders.
+    :param notice: number of the leader's announcements since that record that ranges are being released.
     """
 
     term: int = 0
@@ -32,9 +33,9 @@
 
 
 class RangeHolder(msgspec.Struct, frozen=True, array_like=True):
-    """Who holds the keys from `first` to `last`, both included.
+    """The server that holds the keys from `first` to `last`, both included.
 
-    :param server: "" where nobody does, or where the range is just leaving its holder.
+    :param server: "" if no server holds them, or the holder is releasing them.
     """
 
     first: int
@@ -47,13 +48,13 @@
 
 
 class EdgeHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="edge"):
-    """The versions that an edge machine has, so that it is sent what it lacks.
+    """The versions that an edge machine has; the member answers with updates of outdated ones.
 
     :param edge: the machine's name.
-    :param configuration_version: of the configuration that it has in force, None: none yet.
-    :param key_ranges: the version of the key ranges that it has, by service.
-    :param server_list_digest: of the list of servers that it has, None: none yet.
-    :param sent_at: ns on its own steady clock, which the answer gives back.
+    :param configuration_version: of the configuration in force at the machine; None: none yet.
+    :param key_ranges: versions of the machine's key ranges, by service.
+    :param server_list_digest: digest of the machine's server list; None: none yet.
+    :param sent_at: ns on the machine's own steady clock; the answer returns it.
     """
 
     edge: str
@@ -64,10 +65,10 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True, tag="load"):
-    """What an edge machine saw of a service since its last report.
+    """An edge machine's statistics of a service since its last report.
 
-    :param keys: the shard keys of the requests, one for each.
-    :param servers: by server, the numbers of a `sharding.attempt_window.ServerReport`.
+    :param keys: the shard keys of the requests, one for each request.
+    :param servers: by server, the figures of a `sharding.attempt_window.ServerReport`.
     """
 
     service: str
@@ -79,15 +80,15 @@
 
 
 class MemberHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """What a member knows, sent in answer to each `EdgeHeartbeat`.
-
-    :param epoch: of the newest membership that is committed here.
-    :param leader: control address of who leads in `term` as far as is known here, "": nobody.
-    :param is_current: whether the sender is current, so that its `configuration_version` is the one in force.
-    :param configuration_version: None where there is no configuration yet.
-    :param voters: control addresses of the voters of that membership, on both sides of a change.
-    :param edge_count: edge machines in session with the sender.
-    :param heartbeat_sent_at: `sent_at` of the heartbeat that this answers: nothing said here is older than that.
+    """A member's state, sent in answer to each `EdgeHeartbeat`.
+
+    :param epoch: of the newest membership committed at the sender.
+    :param leader: control address of the leader in `term` that the sender knows; "": none.
+    :param is_current: whether the sender's state is current, so that its `configuration_version` is the one in force.
+    :param configuration_version: None if there is no configuration yet.
+    :param voters: control addresses of that membership's voters; during a change, of both the old and the new ones.
+    :param edge_count: number of edge machines in session with the sender.
+    :param heartbeat_sent_at: `sent_at` of the heartbeat that this answers; the state is not older than that.
     """
 
     epoch: int
@@ -108,16 +109,16 @@
 
 
 class KeyRangesUpdate(msgspec.Struct, frozen=True, array_like=True, tag="lines"):
-    """All key ranges of a service as recorded in the log, and those that are being released by their holders since."""
+    """All key ranges of a service as recorded in the log, and those that their holders are releasing since."""
 
     service: str
     version: KeyRangesVersion
     key_ranges: list[RangeHolder]
-    leaving: list[RangeHolder] = []
+    releasing: list[RangeHolder] = []
 
 
 class KeyRangesDelta(msgspec.Struct, frozen=True, array_like=True, tag="changed"):
-    """The key ranges that changed from `base_version` to `version`; it applies to exactly that base version."""
+    """The key ranges that changed from `base_version` to `version`; it applies only to that base version."""
 
     service: str
     base_version: KeyRangesVersion
@@ -135,8 +136,8 @@
     """A message of one control member to another.
 
     :param sender: the sender's identity.
-    :param receiver: the identity that it is for, "": whoever is at the address. The receiver drops a message for a
-        former incarnation.
+    :param receiver: the receiver's identity; "": any member at the address. A message for a former incarnation is
+        dropped by the receiver.
     """
 
     sender: str
@@ -152,14 +153,14 @@
 
 
 def encode(message: ToEdge | ToMember) -> bytes:
-    """Return a message as msgpack."""
+    """Return the message as msgpack."""
     return _encoder.encode(message)
 
 
 def decode_at_edge(body: bytes) -> ToEdge:
     """Return the message for an edge machine that `body` encodes.
 
-    :raises ValueError: it encodes none.
+    :raises ValueError: `body` is not such a message.
     """
     return _edge_decoder.decode(body)
 
@@ -167,6 +168,6 @@
 def decode_at_member(body: bytes) -> ToMember:
     """Return the message for a control member that `body` encodes.
 
-    :raises ValueError: it encodes none.
+    :raises ValueError: `body` is not such a message.
     """
     return _member_decoder.decode(body)
--- a/kestrelplank/transport/server_list.py
+++ b/kestrelplank/transport/server_list.py
@@ -1,7 +1,7 @@
-"""The platform's list of servers as our processes pass it on.
+"""The platform's list of servers, as the gateway's processes send it to each other.
 
-Of two lists the newer is the one that was fetched later. Each message says how old its list is, so the receiver has the
-instant on its own steady clock.
+The list that was fetched later is the newer one. Each message has the age of its list, from which the receiver computes
+the time of the fetch on its own steady clock.
 """
 
 from collections.abc import Iterable
@@ -10,20 +10,20 @@
 
 from kestrelplank.consensus.member_messages import ServerListUpdate
 
-ServerRow = tuple[str, str, str, str, int, str, int]  # a `ListedServer` as it is on the wire
+ServerRow = tuple[str, str, str, str, int, str, int]  # a `ListedServer` on the wire
 
 
-# A server's state as the platform lists it; one in any other state gets no new requests. Plain strings and no enum:
-# they are compared for each server of each list, and are on the wire.
+# States that the platform lists; a server in any other state gets no new requests. Plain strings instead of an enum, as
+# they are on the wire and are compared for each server of each list.
 READY = "ready"
 DRAINING = "draining"
 
 
 class ListedServer(NamedTuple):
-    """A server as listed.
+    """A server in the platform's list.
 
-    :param state: `READY`, `DRAINING`, or another state of the platform's.
-    :param warm_up_ns: what was left of the server's warm-up when the list was fetched.
+    :param state: `READY`, `DRAINING`, or another state of the platform.
+    :param warm_up_ns: the rest of the server's warm-up (slow start) when the list was fetched.
     """
 
     server: str
@@ -35,29 +35,29 @@
     warm_up_ns: int
 
 
-COMPARED_FIELDS = 6  # all before `warm_up_ns`, which shrinks from list to list without being a change
+COMPARED_FIELDS = 6  # all fields before `warm_up_ns`, which decreases from list to list without being a change
 
 
 class ServerList:
-    """The newest list that has come.
+    """The newest list received.
 
-    Invariants, each with the test in `tests/transport/test_server_list.py` that holds it:
+    Invariants, each with its test in `tests/transport/test_server_list.py`:
 
     - A list that was fetched earlier never replaces one that was fetched later
       (`test_of_two_lists_the_one_fetched_later_holds_whenever_it_comes`).
-    - A server that was listed as draining stays so as long as it is listed, as lists lag: every start of a server has a
-      name of its own (`test_a_drain_is_never_taken_back`).
+    - A server that was listed as draining stays draining while it is listed, as lists may lag; a restarted server has a
+      new name (`test_a_drain_is_never_taken_back`).
     """
 
     def __init__(self) -> None:
         self.entries: dict[str, ListedServer] = {}  # by server
         self.fetched_at: int | None = None
-        self.changed_at = 0  # when the last list came that differed from the one before
+        self.changed_at = 0  # when the last list that differed from the previous one was received
         self._digest = 0
         self._draining: dict[str, None] = {}
 
     def update(self, now: int, age_ns: int, rows: Iterable[ServerRow | ListedServer]) -> bool:
-        """Take a complete list that is `age_ns` old; return whether it differs from the one before."""
+        """Replace the list by a complete one that is `age_ns` old, unless that is older; return whether it differs."""
         fetched_at = now - age_ns
         if self.fetched_at is not None and fetched_at <= self.fetched_at:
             return False
@@ -73,7 +73,7 @@
         return changed
 
     def _with_drains(self, rows: Iterable[ServerRow | ListedServer]) -> dict[str, ListedServer]:
-        """Return the listed servers by name, those draining that were before; forget the drains of those not listed."""
+        """Return the listed servers by name, with earlier drains applied; drop the drains of unlisted servers."""
         listed: dict[str, ListedServer] = {}
         for row in rows:
             entry = ListedServer(*row)
@@ -87,18 +87,18 @@
         return listed
 
     def age_ns(self, now: int) -> int | None:
-        """Return how long ago the list was fetched, None where none has come."""
+        """Return the time since the list was fetched; None if no list was received."""
         return None if self.fetched_at is None else now - self.fetched_at
 
     def update_message(self, now: int) -> ServerListUpdate:
-        """Return the list as it is sent to others. To be called only once one has come."""
+        """Return the list as a message. To be called only after a list was received."""
         return ServerListUpdate(now - (self.fetched_at or 0), [entry[:] for entry in self.entries.values()])
 
     def digest(self) -> int:
-        """Return a checksum of the list, by which one process knows whether another has the same list."""
+        """Return a checksum of the list, by which processes detect that their lists differ."""
         return self._digest
 
 
 def digest_of(entries: Iterable[ListedServer]) -> int:
-    """Return the digest of a list. Processes compare it over the wire, so its input must not change."""
+    """Return the digest of a list. It is compared between processes, so its input must not change."""
     return crc32(repr(sorted(entry[:COMPARED_FIELDS] for entry in entries)).encode())
--- a/kestrelplank/transport/sessions.py
+++ b/kestrelplank/transport/sessions.py
@@ -1,48 +1,48 @@
-"""Sessions of peers that dial us: which connection carries each peer's messages.
+"""Sessions of peers that connect to this process: the current connection of each peer.
 
-A peer that dials anew has ended its former connection, as it was restarted or its session timed out. What still comes
-on the former connection is older than what the peer sends now, and must not count.
+A peer that reconnects has ended its former connection, as it was restarted or its session timed out. Messages that
+still arrive on the former connection are outdated and must be ignored.
 """
 
 from typing import Generic, Protocol, TypeVar
 
 
 class Resettable(Protocol):
-    """A connection that can be ended."""
+    """A connection that can be reset."""
 
     def reset(self) -> None:
-        """End it at once."""
+        """End the connection at once."""
 
 
 Connection = TypeVar("Connection", bound=Resettable)
 
 
 class Session(Generic[Connection]):
-    """A peer in session.
+    """The session of one peer.
 
-    :param heard_at: when its newest message came.
+    :param heard_at: when the newest message was received.
     """
 
     __slots__ = ("connection", "heard_at", "reported_version")
 
     def __init__(self, connection: Connection, heard_at: int) -> None:
         self.connection, self.heard_at = connection, heard_at
-        self.reported_version: int | None = None  # of the configuration that the peer reports to have in force
+        self.reported_version: int | None = None  # version of the peer's configuration
 
     def idle_ns(self, now: int) -> int:
-        """Return for how long nothing has come."""
+        """Return the time since the newest message."""
         return now - self.heard_at
 
 
 class Sessions(Generic[Connection]):
-    """All sessions that peers have begun with us, by name.
+    """All sessions, by the name of the peer.
 
-    Invariants, each with the test in `tests/transport/test_sessions.py` that holds it:
+    Invariants, each with its test in `tests/transport/test_sessions.py`:
 
-    - A peer has one connection, its newest; nothing that comes on an older one counts
+    - Only the newest connection of a peer counts; messages on an older one are ignored
       (`test_a_newer_connection_takes_the_place_of_the_older_whose_late_messages_count_for_nothing`).
-    - The end of an older connection ends no session (`test_the_end_of_an_older_connection_ends_no_session`).
-    - A connection speaks for one peer only (`test_a_connection_speaks_for_one_peer_only`).
+    - Closing a replaced connection ends no session (`test_the_end_of_an_older_connection_ends_no_session`).
+    - A connection carries messages of one peer only (`test_a_connection_speaks_for_one_peer_only`).
     """
 
     def __init__(self) -> None:
@@ -50,9 +50,9 @@
         self._names: dict[Connection, str] = {}  # "" for a connection that has been replaced
 
     def on_message(self, now: int, connection: Connection, name: str) -> Session[Connection] | None:
-        """Take note that a connection has brought a message of that peer, and begin a session with its first one.
+        """Record a message of the peer `name` on a connection; the connection's first message starts a session.
 
-        Return the peer's session; None where the message does not count.
+        Return the peer's session; None if the message must be ignored.
         """
         known_name = self._names.get(connection)
         session = self.by_name.get(name)
@@ -68,7 +68,7 @@
         return session
 
     def on_closed(self, connection: Connection) -> str | None:
-        """Take note that a connection has ended; return whose session ended with it, if any."""
+        """Record that a connection has ended; return the peer whose session ended with it, if any."""
         name = self._names.pop(connection, "")
         session = self.by_name.get(name)
         if session is None or session.connection is not connection:
@@ -77,5 +77,5 @@
         return name
 
     def connections(self) -> list[Connection]:
-        """Return the connection of each peer in session."""
+        """Return the connections of all sessions."""
         return [session.connection for session in self.by_name.values()]
--- a/kestrelplank/transport/wire.py
+++ b/kestrelplank/transport/wire.py
@@ -1,8 +1,8 @@
-"""Frames of messages between our processes over TCP.
+"""Framing of messages between the gateway's processes over TCP.
 
-    size of the body (4 bytes, big-endian, the highest bit set where the body is compressed), body (msgpack)
+    size of the body (4 bytes, big-endian, the highest bit set if the body is compressed), body (msgpack)
 
-The only module of this package with I/O.
+This is the only module of the package with I/O.
 """
 
 import asyncio
@@ -18,12 +18,12 @@
 COMPRESSION_LEVEL = 1
 MIN_COMPRESSED_BYTES = 1500  # a smaller body fits one packet, so it is not compressed
 MAX_BODY_BYTES = 32 << 20
-MAX_UNSENT_BYTES = 16 << 20  # a peer that leaves more unread is dropped: a bound on memory
+MAX_UNSENT_BYTES = 16 << 20  # limits memory: a peer that leaves more unread is disconnected
 Message = TypeVar("Message")
 
 
 def encode_frame(message: ToEdge | ToMember) -> bytes:
-    """Return a message as it goes over the wire; it is encoded once where it is sent to many."""
+    """Return the frame of a message; a message to many peers is encoded once."""
     body, flag = encode(message), 0
     if len(body) >= MIN_COMPRESSED_BYTES:
         body, flag = zlib.compress(body, COMPRESSION_LEVEL), COMPRESSED_FLAG
@@ -33,7 +33,7 @@
 def uncompressed_body(body: bytes, compressed: bool) -> bytes:
     """Return a frame's body as msgpack.
 
-    :raises ValueError: it is truncated or no zlib data, or larger than `MAX_BODY_BYTES`.
+    :raises ValueError: the body is truncated, not zlib data, or decompresses to more than `MAX_BODY_BYTES`.
     """
     if not compressed:
         return body
@@ -43,23 +43,23 @@
     except zlib.error as err:
         raise ValueError(str(err)) from err
     if not decompressor.eof:
-        raise ValueError("torn, or too large")
+        raise ValueError("compressed body is truncated, or exceeds the size limit when decompressed")
     return body
 
 
 class FrameConnection(asyncio.Protocol, Generic[Message]):
-    """One connection over which messages come and go.
+    """One connection that sends and receives messages.
 
-    Invariants, each with the test in `tests/transport/test_wire.py` that holds it:
+    Invariants, each with its test in `tests/transport/test_wire.py`:
 
-    - Messages come complete and in order (`test_messages_come_complete_and_in_order_small_and_large`).
-    - What can't be read ends the connection, once, and nothing behind it counts
+    - Messages arrive complete and in order (`test_messages_come_complete_and_in_order_small_and_large`).
+    - An invalid frame ends the connection, once, and later frames are ignored
       (`test_what_cannot_be_read_ends_it_once_and_nothing_behind_it_counts`).
-    - What a peer does not read is bounded (`test_a_peer_that_reads_nothing_is_dropped`).
+    - Data that a peer does not read is bounded (`test_a_peer_that_reads_nothing_is_dropped`).
 
-    :param decode: turns a body into one of the messages that may come here; raises ValueError for anything else.
+    :param decode: decodes a body to one of the messages accepted here; raises ValueError for anything else.
     :param on_message: called with the connection and each message.
-    :param on_end: called with the connection once, when it has ended.
+    :param on_end: called once, with the connection, when it has ended.
     """
 
     def __init__(
@@ -71,15 +71,15 @@
         self._decode, self._on_message, self._on_end = decode, on_message, on_end
         self._buffer = bytearray()
         self.transport: asyncio.Transport | None = None
-        self.peer: Any = None  # its user keeps here who is at the other end, in a form of the user's own
+        self.peer: Any = None  # identifies the peer; set and read by the user of the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin; called by the event loop."""
+        """Start the connection; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
         set_connection_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, and hand on each message that is complete; called by the event loop."""
+        """Buffer received bytes and deliver each complete message; called by the event loop."""
         buffer = self._buffer
         buffer += data
         while len(buffer) >= HEADER_BYTES and self.transport is not None:
@@ -99,8 +99,8 @@
                 return
             self._on_message(self, message)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the loop's signature
-        """End; called by the event loop."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # signature of asyncio.Protocol
+        """End the connection; called by the event loop."""
         self.transport = None
         self._on_end(self)
 
@@ -110,7 +110,7 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def send(self, message: ToEdge | ToMember | bytes) -> None:
-        """Send a message, or the bytes of `encode_frame`; nothing where the connection has ended."""
+        """Send a message, or the bytes of `encode_frame`; do nothing if the connection has ended."""
         if self.transport is None or self.transport.is_closing():
             return
         self.transport.write(message if isinstance(message, bytes) else encode_frame(message))
@@ -118,7 +118,7 @@
             self.reset()
 
     def reset(self) -> None:
-        """End the connection at once with a TCP reset; bytes that were not delivered are lost."""
+        """End the connection at once with a TCP reset; undelivered bytes are lost."""
         if self.transport is not None:
             reset_on_close(self.transport.get_extra_info("socket"))
             self.transport.abort()
--- a/tests/transport/test_edge_view.py
+++ b/tests/transport/test_edge_view.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.time_units import SECOND
-from kestrelplank.transport.edge_view import SEED_FALLBACK_DELAY_NS, VOUCH_MAX_AGE_NS, Change, EdgeView
+from kestrelplank.transport.edge_view import CONFIRMATION_MAX_AGE_NS, SEED_FALLBACK_DELAY_NS, Change, EdgeView
 from kestrelplank.transport.messages import (
     ConfigurationUpdate,
     KeyRangesDelta,
@@ -79,9 +79,9 @@
 def test_a_vouch_that_a_freeze_or_a_cut_has_held_up_counts_for_nothing():
     view = holding(5)
     sent_at = view.heartbeat(7 * SECOND).sent_at
-    view.receive(sent_at + VOUCH_MAX_AGE_NS + 1, "a:1", heartbeat(5, heartbeat_sent_at=sent_at))
+    view.receive(sent_at + CONFIRMATION_MAX_AGE_NS + 1, "a:1", heartbeat(5, heartbeat_sent_at=sent_at))
     assert not view.ready()
-    view.receive(sent_at + VOUCH_MAX_AGE_NS, "a:1", heartbeat(5, heartbeat_sent_at=sent_at))
+    view.receive(sent_at + CONFIRMATION_MAX_AGE_NS, "a:1", heartbeat(5, heartbeat_sent_at=sent_at))
     assert view.ready()
 
 
