--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -72,12 +72,13 @@
     Invariants, each with its test in `tests/forwarding/test_forwarder.py`:
 
     - A non-idempotent request that may have run is neither retried nor answered as not run
-      (`test_what_may_have_run_is_never_sent_again_nor_promised`).
-    - A request keeps the route that it was admitted with (`test_a_route_keeps_its_requests_through_a_change`).
-    - States follow `TRANSITIONS` (`test_states_of_a_request_follow_the_table`).
+      (`test_a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_refused_as_not_run`).
+    - A request keeps the route that it was admitted with
+      (`test_a_request_keeps_its_route_when_the_configuration_changes`).
+    - States follow `TRANSITIONS` (`test_request_states_follow_the_transition_table`).
     - Every attempt that is started is ended or discarded
-      (`test_where_all_connections_are_in_use_a_request_waits_here_and_nothing_counts_against_the_server`), also after
-      the client has disconnected (`test_a_client_that_has_gone_starts_no_further_attempt`).
+      (`test_a_request_without_a_free_connection_waits_and_is_not_counted_as_an_attempt`), also after
+      the client has disconnected (`test_no_attempt_is_started_after_the_client_has_disconnected`).
 
     :param zone: of this edge machine.
     :param retry_ratio: retries per request that the operator allows all edges together.
--- a/kestrelplank/forwarding/request.py
+++ b/kestrelplank/forwarding/request.py
@@ -36,10 +36,10 @@
 class ForwardedRequest:
     """A pending request; each state transition is a method that only records it.
 
-    `TRANSITIONS` is checked only by a test, `test_states_of_a_request_follow_the_table`.
+    `TRANSITIONS` is checked only by a test, `test_request_states_follow_the_transition_table`.
 
     Route, service and connection limit are those of the configuration at admission; a later configuration does not
-    change them (`test_a_route_keeps_its_requests_through_a_change`).
+    change them (`test_a_request_keeps_its_route_when_the_configuration_changes`).
 
     :param max_connections: the number of connections that a server of the service accepts from all callers.
     :param key: the shard key; None if the service is not sharded.
--- a/kestrelplank/forwarding/retry_budget.py
+++ b/kestrelplank/forwarding/retry_budget.py
@@ -5,7 +5,7 @@
     """A token bucket of retries for each service: every request adds a fraction of a token, every retry takes one.
 
     All edges together stay within the configured limit without communicating, as each may save up only its share
-    (`test_the_retry_budget_keeps_all_edges_together_within_the_operators_bound`).
+    (`test_retries_of_all_edges_together_stay_within_the_configured_limit`).
 
     Source: Finagle's and gRPC's retry budgets, see `load_balancing.retry_budget`; here the bucket's capacity shrinks as
     edges are added.
--- a/kestrelplank/forwarding/traffic_split.py
+++ b/kestrelplank/forwarding/traffic_split.py
@@ -20,8 +20,8 @@
     """The next point of each split route at one edge machine.
 
     Invariant: in any window of one edge's requests, each service's share is within a few requests of its weight
-    (`test_every_window_of_one_edge_has_the_shares_of_the_weights`), also across a change of weights
-    (`test_a_change_of_weights_in_the_middle_of_a_window_counts_from_then_on`).
+    (`test_every_window_of_one_edge_matches_the_weights`), also across a change of weights
+    (`test_changed_weights_apply_from_the_next_request`).
     """
 
     def __init__(self, random: Random) -> None:
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -42,14 +42,14 @@
     Invariants, each with its test in `tests/transport/test_edge_view.py`:
 
     - While a process runs, configuration, key ranges and membership never return to an older version
-      (`test_a_process_never_goes_back_to_older_state`, `test_newcomers_are_found_and_those_that_left_let_go_of`).
+      (`test_updates_with_an_older_version_are_ignored`, `test_the_members_follow_the_newest_membership`).
     - The machine becomes ready only after a current member of the newest membership has confirmed its configuration in
-      answer to a recent heartbeat (`test_ready_is_who_holds_what_a_current_member_vouches_for`,
-      `test_a_current_member_that_does_not_count_any_more_vouches_for_nothing`,
-      `test_a_vouch_that_a_freeze_or_a_cut_has_held_up_counts_for_nothing`); it then stays ready
-      (`test_who_was_ready_stays_so_while_it_hears_that_a_newer_configuration_comes`).
+      answer to a recent heartbeat (`test_an_edge_is_ready_once_a_current_member_confirms_its_configuration`,
+      `test_a_former_member_can_not_confirm_a_configuration`,
+      `test_a_delayed_confirmation_is_ignored`); it then stays ready
+      (`test_a_ready_edge_stays_ready_when_a_newer_configuration_is_announced`).
     - A key range delta is applied only to its base version
-      (`test_changes_count_only_on_top_of_the_version_that_they_differ_from`).
+      (`test_a_key_range_delta_is_applied_only_to_its_base_version`).
 
     :param name: this machine's name.
     :param seeds: control addresses, dialled until a member has sent the membership, and again while no member sends
--- a/kestrelplank/transport/key_range_table.py
+++ b/kestrelplank/transport/key_range_table.py
@@ -9,7 +9,7 @@
     """The key ranges of one service at one version.
 
     Ranges are sorted by key and do not overlap
-    (`tests/transport/test_key_range_table.py::test_changed_ranges_cover_what_they_say_and_nothing_else`).
+    (`tests/transport/test_key_range_table.py::test_changed_ranges_replace_exactly_their_own_keys`).
     """
 
     def __init__(self, version: KeyRangesVersion, key_ranges: list[RangeHolder]) -> None:
--- a/kestrelplank/transport/server_list.py
+++ b/kestrelplank/transport/server_list.py
@@ -44,9 +44,9 @@
     Invariants, each with its test in `tests/transport/test_server_list.py`:
 
     - A list that was fetched earlier never replaces one that was fetched later
-      (`test_of_two_lists_the_one_fetched_later_holds_whenever_it_comes`).
+      (`test_a_list_fetched_earlier_never_replaces_one_fetched_later`).
     - A server that was listed as draining stays draining while it is listed, as lists may lag; a restarted server has a
-      new name (`test_a_drain_is_never_taken_back`).
+      new name (`test_a_draining_server_stays_draining_while_it_is_listed`).
     """
 
     def __init__(self) -> None:
--- a/kestrelplank/transport/sessions.py
+++ b/kestrelplank/transport/sessions.py
@@ -40,9 +40,9 @@
     Invariants, each with its test in `tests/transport/test_sessions.py`:
 
     - Only the newest connection of a peer counts; messages on an older one are ignored
-      (`test_a_newer_connection_takes_the_place_of_the_older_whose_late_messages_count_for_nothing`).
-    - Closing a replaced connection ends no session (`test_the_end_of_an_older_connection_ends_no_session`).
-    - A connection carries messages of one peer only (`test_a_connection_speaks_for_one_peer_only`).
+      (`test_a_newer_connection_replaces_the_older_whose_late_messages_are_ignored`).
+    - Closing a replaced connection ends no session (`test_closing_a_replaced_connection_ends_no_session`).
+    - A connection carries messages of one peer only (`test_a_connection_carries_messages_of_one_peer_only`).
     """
 
     def __init__(self) -> None:
--- a/kestrelplank/transport/wire.py
+++ b/kestrelplank/transport/wire.py
@@ -52,10 +52,10 @@
 
     Invariants, each with its test in `tests/transport/test_wire.py`:
 
-    - Messages arrive complete and in order (`test_messages_come_complete_and_in_order_small_and_large`).
+    - Messages arrive complete and in order (`test_messages_of_all_sizes_arrive_complete_and_in_order`).
     - An invalid frame ends the connection, once, and later frames are ignored
-      (`test_what_cannot_be_read_ends_it_once_and_nothing_behind_it_counts`).
-    - Data that a peer does not read is bounded (`test_a_peer_that_reads_nothing_is_dropped`).
+      (`test_an_invalid_frame_ends_the_connection_once_and_later_frames_are_ignored`).
+    - Data that a peer does not read is bounded (`test_a_peer_that_reads_nothing_is_disconnected`).
 
     :param decode: decodes a body to one of the messages accepted here; raises ValueError for anything else.
     :param on_message: called with the connection and each message.
--- a/tests/configuration/test_parsing.py
+++ b/tests/configuration/test_parsing.py
@@ -1,4 +1,4 @@
-"""Configurations: what is refused, and which route a request takes."""
+"""Validation of configurations, and the routes and services that requests get."""
 
 import json
 from random import Random
@@ -10,8 +10,8 @@
 
 
 def configuration(version="00000007", **changes):
-    """A valid configuration as the operator sends it; `changes` replace its parts."""
-    found = {
+    """Return a valid configuration document; `changes` replace its top-level fields."""
+    document = {
         "config_version": version,
         "service_table": [
             {
@@ -33,7 +33,7 @@
             {"host_name": "pay.example", "host_routes": [route("/a/", "non_idempotent", "orders")]},
         ],
     }
-    return {**found, **changes}
+    return {**document, **changes}
 
 
 def route(prefix, kind, service="views", **more):
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, named",
+    "changes, expected",
     [
         (with_route(target_service="nobody"), "target_service"),
         (with_route(target_service=None), "target_service"),
@@ -103,42 +103,42 @@
         ({"virtual_hosts": "none"}, "virtual_hosts"),
     ],
 )
-def test_an_invalid_document_is_refused_with_the_name_of_the_field(changes, named):
-    assert named in str(parse_configuration(encoded(**changes)).failure())
+def test_an_invalid_document_is_refused_with_the_name_of_the_field(changes, expected):
+    assert expected in str(parse_configuration(encoded(**changes)).failure())
 
 
-def test_a_document_cut_short_at_any_byte_is_refused():
+def test_a_document_truncated_at_any_byte_is_refused():
     complete = encoded()
     for end in range(len(complete)):
         assert parse_configuration(complete[:end]).value_or(None) is None
     assert parse_configuration(complete).unwrap().text == complete
 
 
-def test_a_request_takes_the_route_with_the_longest_prefix_of_its_host():
-    configured = parse_configuration(encoded()).unwrap()
-    assert configured.route("shop.example:80", "/a/x").path_prefix == "/a/"
-    assert configured.route("SHOP.example", "/a/b/x").route_type == "upload"
-    assert configured.route("pay.example", "/a/b/x").route_type == "non_idempotent"
-    assert configured.route("shop.example", "/a") is None
-    assert configured.route("shop.example", "/") is None
-    assert configured.route("other.example", "/a/x") is None
+def test_a_request_is_routed_by_the_longest_matching_prefix_of_its_host():
+    parsed = parse_configuration(encoded()).unwrap()
+    assert parsed.route("shop.example:80", "/a/x").path_prefix == "/a/"
+    assert parsed.route("SHOP.example", "/a/b/x").route_type == "upload"
+    assert parsed.route("pay.example", "/a/b/x").route_type == "non_idempotent"
+    assert parsed.route("shop.example", "/a") is None
+    assert parsed.route("shop.example", "/") is None
+    assert parsed.route("other.example", "/a/x") is None
 
 
-def test_a_traffic_split_goes_by_weight_and_never_to_a_weight_of_0():
+def test_a_traffic_split_follows_the_weights_and_skips_a_weight_of_0():
     split = [{"target_service": "views", "weight": 90}, {"target_service": "orders", "weight": 10}]
-    taken = parse_configuration(encoded(**with_route(traffic_split=split))).unwrap().route("shop.example", "/a/")
+    split_route = parse_configuration(encoded(**with_route(traffic_split=split))).unwrap().route("shop.example", "/a/")
     random = Random(1)
-    met = [taken.service_at(random.random()) for _ in range(2000)]
-    assert 100 < met.count("orders") < 300
+    chosen = [split_route.service_at(random.random()) for _ in range(2000)]
+    assert 100 < chosen.count("orders") < 300
     split[1]["weight"] = 0
-    taken = parse_configuration(encoded(**with_route(traffic_split=split))).unwrap().route("shop.example", "/a/")
-    assert all(taken.service_at(random.random()) == "views" for _ in range(100))
+    split_route = parse_configuration(encoded(**with_route(traffic_split=split))).unwrap().route("shop.example", "/a/")
+    assert all(split_route.service_at(random.random()) == "views" for _ in range(100))
 
 
-def test_of_equal_version_numbers_the_digest_decides():
-    one, other = parse_configuration(encoded()).unwrap(), parse_configuration(encoded(limits={})).unwrap()
-    assert one.key.version == other.key.version and one.key != other.key
-    assert parse_configuration(encoded(version="00000010")).unwrap().key > max(one.key, other.key)
+def test_configurations_with_equal_version_numbers_differ_by_digest():
+    first, second = parse_configuration(encoded()).unwrap(), parse_configuration(encoded(limits={})).unwrap()
+    assert first.key.version == second.key.version and first.key != second.key
+    assert parse_configuration(encoded(version="00000010")).unwrap().key > max(first.key, second.key)
 
 
 @pytest.mark.parametrize(
@@ -149,10 +149,10 @@
         (with_route(timeout_s=601), "virtual_hosts[0].host_routes[0].timeout_s"),
     ],
 )
-def test_a_refusal_knows_its_field_whether_form_or_value_is_wrong(changes, field):
-    refusal = parse_configuration(encoded(**changes)).failure()
-    assert isinstance(refusal, InvalidFieldError) and refusal.field == field
+def test_the_error_has_the_field_of_a_wrong_type_or_value(changes, field):
+    error = parse_configuration(encoded(**changes)).failure()
+    assert isinstance(error, InvalidFieldError) and error.field == field
 
 
-def test_bytes_that_are_no_json_are_a_malformed_document():
+def test_invalid_json_gives_a_malformed_document_error():
     assert isinstance(parse_configuration(b"{").failure(), MalformedDocumentError)
--- a/tests/forwarding/test_errors.py
+++ b/tests/forwarding/test_errors.py
@@ -1,21 +1,21 @@
-"""The table of our own answers: closed, and with no promise where a request may have run."""
+"""The gateway's own answers: the table is complete, and `Retry-After` never comes with a request that may have run."""
 
 from kestrelplank.forwarding import errors
 from kestrelplank.forwarding.errors import ERRORS, OperatorCallError, RequestError, UnprovenRequestError
 
 
-def kinds(error=RequestError):
-    """All classes below that one that have none below them."""
-    below = error.__subclasses__()
-    return {error} if not below else set().union(*map(kinds, below))
+def leaf_classes(error=RequestError):
+    """Return all subclasses of `error` that have no subclasses themselves."""
+    subclasses = error.__subclasses__()
+    return {error} if not subclasses else set().union(*map(leaf_classes, subclasses))
 
 
-def test_the_table_lists_every_kind_of_error_once():
-    assert set(ERRORS) == kinds() and len(ERRORS) == len(set(ERRORS))
+def test_the_table_lists_every_error_class_once():
+    assert set(ERRORS) == leaf_classes() and len(ERRORS) == len(set(ERRORS))
     assert all(error.__module__ == errors.__name__ for error in ERRORS)
 
 
-def test_each_kind_has_the_status_and_body_that_clients_know():
+def test_each_error_has_its_documented_status_and_body():
     assert [(error.status, error.reason) for error in ERRORS] == [
         (404, "no route"),
         (400, "bad request"),
@@ -37,7 +37,7 @@
     ]
 
 
-def test_retry_after_is_said_only_where_nothing_has_run_or_will():
+def test_retry_after_is_allowed_only_for_requests_that_never_run():
     for error in ERRORS:
         assert not (error.allows_retry_after and error.may_have_run)
         if not issubclass(error, OperatorCallError):
--- a/tests/transport/test_edge_view.py
+++ b/tests/transport/test_edge_view.py
@@ -1,4 +1,4 @@
-"""What an edge machine makes of what control members send it."""
+"""How an edge machine's view changes with the messages of control members."""
 
 from configuration.test_parsing import encoded
 
@@ -30,54 +30,54 @@
     return (name, "views", f"{name}:80", "z", 2, state, 0)
 
 
-def holding(version):
-    """A view that has that configuration and a list of servers, and has heard nobody vouch."""
+def view_with_configuration(version):
+    """Return a view with that configuration, not confirmed yet, and a server list."""
     view = EdgeView("edge-1", MEMBERS)
     view.receive(0, "a:1", configuration(version))
     view.receive(0, "a:1", ServerListUpdate(0, [entry("s")]))
     return view
 
 
-def test_of_seeds_that_are_down_or_gone_one_that_answers_is_enough():
+def test_one_reachable_seed_is_enough_to_find_the_members():
     view = EdgeView("edge-1", ("a:1", "gone:1", "down:1"))
     assert view.addresses_to_dial(0) == ("a:1", "gone:1", "down:1")
     assert view.receive(0, "a:1", heartbeat()) is Change.MEMBERS and view.members == MEMBERS
     assert view.addresses_to_dial(0) == MEMBERS and view.receive(0, "b:1", heartbeat()) is None
 
 
-def test_ready_is_who_holds_what_a_current_member_vouches_for():
-    view = holding(5)
+def test_an_edge_is_ready_once_a_current_member_confirms_its_configuration():
+    view = view_with_configuration(5)
     assert not view.ready()
-    view.receive(0, "a:1", heartbeat(5, is_current=False))  # it is cut off: what it says counts for nothing
+    view.receive(0, "a:1", heartbeat(5, is_current=False))  # a member that is cut off can't confirm
     assert not view.ready()
     view.receive(0, "b:1", heartbeat(9))
-    assert not view.ready()  # a newer one is in force
+    assert not view.ready()  # a newer configuration is in force
     view.receive(0, "b:1", configuration(9))
-    assert not view.ready()  # and is held, but by now yet a newer one may be
+    assert not view.ready()  # received, but a still newer one may be in force by now
     view.receive(0, "b:1", heartbeat(9))
     assert view.ready()
 
 
-def test_a_current_member_that_does_not_count_any_more_vouches_for_nothing():
-    view = holding(5)
+def test_a_former_member_can_not_confirm_a_configuration():
+    view = view_with_configuration(5)
     view.receive(0, "a:1", heartbeat(9, voters=("d:1", "e:1", "f:1"), epoch=2))
-    view.receive(0, "b:1", heartbeat(5, epoch=1))  # it is cut off from the change, and believes in the epoch before
-    view.receive(0, "b:1", heartbeat(5, voters=("d:1", "e:1", "f:1"), epoch=2))  # it counts no more
+    view.receive(0, "b:1", heartbeat(5, epoch=1))  # a member that missed the change
+    view.receive(0, "b:1", heartbeat(5, voters=("d:1", "e:1", "f:1"), epoch=2))  # no longer a voter
     assert not view.ready() and view.members == ("d:1", "e:1", "f:1")
     view.receive(0, "e:1", heartbeat(5, voters=("d:1", "e:1", "f:1"), epoch=2))
     assert view.ready()
 
 
-def test_who_was_ready_stays_so_while_it_hears_that_a_newer_configuration_comes():
-    view = holding(5)
+def test_a_ready_edge_stays_ready_when_a_newer_configuration_is_announced():
+    view = view_with_configuration(5)
     view.receive(0, "a:1", heartbeat(5))
     assert view.ready()
     view.receive(0, "a:1", heartbeat(9))
     assert view.ready()
 
 
-def test_a_vouch_that_a_freeze_or_a_cut_has_held_up_counts_for_nothing():
-    view = holding(5)
+def test_a_delayed_confirmation_is_ignored():
+    view = view_with_configuration(5)
     sent_at = view.heartbeat(7 * SECOND).sent_at
     view.receive(sent_at + CONFIRMATION_MAX_AGE_NS + 1, "a:1", heartbeat(5, heartbeat_sent_at=sent_at))
     assert not view.ready()
@@ -85,14 +85,14 @@
     assert view.ready()
 
 
-def test_without_a_configuration_nobody_is_ready():
+def test_an_edge_without_a_configuration_is_not_ready():
     view = EdgeView("edge-1", MEMBERS)
     view.receive(0, "a:1", ServerListUpdate(0, [entry("s")]))
     view.receive(0, "a:1", heartbeat(None))
     assert not view.ready()
 
 
-def test_newcomers_are_found_and_those_that_left_let_go_of():
+def test_the_members_follow_the_newest_membership():
     view = EdgeView("edge-1", MEMBERS)
     view.receive(0, "a:1", heartbeat())
     assert view.receive(0, "a:1", heartbeat(voters=("a:1", "b:1", "d:1"), epoch=2)) is Change.MEMBERS
@@ -100,7 +100,7 @@
     assert view.receive(0, "c:1", heartbeat(epoch=0)) is None and view.members == ("a:1", "b:1", "d:1")
 
 
-def test_seeds_are_asked_again_once_all_members_are_silent_and_no_longer_when_one_speaks():
+def test_seeds_are_dialled_again_only_while_no_member_sends_messages():
     view = EdgeView("edge-1", ("a:1", "x:1"))
     view.receive(0, "a:1", heartbeat(voters=("b:1", "c:1")))
     view.receive(0, "b:1", heartbeat(voters=("b:1", "c:1")))
@@ -112,7 +112,7 @@
     assert view.addresses_to_dial(SEED_FALLBACK_DELAY_NS) == ("d:1", "c:1")
 
 
-def test_reports_go_to_who_leads_by_the_newest_term():
+def test_reports_are_sent_to_the_leader_of_the_newest_term():
     view = EdgeView("edge-1", MEMBERS)
     assert view.assigner_address("views") is None
     view.receive(0, "b:1", heartbeat(term=3, leader="b:1"))
@@ -121,7 +121,7 @@
     assert view.assigner_address("views") == "b:1"
 
 
-def test_a_process_never_goes_back_to_older_state():
+def test_updates_with_an_older_version_are_ignored():
     view = EdgeView("edge-1", MEMBERS)
     assert view.receive(0, "a:1", configuration(9)) is Change.CONFIGURATION
     assert view.receive(0, "b:1", configuration(5)) is None and view.configuration.key.version == 9
@@ -131,38 +131,40 @@
     assert view.key_ranges["views"].holder_of(7).server == "s"
 
 
-def test_a_configuration_that_can_not_be_read_changes_nothing():
+def test_an_invalid_configuration_is_ignored():
     view = EdgeView("edge-1", MEMBERS)
     assert view.receive(0, "a:1", ConfigurationUpdate(9, b"{")) is None and view.configuration is None
 
 
-def test_changes_count_only_on_top_of_the_version_that_they_differ_from():
+def test_a_key_range_delta_is_applied_only_to_its_base_version():
     view = EdgeView("edge-1", MEMBERS)
     ranges = [RangeHolder(0, 99, "s", "s:80"), RangeHolder(100, 65535, "t", "t:80")]
     view.receive(0, "a:1", KeyRangesUpdate("views", KeyRangesVersion(2, 1), ranges))
-    leaving = KeyRangesDelta("views", KeyRangesVersion(2, 1), KeyRangesVersion(2, 1, 1), [RangeHolder(50, 99, "", "")])
-    assert view.receive(0, "a:1", leaving) is Change.KEY_RANGES
+    releasing = KeyRangesDelta(
+        "views", KeyRangesVersion(2, 1), KeyRangesVersion(2, 1, 1), [RangeHolder(50, 99, "", "")]
+    )
+    assert view.receive(0, "a:1", releasing) is Change.KEY_RANGES
     assert view.key_ranges["views"].holder_of(49).server == "s" and view.key_ranges["views"].holder_of(50) is None
-    changed = KeyRangesDelta(
+    moved = KeyRangesDelta(
         "views", KeyRangesVersion(2, 1, 1), KeyRangesVersion(2, 2), [RangeHolder(50, 99, "t", "t:80")]
     )
-    assert view.receive(0, "a:1", changed) is Change.KEY_RANGES and view.key_ranges["views"].holder_of(50).server == "t"
-    assert view.receive(0, "b:1", changed) is None  # it comes twice
-    late = KeyRangesDelta("views", KeyRangesVersion(2, 3), KeyRangesVersion(2, 4), [RangeHolder(0, 9, "u", "u:80")])
-    assert view.receive(0, "a:1", late) is None and view.heartbeat(0).key_ranges["views"] == KeyRangesVersion(2, 2)
+    assert view.receive(0, "a:1", moved) is Change.KEY_RANGES and view.key_ranges["views"].holder_of(50).server == "t"
+    assert view.receive(0, "b:1", moved) is None  # a duplicate
+    skipping = KeyRangesDelta("views", KeyRangesVersion(2, 3), KeyRangesVersion(2, 4), [RangeHolder(0, 9, "u", "u:80")])
+    assert view.receive(0, "a:1", skipping) is None and view.heartbeat(0).key_ranges["views"] == KeyRangesVersion(2, 2)
 
 
-def test_who_missed_a_notice_of_leaving_ranges_takes_nothing_that_builds_on_it_until_it_is_told_all():
+def test_an_edge_that_missed_a_key_range_delta_ignores_later_ones_until_a_full_update():
     view = EdgeView("edge-1", MEMBERS)
     ranges = [RangeHolder(0, 99, "s", "s:80"), RangeHolder(100, 65535, "t", "t:80")]
     view.receive(0, "a:1", KeyRangesUpdate("views", KeyRangesVersion(2, 1), ranges))
-    second = KeyRangesDelta(
+    later = KeyRangesDelta(
         "views", KeyRangesVersion(2, 1, 1), KeyRangesVersion(2, 1, 2), [RangeHolder(100, 199, "", "")]
     )
-    assert view.receive(0, "a:1", second) is None and view.heartbeat(0).key_ranges["views"] == KeyRangesVersion(2, 1)
-    leaving = [RangeHolder(50, 99, "", ""), RangeHolder(100, 199, "", "")]
+    assert view.receive(0, "a:1", later) is None and view.heartbeat(0).key_ranges["views"] == KeyRangesVersion(2, 1)
+    releasing = [RangeHolder(50, 99, "", ""), RangeHolder(100, 199, "", "")]
     assert (
-        view.receive(0, "a:1", KeyRangesUpdate("views", KeyRangesVersion(2, 1, 2), ranges, leaving))
+        view.receive(0, "a:1", KeyRangesUpdate("views", KeyRangesVersion(2, 1, 2), ranges, releasing))
         is Change.KEY_RANGES
     )
     table = view.key_ranges["views"]
--- a/tests/transport/test_wire_of_4f929ce.py
+++ b/tests/transport/test_wire_of_4f929ce.py
@@ -1,4 +1,4 @@
-"""Messages as commit 4f929ce sent them: today's code sends the same bytes for the same values, and reads them back."""
+"""Compatibility with the messages of commit 4f929ce: the same values have the same bytes, and decode to the same values."""
 
 import json
 import typing
@@ -21,9 +21,9 @@
 
 def examples(suffix=""):
     return [
-        pytest.param(*DECODERS[receiver], example, id=f"{receiver}-{place}-{example['tag']}")
+        pytest.param(*DECODERS[receiver], example, id=f"{receiver}-{index}-{example['tag']}")
         for receiver in DECODERS
-        for place, example in enumerate(MESSAGES[receiver + suffix])
+        for index, example in enumerate(MESSAGES[receiver + suffix])
     ]
 
 
@@ -41,35 +41,35 @@
 
 
 @pytest.mark.parametrize("union, decode, example", examples(", only read"))
-def test_a_message_with_fewer_fields_or_integers_for_floats_means_the_same(union, decode, example):
+def test_a_message_with_fewer_fields_or_integers_for_floats_decodes_to_the_same_value(union, decode, example):
     message = decode(bytes.fromhex(example["body"]))
     assert by_position(message) == example["value"]
 
 
 def test_every_type_of_message_has_an_example():
-    carried = typing.get_args(typing.get_type_hints(Envelope)["message"])
-    to_members = {tag_of(kind) for kind in (*typing.get_args(ToMember), *carried) if kind is not Envelope}
+    envelope_contents = typing.get_args(typing.get_type_hints(Envelope)["message"])
+    to_members = {tag_of(kind) for kind in (*typing.get_args(ToMember), *envelope_contents) if kind is not Envelope}
     assert {example["tag"] for example in MESSAGES["to a member"]} == to_members
     assert {example["tag"] for example in MESSAGES["to an edge machine"]} == {
         tag_of(kind) for kind in typing.get_args(ToEdge)
     }
 
 
-def test_a_short_message_is_the_same_frame():
+def test_a_short_message_has_the_same_frame():
     frame = bytes.fromhex(FRAMES["plain"]["frame"])
     message = decode_at_edge(frame[4:])
     assert by_position(message) == FRAMES["plain"]["value"]
     assert encode_frame(message) == frame
 
 
-def test_a_compressed_frame_is_read():
+def test_a_compressed_frame_is_decoded():
     frame = bytes.fromhex(FRAMES["compressed"]["frame"])
-    head = int.from_bytes(frame[:4])
-    assert head == (len(frame) - 4 | COMPRESSED_FLAG)
+    header = int.from_bytes(frame[:4])
+    assert header == (len(frame) - 4 | COMPRESSED_FLAG)
     message = decode_at_edge(uncompressed_body(frame[4:], True))
     assert by_position(message) == FRAMES["compressed"]["value"]
-    again = encode_frame(message)
-    assert int.from_bytes(again[:4]) & COMPRESSED_FLAG and uncompressed_body(again[4:], True) == uncompressed_body(
+    encoded = encode_frame(message)
+    assert int.from_bytes(encoded[:4]) & COMPRESSED_FLAG and uncompressed_body(encoded[4:], True) == uncompressed_body(
         frame[4:], True
     )
 
@@ -90,5 +90,5 @@
     servers.update(10, 0, [tuple(row) for row in example["rows"]])
     assert servers.digest() == example["digest"]
     ready_again = [(*row[:5], READY, row[6]) for row in example["rows"]]
-    servers.update(20, 0, ready_again)  # a drain is kept, so the list is the same
+    servers.update(20, 0, ready_again)  # a drain is kept, so the list does not change
     assert servers.digest() == example["digest"]
