--- a/kestrelplank/forwarding/endpoint.py
+++ b/kestrelplank/forwarding/endpoint.py
@@ -111,7 +111,7 @@
         self.idle_connections = max(0, self.idle_connections - 1)
 
     def attempt_discarded(self) -> None:
-        """Uncount an attempt that was started but not sent, for a reason unrelated to the server."""
+        """Reverse `attempt_started` for an attempt that was not sent, for a reason unrelated to the server."""
         self.in_flight -= 1
         self.attempts -= 1
 
--- a/kestrelplank/forwarding/endpoints.py
+++ b/kestrelplank/forwarding/endpoints.py
@@ -16,7 +16,7 @@
 OTHER_ZONE_COST = 1.15
 OTHER_ZONE_BODY_BYTES = 80_000  # to another zone, each multiple of this body size adds 1 to the factor
 WARMING_UP_WEIGHT = 0.5  # divisor of the cost of a server that is warming up (slow start)
-TIE_BREAK_JITTER = 0.3  # random, so that edges spread over servers of equal cost
+TIE_BREAK_JITTER = 0.3  # largest random addition to the factor, so that edges spread over servers of equal cost
 
 UNUSED_NUMBER = 0  # of no endpoint
 
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -44,7 +44,7 @@
 MIN_ATTEMPT_DIVISOR = 10  # an attempt needs at least latency target / 10 before the deadline
 
 # Attempts.
-MAX_UNSENT_ATTEMPTS = 4  # of one request; its connection failed, so it does not count as an attempt
+MAX_UNSENT_ATTEMPTS = 4  # of one request, whose connections failed; not counted towards `max_attempts`
 # Nothing was sent, for a reason unrelated to the server.
 NOT_STARTED_OUTCOMES = (CallOutcome.NO_CONNECTION_FREE, CallOutcome.UNSENDABLE, CallOutcome.NOT_SENT)
 HEALTHY_SERVER_OUTCOMES = (CallOutcome.ANSWERED, CallOutcome.NOT_EXECUTED)  # not failures of the server
@@ -176,7 +176,7 @@
             return True  # it no longer holds the key: an update will name the new holder
         return bool(request.unsent_attempts) and self.endpoints.is_ejected(now, endpoint)
 
-    # 3. Waiting at the edge: a request sent to a server can't be withdrawn, nor refused as certainly not run.
+    # 3. Waiting at the edge: once sent to a server, a request can't be withdrawn, nor be refused as not run.
 
     def _wait_for_holder(self, now: int, request: ForwardedRequest) -> Step:
         """Wait for a new holder of the key for up to half the latency target, then refuse."""
--- a/kestrelplank/transport/edge_view.py
+++ b/kestrelplank/transport/edge_view.py
@@ -130,7 +130,7 @@
     def _handle_key_ranges_delta(self, delta: KeyRangesDelta) -> Change | None:
         table = self.key_ranges.get(delta.service)
         if table is None or table.version != delta.base_version:
-            return None  # a delta was missed or is a duplicate; members answer the next heartbeat in full
+            return None  # a gap or a duplicate; after a gap, the answer to the next heartbeat has all key ranges
         self.key_ranges[delta.service] = table.updated(delta.version, delta.key_ranges)
         return Change.KEY_RANGES
 
--- a/kestrelplank/transport/messages.py
+++ b/kestrelplank/transport/messages.py
@@ -20,7 +20,7 @@
 
 
 class KeyRangesVersion(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The version of a service's key ranges; versions are ordered field by field.
+    """The version of a service's key ranges. Versions are compared field by field; the greater is the newer.
 
     :param term: term of the leader that recorded them.
     :param record: number of the record in that term.
@@ -109,7 +109,7 @@
 
 
 class KeyRangesUpdate(msgspec.Struct, frozen=True, array_like=True, tag="lines"):
-    """All key ranges of a service as recorded in the log, and those that their holders are releasing since."""
+    """All key ranges of a service as recorded in the log, and those whose release by their holders has begun since."""
 
     service: str
     version: KeyRangesVersion
--- a/kestrelplank/transport/server_list.py
+++ b/kestrelplank/transport/server_list.py
@@ -57,7 +57,7 @@
         self._draining: dict[str, None] = {}
 
     def update(self, now: int, age_ns: int, rows: Iterable[ServerRow | ListedServer]) -> bool:
-        """Replace the list by a complete one that is `age_ns` old, unless that is older; return whether it differs."""
+        """Apply a complete list that is `age_ns` old, unless it is outdated; return whether the entries changed."""
         fetched_at = now - age_ns
         if self.fetched_at is not None and fetched_at <= self.fetched_at:
             return False
