--- a/tests/control/test_operator_orders.py
+++ b/tests/control/test_operator_orders.py
@@ -44,7 +44,7 @@
 def confirms_configuration(system, name):
     """Whether that member tells edge machines that it is current, so that its configuration is the one in force."""
     (heartbeat, *_) = system.members[name].handle_edge_heartbeat(system.now, EdgeHeartbeat("edge-9", None, {}, None), 1)
-    return heartbeat.may_vouch
+    return heartbeat.is_current
 
 
 def in_force(system):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -134,7 +134,7 @@
     member = StubMember()
     path = configuration_file(virtual_hosts=[{"host_name": "", "host_routes": []}])
     assert exit_code(member, "replace", "ADDRESS", path) == 2 and member.configuration is None
-    assert capsys.readouterr().err == f"kestrelplank: {path}: virtual_hosts[0].host_name: empty\n"
+    assert capsys.readouterr().err == f"kestrelplank: {path}: virtual_hosts[0].host_name: must not be empty\n"
 
 
 def test_an_address_that_does_not_answer_is_one_line_and_exit_code_1(configuration_file, capsys):
