--- a/kestrelplank/edge/__init__.py
+++ b/kestrelplank/edge/__init__.py
@@ -1,6 +1,7 @@
-"""The edge program: takes requests of clients and forwards them to servers.
+"""The edge program: accepts client requests and forwards them to servers.
 
-Read `program` first, which composes the rest: `client_exchange` has a request from its first byte to its answer, as
-`forwarding.forwarder` decides; `server_connections` has its attempts; `control_sessions` what
-comes from control members; `readiness` the start and the end; `counters` what is counted.
+Start with `program`, which composes the other modules. `client_exchange` handles one request from its first byte to its
+answer and executes the decisions of `forwarding.forwarder`; `server_connections` makes the attempts at servers;
+`control_sessions` keeps the sessions with control members; `readiness` is the state from start to shutdown; `counters`
+counts requests and attempts by outcome.
 """
--- a/kestrelplank/edge/client_application.py
+++ b/kestrelplank/edge/client_application.py
@@ -1,4 +1,4 @@
-"""The ASGI application of an edge: clients' requests, and the platform's readiness check."""
+"""The ASGI application of an edge: client requests and the platform's readiness check."""
 
 from kestrelplank.edge.client_exchange import ClientExchange
 from kestrelplank.edge.exchange_context import ExchangeContext
@@ -10,7 +10,7 @@
 def client_application(context: ExchangeContext, readiness_port: int) -> Application:
     """Return the application.
 
-    :param readiness_port: what comes to this port is the readiness check, whatever its path; all else is a client's.
+    :param readiness_port: requests to this port are readiness checks, whatever their path.
     """
 
     async def application(scope: Scope, receive: Receive, send: Send) -> None:
--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -1,8 +1,8 @@
-"""One request of a client, from its first byte to the last of its answer.
+"""One client request, from its first byte to the last byte of its answer.
 
-It is read in full, then what `forwarding.forwarder` decides is carried out step by step. The answer goes to the client
-whose connection the request came on, in the order of that connection; what a server answered is matched to its request
-in `edge.server_connections`.
+The request is read in full, then the steps that `forwarding.forwarder` returns are executed one by one. The answer is
+sent on the connection on which the request arrived, in the order of that connection's requests; server answers are
+matched to requests in `edge.server_connections`.
 """
 
 import asyncio
@@ -41,27 +41,27 @@
 from kestrelplank.http.asgi import Send as AsgiSend
 from kestrelplank.time_units import MILLISECOND, SECOND
 
-RETRY_AFTER_NS = SECOND // 2  # `Retry-After` where the body was not accepted, we stop, or a defect ended the request
+RETRY_AFTER_NS = SECOND // 2  # `Retry-After` for a body that was not accepted, a shutdown or an internal error
 BODILESS_STATUSES = (204, 304)
 log = logging.getLogger("edge")
 
 
 class AttemptTrace(TypedDict):
-    """One attempt, as a traced request has it in the log."""
+    """The log entry of one attempt of a traced request."""
 
     server: str
     outcome: str
-    status: int  # 0: no complete answer
+    status: int  # HTTP status code; 0: no complete answer
     ms: int
 
 
 class ClientExchange:
-    """One request of a client and its answer.
+    """One client request and its answer.
 
-    Invariants: the client gets one answer, whatever happens, unless it has disconnected
-    (`test_whatever_happens_on_both_wires_each_client_gets_its_own_answer_and_nothing_runs_twice`); the memory of its
-    body is given back (`test_bodies_are_held_within_a_bound_and_given_back`); an attempt is broken off only where
-    another run would do no harm (`test_a_client_that_goes_does_not_break_off_what_is_not_idempotent`).
+    Invariants: the client gets exactly one answer unless it has disconnected
+    (`test_each_client_gets_its_own_answer_and_no_non_idempotent_request_runs_twice`); the memory of the body is
+    released (`test_buffered_bodies_are_limited_and_their_memory_is_released`); an attempt is aborted only where running
+    the request again is harmless (`test_client_disconnect_does_not_abort_a_non_idempotent_request`).
     """
 
     def __init__(self, context: ExchangeContext, scope: Scope, receive: Receive, send: AsgiSend) -> None:
@@ -69,27 +69,27 @@
         self._headers: Headers = scope["headers"]
         self._fields = dict(self._headers)  # see `request_head.Fields`
         self._received_at = time.monotonic_ns()
-        self._client_timeout_ns = client_timeout_ns(self._fields)  # from `_received_at` on
-        self._held_body_bytes = 0  # bytes of its body, which are part of the context's `held_body_bytes`
+        self._client_timeout_ns = client_timeout_ns(self._fields)  # counted from `_received_at`
+        self._buffered_body_bytes = 0  # this request's part of the context's `buffered_body_bytes`
         self._request: ForwardedRequest | None = None  # None until it is admitted
         self._last_result: AttemptResult | None = None
         self._attempts: list[AttemptTrace] = []
         self._answered = False
 
     async def run(self) -> None:
-        """Read the request, forward it and answer it, whatever happens."""
+        """Read, forward and answer the request; an exception is turned into an answer."""
         try:
             await self._run()
-        except asyncio.CancelledError:  # by the server: the grace time for requests in hand is over
-            await self._break_off(ShuttingDownError(RETRY_AFTER_NS))
-        except Exception:  # noqa: BLE001 - else the client got an answer that says nothing of what ran
+        except asyncio.CancelledError:  # by the HTTP server: the grace period for requests in progress is over
+            await self._abort(ShuttingDownError(RETRY_AFTER_NS))
+        except Exception:  # noqa: BLE001 - uvicorn's own 500 would not say whether the request ran
             log.exception("Edge: refusing a request because of a defect of the gateway")
-            await self._break_off(GatewayDefectError(RETRY_AFTER_NS))
+            await self._abort(GatewayDefectError(RETRY_AFTER_NS))
         finally:
-            self._context.held_body_bytes -= self._held_body_bytes
+            self._context.buffered_body_bytes -= self._buffered_body_bytes
 
     async def _run(self) -> None:
-        """Read and admit the request, then carry out the forwarder's steps."""
+        """Read and admit the request, then execute the forwarder's steps."""
         try:
             body = await self._read()
             if body is None:
@@ -100,17 +100,17 @@
             await self._refuse(error)
             return
         step = self._context.forwarder.next_step(now, request)
-        client_gone = asyncio.ensure_future(self._wait_until_client_has_gone())
+        disconnected = asyncio.ensure_future(self._wait_for_disconnect())
         try:
-            await self._carry_out(request, step, self._server_request(body), client_gone)
+            await self._execute_steps(request, step, self._server_request(body), disconnected)
         finally:
-            client_gone.cancel()
+            disconnected.cancel()
             self._trace(request)
 
-    async def _break_off(self, error: RequestError) -> None:
-        """Answer at once: with `error` if the request has surely not run, else with 502.
+    async def _abort(self, error: RequestError) -> None:
+        """Answer at once: with `error` if the request has certainly not run, otherwise with 502.
 
-        An attempt that is out ends as `ABANDONED`; the step that the forwarder returns for it is not carried out.
+        An attempt in progress ends as `ABANDONED`; the step that the forwarder returns for it is not executed.
         """
         request = self._request
         if request is not None and request.endpoint is not None:
@@ -120,12 +120,12 @@
         if not self._answered:
             await self._refuse(error)
 
-    # 1. What the client sends.
+    # 1. Reading the request.
 
     async def _read(self) -> bytes | None:
-        """Return the body in full, None where the client has gone.
+        """Return the complete body, or None if the client has disconnected.
 
-        :raises RequestError: the request is ambiguous, or its body can't be taken.
+        :raises RequestError: the request is ambiguous, or its body is too large, too slow or exceeds the body memory.
         """
         if is_ambiguous(self._headers, self._fields):
             raise BadRequestError
@@ -136,7 +136,7 @@
             raise BodyTimeoutError(RETRY_AFTER_NS) from err
 
     async def _read_body(self, max_bytes: int) -> bytes | None:
-        """Collect the body, and count each chunk against this request's bound and that of all requests in hand."""
+        """Collect the body; check each chunk against the limits for one body and for all buffered bodies."""
         context, chunks = self._context, []
         while True:
             message = await self._receive()
@@ -144,11 +144,11 @@
                 return None
             chunk = message["body"]
             chunks.append(chunk)
-            self._held_body_bytes += len(chunk)
-            context.held_body_bytes += len(chunk)
-            if self._held_body_bytes > max_bytes:
+            self._buffered_body_bytes += len(chunk)
+            context.buffered_body_bytes += len(chunk)
+            if self._buffered_body_bytes > max_bytes:
                 raise BodyTooLargeError
-            if context.held_body_bytes > context.max_held_body_bytes:
+            if context.buffered_body_bytes > context.max_buffered_body_bytes:
                 raise BodyMemoryError(RETRY_AFTER_NS)
             if not message.get("more_body"):
                 return b"".join(chunks)
@@ -165,7 +165,7 @@
         )
 
     def _server_request(self, body: bytes) -> ServerRequest:
-        """Return the request as it goes to servers, but for what differs from attempt to attempt."""
+        """Return the request for servers, without the headers that differ between attempts."""
         query = self._scope["query_string"]
         return ServerRequest(
             self._scope["method"].encode(),
@@ -175,22 +175,22 @@
             self._fields[ATTEMPT_ID],
         )
 
-    async def _wait_until_client_has_gone(self) -> None:
+    async def _wait_for_disconnect(self) -> None:
         while (await self._receive())["type"] != "http.disconnect":
             pass
 
-    # 2. What the forwarder decides.
+    # 2. Executing the forwarder's steps.
 
-    async def _carry_out(
-        self, request: ForwardedRequest, step: Step, server_request: ServerRequest, client_gone: asyncio.Future[None]
+    async def _execute_steps(
+        self, request: ForwardedRequest, step: Step, server_request: ServerRequest, disconnected: asyncio.Future[None]
     ) -> None:
-        """Carry out the forwarder's steps until the request has its answer, or its client has disconnected."""
-        while not client_gone.done():
+        """Execute the forwarder's steps until the request is answered or its client has disconnected."""
+        while not disconnected.done():
             if isinstance(step, Send):
-                step = await self._attempt(request, step, server_request, client_gone)
+                step = await self._attempt(request, step, server_request, disconnected)
             elif isinstance(step, Wait):
-                await self._wait(step, client_gone)
-                if not client_gone.done():
+                await self._wait(step, disconnected)
+                if not disconnected.done():
                     step = self._context.forwarder.next_step(time.monotonic_ns(), request)
             elif isinstance(step, ForwardAnswer):
                 await self._forward_answer()
@@ -202,29 +202,29 @@
                 assert_never(step)
 
     async def _attempt(
-        self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
+        self, request: ForwardedRequest, step: Send, server_request: ServerRequest, disconnected: asyncio.Future[None]
     ) -> Step:
-        """Make one attempt, and return the step that follows it."""
+        """Make one attempt and return the next step."""
         context, endpoint = self._context, step.endpoint
         if request.last_outcome is not None:
             context.counters.add(UPSTREAM_RQ_RETRY)
-        result = self._last_result = await self._send_attempt(request, step, server_request, client_gone)
+        result = self._last_result = await self._send_attempt(request, step, server_request, disconnected)
         now = time.monotonic_ns()
         self._record_attempt(endpoint.server, result, now - request.sent_at)
-        if client_gone.done():
+        if disconnected.done():
             context.forwarder.client_disconnected(request)
         next_step = context.forwarder.attempt_ended(now, request, result.outcome, result.load())
         endpoint.idle_connections = context.connections.idle_count(endpoint.address)
-        context.wake_pending()  # there is capacity for another now
+        context.wake_pending()  # a waiting request can use the freed capacity
         return next_step
 
     async def _send_attempt(
-        self, request: ForwardedRequest, step: Send, server_request: ServerRequest, client_gone: asyncio.Future[None]
+        self, request: ForwardedRequest, step: Send, server_request: ServerRequest, disconnected: asyncio.Future[None]
     ) -> AttemptResult:
-        """Send the request to a server and return how that ended.
+        """Send the request to a server and return the result.
 
-        Where the client disconnects meanwhile, an attempt that may be repeated is broken off (its connection is reset);
-        one that must not run twice is waited for once its first byte is sent.
+        If the client disconnects meanwhile, an attempt at a request that may run again is aborted by a reset of its
+        connection; one that must not run twice is awaited once its first byte has been sent.
         """
         forwarder, endpoint = self._context.forwarder, step.endpoint
         sending = asyncio.ensure_future(
@@ -233,11 +233,11 @@
                 server_request.with_headers(attempt_headers(endpoint.server, step.timeout_ns)),
                 step.timeout_ns,
                 forwarder.max_connections(request),
-                is_wanted=lambda: not client_gone.done(),
+                should_send=lambda: not disconnected.done(),
             )
         )
         try:
-            await asyncio.wait((sending, client_gone), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((sending, disconnected), return_when=asyncio.FIRST_COMPLETED)
             if not sending.done() and forwarder.may_abandon(request):
                 return AttemptResult(CallOutcome.ABANDONED)
             return await sending
@@ -245,7 +245,7 @@
             sending.cancel()
 
     def _record_attempt(self, server: str, result: AttemptResult, duration_ns: int) -> None:
-        """Count the attempt by its outcome, and keep it for the trace."""
+        """Count the attempt by its outcome and store it for the trace."""
         self._context.counters.attempt_ended(result.outcome)
         self._attempts.append(
             {
@@ -256,21 +256,21 @@
             }
         )
 
-    async def _wait(self, step: Wait, client_gone: asyncio.Future[None]) -> None:
-        """Wait until the step's time is over, something has changed for waiting requests, or the client disconnects."""
+    async def _wait(self, step: Wait, disconnected: asyncio.Future[None]) -> None:
+        """Wait until the step's time, a change of the shared state, or the client's disconnect."""
         self._context.counters.add(UPSTREAM_RQ_PENDING)
         timeout_s = max(0, step.until - time.monotonic_ns()) / SECOND
         changed = asyncio.ensure_future(self._context.changed.wait())
         try:
-            await asyncio.wait((changed, client_gone), timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((changed, disconnected), timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         finally:
             changed.cancel()
 
-    # 3. The answer.
+    # 3. Answering.
 
     async def _forward_answer(self) -> None:
-        """Pass on a server's answer, as it came."""
-        assert self._last_result is not None and self._last_result.answer is not None  # else the step would be `Refuse`
+        """Forward the server's answer to the client, without its hop-by-hop headers."""
+        assert self._last_result is not None and self._last_result.answer is not None  # as the step is not `Refuse`
         answer: Answer = self._last_result.answer
         headers = [
             (lower_name, value)
@@ -281,31 +281,31 @@
         await self.answer(answer.status, headers, answer.body, length)
 
     async def _refuse(self, error: RequestError) -> None:
-        """Answer the client ourselves, with the status, body and headers that belong to the error."""
+        """Answer the client with the status, reason and headers of the error."""
         self._context.counters.refused(error)
         headers = []
         if error.retry_after_ns:
             headers.append((b"retry-after", f"{error.retry_after_ns / SECOND:.3f}".encode()))
         if isinstance(error, BodyTimeoutError):
-            headers.append((b"connection", b"close"))  # the rest of its body may still arrive
+            headers.append((b"connection", b"close"))  # the rest of the body may still arrive
         await self.answer(error.status, headers, error.reason.encode())
 
     async def answer(self, status: int, headers: Headers, body: bytes, length: bytes | None = None) -> None:
-        """Answer the client, once.
+        """Answer the client; called at most once.
 
-        :param length: of a body that is not sent, as the request is a HEAD.
+        :param length: `Content-Length` of the answer to a HEAD request, whose body is not sent.
         """
         self._answered = True
         if status not in BODILESS_STATUSES:
             headers.append((b"content-length", length or str(len(body)).encode()))
-        # "connection" is our `ClientProtocol`: it puts itself into the scope.
-        if self._context.readiness.draining and self._scope["connection"].ends_with_this_answer():
+        # `ClientProtocol` stores itself in the scope as "connection".
+        if self._context.readiness.draining and self._scope["connection"].may_close_after_answer():
             headers.append((b"connection", b"close"))
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
         await self._send({"type": "http.response.body", "body": body})
 
     def _trace(self, request: ForwardedRequest) -> None:
-        """Log one line if this request is among those traced: by a hash of its id, so that all edges trace the same."""
+        """Log one line if this request is sampled: by a hash of its id, so that all edges trace the same requests."""
         attempt_id, one_in = self._fields[ATTEMPT_ID], self._context.trace_one_in
         if not one_in or crc32(attempt_id) % one_in:
             return
--- a/kestrelplank/edge/control_sessions.py
+++ b/kestrelplank/edge/control_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions of an edge with control members: one with each voter, opened again when it has ended or is silent."""
+"""Sessions of an edge with control members: one with each voter, reopened after it ends or times out."""
 
 import asyncio
 import time
@@ -12,33 +12,33 @@
 from kestrelplank.transport.wire import FrameConnection
 
 CONNECT_TIMEOUT_S = 0.6
-RECONNECT_INTERVAL_S = 0.25  # least time before a session is opened again; also between calls of `reconcile`
+RECONNECT_INTERVAL_S = 0.25  # minimum delay before reconnecting; also the interval of `reconcile`
 HEARTBEAT_INTERVAL_S = 0.4
 
 
 class ControlSessions:
     """All sessions of one edge.
 
-    :param port: at which control members accept sessions.
-    :param on_message: called with the member's address and each message that it sends.
+    :param port: the port on which control members accept sessions.
+    :param on_message: called with a member's address and each message received from it.
     """
 
     def __init__(self, view: EdgeView, port: int, random: Random, on_message: Callable[[str, ToEdge], None]) -> None:
         self._view, self._port, self._random, self._on_message = view, port, random, on_message
-        self._tasks: dict[str, asyncio.Task[None]] = {}  # by the member's address, as all below
-        self._connections: dict[str, FrameConnection[ToEdge]] = {}
-        self._heard_at: dict[FrameConnection[ToEdge], int] = {}
+        self._tasks: dict[str, asyncio.Task[None]] = {}  # by member address
+        self._connections: dict[str, FrameConnection[ToEdge]] = {}  # by member address
+        self._last_received_at: dict[FrameConnection[ToEdge], int] = {}  # monotonic time in ns
 
     # The set of sessions.
 
     async def reconcile_periodically(self) -> None:
-        """Call `reconcile` every `RECONNECT_INTERVAL_S`: once all members are silent, seeds are to be dialled too."""
+        """Call `reconcile` every `RECONNECT_INTERVAL_S`: seed nodes are dialled too once all members are silent."""
         while True:
             await asyncio.sleep(RECONNECT_INTERVAL_S)
             self.reconcile()
 
     def reconcile(self) -> None:
-        """Open and end sessions to match `EdgeView.addresses_to_dial`: the voters, or seeds that know them."""
+        """Open and close sessions to match `EdgeView.addresses_to_dial`: the voters, or seed nodes that report them."""
         wanted = self._view.addresses_to_dial(time.monotonic_ns())
         for member in wanted:
             if member not in self._tasks:
@@ -47,68 +47,70 @@
             self._tasks.pop(member).cancel()
 
     def close(self) -> None:
-        """End all sessions."""
+        """Close all sessions."""
         for task in self._tasks.values():
             task.cancel()
 
     # One session.
 
     async def _session(self, member: str) -> None:
-        """Keep a session with that member until cancelled: connect, send heartbeats, and again after a failure."""
+        """Maintain a session with that member until cancelled: connect, send heartbeats, reconnect after a failure."""
         while True:
             connection = None
             try:
                 connection = await self._connect(member)
                 await self._send_heartbeats(connection)
             except (OSError, TimeoutError):
-                pass  # not logged: `silent_ms` shows it, and it is tried again
+                pass  # not logged: `silent_ms` shows the failure, and the loop reconnects
             finally:
                 if connection is not None:
-                    self._forget(member, connection)
+                    self._discard(member, connection)
             await asyncio.sleep(RECONNECT_INTERVAL_S * (1 + self._random.random()))
 
     async def _connect(self, member: str) -> FrameConnection[ToEdge]:
         host = parse_address(member)[0]
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, connection = await asyncio.get_running_loop().create_connection(
-                lambda: FrameConnection[ToEdge](decode_at_edge, self._received, _on_end), host, self._port
+                lambda: FrameConnection[ToEdge](decode_at_edge, self._received, _ignore_connection_end),
+                host,
+                self._port,
             )
         connection.peer, self._connections[member] = member, connection
-        self._heard_at[connection] = time.monotonic_ns()
+        self._last_received_at[connection] = time.monotonic_ns()
         return connection
 
     async def _send_heartbeats(self, connection: FrameConnection[ToEdge]) -> None:
-        """Send heartbeats, which say what this edge has, until the session has ended or is silent."""
-        while connection.is_open and time.monotonic_ns() - self._heard_at[connection] < SESSION_TIMEOUT_NS:
+        """Send heartbeats with the versions that this edge has, until the connection ends or times out."""
+        while connection.is_open and time.monotonic_ns() - self._last_received_at[connection] < SESSION_TIMEOUT_NS:
             connection.send(self._view.heartbeat(time.monotonic_ns()))
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def _received(self, connection: FrameConnection[ToEdge], message: ToEdge) -> None:
-        self._heard_at[connection] = time.monotonic_ns()
+        self._last_received_at[connection] = time.monotonic_ns()
         self._on_message(connection.peer, message)
 
-    def _forget(self, member: str, connection: FrameConnection[ToEdge]) -> None:
+    def _discard(self, member: str, connection: FrameConnection[ToEdge]) -> None:
         connection.reset()
-        self._heard_at.pop(connection, None)
+        self._last_received_at.pop(connection, None)
         if self._connections.get(member) is connection:
             del self._connections[member]
 
-    # For the program.
+    # Called by the edge program.
 
     def send_report(self, member: str | None, report: LoadReport) -> None:
-        """Send a report to that member; it is lost where there is no session with it."""
+        """Send a load report to that member; it is dropped if there is no session with it."""
         connection = self._connections.get(member or "")
         if connection is not None:
             connection.send(report)
 
     def silent_ms(self) -> dict[str, int]:
-        """Return for how long each member in session has sent nothing; one without a connection is not among them."""
+        """Return the time since the last message of each connected member, in ms."""
         now = time.monotonic_ns()
         return {
-            member: (now - self._heard_at.get(connection, now)) // MILLISECOND
+            member: (now - self._last_received_at.get(connection, now)) // MILLISECOND
             for member, connection in self._connections.items()
         }
 
 
-def _on_end(connection: FrameConnection[ToEdge]) -> None:
-    """Do nothing: the task of the session sees that its connection has ended."""
+def _ignore_connection_end(connection: FrameConnection[ToEdge]) -> None:
+    """Do nothing: the session's task checks `is_open`."""
--- a/kestrelplank/edge/exchange_context.py
+++ b/kestrelplank/edge/exchange_context.py
@@ -1,4 +1,4 @@
-"""What all requests of clients at one edge share."""
+"""The state that all client requests at one edge share."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 
 
 class ExchangeContext:
-    """The parts of an edge that its exchanges with clients use.
+    """The components and the shared state that client exchanges use.
 
-    :param max_held_body_bytes: bytes of bodies that may be in hand at once.
-    :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
+    :param max_buffered_body_bytes: limit for the buffered bodies of all requests together.
+    :param trace_one_in: one request in this many is logged with its attempts; 0: none.
     """
 
     def __init__(
@@ -22,21 +22,21 @@
         forwarder: Forwarder,
         connections: ServerConnections,
         readiness: Readiness,
-        max_held_body_bytes: int,
+        max_buffered_body_bytes: int,
         trace_one_in: int = 0,
     ) -> None:
         self.forwarder, self.connections, self.readiness = forwarder, connections, readiness
-        self.max_held_body_bytes, self.trace_one_in = max_held_body_bytes, trace_one_in
-        self.held_body_bytes = 0  # bytes of bodies in hand
+        self.max_buffered_body_bytes, self.trace_one_in = max_buffered_body_bytes, trace_one_in
+        self.buffered_body_bytes = 0  # of all requests together
         self.counters = Counters()
-        self.changed = asyncio.Event()  # key ranges, servers or their load; never stays set
+        self.changed = asyncio.Event()  # pulsed when key ranges, servers or their load change; never stays set
 
     def wake_pending(self) -> None:
-        """Wake the requests that wait at this moment: each asks the forwarder again whether a server can be used."""
+        """Wake all waiting requests; each asks the forwarder again for its next step."""
         self.changed.set()
         self.changed.clear()
 
     def max_body_bytes(self) -> int:
-        """Return how many bytes one body may have."""
+        """Return the maximum size of one request body, in bytes."""
         configuration = self.forwarder.view.configuration
         return configuration.max_body_bytes if configuration else MAX_BODY_BYTES_BEFORE_CONFIGURATION
--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -1,6 +1,6 @@
-"""The edge program: it composes the parts, starts and stops them, and applies what control members send.
+"""The edge program: composes, starts and stops its components, and applies messages of control members.
 
-Decisions on requests are in `forwarding.forwarder`; what this edge knows of members, servers and key ranges is in
+Forwarding decisions are made in `forwarding.forwarder`; the edge's view of members, servers and key ranges is in
 `transport.edge_view`.
 """
 
@@ -25,10 +25,10 @@
 from kestrelplank.transport.edge_view import Change, EdgeView
 from kestrelplank.transport.messages import LoadReport, ToEdge
 
-REPORT_INTERVAL_S = 0.5  # between load reports, and between checks for idle connections
-DRAIN_DELAY_S = 2.3  # after SIGTERM, in which the platform learns that we are not ready
-FINAL_ANSWERS_S = 0.5  # at the end of the platform's grace time, kept to answer what has not finished by then
-BODY_MEMORY_FRACTION = 0.25  # of this machine's memory, for the bodies of requests in hand
+REPORT_INTERVAL_S = 0.5  # between load reports, and between sweeps of idle connections
+DRAIN_DELAY_S = 2.3  # from SIGTERM until connections are refused, for the platform's readiness check to fail
+FINAL_ANSWERS_S = 0.5  # end of the platform's grace period, reserved for answering unfinished requests
+BODY_MEMORY_FRACTION = 0.25  # of this machine's memory, for buffered request bodies
 BYTES_PER_MB = 1 << 20
 log = logging.getLogger("edge")
 
@@ -36,7 +36,7 @@
 class EdgeProgram:
     """One edge: one event loop, one HTTP server for clients and for the platform's readiness check.
 
-    :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
+    :param trace_one_in: one request in this many is logged with its attempts; 0: none.
     """
 
     def __init__(self, settings: PlatformSettings, trace_one_in: int = 0) -> None:
@@ -64,11 +64,11 @@
         self.sessions = ControlSessions(self.view, settings.internal_port(), random, self.receive)
         self.server: Server = create_server(
             client_application(self.context, settings.listen_address("readiness")[1]),
-            idle_timeout_s=None,  # until a configuration has come
+            idle_timeout_s=None,  # until a configuration has been received
             grace_s=bounds.grace_s - DRAIN_DELAY_S - FINAL_ANSWERS_S,
         )
 
-    # Start and stop.
+    # Start and shutdown.
 
     async def run(self) -> int:
         """Run until SIGTERM, or until a critical task fails. Return the exit code."""
@@ -82,7 +82,7 @@
         log.info("Edge: started")
         await stop.wait()
         log.info("Edge: stopping, not ready from now on")
-        await self.drain(DRAIN_DELAY_S)  # with the sessions: requests in hand still need key ranges and servers
+        await self.drain(DRAIN_DELAY_S)  # sessions stay open: requests in progress need updates
         critical_tasks.cancel()
         self.sessions.close()
         log.info("Edge: stopped", extra={"counters": self.context.counters.values})
@@ -97,32 +97,32 @@
         loop.add_signal_handler(signal.SIGUSR1, self.log_counters)
 
     def listen(self) -> None:
-        """Accept connections of clients and of the platform from now on."""
+        """Start to accept connections of clients and of the platform."""
         sockets = [listening_socket(*self.settings.listen_address(name)) for name in ("frontend", "readiness")]
         self._serving = asyncio.create_task(self.server.serve(sockets))
 
     async def drain(self, delay_s: float) -> None:
-        """Stop in order, so that no request is lost.
+        """Shut down gracefully, so that no request is lost.
 
-        At first the readiness check fails and each answer ends its connection, so that clients go elsewhere; then no
-        connection is accepted, and requests in hand are finished.
+        First the readiness check fails and each answer closes its connection, so that clients move to other edges.
+        After the delay no connection is accepted, and requests in progress are finished.
 
-        :param delay_s: between the two.
+        :param delay_s: between the two phases.
         """
         self.readiness.begin_drain()
         await asyncio.sleep(delay_s)
         await self.close()
-        await self.server.wait_until_answered(FINAL_ANSWERS_S / 2)  # half: the process has to end in time as well
+        await self.server.wait_until_answered(FINAL_ANSWERS_S / 2)  # the other half is for the process to exit
 
     async def close(self) -> None:
-        """Accept no connection, and return once requests in hand are finished or the grace time is over."""
+        """Stop accepting connections, and return once requests in progress are finished or the grace period is over."""
         self.server.should_exit = True
         await self._serving
 
-    # What control members send.
+    # Messages from control members.
 
     def receive(self, member: str, message: ToEdge) -> None:
-        """Apply a message of the control member at that address, and wake requests that wait if it changed anything."""
+        """Apply a message from the control member at that address; if it changes anything, wake waiting requests."""
         now = time.monotonic_ns()
         change = self.view.receive(now, member, message)
         if change is None:
@@ -138,13 +138,13 @@
         self.context.wake_pending()
 
     def set_limits(self, configuration: Configuration) -> None:
-        """Apply the configuration's limits for clients, to open connections too."""
+        """Apply the configuration's client limits, also to open connections."""
         limits = self.server.limits
         limits.header_bytes = configuration.max_header_bytes
         limits.header_timeout_s = configuration.header_timeout_ns / SECOND
         limits.idle_timeout_s = configuration.idle_timeout_ns / SECOND
 
-    # What is sent to control members, and logged.
+    # Load reports and logs.
 
     async def _report_and_close_idle(self) -> None:
         """Send load reports and close idle connections, every `REPORT_INTERVAL_S`."""
@@ -154,20 +154,20 @@
             self._close_idle_connections()
 
     def _report_load(self) -> None:
-        """Send the statistics of each sharded service to the member that assigns its keys."""
+        """Send the load of each sharded service to the member that assigns its key ranges."""
         for service, (keys, servers) in self.forwarder.take_load_reports().items():
             if keys or servers:
                 self.sessions.send_report(self.view.assigner_address(service), LoadReport(service, keys, servers))
 
     def _close_idle_connections(self) -> None:
-        """Close connections that are unused too long, or whose server is gone; first note how many are unused."""
+        """Record each server's idle connections, then close those idle too long or whose server is no longer ready."""
         endpoints = self.forwarder.endpoints.by_name.values()
         for endpoint in endpoints:
             endpoint.idle_connections = self.connections.idle_count(endpoint.address)
         self.connections.close_unused({endpoint.address for endpoint in endpoints if endpoint.ready})
 
     def log_counters(self) -> None:
-        """Log the counters and the gauges of this edge as one line; docs/oncall.md explains each."""
+        """Log the counters and gauges of this edge in one line; docs/oncall.md explains each."""
         now, endpoints = time.monotonic_ns(), self.forwarder.endpoints
         loads = {name: endpoint.load(now) for name, endpoint in endpoints.by_name.items()}
         log.info(
@@ -175,7 +175,7 @@
             extra={
                 "counters": self.context.counters.values,
                 "readiness": self.readiness.state.value,
-                "downstream_rq_body_bytes": self.context.held_body_bytes,
+                "downstream_rq_body_bytes": self.context.buffered_body_bytes,
                 "upstream_rq_active": {name: round(load, 1) for name, load in loads.items() if load >= 1},
                 "outlier_ejected": endpoints.ejected(now),
                 "control_session_silent_ms": self.sessions.silent_ms(),
@@ -186,6 +186,6 @@
 async def run(settings: PlatformSettings, trace_one_in: int = 0) -> int:
     """Run an edge until SIGTERM, and return the exit code.
 
-    :param trace_one_in: one request in so many is logged with its attempts, 0 for none.
+    :param trace_one_in: one request in this many is logged with its attempts; 0: none.
     """
     return await EdgeProgram(settings, trace_one_in).run()
--- a/kestrelplank/edge/readiness.py
+++ b/kestrelplank/edge/readiness.py
@@ -1,4 +1,4 @@
-"""Whether an edge may be sent requests."""
+"""The readiness of an edge to accept requests."""
 
 from enum import Enum
 
@@ -6,15 +6,15 @@
 
 
 class ReadinessState(Enum):
-    """The states of an edge; the platform's readiness check succeeds in `READY` alone."""
+    """The states of an edge; the platform's readiness check succeeds only in `READY`."""
 
-    STARTING = "starting"  # no list of servers, or no configuration that a current member has vouched for
+    STARTING = "starting"  # no server list yet, or no configuration that a current member has confirmed
     READY = "ready"
-    DRAINING = "draining"  # it is about to stop: each answer ends its connection
+    DRAINING = "draining"  # shutting down: each answer closes its connection
 
 
 class Readiness:
-    """The state of one edge: it only goes forward, and draining is final."""
+    """The readiness of one edge; draining is final."""
 
     def __init__(self, view: EdgeView) -> None:
         self._view = view
@@ -22,15 +22,15 @@
 
     @property
     def state(self) -> ReadinessState:
-        """The state now."""
+        """The current state."""
         if self.draining:
             return ReadinessState.DRAINING
         return ReadinessState.READY if self._view.ready() else ReadinessState.STARTING
 
     def is_ready(self) -> bool:
-        """Whether new connections may come here."""
+        """Whether the edge accepts new connections."""
         return self.state is ReadinessState.READY
 
     def begin_drain(self) -> None:
-        """Fail the readiness check from now on."""
+        """Start draining: the readiness check fails from now on."""
         self.draining = True
--- a/kestrelplank/edge/request_head.py
+++ b/kestrelplank/edge/request_head.py
@@ -1,13 +1,13 @@
-"""The headers of a client's request that the gateway itself acts on, and the headers that servers are sent."""
+"""The request headers that the gateway interprets, and the headers that it sends to servers."""
 
 from kestrelplank.http.asgi import Headers
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 ATTEMPT_ID, DEADLINE, SHARD_KEY = b"x-attempt-id", b"x-deadline-remaining", b"x-shard-key"
 TARGET_INSTANCE = b"x-target-instance"
-# May occur once: of two, we and the server might act on different ones.
+# May occur at most once: with two values, the gateway and the server might use different ones.
 SINGLE_HEADERS = (ATTEMPT_ID, DEADLINE, SHARD_KEY)
-# RFC 9110, section 7.6.1, and the headers that say how long a body is: each hop has its own.
+# RFC 9110, section 7.6.1, and the headers that state the length of a body: each hop sets its own.
 HOP_BY_HOP_HEADERS = {
     b"connection",
     b"keep-alive",
@@ -21,11 +21,11 @@
     b"expect",
     b"content-length",
 }
-NOT_FORWARDED = HOP_BY_HOP_HEADERS | {DEADLINE, TARGET_INSTANCE}  # each attempt has its own of the latter two
-DEFAULT_CLIENT_TIMEOUT_NS = 30 * SECOND  # of a client that does not say how long it waits
-MAX_CLIENT_TIMEOUT_NS = 600 * SECOND  # no route has a longer time-out: `configuration.validation.MAX_ROUTE_TIMEOUT_S`
+NOT_FORWARDED = HOP_BY_HOP_HEADERS | {DEADLINE, TARGET_INSTANCE}  # the latter two are set for each attempt
+DEFAULT_CLIENT_TIMEOUT_NS = 30 * SECOND  # for a client that sends no valid `X-Deadline-Remaining`
+MAX_CLIENT_TIMEOUT_NS = 600 * SECOND  # the longest route time-out: `configuration.validation.MAX_ROUTE_TIMEOUT_S`
 
-Fields = dict[bytes, bytes]  # headers by lower-case name, the last of several
+Fields = dict[bytes, bytes]  # header values by lower-case name; the last value where a name repeats
 
 
 def is_ambiguous(headers: Headers, fields: Fields) -> bool:
@@ -35,7 +35,7 @@
 
 
 def client_timeout_ns(fields: Fields) -> int:
-    """Return how long the client waits: by its `X-Deadline-Remaining` (ms), within bounds; else the default."""
+    """Return how long the client waits: its `X-Deadline-Remaining` (ms), clamped; without a valid one, the default."""
     try:
         remaining_ns = round(float(fields.get(DEADLINE, b"")) * MILLISECOND)
     except (ValueError, OverflowError):
@@ -44,7 +44,7 @@
 
 
 def server_headers(headers: Headers, fields: Fields, body: bytes) -> Headers:
-    """Return the headers that go to each server; those that differ from attempt to attempt are not among them."""
+    """Return the headers to forward to every server, without those that differ between attempts."""
     forwarded = [(name, value) for name, value in headers if name not in NOT_FORWARDED]
     if body or b"content-length" in fields or b"transfer-encoding" in fields:
         forwarded.append((b"content-length", str(len(body)).encode()))
@@ -52,9 +52,9 @@
 
 
 def attempt_headers(server: str, timeout_ns: int) -> Headers:
-    """Return the headers of one attempt: what is left of the deadline (ms), and the name of the server it is meant for.
+    """Return the headers of one attempt: the remaining deadline (ms) and the name of the intended server.
 
-    Another server at the same address answers 421 to that name.
+    A different server at the same address answers a request for that name with 421.
     """
     return [
         (DEADLINE, str(max(1, timeout_ns // MILLISECOND)).encode()),
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -1,8 +1,8 @@
-"""Attempts at servers, over connections kept by address: one request at a time on each.
+"""Attempts at servers, over persistent connections pooled by address, with one request at a time on each connection.
 
-An answer belongs to a request if it came complete on the connection that the request went out on and bears the
-request's `X-Attempt-Id`. How an attempt ended is reported (`CallOutcome`); whether the request may be sent again is not
-known here.
+An answer belongs to a request if it arrived complete on the connection on which the request was sent and carries the
+request's `X-Attempt-Id`. This module reports how an attempt ended (`CallOutcome`); `forwarding.retry_policy` decides
+whether the request may be retried.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 from kestrelplank.time_units import SECOND
 
 CONNECT_TIMEOUT_S = 0.35
-MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: here, another incarnation of the server is at this address
+MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20: a different incarnation of the server is at this address
 SUCCESS, SERVER_ERROR = 2, 5  # classes of status codes: the first digit
 OUTCOMES_WITHOUT_ANSWER: dict[type[NoAnswerError], CallOutcome] = {
     RequestUnsendableError: CallOutcome.UNSENDABLE,
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRequest:
-    """A client's request as it goes to a server.
+    """A client request as sent to a server.
 
     :param attempt_id: its `X-Attempt-Id`.
     """
@@ -53,22 +53,22 @@
     attempt_id: bytes
 
     def with_headers(self, headers: Headers) -> "ServerRequest":
-        """Return the same request with further headers."""
+        """Return a copy of the request with additional headers."""
         return ServerRequest(self.method, self.target, [*self.headers, *headers], self.body, self.attempt_id)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended.
+    """The result of an attempt.
 
-    :param answer: the complete answer to this request, None where none came.
+    :param answer: the complete answer to this request, or None if there was none.
     """
 
     outcome: CallOutcome
     answer: Answer | None = None
 
     def load(self) -> ServerLoad | None:
-        """Return what the server reported of its load, None: nothing that can be read."""
+        """Return the load that the server reported, or None if there is no valid report."""
         text = self.answer.fields.get(b"x-server-load") if self.answer else None
         if not text:
             return None
@@ -80,16 +80,16 @@
 
 
 class ServerConnections:
-    """All connections to servers. What `send` takes from a pool it gives back itself, whatever happens.
+    """All connections to servers. `send` always releases the connection that it acquires from a pool.
 
-    :param clock: steady, in ns.
+    :param clock: monotonic, in ns.
     """
 
     def __init__(self, clock: Callable[[], int]) -> None:
         self._clock = clock
         self._pools: dict[str, ConnectionPool] = {}
-        self._connections: dict[str, dict[int, Connection]] = {}  # by address, then by the number that the pool has
-        self._last_number = 0  # given to a connection, whatever its address
+        self._connections: dict[str, dict[int, Connection]] = {}  # by address, then by the pool's connection number
+        self._last_number = 0  # numbers are unique across addresses
 
     async def send(
         self,
@@ -97,16 +97,16 @@
         request: ServerRequest,
         timeout_ns: int,
         max_connections: int,
-        is_wanted: Callable[[], bool] = lambda: True,
+        should_send: Callable[[], bool] = lambda: True,
     ) -> AttemptResult:
-        """Make one attempt at that server. Raises only where it is cancelled.
+        """Make one attempt at that server. Raises nothing except on cancellation.
 
-        :param max_connections: how many connections this edge may have to that server.
-        :param is_wanted: asked right before the first byte is sent; where it returns False nothing is sent.
+        :param max_connections: limit for this edge's connections to that server.
+        :param should_send: called right before the first byte is sent; if it returns False, nothing is sent.
         """
         pool = self._pool(address, max_connections)
         connections = self._connections[address]
-        number, connection = self._take(pool, connections)
+        number, connection = self._acquire(pool, connections)
         if number is None:
             return AttemptResult(CallOutcome.NO_CONNECTION_FREE)
         deadline_at_s = asyncio.get_running_loop().time() + timeout_ns / SECOND
@@ -116,7 +116,7 @@
                 return AttemptResult(CallOutcome.CONNECT_FAIL)
             connections[number] = connection
             pool.dial_succeeded(number)
-        reusable = not is_wanted()
+        reusable = not should_send()
         try:
             if reusable:
                 return AttemptResult(CallOutcome.NOT_SENT)
@@ -137,8 +137,10 @@
         pool.limit_connections(max_connections)
         return pool
 
-    def _take(self, pool: ConnectionPool, connections: dict[int, Connection]) -> tuple[int | None, Connection | None]:
-        """Return a number and its connection; the number alone if one is to be dialled; neither if all are in use."""
+    def _acquire(
+        self, pool: ConnectionPool, connections: dict[int, Connection]
+    ) -> tuple[int | None, Connection | None]:
+        """Return an idle connection and its number, a new number alone to dial, or neither if all are in use."""
         while True:
             number = pool.acquire(self._clock())
             if number is NoConnection.DIAL:
@@ -154,7 +156,7 @@
 
     @staticmethod
     async def _dial(pool: ConnectionPool, address: str, timeout_s: float) -> Connection | None:
-        """Return a new connection, None if none came up in time."""
+        """Return a new connection, or None if it could not be established in time."""
         host, _, port = address.rpartition(":")
         try:
             return await dial((host, int(port)), timeout_s)
@@ -169,15 +171,15 @@
     async def _exchange(
         pool: ConnectionPool, connection: Connection, request: ServerRequest, deadline_at_s: float
     ) -> tuple[AttemptResult, bool]:
-        """Send the request on that connection, and return the result and whether the connection can be kept.
+        """Send the request on that connection; return the result and whether the connection can be reused.
 
-        :param deadline_at_s: by the loop's clock.
+        :param deadline_at_s: on the event loop's clock.
         """
         connection.stream.begin_call()
         try:
             async with asyncio.timeout_at(deadline_at_s):
                 answer = await connection.call(request.method, request.target, request.headers, request.body)
-                while not is_answer_to(answer, request.attempt_id):  # but to an earlier request: ours may still come
+                while not is_answer_to(answer, request.attempt_id):  # it answers an earlier request
                     answer = await connection.next_answer(request.method, request.target)
             pool.limit_idle_time(answer.max_idle_ns())
             return AttemptResult(outcome_of(answer), answer), connection.reusable
@@ -188,35 +190,37 @@
             return AttemptResult(CallOutcome.TIMEOUT if sent else CallOutcome.CONNECT_FAIL), False
 
     def idle_count(self, address: str) -> int:
-        """Return how many connections to that server are unused."""
+        """Return the number of idle connections to that server."""
         pool = self._pools.get(address)
         return pool.counts()[1] if pool is not None else 0
 
-    def close_unused(self, live: set[str]) -> None:
-        """Close connections that have been idle too long, and all idle ones to servers that may not be used any more.
+    def close_unused(self, usable_addresses: set[str]) -> None:
+        """Close connections that have been idle too long, and all idle connections to servers no longer in use.
 
-        :param live: addresses of the servers that may be used.
+        :param usable_addresses: addresses of the servers in use.
         """
         for address, pool in list(self._pools.items()):
             connections = self._connections[address]
-            ended = pool.expire_idle(self._clock()) if address in live else pool.withdraw(self._clock())
-            for number in ended:
+            closed_numbers = (
+                pool.expire_idle(self._clock()) if address in usable_addresses else pool.withdraw(self._clock())
+            )
+            for number in closed_numbers:
                 connections.pop(number).reset()
-            if address in live:
+            if address in usable_addresses:
                 pool.restore(self._clock())
             elif not connections and pool.counts() == (0, 0, 0):
                 del self._pools[address], self._connections[address]
 
 
 def is_answer_to(answer: Answer, attempt_id: bytes) -> bool:
-    """Whether the answer bears that `X-Attempt-Id`, exactly once."""
+    """Whether the answer carries exactly one `X-Attempt-Id` and it is that id."""
     return answer.single_value(b"x-attempt-id") == attempt_id
 
 
 def outcome_of(answer: Answer) -> CallOutcome:
-    """Return the outcome that a complete answer to our request stands for.
+    """Return the outcome of an attempt with that complete answer.
 
-    A server stamps its successes with `X-Server-Seal`: a 2xx without it comes from something between us and the server.
+    Servers add `X-Server-Seal` to successful answers: a 2xx without it was sent by an intermediary.
     """
     if b"x-not-executed" in answer.fields or answer.status == MISDIRECTED_REQUEST:
         return CallOutcome.NOT_EXECUTED
--- a/kestrelplank/gateway/__init__.py
+++ b/kestrelplank/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway's programs and its operators' commands: `python -m kestrelplank.gateway COMMAND`."""
+"""The command line of the gateway: its programs and the operators' commands."""
--- a/kestrelplank/gateway/__main__.py
+++ b/kestrelplank/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kestrelplank.gateway`: what must come before all other imports, then the command line."""
+"""`python -m kestrelplank.gateway`: set-up that must precede all other imports, then the command line."""
 
 import signal
 import sys
@@ -7,9 +7,9 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] and sys.argv[1] in PROGRAMS:
-        signal.signal(signal.SIGHUP, signal.SIG_IGN)  # settings may change while we start: no reason to end
+        signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a settings change during start-up must not end the program
 
-    from kestrelplank.settings import skip_unused_libraries  # noqa: F401 - before all that loads pyserde or httpcore
+    from kestrelplank.settings import skip_unused_libraries  # noqa: F401 - before any import of pyserde or httpcore
 
     from kestrelplank.gateway.command_line import main  # isort: skip
 
--- a/kestrelplank/gateway/check.py
+++ b/kestrelplank/gateway/check.py
@@ -1,4 +1,4 @@
-"""`gateway check`: whether a configuration or a settings file can be used, in one line."""
+"""`gateway check`: validates a configuration or a settings file and prints one line."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
 def read_configuration(path: str) -> Configuration:
     """Return the configuration in the file at `path`.
 
-    :raises InvalidSettingsError: it cannot be read, or is no valid configuration.
+    :raises InvalidSettingsError: the file can't be read, or is not a valid configuration.
     """
     try:
         result = parse_configuration(Path(path).read_bytes())
@@ -25,9 +25,9 @@
 
 
 def check_configuration(path: str) -> ExitCode:
-    """Print what a valid configuration holds.
+    """Print the version and the numbers of routes and services of a valid configuration.
 
-    :raises InvalidSettingsError: it is not valid.
+    :raises InvalidSettingsError: the file is not a valid configuration.
     """
     configuration = read_configuration(path)
     routes = sum(map(len, configuration.routes_by_host.values()))
@@ -37,6 +37,6 @@
 
 
 def check_settings(path: str, settings: PlatformSettings) -> ExitCode:
-    """Print the node name in settings that have been read from the file at `path` without an error."""
+    """Print the node name of valid settings that were read from the file at `path`."""
     print(f"{path}: {settings.local_system.node_name}")
     return ExitCode.DONE
--- a/kestrelplank/gateway/command_line.py
+++ b/kestrelplank/gateway/command_line.py
@@ -11,24 +11,25 @@
   gateway (-h | --help)
 
 Commands:
-  edge       Carry the traffic of clients on this edge machine.
-  control    Serve control on this core machine.
-  rehearse   Play a small gateway on loopback through losses, with stand-ins for all others.
-  status     What a control member sees: who counts and leads, how far it is, edges, versions, lines.
-  replace    Send a configuration to a control member, and wait until all that are in session have it.
-  check      Say whether a file can be used.
-  diff       What differs between two configurations, route by route.
+  edge       Run the edge program, which forwards client requests.
+  control    Run the control program on this core machine.
+  rehearse   Run a small gateway on loopback through simulated failures, with simulated clients, servers and platform.
+  status     Print the state of a control member: voters, leader, log, peers, edges, versions, key ranges.
+  replace    Send a configuration to a control member, and wait until all edges and members in session have it.
+  check      Validate a configuration or a settings file.
+  diff       Print the differences between two configurations, route by route.
 
 Options:
-  --settings=FILE       The settings file; else the one that KESTRELPLANK_SETTINGS names.
-  --configuration=FILE  A configuration as the operator sends it.
-  --level=LEVEL         What is logged [default: INFO].
-  --trace=N             Log one request in N with its tries, by X-Attempt-Id; 0 for none [default: 0].
-  --wait=SECONDS        How long to wait for the last one [default: 5].
-  --requests=N          Requests that clients send [default: 300].
-  --json                Print one JSON object.
-
-Exit codes: 0 done; 1 done and found wanting, or an address can't be listened at; 2 what was given can't be used.
+  --settings=FILE       The settings file; without it, the file named by KESTRELPLANK_SETTINGS.
+  --configuration=FILE  A configuration file (JSON).
+  --level=LEVEL         The minimum level of log messages [default: INFO].
+  --trace=N             Log one request in N with its attempts, by X-Attempt-Id; 0 for none [default: 0].
+  --wait=SECONDS        How long to wait for all edges and members [default: 5].
+  --requests=N          How many requests the simulated clients send [default: 300].
+  --json                Print JSON.
+
+Exit codes: 0 success; 1 a difference or fault was found, or an address can't be connected to or listened on;
+2 invalid input.
 """
 
 import asyncio
@@ -46,38 +47,38 @@
 
 
 class Arguments:
-    """The command line as docopt has read it against this module's text."""
+    """The command line, parsed by docopt according to this module's docstring."""
 
     def __init__(self, values: Mapping[str, str | bool | None]) -> None:
         self._values = values
 
     def is_given(self, name: str) -> bool:
-        """Whether a command, flag or option is given."""
+        """Whether a command, flag or option was given."""
         return bool(self._values[name])
 
     def text(self, name: str) -> str:
-        """Return the text of an option or argument; empty where it is not given."""
+        """Return the value of an option or argument; empty if it was not given."""
         value = self._values[name]
         return value if isinstance(value, str) else ""
 
-    def count(self, name: str) -> int:
-        """Return the whole number that an option holds.
+    def whole_number(self, name: str) -> int:
+        """Return the value of an option as a whole number.
 
-        :raises InvalidSettingsError: it holds none.
+        :raises InvalidSettingsError: it is not a whole number.
         """
         if not self.text(name).isdecimal():
-            raise InvalidSettingsError(f"{self.text(name)!r} is no whole number", field=name)
+            raise InvalidSettingsError(f"{self.text(name)!r} is not a whole number", field=name)
         return int(self.text(name))
 
     def seconds(self, name: str) -> float:
-        """Return the seconds that an option holds.
+        """Return the value of an option in seconds.
 
-        :raises InvalidSettingsError: it holds no number.
+        :raises InvalidSettingsError: it is not a number.
         """
         try:
             return float(self.text(name))
         except ValueError as err:
-            raise InvalidSettingsError(f"{self.text(name)!r} is no number of seconds", field=name) from err
+            raise InvalidSettingsError(f"{self.text(name)!r} is not a number of seconds", field=name) from err
 
 
 def main(argv: list[str] | None = None) -> int:
@@ -89,7 +90,7 @@
         return ExitCode.UNUSABLE_INPUT
     try:
         return run_command(arguments)
-    except ValueError as err:  # InvalidSettingsError is one, and so is a level that logging does not know
+    except ValueError as err:  # an InvalidSettingsError, or an unknown log level
         print_refusal(err)
         return ExitCode.UNUSABLE_INPUT
     except (OSError, TimeoutError) as err:
@@ -98,7 +99,7 @@
 
 
 def run_command(arguments: Arguments) -> int:
-    """Run the command that is given; each imports only what it needs, so that it starts fast."""
+    """Run the given command; each imports only the modules that it needs, to start fast."""
     as_json, address = arguments.is_given("--json"), arguments.text("ADDRESS")
     if arguments.is_given("rehearse"):
         return run_rehearsal(arguments)
@@ -120,16 +121,16 @@
 
 
 def run_rehearsal(arguments: Arguments) -> int:
-    """Play a rehearsal; less is logged than of a program, unless a level is asked for."""
+    """Run a rehearsal; the default INFO of `--level` means WARNING here."""
     from kestrelplank.gateway.rehearse import rehearse
 
     level = arguments.text("--level")
     log_level = "WARNING" if level == "INFO" else level.upper()
-    return rehearse(arguments.count("--requests"), log_level, as_json=arguments.is_given("--json"))
+    return rehearse(arguments.whole_number("--requests"), log_level, as_json=arguments.is_given("--json"))
 
 
 def run_check(arguments: Arguments) -> int:
-    """Check a configuration or a settings file."""
+    """Validate a configuration or a settings file."""
     from kestrelplank.gateway.check import check_configuration, check_settings
 
     if arguments.is_given("--configuration"):
@@ -142,7 +143,7 @@
     settings = load_settings(arguments)
     configure_json_logging(settings.local_system.node_name, arguments.text("--level").upper())
     if arguments.is_given("edge"):
-        trace = arguments.count("--trace")
+        trace = arguments.whole_number("--trace")
         from kestrelplank.edge.program import run as run_edge
 
         return asyncio.run(run_edge(settings, trace))
@@ -152,7 +153,7 @@
 
 
 def load_settings(arguments: Arguments) -> PlatformSettings:
-    """Return the settings in the file that the option or the environment names."""
+    """Return the settings from the file given by the option or the environment."""
     if arguments.is_given("--settings"):
         os.environ[platform.SETTINGS_VARIABLE] = arguments.text("--settings")
     return platform.load_from_environment()
--- a/kestrelplank/gateway/control_client.py
+++ b/kestrelplank/gateway/control_client.py
@@ -1,4 +1,4 @@
-"""One call to a control member, as an operator makes it."""
+"""Operator calls to a control member."""
 
 import asyncio
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class MemberAnswer(NamedTuple):
-    """What a control member answered: a status code of HTTP, and JSON."""
+    """The answer of a control member: an HTTP status code and a JSON body."""
 
     status: int
     body: bytes
@@ -24,8 +24,8 @@
     """Call the control member at `address`.
 
     :raises InvalidSettingsError: `address` is not a valid address.
-    :raises OSError: it can't be connected to, or the connection ends before its answer is complete.
-    :raises TimeoutError: it does not answer in time.
+    :raises OSError: the connection can't be established, or ends before the answer is complete.
+    :raises TimeoutError: the member does not answer in time.
     """
     headers = [
         (b"Host", b"control"),
@@ -42,6 +42,6 @@
 
 
 async def fetch_status(address: str) -> MemberStatus:
-    """Return what the control member at `address` sees; raises as `call` does."""
+    """Return the status of the control member at `address`; raises the same errors as `call`."""
     answer = await call(address, b"GET", b"/api/status")
     return msgspec.json.decode(answer.body, type=MemberStatus)
--- a/kestrelplank/gateway/diff.py
+++ b/kestrelplank/gateway/diff.py
@@ -1,4 +1,4 @@
-"""`gateway diff`: what differs between two configurations, route by route."""
+"""`gateway diff`: prints the differences between two configurations, route by route."""
 
 from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.configuration.differences import differences
@@ -6,9 +6,9 @@
 
 
 def diff(old_path: str, new_path: str, *, as_json: bool) -> ExitCode:
-    """Print what the new configuration changes; FOUND_WANTING where it changes anything.
+    """Print the changes in the new configuration, and return FOUND_WANTING if there are any.
 
-    :raises InvalidSettingsError: one of them cannot be used.
+    :raises InvalidSettingsError: one of the files is not a valid configuration.
     """
     changes = differences(read_configuration(old_path), read_configuration(new_path))
     if as_json:
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -1,17 +1,17 @@
-"""`gateway rehearse`: a small gateway on loopback, played through losses."""
+"""`gateway rehearse`: runs a small gateway on loopback through simulated failures."""
 
 from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.rehearsal.gateway_rehearsal import play
 
-# Fields of the report that count violations: a request ran twice, one ran that was promised not to have run, a key had
-# two holders.
+# Report fields that count rule violations: a request ran twice, a request ran although the client was promised that it
+# had not, a key had two owners.
 RULE_VIOLATION_FIELDS = ("run_twice", "promised_and_ran", "held_twice")
 
 
 def rehearse(requests: int, log_level: str, *, as_json: bool) -> ExitCode:
-    """Print what was seen; FOUND_WANTING where a rule was broken.
+    """Print the report, and return FOUND_WANTING if a rule was violated or the rehearsal did not complete.
 
-    :param requests: how many the clients send.
+    :param requests: how many requests the simulated clients send.
     """
     report = play(requests, log_level=log_level)
     if as_json:
@@ -20,5 +20,5 @@
         for name, value in report.items():
             print(f"{name.replace('_', ' ')}: {', '.join(value) if isinstance(value, list) else value}")
     complete = report["ready"] and report["replaced"]
-    broken = not complete or any(report[field] for field in RULE_VIOLATION_FIELDS)
-    return ExitCode.FOUND_WANTING if broken else ExitCode.DONE
+    violated = not complete or any(report[field] for field in RULE_VIOLATION_FIELDS)
+    return ExitCode.FOUND_WANTING if violated else ExitCode.DONE
--- a/kestrelplank/gateway/status.py
+++ b/kestrelplank/gateway/status.py
@@ -1,4 +1,4 @@
-"""`gateway status`: what a control member sees."""
+"""`gateway status`: prints the status of a control member."""
 
 import asyncio
 
@@ -8,36 +8,38 @@
 
 
 def status(address: str, *, as_json: bool) -> ExitCode:
-    """Print what the control member at `address` sees; raises as `control_client.call` does."""
-    seen = asyncio.run(fetch_status(address))
+    """Print the status of the control member at `address`; raises the same errors as `control_client.call`."""
+    member = asyncio.run(fetch_status(address))
     if as_json:
-        print_json(seen)
+        print_json(member)
         return ExitCode.DONE
-    print_member(seen)
-    for name, peer in seen.peers.items():
+    print_member(member)
+    for name, peer in member.peers.items():
         behind = "" if peer.caught_up else ", behind"
         print(f"peer {name}: match index {peer.match_index}, last heard {peer.last_heard_s} s ago{behind}")
-    for name, edge in seen.edges.items():
+    for name, edge in member.edges.items():
         print(f"edge {name}: configuration {edge.configuration_version}, last heard {edge.last_heard_s} s ago")
-    for name, service in seen.services.items():
+    for name, service in member.services.items():
         print_service(name, service)
     return ExitCode.DONE
 
 
-def print_member(seen: MemberStatus) -> None:
-    """Print the member itself: who leads and counts, its log, the version in force, and the list of servers."""
-    print(f"member {seen.member}: {seen.state}{', stopping' if seen.stopping else ''}")
-    print(f"term {seen.term}: led by {seen.leader or 'nobody known'}{', this member' if seen.leads else ''}")
-    print(f"epoch {seen.epoch}: voters {', '.join(seen.voters) or 'not known'}")
-    if seen.standbys:
-        print(f"standbys: {', '.join(seen.standbys)}")
-    print(f"log: last index {seen.last_index}, commit index {seen.commit_index}, applied index {seen.applied_index}")
-    print(f"configuration in force: {seen.configuration_version}")
-    print(f"servers: {seen.server_count}, list {seen.server_list_age_s} s old")
+def print_member(member: MemberStatus) -> None:
+    """Print the member's state, leader, voters, log, configuration version and server list."""
+    print(f"member {member.member}: {member.state}{', stopping' if member.stopping else ''}")
+    print(f"term {member.term}: led by {member.leader or 'an unknown member'}{', this member' if member.leads else ''}")
+    print(f"epoch {member.epoch}: voters {', '.join(member.voters) or 'not known'}")
+    if member.standbys:
+        print(f"standbys: {', '.join(member.standbys)}")
+    print(
+        f"log: last index {member.last_index}, commit index {member.commit_index}, applied index {member.applied_index}"
+    )
+    print(f"configuration in force: {member.configuration_version}")
+    print(f"servers: {member.server_count}, list {member.server_list_age_s} s old")
 
 
 def print_service(name: str, service: ServiceStatus) -> None:
-    """Print a sharded service as that member sees it."""
+    """Print the state of one sharded service."""
     assigned_here = ", assigned here" if service.assigned_here else ""
     print(f"{name}: record {service.record_number} of term {service.record_term}{assigned_here}")
     for key_range in service.key_ranges:
--- a/kestrelplank/http/__init__.py
+++ b/kestrelplank/http/__init__.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1: calls on single connections (httpcore), and servers (uvicorn), both on sockets that we open ourselves.
+"""HTTP/1.1 clients (httpcore) and servers (uvicorn) on sockets opened by this package.
 
-`connection` sends one request at a time and reads its complete answer over a `stream`; `errors` says what went wrong.
-`server` runs an ASGI application, with `client_protocol` for each connection of a client and `client_limits` for what
-clients may send. `socket_options` serves both sides; `critical_tasks` is for the programs that run them.
+`connection` sends one request at a time over a `stream` and reads its complete answer; `errors` has the errors of a
+call. `server` runs an ASGI application, with `client_protocol` for each client connection and `client_limits` for the
+limits on clients. `socket_options` is for both sides; `critical_tasks` supervises the main tasks of a program.
 """
--- a/kestrelplank/http/asgi.py
+++ b/kestrelplank/http/asgi.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable, MutableMapping
 from typing import Any
 
-Scope = MutableMapping[str, Any]  # values differ by key, as the specification has it
+Scope = MutableMapping[str, Any]  # the type of a value depends on its key
 Message = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[Message]]
 Send = Callable[[Message], Awaitable[None]]
--- a/kestrelplank/http/client_limits.py
+++ b/kestrelplank/http/client_limits.py
@@ -1,4 +1,4 @@
-"""What clients of a server may send, and how long they may take."""
+"""The limits of a server on its clients."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,11 @@
 
 @dataclass(slots=True)
 class ClientLimits:
-    """The limits in force; they may be changed at any time. None: no limit is known.
+    """The limits in force; they may be changed at any time. None: no limit has been configured yet.
 
-    :param header_bytes: of a request's first line and headers.
-    :param header_timeout_s: until these are there.
-    :param idle_timeout_s: between requests on a kept connection.
+    :param header_bytes: maximum size of a request's first line and headers.
+    :param header_timeout_s: maximum time to receive them.
+    :param idle_timeout_s: maximum time between requests on a persistent connection.
     """
 
     header_bytes: int | None = None
@@ -20,6 +20,6 @@
 
 
 class ServerConfig(uvicorn.Config):
-    """uvicorn's configuration of one server, and its limits for clients."""
+    """uvicorn's configuration of one server, with its limits on clients."""
 
     client_limits: ClientLimits  # set by `server.create_server`; `ClientProtocol` reads it from here
--- a/kestrelplank/http/connection.py
+++ b/kestrelplank/http/connection.py
@@ -1,4 +1,4 @@
-"""One request at a time on one connection, and its complete answer: for calls of our own and forwarded requests."""
+"""Client connections with one request at a time, for forwarded requests and for the gateway's own calls."""
 
 import httpcore
 
@@ -19,12 +19,12 @@
 
 
 class Connection:
-    """A kept connection to one address, one request at a time.
+    """A persistent connection to one address, with one request at a time.
 
-    Nothing is ever sent on it twice: httpcore's connections, unlike its pool, neither repeat a request nor open another
+    No request is sent twice: httpcore's connections, unlike its pool, neither repeat a request nor open another
     connection (`tests/edge/test_every_byte.py`).
 
-    `reusable` says whether the last call has left it fit for another one; `is_stale` whether that has changed since.
+    `reusable` tells whether the last call left the connection usable; `is_stale` whether that has changed since.
     """
 
     def __init__(self, address: tuple[str, int], stream: Stream) -> None:
@@ -35,7 +35,7 @@
     async def call(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> Answer:
         """Send a request and return its complete answer.
 
-        :raises NoAnswerError: there is none, and the connection is of no more use.
+        :raises NoAnswerError: there is no complete answer; the connection can't be used again.
         """
         self.stream.begin_call()
         return await self._exchange(method, target, headers, body)
@@ -43,12 +43,12 @@
     async def next_answer(self, method: bytes, target: bytes) -> Answer:
         """Return the next answer on this connection without sending anything.
 
-        For where the answer that came was to an earlier request. The connection is not used again.
+        Used when the answer received belongs to an earlier request. The connection is not reusable afterwards.
 
-        httpcore reads an answer only after it has written a request: so a new httpcore connection on the same stream
-        gets the bytes that the old one has read ahead, and writes a request that the stream discards.
+        httpcore reads an answer only after writing a request. Therefore a new httpcore connection on the same stream
+        is given the bytes that the old one has read ahead, and writes a request that the stream discards.
 
-        :raises NoAnswerError: there is none.
+        :raises NoAnswerError: there is no further complete answer.
         """
         unread, _ = self._http._h11_state.trailing_data
         self.stream.buffer[:0] = unread
@@ -60,7 +60,7 @@
             self.stream.discards_writes, self.reusable = False, False
 
     async def _exchange(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> Answer:
-        """Let httpcore send the request, and turn its exceptions into `NoAnswerError` of the right kind."""
+        """Send the request by httpcore, and convert its exceptions into the matching `NoAnswerError`."""
         url = httpcore.URL(scheme=b"http", host=self._origin.host, port=self._origin.port, target=target)
         request = httpcore.Request(method, url, headers=headers, content=body)
         try:
@@ -75,13 +75,13 @@
             raise self._error_type()(str(err)) from err
 
     async def _read(self, response: httpcore.Response) -> Answer:
-        """Read the body within bounds, and note whether the connection can be used again."""
+        """Read the body, up to `MAX_ANSWER_BYTES`, and update `reusable`."""
         chunks, size = [], 0
         async for chunk in response.stream:  # type: ignore[union-attr]
             size += len(chunk)
             if size > MAX_ANSWER_BYTES:
                 self.reusable = False
-                raise AnswerMalformedError(f"over {MAX_ANSWER_BYTES} bytes")
+                raise AnswerMalformedError(f"body exceeds {MAX_ANSWER_BYTES} bytes")
             chunks.append(chunk)
         await response.stream.aclose()  # type: ignore[union-attr]
         fields = {name.lower(): value for name, value in response.headers}
@@ -90,7 +90,7 @@
         return Answer(response.status, response.headers, fields, b"".join(chunks))
 
     def _error_type(self) -> type[NoAnswerError]:
-        """Return the error of a call without a complete answer, by what was seen on the wire."""
+        """Return the error type of a call without a complete answer, by the bytes sent and received."""
         stream = self.stream
         if not stream.sent_bytes:
             return RequestNotSentError
@@ -99,13 +99,15 @@
         return ConnectionClosedWithoutAnswerError if stream.error is None else ConnectionResetWithoutAnswerError
 
     def is_stale(self) -> bool:
-        """Whether it can't be used again: it has ended, has bytes no request asked for, or has unsent ones of ours."""
+        """Whether it can't be reused: it has ended, has received unsolicited bytes or has bytes still to send."""
         return (
-            not self.stream.is_quiet() or self.stream.has_unsent_bytes() or bool(self._http._h11_state.trailing_data[0])
+            not self.stream.has_no_input()
+            or self.stream.has_unsent_bytes()
+            or bool(self._http._h11_state.trailing_data[0])
         )
 
     def reset(self) -> None:
-        """End it at once, so that nothing that comes later is taken for the answer to another request."""
+        """Reset the connection, so that no late bytes are taken for the answer to another request."""
         self.reusable = False
         self.stream.reset()
 
@@ -113,7 +115,7 @@
 async def dial(address: tuple[str, int], timeout_s: float) -> Connection:
     """Return a new connection to that address.
 
-    :raises OSError: none comes up.
-    :raises TimeoutError: none comes up in time.
+    :raises OSError: it can't be established.
+    :raises TimeoutError: it is not established in time.
     """
     return Connection(address, await connect(*address, timeout_s))
--- a/kestrelplank/http/critical_tasks.py
+++ b/kestrelplank/http/critical_tasks.py
@@ -1,4 +1,4 @@
-"""Supervision of the tasks that a program can't run without."""
+"""Supervision of a program's critical tasks."""
 
 import asyncio
 import logging
@@ -8,14 +8,13 @@
 
 
 class CriticalTasks:
-    """Tasks without which a program must not go on.
+    """Tasks without which a program must not continue.
 
-    Guards against a task that ends by an exception, unseen, while the process runs on without it: instead the program
-    stops, and the platform starts it again
-    (`test_a_critical_task_that_fails_stops_the_program_and_is_logged`).
+    A task that raises an exception stops the program, for the platform to restart it, instead of ending unnoticed
+    (`test_a_failed_critical_task_is_logged_and_stops_the_program`).
 
-    :param program: its name in the log.
-    :param stop: set where a task has failed.
+    :param program: the program's name in the log.
+    :param stop: set when a task has failed.
     """
 
     def __init__(self, program: str, stop: asyncio.Event) -> None:
@@ -23,14 +22,14 @@
         self._tasks: list[asyncio.Task[None]] = []
         self.failed = False
 
-    def add(self, work: Coroutine[object, object, None]) -> None:
-        """Start a task."""
-        task = asyncio.create_task(work)
+    def add(self, coroutine: Coroutine[object, object, None]) -> None:
+        """Start a supervised task."""
+        task = asyncio.create_task(coroutine)
         self._tasks.append(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        """Log a task's exception and stop the program; one that was cancelled or returned has not failed."""
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
+        """If the task raised an exception, log it and stop the program; a cancelled task has not failed."""
         if task.cancelled() or task.exception() is None:
             return
         log.critical("%s: stopping because a critical task failed", self._program, exc_info=task.exception())
@@ -38,6 +37,6 @@
         self._stop.set()
 
     def cancel(self) -> None:
-        """End all tasks: the program has stopped."""
+        """Cancel all tasks, as the program stops."""
         for task in self._tasks:
             task.cancel()
--- a/kestrelplank/http/errors.py
+++ b/kestrelplank/http/errors.py
@@ -1,10 +1,13 @@
-"""How a call can end without an answer, by what was seen on the wire. Whether it has run, `retry_policy` decides."""
+"""The errors of a call without a complete answer, by what was sent and received.
+
+`forwarding.retry_policy` decides from them whether the request may have run.
+"""
 
 from typing import ClassVar
 
 
 class NoAnswerError(OSError):
-    """A call has ended without a complete answer."""
+    """A call ended without a complete answer."""
 
     reason: ClassVar[str] = "no answer"
 
@@ -13,36 +16,36 @@
 
 
 class RequestUnsendableError(NoAnswerError):
-    """The request can't be put on the wire: no byte of it was sent."""
+    """The request can't be serialized; no byte of it was sent."""
 
     reason = "unsendable"
 
 
 class RequestNotSentError(NoAnswerError):
-    """The connection had ended: no byte of the request was sent."""
+    """The connection had ended before any byte of the request was sent."""
 
     reason = "not sent"
 
 
 class ConnectionResetWithoutAnswerError(NoAnswerError):
-    """The connection was reset after the first byte sent and before the first byte of an answer."""
+    """The connection was reset after the first byte was sent and before any byte of an answer was received."""
 
     reason = "reset"
 
 
 class ConnectionClosedWithoutAnswerError(NoAnswerError):
-    """The other side closed the connection after the first byte sent and before the first byte of an answer."""
+    """The peer closed the connection after the first byte was sent and before any byte of an answer was received."""
 
     reason = "closed"
 
 
 class AnswerTruncatedError(NoAnswerError):
-    """The connection ended within the answer."""
+    """The connection ended before the answer was complete."""
 
     reason = "truncated"
 
 
 class AnswerMalformedError(NoAnswerError):
-    """Bytes came that are no answer, or an answer that is too large."""
+    """The bytes received are not a valid answer, or the answer is too large."""
 
     reason = "malformed"
--- a/kestrelplank/http/server.py
+++ b/kestrelplank/http/server.py
@@ -1,4 +1,4 @@
-"""uvicorn as our programs run it: on sockets that we open, without its signal handlers, headers and access log."""
+"""uvicorn servers on given sockets, without uvicorn's signal handlers, default headers and access log."""
 
 import asyncio
 import contextlib
@@ -15,9 +15,9 @@
 
 
 class Server(uvicorn.Server):
-    """A server that handles no signals: its program does.
+    """A uvicorn server that leaves signals to its program.
 
-    :param limits: for clients, on all connections; may be changed at any time.
+    :param limits: the limits on clients, for all connections; may be changed at any time.
     """
 
     def __init__(self, config: ServerConfig, limits: ClientLimits) -> None:
@@ -30,20 +30,20 @@
         yield
 
     async def wait_until_answered(self, timeout_s: float) -> None:
-        """Wait until requests that were cut off by the end of the grace time have been answered too."""
-        until_s = asyncio.get_running_loop().time() + timeout_s
+        """Wait, up to the time-out, until requests cancelled at the end of the grace period have been answered."""
+        deadline_s = asyncio.get_running_loop().time() + timeout_s
         while self.server_state.connections or self.server_state.tasks:
-            left_s = until_s - asyncio.get_running_loop().time()
-            if left_s <= 0:
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if remaining_s <= 0:
                 return
-            await asyncio.sleep(min(left_s, DRAIN_POLL_INTERVAL_S))
+            await asyncio.sleep(min(remaining_s, DRAIN_POLL_INTERVAL_S))
 
 
 def create_server(app: Application, idle_timeout_s: float | None, grace_s: float) -> Server:
     """Return a server for that application.
 
-    :param idle_timeout_s: for which a kept connection may be idle between requests, None while that is not known.
-    :param grace_s: for requests in hand once the server is to stop; then their tasks are cancelled.
+    :param idle_timeout_s: maximum idle time between requests on a connection; None: not configured yet.
+    :param grace_s: time for requests in progress to finish at shutdown, after which their tasks are cancelled.
     """
     config = ServerConfig(
         app,
@@ -58,7 +58,7 @@
         date_header=False,
         proxy_headers=False,
         backlog=LISTEN_BACKLOG,
-        timeout_graceful_shutdown=grace_s,  # type: ignore[arg-type] # it is only waited for, so a float will do
+        timeout_graceful_shutdown=grace_s,  # type: ignore[arg-type] # a float works: uvicorn only passes it to wait_for
     )
     limits = ClientLimits(idle_timeout_s=idle_timeout_s)
     config.client_limits = limits
--- a/kestrelplank/http/socket_options.py
+++ b/kestrelplank/http/socket_options.py
@@ -1,4 +1,4 @@
-"""Options of our sockets, and opening one to listen."""
+"""Socket options, and the creation of listening sockets."""
 
 import asyncio
 import contextlib
@@ -7,25 +7,24 @@
 import struct
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s
-# Bytes that nobody acknowledges for so long end the connection: a machine that is up acknowledges at once. RFC 5482.
-USER_TIMEOUT_MS = 1000
+USER_TIMEOUT_MS = 1000  # a connection with bytes unacknowledged for this long is closed; RFC 5482
 
 
 def set_connection_options(sock: socket.socket) -> None:
-    """Set the options of every connection: small writes are not delayed, and a peer that is gone ends it."""
+    """Disable Nagle's algorithm, and set the user time-out that closes a connection to an unreachable peer."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Make the close of this socket a reset: bytes that are still on their way are dropped, and never arrive late."""
-    with contextlib.suppress(OSError):  # it is closed already
+    """Make closing this socket send a reset and discard unsent bytes, so that none arrives late."""
+    with contextlib.suppress(OSError):  # already closed
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the kernel has bytes or an end of stream that the loop has not read; True where there is no socket."""
+    """Whether the kernel holds bytes or an end of stream not yet read by the loop; True if the socket is closed."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None or sock.fileno() < 0:
         return True
@@ -35,12 +34,12 @@
 
 
 def listening_socket(host: str, port: int) -> socket.socket:
-    """Return a socket that is bound to that address, for a server to listen on.
+    """Return a socket bound to that address, for a server to listen on.
 
-    IPPROTO_TCP is given, as accepted sockets inherit it and asyncio sets TCP_NODELAY on those alone that have it. Else
-    an answer's body waits for the acknowledgement of its head, 40 ms.
+    Accepted sockets inherit IPPROTO_TCP, and asyncio sets TCP_NODELAY only on sockets with that protocol. Without it,
+    an answer's body would wait for the delayed acknowledgement of its head, 40 ms.
 
-    :raises OSError: it can't be bound; the message names the address.
+    :raises OSError: it can't be bound; the message contains the address.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -48,6 +47,6 @@
         sock.bind((host, port))
     except OSError as err:
         sock.close()
-        raise OSError(err.errno, f"can't listen at {host}:{port}: {err.strerror}") from err
+        raise OSError(err.errno, f"can't listen on {host}:{port}: {err.strerror}") from err
     sock.setblocking(False)
     return sock
--- a/kestrelplank/http/stream.py
+++ b/kestrelplank/http/stream.py
@@ -1,6 +1,6 @@
-"""The socket under one of httpcore's connections.
+"""The network stream of an httpcore connection.
 
-It shows what httpcore's own streams hide: how much was sent, how much came, and bytes that no request asked for.
+Unlike httpcore's own streams, it exposes the number of bytes sent and received, and unsolicited bytes.
 """
 
 import asyncio
@@ -11,10 +11,10 @@
 
 
 class Stream(httpcore.AsyncNetworkStream, asyncio.Protocol):
-    """One TCP connection, closed in one place: by `aclose` or `reset`.
+    """One TCP connection, closed only by `aclose` or `reset`.
 
-    `sent_bytes` and `received_bytes` count what was given to the kernel and read from it since `begin_call`. Where
-    `discards_writes` is set, nothing is sent: for `Connection.next_answer`.
+    `sent_bytes` and `received_bytes` count the bytes passed to the transport and received from it since `begin_call`.
+    While `discards_writes` is set, writes are ignored, for `Connection.next_answer`.
     """
 
     def __init__(self) -> None:
@@ -22,58 +22,58 @@
         self.buffer = bytearray()
         self.ended, self.discards_writes = False, False
         self.sent_bytes, self.received_bytes = 0, 0
-        self.error: Exception | None = None  # how it ended, None: in order
-        self._reader: asyncio.Future[None] | None = None  # waits for bytes
-        self._writer: asyncio.Future[None] | None = None  # waits until the transport accepts more
+        self.error: Exception | None = None  # why the connection was lost; None: orderly end
+        self._reader: asyncio.Future[None] | None = None  # set while `read` waits for bytes
+        self._writer: asyncio.Future[None] | None = None  # set while the transport's write buffer is full
 
     def begin_call(self) -> None:
-        """Set both counts to 0, as a call begins."""
+        """Reset both byte counts at the start of a call."""
         self.sent_bytes, self.received_bytes = 0, 0
 
-    # asyncio.Protocol: what the loop calls.
+    # asyncio.Protocol: called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection that has come up."""
-        self.transport = transport  # type: ignore[assignment] # of create_connection, so one that writes
+        """Store the transport of the new connection, and set its socket options."""
+        self.transport = transport  # type: ignore[assignment] # create_connection always passes a writable transport
         set_connection_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Keep the bytes until they are read."""
+        """Buffer the bytes until they are read."""
         self.received_bytes += len(data)
         self.buffer += data
         self._wake()
 
     def eof_received(self) -> bool:
-        """Note that the other side has closed; the connection ends."""
+        """Record the end of stream; asyncio then closes the transport."""
         self.ended = True
         self._wake()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note how the connection has ended."""
+        """Record that the connection has ended, and its error if there is one."""
         self.ended, self.error = True, exc
         self._wake()
 
     def pause_writing(self) -> None:
-        """Let `write` wait, as the transport's buffer is full."""
+        """Make `write` wait, as the transport's buffer is full."""
         self._writer = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Let `write` go on."""
-        _finish(self._writer)
+        """Let a waiting `write` continue."""
+        _resolve(self._writer)
         self._writer = None
 
     def _wake(self) -> None:
-        """Let `read` and `write` see what has changed."""
-        _finish(self._reader)
-        _finish(self._writer)  # a server that answers before it has all of the request may read no more of it
+        """Wake a waiting `read` and `write`."""
+        _resolve(self._reader)
+        _resolve(self._writer)  # a server that answers early may not read the rest of the request
 
-    # httpcore.AsyncNetworkStream: what httpcore calls. Time-outs are those of its callers, around the whole call.
+    # httpcore.AsyncNetworkStream: called by httpcore. `timeout` is ignored: callers limit the time of the whole call.
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:  # noqa: ARG002, ASYNC109 - httpcore's
-        """Return bytes as soon as there are any; b"" where the connection has ended in order.
+        """Wait for bytes and return them, or b"" after an orderly end of the connection.
 
-        :raises httpcore.ReadError: it has ended otherwise.
+        :raises httpcore.ReadError: the connection ended with an error.
         """
         if not self.buffer and not self.ended:
             self._reader = asyncio.get_running_loop().create_future()
@@ -90,7 +90,7 @@
         return b""
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:  # noqa: ARG002, ASYNC109 - httpcore's
-        """Send these bytes.
+        """Write these bytes, and wait while the transport's buffer is full.
 
         :raises httpcore.WriteError: the connection has ended.
         """
@@ -104,32 +104,32 @@
             await self._writer
 
     async def aclose(self) -> None:
-        """Close it after what was written has been sent."""
+        """Close the connection once all written bytes have been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def get_extra_info(self, info: str) -> bool | None:
-        """Return whether something can be read, which is all that httpcore asks for."""
-        return not self.is_quiet() if info == "is_readable" else None
+        """Return whether input can be read for "is_readable", the only value that httpcore requests, otherwise None."""
+        return not self.has_no_input() if info == "is_readable" else None
 
-    # For `Connection`.
+    # Called by `Connection`.
 
     def reset(self) -> None:
-        """End it at once; bytes that are on their way are lost."""
+        """Reset the connection; bytes in transit are lost."""
         if self.transport is not None:
             reset_on_close(self.transport.get_extra_info("socket"))
             self.transport.abort()
 
-    def is_quiet(self) -> bool:
-        """Whether there are no unread bytes and no end of stream, here or in the kernel."""
+    def has_no_input(self) -> bool:
+        """Whether neither bytes nor an end of stream are waiting to be read, here or in the kernel."""
         return not self.buffer and not self.ended and not has_unread_bytes(self.transport)
 
     def has_unsent_bytes(self) -> bool:
-        """Whether bytes of a request still wait to be taken by the kernel."""
+        """Whether bytes of a request are still in the transport's write buffer."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
 
-def _finish(future: asyncio.Future[None] | None) -> None:
+def _resolve(future: asyncio.Future[None] | None) -> None:
     if future is not None and not future.done():
         future.set_result(None)
 
@@ -137,8 +137,8 @@
 async def connect(host: str, port: int, timeout_s: float) -> Stream:
     """Return a connection to that address.
 
-    :raises OSError: none comes up.
-    :raises TimeoutError: none comes up in time.
+    :raises OSError: it can't be established.
+    :raises TimeoutError: it is not established in time.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(timeout_s):
--- a/tests/edge/test_client_limits.py
+++ b/tests/edge/test_client_limits.py
@@ -25,10 +25,10 @@
         assert (await client.answer())[0] == 503
         protocol = next(iter(stage.program.server.server_state.connections))
         protocol._idle_since_s -= LONG_AGO
-        protocol._idle_timer_due()
+        protocol._on_idle_timeout()
         assert not protocol.transport.is_closing() and protocol._timer is not None
         stage.configure()
-        protocol._idle_timer_due()
+        protocol._on_idle_timeout()
         assert protocol.transport.is_closing()
 
     played(play, serving, configured=False)
@@ -41,7 +41,7 @@
         protocol = await rested(stage, await stage.client())
         stage.configure("00000009", limits={**LIMITS, "idle_timeout_s": after})
         protocol._idle_since_s -= rests
-        protocol._idle_timer_due()
+        protocol._on_idle_timeout()
         assert protocol.transport.is_closing() == ends
 
     played(play, serving)
@@ -59,7 +59,7 @@
         while protocol._timer is timer:
             await asyncio.sleep(0)
         protocol._idle_since_s -= LONG_AGO
-        protocol._idle_timer_due()
+        protocol._on_idle_timeout()
         assert await client.ended()
 
     played(play, serving)
@@ -113,7 +113,7 @@
         while not all(protocol._reading_head for protocol in protocols):
             await asyncio.sleep(0)
         for protocol in protocols:
-            protocol._head_timer_due()
+            protocol._on_head_timeout()
         assert (await first.answer())[0] == 408 and await first.ended()
         let.set()
         assert (await second.answer())[0] == 200 and await second.ended()
@@ -127,7 +127,7 @@
         client.writer.write(request_head("/up/x", 9, "me", 50) + b"half")
         status, fields, _ = await client.answer()
         assert (status, fields["connection"]) == (408, "close") and await client.ended()
-        assert not stage.servers[0].connections and stage.program.context.held_body_bytes == 0
+        assert not stage.servers[0].connections and stage.program.context.buffered_body_bytes == 0
 
     played(play, serving)
 
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -178,7 +178,7 @@
 def test_bodies_are_held_within_a_bound_and_given_back():
     async def play():
         async with edge() as (program, server, port):
-            program.context.max_held_body_bytes = 50_000
+            program.context.max_buffered_body_bytes = 50_000
             first = await asyncio.open_connection(IP, port)
             first[1].write(head("/a/b/x", "Content-Length: 40000") + bytes(40_000))
             await server.arrived.wait()
@@ -187,7 +187,7 @@
             refused = await second[0].readuntil(b"\r\n\r\n")
             server.let.set()
             served = await first[0].readuntil(b"\r\n\r\n")
-            while program.context.held_body_bytes:
+            while program.context.buffered_body_bytes:
                 await asyncio.sleep(0)
             for _, writer in (first, second):
                 writer.close()
@@ -281,7 +281,7 @@
                     writer.write(head("/a/b/x", "Content-Length: 4") + b"body")
                     served += (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
                     writer.close()
-            return served, met, program.context.held_body_bytes
+            return served, met, program.context.buffered_body_bytes
 
     served, met, held = asyncio.run(play())
     assert served == 30 and held == 0 and len(met) > 60
--- a/tests/edge/test_every_byte.py
+++ b/tests/edge/test_every_byte.py
@@ -88,7 +88,7 @@
                 if end == "reset":
                     client.reset()
                 client.close()
-        while stage.program.server.server_state.connections or stage.program.context.held_body_bytes:
+        while stage.program.server.server_state.connections or stage.program.context.buffered_body_bytes:
             await asyncio.sleep(0)
         assert not stage.servers[0].connections
         assert (await stage.ask(ONCE, b"whole", "whole"))[0] == 200  # and others are served
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -179,7 +179,7 @@
         stage.program.watch_signals(stop)
         client = await stage.client()
         client.writer.write(request_head("/up/x", 6) + b"abc")
-        while not stage.program.context.held_body_bytes:
+        while not stage.program.context.buffered_body_bytes:
             await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGHUP)
         stage.configure("00000009", limits={"idle_timeout_s": 5})
@@ -274,7 +274,7 @@
         protocol.transport.pause_reading()  # as if the loop had not come to it yet
         client.send(SAFE, b"", "two")
         await client.writer.drain()
-        protocol._idle_timer_due()
+        protocol._on_idle_timeout()
         assert not protocol.transport.is_closing()
         protocol.transport.resume_reading()
         status, fields, _ = await client.answer()
@@ -334,7 +334,7 @@
         half.writer.write(request_head(ONCE, 5, "half") + b"ab")
         while (
             not stage.program.context.counters.values.get("upstream_rq_pending")
-            or not stage.program.context.held_body_bytes
+            or not stage.program.context.buffered_body_bytes
         ):
             await asyncio.sleep(0)
         await stage.program.drain(0)
@@ -374,10 +374,10 @@
     async def play(stage):
         client = await stage.client()
         client.writer.write(request_head("/up/x", 100) + b"half")
-        while not stage.program.context.held_body_bytes:
+        while not stage.program.context.buffered_body_bytes:
             await asyncio.sleep(0)
         client.close()
-        while stage.program.context.held_body_bytes or stage.program.server.server_state.connections:
+        while stage.program.context.buffered_body_bytes or stage.program.server.server_state.connections:
             await asyncio.sleep(0)
         assert not stage.servers[0].sent()
 
--- a/tests/edge/test_wire_fuzz.py
+++ b/tests/edge/test_wire_fuzz.py
@@ -207,7 +207,7 @@
         await asyncio.gather(*(client(stage, number, one, asked, seen) for number, one in enumerate(drawn)))
         for _ in range(3):
             await asyncio.sleep(0)
-        if stage.program.context.held_body_bytes:
+        if stage.program.context.buffered_body_bytes:
             seen.strange.append("bodies are held for ever")
         if any(endpoint.in_flight for endpoint in stage.program.forwarder.endpoints.by_name.values()):
             seen.strange.append("a server is thought busy for ever")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -100,7 +100,7 @@
 
 def test_replace_waits_until_the_last_edge_has_the_version(configuration_file, capsys):
     assert exit_code(StubMember(lag=2), "replace", "ADDRESS", configuration_file()) == 0
-    assert "version 00000007 is acknowledged; all in session have it" in capsys.readouterr().out
+    assert "version 00000007 is acknowledged; all edges and members in session have it" in capsys.readouterr().out
 
 
 def test_replace_names_an_edge_that_is_behind(configuration_file, capsys):
