--- a/tests/edge/stage.py
+++ b/tests/edge/stage.py
@@ -1,5 +1,7 @@
-"""A stage for tests of whole requests: the edge program on loopback, servers whose every byte is scripted and counted,
-and clients that send bytes. What the program knows of servers and configuration is put there directly."""
+"""Test harness: an edge program on loopback between scripted servers and clients, all of whose bytes are recorded.
+
+The server list and the configuration are set directly in the program.
+"""
 
 import asyncio
 import socket
@@ -16,7 +18,7 @@
 from kestrelplank.transport.server_list import ListedServer
 
 IP = "127.0.0.1"
-TEST_TIMEOUT_S = 20  # after which a test that hangs fails
+TEST_TIMEOUT_S = 20  # a hanging test fails
 LIMITS = {"max_header_bytes": 4096, "max_body_bytes": 8 << 20, "header_timeout_s": 3, "idle_timeout_s": 15}
 HOSTS = [
     {
@@ -32,7 +34,7 @@
 
 
 class ServerConnection:
-    """One connection at a scripted server. `received`: all bytes that came."""
+    """One connection at a scripted server. `received`: all bytes received."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer, self.received = reader, writer, b""
@@ -43,14 +45,14 @@
         return data
 
     async def head(self):
-        """The next request's head, and its fields by lower-case name."""
+        """Return the next request's first line, and its headers by lower-case name."""
         data = await self.reader.readuntil(b"\r\n\r\n")
         self.received += data
         lines = data.decode("latin-1").split("\r\n")
         return lines[0], dict(line.lower().split(": ", 1) for line in lines[1:] if line)
 
     async def request(self):
-        """The next request whole: its fields and its body."""
+        """Return the next complete request: its headers and its body."""
         _, fields = await self.head()
         return fields, await self._read(int(fields.get("content-length", "0")))
 
@@ -66,7 +68,7 @@
 
 
 class ScriptedServer:
-    """A server of the stage: `script(server, connection)` plays each connection, and the connection is then closed."""
+    """A server that runs `script(server, connection)` for each connection and then closes it."""
 
     def __init__(self, name, script):
         self.name, self.script, self.connections, self.tasks = name, script, [], []
@@ -75,7 +77,9 @@
     async def start(self, port=0):
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16)  # who does not read holds the writer up
+        sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 16
+        )  # small, so that a server that does not read blocks the sender
         sock.bind((IP, port))
         self.listening = await asyncio.start_server(self._serve, sock=sock)
         self.port = sock.getsockname()[1]
@@ -91,8 +95,8 @@
         finally:
             writer.close()
 
-    def sent(self):
-        """All requests' first lines that have come, one for each time that any byte of one was sent."""
+    def request_lines(self):
+        """Return the first lines of all requests received, repeated ones too."""
         lines = b"".join(connection.received for connection in self.connections).split(b"\r\n")
         return [line for line in lines if line.endswith(b"HTTP/1.1")]
 
@@ -104,62 +108,64 @@
 
 
 def answer(fields, body=b"whole", status=200, more=""):
-    """A server's whole answer to the request with these fields."""
+    """Return a server's complete answer to the request with these headers."""
     head = f"HTTP/1.1 {status} X\r\nX-Attempt-Id: {fields['x-attempt-id']}\r\nX-Server-Seal: s\r\n{more}"
     return f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-async def serving(server, connection):
-    """The script of a sound server."""
+async def answer_all_requests(server, connection):
+    """Script of a healthy server."""
     while True:
         fields, _ = await connection.request()
         connection.write(answer(fields))
 
 
-class Stage:
-    """The edge program among scripted servers."""
+class EdgeHarness:
+    """An edge program with scripted servers."""
 
     def __init__(self, program, port, servers):
         self.program, self.port, self.servers = program, port, servers
-        self.opened = []
+        self.clients = []
 
     def configure(self, version="00000007", **changes):
-        """A configuration comes into force."""
-        given = {"limits": LIMITS, "virtual_hosts": HOSTS, "service_table": SERVICES, **changes}
-        found = parse_configuration(encoded(version=version, **given)).unwrap()
-        self.program.view.configuration = found
-        self.program.set_limits(found)
-
-    def listed(self, *servers):
-        """The platform's list of the servers of `views`."""
-        entries = [ListedServer(one.name, "views", f"{IP}:{one.port}", "hall", 4, "ready", 0) for one in servers]
+        """Put a configuration into force."""
+        fields = {"limits": LIMITS, "virtual_hosts": HOSTS, "service_table": SERVICES, **changes}
+        parsed = parse_configuration(encoded(version=version, **fields)).unwrap()
+        self.program.view.configuration = parsed
+        self.program.set_limits(parsed)
+
+    def set_servers(self, *servers):
+        """Replace the list of the servers of `views`."""
+        entries = [
+            ListedServer(server.name, "views", f"{IP}:{server.port}", "hall", 4, "ready", 0) for server in servers
+        ]
         now = time.monotonic_ns()
         self.program.forwarder.endpoints.update(now, entries)
         self.program.context.wake_pending()
 
     async def client(self):
         client = Client(*await asyncio.open_connection(IP, self.port))
-        self.opened.append(client)
+        self.clients.append(client)
         return client
 
-    async def ask(self, *given, **named):
-        """One request on a connection of its own, and its answer."""
+    async def send_request(self, *args, **kwargs):
+        """Send one request on a new connection and return its answer."""
         client = await self.client()
-        client.send(*given, **named)
+        client.send(*args, **kwargs)
         return await client.answer()
 
 
 class Client:
-    """A client's connection."""
+    """A client connection."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
 
-    def send(self, path="/safe/x", body=b"", attempt="me", within=2000, method="POST", *more):
-        self.writer.write(request_head(path, len(body), attempt, within, method, *more) + body)
+    def send(self, path="/safe/x", body=b"", attempt="me", timeout_ms=2000, method="POST", *more):
+        self.writer.write(request_head(path, len(body), attempt, timeout_ms, method, *more) + body)
 
     async def answer(self):
-        """The next answer: status, fields, body; None where the connection has ended."""
+        """Return the next answer (status, headers, body), or None if the connection has ended."""
         try:
             text = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -168,7 +174,7 @@
         return int(text.split()[1]), fields, await self.reader.readexactly(int(fields["content-length"]))
 
     async def ended(self):
-        """Whether nothing more comes and the connection ends."""
+        """Return whether the connection ends without further bytes."""
         try:
             return await self.reader.read() == b""
         except ConnectionError:
@@ -182,15 +188,15 @@
         self.writer.close()
 
 
-def request_head(path, size, attempt="me", within=2000, method="POST", *more):
-    fields = ["Host: shop.example", f"X-Attempt-Id: {attempt}", f"X-Deadline-Remaining: {within}", *more]
+def request_head(path, size, attempt="me", timeout_ms=2000, method="POST", *more):
+    fields = ["Host: shop.example", f"X-Attempt-Id: {attempt}", f"X-Deadline-Remaining: {timeout_ms}", *more]
     if size is not None:
         fields.append(f"Content-Length: {size}")
     return "\r\n".join([f"{method} {path} HTTP/1.1", *fields, "", ""]).encode()
 
 
-async def started_program():
-    """An edge program on free ports, which takes requests and knows nothing yet."""
+async def start_program():
+    """Return an edge program that listens on free ports, without configuration and servers."""
     frontend, readiness, sessions, seed = (free_port([IP]) for _ in range(4))
     program = EdgeProgram(
         PlatformSettings(
@@ -207,20 +213,20 @@
 
 
 @asynccontextmanager
-async def staged(*scripts, configured=True):
-    """A stage with a server of `views` for each script."""
+async def running_harness(*scripts, configured=True):
+    """Run a harness with one server of `views` for each script."""
     servers = [ScriptedServer(f"views-{number}", script) for number, script in enumerate(scripts)]
     for server in servers:
         await server.start()
-    program = await started_program()
-    stage = Stage(program, program.settings.listen_address("frontend")[1], servers)
+    program = await start_program()
+    harness = EdgeHarness(program, program.settings.listen_address("frontend")[1], servers)
     if configured:
-        stage.configure()
-        stage.listed(*servers)
+        harness.configure()
+        harness.set_servers(*servers)
     try:
-        yield stage
+        yield harness
     finally:
-        for client in stage.opened:
+        for client in harness.clients:
             client.close()
         program.connections.close_unused(set())
         await program.close()
@@ -228,11 +234,11 @@
             await server.stop()
 
 
-def played(play, *scripts, **named):
-    """Runs `play(stage)` on a stage of its own, and fails if it hangs."""
+def run_scenario(scenario, *scripts, **options):
+    """Run `scenario(harness)` on a new harness, with a time-out."""
 
-    async def whole():
-        async with asyncio.timeout(TEST_TIMEOUT_S), staged(*scripts, **named) as stage:
-            return await play(stage)
+    async def run():
+        async with asyncio.timeout(TEST_TIMEOUT_S), running_harness(*scripts, **options) as harness:
+            return await scenario(harness)
 
-    return asyncio.run(whole())
+    return asyncio.run(run())
--- a/tests/edge/test_client_limits.py
+++ b/tests/edge/test_client_limits.py
@@ -1,58 +1,58 @@
-"""What bounds clients, and that nothing else ends their connections."""
+"""Limits on clients: sizes and time-outs of heads and bodies, idle connections and ambiguous requests."""
 
 import asyncio
 
 import pytest
-from edge.stage import LIMITS, played, request_head, serving
+from edge.stage import LIMITS, answer_all_requests, request_head, run_scenario
 
-SAFE = "/safe/x"
+IDEMPOTENT = "/safe/x"
 LONG_AGO = 10_000.0
 
 
-async def rested(stage, client):
-    """A kept connection that has served a request and rests."""
-    client.send(SAFE)
+async def idle_protocol(harness, client):
+    """Send a request on the client's connection; return the edge's protocol object, which is then idle."""
+    client.send(IDEMPOTENT)
     assert (await client.answer())[0] == 200
-    return next(iter(stage.program.server.server_state.connections))
+    return next(iter(harness.program.server.server_state.connections))
 
 
-def test_before_a_configuration_no_connection_is_ended():
-    """Its limit is not known: one that is longer than any default may be about to come."""
+def test_idle_connection_stays_open_until_a_configuration_sets_a_limit():
+    """The configured limit may be longer than any default."""
 
-    async def play(stage):
-        client = await stage.client()
-        client.send(SAFE)
+    async def scenario(harness):
+        client = await harness.client()
+        client.send(IDEMPOTENT)
         assert (await client.answer())[0] == 503
-        protocol = next(iter(stage.program.server.server_state.connections))
+        protocol = next(iter(harness.program.server.server_state.connections))
         protocol._idle_since_s -= LONG_AGO
         protocol._on_idle_timeout()
         assert not protocol.transport.is_closing() and protocol._timer is not None
-        stage.configure()
+        harness.configure()
         protocol._on_idle_timeout()
         assert protocol.transport.is_closing()
 
-    played(play, serving, configured=False)
+    run_scenario(scenario, answer_all_requests, configured=False)
 
 
 @pytest.mark.parametrize("before, after, rests, ends", [(15, 60, 59, False), (15, 60, 61, True), (60, 15, 59, False), (60, 15, 61, True), (15, 15, 14.9, False), (15, 15, 15.1, True)])  # fmt: skip
-def test_a_connection_may_be_idle_for_the_longer_limit_of_those_in_force_meanwhile(before, after, rests, ends):
-    async def play(stage):
-        stage.configure(limits={**LIMITS, "idle_timeout_s": before})
-        protocol = await rested(stage, await stage.client())
-        stage.configure("00000009", limits={**LIMITS, "idle_timeout_s": after})
+def test_idle_timeout_is_the_longer_of_the_limits_before_and_after_a_configuration_change(before, after, rests, ends):
+    async def scenario(harness):
+        harness.configure(limits={**LIMITS, "idle_timeout_s": before})
+        protocol = await idle_protocol(harness, await harness.client())
+        harness.configure("00000009", limits={**LIMITS, "idle_timeout_s": after})
         protocol._idle_since_s -= rests
         protocol._on_idle_timeout()
         assert protocol.transport.is_closing() == ends
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
-def test_a_connection_that_never_sends_anything_or_only_empty_lines_is_idle_too():
-    async def play(stage):
-        client = await stage.client()
-        while not stage.program.server.server_state.connections:
+def test_connection_without_a_request_or_with_only_empty_lines_times_out_as_idle():
+    async def scenario(harness):
+        client = await harness.client()
+        while not harness.program.server.server_state.connections:
             await asyncio.sleep(0)
-        protocol = next(iter(stage.program.server.server_state.connections))
+        protocol = next(iter(harness.program.server.server_state.connections))
         assert protocol._timer is not None
         client.writer.write(b"\r\n")
         timer = protocol._timer
@@ -62,74 +62,74 @@
         protocol._on_idle_timeout()
         assert await client.ended()
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
-@pytest.mark.parametrize("pieces", [1, 7])
+@pytest.mark.parametrize("fragments", [1, 7])
 @pytest.mark.parametrize("size, status", [(3000, 200), (9000, 431)])
-def test_a_head_beyond_the_limit_is_refused_however_it_comes(size, status, pieces):
-    async def play(stage):
-        client = await stage.client()
-        head = request_head(SAFE, 0, "me", 2000, "GET", "X-Long: " + "x" * size)
-        step = len(head) // pieces
-        for place in range(0, len(head), step):
-            client.writer.write(head[place : place + step])
+def test_request_head_over_the_size_limit_gets_431_in_one_write_or_several(size, status, fragments):
+    async def scenario(harness):
+        client = await harness.client()
+        head = request_head(IDEMPOTENT, 0, "me", 2000, "GET", "X-Long: " + "x" * size)
+        step = len(head) // fragments
+        for position in range(0, len(head), step):
+            client.writer.write(head[position : position + step])
             for _ in range(3):
                 await asyncio.sleep(0)
         assert (await client.answer())[0] == status
-        assert len(stage.servers[0].sent()) == (status == 200)
+        assert len(harness.servers[0].request_lines()) == (status == 200)
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
-def test_a_long_body_before_it_does_not_count_as_part_of_a_head():
-    async def play(stage):
-        client = await stage.client()
+def test_bytes_of_a_preceding_body_do_not_count_toward_the_head_limit():
+    async def scenario(harness):
+        client = await harness.client()
         client.send("/up/x", bytes(60_000))
-        client.writer.write(request_head(SAFE, 0, "two")[:-2])
+        client.writer.write(request_head(IDEMPOTENT, 0, "two")[:-2])
         assert (await client.answer())[0] == 200
         client.writer.write(b"\r\n")
         assert (await client.answer())[0] == 200
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
-def test_a_head_that_takes_too_long_is_refused_and_never_in_the_place_of_another_answer():
-    arrived, let = asyncio.Event(), asyncio.Event()
+def test_head_timeout_sends_408_or_closes_after_the_answer_in_progress():
+    arrived, may_answer = asyncio.Event(), asyncio.Event()
 
     async def script(server, connection):
         await connection.request()
         arrived.set()
-        await let.wait()
+        await may_answer.wait()
         connection.write(b"HTTP/1.1 200 X\r\nX-Attempt-Id: me\r\nX-Server-Seal: s\r\nContent-Length: 0\r\n\r\n")
 
-    async def play(stage):
-        first, second = await stage.client(), await stage.client()
-        first.writer.write(request_head(SAFE, 0)[:-2])
+    async def scenario(harness):
+        first, second = await harness.client(), await harness.client()
+        first.writer.write(request_head(IDEMPOTENT, 0)[:-2])
         second.send("/once/x")
         await arrived.wait()
-        second.writer.write(request_head(SAFE, 0)[:-2])
-        protocols = list(stage.program.server.server_state.connections)
+        second.writer.write(request_head(IDEMPOTENT, 0)[:-2])
+        protocols = list(harness.program.server.server_state.connections)
         while not all(protocol._reading_head for protocol in protocols):
             await asyncio.sleep(0)
         for protocol in protocols:
             protocol._on_head_timeout()
         assert (await first.answer())[0] == 408 and await first.ended()
-        let.set()
+        may_answer.set()
         assert (await second.answer())[0] == 200 and await second.ended()
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
-def test_a_body_that_does_not_come_in_its_clients_time_is_refused_with_a_promise():
-    async def play(stage):
-        client = await stage.client()
+def test_body_slower_than_the_client_timeout_gets_408_and_reaches_no_server():
+    async def scenario(harness):
+        client = await harness.client()
         client.writer.write(request_head("/up/x", 9, "me", 50) + b"half")
         status, fields, _ = await client.answer()
         assert (status, fields["connection"]) == (408, "close") and await client.ended()
-        assert not stage.servers[0].connections and stage.program.context.buffered_body_bytes == 0
+        assert not harness.servers[0].connections and harness.program.context.buffered_body_bytes == 0
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
 @pytest.mark.parametrize(
@@ -143,14 +143,14 @@
         ["X-Attempt-Id: a", "Host: other.example"],
     ],
 )
-def test_a_request_whose_identity_is_ambiguous_reaches_no_server(fields):
+def test_ambiguous_request_reaches_no_server(fields):
     """Two ids would be two requests: which of them an answer belongs to could not be told."""
 
-    async def play(stage):
-        client = await stage.client()
+    async def scenario(harness):
+        client = await harness.client()
         client.writer.write("\r\n".join(["GET /safe/x HTTP/1.1", "Host: shop.example", *fields, "", ""]).encode())
         assert (await client.answer())[0] in (400, 404)
-        assert not stage.servers[0].sent()
-        assert all(endpoint.failures == 0 for endpoint in stage.program.forwarder.endpoints.by_name.values())
+        assert not harness.servers[0].request_lines()
+        assert all(endpoint.failures == 0 for endpoint in harness.program.forwarder.endpoints.by_name.values())
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
--- a/tests/edge/test_counters.py
+++ b/tests/edge/test_counters.py
@@ -1,4 +1,4 @@
-"""The names that an edge counts by, and the page that explains them."""
+"""The names of an edge's counters, and the page that documents them."""
 
 import pathlib
 import re
@@ -19,20 +19,20 @@
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "oncall.md"
 
 
-def test_each_outcome_and_each_answer_of_our_own_to_a_client_has_a_name_of_its_own():
+def test_each_attempt_outcome_and_each_client_error_has_a_unique_counter_name():
     assert set(UPSTREAM_RQ_ENDED) == set(CallOutcome)
     assert set(DOWNSTREAM_RQ_REFUSED) == {error for error in ERRORS if not issubclass(error, OperatorCallError)}
     assert len(ALL) == len(set(ALL)) and all(re.fullmatch(r"(up|down)stream_rq_[a-z0-9_]+", name) for name in ALL)
 
 
-def test_the_on_call_page_explains_each_name_and_no_other():
-    explained = re.findall(r"^\| `((?:up|down)stream_rq_\w+)` \|", PAGE.read_text(), re.MULTILINE)
+def test_on_call_page_documents_exactly_the_existing_counters():
+    documented = re.findall(r"^\| `((?:up|down)stream_rq_\w+)` \|", PAGE.read_text(), re.MULTILINE)
     gauges = ["downstream_rq_body_bytes", "upstream_rq_active"]
-    assert sorted(explained) == sorted([*ALL, *gauges])
+    assert sorted(documented) == sorted([*ALL, *gauges])
 
 
 @pytest.mark.parametrize("times", [1, 3])
-def test_what_is_counted_stands_under_its_name(times):
+def test_events_are_counted_under_their_names(times):
     counters = Counters()
     for _ in range(times):
         counters.add(UPSTREAM_RQ_RETRY)
--- a/tests/edge/test_edge.py
+++ b/tests/edge/test_edge.py
@@ -1,4 +1,7 @@
-"""The HTTP side of an edge program on loopback, with a slow server and a view of the rest that is given to it."""
+"""Client requests through an edge program on loopback to a server with controlled delays.
+
+Guards against incomplete or corrupted requests at the server, and requests lost at shutdown.
+"""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -6,7 +9,7 @@
 
 import pytest
 from configuration.test_parsing import encoded
-from edge.stage import IP, TEST_TIMEOUT_S, started_program
+from edge.stage import IP, TEST_TIMEOUT_S, start_program
 
 from kestrelplank.rehearsal.loopback import free_port
 from kestrelplank.rehearsal.observations import Observations
@@ -17,32 +20,32 @@
 
 
 class SlowServer(SimulatedServer):
-    """A server that answers when it is let."""
+    """A server that answers once `may_answer` is set."""
 
-    def __init__(self, *given):
-        super().__init__(*given)
-        self.let, self.arrived, self.bodies = asyncio.Event(), asyncio.Event(), []
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.may_answer, self.arrived, self.bodies = asyncio.Event(), asyncio.Event(), []
 
     async def request(self, fields, body):
         self.bodies.append(body)
         self.arrived.set()
-        await self.let.wait()
+        await self.may_answer.wait()
         return await super().request(fields, body)
 
 
 @asynccontextmanager
 async def edge():
-    """An edge program, one slow server of `orders` that it knows, and the port for clients."""
+    """Run an edge program and one slow server of `orders`; yield both and the port for clients."""
     server = SlowServer("orders-0", "orders", (IP, free_port([IP])), Observations(), [])
     await server.start()
-    program = await started_program()
+    program = await start_program()
     program.receive("member", ConfigurationUpdate(7, encoded(limits=LIMITS)))
     entry = ("orders-0", "orders", f"{IP}:{server.address[1]}", "hall", 4, "ready", 0)
     program.receive("member", ServerListUpdate(0, [entry]))
     try:
         yield program, server, program.settings.listen_address("frontend")[1]
     finally:
-        server.let.set()
+        server.may_answer.set()
         program.connections.close_unused(set())
         await program.drain(0)
         await server.stop()
@@ -59,12 +62,12 @@
     return int(text.split()[1]), fields, await reader.readexactly(int(fields["content-length"]))
 
 
-def run(play):
-    async def whole():
+def run(scenario):
+    async def run_on_edge():
         async with asyncio.timeout(TEST_TIMEOUT_S), edge() as (program, server, port):
-            await play(program, server, port)
+            await scenario(program, server, port)
 
-    asyncio.run(whole())
+    asyncio.run(run_on_edge())
 
 
 @pytest.mark.parametrize(
@@ -76,9 +79,9 @@
         [head("/a/b/x", "Content-Length: 5", "Expect: 100-continue"), b"whole"],
     ],
 )
-def test_a_body_arrives_complete_however_it_comes(parts):
-    async def play(program, server, port):
-        server.let.set()
+def test_server_receives_the_complete_body_for_each_encoding_and_segmentation(parts):
+    async def scenario(program, server, port):
+        server.may_answer.set()
         reader, writer = await asyncio.open_connection(IP, port)
         for part in parts:
             writer.write(part)
@@ -88,7 +91,7 @@
         assert status == 200 and server.bodies == [b"whole"] and fields["x-server-seal"] == "orders-0"
         writer.close()
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -99,9 +102,9 @@
         ("Transfer-Encoding: gzip, x",),
     ],
 )
-def test_a_request_with_two_lengths_reaches_no_server(lengths):
-    async def play(program, server, port):
-        server.let.set()
+def test_request_with_conflicting_body_lengths_gets_400_and_reaches_no_server(lengths):
+    async def scenario(program, server, port):
+        server.may_answer.set()
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/a/b/x", *lengths) + b"0\r\n\r\nPOST /a/b/y HTTP/1.1\r\n\r\n")
         assert (await reader.read(12)).startswith(b"HTTP/1.1 400")
@@ -109,41 +112,41 @@
         assert server.bodies == []
         writer.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_a_body_beyond_the_operators_limit_is_refused():
-    async def play(program, server, port):
+def test_body_over_the_configured_limit_gets_413():
+    async def scenario(program, server, port):
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/a/b/x", "Content-Length: 100001") + b"x" * 100001)
         assert (await answer(reader))[0] == 413 and server.bodies == []
         writer.close()
 
-    run(play)
+    run(scenario)
 
 
-def test_an_upload_that_is_half_read_when_we_stop_is_forwarded_and_answered():
-    async def play(program, server, port):
+def test_upload_in_progress_at_shutdown_is_forwarded_and_answered():
+    async def scenario(program, server, port):
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/a/b/x", "Content-Length: 5") + b"wh")
         while not program.server.server_state.tasks:
             await asyncio.sleep(0)
-        leaving = asyncio.create_task(program.drain(0))
+        draining = asyncio.create_task(program.drain(0))
         writer.write(b"ole")
         await server.arrived.wait()
-        server.let.set()
+        server.may_answer.set()
         status, fields, body = await answer(reader)
         assert status == 200 and server.bodies == [b"whole"] and fields["connection"] == "close"
         assert await reader.read() == b""
         writer.close()
-        await leaving
+        await draining
 
-    run(play)
+    run(scenario)
 
 
-def test_while_stopping_we_are_not_ready_and_each_answer_ends_its_connection():
-    async def play(program, server, port):
-        server.let.set()
+def test_while_draining_the_readiness_check_fails_and_answers_close_connections():
+    async def scenario(program, server, port):
+        server.may_answer.set()
         program.readiness.begin_drain()
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head("/nowhere", "Content-Length: 0"))
@@ -155,28 +158,28 @@
         assert (await answer(reader))[0] == 503
         writer.close()
 
-    run(play)
+    run(scenario)
 
 
 @pytest.mark.parametrize("path, host, runs", [("/a/b/x", "shop.example", 1), ("/a/x", "pay.example", 1)])
-def test_a_client_that_goes_does_not_break_off_what_is_not_idempotent(path, host, runs):
-    async def play(program, server, port):
+def test_client_disconnect_does_not_abort_a_non_idempotent_request(path, host, runs):
+    async def scenario(program, server, port):
         reader, writer = await asyncio.open_connection(IP, port)
         writer.write(head(path, "Content-Length: 0", host=host))
         await server.arrived.wait()
         writer.close()
         await writer.wait_closed()
-        server.let.set()
+        server.may_answer.set()
         while not server.observations.runs or program.server.server_state.tasks:
             await asyncio.sleep(0)
         assert server.observations.runs == {"me": runs}
         assert [endpoint.in_flight for endpoint in program.forwarder.endpoints.by_name.values()] == [0]
 
-    run(play)
+    run(scenario)
 
 
-def test_bodies_are_held_within_a_bound_and_given_back():
-    async def play():
+def test_buffered_bodies_are_limited_and_their_memory_is_released():
+    async def scenario():
         async with edge() as (program, server, port):
             program.context.max_buffered_body_bytes = 50_000
             first = await asyncio.open_connection(IP, port)
@@ -184,25 +187,25 @@
             await server.arrived.wait()
             second = await asyncio.open_connection(IP, port)
             second[1].write(head("/a/b/x", "Content-Length: 20000") + bytes(20_000))
-            refused = await second[0].readuntil(b"\r\n\r\n")
-            server.let.set()
+            rejected = await second[0].readuntil(b"\r\n\r\n")
+            server.may_answer.set()
             served = await first[0].readuntil(b"\r\n\r\n")
             while program.context.buffered_body_bytes:
                 await asyncio.sleep(0)
             for _, writer in (first, second):
                 writer.close()
-            return refused, served, len(server.bodies)
+            return rejected, served, len(server.bodies)
 
-    refused, served, met = asyncio.run(play())
-    assert refused.startswith(b"HTTP/1.1 503") and b"retry-after: 0.5" in refused
-    assert served.startswith(b"HTTP/1.1 200") and met == 1
+    rejected, served, received = asyncio.run(scenario())
+    assert rejected.startswith(b"HTTP/1.1 503") and b"retry-after: 0.5" in rejected
+    assert served.startswith(b"HTTP/1.1 200") and received == 1
 
 
-def test_one_request_is_traced_by_its_id(caplog):
-    async def play():
+def test_sampled_request_is_logged_with_its_attempts(caplog):
+    async def scenario():
         async with edge() as (program, server, port):
             program.context.trace_one_in = 1
-            server.let.set()
+            server.may_answer.set()
             reader, writer = await asyncio.open_connection(IP, port)
             writer.write(head("/a/b/x", "Content-Length: 0"))
             await reader.readuntil(b"\r\n\r\n")
@@ -212,7 +215,7 @@
             writer.close()
 
     with caplog.at_level("INFO", "edge"):
-        asyncio.run(play())
+        asyncio.run(scenario())
     traced = next(record for record in caplog.records if record.message == "Edge: request")
     assert traced.attempt == "me" and [attempt["server"] for attempt in traced.attempts] == ["orders-0"]
     assert next(record for record in caplog.records if record.message == "Edge: counters").counters == {
@@ -220,7 +223,7 @@
     }
 
 
-PIECES = [
+FRAGMENTS = [
     b"POST /a/b/x HTTP/1.1\r\n",
     b"GET /a/b/x HTTP/1.1\r\n",
     b"GET /nowhere HTTP/1.0\r\n",
@@ -246,26 +249,26 @@
 ]
 
 
-def test_whatever_bytes_clients_send_servers_meet_whole_requests_with_one_length_and_others_are_served():
-    """300 mixtures of a request's parts, each on a connection of its own."""
+def test_servers_receive_only_valid_requests_whatever_bytes_clients_send():
+    """Sends 300 random mixtures of request fragments, each on a new connection; valid requests must still be served."""
     random = Random(5)
 
-    async def play():
+    async def scenario():
         async with edge() as (program, server, port):
-            server.let.set()
-            met = []
+            server.may_answer.set()
+            received = []
 
             async def request(fields, body):
-                met.append((fields, body))
+                received.append((fields, body))
                 return await SimulatedServer.request(server, fields, body)
 
             server.request = request
             served = 0
             for number in range(300):
                 reader, writer = await asyncio.open_connection(IP, port)
-                parts = [PIECES[0], *PIECES[4:7], b"\r\n"]  # whole, but for what is done to it
+                parts = [FRAGMENTS[0], *FRAGMENTS[4:7], b"\r\n"]  # a complete request, before its mutations
                 for _ in range(random.randrange(1, 5)):
-                    parts.insert(random.randrange(len(parts) + 1), random.choice(PIECES))
+                    parts.insert(random.randrange(len(parts) + 1), random.choice(FRAGMENTS))
                 if random.random() < 0.3:
                     del parts[random.randrange(len(parts))]
                 data = b"".join(parts)
@@ -281,10 +284,10 @@
                     writer.write(head("/a/b/x", "Content-Length: 4") + b"body")
                     served += (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
                     writer.close()
-            return served, met, program.context.buffered_body_bytes
+            return served, received, program.context.buffered_body_bytes
 
-    served, met, held = asyncio.run(play())
-    assert served == 30 and held == 0 and len(met) > 60
-    for fields, body in met:
+    served, received, buffered = asyncio.run(scenario())
+    assert served == 30 and buffered == 0 and len(received) > 60
+    for fields, body in received:
         assert int(fields.get(b"content-length", b"0")) == len(body) and b"transfer-encoding" not in fields
         assert len(body) % 4 == 0 and fields[b"x-target-instance"] == b"orders-0"
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -1,18 +1,20 @@
-"""Answers to their own callers, and calls that may not be repeated: the hard cases, each by name. Servers count what
-reaches them byte by byte."""
+"""Failures and shutdowns while requests are in progress.
+
+Guards against answers given to the wrong request, repeated non-idempotent requests and requests lost at shutdown.
+"""
 
 import asyncio
 import os
 import signal
 
 import pytest
-from edge.stage import answer, played, request_head, serving
+from edge.stage import answer, answer_all_requests, request_head, run_scenario
 
-ONCE, SAFE = "/once/x", "/safe/x"
+NON_IDEMPOTENT, IDEMPOTENT = "/once/x", "/safe/x"
 
 
 def failing(kind):
-    """Servers of which the first to be asked reads a whole request and fails like this; after that all are sound."""
+    """Return a script: the first attempt at each request fails in this way once read; later attempts are answered."""
     failed = []
 
     async def script(server, connection):
@@ -38,23 +40,25 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_reset_or_close_after_the_last_byte_of_a_request_before_or_within_the_answer(kind):
-    """What can't be repeated is sent once, and nothing is promised; what can be is sent again, and served."""
+def test_lost_answer_gives_502_for_a_non_idempotent_and_a_retry_for_an_idempotent_request(kind):
+    """Without an answer, a non-idempotent request is sent once and gets no `Retry-After`."""
 
-    async def play(stage):
-        status, fields, body = await stage.ask(ONCE, b"pay", "one")
+    async def scenario(harness):
+        status, fields, body = await harness.send_request(NON_IDEMPOTENT, b"pay", "one")
         assert (status, "retry-after" in fields) == (502, False) and b"whole" not in body
-        assert sum(len(server.sent()) for server in stage.servers) == 1
-        status, fields, body = await stage.ask(SAFE, b"", "two")
+        assert sum(len(server.request_lines()) for server in harness.servers) == 1
+        status, fields, body = await harness.send_request(IDEMPOTENT, b"", "two")
         assert (status, body) == (200, b"whole") and fields["x-attempt-id"] == "two"
-        assert sum(len(server.sent()) for server in stage.servers) == 3  # one that must not be repeated, two that may
+        assert (
+            sum(len(server.request_lines()) for server in harness.servers) == 3
+        )  # one non-idempotent and two idempotent attempts
 
     script = failing(kind)
-    played(play, script, script)
+    run_scenario(scenario, script, script)
 
 
-def test_silence_then_the_answer_after_the_next_request_was_sent():
-    """The late answer comes on a connection that has been reset: it can't be taken for the next request's."""
+def test_late_answer_of_a_timed_out_request_is_not_given_to_the_next_request():
+    """The late answer arrives on a connection that has been reset."""
     late = asyncio.Event()
 
     async def script(server, connection):
@@ -67,18 +71,18 @@
         await asyncio.sleep(0)
         connection.write(answer(fields, b"next"))
 
-    async def play(stage):
-        status, fields, _ = await stage.ask(ONCE, b"", "slow", 150)
+    async def scenario(harness):
+        status, fields, _ = await harness.send_request(NON_IDEMPOTENT, b"", "slow", 150)
         assert status == 504 and "retry-after" not in fields
-        status, fields, body = await stage.ask(ONCE, b"", "next")
+        status, fields, body = await harness.send_request(NON_IDEMPOTENT, b"", "next")
         assert (status, fields["x-attempt-id"], body) == (200, "next", b"next")
-        assert len(stage.servers[0].connections) == 2
+        assert len(harness.servers[0].connections) == 2
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
-def test_answer_of_a_former_incarnation_of_the_server():
-    """Another life stands at the address: it answers 421, and the kept connection of the former one is not used."""
+def test_request_for_a_former_incarnation_gets_503_until_the_server_list_is_updated():
+    """A new incarnation at the same address answers 421; the connection to the former one is not reused."""
 
     async def former(server, connection):
         fields, _ = await connection.request()
@@ -88,26 +92,26 @@
     async def present(server, connection):
         while True:
             fields, _ = await connection.request()
-            mine = fields["x-target-instance"] == server.name
-            connection.write(answer(fields, b"present") if mine else answer(fields, b"", 421))
+            is_target = fields["x-target-instance"] == server.name
+            connection.write(answer(fields, b"present") if is_target else answer(fields, b"", 421))
 
-    async def play(stage):
-        server = stage.servers[0]
-        assert (await stage.ask(ONCE, b"", "one"))[2] == b"former"
+    async def scenario(harness):
+        server = harness.servers[0]
+        assert (await harness.send_request(NON_IDEMPOTENT, b"", "one"))[2] == b"former"
         server.listening.close()
         await server.listening.wait_closed()
         server.name, server.script = "views-9", present
         await server.start(server.port)
-        status, fields, _ = await stage.ask(ONCE, b"", "two")
-        assert status == 503 and "retry-after" in fields  # by its own word it has not run
-        stage.listed(server)
-        assert (await stage.ask(ONCE, b"", "three"))[2] == b"present"
+        status, fields, _ = await harness.send_request(NON_IDEMPOTENT, b"", "two")
+        assert status == 503 and "retry-after" in fields  # 421 proves that it has not run
+        harness.set_servers(server)
+        assert (await harness.send_request(NON_IDEMPOTENT, b"", "three"))[2] == b"present"
 
-    played(play, former)
+    run_scenario(scenario, former)
 
 
-def test_an_answer_of_a_former_incarnation_that_was_under_way_is_read_past():
-    """The former life's answer to an older request stands where ours is due, and bears its own id."""
+def test_answer_to_an_earlier_request_on_the_connection_is_skipped():
+    """The answer to an earlier request, with that request's id, precedes the answer to the current request."""
 
     async def script(server, connection):
         fields, _ = await connection.request()
@@ -115,41 +119,42 @@
         connection.write(answer(fields, b"yours"))
         await connection.reader.read()
 
-    async def play(stage):
-        status, fields, body = await stage.ask(ONCE, b"", "mine")
+    async def scenario(harness):
+        status, fields, body = await harness.send_request(NON_IDEMPOTENT, b"", "mine")
         assert (status, fields["x-attempt-id"], body) == (200, "mine", b"yours")
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
-def test_two_answers_to_one_request_on_a_pipelined_place():
-    """A client sends two requests at once; a server answers the first twice. Each request gets one answer, its own."""
+def test_duplicate_server_answer_does_not_shift_the_answers_to_pipelined_requests():
+    """A client pipelines requests and the server answers the first twice; each request gets its own answer once."""
 
     async def script(server, connection):
         while True:
             fields, _ = await connection.request()
-            mine = fields["x-attempt-id"].encode()
-            connection.write(answer(fields, mine))
-            if mine == b"one":
+            attempt_id = fields["x-attempt-id"].encode()
+            connection.write(answer(fields, attempt_id))
+            if attempt_id == b"one":
                 connection.write(answer(fields, b"again"))
 
-    async def play(stage):
-        client = await stage.client()
+    async def scenario(harness):
+        client = await harness.client()
         client.writer.write(
-            request_head(ONCE, 0, "one") + request_head(ONCE, 0, "two") + request_head("/nowhere", 0, "three")
+            request_head(NON_IDEMPOTENT, 0, "one")
+            + request_head(NON_IDEMPOTENT, 0, "two")
+            + request_head("/nowhere", 0, "three")
         )
         answers = [await client.answer() for _ in range(3)]
         assert [(status, body) for status, _, body in answers] == [(200, b"one"), (200, b"two"), (404, b"no route")]
         assert [fields.get("x-attempt-id") for _, fields, _ in answers] == ["one", "two", None]
-        assert len(stage.servers[0].sent()) == 2
+        assert len(harness.servers[0].request_lines()) == 2
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
 @pytest.mark.parametrize("status, more", [(503, "X-Not-Executed: 1\r\n"), (200, ""), (500, "")])
-def test_early_answer_while_the_upload_still_runs(status, more):
-    """A server answers and reads no more. The answer counts, at once; the connection, with half a request on it, does
-    not serve another."""
+def test_answer_during_an_upload_is_forwarded_and_its_connection_is_not_reused(status, more):
+    """A server answers and stops reading: its answer is forwarded at once; the next request uses a new connection."""
 
     async def script(server, connection):
         fields = (await connection.head())[1]
@@ -160,41 +165,41 @@
         connection.write(answer(fields, b"early", status, more))
         await asyncio.Event().wait()
 
-    async def play(stage):
-        asked = asyncio.create_task(stage.ask("/up/x", bytes(6 << 20), "up", 15_000))
-        found, fields, body = await asked
-        assert found == status and (status == 503 or body == b"early")
+    async def scenario(harness):
+        request = asyncio.create_task(harness.send_request("/up/x", bytes(6 << 20), "up", 15_000))
+        received_status, fields, body = await request
+        assert received_status == status and (status == 503 or body == b"early")
         assert ("retry-after" in fields) == (status == 503)
-        assert (await stage.ask("/up/x", b"small", "later"))[2] == b"later"
-        assert len(stage.servers[0].connections) == 2
+        assert (await harness.send_request("/up/x", b"small", "later"))[2] == b"later"
+        assert len(harness.servers[0].connections) == 2
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
-def test_sighup_and_a_new_configuration_in_the_middle_of_an_upload():
-    """Neither cuts it, though the new configuration has neither its route nor its service."""
+def test_sighup_and_a_new_configuration_do_not_interrupt_an_upload():
+    """The upload completes although the new configuration has neither its route nor its service."""
 
-    async def play(stage):
+    async def scenario(harness):
         stop = asyncio.Event()
-        stage.program.watch_signals(stop)
-        client = await stage.client()
+        harness.program.watch_signals(stop)
+        client = await harness.client()
         client.writer.write(request_head("/up/x", 6) + b"abc")
-        while not stage.program.context.buffered_body_bytes:
+        while not harness.program.context.buffered_body_bytes:
             await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGHUP)
-        stage.configure("00000009", limits={"idle_timeout_s": 5})
+        harness.configure("00000009", limits={"idle_timeout_s": 5})
         client.writer.write(b"def")
         status, fields, body = await client.answer()
         assert (status, body) == (200, b"whole") and "connection" not in fields
         client.send("/up/x")
         assert (await client.answer())[0] == 200
-        assert not stop.is_set() and len(stage.servers[0].connections) == 1
+        assert not stop.is_set() and len(harness.servers[0].connections) == 1
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
-def test_a_configuration_without_its_service_while_a_request_waits_for_its_answer():
-    """It is tried again by the configuration under which it came."""
+def test_request_is_retried_under_the_configuration_in_force_at_its_arrival():
+    """The new configuration has neither the request's route nor its service."""
     arrived, changed = asyncio.Event(), asyncio.Event()
 
     async def script(server, connection):
@@ -206,19 +211,19 @@
             return
         connection.write(answer(fields))
 
-    async def play(stage):
-        asked = asyncio.create_task(stage.ask(SAFE))
+    async def scenario(harness):
+        request = asyncio.create_task(harness.send_request(IDEMPOTENT))
         await arrived.wait()
-        stage.configure("00000009", service_table=[{"name": "other"}], virtual_hosts=[])
+        harness.configure("00000009", service_table=[{"name": "other"}], virtual_hosts=[])
         changed.set()
-        assert (await asked)[0] == 200
+        assert (await request)[0] == 200
 
-    played(play, script, script)
+    run_scenario(scenario, script, script)
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_post_on_a_kept_connection_that_was_closed_by_its_server_a_moment_before(how):
-    """The end lies in the kernel and the loop has not read it: nothing is sent there, and another connection is made."""
+def test_request_uses_a_new_connection_if_the_idle_one_has_an_unread_close_or_reset(how):
+    """The end of the connection is in the kernel and not yet read by the event loop."""
     gone = asyncio.Event()
 
     async def script(server, connection):
@@ -230,22 +235,22 @@
         else:
             await connection.reader.read()
 
-    async def play(stage):
-        server, connections = stage.servers[0], stage.program.connections
-        assert (await stage.ask(ONCE, b"", "one"))[0] == 200
-        kept = next(iter(connections._connections[f"127.0.0.1:{server.port}"].values()))
-        kept.stream.transport.pause_reading()  # as if the loop had not come to it yet
+    async def scenario(harness):
+        server, connections = harness.servers[0], harness.program.connections
+        assert (await harness.send_request(NON_IDEMPOTENT, b"", "one"))[0] == 200
+        idle = next(iter(connections._connections[f"127.0.0.1:{server.port}"].values()))
+        idle.stream.transport.pause_reading()  # keeps the end of the connection unread
         gone.set()
         await server.tasks[0]
-        assert (await stage.ask(ONCE, b"pay", "two"))[0] == 200
-        assert [len(one.received) > 0 for one in server.connections] == [True, True]
-        assert len(server.sent()) == 2
+        assert (await harness.send_request(NON_IDEMPOTENT, b"pay", "two"))[0] == 200
+        assert [len(connection.received) > 0 for connection in server.connections] == [True, True]
+        assert len(server.request_lines()) == 2
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
-def test_a_post_that_meets_the_close_of_its_kept_connection_on_the_way_is_not_repeated():
-    """The server closes while the request is on its way: it may have been read."""
+def test_non_idempotent_request_is_not_retried_if_its_reused_connection_is_reset():
+    """The server resets the connection while the request is in transit, so it may have been read."""
 
     async def script(server, connection):
         fields, _ = await connection.request()
@@ -253,26 +258,26 @@
         await connection.reader.readexactly(1)
         connection.reset()
 
-    async def play(stage):
-        assert (await stage.ask(ONCE, b"", "one"))[0] == 200
-        status, fields, _ = await stage.ask(ONCE, b"pay", "two")
+    async def scenario(harness):
+        assert (await harness.send_request(NON_IDEMPOTENT, b"", "one"))[0] == 200
+        status, fields, _ = await harness.send_request(NON_IDEMPOTENT, b"pay", "two")
         assert status == 502 and "retry-after" not in fields
-        assert len(stage.servers[0].connections) == 1
+        assert len(harness.servers[0].connections) == 1
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
-def test_idle_connection_closed_by_us_as_the_clients_request_arrives():
-    """The time of an idle connection is over just as a request lies in the kernel: it is answered."""
+def test_idle_timeout_does_not_close_a_connection_with_an_unread_request():
+    """The idle time-out expires while a request is unread in the kernel; the request is answered."""
 
-    async def play(stage):
-        client = await stage.client()
-        client.send(SAFE)
+    async def scenario(harness):
+        client = await harness.client()
+        client.send(IDEMPOTENT)
         assert (await client.answer())[0] == 200
-        protocol = next(iter(stage.program.server.server_state.connections))
-        protocol._idle_since_s -= 100  # it has rested too long
-        protocol.transport.pause_reading()  # as if the loop had not come to it yet
-        client.send(SAFE, b"", "two")
+        protocol = next(iter(harness.program.server.server_state.connections))
+        protocol._idle_since_s -= 100  # over the idle limit
+        protocol.transport.pause_reading()  # keeps the request unread
+        client.send(IDEMPOTENT, b"", "two")
         await client.writer.drain()
         protocol._on_idle_timeout()
         assert not protocol.transport.is_closing()
@@ -280,31 +285,32 @@
         status, fields, _ = await client.answer()
         assert (status, fields["x-attempt-id"]) == (200, "two")
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
 @pytest.mark.parametrize(
-    "begun", [b"", b"PO", request_head(SAFE, 5)[:-2], request_head(SAFE, 5), request_head(SAFE, 5) + b"ab"]
+    "begun",
+    [b"", b"PO", request_head(IDEMPOTENT, 5)[:-2], request_head(IDEMPOTENT, 5), request_head(IDEMPOTENT, 5) + b"ab"],
 )
-def test_a_request_that_has_begun_as_we_stop_is_answered(begun):
-    """Of a kept connection: at each place where the request may have been read to, or lies unread in the kernel."""
+def test_request_that_has_started_at_shutdown_is_answered(begun):
+    """Covers a request read up to different points, and one that is unread in the kernel, on a reused connection."""
 
-    async def play(stage):
-        whole = request_head(SAFE, 5) + b"whole"
-        client = await stage.client()
-        client.send(SAFE)
+    async def scenario(harness):
+        whole = request_head(IDEMPOTENT, 5) + b"whole"
+        client = await harness.client()
+        client.send(IDEMPOTENT)
         assert (await client.answer())[0] == 200
-        protocol = next(iter(stage.program.server.server_state.connections))
+        protocol = next(iter(harness.program.server.server_state.connections))
         if begun:
             client.writer.write(begun)
             while not protocol._reading_head and not protocol._request_in_progress:
                 await asyncio.sleep(0)
-            leaving = asyncio.create_task(stage.program.drain(0))
+            draining = asyncio.create_task(harness.program.drain(0))
         else:
             protocol.transport.pause_reading()
-            leaving = asyncio.create_task(stage.program.drain(0))
+            draining = asyncio.create_task(harness.program.drain(0))
             client.writer.write(whole)
-        while not stage.program.server.should_exit or stage.program.server.servers[0].is_serving():
+        while not harness.program.server.should_exit or harness.program.server.servers[0].is_serving():
             await asyncio.sleep(0)
         if begun:
             client.writer.write(whole[len(begun) :])
@@ -312,110 +318,112 @@
             protocol.transport.resume_reading()
         status, fields, _ = await client.answer()
         assert (status, fields["connection"]) == (200, "close") and await client.ended()
-        await leaving
+        await draining
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
-def test_what_is_still_in_hand_when_we_are_about_to_be_killed_is_answered_with_what_is_certain():
-    """One that its server is at work on: nothing is promised. One that waits here: it has not run."""
+def test_at_the_end_of_the_grace_period_sent_requests_get_502_and_unsent_ones_503():
+    """A request sent to a server may have run (502); one that waits in the edge has not (503 with `Retry-After`)."""
 
     async def script(server, connection):
         await connection.request()
         await asyncio.Event().wait()
 
-    async def play(stage):
-        stage.program.server.config.timeout_graceful_shutdown = 0.05
-        out = [asyncio.create_task(stage.ask(ONCE, b"", f"out-{number}", 9000)) for number in range(8)]
-        while len(stage.servers[0].sent()) < 8:
+    async def scenario(harness):
+        harness.program.server.config.timeout_graceful_shutdown = 0.05
+        sent = [
+            asyncio.create_task(harness.send_request(NON_IDEMPOTENT, b"", f"out-{number}", 9000)) for number in range(8)
+        ]
+        while len(harness.servers[0].request_lines()) < 8:
             await asyncio.sleep(0)
-        waits = asyncio.create_task(stage.ask(ONCE, b"", "waits", 9000))
-        half = await stage.client()
-        half.writer.write(request_head(ONCE, 5, "half") + b"ab")
+        waiting = asyncio.create_task(harness.send_request(NON_IDEMPOTENT, b"", "waits", 9000))
+        uploading = await harness.client()
+        uploading.writer.write(request_head(NON_IDEMPOTENT, 5, "half") + b"ab")
         while (
-            not stage.program.context.counters.values.get("upstream_rq_pending")
-            or not stage.program.context.buffered_body_bytes
+            not harness.program.context.counters.values.get("upstream_rq_pending")
+            or not harness.program.context.buffered_body_bytes
         ):
             await asyncio.sleep(0)
-        await stage.program.drain(0)
-        assert [(await one)[0] for one in out] == [502] * 8
-        for status, fields, _ in (await waits, await half.answer()):
+        await harness.program.drain(0)
+        assert [(await request)[0] for request in sent] == [502] * 8
+        for status, fields, _ in (await waiting, await uploading.answer()):
             assert status == 503 and "retry-after" in fields
-        assert all(endpoint.in_flight == 0 for endpoint in stage.program.forwarder.endpoints.by_name.values())
+        assert all(endpoint.in_flight == 0 for endpoint in harness.program.forwarder.endpoints.by_name.values())
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
-def test_bytes_behind_a_request_in_hand_that_are_no_request_are_not_answered_in_its_place():
-    """Else its client took a 400 for the answer to what its server is at work on."""
-    arrived, let = asyncio.Event(), asyncio.Event()
+def test_malformed_bytes_after_a_request_in_progress_get_no_400():
+    """The client would take a 400 for the answer to the request in progress."""
+    arrived, may_answer = asyncio.Event(), asyncio.Event()
 
     async def script(server, connection):
         fields, _ = await connection.request()
         arrived.set()
-        await let.wait()
+        await may_answer.wait()
         connection.write(answer(fields))
 
-    async def play(stage):
-        client = await stage.client()
-        client.send(ONCE, b"pay")
+    async def scenario(harness):
+        client = await harness.client()
+        client.send(NON_IDEMPOTENT, b"pay")
         await arrived.wait()
         client.writer.write(b"\x00\x01 no request\r\n\r\n")
-        protocol = next(iter(stage.program.server.server_state.connections))
+        protocol = next(iter(harness.program.server.server_state.connections))
         while protocol.cycle.keep_alive:
             await asyncio.sleep(0)
-        let.set()
+        may_answer.set()
         assert (await client.answer())[0] == 200 and await client.ended()
 
-    played(play, script)
+    run_scenario(scenario, script)
 
 
-def test_a_client_that_hangs_up_in_mid_request_leaves_nothing_behind():
-    async def play(stage):
-        client = await stage.client()
+def test_disconnect_during_an_upload_releases_its_memory_and_connection():
+    async def scenario(harness):
+        client = await harness.client()
         client.writer.write(request_head("/up/x", 100) + b"half")
-        while not stage.program.context.buffered_body_bytes:
+        while not harness.program.context.buffered_body_bytes:
             await asyncio.sleep(0)
         client.close()
-        while stage.program.context.buffered_body_bytes or stage.program.server.server_state.connections:
+        while harness.program.context.buffered_body_bytes or harness.program.server.server_state.connections:
             await asyncio.sleep(0)
-        assert not stage.servers[0].sent()
+        assert not harness.servers[0].request_lines()
 
-    played(play, serving)
+    run_scenario(scenario, answer_all_requests)
 
 
-@pytest.mark.parametrize("path", [SAFE, ONCE])
-def test_a_client_that_leaves_while_a_second_attempt_is_dialled_has_nothing_sent_for_it(path):
-    """Neither is the request sent after its client has gone, nor does the second server's count stay too high."""
-    dialled, let = asyncio.Event(), asyncio.Event()
+@pytest.mark.parametrize("path", [IDEMPOTENT, NON_IDEMPOTENT])
+def test_retry_is_not_sent_if_the_client_disconnects_during_the_connect(path):
+    """The in-flight counts of both servers must return to 0 as well."""
+    dialled, may_answer = asyncio.Event(), asyncio.Event()
 
     async def script(server, connection):
         fields, _ = await connection.request()
         connection.write(answer(fields, status=503, more="X-Not-Executed: 1\r\n"))
         await connection.request()
 
-    async def play(stage):
-        connections = stage.program.connections
-        dial_at_once = connections._dial
+    async def scenario(harness):
+        connections = harness.program.connections
+        original_dial = connections._dial
 
         async def dial(pool, address, timeout_s):
-            if stage.servers[0].sent() or stage.servers[1].sent():
+            if harness.servers[0].request_lines() or harness.servers[1].request_lines():
                 dialled.set()
-                await let.wait()
-            return await dial_at_once(pool, address, timeout_s)
+                await may_answer.wait()
+            return await original_dial(pool, address, timeout_s)
 
         connections._dial = dial
-        client = await stage.client()
+        client = await harness.client()
         client.send(path)
         await dialled.wait()
         client.reset()
-        endpoints = stage.program.forwarder.endpoints.by_name.values()
-        while stage.program.server.server_state.connections:  # until the edge has seen that the client has gone
+        endpoints = harness.program.forwarder.endpoints.by_name.values()
+        while harness.program.server.server_state.connections:  # until the edge has noticed the disconnect
             await asyncio.sleep(0)
-        let.set()
-        while stage.program.server.server_state.tasks:
+        may_answer.set()
+        while harness.program.server.server_state.tasks:
             await asyncio.sleep(0)
-        assert sum(len(server.sent()) for server in stage.servers) == 1
+        assert sum(len(server.request_lines()) for server in harness.servers) == 1
         assert [endpoint.in_flight for endpoint in endpoints] == [0, 0]
 
-    played(play, script, script)
+    run_scenario(scenario, script, script)
--- a/tests/edge/test_request_head.py
+++ b/tests/edge/test_request_head.py
@@ -1,4 +1,4 @@
-"""What the head of a client's request says, and what of it goes to servers."""
+"""Interpreted request headers, and the headers that are forwarded to servers."""
 
 import pytest
 
@@ -19,7 +19,7 @@
         (None, 30 * SECOND),
     ],
 )
-def test_a_client_waits_for_as_long_as_it_says_within_bounds_and_30_s_if_it_says_nothing(value, timeout_ns):
+def test_client_timeout_is_clamped_and_defaults_to_30_s_without_a_valid_header(value, timeout_ns):
     assert client_timeout_ns({} if value is None else {b"x-deadline-remaining": value}) == timeout_ns
 
 
@@ -33,13 +33,13 @@
         ([(b"transfer-encoding", b"chunked")], b"", b"0"),
     ],
 )
-def test_servers_get_one_length_that_is_that_of_the_body(headers, body, length):
-    given = [(b"host", b"h"), *headers, (b"connection", b"x"), (b"x-deadline-remaining", b"9"), (b"te", b"t")]
-    passed_on = server_headers(given, dict(given), body)
-    assert passed_on == [(b"host", b"h"), *([] if length is None else [(b"content-length", length)])]
+def test_forwarded_headers_have_one_content_length_that_matches_the_body(headers, body, length):
+    received = [(b"host", b"h"), *headers, (b"connection", b"x"), (b"x-deadline-remaining", b"9"), (b"te", b"t")]
+    forwarded = server_headers(received, dict(received), body)
+    assert forwarded == [(b"host", b"h"), *([] if length is None else [(b"content-length", length)])]
 
 
-def test_an_attempt_names_its_server_and_leaves_it_a_millisecond_at_least():
+def test_attempt_headers_name_the_server_and_a_deadline_of_at_least_1_ms():
     assert attempt_headers("s-1", 1500 * MILLISECOND) == [
         (b"x-deadline-remaining", b"1500"),
         (b"x-target-instance", b"s-1"),
--- a/tests/edge/test_server_connections.py
+++ b/tests/edge/test_server_connections.py
@@ -1,47 +1,53 @@
-"""One try at a server that answers as a server in trouble may: on loopback, the server a script of bytes."""
+"""Attempts at a scripted server on loopback.
+
+Guards against faulty or misplaced answers that are taken for the answer to a request.
+"""
 
 import asyncio
 import time
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from kestrelplank.edge.server_connections import OUTCOMES_WITHOUT_ANSWER, ServerConnections, ServerRequest
 from kestrelplank.forwarding.retry_policy import CallOutcome
 from kestrelplank.http.errors import NoAnswerError
 
-OURS = b"X-Attempt-Id: me\r\n"
+OWN_ID = b"X-Attempt-Id: me\r\n"
 REQUEST = ServerRequest(b"GET", b"/a/b?c=%20d", [(b"host", b"h")], b"", b"me")
 
 
-def answer(status=200, head=OURS + b"X-Server-Seal: s\r\n", body=b"whole", more=b""):
+def answer(status=200, head=OWN_ID + b"X-Server-Seal: s\r\n", body=b"whole", more=b""):
     return b"HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s%s" % (status, head, len(body), body, more)
 
 
-def played(*scripts, within=1.0, wait=0.0):
-    """Tries one after the other at a server that answers each request with the next script: bytes, or `close`, or
-    `silence`. Returns how they ended and how many connections it took."""
+def run_attempts(*scripts, timeout_s=1.0, wait=0.0):
+    """Make one attempt after the other at a server that answers each with the next script.
+
+    A script is the bytes to send, a pair of bytes to send in two steps, "close" or "silence". Returns the results of
+    the attempts and the number of connections opened.
+    """
 
-    async def play():
-        left, came = list(scripts), []
+    async def scenario():
+        remaining, accepted = list(scripts), []
 
         async def serve(reader, writer):
-            came.append(writer)
+            accepted.append(writer)
             try:
-                while left:
+                while remaining:
                     await reader.readuntil(b"\r\n\r\n")
-                    script = left.pop(0)
+                    script = remaining.pop(0)
                     if script == "silence":
                         await reader.read()
                     if script == "close" or script == "silence":
                         break
-                    whole, late = script if isinstance(script, tuple) else (script, b"")
-                    writer.write(whole)
+                    data, late = script if isinstance(script, tuple) else (script, b"")
+                    writer.write(data)
                     if late:
                         await asyncio.sleep(0)
                         writer.write(late)
-                    if whole.endswith(b"cut"):
+                    if data.endswith(b"cut"):
                         break
                 else:
                     await reader.read()
@@ -51,43 +57,46 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
-        connections, ended = ServerConnections(time.monotonic_ns), []
+        connections, results = ServerConnections(time.monotonic_ns), []
         for _ in range(len(scripts)):
-            ended.append(await connections.send(address, REQUEST, int(within * 1e9), 24))
+            results.append(await connections.send(address, REQUEST, int(timeout_s * 1e9), 24))
             await asyncio.sleep(wait)
         connections.close_unused(set())
         server.close()
-        return ended, len(came)
+        return results, len(accepted)
 
-    return asyncio.run(play())
+    return asyncio.run(scenario())
 
 
-def kinds(*scripts, **more):
-    ended, _ = played(*scripts, **more)
-    return [one.outcome for one in ended]
+def outcomes(*scripts, **options):
+    results, _ = run_attempts(*scripts, **options)
+    return [result.outcome for result in results]
 
 
-def test_complete_answers_come_on_one_connection():
-    ended, connections = played(answer(), answer(500, body=b"failed"), answer(404))
-    assert [one.outcome for one in ended] == [
+def test_complete_answers_reuse_one_connection():
+    results, connections = run_attempts(answer(), answer(500, body=b"failed"), answer(404))
+    assert [result.outcome for result in results] == [
         CallOutcome.ANSWERED,
         CallOutcome.SERVER_ERROR,
         CallOutcome.ANSWERED,
     ] and connections == 1
-    assert ended[1].answer.status == 500 and ended[1].answer.body == b"failed"
+    assert results[1].answer.status == 500 and results[1].answer.body == b"failed"
 
 
 @pytest.mark.parametrize(
     "script, kind",
     [
-        (answer(503, OURS + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
-        (answer(429, OURS + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
-        (answer(429, b"X-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),  # whose? it may be a surplus one
-        (answer(429, OURS + b"X-Attempt-Id: other\r\nX-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),
-        (answer(503), CallOutcome.SERVER_ERROR),  # its own word: it may have run
-        (answer(421, OURS + b"X-Instance-Id: i-2\r\n"), CallOutcome.NOT_EXECUTED),
+        (answer(503, OWN_ID + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
+        (answer(429, OWN_ID + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
+        (
+            answer(429, b"X-Not-Executed: 1\r\n"),
+            CallOutcome.TIMEOUT,
+        ),  # no id: it may be a surplus answer to another request
+        (answer(429, OWN_ID + b"X-Attempt-Id: other\r\nX-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),
+        (answer(503), CallOutcome.SERVER_ERROR),  # without X-Not-Executed it may have run
+        (answer(421, OWN_ID + b"X-Instance-Id: i-2\r\n"), CallOutcome.NOT_EXECUTED),
         (answer(421, b"X-Instance-Id: i-2\r\n"), CallOutcome.TIMEOUT),
-        (answer(200, OURS), CallOutcome.MALFORMED),  # no stamp: not the server's answer
+        (answer(200, OWN_ID), CallOutcome.MALFORMED),  # no seal: not sent by the server
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", CallOutcome.TRUNCATED),
         (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcut", CallOutcome.TRUNCATED),
         (b"no answer at all\r\n\r\n", CallOutcome.MALFORMED),
@@ -95,74 +104,74 @@
         ("silence", CallOutcome.TIMEOUT),
     ],
 )
-def test_what_an_answer_proves(script, kind):
-    assert kinds(script, within=0.3) == [kind]
+def test_outcome_of_an_attempt_for_each_kind_of_answer(script, kind):
+    assert outcomes(script, timeout_s=0.3) == [kind]
 
 
-def test_an_answer_to_an_older_request_is_not_ours_and_ours_is_read_behind_it():
+def test_answer_to_an_earlier_request_is_skipped_and_the_next_answer_is_read():
     other = answer(head=b"X-Attempt-Id: other\r\nX-Server-Seal: o\r\n", body=b"not yours")
-    ended, _ = played(other + answer(body=b"mine"))
-    assert ended[0].outcome == CallOutcome.ANSWERED and ended[0].answer.body == b"mine"
-    assert kinds((other, answer(body=b"mine")), "close", within=0.3)[0] == CallOutcome.ANSWERED
-    assert kinds(other, within=0.2) == [CallOutcome.TIMEOUT]
+    results, _ = run_attempts(other + answer(body=b"mine"))
+    assert results[0].outcome == CallOutcome.ANSWERED and results[0].answer.body == b"mine"
+    assert outcomes((other, answer(body=b"mine")), "close", timeout_s=0.3)[0] == CallOutcome.ANSWERED
+    assert outcomes(other, timeout_s=0.2) == [CallOutcome.TIMEOUT]
 
 
-def test_surplus_bytes_behind_an_answer_cost_the_connection_and_nothing_else():
+def test_connection_with_surplus_bytes_after_an_answer_is_not_reused():
     surplus = answer(head=b"X-Attempt-Id: me\r\nX-Server-Seal: s\r\n", body=b"again")
-    ended, connections = played(answer(body=b"one", more=surplus), answer(body=b"two"), wait=0.01)
-    assert [one.answer.body for one in ended] == [b"one", b"two"] and connections == 2
+    results, connections = run_attempts(answer(body=b"one", more=surplus), answer(body=b"two"), wait=0.01)
+    assert [result.answer.body for result in results] == [b"one", b"two"] and connections == 2
 
 
-def test_a_connection_that_says_it_closes_is_not_used_again():
-    ended, connections = played(answer(head=OURS + b"X-Server-Seal: s\r\nConnection: close\r\n"), answer())
-    assert [one.outcome for one in ended] == [CallOutcome.ANSWERED, CallOutcome.ANSWERED] and connections == 2
+def test_connection_is_not_reused_after_connection_close():
+    results, connections = run_attempts(answer(head=OWN_ID + b"X-Server-Seal: s\r\nConnection: close\r\n"), answer())
+    assert [result.outcome for result in results] == [CallOutcome.ANSWERED, CallOutcome.ANSWERED] and connections == 2
 
 
 @pytest.mark.parametrize(
-    "told, connections", [(b"timeout=1", 2), (b"timeout=30, max=9", 1), (b"max=9", 1), (b"timeout=x", 1)]
+    "keep_alive, connections", [(b"timeout=1", 2), (b"timeout=30, max=9", 1), (b"max=9", 1), (b"timeout=x", 1)]
 )
-def test_a_connection_is_kept_for_less_than_its_server_says(told, connections):
-    keeps = answer(head=OURS + b"X-Server-Seal: s\r\nKeep-Alive: %s\r\n" % told)
-    ended, came = played(keeps, keeps)
-    assert [one.outcome for one in ended] == [CallOutcome.ANSWERED] * 2 and came == connections
+def test_idle_connection_is_kept_for_less_than_the_keep_alive_timeout(keep_alive, connections):
+    script = answer(head=OWN_ID + b"X-Server-Seal: s\r\nKeep-Alive: %s\r\n" % keep_alive)
+    results, accepted = run_attempts(script, script)
+    assert [result.outcome for result in results] == [CallOutcome.ANSWERED] * 2 and accepted == connections
 
 
-def test_every_kind_of_call_without_answer_has_its_outcome():
+def test_each_no_answer_error_has_an_outcome():
     assert set(OUTCOMES_WITHOUT_ANSWER) == set(NoAnswerError.__subclasses__())
 
 
-def test_nobody_there_is_proof_that_nothing_ran():
-    async def play():
+def test_refused_connect_is_reported_as_connect_fail():
+    async def scenario():
         server = await asyncio.start_server(lambda *streams: None, "127.0.0.1", 0)
         address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
         server.close()
         await server.wait_closed()
         return await ServerConnections(time.monotonic_ns).send(address, REQUEST, 10**9, 24)
 
-    assert asyncio.run(play()).outcome == CallOutcome.CONNECT_FAIL
+    assert asyncio.run(scenario()).outcome == CallOutcome.CONNECT_FAIL
 
 
-def test_more_requests_than_connections_are_not_sent():
-    async def play():
-        came = []
+def test_requests_over_the_connection_limit_are_not_sent():
+    async def scenario():
+        accepted = []
 
         async def serve(reader, writer):
-            came.append(writer)
+            accepted.append(writer)
             await reader.read()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
         connections = ServerConnections(time.monotonic_ns)
-        ended = await asyncio.gather(*(connections.send(address, REQUEST, 200_000_000, 2) for _ in range(5)))
+        results = await asyncio.gather(*(connections.send(address, REQUEST, 200_000_000, 2) for _ in range(5)))
         server.close()
-        for writer in came:
+        for writer in accepted:
             writer.close()
-        return sorted(one.outcome.value for one in ended), len(came)
+        return sorted(result.outcome.value for result in results), len(accepted)
 
-    assert asyncio.run(play()) == ([CallOutcome.NO_CONNECTION_FREE.value] * 3 + [CallOutcome.TIMEOUT.value] * 2, 2)
+    assert asyncio.run(scenario()) == ([CallOutcome.NO_CONNECTION_FREE.value] * 3 + [CallOutcome.TIMEOUT.value] * 2, 2)
 
 
-PIECES = [
+FRAGMENTS = [
     b"HTTP/1.1 200 OK\r\n",
     b"HTTP/1.1 503 Full\r\n",
     b"HTTP/1.1 100 Continue\r\n\r\n",
@@ -185,15 +194,15 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, database=None)
-@given(some.lists(some.sampled_from(PIECES), max_size=14))
-def test_whatever_bytes_a_server_sends_a_success_is_ours_stamped_and_whole(pieces):
-    """Of 150 mixtures of an answer's parts; most end as broken."""
-    data = b"".join(pieces)
-    one = played(data + b"cut", within=0.5)[0][0]
-    if one.outcome == CallOutcome.ANSWERED:
-        assert one.answer.fields[b"x-attempt-id"] == b"me"
-        assert one.answer.status >= 300 or b"x-server-seal" in one.answer.fields
-        length = one.answer.fields.get(b"content-length")
-        assert length is None or len(one.answer.body) == int(length)
-    if one.outcome == CallOutcome.NOT_EXECUTED:
+@given(st.lists(st.sampled_from(FRAGMENTS), max_size=14))
+def test_answer_counts_as_success_only_with_matching_id_seal_and_complete_body(fragments):
+    """Tests 150 generated mixtures of answer fragments, most of them malformed."""
+    data = b"".join(fragments)
+    result = run_attempts(data + b"cut", timeout_s=0.5)[0][0]
+    if result.outcome == CallOutcome.ANSWERED:
+        assert result.answer.fields[b"x-attempt-id"] == b"me"
+        assert result.answer.status >= 300 or b"x-server-seal" in result.answer.fields
+        length = result.answer.fields.get(b"content-length")
+        assert length is None or len(result.answer.body) == int(length)
+    if result.outcome == CallOutcome.NOT_EXECUTED:
         assert b"X-Not-Executed" in data and b"HTTP/1.1" in data
--- a/tests/http/test_critical_tasks.py
+++ b/tests/http/test_critical_tasks.py
@@ -1,4 +1,4 @@
-"""What a program can't do without."""
+"""Supervision of critical tasks."""
 
 import asyncio
 
@@ -7,9 +7,9 @@
 from kestrelplank.http.critical_tasks import CriticalTasks
 
 
-@pytest.mark.parametrize("how, stops", [("fails", True), ("ends", False), ("is cancelled", False)])
-def test_a_critical_task_that_fails_stops_the_program_and_is_logged(how, stops, caplog):
-    """Guards against a member that lives on without its ticks: no heartbeats, no claims, no renewals, and nobody notified."""
+@pytest.mark.parametrize("how, stops", [("fails", True), ("returns", False), ("is cancelled", False)])
+def test_a_failed_critical_task_is_logged_and_stops_the_program(how, stops, caplog):
+    """Guards against a control member that keeps running without its periodic task, and so without heartbeats."""
 
     async def work():
         if how == "fails":
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,9 +15,9 @@
 
 
 class StubMember:
-    """A control member that keeps the configuration it is sent.
+    """A control member that stores the configuration it receives.
 
-    `lag`: how many times it is asked before an edge machine has the newest; `log_lag`: entries that its peer lacks.
+    `lag`: status requests until `edge-2` has the newest version; `log_lag`: number of log entries that its peer lacks.
     """
 
     def __init__(self, lag=0, majority=True, log_lag=0, in_force=True):
@@ -70,32 +70,32 @@
 
 
 def exit_code(member, *words):
-    """Run a command against that member; ADDRESS stands for its address."""
+    """Run a command against that member, with ADDRESS replaced by its address; return the exit code."""
 
-    async def play():
+    async def run():
         sock = listening_socket("127.0.0.1", 0)
         address = "127.0.0.1:%d" % sock.getsockname()[1]
-        front = create_server(application(member), 5, 1)
-        serving = asyncio.create_task(front.serve([sock]))
-        while not front.started:
+        server = create_server(application(member), 5, 1)
+        serving = asyncio.create_task(server.serve([sock]))
+        while not server.started:
             await asyncio.sleep(0)
         try:
             return await asyncio.to_thread(main, [address if word == "ADDRESS" else word for word in words])
         finally:
-            front.should_exit = True
+            server.should_exit = True
             await serving
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
 @pytest.fixture
 def configuration_file(tmp_path):
-    def written(name="new.json", **changes):
+    def write(name="new.json", **changes):
         path = tmp_path / name
         path.write_text(json.dumps(configuration(**changes)))
         return str(path)
 
-    return written
+    return write
 
 
 def test_replace_waits_until_the_last_edge_has_the_version(configuration_file, capsys):
@@ -108,7 +108,7 @@
     assert json.loads(capsys.readouterr().out)["behind"] == ["edge-2"]
 
 
-def test_replace_names_a_peer_that_lacks_entries_of_the_log(configuration_file, capsys):
+def test_replace_names_a_peer_that_lacks_log_entries(configuration_file, capsys):
     assert exit_code(StubMember(log_lag=1), "replace", "ADDRESS", configuration_file(), "--wait=0", "--json") == 1
     assert json.loads(capsys.readouterr().out)["behind"] == ["b:1/first"]
 
@@ -118,11 +118,11 @@
     assert "refused, 503: not enough members can keep it" in capsys.readouterr().out
 
 
-@pytest.mark.parametrize("given", [{"in_force": False}, {"majority": False}, {}])
-def test_replace_ends_with_the_same_exit_code_with_json_and_without(configuration_file, given):
+@pytest.mark.parametrize("options", [{"in_force": False}, {"majority": False}, {}])
+def test_replace_has_the_same_exit_code_with_and_without_json(configuration_file, options):
     path = configuration_file()
-    codes = [exit_code(StubMember(**given), "replace", "ADDRESS", path, *more) for more in ((), ("--json",))]
-    assert codes == ([1, 1] if given else [0, 0])
+    codes = [exit_code(StubMember(**options), "replace", "ADDRESS", path, *flags) for flags in ((), ("--json",))]
+    assert codes == ([1, 1] if options else [0, 0])
 
 
 def test_replace_prints_that_a_version_not_above_the_one_in_force_changed_nothing(configuration_file, capsys):
@@ -130,15 +130,15 @@
     assert "version 00000007 changed nothing: it is not above the one in force" in capsys.readouterr().out
 
 
-def test_an_invalid_configuration_is_refused_and_never_sent(configuration_file, capsys):
+def test_replace_reports_an_invalid_configuration_and_sends_nothing(configuration_file, capsys):
     member = StubMember()
     path = configuration_file(virtual_hosts=[{"host_name": "", "host_routes": []}])
     assert exit_code(member, "replace", "ADDRESS", path) == 2 and member.configuration is None
     assert capsys.readouterr().err == f"kestrelplank: {path}: virtual_hosts[0].host_name: empty\n"
 
 
-def test_an_address_that_does_not_answer_is_one_line_and_exit_code_1(configuration_file, capsys):
-    sock = listening_socket("127.0.0.1", 0)  # bound, and nobody listens
+def test_unreachable_address_prints_one_line_and_exits_with_1(configuration_file, capsys):
+    sock = listening_socket("127.0.0.1", 0)  # bound, but not listening
     assert main(["status", "127.0.0.1:%d" % sock.getsockname()[1]]) == 1
     assert capsys.readouterr().err.count("\n") == 1
 
@@ -160,12 +160,12 @@
     assert "  learned speeds of s: 1.5, 2.0, 0.0, 0.0" in out
 
 
-def test_status_as_json_is_what_the_member_answered(capsys):
+def test_status_as_json_prints_the_members_answer(capsys):
     assert exit_code(StubMember(), "status", "ADDRESS", "--json") == 0
     assert json.loads(capsys.readouterr().out)["services"]["views"]["key_ranges"][0]["server"] == "s"
 
 
-def test_a_difference_is_printed_route_by_route_and_field_by_field(configuration_file, capsys):
+def test_diff_prints_each_changed_field_of_each_route(configuration_file, capsys):
     old, new = (
         configuration_file("old.json"),
         configuration_file(
