--- a/kestrelplank/edge/program.py
+++ b/kestrelplank/edge/program.py
@@ -82,7 +82,7 @@
         log.info("Edge: started")
         await stop.wait()
         log.info("Edge: stopping, not ready from now on")
-        await self.drain(DRAIN_DELAY_S)  # sessions stay open: requests in progress need updates
+        await self.drain(DRAIN_DELAY_S)  # while the control sessions are open: requests in progress need updates
         critical_tasks.cancel()
         self.sessions.close()
         log.info("Edge: stopped", extra={"counters": self.context.counters.values})
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -20,5 +20,5 @@
         for name, value in report.items():
             print(f"{name.replace('_', ' ')}: {', '.join(value) if isinstance(value, list) else value}")
     complete = report["ready"] and report["replaced"]
-    violated = not complete or any(report[field] for field in RULE_VIOLATION_FIELDS)
-    return ExitCode.FOUND_WANTING if violated else ExitCode.DONE
+    failed = not complete or any(report[field] for field in RULE_VIOLATION_FIELDS)
+    return ExitCode.FOUND_WANTING if failed else ExitCode.DONE
--- a/tests/edge/test_client_limits.py
+++ b/tests/edge/test_client_limits.py
@@ -6,7 +6,7 @@
 from edge.stage import LIMITS, answer_all_requests, request_head, run_scenario
 
 IDEMPOTENT = "/safe/x"
-LONG_AGO = 10_000.0
+LONG_IDLE_S = 10_000.0
 
 
 async def idle_protocol(harness, client):
@@ -24,7 +24,7 @@
         client.send(IDEMPOTENT)
         assert (await client.answer())[0] == 503
         protocol = next(iter(harness.program.server.server_state.connections))
-        protocol._idle_since_s -= LONG_AGO
+        protocol._idle_since_s -= LONG_IDLE_S
         protocol._on_idle_timeout()
         assert not protocol.transport.is_closing() and protocol._timer is not None
         harness.configure()
@@ -34,15 +34,17 @@
     run_scenario(scenario, answer_all_requests, configured=False)
 
 
-@pytest.mark.parametrize("before, after, rests, ends", [(15, 60, 59, False), (15, 60, 61, True), (60, 15, 59, False), (60, 15, 61, True), (15, 15, 14.9, False), (15, 15, 15.1, True)])  # fmt: skip
-def test_idle_timeout_is_the_longer_of_the_limits_before_and_after_a_configuration_change(before, after, rests, ends):
+@pytest.mark.parametrize("before, after, idle_s, closes", [(15, 60, 59, False), (15, 60, 61, True), (60, 15, 59, False), (60, 15, 61, True), (15, 15, 14.9, False), (15, 15, 15.1, True)])  # fmt: skip
+def test_idle_timeout_is_the_longer_of_the_limits_before_and_after_a_configuration_change(
+    before, after, idle_s, closes
+):
     async def scenario(harness):
         harness.configure(limits={**LIMITS, "idle_timeout_s": before})
         protocol = await idle_protocol(harness, await harness.client())
         harness.configure("00000009", limits={**LIMITS, "idle_timeout_s": after})
-        protocol._idle_since_s -= rests
+        protocol._idle_since_s -= idle_s
         protocol._on_idle_timeout()
-        assert protocol.transport.is_closing() == ends
+        assert protocol.transport.is_closing() == closes
 
     run_scenario(scenario, answer_all_requests)
 
@@ -58,7 +60,7 @@
         timer = protocol._timer
         while protocol._timer is timer:
             await asyncio.sleep(0)
-        protocol._idle_since_s -= LONG_AGO
+        protocol._idle_since_s -= LONG_IDLE_S
         protocol._on_idle_timeout()
         assert await client.ended()
 
@@ -144,7 +146,7 @@
     ],
 )
 def test_ambiguous_request_reaches_no_server(fields):
-    """Two ids would be two requests: which of them an answer belongs to could not be told."""
+    """With two ids, an answer could not be attributed to one request."""
 
     async def scenario(harness):
         client = await harness.client()
--- a/tests/edge/test_every_byte.py
+++ b/tests/edge/test_every_byte.py
@@ -97,9 +97,8 @@
         while harness.program.server.server_state.connections or harness.program.context.buffered_body_bytes:
             await asyncio.sleep(0)
         assert not harness.servers[0].connections
-        assert (await harness.send_request(NON_IDEMPOTENT, b"whole", "whole"))[
-            0
-        ] == 200  # complete requests are still served
+        # Complete requests are still served.
+        assert (await harness.send_request(NON_IDEMPOTENT, b"whole", "whole"))[0] == 200
 
     run_scenario(scenario, answer_all_requests)
 
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -13,7 +13,7 @@
 NON_IDEMPOTENT, IDEMPOTENT = "/once/x", "/safe/x"
 
 
-def failing(kind):
+def failing_script(kind):
     """Return a script: the first attempt at each request fails in this way once read; later attempts are answered."""
     failed = []
 
@@ -49,11 +49,9 @@
         assert sum(len(server.request_lines()) for server in harness.servers) == 1
         status, fields, body = await harness.send_request(IDEMPOTENT, b"", "two")
         assert (status, body) == (200, b"whole") and fields["x-attempt-id"] == "two"
-        assert (
-            sum(len(server.request_lines()) for server in harness.servers) == 3
-        )  # one non-idempotent and two idempotent attempts
+        assert sum(len(server.request_lines()) for server in harness.servers) == 3  # of which two idempotent
 
-    script = failing(kind)
+    script = failing_script(kind)
     run_scenario(scenario, script, script)
 
 
@@ -120,8 +118,8 @@
         await connection.reader.read()
 
     async def scenario(harness):
-        status, fields, body = await harness.send_request(NON_IDEMPOTENT, b"", "mine")
-        assert (status, fields["x-attempt-id"], body) == (200, "mine", b"yours")
+        status, fields, body = await harness.send_request(NON_IDEMPOTENT, b"", "current")
+        assert (status, fields["x-attempt-id"], body) == (200, "current", b"yours")
 
     run_scenario(scenario, script)
 
@@ -224,13 +222,13 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_request_uses_a_new_connection_if_the_idle_one_has_an_unread_close_or_reset(how):
     """The end of the connection is in the kernel and not yet read by the event loop."""
-    gone = asyncio.Event()
+    may_close = asyncio.Event()
 
     async def script(server, connection):
         fields, _ = await connection.request()
         connection.write(answer(fields))
         if fields["x-attempt-id"] == "one":
-            await gone.wait()
+            await may_close.wait()
             getattr(connection, how)()
         else:
             await connection.reader.read()
@@ -240,7 +238,7 @@
         assert (await harness.send_request(NON_IDEMPOTENT, b"", "one"))[0] == 200
         idle = next(iter(connections._connections[f"127.0.0.1:{server.port}"].values()))
         idle.stream.transport.pause_reading()  # keeps the end of the connection unread
-        gone.set()
+        may_close.set()
         await server.tasks[0]
         assert (await harness.send_request(NON_IDEMPOTENT, b"pay", "two"))[0] == 200
         assert [len(connection.received) > 0 for connection in server.connections] == [True, True]
@@ -289,31 +287,31 @@
 
 
 @pytest.mark.parametrize(
-    "begun",
+    "first_bytes",
     [b"", b"PO", request_head(IDEMPOTENT, 5)[:-2], request_head(IDEMPOTENT, 5), request_head(IDEMPOTENT, 5) + b"ab"],
 )
-def test_request_that_has_started_at_shutdown_is_answered(begun):
+def test_request_that_has_started_at_shutdown_is_answered(first_bytes):
     """Covers a request read up to different points, and one that is unread in the kernel, on a reused connection."""
 
     async def scenario(harness):
-        whole = request_head(IDEMPOTENT, 5) + b"whole"
+        request = request_head(IDEMPOTENT, 5) + b"whole"
         client = await harness.client()
         client.send(IDEMPOTENT)
         assert (await client.answer())[0] == 200
         protocol = next(iter(harness.program.server.server_state.connections))
-        if begun:
-            client.writer.write(begun)
+        if first_bytes:
+            client.writer.write(first_bytes)
             while not protocol._reading_head and not protocol._request_in_progress:
                 await asyncio.sleep(0)
             draining = asyncio.create_task(harness.program.drain(0))
         else:
             protocol.transport.pause_reading()
             draining = asyncio.create_task(harness.program.drain(0))
-            client.writer.write(whole)
+            client.writer.write(request)
         while not harness.program.server.should_exit or harness.program.server.servers[0].is_serving():
             await asyncio.sleep(0)
-        if begun:
-            client.writer.write(whole[len(begun) :])
+        if first_bytes:
+            client.writer.write(request[len(first_bytes) :])
         else:
             protocol.transport.resume_reading()
         status, fields, _ = await client.answer()
--- a/tests/edge/test_server_connections.py
+++ b/tests/edge/test_server_connections.py
@@ -84,14 +84,11 @@
 
 
 @pytest.mark.parametrize(
-    "script, kind",
+    "script, outcome",
     [
         (answer(503, OWN_ID + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
         (answer(429, OWN_ID + b"X-Not-Executed: 1\r\n"), CallOutcome.NOT_EXECUTED),
-        (
-            answer(429, b"X-Not-Executed: 1\r\n"),
-            CallOutcome.TIMEOUT,
-        ),  # no id: it may be a surplus answer to another request
+        (answer(429, b"X-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),  # no id: possibly a surplus answer
         (answer(429, OWN_ID + b"X-Attempt-Id: other\r\nX-Not-Executed: 1\r\n"), CallOutcome.TIMEOUT),
         (answer(503), CallOutcome.SERVER_ERROR),  # without X-Not-Executed it may have run
         (answer(421, OWN_ID + b"X-Instance-Id: i-2\r\n"), CallOutcome.NOT_EXECUTED),
@@ -104,8 +101,8 @@
         ("silence", CallOutcome.TIMEOUT),
     ],
 )
-def test_outcome_of_an_attempt_for_each_kind_of_answer(script, kind):
-    assert outcomes(script, timeout_s=0.3) == [kind]
+def test_outcome_of_an_attempt_for_each_kind_of_answer(script, outcome):
+    assert outcomes(script, timeout_s=0.3) == [outcome]
 
 
 def test_answer_to_an_earlier_request_is_skipped_and_the_next_answer_is_read():
--- a/tests/edge/test_wire_fuzz.py
+++ b/tests/edge/test_wire_fuzz.py
@@ -53,7 +53,7 @@
 class Request:
     """One client request, and the servers' action at each arrival. `cut`: the length of truncated answers."""
 
-    once: bool
+    non_idempotent: bool
     size: int
     actions: list[str]
     cut: int
@@ -71,7 +71,7 @@
 
 requests = st.builds(
     Request,
-    once=st.booleans(),
+    non_idempotent=st.booleans(),
     size=st.sampled_from([0, 1, 300]),
     actions=st.lists(st.sampled_from(ACTIONS), min_size=1, max_size=2),
     cut=st.integers(0, 150),
@@ -94,7 +94,7 @@
 
 def script_for(requests_by_id, observed):
     """Return a server script that performs each request's actions."""
-    previous_id = ["nobody"]
+    previous_id = ["unknown"]
 
     async def script(server, connection):
         while True:
@@ -163,7 +163,7 @@
     data = b""
     for name, request in zip(names, drawn_requests):
         requests_by_id[name] = request
-        path = NON_IDEMPOTENT if request.once else IDEMPOTENT
+        path = NON_IDEMPOTENT if request.non_idempotent else IDEMPOTENT
         data += request_head(path, request.size, name, TIMEOUT_MS) + body_of(name, request.size)
     data += request_head(NON_IDEMPOTENT, 7, "never")[:partial_length]
     connection = await harness.client()
@@ -184,11 +184,11 @@
         status, fields, body = observed.answers[name] or (None, {}, b"")
         if status is None:
             violations.append(f"{name}: no answer")
-        if request.once and observed.runs.get(name, 0) > 1:
+        if request.non_idempotent and observed.runs.get(name, 0) > 1:
             violations.append(f"{name}: ran twice")
         if observed.arrivals.get(name, 0) > 2:
             violations.append(f"{name}: sent more often than its route allows")
-        if request.once and status in NOT_EXECUTED_STATUSES and observed.runs.get(name, 0):
+        if request.non_idempotent and status in NOT_EXECUTED_STATUSES and observed.runs.get(name, 0):
             violations.append(f"{name}: ran, and was answered with a status that says it did not")
         if status is not None and 200 <= status < 300:
             received = (fields.get("x-attempt-id"), fields.get("x-server-seal"), body)
--- a/tests/http/test_critical_tasks.py
+++ b/tests/http/test_critical_tasks.py
@@ -13,7 +13,7 @@
 
     async def work():
         if how == "fails":
-            raise KeyError("of ours")
+            raise KeyError("failed lookup")
 
     async def program():
         stop = asyncio.Event()
@@ -26,4 +26,6 @@
         return stop.is_set(), critical_tasks.failed
 
     assert asyncio.run(program()) == (stops, stops)
-    assert ("Control: stopping because a critical task failed" in caplog.text and "of ours" in caplog.text) == stops
+    assert (
+        "Control: stopping because a critical task failed" in caplog.text and "failed lookup" in caplog.text
+    ) == stops
