--- a/tests/sharding/test_shard_placement.py
+++ b/tests/sharding/test_shard_placement.py
@@ -1,4 +1,4 @@
-"""Where keys go, over servers with queues: what is learned of servers, what they weigh, and that a new leader keeps it."""
+"""Placement on emulated servers with queues: speed estimates, server weights, handover to a new leader, windows."""
 
 import math
 from collections import Counter
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("load", [0.3, 0.6, 0.85])
 @pytest.mark.parametrize("speed", [0.7, 1.5])
-def test_a_servers_speed_is_seen_with_and_without_a_queue(load, speed):
+def test_relative_speed_is_estimated_with_and_without_queueing(load, speed):
     log_speeds = []
     for seed in range(8):
         random, estimates, at = Random(seed), [ServiceTimeEstimate(), ServiceTimeEstimate()], 0.0
@@ -47,8 +47,8 @@
     assert abs(mean(log_speeds) - math.log(speed)) < 0.12
 
 
-def test_the_mean_time_is_least_where_slow_servers_keep_more_spare_capacity():
-    """At little load a slow server takes less than its speed would say; the busier all are, the nearer to it."""
+def test_slow_servers_get_less_than_their_proportional_share_at_low_load():
+    """At low load a slow server gets less than in proportion to its speed; at high load nearly in proportion."""
     shares = []
     for requests_per_s in (40, 110):
         slow_shares = []
@@ -64,12 +64,12 @@
     assert shares[0] < 0.9 * proportional and shares[0] < shares[1] < 1.1 * proportional
 
 
-def test_the_next_leader_begins_with_what_was_learned():
+def test_new_leader_uses_recorded_speed_estimates():
     ratios = []
-    for kept in (False, True):
+    for recorded in (False, True):
         service = ShardedService(3, SPEEDS, 80, 0.16, 0.6)
         service.run(30)
-        learned_speeds = service.placement.learned_speeds() if kept else None
+        learned_speeds = service.placement.learned_speeds() if recorded else None
         service.begin_term(2, service.key_ranges.to_record(), learned_speeds)
         service.run(1)
         weights = service.placement.server_weights.slot_weights
@@ -79,8 +79,8 @@
 
 
 @pytest.mark.parametrize("seed", [0, 1, 25])
-def test_wandering_load_is_followed_and_no_range_is_lost_on_the_way(seed):
-    """Guards against a pass that meets a range which it was not told of: a neighbour that was to merge and did not."""
+def test_ranges_cover_all_keys_while_the_popular_region_moves(seed):
+    """Guards against a range that the policy does not know: a neighbour whose merge was cancelled."""
     service = ShardedService(seed, [1.0] * 6, 60, 0.08, 0.6, popular_keys=2000)
     for _ in range(8):
         service.first_popular_key = service.random.randrange(KEY_COUNT)
@@ -90,13 +90,13 @@
         assert ranges[-1].last == KEY_COUNT - 1 and len(ranges) <= 6 * len(service.servers)
 
 
-def test_an_estimate_is_recorded_in_full():
+def test_recorded_estimate_gives_the_same_service_time():
     estimate = ServiceTimeEstimate()
     estimate.add(0.5, 7.0, 4, -8.25, 3)
     assert ServiceTimeEstimate(estimate.to_record()).log_service_time(0.3) == pytest.approx(
         estimate.log_service_time(0.3), rel=0.01
     )
-    assert ServiceTimeEstimate().evidence() == 0
+    assert ServiceTimeEstimate().sample_size() == 0
     assert round(SECOND * 0.5) == SECOND // 2
 
 
@@ -111,12 +111,12 @@
 
 
 @given(reports_in_time)
-def test_the_window_holds_the_sums_of_all_reports_in_it(reports_in_time):
-    """Whatever is reported when: the sorted keys and the sums are those of the reports that the window still has."""
+def test_window_sums_equal_the_sums_of_the_reports_in_the_window(reports_in_time):
+    """For random reports, the sorted keys and the sums equal those of the reports within the window."""
     now = 100 * SECOND
     key_ranges = KeyRanges(now, 1, None)
     key_ranges.handle_server_list(now, [ShardServer(name, f"{name}:80", "z", 2, True, 0) for name in "abc"])
-    key_ranges.divide(6)
+    key_ranges.create_initial_ranges(6)
     placement, reports = Placement(now, 1, key_ranges, SECOND), []
     for later, keys, attempts in reports_in_time:
         now += later
@@ -132,13 +132,13 @@
     sums = {}
     for at, _, servers in reports:
         for name, (attempts, failures, *_) in servers.items() if now - at < WINDOW_NS else ():
-            known = sums.get(name, AttemptSums(0, 0, 0))
-            sums[name] = AttemptSums(known.attempts + attempts, known.failures + failures, known.reports + 1)
+            previous = sums.get(name, AttemptSums(0, 0, 0))
+            sums[name] = AttemptSums(previous.attempts + attempts, previous.failures + failures, previous.reports + 1)
     assert placement.attempts.sums == sums
 
 
 @given(st.lists(st.integers(0, 20)), st.data())
-def test_keys_are_taken_out_one_for_one(keys, data):
+def test_each_expired_key_removes_one_equal_key(keys, data):
     keys.sort()
     expired = sorted(data.draw(st.lists(st.sampled_from(keys), max_size=len(keys)))) if keys else []
     expired = sorted((Counter(expired) & Counter(keys)).elements())
