--- a/kestrelplank/command_output.py
+++ b/kestrelplank/command_output.py
@@ -1,4 +1,4 @@
-"""What the commands of `kestrelplank` and those of `kestrelplank.gateway` have in common: exit codes, JSON, refusals.
+"""Output and exit codes shared by the commands of `kestrelplank` and `kestrelplank.gateway`.
 
 It imports neither click nor docopt.
 """
@@ -14,26 +14,26 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code means, whichever command it is."""
+    """Exit codes of all commands."""
 
     DONE = 0
-    PROBLEM_FOUND = 1  # done, and a difference or fault was found; or whoever was asked does not answer
-    INVALID_INPUT = 2  # what was given cannot be used; one line says why
+    PROBLEM_FOUND = 1  # completed, but a difference or fault was found, or the queried process did not respond
+    INVALID_INPUT = 2  # the input cannot be used; one line on standard error gives the reason
 
 
 def print_json(value: object) -> None:
-    """Print one JSON object or list on one line, which is what `--json` asks for."""
+    """Print a JSON value on one line, as `--json` requests."""
     print(msgspec.json.encode(value).decode())
 
 
 def print_error(reason: object) -> None:
-    """Print one line on standard error that says why the command ends."""
+    """Print the reason for which the command ends, as one line on standard error."""
     print(f"kestrelplank: {reason}", file=sys.stderr)
 
 
 @contextmanager
 def exit_on_invalid_settings() -> Iterator[None]:
-    """End the command with the one line of an InvalidSettingsError that is raised inside."""
+    """Print an InvalidSettingsError raised inside as one line and exit with `INVALID_INPUT`."""
     try:
         yield
     except InvalidSettingsError as err:
--- a/kestrelplank/load_balancing/admission.py
+++ b/kestrelplank/load_balancing/admission.py
@@ -1,7 +1,7 @@
-"""Which client connections a proxy holds: a bounded number, where a new client's takes the place of the fullest one's.
+"""Admission of client connections: a bounded number, where a new client may evict one of the client with the most.
 
-Guards against one client that opens connections without end, by mistake or not, and against connections on which
-nothing comes. Harm: many clients behind one address are taken for one.
+Guards against one client that opens ever more connections, and against connections that send nothing. Drawback: many
+clients behind one address count as one client.
 """
 
 from enum import Enum, StrEnum
@@ -9,16 +9,16 @@
 
 from kestrelplank.time_units import SECOND
 
-STOPPING_IDLE_TIMEOUT_NS = 1 * SECOND  # without a request, after which a connection may be closed while we stop
+STOPPING_IDLE_TIMEOUT_NS = 1 * SECOND  # idle time after which connections are closed during shutdown
 
 
 class AdmissionSettings(NamedTuple):
-    """How many connections are held, and for how long.
+    """Limits on the number and age of client connections.
 
-    :param max_connections: in all.
-    :param max_per_client: of one client, as long as others want to connect and all are in use.
-    :param head_timeout_ns: time within which a request's head must have come.
-    :param idle_timeout_ns: time for which a connection may be open between requests.
+    :param max_connections: limit for all clients together.
+    :param max_per_client: limit for one client, enforced only while all `max_connections` are in use.
+    :param head_timeout_ns: time within which a complete request head must have been received.
+    :param idle_timeout_ns: time for which a connection may stay open between requests.
     """
 
     max_connections: int = 1000
@@ -28,30 +28,30 @@
 
 
 class ConnectionState(Enum):
-    """What a client's connection is doing."""
+    """The state of a client connection."""
 
     NEW = "new"
-    READING_HEAD = "head"  # the first byte of a request has come
-    BUSY = "busy"  # the head is complete, and the answer is not
-    IDLE = "idle"  # the request has been answered
+    READING_HEAD = "head"  # the first byte of a request has been received
+    BUSY = "busy"  # the head is complete, the response is not
+    IDLE = "idle"  # the response is complete
 
 
 class CloseReason(StrEnum):
-    """Why a connection is to be closed. The values are shown to clients."""
+    """Why a connection is closed. The values are shown to clients."""
 
     IDLE = "idle"
     HEAD_TIMEOUT = "no whole head came"
 
 
 class AdmissionDecision(NamedTuple):
-    """Whether a client may connect, and which connection is evicted for it."""
+    """Whether a new connection is admitted, and which connection is evicted for it."""
 
     admitted: bool
     evicted: int | None = None
 
 
-class ClientState:
-    """One connection, and since when it is in its state."""
+class ConnectionRecord:
+    """A client connection, its state, and when it entered that state."""
 
     __slots__ = ("client", "entered_at", "state")
 
@@ -62,35 +62,35 @@
 class Admission:
     """The client connections of a proxy.
 
-    Invariants: there are never more than `max_connections`, and no busy one is evicted (test
-    `test_there_are_never_more_than_allowed_and_what_is_busy_is_never_evicted`).
+    Invariants: there are never more than `max_connections`, and busy connections are not evicted (test
+    `test_connections_stay_within_the_limit_and_busy_ones_are_never_evicted`).
     """
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.settings = settings
-        self._connections: dict[int, ClientState] = {}  # in order of arrival
+        self._connections: dict[int, ConnectionRecord] = {}  # in the order in which they were opened
         self._by_client: dict[str, dict[int, None]] = {}
 
     def __len__(self) -> int:
         return len(self._connections)
 
     def connect(self, now: int, connection: int, client: str) -> AdmissionDecision:
-        """Decide on a client that connects; where all connections are in use, the client with most gives one."""
+        """Admit or reject a new connection; at the limit, one of the client with the most may be evicted for it."""
         evicted = None
         if len(self._connections) >= self.settings.max_connections:
-            fullest = max(self._by_client, key=lambda name: len(self._by_client[name]))
-            own_count = len(self._by_client.get(client, ()))
-            if own_count >= self.settings.max_per_client or own_count >= len(self._by_client[fullest]):
+            largest_client = max(self._by_client, key=lambda name: len(self._by_client[name]))
+            client_count = len(self._by_client.get(client, ()))
+            if client_count >= self.settings.max_per_client or client_count >= len(self._by_client[largest_client]):
                 return AdmissionDecision(admitted=False)
-            evicted = self._longest_not_busy(fullest)
+            evicted = self._oldest_not_busy(largest_client)
             if evicted is None:
                 return AdmissionDecision(admitted=False)
             self.disconnect(evicted)
-        self._connections[connection] = ClientState(client, now)
+        self._connections[connection] = ConnectionRecord(client, now)
         self._by_client.setdefault(client, {})[connection] = None
         return AdmissionDecision(admitted=True, evicted=evicted)
 
-    def _longest_not_busy(self, client: str) -> int | None:
+    def _oldest_not_busy(self, client: str) -> int | None:
         not_busy = [
             connection
             for connection in self._by_client[client]
@@ -99,36 +99,36 @@
         return min(not_busy, key=lambda connection: self._connections[connection].entered_at, default=None)
 
     def enter_state(self, now: int, connection: int, state: ConnectionState) -> None:
-        """Take note of what a connection does now; more of the same changes nothing."""
-        held = self._connections.get(connection)
-        if held is not None and held.state is not state:
-            held.state, held.entered_at = state, now
+        """Record a connection's state; setting the same state again does not reset its time."""
+        record = self._connections.get(connection)
+        if record is not None and record.state is not state:
+            record.state, record.entered_at = state, now
 
     def disconnect(self, connection: int) -> None:
-        """Forget a connection that has ended."""
-        held = self._connections.pop(connection, None)
-        if held is not None:
-            of_client = self._by_client[held.client]
-            del of_client[connection]
-            if not of_client:
-                del self._by_client[held.client]
+        """Remove a connection that has ended."""
+        record = self._connections.pop(connection, None)
+        if record is not None:
+            client_connections = self._by_client[record.client]
+            del client_connections[connection]
+            if not client_connections:
+                del self._by_client[record.client]
 
     def expired_connections(self, now: int, *, stopping: bool = False) -> list[tuple[int, CloseReason]]:
-        """Return the connections to close, with why: a head that does not come, or nothing for too long.
+        """Return the connections that have reached a time-out, each with the reason to close it.
 
-        While we stop, an idle connection is closed after `STOPPING_IDLE_TIMEOUT_NS`: a request that is on its way on it
-        must still find us, and has `Connection: close` in its answer; closed at once, it would be lost.
+        During shutdown, an idle connection is closed after `STOPPING_IDLE_TIMEOUT_NS` rather than at once, so that a
+        request already under way on it is served; its response has `Connection: close`.
         """
-        late = []
-        for connection, held in self._connections.items():
-            reason = self._close_reason(held.state, now - held.entered_at, stopping)
+        expired = []
+        for connection, record in self._connections.items():
+            reason = self._close_reason(record.state, now - record.entered_at, stopping)
             if reason is not None:
-                late.append((connection, reason))
-        return late
+                expired.append((connection, reason))
+        return expired
 
     def _close_reason(self, state: ConnectionState, in_state_ns: int, stopping: bool) -> CloseReason | None:
-        at_rest = state in (ConnectionState.NEW, ConnectionState.IDLE)
-        if stopping and at_rest and in_state_ns >= STOPPING_IDLE_TIMEOUT_NS:
+        between_requests = state in (ConnectionState.NEW, ConnectionState.IDLE)
+        if stopping and between_requests and in_state_ns >= STOPPING_IDLE_TIMEOUT_NS:
             return CloseReason.IDLE
         if state in (ConnectionState.NEW, ConnectionState.READING_HEAD):
             return CloseReason.HEAD_TIMEOUT if in_state_ns >= self.settings.head_timeout_ns else None
--- a/kestrelplank/load_balancing/attempts.py
+++ b/kestrelplank/load_balancing/attempts.py
@@ -1,7 +1,7 @@
-"""What a proxy does with one op: admit it, choose a node, wait for one, retry once and only with proof, or give up.
+"""The life cycle of an op in a proxy: admission, choice of a node, waiting, at most one retry, and the final verdict.
 
-The proxy acts on the steps returned here (`Send`, `Wait`, `End`); nothing here sends or waits. An op that has ended is
-answered at once: holding the answer back would only stop the caller from asking again.
+An op is retried only with proof that its first attempt was not executed. Nothing here does I/O: the proxy carries out
+the returned steps (`Send`, `Wait`, `End`). An op that has ended is answered at once, so that its caller can retry.
 """
 
 from collections import Counter
@@ -39,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptSettings:
-    """How ops are attempted.
+    """Settings for attempts.
 
     :param op_timeouts_ns: by op type.
-    :param max_wait_ns: the longest wait for a node of a table that has none; 0 rejects at once.
-    :param proofs: outcomes that prove that an attempt never ran. Only tests may widen this, to plant a fault.
+    :param max_wait_ns: the longest time an op waits while its table has no available node; 0 rejects at once.
+    :param proofs: outcomes that prove that an attempt was not executed. Only tests extend this, to inject a fault.
     """
 
     op_timeouts_ns: Sequence[int]
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadControl:
-    """What bounds the work that is sent: retries, ops in flight at a node, ops that wait for capacity."""
+    """Limits on the load sent to nodes: retries, ops in flight per node, and queued ops. None disables a limit."""
 
     retry_budget: RetryBudget | None = None
     limits: ConcurrencyLimits | None = None
@@ -64,14 +64,14 @@
 class Attempts:
     """The ops of one proxy.
 
-    Where there is a queue, call `take_queued_steps` after each of the other calls: what one op does may settle others.
+    If there is a queue, call `take_queued_steps` after every other call, which may release or displace queued ops.
 
-    Invariants: no op is sent after an attempt that may have run, nor twice to one node (test
-    `test_no_op_is_sent_after_an_attempt_that_may_have_run_nor_twice_to_one_node`); there is at most one retry (test
-    `test_there_is_no_third_attempt`).
+    Invariants: no op is sent after an attempt that may have been executed, nor twice to one node (test
+    `test_op_is_not_resent_after_an_attempt_that_may_have_run_or_to_the_same_node`); there is at most one retry (test
+    `test_op_ends_after_its_second_attempt`).
 
-    :param weight_factor: the share of its weight that a node is given as yet.
-    :param zones: the preference among zones, where there is one.
+    :param weight_factor: the fraction of its weight that a node has now, for slow start.
+    :param zones: restricts candidates by zone; None for no preference.
     """
 
     def __init__(
@@ -80,29 +80,29 @@
         tables: Tables,
         settings: AttemptSettings,
         ejection: OutlierEjection,
-        overload: OverloadControl = OverloadControl(),  # noqa: B008 - it is frozen
+        overload: OverloadControl = OverloadControl(),  # noqa: B008 - the default is immutable
         weight_factor: Callable[[int], float] | None = None,
         zones: ZonePreference | None = None,
     ) -> None:
         self._random, self._tables, self._settings, self._ejection = random, tables, settings, ejection
         self._retry_budget, self._limits, self._queue = overload.retry_budget, overload.limits, overload.queue
         self._weight_factor, self._zones = weight_factor, zones
-        self._queued: dict[int, Op] = {}  # those that wait for capacity, by number
-        self._waiting: dict[int, dict[int, Op]] = {}  # those that wait for a node, by table, in order of arrival
-        self._settled: list[tuple[Op, Step]] = []
+        self._queued: dict[int, Op] = {}  # waiting for capacity at a node, by op number
+        self._waiting: dict[int, dict[int, Op]] = {}  # waiting for an available node, by table, then op number
+        self._queued_steps: list[tuple[Op, Step]] = []
         self._round_robins: dict[int, WeightedRoundRobin] = {}  # by table
-        self.in_flight: Counter[int] = Counter()  # attempts, by node
+        self.in_flight: Counter[int] = Counter()  # attempts in flight, by node
         self.counts: Counter[str] = Counter()
 
-    # What happens to an op.
+    # The life cycle of an op.
 
     def submit(
         self, now: int, number: int, op_type: int, table: int, caller_timeout_ns: int | None = None, key: str = ""
     ) -> tuple[Op, Step]:
-        """Take a new op.
+        """Admit a new op or reject it; return it with its first step.
 
-        :param caller_timeout_ns: how long its caller waits, where that is less than its op timeout.
-        :param key: what its node is chosen by where nodes are chosen by key.
+        :param caller_timeout_ns: how long its caller waits; it applies if shorter than the op type's time-out.
+        :param key: the key that determines the node under `SelectionMethod.KEY`.
         """
         self.counts["asked"] += 1
         timeout_ns = self._settings.op_timeouts_ns[op_type]
@@ -122,7 +122,7 @@
         return op, self._wait_for_node(now, op)
 
     def attempt_ended(self, now: int, op: Op, outcome: AttemptOutcome) -> Step:
-        """Take the outcome of the attempt that was in flight."""
+        """Record the outcome of the attempt in flight; return the next step."""
         self._record_end(now, op, outcome)
         if outcome == AttemptOutcome.SUCCEEDED:
             return self._end(Verdict.ACKED, EndReason.NONE)
@@ -144,9 +144,9 @@
         return self._send(now, op, node)
 
     def abandon(self, now: int, op: Op, reason: EndReason | AttemptOutcome = EndReason.OP_TIMEOUT) -> End:
-        """End an op whose time is over, or whose caller has gone.
+        """End an op whose deadline has passed, or whose caller has disconnected.
 
-        An attempt in flight may yet run: the proxy closes it, which is no proof, and the op is never sent again.
+        The proxy closes an attempt in flight. That does not prove that it was not executed, so the op is not retried.
         """
         if op.node is None:
             self._stop_waiting(op)
@@ -155,15 +155,15 @@
         return self._end(Verdict.ABORTED, reason)
 
     def wait_expired(self, op: Op) -> End:
-        """End an op whose wait for a node, or for capacity at one, is over."""
+        """End an op that has reached the end of its wait for a node or for capacity."""
         reason = EndReason.QUEUE_TIMEOUT if op.number in self._queued else EndReason.NO_NODE
         self._stop_waiting(op)
         return self._end(Verdict.REJECTED, reason)
 
-    # What happens to others meanwhile.
+    # Waiting ops that can be sent after a change.
 
     def tables_changed(self, now: int, tables: Iterable[int]) -> list[tuple[Op, Step]]:
-        """Return what becomes of ops that wait for a node of these tables and now get one, in order of arrival."""
+        """Send the ops that waited for a node of these tables and now have one; return their steps in arrival order."""
         steps: list[tuple[Op, Step]] = []
         for table in tables if self._waiting else ():
             for op in list(self._waiting.get(table, {}).values()):
@@ -174,26 +174,26 @@
         return steps
 
     def take_queued_steps(self, now: int) -> list[tuple[Op, Step]]:
-        """Return what the last calls have settled of queued ops: displaced, or sent as there is capacity now."""
+        """Send queued ops for which there is capacity; return the steps of these and of displaced ops."""
         if self._queued and self._queue is not None:
             self._queue.release(lambda number: self._send_queued(now, self._queued[number]))
-        settled, self._settled = self._settled, []
-        return settled
+        queued_steps, self._queued_steps = self._queued_steps, []
+        return queued_steps
 
     def _send_queued(self, now: int, op: Op) -> bool:
-        """Send an op that waits for capacity, if some node has it; return whether one has."""
+        """Send a queued op if a node has capacity for it; return whether it was sent."""
         node = self._choose(now, op)
         if node is None:
             return False
         del self._queued[op.number]
         op.waits_until = None
-        self._settled.append((op, self._send(now, op, node)))
+        self._queued_steps.append((op, self._send(now, op, node)))
         return True
 
-    # Ops that wait.
+    # Waiting for a node or for capacity.
 
     def waiting_count(self) -> int:
-        """Return how many ops wait, for a node or for capacity."""
+        """Return the number of ops that wait for a node or for capacity."""
         return sum(map(len, self._waiting.values())) + len(self._queued)
 
     def _wait_for_node(self, now: int, op: Op) -> Wait | End:
@@ -211,7 +211,7 @@
         for number in displaced:
             other = self._queued.pop(number)
             other.waits_until = None
-            self._settled.append((other, self._end(Verdict.REJECTED, EndReason.DISPLACED)))
+            self._queued_steps.append((other, self._end(Verdict.REJECTED, EndReason.DISPLACED)))
         if until is None:
             return self._end(Verdict.REJECTED, EndReason.QUEUE_FULL)
         op.waits_until = until
@@ -229,10 +229,10 @@
         if not waiting:
             self._waiting.pop(op.table, None)
 
-    # The choice of a node.
+    # Node selection.
 
     def _choose(self, now: int, op: Op) -> int | None:
-        """Return the node for the next attempt; None where there is none."""
+        """Return the node for the next attempt, or None if there is no candidate."""
         candidates = self._candidates(now, op)
         if not candidates:
             return None
@@ -248,7 +248,7 @@
         return weighted_random(self._random, candidates)
 
     def _candidates(self, now: int, op: Op) -> WeightedNodes:
-        """Return the nodes that the op may go to now: not attempted yet, with capacity, preferably not ejected."""
+        """Return the eligible nodes: not yet attempted, with capacity, and preferably not ejected."""
         candidates: WeightedNodes = self._tables.available(op.table)
         if op.attempted_nodes:
             candidates = [candidate for candidate in candidates if candidate[0] not in op.attempted_nodes]
@@ -259,7 +259,7 @@
             candidates = [candidate for candidate in candidates if limits.has_capacity(candidate[0], op_type)]
         return self._ejection.without_ejected(now, candidates) if candidates else candidates
 
-    # Attempts in flight, and the end.
+    # Attempts in flight and final verdicts.
 
     def _send(self, now: int, op: Op, node: int) -> Send:
         op.node, op.attempted_nodes, op.sent_at = node, (*op.attempted_nodes, node), now
@@ -271,9 +271,9 @@
         return Send(node)
 
     def _record_end(self, now: int, op: Op, outcome: AttemptOutcome) -> None:
-        """Take note that the op's attempt is no longer in flight."""
+        """Record that the op's attempt is no longer in flight, and its outcome."""
         node = op.node
-        assert node is not None, "an attempt has ended that was never sent"
+        assert node is not None, "attempt ended for an op that has no attempt in flight"
         succeeded = outcome == AttemptOutcome.SUCCEEDED
         if self._zones is not None:
             self._zones.attempt_ended(now, node, outcome not in UNREACHABLE)
--- a/kestrelplank/load_balancing/canary_analysis.py
+++ b/kestrelplank/load_balancing/canary_analysis.py
@@ -1,10 +1,10 @@
-"""Whether service got worse after a change: a sequential test of ops in time before and after, with stated error rates.
+"""Canary analysis: a sequential test of whether a change reduces the share of ops answered in time.
 
-The test is Wald's (A. Wald, Sequential Tests of Statistical Hypotheses, 1945) on the difference of two shares: after
-each batch the likelihood of "worse by as much as matters" is held against that of "as before", and it ends as soon as
-either is likely enough. So a change that harms is undone early, and one that does not is not undone by chance more
-often than `false_undo_rate`. On a day that is bad anyway, proxies without the change show it: they are what "before" is
-taken from, as long as there are any.
+It is the sequential probability ratio test (A. Wald, Sequential Tests of Statistical Hypotheses, 1945) on the
+difference of two shares. After each batch it compares the likelihoods of "worse by `relevant_loss`" and of "unchanged",
+and ends as soon as one is sufficiently more likely. The error rates are bounded by the settings. The baseline is taken
+from proxies that run without the change at the same time, if there are any, so that a general fault is not blamed on
+the change.
 """
 
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 from math import log
 from typing import NamedTuple
 
-MIN_OPS = 50  # on either side, from which shares are about normally distributed
-MIN_SHARE = 1e-3  # a share of ops in time is held between this and 1 less this: nothing is ever certain
+MIN_OPS = 50  # on either side; from here on shares are approximately normally distributed
+MIN_SHARE = 1e-3  # the pooled share is clamped to MIN_SHARE..1 - MIN_SHARE, as the variance would otherwise be 0
 
 
 class CanaryVerdict(StrEnum):
-    """What becomes of the change. The values are shown to operators."""
+    """Whether the change is kept or undone. The values are shown to operators."""
 
     KEEP = "keep"
     UNDO = "undo"
@@ -27,10 +27,10 @@
 class CanarySettings(NamedTuple):
     """Error rates of the test.
 
-    :param relevant_loss: by how much a smaller share of ops in time counts as worse.
-    :param false_undo_rate: how often a change that harms nothing may be undone.
-    :param missed_rate: how often a change that harms by `relevant_loss` may be kept.
-    :param max_ops: after so many an undecided change is kept, as it harms by less than that if it harms at all.
+    :param relevant_loss: the decrease in the share of ops in time that counts as a regression.
+    :param false_undo_rate: the probability of undoing a harmless change.
+    :param missed_rate: the probability of keeping a change that causes a loss of `relevant_loss`.
+    :param max_ops: ops under the change after which an undecided change is kept.
     """
 
     relevant_loss: float = 0.02
@@ -41,24 +41,24 @@
 
 @dataclass(slots=True)
 class OpCount:
-    """Ops of one side, and how many of them were answered in time."""
+    """The number of ops on one side of the comparison, and of those answered in time."""
 
     ops: int = 0
     in_time: int = 0
 
     def add(self, ops: int, in_time: int) -> None:
-        """Count a batch."""
+        """Add a batch."""
         self.ops += ops
         self.in_time += in_time
 
 
 @dataclass(frozen=True, slots=True)
 class CanaryStatus:
-    """The state of the test for an operator.
+    """The state of the test, for display to operators.
 
-    :param progress: how near either verdict is, from -1 (kept) to 1 (undone); None while too few ops are in.
-    :param share_in_time: of ops with the change; None while there are none.
-    :param baseline_share: of ops without it, or before it.
+    :param progress: how close the test is to a verdict, from -1 (keep) to 1 (undo); None while there are too few ops.
+    :param share_in_time: the share in time of ops with the change; None while there are none.
+    :param baseline_share: the share in time of ops without the change, or before it.
     """
 
     verdict: CanaryVerdict
@@ -70,28 +70,28 @@
 
 
 class CanaryAnalysis:
-    """The judgement of one change.
+    """The analysis of one change.
 
-    Invariants: a verdict stays (test `test_a_verdict_stays_and_without_ops_there_is_none`); error rates are within what
-    the settings state (test `test_errors_stay_within_what_was_stated_and_the_worse_the_earlier`).
+    Invariants: a verdict is final (test `test_verdict_is_final_and_undecided_without_ops`); error rates are within the
+    settings (test `test_error_rates_are_within_the_settings_and_larger_losses_are_found_earlier`).
 
-    :param share_before: the share of ops in time before the change, used where no proxy is left without it.
+    :param share_before: the share of ops in time before the change, the baseline if all proxies have the change.
     """
 
     def __init__(self, settings: CanarySettings, share_before: float) -> None:
         self._settings, self._share_before = settings, share_before
-        self._baseline = OpCount()  # of proxies without the change, meanwhile
+        self._baseline = OpCount()  # of proxies that run without the change
         self._canary = OpCount()
         self._keep_below = log(settings.missed_rate / (1 - settings.false_undo_rate))
         self._undo_above = log((1 - settings.missed_rate) / settings.false_undo_rate)
         self.verdict = CanaryVerdict.UNDECIDED
 
     def add_baseline(self, ops: int, in_time: int) -> None:
-        """Count ops of proxies that do not use the change yet."""
+        """Add ops of proxies that do not have the change yet."""
         self._baseline.add(ops, in_time)
 
     def add_canary(self, ops: int, in_time: int) -> CanaryVerdict:
-        """Count ops under the change; return the verdict."""
+        """Add ops under the change; return the verdict."""
         if self.verdict is not CanaryVerdict.UNDECIDED or not ops:
             return self.verdict
         self._canary.add(ops, in_time)
@@ -106,11 +106,11 @@
 
     @property
     def ops(self) -> int:
-        """Ops under the change so far."""
+        """The number of ops under the change so far."""
         return self._canary.ops
 
     def status(self) -> CanaryStatus:
-        """Return the state of the test for an operator."""
+        """Return the state of the test, for display to operators."""
         ratio = self.log_likelihood_ratio()
         progress = None
         if ratio is not None:
@@ -128,10 +128,10 @@
         return self._baseline.in_time / self._baseline.ops if self._baseline.ops else self._share_before
 
     def log_likelihood_ratio(self) -> float | None:
-        """Return the logarithm of how much likelier "worse by what matters" is than "as before".
+        """Return the log-likelihood ratio of "worse by `relevant_loss`" to "unchanged".
 
-        It is taken from the difference of the two shares and its variance, which counts both sides. None while too few
-        ops are in for either.
+        It is computed from the difference of the two shares and the variance of that difference. None while either side
+        has too few ops.
         """
         canary, baseline = self._canary, self._baseline
         if canary.ops < MIN_OPS or 0 < baseline.ops < MIN_OPS:
@@ -147,9 +147,9 @@
 
 
 def rollout_stages(proxies: list[int], zones: dict[int, int], canary: int) -> list[list[int]]:
-    """Return the proxies that a change reaches, stage by stage: the canary, then the rest of its zone, then all others.
+    """Return the stages of a rollout: the canary, then the rest of its zone, then all other proxies.
 
-    Each stage holds only those that are new to it; a canary that is not among the proxies leaves one stage of all.
+    Each stage lists only the proxies that it adds. If the canary is not among the proxies, one stage has them all.
     """
     if canary not in proxies:
         return [list(proxies)] if proxies else []
--- a/kestrelplank/load_balancing/connection_pool.py
+++ b/kestrelplank/load_balancing/connection_pool.py
@@ -1,6 +1,6 @@
-"""A proxy's connections to one node: which to use, when to dial, when to close.
+"""A pool of connections to one node: which connection to use, when to dial and when to close.
 
-The adapter dials and closes; here connections are numbers that it gives.
+It does no I/O: the caller dials and closes connections, and identifies them by numbers.
 """
 
 from collections import deque
@@ -11,21 +11,21 @@
 
 
 class NoConnection(Enum):
-    """What to do for an op for which no connection is idle."""
+    """What to do for an op if no idle connection is available."""
 
     DIAL = "dial"
-    WAIT = "wait"  # all connections are busy, and there may be no more
-    WITHDRAWN = "shut"  # no op may go to the node
+    WAIT = "wait"  # all connections are busy, and the pool is at its limit
+    WITHDRAWN = "shut"  # the node is withdrawn and accepts no ops
 
 
 class PoolSettings(NamedTuple):
-    """Bounds of one node's connections.
+    """Settings of the connection pool of one node.
 
-    :param max_connections: to the node, those that are being dialled included.
-    :param idle_timeout_ns: an unused connection is closed after that time.
-    :param max_uses: ops on one connection, 0 for any number.
-    :param withdrawal_grace_ns: ops in flight at a node that is withdrawn may take that long.
-    :param slow_start_ns: time until a new node has its full weight, growing from `initial_weight_share` of it.
+    :param max_connections: limit on connections to the node, including those being dialled.
+    :param idle_timeout_ns: time after which an unused connection is closed.
+    :param max_uses: ops per connection, 0 for no limit.
+    :param withdrawal_grace_ns: time within which ops in flight must end after the node is withdrawn.
+    :param slow_start_ns: time until a new node has its full weight, growing linearly from `initial_weight_share`.
     """
 
     max_connections: int = 64
@@ -37,31 +37,31 @@
 
 
 class ConnectionPool:
-    """One node's connections. The one used last is used next: a few are used often, and the others age until closed.
+    """The connections of one node. The most recently used one is reused first, so that surplus ones time out.
 
-    Invariants: no connection is used twice at once, none is kept once the node is withdrawn, and there are never more
-    than `max_connections` (test
-    `test_no_connection_is_used_twice_at_once_kept_when_withdrawn_or_over_the_limit`).
+    Invariants: no connection is used by two ops at once, none is kept once the node is withdrawn, and there are never
+    more than `max_connections` (test
+    `test_connections_are_never_shared_kept_after_withdrawal_or_over_the_limit`).
     """
 
     def __init__(self, now: int, settings: PoolSettings) -> None:
-        self._settings, self._known_since = settings, now
-        self._idle: deque[tuple[int, int]] = deque()  # connection, and when it was released; the latest last
+        self._settings, self._added_at = settings, now
+        self._idle: deque[tuple[int, int]] = deque()  # (connection, released at), the most recently released last
         self._busy: dict[int, int] = {}  # connection to uses so far
-        self._uses: dict[int, int] = {}
+        self._uses: dict[int, int] = {}  # uses so far of released connections
         self._dialling = 0
         self.withdrawn_at: int | None = None
 
     def acquire(self, now: int) -> int | NoConnection:
-        """Return a connection for one op, which then is busy, or what to do instead.
+        """Return a connection for one op and mark it busy, or what to do if there is none.
 
-        After `NoConnection.DIAL` one of `dial_succeeded` and `dial_failed` must be called.
+        After `NoConnection.DIAL` the caller must call either `dial_succeeded` or `dial_failed`.
         """
         if self.withdrawn_at is not None:
             return NoConnection.WITHDRAWN
         if self._idle:
             connection, released_at = self._idle[-1]
-            if now - released_at < self._settings.idle_timeout_ns:  # else all are too old: `expire_idle` has them
+            if now - released_at < self._settings.idle_timeout_ns:  # otherwise all have expired: see `expire_idle`
                 self._idle.pop()
                 self._busy[connection] = self._uses.get(connection, 0)
                 return connection
@@ -74,32 +74,32 @@
         return len(self._busy) + len(self._idle) + self._dialling >= self._settings.max_connections
 
     def limit_connections(self, max_connections: int) -> None:
-        """Allow so many connections from now on; those beyond are closed as their ops end."""
+        """Change the limit on connections; those over it are closed as their ops end."""
         if max_connections != self._settings.max_connections:
             self._settings = self._settings._replace(max_connections=max_connections)
 
     def limit_idle_time(self, idle_timeout_ns: int) -> None:
-        """Keep an unused connection for so long from now on."""
+        """Change the time after which an unused connection is closed."""
         if idle_timeout_ns != self._settings.idle_timeout_ns:
             self._settings = self._settings._replace(idle_timeout_ns=idle_timeout_ns)
 
     def dial_succeeded(self, connection: int) -> None:
-        """Take a connection that has come up; it is busy with the op that it was dialled for."""
+        """Add a connection that was dialled; it is busy with the op that it was dialled for."""
         self._dialling -= 1
         self._busy[connection] = 0
 
     def dial_failed(self) -> None:
-        """Take note that what was dialled did not come up."""
+        """Record that a connection could not be established."""
         self._dialling -= 1
 
     def release(self, now: int, connection: int, reusable: bool) -> bool:
-        """Take back a connection whose op has ended; return whether it is kept.
+        """Return a connection to the pool after its op; return whether it is kept.
 
-        :param reusable: the other side allows another op on it.
+        :param reusable: whether the node allows another op on it.
         """
         uses = self._busy.pop(connection) + 1
-        worn_out = bool(self._settings.max_uses) and uses >= self._settings.max_uses
-        if not reusable or worn_out or self.withdrawn_at is not None or self._is_full():
+        used_up = bool(self._settings.max_uses) and uses >= self._settings.max_uses
+        if not reusable or used_up or self.withdrawn_at is not None or self._is_full():
             self._uses.pop(connection, None)
             return False
         self._uses[connection] = uses
@@ -107,13 +107,13 @@
         return True
 
     def connection_lost(self, connection: int) -> None:
-        """Forget a connection that has ended by itself, in use or not."""
+        """Remove a connection that the node has closed, whether busy or idle."""
         self._busy.pop(connection, None)
         self._uses.pop(connection, None)
         self._idle = deque(entry for entry in self._idle if entry[0] != connection)
 
     def expire_idle(self, now: int) -> list[int]:
-        """Forget connections that have been idle too long; return them, to be closed."""
+        """Remove the connections that have been idle too long; return them for the caller to close."""
         expired = []
         while self._idle and now - self._idle[0][1] >= self._settings.idle_timeout_ns:
             connection, _ = self._idle.popleft()
@@ -122,10 +122,10 @@
         return expired
 
     def withdraw(self, now: int) -> list[int]:
-        """Let no further op go to the node; return its idle connections, to be closed.
+        """Stop sending ops to the node; return its idle connections for the caller to close.
 
-        Ops in flight may end by themselves until they are `overdue`. A connection that is being dialled is for an op
-        that must go elsewhere.
+        Ops in flight may finish until they are `overdue`. An op for which a connection is still being dialled must be
+        sent to another node.
         """
         if self.withdrawn_at is None:
             self.withdrawn_at = now
@@ -135,26 +135,26 @@
         return idle
 
     def restore(self, now: int) -> None:
-        """Let ops go to the node again, as to one that is new."""
+        """Resume sending ops to the node, with slow start as for a new node."""
         if self.withdrawn_at is not None:
-            self.withdrawn_at, self._known_since = None, now
+            self.withdrawn_at, self._added_at = None, now
 
     def overdue(self, now: int) -> list[int]:
-        """Return the connections whose ops have outlived the grace after a withdrawal, to be closed."""
+        """Return the connections still busy after the withdrawal grace period, for the caller to close."""
         if self.withdrawn_at is None or now - self.withdrawn_at < self._settings.withdrawal_grace_ns:
             return []
         return list(self._busy)
 
     def weight_factor(self, now: int) -> float:
-        """Return the share of its weight that the node has by now, as it was new here some time ago.
+        """Return the fraction of its weight that the node has now, for slow start.
 
-        Guards, with every proxy doing alike, against a cold node that all find idle at once.
+        Prevents all proxies from sending full load to a new node at once.
         """
-        settings, known_ns = self._settings, now - self._known_since
-        if not settings.slow_start_ns or known_ns >= settings.slow_start_ns:
+        settings, age_ns = self._settings, now - self._added_at
+        if not settings.slow_start_ns or age_ns >= settings.slow_start_ns:
             return 1.0
-        return settings.initial_weight_share + (1 - settings.initial_weight_share) * known_ns / settings.slow_start_ns
+        return settings.initial_weight_share + (1 - settings.initial_weight_share) * age_ns / settings.slow_start_ns
 
     def counts(self) -> tuple[int, int, int]:
-        """Return how many connections are busy, idle and being dialled."""
+        """Return the numbers of busy, idle and dialling connections."""
         return len(self._busy), len(self._idle), self._dialling
--- a/kestrelplank/load_balancing/flap_damping.py
+++ b/kestrelplank/load_balancing/flap_damping.py
@@ -1,18 +1,18 @@
-"""Damping of zones (or nodes) that come and go: after several losses in a row they are used only after a hold."""
+"""Flap damping: a zone (or node) that is lost repeatedly is used again only after a hold-down time."""
 
 from typing import NamedTuple
 
 from kestrelplank.time_units import SECOND
 
-MAX_DOUBLINGS = 40  # of a hold, so that the number stays small
+MAX_DOUBLINGS = 40  # of the hold-down time, to bound the shift
 
 
 class FlapDampingSettings(NamedTuple):
-    """How long a zone is held down.
+    """Settings for hold-down times.
 
-    :param window_ns: `free_losses` within that time cost nothing.
-    :param first_hold_ns: for the next loss; each further one holds the zone for twice as long, up to `max_hold_ns`.
-    :param reset_after_ns: after that time without a loss all is forgotten.
+    :param window_ns: up to `free_losses` losses within this time cause no hold-down.
+    :param first_hold_ns: hold-down time for the next loss; it doubles with each further loss, up to `max_hold_ns`.
+    :param reset_after_ns: time without a loss after which earlier losses are disregarded.
     """
 
     window_ns: int = 60 * SECOND
@@ -23,12 +23,12 @@
 
 
 class FlapDamping:
-    """One zone (or node) that comes and goes.
+    """The losses and hold-down of one zone (or node).
 
-    Guards against work that follows a flapping zone back and forth, each time onto cold nodes. Harm: after three quick
-    losses a healthy zone is unused for some seconds.
+    Guards against load that moves back and forth with a flapping zone, each time onto nodes that are not warmed up.
+    Drawback: after three quick losses a healthy zone is unused for some seconds.
 
-    Source: the damping of routes that flap (RFC 2439, 1998), with doubling in place of a decaying penalty.
+    Source: BGP route flap damping (RFC 2439, 1998), with doubling in place of a decaying penalty.
     """
 
     def __init__(self, settings: FlapDampingSettings) -> None:
@@ -39,7 +39,7 @@
         self.is_up = True
 
     def lost(self, now: int) -> None:
-        """Take note that the zone is lost; more of the same changes nothing."""
+        """Record that the zone is lost; no effect if it is already down."""
         if not self.is_up:
             return
         self.is_up = False
@@ -53,10 +53,10 @@
             self.held_until = now + hold_ns
 
     def recovered(self, now: int) -> int:
-        """Take note that the zone is back; return when it may be used: now, or once its hold is over."""
+        """Record that the zone is up again; return when it may be used: `now` or the end of its hold-down."""
         self.is_up = True
         return max(now, self.held_until)
 
     def is_usable(self, now: int) -> bool:
-        """Whether the zone is up and not held."""
+        """Whether the zone is up and not held down."""
         return self.is_up and now >= self.held_until
--- a/kestrelplank/load_balancing/outlier_ejection.py
+++ b/kestrelplank/load_balancing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of nodes at which this proxy's own attempts fail in a row."""
+"""Outlier ejection: nodes at which consecutive attempts of this proxy failed are not used for a while."""
 
 from random import Random
 
@@ -6,14 +6,14 @@
 
 
 class OutlierEjection:
-    """Ejects a node for a while after so many failed attempts in a row.
+    """Ejects a node after a number of consecutive failed attempts.
 
-    Guards against a node that fails before any member of the control side has heard of it, and against a partition
-    between this proxy and the node. Harm: chance failures in a row eject a healthy node; so where all nodes are ejected
-    none is.
+    Guards against a failed node that the control plane has not detected yet, and against a partition between this proxy
+    and the node. Drawback: unrelated consecutive failures eject a healthy node; if all candidates are ejected, all are
+    used.
 
-    :param max_consecutive_failures: that many eject the node; with 0 none ever is.
-    :param duration_range_ns: the least and the most time for which a node is ejected; each time is drawn between them.
+    :param max_consecutive_failures: the number of failures that eject a node; 0 disables ejection.
+    :param duration_range_ns: bounds between which the duration of each ejection is drawn.
     """
 
     def __init__(self, random: Random, max_consecutive_failures: int, duration_range_ns: tuple[int, int]) -> None:
@@ -23,7 +23,7 @@
         self._ejected_until: dict[int, int] = {}
 
     def record_attempt(self, now: int, node: int, succeeded: bool) -> None:
-        """Take note that an attempt at the node has ended."""
+        """Record the end of an attempt at the node."""
         if succeeded:
             self._consecutive_failures.pop(node, None)
             return
@@ -33,7 +33,7 @@
             self._ejected_until[node] = now + self._random.randint(*self._duration_range_ns)
 
     def without_ejected(self, now: int, candidates: WeightedNodes) -> WeightedNodes:
-        """Return the candidates that are not ejected now, or all where that leaves none."""
+        """Return the candidates that are not ejected now, or all of them if all are ejected."""
         if not self._ejected_until:
             return candidates
         for node in [node for node, until in self._ejected_until.items() if until <= now]:
--- a/kestrelplank/load_balancing/placement.py
+++ b/kestrelplank/load_balancing/placement.py
@@ -1,9 +1,9 @@
-"""Which node holds each key block, ahead of time: the placement whose fullest node is the least full.
+"""Placement of key blocks on nodes that minimises the load of the fullest node relative to its capacity.
 
-Limits bound what a node may hold and each zone's share. Loads and capacities are in one unit, work per second for
-instance. Small instances are solved exactly by branch and bound, larger ones by longest load first (R. Graham's bound
-of 1969 for equal machines) and then by moves and swaps until none helps (`placement_search`). What can't be met is
-said, never approximated in silence.
+Limits apply to each node's load and number of blocks and to each zone's share of the load. Loads and capacities are in
+the same unit, for instance work per second. Small instances are solved exactly by branch and bound, larger ones by
+longest load first (R. Graham, 1969) followed by moves and swaps until none improves the result (`placement_search`).
+Blocks that the limits leave unplaced are reported in `Placement.unmet`.
 """
 
 from collections.abc import Sequence
@@ -20,17 +20,17 @@
     peak_load,
 )
 
-MAX_EXACT_PLACEMENTS = 6**10  # possible placements, up to which the answer is exact
+MAX_EXACT_PLACEMENTS = 6**10  # up to this number of possible placements the search is exact
 
 
 class Placement(NamedTuple):
-    """Where blocks go.
+    """The result of `place_blocks`.
 
-    :param nodes: by block its node, None where no node can take it.
-    :param peak: the load of the fullest node over its capacity.
-    :param unplaced_load: that of blocks without a node.
-    :param is_exact: whether no other placement can be better.
-    :param unmet: what could not be met, empty where all was.
+    :param nodes: the node of each block, None if it could not be placed.
+    :param peak: the load of the fullest node divided by its capacity.
+    :param unplaced_load: the total load of the blocks without a node.
+    :param is_exact: whether the placement is proved to be optimal.
+    :param unmet: why blocks could not be placed; empty if all were.
     """
 
     nodes: tuple[int | None, ...]
@@ -43,14 +43,14 @@
 def place_blocks(
     loads: Sequence[float], nodes: Sequence[Node], max_fill: float | None = None, zone_share: float = 1.0
 ) -> Placement:
-    """Return a node for every block.
+    """Return a node for every block that can be placed.
 
-    Of equal placements the one whose blocks, the heaviest first, are on the lowest nodes is taken: the same every time,
-    whatever else has been asked before.
+    The result is deterministic: among equal placements, blocks in order of decreasing load get the lowest-numbered
+    nodes.
 
-    :param max_fill: no node is filled over that share of its capacity; blocks that then don't fit have no node, and the
-        largest are placed first.
-    :param zone_share: no zone holds more than that share of all load.
+    :param max_fill: the share of its capacity up to which a node may be filled; the largest blocks are placed first,
+        and blocks that do not fit stay unplaced. None for no bound.
+    :param zone_share: the share of the total load that one zone may hold.
     """
     total = sum(loads)
     usable = [number for number, node in enumerate(nodes) if node.capacity > 0 and node.max_blocks != 0]
--- a/kestrelplank/load_balancing/placement_search.py
+++ b/kestrelplank/load_balancing/placement_search.py
@@ -1,18 +1,18 @@
-"""The searches behind `placement`: branch and bound for small instances, longest load first for large ones."""
+"""Search algorithms for `placement`: branch and bound for small instances, longest load first for large ones."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
-MAX_SEARCH_STEPS = 400_000  # after which the best so far is taken and said not to be proved
-MAX_ROUNDS = 50  # of moves and swaps, times the number of nodes
+MAX_SEARCH_STEPS = 400_000  # after which the best placement found so far is returned as not proved optimal
+MAX_ROUNDS = 50  # limit on moves and swaps, per node
 ROUNDING = 1e-12
-IMPROVEMENT = 1e-9  # a share of the peak less than which is no improvement
+IMPROVEMENT = 1e-9  # minimal relative decrease of the peak that counts as an improvement
 
-Assignment = list[int | None]  # by block its node
+Assignment = list[int | None]  # the node of each block
 
 
 class Node(NamedTuple):
-    """What a node can take; capacity 0 takes nothing, and `max_blocks` None is any number."""
+    """A node's limits. Capacity 0 accepts no blocks; `max_blocks` None means no limit on their number."""
 
     capacity: float
     zone: int = 0
@@ -20,14 +20,14 @@
 
 
 class Rank(NamedTuple):
-    """What a placement is judged by, the first that differs."""
+    """The ranking of a placement, compared field by field."""
 
     unplaced_load: float
     peak: float
-    nodes: tuple[int, ...]  # in the order of blocks, the heaviest first
+    nodes: tuple[int, ...]  # of blocks in order of decreasing load
 
     def is_better_than(self, other: "Rank") -> bool:
-        """Whether this placement is preferred, with tolerance for rounding."""
+        """Whether this placement is better, with a tolerance for rounding errors."""
         if abs(self.unplaced_load - other.unplaced_load) > ROUNDING:
             return self.unplaced_load < other.unplaced_load
         if abs(self.peak - other.peak) > IMPROVEMENT * max(1.0, other.peak):
@@ -36,16 +36,16 @@
 
 
 def peak_load(loads: Sequence[float], nodes: Sequence[Node], assignment: Sequence[int | None]) -> float:
-    """Return the load of the fullest node over its capacity."""
-    held = [0.0] * len(nodes)
+    """Return the load of the fullest node divided by its capacity."""
+    node_loads = [0.0] * len(nodes)
     for block, node in enumerate(assignment):
         if node is not None:
-            held[node] += loads[block]
-    return max((load / node.capacity for load, node in zip(held, nodes) if node.capacity > 0), default=0.0)
+            node_loads[node] += loads[block]
+    return max((load / node.capacity for load, node in zip(node_loads, nodes) if node.capacity > 0), default=0.0)
 
 
 class PartialPlacement:
-    """What nodes and zones hold while blocks are placed and taken away again.
+    """The loads of nodes and zones while blocks are added and removed.
 
     :param max_fill: the share of its capacity up to which a node may be filled; None for no bound.
     """
@@ -60,7 +60,7 @@
         self._zone_loads: dict[int, float] = {}
 
     def fits(self, block: int, node: int) -> bool:
-        """Whether no limit forbids the block on that node."""
+        """Whether all limits allow the block on that node."""
         load, target = self.loads[block], self.nodes[node]
         if target.max_blocks is not None and self.block_counts[node] >= target.max_blocks:
             return False
@@ -71,11 +71,11 @@
         return self.node_loads[node] + load <= self.max_fill * target.capacity * (1 + ROUNDING)
 
     def add(self, block: int, node: int) -> None:
-        """Put the block on the node."""
+        """Add the block to the node."""
         self._change(node, self.loads[block], 1)
 
     def remove(self, block: int, node: int) -> None:
-        """Take the block off the node."""
+        """Remove the block from the node."""
         self._change(node, self.loads[block] * -1, -1)
 
     def _change(self, node: int, load: float, blocks: int) -> None:
@@ -84,25 +84,25 @@
         self.block_counts[node] += blocks
         self._zone_loads[zone] = self._zone_loads.get(zone, 0.0) + load
         if not self.block_counts[node]:
-            self.node_loads[node] = 0.0  # so that nothing is left of a sum taken away again
+            self.node_loads[node] = 0.0  # clears rounding errors of earlier sums
 
     def fill_with(self, block: int, node: int) -> float:
-        """Return the node's load over its capacity if it had the block too."""
+        """Return the node's load divided by its capacity if the block were added."""
         return (self.node_loads[node] + self.loads[block]) / self.nodes[node].capacity
 
     def fill(self, node: int) -> float:
-        """Return the node's load over its capacity."""
+        """Return the node's load divided by its capacity."""
         return self.node_loads[node] / self.nodes[node].capacity
 
     def rank(self, order: Sequence[int], assignment: Sequence[int | None]) -> Rank:
-        """Return what the placement is judged by."""
+        """Return the rank of the placement."""
         unplaced_load = sum(self.loads[block] for block in order if assignment[block] is None)
         by_block = (assignment[block] for block in order)
         nodes = tuple(len(self.nodes) if node is None else node for node in by_block)
         return Rank(unplaced_load, peak_load(self.loads, self.nodes, assignment), nodes)
 
     def obstacle(self, block: int) -> str:
-        """Return which limit stands in the way of a block without a node."""
+        """Return the limit that prevents a block from being placed."""
         full = (
             node.max_blocks is not None and count >= node.max_blocks
             for node, count in zip(self.nodes, self.block_counts)
@@ -118,16 +118,16 @@
 
 
 class ExactSearch:
-    """Branch and bound over all placements; the bound is the mean load of all nodes.
+    """Branch and bound over all placements; the lower bound is the mean fill of all nodes.
 
     :param order: the blocks in the order in which they are placed.
-    :param usable: the nodes that can take anything.
+    :param usable: the nodes that accept blocks.
     """
 
     def __init__(self, partial: PartialPlacement, order: Sequence[int], usable: Sequence[int]) -> None:
         self._partial, self._order, self._usable = partial, order, usable
         self._capacity = sum(partial.nodes[node].capacity for node in usable)
-        self._remaining_load = [0.0] * (len(order) + 1)  # of the blocks from that position on
+        self._remaining_load = [0.0] * (len(order) + 1)  # load of the blocks from each position on
         for position in reversed(range(len(order))):
             load = partial.loads[order[position]]
             self._remaining_load[position] = self._remaining_load[position + 1] + load
@@ -135,7 +135,7 @@
         self.steps = 0
 
     def run(self) -> Assignment:
-        """Return the best placement, which the partial placement then holds; `steps` says how many it took."""
+        """Return the best placement and apply it to the partial placement; `steps` counts the search steps."""
         self._best = longest_load_first(self._partial, self._order, self._usable)
         self._best_rank = self._partial.rank(self._order, self._best)
         for block, node in enumerate(self._best):
@@ -165,7 +165,7 @@
     def _can_improve(self, position: int, unplaced_load: float, peak: float) -> bool:
         best = self._best_rank
         if not unplaced_load and self._partial.max_fill is None:
-            # What is left, spread evenly over all nodes, fills none of them less than this.
+            # Even if the remaining load were spread evenly, the fullest node would be at least this full.
             total = sum(self._partial.node_loads) + self._remaining_load[position]
             peak = max(peak, total / self._capacity)
         if unplaced_load > best.unplaced_load + ROUNDING:
@@ -173,11 +173,11 @@
         return unplaced_load < best.unplaced_load - ROUNDING or peak <= best.peak * (1 + IMPROVEMENT)
 
     def _place_on_each_node(self, position: int, unplaced_load: float, peak: float) -> bool:
-        """Try the block at that position on every node where it fits; return whether there is one."""
+        """Try the block at that position on every node where it fits; return whether it fits on any."""
         partial, block = self._partial, self._order[position]
         tried: set[tuple[float, int, Node]] = set()
         for node in self._usable:
-            # Of equal nodes with equal loads one is enough.
+            # Of identical nodes with identical loads, trying one is enough.
             equivalent = (partial.node_loads[node], partial.block_counts[node], partial.nodes[node])
             if equivalent in tried or not partial.fits(block, node):
                 continue
@@ -192,7 +192,7 @@
 
 
 def longest_load_first(partial: PartialPlacement, order: Sequence[int], usable: Sequence[int]) -> Assignment:
-    """Place the blocks in order, each where it leaves its node the least full."""
+    """Place the blocks in order, each on the node that is least full with it."""
     assignment: Assignment = [None] * len(order)
     for block in order:
         fitting = [node for node in usable if partial.fits(block, node)]
@@ -212,15 +212,15 @@
 def improve(
     partial: PartialPlacement, order: Sequence[int], usable: Sequence[int], assignment: Assignment
 ) -> Assignment:
-    """Move a block off the fullest node, or swap one of its for a lighter one, until neither helps.
+    """Move a block off the fullest node, or swap one for a lighter block of another node, until neither helps.
 
-    A change is made as long as that node gets emptier and no other as full.
+    A change is made only if the other node stays less full than the fullest node was.
     """
     for _ in range(MAX_ROUNDS * len(usable)):
         fullest = max(usable, key=lambda node: (partial.fill(node), -node))
-        below = partial.fill(fullest) * (1 - IMPROVEMENT)
-        moved = _move_off(partial, order, usable, assignment, fullest, below)
-        if not (moved or _swap_off(partial, order, assignment, fullest, below)):
+        fill_limit = partial.fill(fullest) * (1 - IMPROVEMENT)
+        moved = _move_off(partial, order, usable, assignment, fullest, fill_limit)
+        if not (moved or _swap_off(partial, order, assignment, fullest, fill_limit)):
             break
     return assignment
 
@@ -231,9 +231,9 @@
     usable: Sequence[int],
     assignment: Assignment,
     fullest: int,
-    below: float,
+    fill_limit: float,
 ) -> bool:
-    """Move one block of the fullest node to where the fill stays below that; return whether there is one."""
+    """Move one block of the fullest node to a node that stays below `fill_limit`; return whether it was done."""
     for block in order:
         if assignment[block] != fullest:
             continue
@@ -241,7 +241,7 @@
         targets = [
             node
             for node in usable
-            if node != fullest and partial.fits(block, node) and partial.fill_with(block, node) < below
+            if node != fullest and partial.fits(block, node) and partial.fill_with(block, node) < fill_limit
         ]
         if targets:
             _assign_to_least_full(partial, assignment, block, targets)
@@ -251,25 +251,27 @@
 
 
 def _swap_off(
-    partial: PartialPlacement, order: Sequence[int], assignment: Assignment, fullest: int, below: float
+    partial: PartialPlacement, order: Sequence[int], assignment: Assignment, fullest: int, fill_limit: float
 ) -> bool:
-    """Swap a block of the fullest node for a lighter one of another; return whether there are two."""
+    """Swap a block of the fullest node for a lighter one of another node; return whether it was done."""
     for block in [block for block in order if assignment[block] == fullest]:
         for lighter in reversed(order):
             node = assignment[lighter]
             if node is None or node == fullest or partial.loads[lighter] >= partial.loads[block]:
                 continue
-            if _swap(partial, block, fullest, lighter, node, below):
+            if _swap(partial, block, fullest, lighter, node, fill_limit):
                 assignment[block], assignment[lighter] = node, fullest
                 return True
     return False
 
 
-def _swap(partial: PartialPlacement, block: int, fullest: int, lighter: int, node: int, below: float) -> bool:
-    """Swap the two blocks if both fit and the other node's fill stays below that; return whether it was done."""
+def _swap(partial: PartialPlacement, block: int, fullest: int, lighter: int, node: int, fill_limit: float) -> bool:
+    """Swap two blocks if both fit and `node` stays below `fill_limit`; return whether it was done."""
     partial.remove(block, fullest)
     partial.remove(lighter, node)
-    swapped = partial.fits(block, node) and partial.fits(lighter, fullest) and partial.fill_with(block, node) < below
+    swapped = (
+        partial.fits(block, node) and partial.fits(lighter, fullest) and partial.fill_with(block, node) < fill_limit
+    )
     partial.add(block, node if swapped else fullest)
     partial.add(lighter, fullest if swapped else node)
     return swapped
--- a/kestrelplank/load_balancing/selection.py
+++ b/kestrelplank/load_balancing/selection.py
@@ -1,4 +1,4 @@
-"""Which of several candidates takes an op: by weight, the less loaded of two, in turn, or by key."""
+"""Node selection: weighted random, weighted round robin, power of two choices, and rendezvous hashing."""
 
 from collections.abc import Callable, Mapping, Sequence
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class SelectionMethod(Enum):
-    """How a node is chosen. The values are those of the settings files."""
+    """How a node is selected. The values are those of the settings files."""
 
     RANDOM = "random"
     ROUND_ROBIN = "rotate"
@@ -19,7 +19,7 @@
 
 
 def weighted_random(random: Random, candidates: WeightedNodes) -> int:
-    """Return a node at random by weight, in one draw; where there is but one candidate, without a draw."""
+    """Return a random node by weight, with one draw, or without a draw if there is only one candidate."""
     if len(candidates) == 1:
         return candidates[0][0]
     remaining = random.random() * sum(weight for _, weight in candidates)
@@ -27,14 +27,14 @@
         remaining -= weight
         if remaining < 0:
             return node
-    return candidates[-1][0]  # the sum was rounded up
+    return candidates[-1][0]  # reached only if rounding made the sum too large
 
 
 def less_loaded_of_two(random: Random, candidates: WeightedNodes, in_flight: Mapping[int, int]) -> int:
-    """Return of two different nodes drawn by weight the one with fewer of our attempts in flight; of equals the first.
+    """Draw two different nodes by weight; return the one with fewer attempts in flight, of equals the first.
 
-    Source: the power of two choices (M. Mitzenmacher, 2001), with our own attempts in place of the queue's length, as
-    nothing else is known.
+    Source: the power of two choices (M. Mitzenmacher, 2001), with this proxy's own attempts in flight in place of the
+    queue length, which it does not know.
     """
     first = weighted_random(random, candidates)
     others = [candidate for candidate in candidates if candidate[0] != first]
@@ -45,10 +45,10 @@
 
 
 def rendezvous(key: str, candidates: WeightedNodes) -> int:
-    """Return the node of a key: the one with the highest of scores drawn from key and node.
+    """Return the node of a key by rendezvous hashing: the node with the highest hash score for the key.
 
-    It is the same for the same key, and each node has its share of the keys by weight. When a weight grows, keys only
-    move to that node; when it shrinks, only away from it; when a node goes, only its keys move.
+    A key always maps to the same node, and each node has a share of the keys by weight. When a weight increases, keys
+    move only to that node; when it decreases, only away from it; when a node is removed, only its keys move.
 
     Source: highest random weight (D. Thaler and C. Ravishankar, 1998), weighted as -w / ln(h).
     """
@@ -61,7 +61,7 @@
 
 
 def nearest(candidates: WeightedNodes, zone_of: Callable[[int], int], zones: Sequence[int]) -> WeightedNodes:
-    """Return the candidates in the first zone, in that order of preference, that has any; all where none has."""
+    """Return the candidates of the first of `zones` that has any, or all candidates if none has."""
     for zone in zones:
         in_zone = [candidate for candidate in candidates if zone_of(candidate[0]) == zone]
         if in_zone:
@@ -70,18 +70,19 @@
 
 
 class WeightedRoundRobin:
-    """Selects nodes in turn, evenly by weight.
+    """Smooth weighted round robin.
 
-    Each selection adds its weight to every node's credit, and the node with most credit gives up what all have got.
-    Over any number of selections each node is within one of its share, for each other node (test
-    `test_in_turn_each_node_is_within_a_selection_of_its_share_for_each_other_node`).
+    Each selection adds to every node's credit its weight; the node with the most credit is selected and pays the sum
+    of all weights. After any number of selections, each node's count differs from its share by less than the number
+    of other nodes, or by less than one if it is alone (test
+    `test_round_robin_counts_differ_from_shares_by_less_than_the_number_of_other_nodes`).
     """
 
     def __init__(self) -> None:
         self._credit: dict[int, float] = {}
 
     def select(self, candidates: WeightedNodes) -> int:
-        """Return the node whose turn it is."""
+        """Return the next node."""
         total = sum(weight for _, weight in candidates)
         self._credit = {node: self._credit.get(node, 0.0) + weight for node, weight in candidates}
         selected = max(self._credit, key=lambda node: (self._credit[node], -node))
--- a/kestrelplank/load_balancing/slow_start.py
+++ b/kestrelplank/load_balancing/slow_start.py
@@ -1,51 +1,51 @@
-"""How a node that has just started is fed: little at first, and more as it proves itself."""
+"""Slow start: a node that has just started is sent little load at first, and more as its responses stay healthy."""
 
 from typing import NamedTuple
 
-SLOW_FACTOR = 1.5  # times the usual latency, from which a node that warms up is given no more than it has
-MAX_FAILURE_SHARE = 0.1  # a greater share of failures has the same effect
+SLOW_LATENCY_FACTOR = 1.5  # multiple of the usual latency above which the load of a node in slow start is not increased
+MAX_FAILURE_SHARE = 0.1  # share of failures above which it is not increased either
 
 
-class WarmUpSettings(NamedTuple):
-    """How nodes warm up.
+class SlowStartSettings(NamedTuple):
+    """Settings of slow start.
 
-    :param cold_share: the share of its capacity that a node has when it starts.
-    :param warm_up_ns: it has all of its capacity after that time.
-    :param overload_factor: sent that many times what it can do at the moment, a cold node falls over.
-    :param safe_share: how much of that may be used at all.
+    :param initial_share: the share of its capacity that a node has when it starts.
+    :param duration_ns: the time after which it has its full capacity.
+    :param overload_factor: the multiple of its current capacity at which a node in slow start collapses.
+    :param safe_share: the share of that multiple that may be used.
     """
 
-    cold_share: float
-    warm_up_ns: int
+    initial_share: float
+    duration_ns: int
     overload_factor: float
     safe_share: float = 0.5
 
 
 class SlowStart:
-    """One node since its start.
+    """The slow start of one node.
 
-    Its age counts only while its answers are good: a node that should be warm and is not yet is given more only as it
-    proves itself.
+    Its age advances only while it is healthy: a node that warms up more slowly than expected gets more load only as its
+    responses improve.
 
-    `allowance` is for one of several feeders that may all send to the node and do not hear each other: each keeps to
-    its part, so that all together stay under the overload factor (test
-    `test_members_that_feed_one_node_and_do_not_hear_each_other_stay_under_the_overload_factor`). Harm: where the
-    others send nothing, the node is filled more slowly than it could be.
+    `allowance` is for one of several senders that may all send to the node without knowing each other's load: each
+    keeps to its part, so that together they stay under the overload factor (test
+    `test_partitioned_members_sending_to_one_node_stay_under_the_overload_factor`). Drawback: if the other senders are
+    idle, the node's load grows more slowly than it could.
     """
 
-    def __init__(self, settings: WarmUpSettings, started_at: int, now: int) -> None:
+    def __init__(self, settings: SlowStartSettings, started_at: int, now: int) -> None:
         self._settings, self.started_at = settings, started_at
-        # Who sees the node in the middle of its warm-up has no proof of how it did: it begins anew, never at full.
+        # An observer that first sees the node after its start counts the time until its first report as healthy.
         self._seen_at, self._uncounted_ns, self._healthy = now, 0, True
 
     def report(self, now: int, succeeded: int, failed: int, latency: float | None, usual_latency: float | None) -> None:
-        """Take note of what a period has shown of the node.
+        """Update the node's health from the attempts of one period.
 
-        :param latency: the mean of its answers, in the unit of `usual_latency`, which is that of all nodes.
+        :param latency: the mean latency of its responses, in the unit of `usual_latency`, the mean of all nodes.
         """
         self._count_until(now)
         attempts = succeeded + failed
-        slow = latency is not None and usual_latency is not None and latency > SLOW_FACTOR * usual_latency
+        slow = latency is not None and usual_latency is not None and latency > SLOW_LATENCY_FACTOR * usual_latency
         if attempts:
             self._healthy = not slow and failed <= MAX_FAILURE_SHARE * attempts
 
@@ -55,29 +55,29 @@
         self._seen_at = max(self._seen_at, now)
 
     def age_ns(self, now: int) -> int:
-        """Return the node's age as far as it counts."""
+        """Return the time for which the node has been healthy since its start."""
         unhealthy_ns = 0 if self._healthy else max(0, now - self._seen_at)
         return max(0, now - self.started_at - self._uncounted_ns - unhealthy_ns)
 
     def capacity_share(self, now: int) -> float:
-        """Return the share of its capacity that the node surely has by now."""
+        """Return the share of its capacity that the node has now."""
         settings = self._settings
-        if not settings.warm_up_ns:
+        if not settings.duration_ns:
             return 1.0
-        return min(1.0, settings.cold_share + (1 - settings.cold_share) * self.age_ns(now) / settings.warm_up_ns)
+        return min(1.0, settings.initial_share + (1 - settings.initial_share) * self.age_ns(now) / settings.duration_ns)
 
-    def allowance(self, now: int, capacity: float, feeders: int) -> float:
-        """Return the work per second that one of so many feeders may send it by now.
+    def allowance(self, now: int, capacity: float, senders: int) -> float:
+        """Return the work per second that one of `senders` may send to the node now.
 
-        A warm node's is its capacity in parts: the overload factor is for cold ones alone.
+        After slow start this is an equal part of the capacity; the overload factor applies only during slow start.
 
-        :param capacity: work per second that the node does when warm.
+        :param capacity: the work per second that the node can do after slow start.
         """
         share, settings = self.capacity_share(now), self._settings
         if share >= 1.0:
-            return capacity / max(1, feeders)
-        return min(capacity, capacity * share * settings.overload_factor * settings.safe_share) / max(1, feeders)
+            return capacity / max(1, senders)
+        return min(capacity, capacity * share * settings.overload_factor * settings.safe_share) / max(1, senders)
 
     def is_warm(self, now: int) -> bool:
-        """Whether the node has all of its capacity."""
+        """Whether the node has its full capacity."""
         return self.capacity_share(now) >= 1.0
--- a/kestrelplank/load_balancing/spillover.py
+++ b/kestrelplank/load_balancing/spillover.py
@@ -1,7 +1,7 @@
-"""Where a zone's work goes when its own nodes can't do it.
+"""Spillover: the work of a zone that exceeds its own capacity is sent to other zones.
 
-Nearer zones come before farther ones, under a stated limit of what spill may use of each, and what is over all limits
-is named as unserved. Amounts are work per second.
+Nearer zones are used before farther ones, each up to a limit on its spare capacity. Work over all limits is reported as
+unserved. Amounts are work per second.
 """
 
 from collections import deque
@@ -9,18 +9,18 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-NEGLIGIBLE = 1e-9  # amounts up to that are 0 but for rounding
+NEGLIGIBLE = 1e-9  # smaller amounts are rounding errors
 
 Flow = tuple[int, int]  # from zone, to zone
-Choices = Mapping[int, Sequence[int]]  # zone to the zones that its spill may go to
+Choices = Mapping[int, Sequence[int]]  # zone to the zones that may serve its spill
 
 
 class SpilloverPlan(NamedTuple):
-    """Where work goes.
+    """The assignment of work to zones.
 
-    :param flows: by zone of origin and zone that serves it, a zone's own work included.
-    :param unserved: by zone, what no limit has capacity for.
-    :param used_shares: by zone and tier, the share of its spare capacity that spill of that tier takes.
+    :param flows: work by zone of origin and serving zone, including work served in its own zone.
+    :param unserved: work by zone of origin that exceeds all limits.
+    :param used_shares: by serving zone and tier, the share of its spare capacity used by spill of that tier.
     """
 
     flows: dict[Flow, float]
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Spill:
-    """Work while it is being planned. `available` is what the present tier may still put on a zone."""
+    """The state of planning. `available` is the capacity that the current tier may still use in each zone."""
 
     flows: dict[Flow, float]
     remaining: dict[int, float]
@@ -43,7 +43,7 @@
         self.flows[zone, other] = self.flows.get((zone, other), 0.0) + amount
 
     def begin_tier(self, limit: float) -> None:
-        """Let spill take up to that share of every zone's spare capacity."""
+        """Make up to that share of every zone's spare capacity available to spill."""
         self.available = {zone: max(0.0, spare * limit - self.taken[zone]) for zone, spare in self.spare.items()}
 
 
@@ -53,14 +53,14 @@
     tiers: Mapping[int, Sequence[Sequence[int]]],
     limits: Sequence[float],
 ) -> SpilloverPlan:
-    """Return where each zone's work goes: to itself, as far as its capacity goes, and what is over tier by tier.
+    """Assign each zone's work to itself up to its capacity, and the excess to other zones, tier by tier.
 
-    In a tier a zone takes spill up to `limits[tier]` of the capacity that its own work left, less what nearer spill has
-    taken; tiers beyond the last limit use that one. Where more comes than that, every zone of origin has its share in
-    the ratio of what it brings, and who has another choice of the tier makes way for who has none. A zone without spare
-    capacity gets nothing: a strained zone is never overloaded further.
+    In each tier, a zone accepts spill up to the share `limits[tier]` of the capacity that its own work leaves, minus
+    the spill of earlier tiers; tiers beyond the last limit use the last one. If more is offered, zones of origin are
+    served in proportion to what they offer, and those with another choice in the tier yield to those without. A zone
+    without spare capacity accepts no spill.
 
-    The result depends on nothing but its arguments; zones are taken by number.
+    The result is a function of the arguments only; zones are processed in order of their numbers.
     """
     zones = sorted(demand)
     flows = {(zone, zone): min(demand[zone], capacity.get(zone, 0.0)) for zone in zones}
@@ -86,7 +86,7 @@
 
 def _spill_tier(spill: _Spill, choices: Choices, limit: float) -> None:
     spill.begin_tier(limit)
-    for _ in range(len(spill.remaining) + 1):  # what one zone rejects may find capacity at another of the tier
+    for _ in range(len(spill.remaining) + 1):  # work that one zone rejects may fit in another zone of the tier
         wanted = _wanted_flows(spill, choices)
         if not wanted:
             break
@@ -95,7 +95,7 @@
 
 
 def _wanted_flows(spill: _Spill, choices: Choices) -> dict[Flow, float]:
-    """Return what remains of each zone's work, spread over its choices by what is available there."""
+    """Return each zone's remaining work, spread over its choices in proportion to their available capacity."""
     wanted: dict[Flow, float] = {}
     for zone, others in choices.items():
         targets = [other for other in others if spill.available[other] > NEGLIGIBLE]
@@ -107,7 +107,7 @@
 
 
 def _share_out(spill: _Spill, wanted: Mapping[Flow, float], limit: float) -> None:
-    """Serve what is wanted; where that is too much for a zone, each gets its share of what is available there."""
+    """Serve the wanted flows, scaled down in proportion in zones where they exceed the available capacity."""
     totals: dict[int, float] = {}
     for (_, other), amount in wanted.items():
         totals[other] = totals.get(other, 0.0) + amount
@@ -122,10 +122,10 @@
 
 
 def _reroute(spill: _Spill, choices: Choices) -> None:
-    """Move spill of one tier among its targets until no more of what remains can be served.
+    """Move spill of one tier between its targets until no more remaining work can be served.
 
-    Source: a maximum flow by shortest augmenting paths (J. Edmonds and R. Karp, 1972), from a zone with work remaining,
-    over zones that serve its choices' other work, to a zone with capacity available.
+    Source: maximum flow by shortest augmenting paths (J. Edmonds and R. Karp, 1972), from a zone with remaining work,
+    through zones whose spill to a shared target can be moved, to a zone with available capacity.
     """
     for origin in sorted(choices):
         while spill.remaining[origin] > NEGLIGIBLE:
@@ -136,9 +136,9 @@
 
 
 def _shortest_path(spill: _Spill, choices: Choices, origin: int) -> list[Flow] | None:
-    """Return the flows to enlarge, from the origin's on; None where no zone with capacity can be reached.
+    """Return the flows to increase, starting at the origin; None if no zone with available capacity can be reached.
 
-    Between two of them, the flow of the second's zone to the first's target is what makes way.
+    Between two consecutive flows, the flow from the second one's source to the first one's target is to be decreased.
     """
     reached_by: dict[int, Flow | None] = {origin: None}
     queue = deque([origin])
@@ -164,11 +164,11 @@
 
 
 def _augment(spill: _Spill, path: Sequence[Flow]) -> None:
-    """Send as much as can be along a path: each flow on it grows, and what makes way for it shrinks."""
+    """Send as much as possible along a path: increase each flow on it and decrease the flows that yield to it."""
     origin, last = path[0][0], path[-1][1]
-    makes_way = [(next_zone, other) for (_, other), (next_zone, _) in zip(path, path[1:])]
-    amount = min(spill.remaining[origin], spill.available[last], *(spill.flows[flow] for flow in makes_way))
-    for (zone, other), shrinking in zip(path, [*makes_way, None]):
+    yielding_flows = [(next_zone, other) for (_, other), (next_zone, _) in zip(path, path[1:])]
+    amount = min(spill.remaining[origin], spill.available[last], *(spill.flows[flow] for flow in yielding_flows))
+    for (zone, other), shrinking in zip(path, [*yielding_flows, None]):
         spill.send(zone, other, amount)
         if shrinking is not None:
             spill.flows[shrinking] -= amount
@@ -180,18 +180,18 @@
 class SpilloverSwitch:
     """Whether a zone spills, with hysteresis.
 
-    Guards against spill that goes on and off with every report. Harm: a zone just under its limit keeps work that
+    Guards against spill that starts and stops with every report. Drawback: a zone just under its limit keeps work that
     another could do.
 
-    :param begin_share: spill begins when work is over that share of the zone's capacity.
-    :param end_share: spill ends when work is under that share.
+    :param begin_share: spill begins when demand exceeds this share of the zone's capacity.
+    :param end_share: spill ends when demand falls to this share or below.
     """
 
     def __init__(self, begin_share: float, end_share: float) -> None:
         self._begin_share, self._end_share, self.is_on = begin_share, end_share, False
 
     def update(self, demand: float, capacity: float) -> bool:
-        """Return whether the zone spills, now that its work is known to be so much."""
+        """Update the switch with the current demand and capacity; return whether the zone spills."""
         if capacity <= 0:
             self.is_on = demand > 0
         else:
@@ -200,9 +200,9 @@
 
 
 def shed(unserved: float, demands: Sequence[tuple[int, float, float]]) -> list[tuple[int, float]]:
-    """Return what is rejected of each op type, those of least value first, until nothing is left unserved.
+    """Return the amounts to reject by op type, lowest value first, until nothing is left unserved.
 
-    :param demands: op type, its work and its value.
+    :param demands: (op type, its work, its value) for each op type.
     """
     rejected = []
     for op_type, demand, _ in sorted(demands, key=lambda entry: (entry[2], entry[0])):
@@ -214,10 +214,9 @@
 
 
 def is_panic(ready: int, known: int, panic_share: float) -> bool:
-    """Whether all known nodes are used again, healthy or not.
+    """Whether so few nodes are ready that all known nodes are used, healthy or not (panic mode).
 
-    So few are ready that they can't carry the work, and who judges may be the one that is partitioned. With a share of
-    0.5 and 12 nodes that is at 5 ready or fewer: each of those would get 12/5 of its usual work, while of the other 7
-    some may well answer.
+    The ready nodes could not carry the load, and the observer itself may be partitioned. With a share of 0.5 and 12
+    nodes, panic mode applies at 5 ready nodes or fewer.
     """
     return known > 0 and ready < panic_share * known
--- a/kestrelplank/load_balancing/waiting_queue.py
+++ b/kestrelplank/load_balancing/waiting_queue.py
@@ -1,4 +1,4 @@
-"""The ops that wait for capacity at a node, and when a caller that was rejected may come again."""
+"""The queue of ops that wait for capacity at a node, and the Retry-After time for rejected callers."""
 
 from collections.abc import Callable, Sequence
 from heapq import heappop, heappush
@@ -8,23 +8,24 @@
 
 
 class WaitingOp(NamedTuple):
-    """One op that waits; `order` grows with each arrival."""
+    """A queued op; `order` increases with each arrival."""
 
     order: int
     op_type: int
 
 
 class WaitingQueue:
-    """Ops that wait for capacity, each for a share of its latency target at the most.
+    """A priority queue of ops that wait for capacity, each for at most a share of its latency target.
 
-    The op of most value goes first, of equals the one that came first; when one too many waits, the one of least value
-    that came last is displaced. Guards against work that is answered too late to be of any use (R. Nichols and
-    V. Jacobson, CoDel, 2012, bound the time in a queue for the same reason). Harm: what is displaced might have been
-    answered in time.
+    Ops leave in order of value, then of arrival. When the queue is full, a new op displaces the op of lowest value that
+    arrived last, if its own value is higher. Guards against responses that come too late to be of use (R. Nichols and
+    V. Jacobson, CoDel, 2012, bound the time in a queue for the same reason). Drawback: a displaced op might have been
+    served in time.
 
-    Invariant: no more than `max_length` ops wait, and none is lost (test
-    `test_a_queue_is_never_over_its_length_and_loses_nobody`).
+    Invariant: no more than `max_length` ops are queued, and none is lost (test
+    `test_queue_never_exceeds_its_length_and_loses_no_op`).
 
+    :param max_length: 0 disables queueing: every op is rejected.
     :param target_latencies_ns: by op type, as are `values`.
     :param target_share: the share of the latency target that may be spent waiting.
     """
@@ -34,7 +35,7 @@
     ) -> None:
         self._max_length, self._target_latencies_ns = max_length, target_latencies_ns
         self._values, self._target_share = values, target_share
-        self._heap: list[tuple[float, int, int]] = []  # (-value, order, number), also of ops that wait no longer
+        self._heap: list[tuple[float, int, int]] = []  # (-value, order, number); may contain ops that were removed
         self._waiting: dict[int, WaitingOp] = {}  # by number
         self._last_order = 0
 
@@ -42,9 +43,9 @@
         return len(self._waiting)
 
     def enqueue(self, now: int, number: int, op_type: int, deadline: int) -> tuple[int | None, list[int]]:
-        """Let an op wait.
+        """Add an op to the queue.
 
-        Return until when it may (None: it is rejected), and the numbers of those that it displaces.
+        Return the time until which it may wait (None if it is rejected), and the numbers of the ops it displaces.
         """
         if not self._max_length:
             return None, []
@@ -66,13 +67,13 @@
         return -self._values[waiting.op_type], waiting.order
 
     def remove(self, number: int) -> bool:
-        """Let an op wait no longer, for whatever reason; return whether it did."""
+        """Remove an op from the queue; return whether it was queued."""
         return self._waiting.pop(number, None) is not None
 
     def release(self, accepts: Callable[[int], bool]) -> list[int]:
-        """Return the ops whose turn it is, in order, as far as `accepts(number)` takes them.
+        """Remove the ops for which `accepts(number)` is true, and return them in queue order.
 
-        One that is not accepted holds back none behind it, as it may need another node.
+        An op that is not accepted does not block those behind it, which may be able to use another node.
         """
         kept, released = [], []
         while self._heap:
@@ -91,9 +92,9 @@
 
 
 def retry_after_s(wait_ns: int, queued: int, queue_length: int) -> int:
-    """Return the whole seconds after which a caller that was rejected may come again.
+    """Return the Retry-After value for a rejected caller, in whole seconds.
 
-    It grows with the queue, so that not all return into the same moment, and is at least 1, as the field has no
-    fraction (RFC 9110, section 10.2.3, Retry-After).
+    It increases with the queue length, so that callers do not all return at the same time. It is at least 1, as the
+    header field has no fractions (RFC 9110, section 10.2.3).
     """
     return max(1, round(wait_ns / SECOND * (1 + queued / max(1, queue_length))))
--- a/kestrelplank/load_balancing/weights.py
+++ b/kestrelplank/load_balancing/weights.py
@@ -1,5 +1,5 @@
-"""The type of what one node is chosen from."""
+"""The type of a list of candidate nodes."""
 
 from collections.abc import Sequence
 
-WeightedNodes = Sequence[tuple[int, float]]  # node and its weight, which is never 0
+WeightedNodes = Sequence[tuple[int, float]]  # (node, weight); weights are not 0
--- a/kestrelplank/load_balancing/zone_distances.py
+++ b/kestrelplank/load_balancing/zone_distances.py
@@ -1,33 +1,33 @@
-"""How far zones are from each other, learned from latencies, and the tiers that follow from that."""
+"""Distances between zones, estimated from latencies, and the tiers derived from them."""
 
 from collections import deque
 from collections.abc import Mapping, Sequence
 
-MAX_PERIODS = 30  # whose lower quartile is a distance
-MIN_PERIODS = 5  # before which no distance is known
+MAX_PERIODS = 30  # number of recent periods whose lower quartile is the distance
+MIN_PERIODS = 5  # number of periods needed for an estimate
 
 
 class ZoneDistances:
-    """How much longer an answer takes from another zone than from one's own, learned from reports.
+    """Estimates the extra latency of responses from another zone compared with the own zone.
 
-    Robust to stalls and to strain, which lengthen both: only differences within one period count, and of those the
-    lower quartile, as waiting only ever adds. Harm: a way that has really become longer is believed after three
-    quarters of `MAX_PERIODS` periods.
+    It is robust to stalls and overload, which affect both latencies: only differences within one period are used, and
+    of those the lower quartile, as queueing only adds latency. Drawback: a lasting increase of the distance takes
+    three quarters of `MAX_PERIODS` periods to show.
     """
 
     def __init__(self) -> None:
-        self._sums: dict[tuple[int, int], list[float]] = {}  # of this period: attempts, and their latencies' sum
+        self._sums: dict[tuple[int, int], list[float]] = {}  # of the current period: [attempts, sum of latencies]
         self._differences: dict[tuple[int, int], deque[float]] = {}
 
     def add(self, zone: int, other: int, attempts: int, mean_latency_ns: float) -> None:
-        """Count good attempts from `zone` to `other` in this period."""
+        """Add successful attempts from `zone` to `other` to the current period."""
         if attempts > 0:
             sums = self._sums.setdefault((zone, other), [0.0, 0.0])
             sums[0] += attempts
             sums[1] += attempts * mean_latency_ns
 
     def close_period(self) -> None:
-        """End the period: its means become one difference a pair of zones."""
+        """End the period and record the difference of mean latencies for each pair of zones."""
         means = {pair: total / attempts for pair, (attempts, total) in self._sums.items()}
         self._sums = {}
         for (zone, other), mean in means.items():
@@ -36,7 +36,7 @@
                 self._differences.setdefault((zone, other), deque(maxlen=MAX_PERIODS)).append(mean - own)
 
     def between(self, zone: int, other: int) -> float | None:
-        """Return the distance (ns) as learned in either direction; None while too little is known."""
+        """Return the distance (ns), the smaller of both directions; None while there are too few periods."""
         quartiles = [
             sorted(differences)[len(differences) // 4]
             for pair in ((zone, other), (other, zone))
@@ -48,10 +48,10 @@
 def distance_tiers(
     zone: int, zones: Sequence[int], distances: Mapping[tuple[int, int], float], tier_width: float
 ) -> list[list[int]]:
-    """Return the other zones in tiers, nearer ones first.
+    """Group the other zones into tiers, nearest first.
 
-    Each tier begins with the nearest zone that is left and takes every zone that is no more than `tier_width` farther
-    than that. Zones without a distance come last, together; ties go by number.
+    Each tier starts with the nearest remaining zone and includes every zone at most `tier_width` farther. Zones
+    without a known distance form the last tier; ties are ordered by zone number.
     """
     known = sorted((distances[zone, other], other) for other in zones if other != zone and (zone, other) in distances)
     tiers: list[list[int]] = []
--- a/kestrelplank/load_balancing/zone_preference.py
+++ b/kestrelplank/load_balancing/zone_preference.py
@@ -1,8 +1,8 @@
-"""Which zones a proxy of its own tables sends to: its own first, then nearer tiers before farther ones.
+"""Zone preference of a proxy that applies its own tables: its own zone first, then nearer tiers before farther ones.
 
-Each other zone is used up to a stated share of its spare capacity. What a node has capacity for is what its learned
-limit says (`load_balancing/concurrency_limits`), as nobody tells a proxy what a node can do. So a tier is entered when
-nearer ones are full, not when they are merely loaded.
+Each node of another zone is used up to a configured share of its capacity. A node's capacity is its learned concurrency
+limit (`load_balancing/concurrency_limits`), as the proxy is not given any other. So a tier is used when nearer ones are
+full, not when they are merely loaded.
 """
 
 from collections import Counter
@@ -17,16 +17,17 @@
 from kestrelplank.load_balancing.zone_distances import distance_tiers
 from kestrelplank.time_units import SECOND
 
-LOST_ZONE_CHECK_INTERVAL_NS = 1 * SECOND  # a zone that is lost is tried that often, by one op
+LOST_ZONE_CHECK_INTERVAL_NS = 1 * SECOND  # interval at which one op is let through to a lost zone
 
 
 class ZonePreferenceSettings(NamedTuple):
     """When other zones are used.
 
-    :param spill_shares: by tier, the share of a node's limit up to which spill may fill it; beyond the last, that one.
-    :param tier_width_ns: zones whose distances differ by no more than that are one tier.
-    :param spill_begin_share: of the own zone's limits, from which on its ops spill; they end at `spill_end_share`.
-    :param panic_share: with fewer ready than that share of the known nodes, health is no longer asked.
+    :param spill_shares: by tier, the share of a node's limit up to which spill may fill it; farther tiers use the last.
+    :param tier_width_ns: zones whose distances differ by at most this form one tier.
+    :param spill_begin_share: spill begins when this share of the own zone's limits is in flight; it ends below
+        `spill_end_share`.
+    :param panic_share: if a smaller share of the known nodes is ready, health is ignored.
     """
 
     spill_shares: tuple[float, ...] = (0.8, 0.5)
@@ -37,16 +38,16 @@
 
 
 class ZoneState(Enum):
-    """Whether a zone is used."""
+    """Whether a zone is used. The values are shown to operators."""
 
     USED = "fed"
-    HELD = "held"  # back, but not for long enough after several losses
+    HELD = "held"  # up, but held down after repeated losses
     LOST = "lost"
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneStatus:
-    """One zone for an operator; `tier` is 0 for the proxy's own."""
+    """The status of a zone, for display to operators; `tier` is 0 for the proxy's own zone."""
 
     zone: int
     tier: int
@@ -56,30 +57,30 @@
 
 
 class _Zone:
-    """One zone as this proxy finds it."""
+    """The state of a zone as observed by this proxy."""
 
     __slots__ = ("damping", "consecutive_unreachable", "in_flight", "checked_at")
 
     def __init__(self, settings: FlapDampingSettings) -> None:
         self.damping = FlapDamping(settings)
         self.consecutive_unreachable = self.in_flight = 0
-        self.checked_at: int | None = None  # when an op was last let through though it is lost
+        self.checked_at: int | None = None  # when an op was last let through to the zone while it was lost
 
 
 class ZonePreference:
-    """Narrows the candidates of a table to those that an op may go to now.
+    """Restricts the candidates of a table to the nodes that an op may be sent to now.
 
-    A zone counts as lost after so many attempts in a row that reached nobody there, over all its nodes, and as back
-    with the first answer to an attempt that was let through to check; it is used once its hold is over. Guards against
-    work that is spread over the world when a zone is merely busy, against a far zone filled by a near one's loss, and
-    against a zone that comes and goes. Harm: the first ops after a loss wait for the attempts that show it; a zone that
-    is held is unused though it might serve.
+    A zone counts as lost after a number of consecutive attempts, over all its nodes, that got no response. It counts as
+    up again with the first response to an attempt that was let through as a check, and is used once its hold-down is
+    over. Guards against load sent to distant zones when the own zone is merely busy, against a far zone filled up when
+    a near one is lost, and against flapping zones. Drawback: the first ops after a loss wait for the attempts that
+    detect it, and a zone that is held down is unused even if healthy.
 
-    Invariant: but in panic, no candidate is past its limit, nor in a zone that may not be used (test
-    `test_what_is_eligible_is_a_candidate_and_never_past_a_limit_but_in_panic`).
+    Invariant: except in panic mode, no candidate is over its limit or in a zone that may not be used (test
+    `test_eligible_nodes_are_candidates_and_within_limits_except_in_panic_mode`).
 
-    :param max_consecutive_unreachable: attempts in a row that reached nobody, with which a zone is lost.
-    :param usage: tells how many ops a node may have in flight and how many it has.
+    :param max_consecutive_unreachable: consecutive attempts without a response after which a zone counts as lost.
+    :param usage: returns a node's limit of ops in flight and its current number of ops in flight.
     """
 
     def __init__(
@@ -99,17 +100,17 @@
         self._spills = False
         self.counts: Counter[str] = Counter()
 
-    # What is known.
+    # State of zones.
 
     def set_node_zone(self, node: int, zone: int) -> None:
-        """Take note that a node is in that zone."""
+        """Set the zone of a node."""
         self._zone_of[node] = zone
         if zone not in self._zones:
             self._zones[zone] = _Zone(self._damping)
             self._update_tiers()
 
     def set_distance(self, zone: int, distance_ns: float) -> None:
-        """Take note of how much longer an answer takes from that zone than from the own one."""
+        """Set the distance of a zone: its extra latency compared with the own zone."""
         self._distances[self._own_zone, zone] = distance_ns
         self._update_tiers()
 
@@ -121,12 +122,12 @@
         return self._tiers
 
     def attempt_started(self, node: int) -> None:
-        """Take note of one more attempt in flight at the node."""
-        self._zone_with(node).in_flight += 1
+        """Count one more attempt in flight at the node."""
+        self._zone_of_node(node).in_flight += 1
 
     def attempt_ended(self, now: int, node: int, reached: bool) -> None:
-        """Take note that an attempt at the node has ended; `reached`: somebody answered, whatever the answer."""
-        zone = self._zone_with(node)
+        """Record the end of an attempt at the node; `reached` is whether there was any response, even an error."""
+        zone = self._zone_of_node(node)
         zone.in_flight -= 1
         if reached:
             zone.consecutive_unreachable = 0
@@ -139,24 +140,24 @@
             zone.damping.lost(now)
             self.counts["zones_lost"] += 1
 
-    def _zone_with(self, node: int) -> _Zone:
+    def _zone_of_node(self, node: int) -> _Zone:
         return self._zones[self._zone_of.get(node, self._own_zone)]
 
     def is_usable(self, now: int, zone: int) -> bool:
-        """Whether ops may go there: it is up and not held, or it is lost and time to check."""
+        """Whether ops may be sent to the zone: it is up and not held down, or it is lost and a check is due."""
         known = self._zones[zone]
         if known.damping.is_usable(now):
             return True
         checked_at = known.checked_at
         return not known.damping.is_up and (checked_at is None or now - checked_at >= LOST_ZONE_CHECK_INTERVAL_NS)
 
-    # What is decided.
+    # Selection of candidates.
 
     def eligible(self, now: int, candidates: WeightedNodes) -> WeightedNodes:
-        """Return the candidates that an op may go to: of the own zone, else of the first tier that may take spill.
+        """Return the candidates that an op may be sent to: of the own zone, or of the first tier that accepts spill.
 
-        Empty where all are full by their limits: the op waits or is rejected, and no node is overloaded. Where so few
-        nodes are usable that health can't be trusted, all candidates.
+        The result is empty if all are at their limits, and has all candidates in panic mode, when too few nodes are
+        usable for health to be trusted.
         """
         usable = self._usable_by_zone(now, candidates)
         own = usable.get(self._own_zone, [])
@@ -164,7 +165,7 @@
             self.counts["panics"] += 1
             return candidates
         if own and not self._own_zone_spills(own):
-            return self._checked(now, self._own_zone, own)
+            return self._record_check(now, self._own_zone, own)
         spill = self._spill_candidates(now, usable)
         if spill:
             self.counts["spilled"] += 1
@@ -172,7 +173,7 @@
         with_capacity = [candidate for candidate in own if self._has_capacity(candidate[0])]
         if not with_capacity:
             self.counts["unserved"] += 1
-        return self._checked(now, self._own_zone, with_capacity)
+        return self._record_check(now, self._own_zone, with_capacity)
 
     def _usable_by_zone(self, now: int, candidates: WeightedNodes) -> dict[int, list[tuple[int, float]]]:
         by_zone: dict[int, list[tuple[int, float]]] = {}
@@ -181,7 +182,7 @@
         return {zone: in_zone for zone, in_zone in by_zone.items() if self.is_usable(now, zone)}
 
     def _spill_candidates(self, now: int, usable: dict[int, list[tuple[int, float]]]) -> WeightedNodes:
-        """Return the candidates of the first tier that may take spill, empty where none may."""
+        """Return the candidates of the first tier that accepts spill; empty if none does."""
         shares = self._settings.spill_shares
         for tier, zones in enumerate(self._tiers):
             share = shares[min(tier, len(shares) - 1)] if shares else 0.0
@@ -189,12 +190,12 @@
             candidates = [candidate for zone in in_tier for candidate in self._below_share(usable[zone], share)]
             if candidates:
                 for zone in in_tier:
-                    self._checked(now, zone, candidates)
+                    self._record_check(now, zone, candidates)
                 return candidates
         return ()
 
-    def _checked(self, now: int, zone: int, candidates: WeightedNodes) -> WeightedNodes:
-        """Take note that a lost zone is being checked, where an op may go there; return the candidates."""
+    def _record_check(self, now: int, zone: int, candidates: WeightedNodes) -> WeightedNodes:
+        """Record a check if the zone is lost and an op may be sent to it; return the candidates."""
         if candidates and not self._zones[zone].damping.is_up:
             self._zones[zone].checked_at = now
         return candidates
@@ -204,14 +205,14 @@
         return limit - in_flight > 0
 
     def _own_zone_spills(self, own: WeightedNodes) -> bool:
-        """Whether the own zone is so full that ops go elsewhere, with hysteresis."""
+        """Whether the own zone is so full that ops spill to other zones, with hysteresis."""
         limit, in_flight = map(sum, zip(*(self._usage(node) for node, _ in own)))
         settings = self._settings
         self._spills = in_flight >= limit * (settings.spill_end_share if self._spills else settings.spill_begin_share)
         return self._spills
 
     def _below_share(self, candidates: WeightedNodes, share: float) -> list[tuple[int, float]]:
-        """Return the candidates of another zone that may take spill: each node up to that share of its limit."""
+        """Return the candidates of another zone that accept spill: nodes that are below that share of their limits."""
         below = []
         for node, weight in candidates:
             limit, in_flight = self._usage(node)
@@ -220,7 +221,7 @@
         return below
 
     def status(self, now: int) -> list[ZoneStatus]:
-        """Return each zone for an operator, by number."""
+        """Return the status of all zones, sorted by number."""
         return [self._status_of(now, zone) for zone in sorted(self._zones)]
 
     def _status_of(self, now: int, zone: int) -> ZoneStatus:
--- a/kestrelplank/settings/checked_dataclasses.py
+++ b/kestrelplank/settings/checked_dataclasses.py
@@ -1,7 +1,7 @@
-"""Decoded TOML or JSON as dataclasses: every field is checked first, and a misfit names the field's dotted path.
+"""Conversion of decoded TOML or JSON to dataclasses; errors name the field by its dotted path.
 
-The checks are ours and not those of the `serde` library: hers take a quarter of a second to make when a program
-starts, and do not always name the field.
+The types are checked here rather than by the `serde` library, whose checks delay the start of a program and do not
+always name the field.
 """
 
 import dataclasses
@@ -16,12 +16,12 @@
 
 Checked = TypeVar("Checked")
 SCALAR_TYPES = (str, int, float, bool, type(None))
-TOP = "top"  # how the document itself is called in a message
+DOCUMENT_PATH = "top"  # the path of the document itself in error messages
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Field:
-    """A field of a checked dataclass; `scalar_types`: types of values that surely fit, without a further look."""
+    """A field of a checked dataclass; values of one of the `scalar_types` need no further check."""
 
     name: str
     hint: object
@@ -31,25 +31,25 @@
 
 @typing.dataclass_transform()
 def checked_dataclass(cls: type[Checked]) -> type[Checked]:
-    """Make a dataclass that `decode_checked` can fill."""
+    """Decorate a class as a dataclass for `decode_checked`."""
     return deserialize(dataclasses.dataclass(cls), type_check=disabled)
 
 
 def decode_checked(target: type[Checked], data: object, path: str = "") -> Checked:
     """Return `data` as an instance of the `checked_dataclass` `target`.
 
-    :param path: the dotted path of `data` in its document, for messages.
-    :raises InvalidSettingsError: `data` does not fit; the field is named.
+    :param path: the dotted path of `data` in its document, for error messages.
+    :raises InvalidSettingsError: a field is missing or has the wrong type.
     """
     _check(target, data, path)
     try:
         return from_dict(target, data)
     except SerdeError as err:
-        raise InvalidSettingsError(str(err).splitlines()[0], field=path or TOP) from err
+        raise InvalidSettingsError(str(err).splitlines()[0], field=path or DOCUMENT_PATH) from err
 
 
 def _check(expected: object, value: object, path: str) -> None:
-    """Raise InvalidSettingsError where `value` is not of the type `expected`."""
+    """Raise InvalidSettingsError if `value` is not of the type `expected`."""
     if type(value) is expected:
         return
     fields = _fields_of(expected)
@@ -59,7 +59,7 @@
     origin, arguments = typing.get_origin(expected), typing.get_args(expected)
     if origin in (types.UnionType, typing.Union):
         if not any(_fits(member, value, path) for member in arguments):
-            raise InvalidSettingsError(f"{value!r} does not fit", field=path)
+            raise InvalidSettingsError(f"{value!r} is not of an accepted type", field=path)
     elif origin in (list, dict):
         _check_collection(origin, arguments[-1], value, path)
     elif isinstance(expected, type):
@@ -76,9 +76,9 @@
 
 
 def _check_table(fields: tuple[_Field, ...], value: object, path: str) -> None:
-    """Check each field of a table; those that are not known are passed over."""
+    """Check each field of a table; unknown fields are ignored."""
     if not isinstance(value, dict):
-        raise InvalidSettingsError(f"expected a table, got {type(value).__name__}", field=path or TOP)
+        raise InvalidSettingsError(f"expected a table, got {type(value).__name__}", field=path or DOCUMENT_PATH)
     for field in fields:
         if field.name not in value:
             if field.required:
@@ -88,7 +88,7 @@
 
 
 def _check_collection(origin: type, item_type: object, value: object, path: str) -> None:
-    """Check each item of a list, or each value of a table whose names are free."""
+    """Check each item of a list, or each value of a table with arbitrary keys."""
     if not isinstance(value, origin):
         kind = "list" if origin is list else "table"
         raise InvalidSettingsError(f"expected a {kind}, got {type(value).__name__}", field=path)
@@ -98,14 +98,14 @@
 
 
 def _check_scalar(expected: type, value: object, path: str) -> None:
-    """Check a text, number or truth value; a truth value is no number."""
+    """Check a string, number or boolean; a boolean is not accepted as a number."""
     if not isinstance(value, expected) or isinstance(value, bool) and expected is not bool:
-        raise InvalidSettingsError(f"{value!r} is no {expected.__name__}", field=path)
+        raise InvalidSettingsError(f"{value!r} is not of type {expected.__name__}", field=path)
 
 
 @cache
 def _fields_of(target: object) -> tuple[_Field, ...] | None:
-    """Return the fields of a dataclass; None of any other type."""
+    """Return the fields of a dataclass, or None for any other type."""
     if not (isinstance(target, type) and dataclasses.is_dataclass(target)):
         return None
     hints = typing.get_type_hints(target)
@@ -116,12 +116,12 @@
 
 
 def _is_required(field: "dataclasses.Field[object]") -> bool:
-    """Whether a field has no default."""
+    """Whether the field has no default."""
     return field.default is dataclasses.MISSING and field.default_factory is dataclasses.MISSING
 
 
 def _scalar_types(hint: object) -> tuple[type, ...]:
-    """Return the scalar types that a type hint names, by itself or in a union."""
+    """Return the scalar types in a type hint that is a scalar type or a union; none for a list or table."""
     if typing.get_origin(hint) in (list, dict):
         return ()
     return tuple(member for member in typing.get_args(hint) or (hint,) if member in SCALAR_TYPES)
--- a/kestrelplank/settings/ini.py
+++ b/kestrelplank/settings/ini.py
@@ -1,7 +1,7 @@
-"""The one reader of INI files: sections as msgspec structs, whose fields are of the types of `ini_fields`.
+"""Reader of INI files: sections become msgspec structs whose fields have the types of `ini_fields`.
 
-`IniFile(path, text)` parses a file; `read_section` and `read_named_sections` take its sections;
-`reject_unread_sections` refuses what nobody asked for. All that is wrong raises InvalidSettingsError.
+`IniFile(path, text)` parses a file, `read_section` and `read_named_sections` read its sections, and
+`reject_unread_sections` rejects unknown sections. Errors are raised as InvalidSettingsError.
 """
 
 import difflib
@@ -16,11 +16,11 @@
 from kestrelplank.settings.ini_syntax import Section, parse_sections
 
 Struct = TypeVar("Struct", bound=msgspec.Struct)
-LEAST_LIKENESS = 0.6  # from which a name is proposed in place of one that is not known
+MIN_SIMILARITY = 0.6  # of a known name that is suggested in place of an unknown one, from 0 to 1
 
 
 class FieldOrigin(NamedTuple):
-    """A field that was read, and where its value came from: `line 4`, or `default`."""
+    """A field that was read, and the origin of its value: `line 4`, or `default`."""
 
     section: str
     field: str
@@ -29,10 +29,10 @@
 
 
 class IniFile:
-    """An INI file, and which of its sections have been read.
+    """An INI file, which records the sections that have been read.
 
-    :param path: the file's path, for messages.
-    :raises InvalidSettingsError: the text is no INI file.
+    :param path: the file's path, for error messages.
+    :raises InvalidSettingsError: the text is not a valid INI file.
     """
 
     def __init__(self, path: str, text: str) -> None:
@@ -46,28 +46,28 @@
     def load(cls, path: str) -> "IniFile":
         """Read the file at `path`.
 
-        :raises InvalidSettingsError: it cannot be read, or is no INI file.
+        :raises InvalidSettingsError: it cannot be read, or is not a valid INI file.
         """
         try:
             return cls(path, Path(path).read_bytes().decode())
         except OSError as err:
             raise InvalidSettingsError(f"can't be read: {err.strerror}", file=path) from None
         except UnicodeDecodeError as err:
-            raise InvalidSettingsError(f"not text: byte {err.start} is no UTF-8", file=path) from None
+            raise InvalidSettingsError(f"expected UTF-8 text, but byte {err.start} is not valid", file=path) from None
 
     def error(self, section: Section | None, field: str | None, reason: str) -> InvalidSettingsError:
-        """Return what to raise where fields do not go together; it names the field's line, or else the section's."""
+        """Return an error for the caller to raise; it names the line of the field, or else of the section."""
         if section is None:
             return InvalidSettingsError(reason, file=self.path)
         line = section.fields[field].line if field in section.fields else section.line
         return InvalidSettingsError(reason, file=self.path, line=line, section=str(section), field=field or "")
 
     def find_section(self, kind: str, name: str = "") -> Section | None:
-        """Return the section of that kind and name, if there is one."""
+        """Return the section of that kind and name, or None."""
         return next((section for section in self.sections if (section.kind, section.name) == (kind, name)), None)
 
     def read_section(self, kind: str, struct: type[Struct]) -> Struct:
-        """Return the section of that kind, which has no name; its defaults where there is none.
+        """Return the unnamed section of that kind, with defaults if the file does not have it.
 
         :raises InvalidSettingsError: a field cannot be used, or is missing.
         """
@@ -79,14 +79,14 @@
         return self._read(section, struct)
 
     def read_named_sections(self, kind: str, struct: type[Struct]) -> list[tuple[Section, Struct]]:
-        """Return all sections of that kind, each with a name of its own, in the order of the file.
+        """Return all named sections of that kind, in the order of the file.
 
         :raises InvalidSettingsError: a field cannot be used, or is missing.
         """
         return [(section, self._read(section, struct)) for section in self.named_sections(kind)]
 
     def named_sections(self, kind: str) -> list[Section]:
-        """Return the same as they are written, for who reads fields whose names are not known beforehand."""
+        """Return all named sections of that kind as text, for callers whose field names are not fixed."""
         self._known_titles[f"{kind} NAME"] = None
         sections = [section for section in self.sections if section.kind == kind and section.name]
         for section in sections:
@@ -94,25 +94,25 @@
         return sections
 
     def reject_unread_sections(self) -> None:
-        """Refuse a file with sections that nobody asked for.
+        """Reject the file if it has sections that have not been read.
 
-        :raises InvalidSettingsError: there is one; the first is named.
+        :raises InvalidSettingsError: there is such a section; the first one is named.
         """
         for section in self._unread:
             title = f"{section.kind} NAME" if section.name else section.kind
-            reason = f"no section is called {section}{proposal(title, self._known_titles)}"
+            reason = f"unknown section {section}{suggestion(title, self._known_titles)}"
             raise InvalidSettingsError(reason, file=self.path, line=section.line)
 
     def _mark_read(self, section: Section) -> None:
-        """Note that somebody asked for that section."""
+        """Record that the section has been read."""
         self._unread = [other for other in self._unread if other is not section]
 
     def _read(self, section: Section, struct: type[Struct]) -> Struct:
-        """Return a section as a struct; fields have the names that the struct encodes them by."""
+        """Return a section as a struct; the keys of the file are the struct's encoded field names."""
         fields = {field.encode_name: field for field in msgspec.structs.fields(struct)}
         for name in section.fields:
             if name not in fields:
-                raise self.error(section, name, "no field is called that" + proposal(name, fields))
+                raise self.error(section, name, "unknown field" + suggestion(name, fields))
         values = {}
         for name, field in fields.items():
             if name in section.fields:
@@ -126,13 +126,13 @@
         return struct(**values)
 
     def _missing(self, section: Section, name: str) -> InvalidSettingsError:
-        """Return what to raise where a field without a default is not given; a section of line 0 is not there."""
+        """Return the error for a missing field without a default; a section that is not in the file has line 0."""
         if section.line:
             return self.error(section, None, f"field {name} of {section}: missing")
-        return self.error(None, None, f"field {name} of {section}: missing, as is its section")
+        return self.error(None, None, f"field {name} of {section}: missing, and so is the section")
 
     def _value(self, section: Section, name: str, field_type: object) -> object:
-        """Return a field's value, checked against the bounds of its type."""
+        """Return the value of a field, checked against the bounds of its type."""
         text = section.fields[name].text.strip()
         try:
             value: object = msgspec.convert(reader_of(field_type)(text), field_type)
@@ -144,10 +144,10 @@
         return value
 
 
-def proposal(name: str, known_names: Iterable[str]) -> str:
-    """Return `; is x meant?` where a known name is near, else `; there are` and the known names."""
+def suggestion(name: str, known_names: Iterable[str]) -> str:
+    """Return `; did you mean x?` if a known name is similar, otherwise a list of the known names."""
     known = list(known_names)
-    close = difflib.get_close_matches(name, known, 1, LEAST_LIKENESS)
+    close = difflib.get_close_matches(name, known, 1, MIN_SIMILARITY)
     if close:
-        return f"; is {close[0]} meant?"
-    return f"; there are {', '.join(known)}" if known else ""
+        return f"; did you mean {close[0]}?"
+    return f"; expected one of {', '.join(known)}" if known else ""
--- a/kestrelplank/settings/ini_fields.py
+++ b/kestrelplank/settings/ini_fields.py
@@ -1,6 +1,6 @@
-"""Types of fields in INI files, each with the function that reads its text.
+"""Types of fields in INI files, each with the function that parses its text.
 
-Further bounds go on top: `Annotated[Count, Meta(ge=1)]`.
+Bounds can be added: `Annotated[Count, Meta(ge=1)]`.
 """
 
 import math
@@ -21,9 +21,9 @@
 
 
 def parse_duration(text: str) -> int:
-    """Return `1.5s`, `200ms` or `2min` as whole ns; 0 needs no unit.
+    """Parse a duration such as `1.5s`, `200ms` or `2min` to whole ns; 0 needs no unit.
 
-    :raises ValueError: the text is no time of 0 or more.
+    :raises ValueError: the text is not a duration of 0 or more, or it is too long.
     """
     match = re.fullmatch(rf"({NUMBER})\s*([a-z]+)?", text)
     amount = float(match[1]) if match else math.nan
@@ -31,29 +31,29 @@
     if unit is None and amount == 0:
         unit = "ns"
     if unit not in NS_PER_UNIT:
-        raise ValueError(f"expected a time such as 200ms or 1.5s, got {text!r}")
+        raise ValueError(f"expected a duration such as 200ms or 1.5s, got {text!r}")
     if not 0 <= amount < LARGEST / NS_PER_UNIT["h"]:
-        raise ValueError(f"expected a time of 0 or more, got {text!r}")
+        raise ValueError(f"expected a duration of 0 or more that is not too long, got {text!r}")
     return round(amount * NS_PER_UNIT[unit])
 
 
 def parse_duration_range(text: str) -> tuple[int, int]:
-    """Return `4s..7s` as two times in ns; one time is a range of itself.
+    """Parse a range such as `4s..7s` to its lower and upper bounds in ns; a single duration is both bounds.
 
-    :raises ValueError: the text is no range, or one from more to less.
+    :raises ValueError: the text is not a range, or its lower bound is greater than its upper bound.
     """
     least, dots, most = text.partition("..")
     low = parse_duration(least.strip())
     high = parse_duration(most.strip()) if dots else low
     if low > high:
-        raise ValueError(f"expected a range from less to more, got {text!r}")
+        raise ValueError(f"expected a range such as 4s..7s with the shorter duration first, got {text!r}")
     return low, high
 
 
 def parse_number(text: str) -> float:
-    """Return a number of 0 or more.
+    """Parse a number of 0 or more.
 
-    :raises ValueError: the text is none.
+    :raises ValueError: the text is not such a number.
     """
     if not re.fullmatch(NUMBER, text) or not 0 <= float(text) < LARGEST:
         raise ValueError(f"expected a number of 0 or more, got {text!r}")
@@ -61,20 +61,20 @@
 
 
 def parse_fraction(text: str) -> float:
-    """Return `10%` or `0.1` as 0.1.
+    """Parse a fraction such as `10%` or `0.1`.
 
-    :raises ValueError: the text is no number from 0 to 1.
+    :raises ValueError: the text is not a number from 0 to 1 or a percentage from 0% to 100%.
     """
     fraction = parse_number(text[:-1].rstrip()) / 100 if text.endswith("%") else parse_number(text)
     if fraction > 1:
-        raise ValueError(f"expected a share up to 100%, got {text!r}")
+        raise ValueError(f"expected a number from 0 to 1 or a percentage up to 100%, got {text!r}")
     return fraction
 
 
 def parse_count(text: str) -> int:
-    """Return a whole number of 0 or more.
+    """Parse a whole number of 0 or more.
 
-    :raises ValueError: the text is none.
+    :raises ValueError: the text is not such a number.
     """
     if not re.fullmatch(r"\+?\d{1,18}", text):
         raise ValueError(f"expected a whole number of 0 or more, got {text!r}")
@@ -82,28 +82,28 @@
 
 
 def parse_flag(text: str) -> bool:
-    """Return yes or no, in one of their spellings.
+    """Parse a boolean, written as one of `FLAGS` in any letter case.
 
-    :raises ValueError: the text is neither.
+    :raises ValueError: the text is none of them.
     """
     if text.lower() not in FLAGS:
-        raise ValueError(f"expected yes or no, got {text!r}")
+        raise ValueError(f"expected yes or no (or on, off, true, false), got {text!r}")
     return FLAGS[text.lower()]
 
 
 def parse_words(text: str) -> tuple[str, ...]:
-    """Return the words between commas.
+    """Parse a comma-separated list of words.
 
     :raises ValueError: a word is empty.
     """
     words = tuple(word.strip() for word in text.split(",")) if text.strip() else ()
     if "" in words:
-        raise ValueError(f"expected words between commas, got {text!r}")
+        raise ValueError(f"expected words separated by commas, none of them empty, got {text!r}")
     return words
 
 
 def _read_by(reader: Reader) -> Meta:
-    """Return the annotation of a type whose text that function reads."""
+    """Return the type annotation that names the function that parses the field."""
     return Meta(extra={"reader": reader})
 
 
@@ -117,7 +117,7 @@
 
 
 def reader_of(field_type: object) -> Reader:
-    """Return what reads the text of a field of that type; of `X | None` that of X, and else the text as it is."""
+    """Return the function that parses a field of that type; for `X | None` that of X, and `str` by default."""
     if get_origin(field_type) in (Union, UnionType):
         return next((reader_of(member) for member in get_args(field_type) if member is not NoneType), str)
     for annotation in getattr(field_type, "__metadata__", ()):
--- a/kestrelplank/settings/ini_syntax.py
+++ b/kestrelplank/settings/ini_syntax.py
@@ -1,4 +1,4 @@
-"""The form of an INI file: sections and fields as text, each with the line that it stands on."""
+"""Syntax of INI files: sections and fields as text, each with its line number."""
 
 import configparser
 from dataclasses import dataclass, field
@@ -6,11 +6,11 @@
 
 from kestrelplank.settings.errors import InvalidSettingsError
 
-LONGEST_QUOTED_TEXT = 60  # characters of a wrong line that a message repeats
+MAX_QUOTED_CHARS = 60  # of an invalid line in an error message
 
 
 class FieldText(NamedTuple):
-    """A field as it is written; `line` counts from 1."""
+    """The text of a field and its line, counted from 1."""
 
     text: str
     line: int
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, eq=False)
 class Section:
-    """A section as it is written: `[fault first]` is of the kind `fault` and has the name `first`."""
+    """The text of a section: `[fault first]` has the kind `fault` and the name `first`."""
 
     kind: str
     name: str
@@ -30,14 +30,14 @@
 
 
 def parse_sections(path: str, text: str) -> list[Section]:
-    """Return the sections of an INI file in their order.
+    """Return the sections of an INI file in the order of the file.
 
-    :param path: the file's path, for messages.
-    :raises InvalidSettingsError: the text is no INI file, or a section or field stands twice.
+    :param path: the file's path, for error messages.
+    :raises InvalidSettingsError: the text is not a valid INI file, or it has a duplicate section or field.
     """
     parser = _parsed(path, text)
     sections: list[Section] = []
-    for line, source in enumerate(text.splitlines(), 1):  # configparser keeps no lines, so these are found again
+    for line, source in enumerate(text.splitlines(), 1):  # configparser does not keep line numbers
         header = parser.SECTCRE.match(source)
         if header and header["header"] in parser:
             kind, _, name = header["header"].partition(" ")
@@ -48,30 +48,32 @@
 
 
 def _parsed(path: str, text: str) -> configparser.RawConfigParser:
-    """Return the file as the standard library reads it."""
+    """Parse the file with the standard library."""
     parser = configparser.RawConfigParser(
         delimiters=("=",), inline_comment_prefixes=("#",), default_section="", empty_lines_in_values=False
     )
-    parser.optionxform = str.strip  # type: ignore[assignment, method-assign] # the documented way to keep capitals
+    parser.optionxform = str.strip  # type: ignore[assignment, method-assign] # the documented way to keep the case of keys
     try:
         parser.read_string(text)
     except configparser.MissingSectionHeaderError as err:
-        raise InvalidSettingsError("a field before the first section", file=path, line=err.lineno) from None
+        raise InvalidSettingsError(
+            "field before the first section, expected [SECTION]", file=path, line=err.lineno
+        ) from None
     except configparser.DuplicateOptionError as err:
-        reason = f"the field {err.option} stands twice"
+        reason = f"duplicate field {err.option}"
         raise InvalidSettingsError(reason, file=path, line=err.lineno, section=f"[{err.section}]") from None
     except configparser.DuplicateSectionError as err:
-        reason = "the section stands twice"
+        reason = "duplicate section"
         raise InvalidSettingsError(reason, file=path, line=err.lineno, section=f"[{err.section}]") from None
     except configparser.ParsingError as err:
         line, source = err.errors[0]
-        reason = f"neither a section nor a field: {source[:LONGEST_QUOTED_TEXT]}"
+        reason = f"neither a section nor a field: {source[:MAX_QUOTED_CHARS]}"
         raise InvalidSettingsError(reason, file=path, line=line) from None
     return parser
 
 
 def _add_field(section: Section, parser: configparser.RawConfigParser, line: int, source: str) -> None:
-    """Add the field that begins on this line to its section, if one does."""
+    """Add the field that starts on this line, if there is one, to the section."""
     name, delimiter, _ = source.partition("=")
     name, title = name.strip(), f"{section.kind} {section.name}".strip()
     if delimiter and not source[:1].isspace() and title in parser and name in parser[title]:
--- a/kestrelplank/settings/json_logging.py
+++ b/kestrelplank/settings/json_logging.py
@@ -1,4 +1,4 @@
-"""Logs of the gateway: one JSON object a line on standard output, short sentences that begin with their part's name."""
+"""JSON logging of the gateway: one object per line on standard output."""
 
 import logging
 import sys
@@ -9,7 +9,7 @@
 
 
 def configure_json_logging(node_name: str, level: str = "INFO") -> None:
-    """Log one JSON object a line, with the time, the level, the node's name and the sentence."""
+    """Log one JSON object per line, with the time, level, node name and message."""
     handler = logging.StreamHandler(sys.stdout)
     handler.setFormatter(
         JsonFormatter(
--- a/kestrelplank/settings/operator.py
+++ b/kestrelplank/settings/operator.py
@@ -1,6 +1,6 @@
-"""The operator's own file: what this installation adds to the platform's configuration. Without a file all is off.
+"""The operator's INI file: optional features beyond the platform's configuration, all off without a file.
 
-Fields have the program's names; `name=` gives the key of the file where it is another.
+A field with `name=` has that key in the file; for other fields the key is the field's name.
 """
 
 from typing import Annotated, Literal
@@ -11,58 +11,58 @@
 from kestrelplank.settings.ini_fields import Count, Duration, Flag, Fraction, Number, Words
 from kestrelplank.time_units import MILLISECOND
 
-INI_VARIABLE = "KESTRELPLANK_INI"  # names the file where no option does
+INI_VARIABLE = "KESTRELPLANK_INI"  # path of the file if no option gives it
 
 
 class NodeFileSettings(Struct, frozen=True, kw_only=True):
-    """[nodes]: node lists in watched files. Without `files` there are none."""
+    """[nodes]: node lists in watched files; off if `files` is empty."""
 
-    # Paths, or patterns in the last part.
+    # Paths; the last component may be a pattern.
     files: Words = ()
-    # Who says which nodes there are; the other only takes away.
+    # The source that decides which nodes exist; the other source can only remove nodes.
     authority: Literal["files", "discovery"] = "files"
-    # For so long a file must not change before it is read.
+    # Time for which a file must be unchanged before it is read.
     quiet_period_ns: Annotated[Duration, Meta(ge=1 * MILLISECOND, le=60_000 * MILLISECOND)] = field(
         default=200 * MILLISECOND, name="quiet"
     )
-    # Files are looked at so often, with or without events.
+    # Interval at which files are checked, with or without events.
     poll_interval_ns: Annotated[Duration, Meta(ge=10 * MILLISECOND)] = field(default=2_000 * MILLISECOND, name="poll")
-    # Whether inotify is used where it is to be had.
+    # Whether inotify is used if available.
     events: Flag = True
-    # Whether the last line must count the nodes.
+    # Whether the last line must state the number of nodes.
     trailer_required: Flag = field(default=False, name="trailer")
-    # Of one file.
+    # Limit on the size of one file.
     max_file_bytes: Annotated[Count, Meta(ge=1)] = field(default=1 << 22, name="most_bytes")
     max_nodes: Annotated[Count, Meta(ge=1)] = field(default=10_000, name="most_nodes")
-    # Of the ready nodes, what one change may close without a confirmation.
+    # Fraction of the ready nodes that one change may close without confirmation.
     max_closed_fraction: Fraction = field(default=0.25, name="most_closed")
-    # The same content for so long is a confirmation; 0: it is none.
+    # Time after which unchanged content counts as confirmed; 0: never.
     confirmation_period_ns: Duration = field(default=60_000 * MILLISECOND, name="stand")
     zone_may_empty: Flag = False
-    # Of itself that a weight may move in a second; 0: at once.
+    # Fraction of itself by which a weight may change per second; 0: without limit.
     weight_step: Fraction = 0.1
-    # Of a node that has vanished from the files; None: that of the platform's settings.
+    # Grace period of a node that was removed from the files; None: as in the platform's settings.
     grace_ns: Duration | None = field(default=None, name="grace")
-    # Keeps the set in force over a restart; empty: nothing is kept.
+    # File that keeps the node set in force across restarts; empty: not kept.
     state_path: str = field(default="", name="state")
 
 
 class MembershipSettings(Struct, frozen=True, kw_only=True):
-    """[members]: what assigners know of each other, over datagrams, where the platform's settings allow them."""
+    """[members]: failure detection among assigners over datagrams, if the platform's settings allow it."""
 
     enabled: Flag = field(default=False, name="on")
     heartbeat_interval_ns: Annotated[Duration, Meta(ge=20 * MILLISECOND)] = field(
         default=200 * MILLISECOND, name="every"
     )
-    # Values of phi (Hayashibara et al. 2004) from which a member is suspected, and from which it is dead.
+    # Values of phi (Hayashibara et al. 2004) from which a member is suspected, and considered dead.
     suspect_phi: Annotated[Number, Meta(ge=0.5)] = field(default=3.0, name="suspect")
     dead_phi: Annotated[Number, Meta(ge=0.5)] = field(default=8.0, name="dead")
-    # Heartbeats missed before which nobody is dead.
+    # Missed heartbeats required before a member is considered dead.
     min_missed_heartbeats: Annotated[Count, Meta(ge=1)] = field(default=5, name="grace")
 
 
 class StatusSocketSettings(Struct, frozen=True, kw_only=True):
-    """[status]: a Unix socket that shows a running assigner's state to its owner; none where the path is empty."""
+    """[status]: a Unix socket that shows a running assigner's state to its owner; off if the path is empty."""
 
     path: str = field(default="", name="socket")
 
@@ -76,9 +76,9 @@
 
 
 def read_operator_settings(ini: IniFile) -> OperatorSettings:
-    """Return what the operator's file says.
+    """Read the operator's settings.
 
-    :raises InvalidSettingsError: some of it cannot be used.
+    :raises InvalidSettingsError: they cannot be used.
     """
     settings = OperatorSettings(
         nodes=ini.read_section("nodes", NodeFileSettings),
@@ -86,6 +86,6 @@
         status=ini.read_section("status", StatusSocketSettings),
     )
     if settings.members.suspect_phi > settings.members.dead_phi:
-        raise ini.error(ini.find_section("members"), "suspect", "nobody is dead before being suspected")
+        raise ini.error(ini.find_section("members"), "suspect", "expected a value not greater than `dead`")
     ini.reject_unread_sections()
     return settings
--- a/kestrelplank/settings/platform.py
+++ b/kestrelplank/settings/platform.py
@@ -1,7 +1,7 @@
-"""The platform's settings file (TOML), which tells a process of the gateway who and where it is.
+"""The platform's settings file (TOML): the identity, addresses and limits of a gateway process.
 
-It is read once and checked as a whole; fields that are not named here are passed over. Names and units of the
-dataclasses are the file's.
+It is read once and checked completely; unknown fields are ignored. The dataclasses have the names and units of the
+file.
 """
 
 import os
@@ -14,19 +14,19 @@
 from kestrelplank.settings.errors import InvalidSettingsError
 
 SETTINGS_VARIABLE = "KESTRELPLANK_SETTINGS"
-LARGEST_PORT = 65535
+MAX_PORT = 65535
 
 
 @checked_dataclass
 class Limits:
-    """`local_system.limits`: what this process may use of the machine."""
+    """`local_system.limits`: resources of the machine that this process may use."""
 
     memory_mb: int | float = 256
 
 
 @checked_dataclass
 class LocalSystem:
-    """`local_system`: this machine. `initial_boot`: the whole system starts for the first time."""
+    """`local_system`: this machine. `initial_boot` is whether the whole system starts for the first time."""
 
     node_name: str
     ip_address: str
@@ -39,7 +39,7 @@
 
 @checked_dataclass
 class Network:
-    """`network`: our ports, the core machines to begin with, and where this process listens for what it serves."""
+    """`network`: ports of the gateway, seed machines, and the addresses at which this process listens, by service."""
 
     internal_port_range: list[int]
     seed_nodes: list[str]
@@ -48,14 +48,14 @@
 
 @checked_dataclass
 class CloudApi:
-    """`platform.cloud_api`: where the platform lists the servers."""
+    """`platform.cloud_api`: the API through which the platform lists the servers."""
 
     address: str
 
 
 @checked_dataclass
 class Bounds:
-    """`policy_terms.bounds`: the rules that the platform holds a process to."""
+    """`policy_terms.bounds`: limits that the platform imposes on a process."""
 
     grace_s: int | float = 6
     drain_s: int | float = 2.5
@@ -66,13 +66,13 @@
 
 @checked_dataclass
 class FaultTolerance:
-    """`policy_terms.fault_tolerance`: how many of the machines whose loss counts may be lost at once."""
+    """`policy_terms.fault_tolerance`: how many of the machines whose loss counts may be lost at the same time."""
 
     machine_losses: int = 1
 
 
 class PlatformSettings(NamedTuple):
-    """One process's settings as the platform wrote them; each field is a table of the file."""
+    """The platform's settings for one process; each field is a table of the file."""
 
     local_system: LocalSystem
     network: Network
@@ -83,7 +83,7 @@
     def listen_address(self, name: str) -> tuple[str, int]:
         """Return the host and port at which this process listens for `name`.
 
-        :raises InvalidSettingsError: the file does not say, or not with a port.
+        :raises InvalidSettingsError: the file has no address for it, or one without a valid port.
         """
         address = self.network.listen_addresses.get(name)
         if address is None:
@@ -91,25 +91,25 @@
         return parse_address(address, f"network.listen_addresses.{name}")
 
     def internal_port(self) -> int:
-        """Return the port at which members and edges meet: the first of ours, alike on all machines of a day."""
+        """Return the port for traffic between members and edges, which is the same on all machines."""
         return self.network.internal_port_range[0]
 
 
 def load_from_environment() -> PlatformSettings:
-    """Read the settings file that the platform names in the environment.
+    """Read the settings file whose path is in the environment variable `SETTINGS_VARIABLE`.
 
-    :raises InvalidSettingsError: none is named, or it cannot be used.
+    :raises InvalidSettingsError: the variable is not set, or the file cannot be used.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise InvalidSettingsError("not set", field=SETTINGS_VARIABLE)
+        raise InvalidSettingsError("not set, expected the path of the settings file", field=SETTINGS_VARIABLE)
     return load(path)
 
 
 def load(path: str) -> PlatformSettings:
     """Read the settings file at `path`.
 
-    :raises InvalidSettingsError: it cannot be used; the one line names file and field.
+    :raises InvalidSettingsError: it cannot be used; the text names file and field.
     """
     try:
         with Path(path).open("rb") as file:
@@ -125,7 +125,7 @@
 
 
 def _decode(data: dict[str, object]) -> PlatformSettings:
-    """Return the tables that this program reads, each field of the right type."""
+    """Return the tables that this program uses, with the type of each field checked."""
     return PlatformSettings(
         local_system=decode_checked(LocalSystem, _table(data, "local_system"), "local_system"),
         network=decode_checked(Network, _table(data, "network"), "network"),
@@ -138,34 +138,38 @@
 
 
 def _table(data: object, path: str) -> object:
-    """Return the table at that dotted path, an empty one where there is none."""
+    """Return the table at that dotted path, or an empty one."""
     for name in path.split("."):
         data = data.get(name, {}) if isinstance(data, dict) else {}
     return data
 
 
 def _check_values(settings: PlatformSettings) -> None:
-    """Raise InvalidSettingsError where a field of the right type holds what it must not."""
+    """Raise InvalidSettingsError if the value of a field is out of range."""
     if not settings.network.internal_port_range or not settings.network.seed_nodes:
         raise InvalidSettingsError("internal_port_range and seed_nodes must not be empty", field="network")
     max_hold_s = settings.bounds.max_hold_s
     if max_hold_s <= 0:
-        raise InvalidSettingsError(f"{max_hold_s} is not above 0", field="policy_terms.bounds.max_hold_s")
+        raise InvalidSettingsError(
+            f"expected a number greater than 0, got {max_hold_s}", field="policy_terms.bounds.max_hold_s"
+        )
     losses = settings.fault_tolerance.machine_losses
     if losses < 0:
-        raise InvalidSettingsError(f"{losses} is below 0", field="policy_terms.fault_tolerance.machine_losses")
+        raise InvalidSettingsError(
+            f"expected 0 or more, got {losses}", field="policy_terms.fault_tolerance.machine_losses"
+        )
     for index, address in enumerate(settings.network.seed_nodes):
         parse_address(address, f"network.seed_nodes[{index}]")
     parse_address(settings.cloud_api.address, "platform.cloud_api.address")
 
 
 def parse_address(address: str, field: str = "address") -> tuple[str, int]:
-    """Return `10.0.0.1:80` as host and port.
+    """Split an address such as `10.0.0.1:80` into host and port.
 
-    :param field: how the address is called in a message.
-    :raises InvalidSettingsError: it is no address with a port.
+    :param field: the name of the address in error messages.
+    :raises InvalidSettingsError: it is not a host and a port.
     """
     host, _, port = address.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) <= LARGEST_PORT:
-        raise InvalidSettingsError(f"{address!r} is no address with a port", field=field)
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
+        raise InvalidSettingsError(f"expected HOST:PORT with a port from 1 to 65535, got {address!r}", field=field)
     return host, int(port)
--- a/kestrelplank/settings/skip_unused_libraries.py
+++ b/kestrelplank/settings/skip_unused_libraries.py
@@ -1,7 +1,7 @@
-"""Importing this module keeps libraries from loading what we do not use of them, where the machine happens to have it.
+"""Importing this module prevents libraries from importing optional dependencies that the program does not use.
 
-numpy beside pyserde and trio beside httpcore double the time of a start, in which nobody is served. It must be
-imported before them.
+pyserde would import numpy and httpcore would import trio if they are installed, which delays the start. This module
+must be imported before them.
 """
 
 import sys
@@ -9,4 +9,4 @@
 UNUSED_LIBRARIES = ("numpy", "orjson", "trio")
 
 for library in UNUSED_LIBRARIES:
-    sys.modules.setdefault(library, None)  # type: ignore[arg-type] # None makes the import fail, as the language says
+    sys.modules.setdefault(library, None)  # type: ignore[arg-type] # None makes the import fail
--- a/kestrelplank/time_units.py
+++ b/kestrelplank/time_units.py
@@ -1,8 +1,8 @@
-"""Units of time. Every duration and every instant inside the program is a whole number of nanoseconds.
+"""Units of time. All durations and times inside the program are whole nanoseconds.
 
-A duration's name ends in `_ns` (`HEARTBEAT_INTERVAL_NS`), that of an instant of the steady clock in `_at` or `_until`
-(`heard_at`, `lease_until`); the parameter `now` is such an instant. A float in seconds, as some libraries want it, has
-a name that ends in `_s`.
+Names of durations end in `_ns` (`HEARTBEAT_INTERVAL_NS`); names of times of the monotonic clock end in `_at` or
+`_until` (`sent_at`, `lease_until`), and the parameter `now` is such a time. Names of floats in seconds, which some
+libraries require, end in `_s`.
 """
 
 MILLISECOND = 1_000_000
@@ -10,5 +10,5 @@
 
 
 def seconds_to_ns(seconds: float) -> int:
-    """Return a duration that users or a protocol write in seconds as whole nanoseconds."""
+    """Convert a duration in seconds, as users or a protocol give it, to whole nanoseconds."""
     return round(seconds * SECOND)
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -266,7 +266,7 @@
         ("target = 700ms", "target = 3s", "within the op timeout"),
         ("zones = niagara, windsor, toronto", "zones = a, a", "each once"),
         ("settle = 2s", "settle = 20s", "nothing is left"),
-        ("[nodes]", "[node]", "no section is called [node]; is nodes meant?"),
+        ("[nodes]", "[node]", "unknown section [node]; did you mean nodes?"),
         ("work = 100ms", "work = 0", "expected some"),
         ("warm_up = 4s", "cancel = some", "expected waiting, all or none"),
         ("nodes = 9", "nodes = 0", "expected `int` >= 1"),
--- a/tests/load_balancing/test_concurrency_limits.py
+++ b/tests/load_balancing/test_concurrency_limits.py
@@ -9,40 +9,40 @@
 
 
 def latencies_at_a_node(limit, seconds, capacity, work, offered, seed=1):
-    """Return the latencies (ns) at a node of so many cores, each op `work` ns: what is over the capacity waits there."""
-    random, free, now, times, out = Random(seed), [0] * capacity, 0, [], []
+    """Return the latencies (ns) of ops of `work` ns at a node of `capacity` cores, where excess ops queue."""
+    random, core_free_at, now, latencies, in_flight = Random(seed), [0] * capacity, 0, [], []
     while now < seconds * S:
         now += round(random.expovariate(offered) * S)
-        while out and out[0][0] <= now:
-            _, time = out.pop(0)
-            limit.attempt_ended(time)
+        while in_flight and in_flight[0][0] <= now:
+            _, latency = in_flight.pop(0)
+            limit.attempt_ended(latency)
         if limit.has_capacity():
             limit.attempt_started()
-            begin = max(now, min(free))
-            free[free.index(min(free))] = begin + work
-            times.append(begin + work - now)
-            out.append((begin + work, begin + work - now))
-            out.sort()
-    return times
+            begin = max(now, min(core_free_at))
+            core_free_at[core_free_at.index(min(core_free_at))] = begin + work
+            latencies.append(begin + work - now)
+            in_flight.append((begin + work, begin + work - now))
+            in_flight.sort()
+    return latencies
 
 
-def test_under_overload_the_limit_keeps_latencies_near_the_best_and_most_of_the_work():
-    bound, free = (
+def test_limit_keeps_latency_low_and_throughput_high_under_overload():
+    adaptive, fixed = (
         GradientLimit(ConcurrencyLimitSettings(initial=20, tolerance=2.0)),
         GradientLimit(ConcurrencyLimitSettings(initial=10_000, minimum=10_000, maximum=10_000)),
     )
-    limited, unlimited = (sorted(latencies_at_a_node(limit, 20, 4, 50 * MS, 120)) for limit in (bound, free))
+    limited, unlimited = (sorted(latencies_at_a_node(limit, 20, 4, 50 * MS, 120)) for limit in (adaptive, fixed))
     assert limited[len(limited) // 2] < 250 * MS < S < unlimited[len(unlimited) // 2]
     assert len(limited) > 0.9 * 20 * 4 / 0.05
 
 
-def test_with_capacity_to_spare_the_limit_is_never_reached():
+def test_limit_does_not_restrict_a_node_with_spare_capacity():
     limit = GradientLimit(ConcurrencyLimitSettings(initial=20))
-    times = latencies_at_a_node(limit, 20, 40, 50 * MS, 200)
-    assert len(times) > 3700 and limit.limit >= 20
+    latencies = latencies_at_a_node(limit, 20, 40, 50 * MS, 200)
+    assert len(latencies) > 3700 and limit.limit >= 20
 
 
-def test_a_limit_that_is_not_reached_does_not_grow():
+def test_unused_limit_does_not_grow():
     limit = GradientLimit(ConcurrencyLimitSettings(initial=20, window=1))
     for _ in range(400):
         limit.attempt_started()
@@ -50,7 +50,7 @@
     assert limit.limit == 20
 
 
-def test_failures_shrink_the_limit_to_its_minimum_and_good_answers_bring_it_back():
+def test_limit_shrinks_to_minimum_on_failures_and_recovers_on_success():
     limit = GradientLimit(ConcurrencyLimitSettings(initial=20, minimum=2, window=1))
     for _ in range(100):
         limit.attempt_started()
@@ -64,11 +64,11 @@
     assert limit.limit > 20
 
 
-def test_a_node_that_has_become_slower_for_good_is_judged_by_that_after_two_generations():
+def test_best_latency_follows_a_permanently_slower_node_after_two_generations():
     limit = GradientLimit(ConcurrencyLimitSettings(initial=20, window=1))
-    for time in [MS] * 50 + [9 * MS] * 3000:
+    for latency in [MS] * 50 + [9 * MS] * 3000:
         limit.attempt_started()
-        limit.attempt_ended(time)
+        limit.attempt_ended(latency)
     assert limit.best_latency_ns() == 9 * MS
 
 
@@ -77,15 +77,15 @@
     some.integers(1, 9),
     some.integers(10, 50),
 )
-def test_a_limit_stays_within_its_settings_whatever_is_met(times, least, most):
+def test_limit_stays_between_minimum_and_maximum_for_any_latencies(latencies, least, most):
     limit = GradientLimit(ConcurrencyLimitSettings(initial=10, minimum=least, maximum=most, window=3))
-    for time in times:
+    for latency in latencies:
         limit.attempt_started()
-        limit.attempt_ended(time)
+        limit.attempt_ended(latency)
         assert least <= limit.limit <= most and limit.in_flight == 0
 
 
-def test_limits_are_by_node_and_op_type_and_forgotten_with_the_node():
+def test_limits_are_per_node_and_op_type_and_removed_with_the_node():
     limits = ConcurrencyLimits(ConcurrencyLimitSettings(initial=1, minimum=1))
     limits.attempt_started(7, 0)
     assert not limits.has_capacity(7, 0) and limits.has_capacity(7, 1) and limits.has_capacity(8, 0)
--- a/tests/load_balancing/test_connection_pool.py
+++ b/tests/load_balancing/test_connection_pool.py
@@ -20,26 +20,26 @@
     return pool
 
 
-def test_an_idle_connection_is_used_before_one_is_dialled_the_last_one_first():
+def test_most_recently_used_idle_connection_is_reused_before_dialling():
     pool = dialled(pool_of(), 1, 2)
     assert pool.release(0, 1, True) and pool.release(1, 2, True)
     assert [pool.acquire(2) for _ in range(4)] == [2, 1, DIAL, WAIT]
 
 
-def test_a_connection_that_the_node_ends_or_that_has_had_its_uses_is_not_kept():
+def test_connection_not_reusable_or_at_max_uses_is_not_kept():
     pool = dialled(pool_of(max_uses=2), 1, 2)
     assert not pool.release(0, 1, False) and pool.release(0, 2, True)
     assert pool.acquire(0) == 2 and not pool.release(0, 2, True) and pool.counts() == (0, 0, 0)
 
 
-def test_a_connection_that_is_idle_too_long_is_not_used_and_is_closed():
+def test_expired_idle_connection_is_not_reused_and_is_closed():
     pool = dialled(pool_of(), 1, 2)
     pool.release(0, 1, True)
     pool.release(5 * S, 2, True)
     assert pool.expire_idle(10 * S) == [1] and pool.acquire(16 * S) == DIAL and pool.expire_idle(16 * S) == [2]
 
 
-def test_a_dial_that_fails_allows_another():
+def test_failed_dial_frees_its_slot():
     pool = pool_of(max_connections=1)
     assert pool.acquire(0) == DIAL and pool.acquire(0) == WAIT
     pool.dial_failed()
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("busy", [True, False])
-def test_a_connection_that_ends_by_itself_is_forgotten(busy):
+def test_lost_connection_is_removed_from_the_pool(busy):
     pool = dialled(pool_of(max_connections=1), 1)
     if not busy:
         pool.release(0, 1, True)
@@ -55,7 +55,7 @@
     assert pool.counts() == (0, 0, 0) and pool.acquire(0) == DIAL
 
 
-def test_a_withdrawn_node_gets_no_op_and_ops_in_flight_may_finish_within_the_grace():
+def test_withdrawn_node_gets_no_ops_and_ops_in_flight_have_a_grace_period():
     pool = dialled(pool_of(), 1, 2)
     pool.release(0, 1, True)
     assert pool.withdraw(S) == [1] and pool.acquire(S) == WITHDRAWN
@@ -63,7 +63,7 @@
     assert not pool.release(3 * S, 2, True) and pool.overdue(9 * S) == [] and pool.withdraw(4 * S) == []
 
 
-def test_a_node_withdrawn_while_its_connection_is_dialled_is_not_used():
+def test_connection_dialled_before_withdrawal_is_not_kept():
     pool = pool_of()
     pool.acquire(0)
     pool.withdraw(0)
@@ -71,13 +71,13 @@
     assert not pool.release(0, 1, True) and pool.acquire(0) == WITHDRAWN
 
 
-def test_the_weight_of_a_node_that_is_new_or_restored_grows_with_time():
+def test_weight_of_a_new_or_restored_node_grows_during_slow_start():
     pool = pool_of(slow_start_ns=10 * S, initial_weight_share=0.2)
     assert [round(pool.weight_factor(at * S), 2) for at in (0, 5, 10, 99)] == [0.2, 0.6, 1.0, 1.0]
     pool.withdraw(20 * S)
     pool.restore(30 * S)
     assert pool.weight_factor(30 * S) == 0.2 and pool.acquire(30 * S) == DIAL
-    pool.restore(39 * S)  # which it was already
+    pool.restore(39 * S)  # no effect, as it is not withdrawn
     assert pool.weight_factor(40 * S) == 1.0
 
 
@@ -90,7 +90,7 @@
         max_size=60,
     )
 )
-def test_no_connection_is_used_twice_at_once_kept_when_withdrawn_or_over_the_limit(events):
+def test_connections_are_never_shared_kept_after_withdrawal_or_over_the_limit(events):
     pool, now, last_number, dialling, busy, idle, withdrawn = pool_of(), 0, 0, 0, set(), set(), False
     for event, wait in events:
         now += wait
--- a/tests/load_balancing/test_outlier_ejection.py
+++ b/tests/load_balancing/test_outlier_ejection.py
@@ -4,14 +4,14 @@
 from kestrelplank.time_units import SECOND as S
 
 
-def test_a_good_answer_ends_a_row_of_failures():
+def test_success_resets_the_count_of_consecutive_failures():
     ejection = OutlierEjection(Random(1), 2, (S, S))
     for succeeded in (False, True, False, True, False):
         ejection.record_attempt(0, 1, succeeded)
     assert ejection.without_ejected(0, ((1, 1.0), (2, 1.0))) == ((1, 1.0), (2, 1.0))
 
 
-def test_where_all_candidates_are_ejected_all_are_used():
+def test_all_candidates_are_used_if_all_are_ejected():
     ejection = OutlierEjection(Random(1), 1, (S, S))
     ejection.record_attempt(0, 1, False)
     assert ejection.without_ejected(0, ((1, 1.0), (2, 1.0))) == [(2, 1.0)]
--- a/tests/load_balancing/test_placement.py
+++ b/tests/load_balancing/test_placement.py
@@ -8,14 +8,14 @@
 from kestrelplank.load_balancing.placement_search import Node, peak_load
 
 
-def best_of_all(loads, nodes, most, zone_share):
-    """The best (unplaced, peak) by trying all."""
+def best_by_exhaustive_search(loads, nodes, max_fill, zone_share):
+    """Return the best (unplaced load, peak) by exhaustive search."""
     total, best = sum(loads), None
-    for where in product((None, *range(len(nodes))), repeat=len(loads)):
-        held, blocks, zones = [0.0] * len(nodes), [0] * len(nodes), {}
-        for block, node in enumerate(where):
+    for assignment in product((None, *range(len(nodes))), repeat=len(loads)):
+        node_loads, blocks, zones = [0.0] * len(nodes), [0] * len(nodes), {}
+        for block, node in enumerate(assignment):
             if node is not None:
-                held[node] += loads[block]
+                node_loads[node] += loads[block]
                 blocks[node] += 1
                 zones[nodes[node].zone] = zones.get(nodes[node].zone, 0.0) + loads[block]
         if any(
@@ -23,9 +23,9 @@
             and count > node.max_blocks
             or load
             and not node.capacity
-            or most is not None
-            and load > most * node.capacity * (1 + 1e-9)
-            for node, count, load in zip(nodes, blocks, held)
+            or max_fill is not None
+            and load > max_fill * node.capacity * (1 + 1e-9)
+            for node, count, load in zip(nodes, blocks, node_loads)
         ):
             continue
         if any(load > zone_share * total + 1e-9 for load in zones.values()) or any(
@@ -33,8 +33,8 @@
         ):
             continue
         key = (
-            round(sum(loads[block] for block, node in enumerate(where) if node is None), 9),
-            peak_load(loads, nodes, where),
+            round(sum(loads[block] for block, node in enumerate(assignment) if node is None), 9),
+            peak_load(loads, nodes, assignment),
         )
         best = key if best is None or key < best else best
     return best
@@ -55,22 +55,23 @@
 
 
 @given(instances)
-def test_no_instance_is_answered_worse_than_by_trying_all(instance):
-    loads, nodes, most, share = instance
-    placement = place_blocks(loads, nodes, most, share)
-    unplaced, peak = best_of_all(loads, nodes, most, share)
+def test_exact_placement_equals_exhaustive_search(instance):
+    loads, nodes, max_fill, share = instance
+    placement = place_blocks(loads, nodes, max_fill, share)
+    unplaced, peak = best_by_exhaustive_search(loads, nodes, max_fill, share)
     assert (
         placement.is_exact
         and placement.unplaced_load == pytest.approx(unplaced)
         and placement.peak == pytest.approx(peak)
     )
     assert (
-        bool(placement.unmet) == (placement.unplaced_load > 0) and place_blocks(loads, nodes, most, share) == placement
+        bool(placement.unmet) == (placement.unplaced_load > 0)
+        and place_blocks(loads, nodes, max_fill, share) == placement
     )
 
 
 @pytest.mark.parametrize(
-    "loads, nodes, most, share, where, peak",
+    "loads, nodes, max_fill, share, assignment, peak",
     [
         ([4, 3, 3], [Node(10), Node(10)], None, 1.0, (0, 1, 1), 0.6),
         ([4, 3, 3], [Node(10), Node(5)], None, 1.0, (0, 0, 1), 0.7),
@@ -80,13 +81,13 @@
         ([], [Node(1)], None, 1.0, (), 0.0),
     ],
 )
-def test_hand_worked_optima(loads, nodes, most, share, where, peak):
-    placement = place_blocks(loads, nodes, most, share)
-    assert placement.nodes == where and placement.peak == pytest.approx(peak) and placement.unmet == ""
+def test_known_optimal_placements_are_found(loads, nodes, max_fill, share, assignment, peak):
+    placement = place_blocks(loads, nodes, max_fill, share)
+    assert placement.nodes == assignment and placement.peak == pytest.approx(peak) and placement.unmet == ""
 
 
 @pytest.mark.parametrize(
-    "loads, nodes, most, share, unplaced, says",
+    "loads, nodes, max_fill, share, unplaced, message",
     [
         ([5, 4], [Node(5)], 1.0, 1.0, 4, "1 of 2 blocks have no place, 4 of 9 load"),
         ([9], [Node(5)], 1.0, 1.0, 9, "block 0 alone is more than any node"),
@@ -95,12 +96,12 @@
         ([5, 1], [Node(9), Node(9)], None, 0.5, 5, "block 0 alone is more than a zone may hold"),
     ],
 )
-def test_what_cannot_be_met_is_said(loads, nodes, most, share, unplaced, says):
-    placement = place_blocks(loads, nodes, most, share)
-    assert placement.unplaced_load == pytest.approx(unplaced) and says in placement.unmet
+def test_unplaced_blocks_are_reported_with_the_reason(loads, nodes, max_fill, share, unplaced, message):
+    placement = place_blocks(loads, nodes, max_fill, share)
+    assert placement.unplaced_load == pytest.approx(unplaced) and message in placement.unmet
 
 
-def test_ties_go_to_the_lowest_nodes_each_time():
+def test_ties_are_resolved_in_favour_of_the_lowest_node_numbers():
     assert place_blocks([1, 1], [Node(5)] * 4).nodes == (0, 1) and place_blocks([2, 2, 2, 2], [Node(4)] * 2).nodes == (
         0,
         0,
@@ -112,8 +113,8 @@
 @given(
     some.lists(some.floats(0.1, 10), min_size=20, max_size=60), some.lists(some.floats(5, 50), min_size=7, max_size=12)
 )
-def test_large_instances_are_near_what_no_placement_can_beat(loads, capacities):
+def test_large_instances_are_within_twice_the_lower_bound(loads, capacities):
     nodes = [Node(capacity) for capacity in capacities]
     placement = place_blocks(loads, nodes)
-    least = max(sum(loads) / sum(capacities), max(loads) / max(capacities))
-    assert None not in placement.nodes and not placement.is_exact and placement.peak <= 2 * least + 1e-9
+    lower_bound = max(sum(loads) / sum(capacities), max(loads) / max(capacities))
+    assert None not in placement.nodes and not placement.is_exact and placement.peak <= 2 * lower_bound + 1e-9
--- a/tests/load_balancing/test_recorded_load_balancing.py
+++ b/tests/load_balancing/test_recorded_load_balancing.py
@@ -1,7 +1,6 @@
-"""The decisions of this package on drawn inputs are those of 4f929ce, the last commit before its code was rewritten.
+"""Guards against changes in load balancing decisions, or in the order in which random numbers are drawn.
 
-The digests in `recorded_load_balancing.json` were made by this file's `play_...` functions in a clone at 4f929ce. Each covers
-thousands of decisions, so that a change of one of them, or of the order in which chance is asked, shows.
+The digests in `recorded_load_balancing.json` were recorded with this file's `play_...` functions at commit 4f929ce.
 """
 
 import hashlib
@@ -23,7 +22,7 @@
 from kestrelplank.load_balancing.placement_search import Node
 from kestrelplank.load_balancing.retry_budget import RetryBudget
 from kestrelplank.load_balancing.selection import SelectionMethod
-from kestrelplank.load_balancing.slow_start import SlowStart, WarmUpSettings
+from kestrelplank.load_balancing.slow_start import SlowStart, SlowStartSettings
 from kestrelplank.load_balancing.spillover import SpilloverSwitch, plan_spillover, shed
 from kestrelplank.load_balancing.waiting_queue import WaitingQueue
 from kestrelplank.load_balancing.zone_distances import ZoneDistances, distance_tiers
@@ -56,7 +55,7 @@
     }
 
 
-def made_attempts(seed, pick, extras):
+def build_attempts(seed, pick, extras):
     random, tables = Random(seed), Tables(TABLES, 2, 1)
     tables.begin_stream(0)
     for table in range(TABLES):
@@ -74,24 +73,24 @@
     queue = WaitingQueue(6, (S, 700 * MS), (1.0, 5.0), 0.5)
     overload = OverloadControl(RetryBudget(2, 0.1, 5.0), limits, queue)
     weight_factor = {4: 0.3}
-    made = Attempts(random, tables, settings, ejection, overload, lambda node: weight_factor.get(node, 1.0), zones)
-    return made, tables
+    attempts = Attempts(random, tables, settings, ejection, overload, lambda node: weight_factor.get(node, 1.0), zones)
+    return attempts, tables
 
 
-class AttemptsPlay:
-    """Ops asked for, ended, given up and expired by chance, and tables that change meanwhile."""
+class AttemptsScenario:
+    """Submits, ends, abandons and expires ops at random while tables change."""
 
     def __init__(self, seed, pick, extras):
         self.random, self.now, self.number = Random(seed + 1), 0, 0
-        self.made, self.tables = made_attempts(seed, pick, extras)
-        self.out, self.waiting, self.found, self.messages = {}, {}, [], 0
+        self.attempts, self.tables = build_attempts(seed, pick, extras)
+        self.in_flight, self.waiting, self.records, self.messages = {}, {}, [], 0
 
-    def note(self, op, step):
-        self.found.append(step_record(op, step))
-        self.out.pop(op.number, None)
+    def record_step(self, op, step):
+        self.records.append(step_record(op, step))
+        self.in_flight.pop(op.number, None)
         self.waiting.pop(op.number, None)
         if isinstance(step, Send):
-            self.out[op.number] = op
+            self.in_flight[op.number] = op
         elif isinstance(step, Wait):
             self.waiting[op.number] = op
 
@@ -100,72 +99,80 @@
         order = SetEndpoint(table, node, float(self.random.randrange(3)))
         changed, _ = self.tables.apply(0, self.messages, [order])
         self.messages += 1
-        for op, step in self.made.tables_changed(self.now, changed):
-            self.note(op, step)
+        for op, step in self.attempts.tables_changed(self.now, changed):
+            self.record_step(op, step)
 
-    def turn(self):
+    def take_random_step(self):
         self.now += self.random.randrange(20 * MS)
         chance = self.random.random()
         if chance < 0.45:
             self.number += 1
-            self.note(
-                *self.made.submit(self.now, self.number, self.number % 2, self.number % TABLES, None, f"k{self.number}")
+            self.record_step(
+                *self.attempts.submit(
+                    self.now, self.number, self.number % 2, self.number % TABLES, None, f"k{self.number}"
+                )
             )
-        elif chance < 0.85 and self.out:
-            op = self.out[min(self.out)]
-            self.note(op, self.made.attempt_ended(self.now, op, self.random.choice(OUTCOMES)))
-        elif chance < 0.90 and self.out:
-            op = self.out[max(self.out)]
-            self.note(op, self.made.abandon(self.now, op))
+        elif chance < 0.85 and self.in_flight:
+            op = self.in_flight[min(self.in_flight)]
+            self.record_step(op, self.attempts.attempt_ended(self.now, op, self.random.choice(OUTCOMES)))
+        elif chance < 0.90 and self.in_flight:
+            op = self.in_flight[max(self.in_flight)]
+            self.record_step(op, self.attempts.abandon(self.now, op))
         elif chance < 0.95 and self.waiting:
             op = self.waiting[min(self.waiting)]
-            self.note(op, self.made.wait_expired(op))
+            self.record_step(op, self.attempts.wait_expired(op))
         else:
             self.change_tables()
-        for op, step in self.made.take_queued_steps(self.now):
-            self.note(op, step)
+        for op, step in self.attempts.take_queued_steps(self.now):
+            self.record_step(op, step)
 
 
 def play_attempts(pick, extras):
-    found = []
+    records = []
     for seed in range(3):
-        play = AttemptsPlay(seed, pick, extras)
+        scenario = AttemptsScenario(seed, pick, extras)
         for _ in range(3000):
-            play.turn()
-        found += play.found
-        found.append(sorted(play.made.counts.items()))
-        found.append([play.made.waiting_count(), sorted(play.made.in_flight.items())])
+            scenario.take_random_step()
+        records += scenario.records
+        records.append(sorted(scenario.attempts.counts.items()))
+        records.append([scenario.attempts.waiting_count(), sorted(scenario.attempts.in_flight.items())])
         if extras:
-            found.append(play.made._limits.snapshot())
-            found.append([zone_record(status) for status in play.made._zones.status(play.now)])
-            found.append(sorted(play.made._zones.counts.items()))
-    return found
+            records.append(scenario.attempts._limits.snapshot())
+            records.append([zone_record(status) for status in scenario.attempts._zones.status(scenario.now)])
+            records.append(sorted(scenario.attempts._zones.counts.items()))
+    return records
 
 
 def play_admission():
-    random, admission, found, number, present = Random(5), Admission(AdmissionSettings(12, 5, 2 * S, 6 * S)), [], 0, []
+    random, admission, records, number, present = (
+        Random(5),
+        Admission(AdmissionSettings(12, 5, 2 * S, 6 * S)),
+        [],
+        0,
+        [],
+    )
     for turn in range(4000):
         now, chance = turn * 90 * MS, random.random()
         if chance < 0.4 or not present:
             number += 1
             decision = admission.connect(now, number, random.choice("abcd"))
-            found.append(["admit" if decision.admitted else "refuse", decision.evicted])
+            records.append(["admit" if decision.admitted else "refuse", decision.evicted])
             present = [other for other in present if other != decision.evicted] + [number] * decision.admitted
         elif chance < 0.7:
             admission.enter_state(now, random.choice(present), ConnectionState(random.choice(("head", "busy", "idle"))))
         elif chance < 0.8:
             admission.disconnect(present.pop(random.randrange(len(present))))
         else:
-            late = admission.expired_connections(now, stopping=chance > 0.95)
-            found.append(late)
-            for connection, _ in late:
+            expired = admission.expired_connections(now, stopping=chance > 0.95)
+            records.append(expired)
+            for connection, _ in expired:
                 admission.disconnect(connection)
                 present.remove(connection)
-    return found
+    return records
 
 
 def play_pool():
-    random, found, number, busy, dialling = Random(6), [], 0, [], 0
+    random, records, number, busy, dialling = Random(6), [], 0, [], 0
     settings = PoolSettings(5, idle_timeout_ns=2 * S, max_uses=4, withdrawal_grace_ns=1 * S, slow_start_ns=10 * S)
     pool = ConnectionPool(0, settings)
     for turn in range(6000):
@@ -174,10 +181,10 @@
             connection = pool.acquire(now)
             if isinstance(connection, NoConnection):
                 dialling += connection is NoConnection.DIAL
-                found.append([connection.value])
+                records.append([connection.value])
             else:
                 busy.append(connection)
-                found.append(["use", connection])
+                records.append(["use", connection])
         elif chance < 0.6 and dialling:
             dialling -= 1
             number += 1
@@ -187,19 +194,19 @@
             else:
                 pool.dial_failed()
         elif chance < 0.9 and busy:
-            found.append(pool.release(now, busy.pop(random.randrange(len(busy))), chance < 0.85))
+            records.append(pool.release(now, busy.pop(random.randrange(len(busy))), chance < 0.85))
         elif chance < 0.91:
-            found.append(sorted(pool.withdraw(now)))
+            records.append(sorted(pool.withdraw(now)))
         elif chance < 0.94:
             pool.restore(now)
         else:
-            found.append([pool.expire_idle(now), pool.overdue(now), round(pool.weight_factor(now), 9)])
-        found.append(list(pool.counts()))
-    return found
+            records.append([pool.expire_idle(now), pool.overdue(now), round(pool.weight_factor(now), 9)])
+        records.append(list(pool.counts()))
+    return records
 
 
 def play_zone_planning():
-    random, found = Random(7), []
+    random, records = Random(7), []
     for _ in range(400):
         zones = list(range(random.randrange(1, 6)))
         distances = {(a, b): random.random() * 10 for a in zones for b in zones if random.random() < 0.8}
@@ -207,26 +214,26 @@
         demand = {zone: random.random() * 100 for zone in zones if random.random() < 0.9}
         capacity = {zone: random.random() * 150 for zone in zones if random.random() < 0.9}
         plan = plan_spillover(demand, capacity, tiers, [random.random() for _ in range(random.randrange(3))])
-        found.append([tiers[zone] for zone in zones])
-        found.append(
-            [sorted((list(pair), amount) for pair, amount in part.items()) for part in (plan.flows, plan.used_shares)]
+        records.append([tiers[zone] for zone in zones])
+        records.append(
+            [sorted((list(pair), amount) for pair, amount in flows.items()) for flows in (plan.flows, plan.used_shares)]
         )
-        found.append(sorted(plan.unserved.items()))
+        records.append(sorted(plan.unserved.items()))
         types = [(number, random.random() * 40, float(random.randrange(3))) for number in range(4)]
-        found.append(shed(random.random() * 100, types))
+        records.append(shed(random.random() * 100, types))
     switch, distances = SpilloverSwitch(0.9, 0.7), ZoneDistances()
-    found.append([switch.update(random.random() * 120, 100.0) for _ in range(200)])
+    records.append([switch.update(random.random() * 120, 100.0) for _ in range(200)])
     for _ in range(60):
         for zone in range(3):
             for other in range(3):
                 distances.add(zone, other, random.randrange(4), random.random() * 100 * MS)
         distances.close_period()
-        found.append([distances.between(zone, other) for zone in range(3) for other in range(3)])
-    return found
+        records.append([distances.between(zone, other) for zone in range(3) for other in range(3)])
+    return records
 
 
 def play_placement():
-    random, found = Random(8), []
+    random, records = Random(8), []
     for turn in range(150):
         large = turn % 5 == 0
         loads = [random.random() * 9 for _ in range(random.randrange(30, 50) if large else random.randrange(1, 6))]
@@ -235,19 +242,19 @@
             for _ in range(7 if large else random.randrange(1, 4))
         ]
         placed = place_blocks(loads, nodes, random.choice((None, 0.7, 1.0)), random.choice((1.0, 0.6)))
-        found.append([list(placed.nodes), placed.peak, placed.unplaced_load, placed.is_exact, placed.unmet])
-    return found
+        records.append([list(placed.nodes), placed.peak, placed.unplaced_load, placed.is_exact, placed.unmet])
+    return records
 
 
 def play_slow_start_and_flap_damping():
-    random, found = Random(9), []
-    slow_start, damping = SlowStart(WarmUpSettings(0.2, 10 * S, 3.0), 0, 0), FlapDamping(FlapDampingSettings())
+    random, records = Random(9), []
+    slow_start, damping = SlowStart(SlowStartSettings(0.2, 10 * S, 3.0), 0, 0), FlapDamping(FlapDampingSettings())
     for turn in range(2000):
         now = turn * 300 * MS
         if turn % 60 == 0:
-            slow_start = SlowStart(WarmUpSettings(0.2, 10 * S, 3.0), now, now + S)
+            slow_start = SlowStart(SlowStartSettings(0.2, 10 * S, 3.0), now, now + S)
         slow_start.report(now, random.randrange(20), random.randrange(3), random.choice((None, 40.0, 90.0)), 40.0)
-        found.append(
+        records.append(
             [
                 slow_start.age_ns(now),
                 slow_start.capacity_share(now),
@@ -258,9 +265,9 @@
         if random.random() < 0.03:
             damping.lost(now)
         elif random.random() < 0.1:
-            found.append(damping.recovered(now))
-        found.append([damping.is_usable(now), damping.held_until])
-    return found
+            records.append(damping.recovered(now))
+        records.append([damping.is_usable(now), damping.held_until])
+    return records
 
 
 def canary_record(status):
@@ -275,18 +282,18 @@
 
 
 def play_canary_analysis():
-    random, found = Random(10), []
+    random, records = Random(10), []
     for seed in range(40):
         analysis, chance = CanaryAnalysis(CanarySettings(max_ops=4000), 0.97), random.choice((0.97, 0.95, 0.8))
         for _ in range(60):
             if seed % 2:
                 analysis.add_baseline(50, sum(random.random() < 0.96 for _ in range(50)))
             analysis.add_canary(50, sum(random.random() < chance for _ in range(50)))
-            found.append([canary_record(analysis.status()), analysis.ops])
-    found.append(
-        [rollout_stages(list(range(9)), {relay: relay % 3 for relay in range(9)}, canary) for canary in range(10)]
+            records.append([canary_record(analysis.status()), analysis.ops])
+    records.append(
+        [rollout_stages(list(range(9)), {proxy: proxy % 3 for proxy in range(9)}, canary) for canary in range(10)]
     )
-    return found
+    return records
 
 
 PLAYS = {
@@ -301,14 +308,14 @@
 }  # fmt: skip
 
 
-def digest(found):
-    return hashlib.sha256(json.dumps(found).encode()).hexdigest()
+def digest(records):
+    return hashlib.sha256(json.dumps(records).encode()).hexdigest()
 
 
 @pytest.mark.parametrize("name", PLAYS)
-def test_decisions_are_as_recorded_before_the_rewriting(name):
+def test_decisions_match_the_recorded_digest(name):
     assert digest(PLAYS[name]()) == RECORDED[name]
 
 
-def test_every_recording_is_played():
+def test_every_recorded_digest_has_a_scenario():
     assert set(RECORDED) == set(PLAYS)
--- a/tests/load_balancing/test_selection.py
+++ b/tests/load_balancing/test_selection.py
@@ -18,7 +18,7 @@
 
 
 @given(candidate_lists, some.integers(0, 10**6), some.dictionaries(some.integers(0, 8), some.integers(0, 5)))
-def test_every_selection_is_one_of_the_candidates(candidates, seed, in_flight):
+def test_selected_node_is_a_candidate(candidates, seed, in_flight):
     random = Random(seed)
     nodes = [node for node, _ in candidates]
     assert (
@@ -29,21 +29,21 @@
 
 
 @given(candidate_lists, some.integers(1, 200))
-def test_in_turn_each_node_is_within_a_selection_of_its_share_for_each_other_node(candidates, selections):
+def test_round_robin_counts_differ_from_shares_by_less_than_the_number_of_other_nodes(candidates, selections):
     round_robin, total = WeightedRoundRobin(), sum(weight for _, weight in candidates)
     counts = Counter(round_robin.select(candidates) for _ in range(selections))
     for node, weight in candidates:
         assert abs(counts[node] - selections * weight / total) < max(1, len(candidates) - 1) + 1e-6
 
 
-def test_in_turn_a_node_that_goes_leaves_no_debt_behind():
+def test_round_robin_drops_the_credit_of_removed_nodes():
     round_robin = WeightedRoundRobin()
     for _ in range(7):
         round_robin.select(((1, 1.0), (2, 5.0)))
     assert [round_robin.select(((3, 1.0), (4, 1.0))) for _ in range(4)] == [3, 4, 3, 4]
 
 
-def test_a_draw_that_rounding_leaves_over_takes_the_last_candidate():
+def test_largest_random_draw_selects_the_last_candidate():
     class LargestDraw(Random):
         def random(self):
             return 1.0 - 2**-53
@@ -51,7 +51,7 @@
     assert weighted_random(LargestDraw(), tuple((node, 0.1) for node in range(10))) == 9
 
 
-def test_a_key_has_its_node_and_each_node_its_share_of_the_keys():
+def test_rendezvous_is_deterministic_and_distributes_keys_by_weight():
     counts = Counter(rendezvous(f"k{number}", ((1, 3.0), (2, 1.0))) for number in range(4000))
     assert abs(counts[1] - 3000) < 120 and rendezvous("k", ((1, 1.0), (2, 1.0))) == rendezvous(
         "k", ((2, 1.0), (1, 1.0))
@@ -59,7 +59,7 @@
 
 
 @given(candidate_lists, some.integers(0, 7), some.floats(0.01, 100), some.text(max_size=4))
-def test_when_a_weight_changes_keys_move_only_to_that_node_or_only_from_it(candidates, position, weight, key):
+def test_weight_change_moves_keys_only_to_or_from_that_node(candidates, position, weight, key):
     position %= len(candidates)
     changed = tuple((node, weight if node == position else old_weight) for node, old_weight in candidates)
     before, after = rendezvous(key, candidates), rendezvous(key, changed)
@@ -67,13 +67,13 @@
 
 
 @given(candidate_lists, some.integers(0, 7), some.text(max_size=4))
-def test_when_a_node_goes_only_its_keys_move(candidates, position, key):
+def test_node_removal_moves_only_its_keys(candidates, position, key):
     remaining = tuple(candidate for candidate in candidates if candidate[0] != position)
     if remaining:
         assert rendezvous(key, candidates) in (position, rendezvous(key, remaining))
 
 
-def test_the_nearest_zone_that_has_a_candidate_is_used_and_all_where_none_has():
+def test_nearest_zone_with_a_candidate_is_used_or_all_if_none_has():
     candidates = ((1, 1.0), (2, 1.0), (5, 1.0))
     assert nearest(candidates, lambda node: node % 3, (0, 2, 1)) == [(2, 1.0), (5, 1.0)]
     assert nearest(candidates, lambda node: node % 3, (0,)) == candidates
--- a/tests/load_balancing/test_waiting_queue.py
+++ b/tests/load_balancing/test_waiting_queue.py
@@ -11,21 +11,21 @@
     return WaitingQueue(max_length, (S, 400 * MS), values, target_share)
 
 
-def test_the_op_of_most_value_goes_first_and_of_equals_the_first():
+def test_ops_are_released_by_value_then_by_arrival():
     queue = queue_of()
     for number, op_type in ((1, 0), (2, 1), (3, 1)):
         queue.enqueue(0, number, op_type, 9 * S)
     assert queue.release(lambda number: True) == [2, 3, 1] and len(queue) == 0
 
 
-def test_an_op_that_is_not_accepted_holds_back_no_other_and_keeps_its_turn():
+def test_op_that_is_not_accepted_blocks_no_other_and_keeps_its_position():
     queue = queue_of()
     for number in (1, 2, 3):
         queue.enqueue(0, number, 0, 9 * S)
     assert queue.release(lambda number: number == 2) == [2] and queue.release(lambda number: True) == [1, 3]
 
 
-def test_of_one_too_many_the_last_of_least_value_is_displaced():
+def test_full_queue_displaces_the_latest_op_of_lowest_value():
     queue = queue_of()
     for number in (1, 2, 3):
         queue.enqueue(0, number, 0, 9 * S)
@@ -36,11 +36,11 @@
 @pytest.mark.parametrize(
     "op_type, deadline, until", [(0, 9 * S, 500 * MS), (1, 9 * S, 200 * MS), (0, 100 * MS, 100 * MS)]
 )
-def test_no_op_waits_past_a_share_of_its_latency_target_or_its_deadline(op_type, deadline, until):
+def test_wait_is_bounded_by_the_share_of_the_latency_target_and_the_deadline(op_type, deadline, until):
     assert queue_of().enqueue(0, 1, op_type, deadline) == (until, [])
 
 
-def test_an_op_that_was_removed_is_not_offered_and_its_number_may_come_again():
+def test_removed_op_is_not_released_and_its_number_can_be_reused():
     queue = queue_of()
     queue.enqueue(0, 1, 1, 9 * S)
     assert queue.remove(1) and not queue.remove(1)
@@ -48,7 +48,7 @@
     assert queue.release(lambda number: True) == [1]
 
 
-def test_the_retry_time_grows_with_the_queue():
+def test_retry_after_grows_with_the_queue():
     assert [retry_after_s(wait, queued, 10) for wait, queued in ((0, 0), (2 * S, 0), (2 * S, 10))] == [1, 2, 4]
 
 
@@ -58,7 +58,7 @@
         max_size=60,
     )
 )
-def test_a_queue_is_never_over_its_length_and_loses_nobody(events):
+def test_queue_never_exceeds_its_length_and_loses_no_op(events):
     queue, inside = queue_of(), set()
     for event, number, op_type in events:
         if event == "enqueue" and number not in inside:
--- a/tests/load_balancing/test_zone_distances.py
+++ b/tests/load_balancing/test_zone_distances.py
@@ -4,35 +4,35 @@
 from kestrelplank.time_units import MILLISECOND as MS
 
 
-def learned(periods, stalled=range(0)):
+def estimated(periods, stalled=range(0)):
     distances = ZoneDistances()
     random = Random(4)
     for period in range(periods):
         for zone in range(3):
             for other in range(3):
-                way = 0 if zone == other else {1: 2, 2: 5, 3: 3}[zone + other] * MS
+                distance = 0 if zone == other else {1: 2, 2: 5, 3: 3}[zone + other] * MS
                 noise = random.expovariate(1 / (2 * MS)) + (900 * MS if period in stalled else 0)
-                distances.add(zone, other, 20, 100 * MS + way + noise)
+                distances.add(zone, other, 20, 100 * MS + distance + noise)
         distances.close_period()
     return distances
 
 
-def test_distances_are_learned_in_the_right_order():
-    distances = learned(30)
+def test_estimated_distances_are_symmetric_and_ordered_and_need_enough_periods():
+    distances = estimated(30)
     assert [round(distances.between(*pair) / MS) for pair in ((0, 1), (1, 2), (0, 2))] == sorted(
         round(distances.between(*pair) / MS) for pair in ((0, 1), (1, 2), (0, 2))
     )
-    assert distances.between(0, 1) == distances.between(1, 0) and learned(4).between(0, 1) is None
+    assert distances.between(0, 1) == distances.between(1, 0) and estimated(4).between(0, 1) is None
 
 
-def test_a_distance_learned_during_a_stall_is_what_it_is_without():
-    calm, stalled = learned(30), learned(30, range(8, 20))
+def test_stall_of_all_zones_does_not_change_estimated_distances():
+    undisturbed, stalled = estimated(30), estimated(30, range(8, 20))
     for pair in ((0, 1), (1, 2), (0, 2)):
-        assert abs(stalled.between(*pair) - calm.between(*pair)) < 2 * MS
+        assert abs(stalled.between(*pair) - undisturbed.between(*pair)) < 2 * MS
 
 
-def test_a_zone_that_stalls_alone_looks_far_only_while_it_does():
-    """What waits in one zone lengthens all ways to it; a quarter of sound periods is enough to tell."""
+def test_distance_is_correct_with_a_quarter_of_periods_undisturbed():
+    """Queueing in one zone increases its latency from all zones; a quarter of undisturbed periods is enough."""
     distances = ZoneDistances()
     for period in range(30):
         distances.add(0, 0, 10, 100 * MS)
@@ -41,7 +41,7 @@
     assert distances.between(0, 1) == 2 * MS
 
 
-def test_tiers_group_zones_of_about_one_distance_and_put_the_unknown_last():
+def test_tiers_group_zones_of_similar_distance_and_put_unknown_ones_last():
     distances = {(0, 1): 2.0, (0, 2): 2.4, (0, 3): 9.0}
     assert distance_tiers(0, range(5), distances, 0.5) == [[1, 2], [3], [4]]
     assert distance_tiers(0, range(5), {}, 0.5) == [[1, 2, 3, 4]] and distance_tiers(0, [0], {}, 0.5) == []
--- a/tests/load_balancing/test_zone_preference.py
+++ b/tests/load_balancing/test_zone_preference.py
@@ -11,7 +11,7 @@
 
 
 class Site:
-    """Two nodes in each of three zones, each with a limit of ten."""
+    """Two nodes in each of three zones, each node with a limit of ten."""
 
     def __init__(self, in_flight=(), limit=10.0, **settings):
         self.in_flight = dict.fromkeys((node for node, _ in CANDIDATES), 0) | dict(in_flight)
@@ -44,20 +44,20 @@
     return {node: (own, near, far)[node // 10] for node, _ in CANDIDATES}
 
 
-def test_the_own_zone_is_used_while_it_has_capacity_then_the_nearest_up_to_its_share_then_the_next():
+def test_own_zone_is_used_first_then_nearer_zones_up_to_their_spill_share():
     assert Site().zones() == [OWN] and Site(filled(8)).zones() == [OWN]
     assert Site(filled(9)).zones() == [NEAR]
     assert Site(filled(9, 8)).zones() == [FAR] and Site(filled(9, 7)).zones() == [NEAR]
 
 
-def test_where_all_shares_are_used_up_the_rest_of_the_own_zone_is_used_and_then_no_node_is_overloaded():
+def test_own_zone_is_used_up_to_its_limit_if_other_zones_accept_no_spill():
     site = Site(filled(9, 8, 5))
     assert site.zones() == [OWN]
     site.in_flight = filled(10, 8, 5)
     assert site.zones() == [] and site.preference.counts["unserved"] == 1
 
 
-def test_spill_ends_at_a_lower_load_than_it_begins():
+def test_spill_ends_below_the_load_at_which_it_begins():
     site, found = Site(), []
     for in_flight in (8, 9, 8, 7, 6, 8):
         site.in_flight = filled(in_flight)
@@ -65,13 +65,13 @@
     assert found == [[OWN], [NEAR], [NEAR], [NEAR], [OWN], [OWN]]
 
 
-def test_zones_about_as_far_are_one_tier():
+def test_zones_of_similar_distance_form_one_tier():
     site = Site(filled(9))
     site.preference.set_distance(FAR, 1 * MS + 400_000)
     assert site.preference.tiers() == [[NEAR, FAR]] and site.zones() == [NEAR, FAR]
 
 
-def test_a_zone_that_is_lost_is_left_for_the_nearest_and_checked_once_a_second():
+def test_lost_zone_is_replaced_by_the_nearest_and_checked_once_a_second():
     site = Site()
     site.lose(0, OWN)
     assert site.zones(1) == [OWN]  # the first check
@@ -85,7 +85,7 @@
     assert site.zones(2 * S) == [OWN] and site.preference.counts == {"zones_lost": 1, "zones_back": 1, "spilled": 3}
 
 
-def test_a_zone_that_flaps_three_times_in_a_minute_is_used_only_after_its_holds():
+def test_flapping_zone_is_used_only_after_its_hold_down():
     site, used = Site(), []
     for at in (0, 20, 40):
         site.lose(at * S, OWN)
@@ -95,7 +95,7 @@
     assert site.preference.status(42 * S)[0] == ZoneStatus(OWN, 0, ZoneState.HELD, 0, 8 * S)
 
 
-def test_failures_that_reached_a_node_are_no_loss_of_a_zone():
+def test_zone_is_not_lost_while_its_nodes_respond():
     site = Site()
     for _ in range(50):
         site.reach(0, OWN)
@@ -106,11 +106,11 @@
     assert not site.preference.counts["zones_lost"]
 
 
-def test_with_all_zones_lost_health_is_no_longer_asked_and_back_in_another_order_all_is_as_before():
+def test_all_candidates_are_used_with_all_zones_lost_and_own_zone_after_recovery():
     site = Site()
     for zone in (OWN, NEAR, FAR):
         site.lose(0, zone)
-        site.zones(1)  # each is checked once
+        site.zones(1)  # checks each zone once
     for zone in (OWN, NEAR, FAR):
         site.preference._zones[zone].checked_at = 1
     assert site.zones(2) == [OWN, NEAR, FAR] and site.preference.counts["panics"]
@@ -119,7 +119,7 @@
     assert site.zones(S // 2) == [OWN]
 
 
-def test_a_zone_of_one_node_and_a_table_without_the_own_zone():
+def test_zone_of_one_node_and_table_without_the_own_zone_are_handled():
     site = Site()
     assert site.zones(candidates=CANDIDATES[:1]) == [OWN] and site.zones(candidates=CANDIDATES[2:]) == [NEAR]
     assert site.zones(candidates=()) == []
@@ -133,7 +133,7 @@
         max_size=60,
     )
 )
-def test_what_is_eligible_is_a_candidate_and_never_past_a_limit_but_in_panic(events):
+def test_eligible_nodes_are_candidates_and_within_limits_except_in_panic_mode(events):
     site, now = Site(), 0
     for position, event, wait_ns in events:
         now += wait_ns
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -121,7 +121,7 @@
     site.wait(lambda: client.data == OK)
     text = site.path.read_text()
     for bad, says in (
-        (text.replace("kept_bytes", "keptbytes"), "is kept_bytes meant?"),
+        (text.replace("kept_bytes", "keptbytes"), "did you mean kept_bytes?"),
         (text.replace("order-place", "other"), "op types can't be"),
     ):
         site.path.write_text(bad)
@@ -190,13 +190,13 @@
         ("listen = 127.0.0.1:0", "listen = here", "line 2, [relay], field listen: expected an IPv4 address"),
         ("zone = a\n", "", "line 1, [relay]: field zone of [relay]: missing"),
         ("slices = 4", "slices = 0", "field slices"),
-        ("target = 200ms", "target = 400ms", "field target: expected within the op timeout"),
+        ("target = 200ms", "target = 400ms", "field target: expected a time within the op timeout"),
         ("effect = retryable", "effect = twice", "field effect"),
         ("hub = 127.0.0.1:1\n", "", ""),
         (
             "hub = 127.0.0.1:1\nnumber = 3\nzone = a\nslices = 4\nstate = x/state\n",
             "zone = a\nslices = 4\n",
-            "neither a hub nor kept tables",
+            "expected `hub` or `state`, as a source of tables",
         ),
     ],
 )
