--- a/tests/settings/test_ini.py
+++ b/tests/settings/test_ini.py
@@ -55,7 +55,7 @@
 """
 
 
-def test_a_file_is_read_with_its_units_and_each_value_knows_its_line():
+def test_valid_file_is_read_with_units_and_the_line_of_each_value():
     ini = IniFile("k.ini", GOOD)
     watch = ini.read_section("watch", Watch)
     assert watch == Watch(
@@ -68,17 +68,21 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, says",
+    "old, new, message",
     [
         (
             "every = 1.5s",
             "every = 1.5",
-            "k.ini, line 4, [watch], field every: expected a time such as 200ms or 1.5s, got '1.5'",
+            "k.ini, line 4, [watch], field every: expected a duration such as 200ms or 1.5s, got '1.5'",
+        ),
+        ("every = 1.5s", "every = -1s", "line 4, [watch], field every: expected a duration of 0 or more"),
+        ("every = 1.5s", "evry = 1.5s", "line 4, [watch], field evry: unknown field; did you mean every?"),
+        ("every = 1.5s", "colour = red", "field colour: unknown field; expected one of folder, every,"),
+        (
+            "step = 2.5%",
+            "step = 102%",
+            "line 5, [watch], field step: expected a number from 0 to 1 or a percentage up to 100%",
         ),
-        ("every = 1.5s", "every = -1s", "line 4, [watch], field every: expected a time of 0 or more"),
-        ("every = 1.5s", "evry = 1.5s", "line 4, [watch], field evry: no field is called that; is every meant?"),
-        ("every = 1.5s", "colour = red", "field colour: no field is called that; there are folder, every,"),
-        ("step = 2.5%", "step = 102%", "line 5, [watch], field step: expected a share up to 100%"),
         ("weight = 3e2", "weight = nan", "line 6, [watch], field weight: expected a number of 0 or more, got 'nan'"),
         ("weight = 3e2", "weight = 1e999", "line 6, [watch], field weight"),
         ("most = 9", "most = 10", "line 8, [watch], field most: expected `int` <= 9, got '10'"),
@@ -87,49 +91,57 @@
         (
             "zones = niagara, windsor",
             "zones = niagara,,windsor",
-            "line 10, [watch], field zones: expected words between",
+            "line 10, [watch], field zones: expected words separated by commas",
+        ),
+        (
+            "wait = 4s..7s",
+            "wait = 7s..4s",
+            "line 11, [watch], field wait: expected a range such as 4s..7s with the shorter duration first",
         ),
-        ("wait = 4s..7s", "wait = 7s..4s", "line 11, [watch], field wait: expected a range from less to more"),
         ("how = part", "how = half", "line 12, [watch], field how: invalid enum value 'half'"),
-        ("after = 0", "after = soon", "line 13, [watch], field after: expected a time"),
+        ("after = 0", "after = soon", "line 13, [watch], field after: expected a duration"),
         ("folder = /etc/nodes", "# no folder", "line 2, [watch]: field folder of [watch]: missing"),
-        ("[zone windsor]", "[zon windsor]", "line 15: no section is called [zon windsor]; is zone NAME meant?"),
-        ("most = 9", "every = 2s", "line 8, [watch]: the field every stands twice"),
-        ("[zone windsor]", "[watch]", "line 15, [watch]: the section stands twice"),
-        ("# an operator's file", "every = 1s", "line 1: a field before the first section"),
+        ("[zone windsor]", "[zon windsor]", "line 15: unknown section [zon windsor]; did you mean zone NAME?"),
+        ("most = 9", "every = 2s", "line 8, [watch]: duplicate field every"),
+        ("[zone windsor]", "[watch]", "line 15, [watch]: duplicate section"),
+        ("# an operator's file", "every = 1s", "line 1: field before the first section"),
         ("most = 9", "most", "line 8: neither a section nor a field"),
     ],
 )
-def test_an_invalid_file_is_refused_in_one_line_that_names_line_and_field(old, new, says):
+def test_invalid_file_raises_a_one_line_error_that_names_line_and_field(old, new, message):
     assert old in GOOD
     with pytest.raises(InvalidSettingsError) as raised:
         ini = IniFile("k.ini", GOOD.replace(old, new, 1))
         ini.read_section("watch", Watch)
         ini.read_named_sections("zone", Watch)
         ini.reject_unread_sections()
-    assert says in str(raised.value) and str(raised.value).startswith("k.ini") and "\n" not in str(raised.value)
+    assert message in str(raised.value) and str(raised.value).startswith("k.ini") and "\n" not in str(raised.value)
 
 
-def test_a_section_that_is_missing_has_its_defaults_or_is_refused():
-    class Easy(Struct):
+def test_missing_section_has_defaults_or_is_rejected_if_a_field_is_required():
+    class OptionalFields(Struct):
         every: Duration = 5
 
-    assert IniFile("k.ini", "").read_section("easy", Easy) == Easy(5)
-    with pytest.raises(InvalidSettingsError, match="k.ini: field folder of \\[watch\\]: missing, as is its section"):
+    assert IniFile("k.ini", "").read_section("optional", OptionalFields) == OptionalFields(5)
+    with pytest.raises(
+        InvalidSettingsError, match="k.ini: field folder of \\[watch\\]: missing, and so is the section"
+    ):
         IniFile("k.ini", "").read_section("watch", Watch)
 
 
-@pytest.mark.parametrize("data, says", [(None, "can't be read: No such file"), (b"\xff", "byte 0 is no UTF-8")])
-def test_a_file_that_cannot_be_read_is_refused_with_the_reason(tmp_path, data, says):
+@pytest.mark.parametrize(
+    "data, message", [(None, "can't be read: No such file"), (b"\xff", "expected UTF-8 text, but byte 0 is not valid")]
+)
+def test_unreadable_file_is_rejected_with_the_reason(tmp_path, data, message):
     path = tmp_path / "k.ini"
     if data:
         path.write_bytes(data)
-    with pytest.raises(InvalidSettingsError, match=says):
+    with pytest.raises(InvalidSettingsError, match=message):
         IniFile.load(str(path))
 
 
 @given(some.integers(0, 10**15))
-def test_a_time_written_in_ns_is_read_as_it_was(value):
+def test_duration_in_ns_is_parsed_exactly(value):
     assert parse_duration(f"{value}ns") == value and parse_duration_range(f"{value}ns..{value + 1}ns") == (
         value,
         value + 1,
@@ -137,7 +149,7 @@
 
 
 @given(some.text(max_size=12))
-def test_no_text_of_a_field_raises_anything_but_what_is_said(text):
+def test_field_parsers_raise_only_value_errors_that_say_what_is_expected(text):
     for reader in (parse_duration, parse_duration_range, parse_fraction):
         try:
             assert reader(text) is not None
@@ -146,7 +158,7 @@
 
 
 @given(some.text(alphabet="[]=#a1 \n\t;", max_size=60))
-def test_no_text_of_a_file_raises_anything_but_invalid_settings(text):
+def test_any_text_of_a_file_raises_only_invalid_settings_error(text):
     try:
         ini = IniFile("k.ini", text)
         ini.read_section("a", Watch)
@@ -155,7 +167,7 @@
         assert str(err).startswith("k.ini")
 
 
-def test_a_refusal_knows_file_line_section_and_field_apart():
+def test_error_has_file_line_section_and_field_as_attributes():
     with pytest.raises(InvalidSettingsError) as raised:
         IniFile("k.ini", GOOD.replace("most = 9", "most = 10")).read_section("watch", Watch)
     error = raised.value
--- a/tests/settings/test_platform.py
+++ b/tests/settings/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's settings: what is read of them, and one line for what is wrong."""
+"""Guards against settings that are misread, and against errors that do not name the file and the field."""
 
 import subprocess
 import sys
@@ -31,7 +31,7 @@
 """
 
 
-def test_a_valid_file_is_read_with_its_defaults(tmp_path):
+def test_valid_file_is_read_with_defaults(tmp_path):
     (tmp_path / "node.toml").write_text(GOOD)
     settings = load(str(tmp_path / "node.toml"))
     assert settings.listen_address("frontend") == ("10.0.0.1", 8080) and settings.internal_port() == 7540
@@ -42,12 +42,12 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, says",
+    "old, new, message",
     [
         ('zone = "hall"\n', "", "local_system.zone: missing"),
-        ('zone = "hall"', "zone = 3", "local_system.zone: 3 is no str"),
+        ('zone = "hall"', "zone = 3", "local_system.zone: 3 is not of type str"),
         ("grace_s = 7", 'grace_s = "7"', "policy_terms.bounds.grace_s"),
-        ("losses = 2", "losses = -1", "policy_terms.fault_tolerance.machine_losses: -1 is below 0"),
+        ("losses = 2", "losses = -1", "policy_terms.fault_tolerance.machine_losses: expected 0 or more, got -1"),
         ('"10.0.0.9:80"', '"10.0.0.9"', "network.seed_nodes[0]"),
         ("[7540, 7555]", "[]", "internal_port_range"),
         ("[7540, 7555]", '["a"]', "internal_port_range[0]"),
@@ -55,16 +55,16 @@
         ("[local_system]", "[local_system", "line 2"),
     ],
 )
-def test_an_invalid_file_is_refused_in_one_line_that_names_file_and_field(tmp_path, old, new, says):
+def test_invalid_file_raises_a_one_line_error_that_names_file_and_field(tmp_path, old, new, message):
     (tmp_path / "node.toml").write_text(GOOD.replace(old, new))
     with pytest.raises(InvalidSettingsError) as raised:
         load(str(tmp_path / "node.toml"))
-    assert says in str(raised.value) and "node.toml" in str(raised.value) and "\n" not in str(raised.value)
+    assert message in str(raised.value) and "node.toml" in str(raised.value) and "\n" not in str(raised.value)
 
 
 @pytest.mark.parametrize("words, code", [(["edge", "--settings=none.toml"], 2), (["fly"], 2), (["--help"], 0)])
-def test_a_command_line_that_cannot_be_used_has_exit_code_2(words, code):
-    done = subprocess.run(
+def test_invalid_command_line_exits_with_code_2_and_help_with_0(words, code):
+    process = subprocess.run(
         [sys.executable, "-m", "kestrelplank.gateway", *words], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert done.returncode == code and "Traceback" not in done.stderr
+    assert process.returncode == code and "Traceback" not in process.stderr
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -258,7 +258,7 @@
     until(kit.loop, lambda: any(b'"eject","endpoint":"s-1"' in body for _, _, body in relay.requests))
     ini.write_text(good.replace("quiet", "quite"))
     program.process.send_signal(signal.SIGHUP)
-    until(kit.loop, lambda: program.log_lines("is quiet meant?"))
+    until(kit.loop, lambda: program.log_lines("did you mean quiet?"))
     ini.write_text(good + "most_closed = 100%\n")
     program.process.send_signal(signal.SIGHUP)
     until(kit.loop, lambda: program.log_lines("event=reloaded"))
@@ -287,7 +287,7 @@
         [sys.executable, "-m", "kestrelplank"], env=env, capture_output=True, text=True, timeout=20, check=False
     )
     assert done.returncode == 2 and done.stderr.count("\n") == 1
-    assert "k.ini, line 2, [nodes], field poll: expected a time" in done.stderr
+    assert "k.ini, line 2, [nodes], field poll: expected a duration" in done.stderr
 
 
 def cycles(kit, front, relay, number):
