--- a/kestrelplank/load_balancing/canary_analysis.py
+++ b/kestrelplank/load_balancing/canary_analysis.py
@@ -12,7 +12,7 @@
 from math import log
 from typing import NamedTuple
 
-MIN_OPS = 50  # on either side; from here on shares are approximately normally distributed
+MIN_OPS = 50  # per side; with fewer, a share is not approximately normally distributed
 MIN_SHARE = 1e-3  # the pooled share is clamped to MIN_SHARE..1 - MIN_SHARE, as the variance would otherwise be 0
 
 
--- a/kestrelplank/settings/platform.py
+++ b/kestrelplank/settings/platform.py
@@ -91,7 +91,7 @@
         return parse_address(address, f"network.listen_addresses.{name}")
 
     def internal_port(self) -> int:
-        """Return the port for traffic between members and edges, which is the same on all machines."""
+        """Return the first internal port, which carries traffic between members and edges on all machines."""
         return self.network.internal_port_range[0]
 
 
--- a/kestrelplank/settings/reference_proxy.py
+++ b/kestrelplank/settings/reference_proxy.py
@@ -198,7 +198,7 @@
     if zones.spill_ends_at > zones.spill_begins_at:
         raise ini.error(section, "ends", "expected a value not greater than `begins`")
     if zones.prefer_near and not settings.attempts.limited:
-        reason = "expected `limited` in [tries], as its limits show when a zone is full"
+        reason = "requires `limited` in [tries], as its limits show when a zone is full"
         raise ini.error(section, "prefer", reason)
 
 
--- a/tests/load_balancing/test_concurrency_limits.py
+++ b/tests/load_balancing/test_concurrency_limits.py
@@ -77,12 +77,12 @@
     some.integers(1, 9),
     some.integers(10, 50),
 )
-def test_limit_stays_between_minimum_and_maximum_for_any_latencies(latencies, least, most):
-    limit = GradientLimit(ConcurrencyLimitSettings(initial=10, minimum=least, maximum=most, window=3))
+def test_limit_stays_between_minimum_and_maximum_for_any_latencies(latencies, minimum, maximum):
+    limit = GradientLimit(ConcurrencyLimitSettings(initial=10, minimum=minimum, maximum=maximum, window=3))
     for latency in latencies:
         limit.attempt_started()
         limit.attempt_ended(latency)
-        assert least <= limit.limit <= most and limit.in_flight == 0
+        assert minimum <= limit.limit <= maximum and limit.in_flight == 0
 
 
 def test_limits_are_per_node_and_op_type_and_removed_with_the_node():
--- a/tests/load_balancing/test_recorded_load_balancing.py
+++ b/tests/load_balancing/test_recorded_load_balancing.py
@@ -1,6 +1,6 @@
 """Guards against changes in load balancing decisions, or in the order in which random numbers are drawn.
 
-The digests in `recorded_load_balancing.json` were recorded with this file's `play_...` functions at commit 4f929ce.
+The digests in `recorded_load_balancing.json` were recorded with this file's `run_...` functions at commit 4f929ce.
 """
 
 import hashlib
@@ -127,7 +127,7 @@
             self.record_step(op, step)
 
 
-def play_attempts(pick, extras):
+def run_attempts(pick, extras):
     records = []
     for seed in range(3):
         scenario = AttemptsScenario(seed, pick, extras)
@@ -143,7 +143,7 @@
     return records
 
 
-def play_admission():
+def run_admission():
     random, admission, records, number, present = (
         Random(5),
         Admission(AdmissionSettings(12, 5, 2 * S, 6 * S)),
@@ -171,7 +171,7 @@
     return records
 
 
-def play_pool():
+def run_pool():
     random, records, number, busy, dialling = Random(6), [], 0, [], 0
     settings = PoolSettings(5, idle_timeout_ns=2 * S, max_uses=4, withdrawal_grace_ns=1 * S, slow_start_ns=10 * S)
     pool = ConnectionPool(0, settings)
@@ -205,7 +205,7 @@
     return records
 
 
-def play_zone_planning():
+def run_zone_planning():
     random, records = Random(7), []
     for _ in range(400):
         zones = list(range(random.randrange(1, 6)))
@@ -232,7 +232,7 @@
     return records
 
 
-def play_placement():
+def run_placement():
     random, records = Random(8), []
     for turn in range(150):
         large = turn % 5 == 0
@@ -246,7 +246,7 @@
     return records
 
 
-def play_slow_start_and_flap_damping():
+def run_slow_start_and_flap_damping():
     random, records = Random(9), []
     slow_start, damping = SlowStart(SlowStartSettings(0.2, 10 * S, 3.0), 0, 0), FlapDamping(FlapDampingSettings())
     for turn in range(2000):
@@ -281,7 +281,7 @@
     }
 
 
-def play_canary_analysis():
+def run_canary_analysis():
     random, records = Random(10), []
     for seed in range(40):
         analysis, chance = CanaryAnalysis(CanarySettings(max_ops=4000), 0.97), random.choice((0.97, 0.95, 0.8))
@@ -296,15 +296,15 @@
     return records
 
 
-PLAYS = {
-    **{f"attempts, pick {pick}": lambda pick=pick: play_attempts(pick, False) for pick in ("random", "rotate", "two", "key")},
-    **{f"attempts with limits, queue, budget and zones, pick {pick}": lambda pick=pick: play_attempts(pick, True) for pick in ("random", "rotate", "two", "key")},
-    "admission": play_admission,
-    "pool": play_pool,
-    "zone planning": play_zone_planning,
-    "placement": play_placement,
-    "returning": play_slow_start_and_flap_damping,
-    "gate": play_canary_analysis,
+SCENARIOS = {
+    **{f"attempts, pick {pick}": lambda pick=pick: run_attempts(pick, False) for pick in ("random", "rotate", "two", "key")},
+    **{f"attempts with limits, queue, budget and zones, pick {pick}": lambda pick=pick: run_attempts(pick, True) for pick in ("random", "rotate", "two", "key")},
+    "admission": run_admission,
+    "pool": run_pool,
+    "zone planning": run_zone_planning,
+    "placement": run_placement,
+    "returning": run_slow_start_and_flap_damping,
+    "gate": run_canary_analysis,
 }  # fmt: skip
 
 
@@ -312,10 +312,10 @@
     return hashlib.sha256(json.dumps(records).encode()).hexdigest()
 
 
-@pytest.mark.parametrize("name", PLAYS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_decisions_match_the_recorded_digest(name):
-    assert digest(PLAYS[name]()) == RECORDED[name]
+    assert digest(SCENARIOS[name]()) == RECORDED[name]
 
 
 def test_every_recorded_digest_has_a_scenario():
-    assert set(RECORDED) == set(PLAYS)
+    assert set(RECORDED) == set(SCENARIOS)
--- a/tests/load_balancing/test_slow_start.py
+++ b/tests/load_balancing/test_slow_start.py
@@ -55,9 +55,9 @@
 )
 def test_allowance_and_age_stay_within_bounds_for_any_reports(reports):
     slow_start, now = SlowStart(SETTINGS, 0, 0), 0
-    for wait, acked, failed, time in reports:
+    for wait, acked, failed, latency in reports:
         now += wait
-        slow_start.report(now, acked, failed, time, 40.0)
+        slow_start.report(now, acked, failed, latency, 40.0)
         assert 0 <= slow_start.age_ns(now) <= now
         assert (
             slow_start.allowance(now, 100.0, 3) * 3 <= min(100.0, 100.0 * min(1, 0.2 + 0.8 * now / 10 / S) * 1.5) + 1e-6
--- a/tests/load_balancing/test_spillover.py
+++ b/tests/load_balancing/test_spillover.py
@@ -81,18 +81,18 @@
     for zone in demand:
         others = [other for other in range(6) if other != zone]
         random.shuffle(others)
-        cut = random.randrange(1, 5)
-        tiers[zone] = [others[:cut], others[cut:]]
+        split_at = random.randrange(1, 5)
+        tiers[zone] = [others[:split_at], others[split_at:]]
     plan = plan_spillover(demand, capacity, tiers, limits)
     for zone, amount in demand.items():
         sent = sum(flow for (source, _), flow in plan.flows.items() if source == zone)
         assert sent + plan.unserved.get(zone, 0) == pytest.approx(amount, abs=1e-6)
-    for zone, most in capacity.items():
+    for zone, zone_capacity in capacity.items():
         spilled = sum(flow for (source, other), flow in plan.flows.items() if other == zone != source)
         own = plan.flows.get((zone, zone), 0.0)
         limit = max(limits) if limits else 0.0
-        assert own + spilled <= most + 1e-6 and spilled <= (most - own) * limit + 1e-6
-        assert own == min(demand.get(zone, 0.0), most)
+        assert own + spilled <= zone_capacity + 1e-6 and spilled <= (zone_capacity - own) * limit + 1e-6
+        assert own == min(demand.get(zone, 0.0), zone_capacity)
     assert all(flow >= 0 for flow in plan.flows.values())
     assert plan_spillover(dict(reversed(demand.items())), capacity, tiers, limits) == plan
 
--- a/tests/load_balancing/test_zone_preference.py
+++ b/tests/load_balancing/test_zone_preference.py
@@ -58,11 +58,11 @@
 
 
 def test_spill_ends_below_the_load_at_which_it_begins():
-    site, found = Site(), []
+    site, used = Site(), []
     for in_flight in (8, 9, 8, 7, 6, 8):
         site.in_flight = filled(in_flight)
-        found.append(site.zones())
-    assert found == [[OWN], [NEAR], [NEAR], [NEAR], [OWN], [OWN]]
+        used.append(site.zones())
+    assert used == [[OWN], [NEAR], [NEAR], [NEAR], [OWN], [OWN]]
 
 
 def test_zones_of_similar_distance_form_one_tier():
