--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kestrelplank`: the assigner in service, configured by the file that $NODE_CONFIG names."""
+"""`python -m kestrelplank`: runs an assigner, configured by the file that $NODE_CONFIG names."""
 
 import gc
 import os
@@ -11,7 +11,7 @@
 from kestrelplank.assigner.counters import Counters, logger
 from kestrelplank.assigner.health_checks import HealthChecks
 from kestrelplank.assigner.node_discovery import NodeDiscovery
-from kestrelplank.assigner.order_queue import MARKS, OrderQueue
+from kestrelplank.assigner.order_queue import STAMP_COUNT, OrderQueue
 from kestrelplank.assigner.peer_datagrams import PeerDatagrams
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 from kestrelplank.assigner.rounds import RoundRunner
@@ -36,35 +36,35 @@
 
 
 class AssignerConfiguration(NamedTuple):
-    """What the platform's file says of this assigner; addresses are `host:port`, empty where there is none."""
+    """This assigner's configuration in the platform's file; addresses are `host:port`, or empty if there is none."""
 
     name: str
     listen_address: str
     discovery_address: str
-    update_source_address: str  # the relay, which sends updates and takes orders; `hub.address` in the file
+    update_source_address: str  # the relay that sends updates and executes orders; `hub.address` in the file
     peer_listen_address: str
     peer_addresses: list[str]
     all_peers_address: str
     seed: int
-    known_nodes: object  # as discovery sent them in an earlier run
+    known_nodes: object  # the node list that discovery sent in an earlier run
     settings: dict[str, Any]  # as `decode.read_settings` returns them
 
 
 def read_configuration(ids: Ids) -> AssignerConfiguration:
-    """Return the configuration as it is now; zones and op types are added to `ids`.
+    """Read the configuration file; zones and op types are added to `ids`.
 
-    :raises MalformedError: a field cannot be used; it is named with the file.
+    :raises MalformedError: the file or a field is invalid; the text names both.
     """
     path = os.environ.get("NODE_CONFIG")
     if not path:
         raise MalformedError("NODE_CONFIG is not set")
     document = _read_document(path)
-    hub = document.get("hub")
-    hub_address = hub.get("address") if isinstance(hub, dict) else None
+    relay = document.get("hub")
+    relay_address = relay.get("address") if isinstance(relay, dict) else None
     if "settings" not in document:
         raise MalformedError(f"{path}, field settings: missing")
     peers = _read_field(path, "peers", list_value, document.get("peers") or [])
-    values = {"listen": document.get("listen"), "discovery": document.get("discovery"), "hub": hub_address}
+    values = {"listen": document.get("listen"), "discovery": document.get("discovery"), "hub": relay_address}
     values.update({name: document[name] for name in ("peer_listen", "peers_all") if document.get(name)})
     addresses = {name: _read_field(path, name, _read_address, value) for name, value in values.items()}
     peer_addresses = [_read_field(path, "peers", _read_address, peer) for peer in peers]
@@ -85,7 +85,7 @@
 def _read_document(path: str) -> dict[str, object]:
     """Return the configuration file's JSON object."""
     try:
-        with open(path, "rb") as file:  # noqa: PTH123 - pathlib would cost this program half a megabyte
+        with open(path, "rb") as file:  # noqa: PTH123 - importing pathlib would add half a megabyte of memory
             return object_value(parse_json(file.read()))
     except OSError as err:
         raise MalformedError(f"{path} can't be read: {err.strerror}") from None
@@ -94,7 +94,7 @@
 
 
 def _read_field(path: str, name: str, reader: Callable[[object], Value], value: object) -> Value:
-    """Return a field as `reader` reads it; a refusal names file and field."""
+    """Return a field, validated by `reader`; errors name the file and the field."""
     try:
         return reader(value)
     except ValueError as err:
@@ -102,16 +102,16 @@
 
 
 def _read_address(value: object) -> str:
-    """Return a text that is an address with a port."""
+    """Validate an address with a port, and return it unchanged."""
     address = text(value)
     parse_address(address)
     return address
 
 
 def read_operator_file() -> "OperatorSettings | None":
-    """Return what the operator's own file says, where one is named. Without it nothing is imported for it.
+    """Read the operator's file that $KESTRELPLANK_INI names; return None without one, and import nothing for it.
 
-    :raises InvalidSettingsError: it cannot be used.
+    :raises InvalidSettingsError: the file is invalid.
     """
     path = os.environ.get("KESTRELPLANK_INI")
     if not path:
@@ -123,9 +123,9 @@
 
 
 class Signals:
-    """Runs callbacks for signals from the loop, which reads them as bytes of a socket: no handler runs code of ours.
+    """Runs callbacks for signals in the event loop, by the wake-up descriptor instead of in a signal handler.
 
-    :param callbacks: what to call, by the signal's number.
+    :param callbacks: callbacks by signal number.
     """
 
     def __init__(self, loop: Loop, callbacks: dict[int, Callable[[], None]]) -> None:
@@ -144,7 +144,7 @@
                 self._callbacks[number]()
 
     def close(self) -> None:
-        """Take no more signals."""
+        """Stop receiving signals."""
         signal.set_wakeup_fd(-1)
         self._loop.forget(self._readable)
         self._readable.close()
@@ -152,22 +152,22 @@
 
 
 class CannotListenError(Exception):
-    """A socket that the program needs cannot be had; the text says which and why."""
+    """A socket that the program needs can't be created; the text gives the reason."""
 
 
 class Program:
-    """One assigner in service: its components, made in the order in which they need each other.
+    """The components of one assigner, created in the order of their dependencies.
 
-    What only an operator's file brings is imported and made only with one (tests/cli/test_cli.py,
+    Features that only an operator's file enables are not imported without one (tests/cli/test_cli.py,
     `test_the_platforms_run_imports_nothing_new`).
 
-    :raises CannotListenError: another program has the address.
+    :raises CannotListenError: an address is in use or invalid.
     """
 
     def __init__(self, ids: Ids, configuration: AssignerConfiguration, operator: "OperatorSettings | None") -> None:
         self._ids, self._configuration = ids, configuration
         self._settings = configuration.settings
-        self._loop = Loop(lambda err: self._counters.defect(err))  # a lambda, as the counters need its clock first
+        self._loop = Loop(lambda err: self._counters.defect(err))  # a lambda, as the counters need the loop's clock
         self._counters = Counters(logger(configuration.name), self._loop.now)
         self._pool = BufferPool(BUFFER_BYTES, BUFFERS)
         self._node_files: NodeFiles | None = None
@@ -214,7 +214,7 @@
             self._configuration.update_source_address,
             self._ids,
             list(self._ids.op_types),
-            self._configuration.seed % MARKS,
+            self._configuration.seed % STAMP_COUNT,
             self._settings["longest_transit"],
         )
 
@@ -244,7 +244,7 @@
         )
 
     def _listen(self) -> None:
-        """Listen for telemetry and, where that is allowed, for other assigners."""
+        """Listen for telemetry and, if the settings allow it, for datagrams of other assigners."""
         try:
             self._telemetry = TelemetryServer(
                 self._loop,
@@ -274,7 +274,7 @@
         )
 
     def _add_operator_features(self, operator: "OperatorSettings") -> None:
-        """Add watched files, membership and the status socket, as far as the operator's file asks for them."""
+        """Add watched files, membership and the status socket, as enabled in the operator's file."""
         if operator.nodes.files:
             from kestrelplank.file_discovery.node_files import NodeFiles
 
@@ -302,35 +302,35 @@
         except OSError as err:
             raise CannotListenError(f"can't listen at {operator.status.path}: {err.strerror}") from err
 
-    # Events on their way to the policy.
+    # Events for the policy.
 
     def _on_event(self, event: Event) -> None:
         self._rounds.on_event(event)
 
     def _on_discovery_event(self, event: Event) -> None:
-        """Pass a node list on, by way of the watched files where there are any: they are merged into it."""
+        """Forward a node list to the policy, through the watched files if there are any, which are merged into it."""
         if self._node_files is not None:
             self._node_files.on_event(event)
         else:
             self._on_event(event)
 
     def _on_datagram(self, event: Event) -> None:
-        """Pass a datagram on: loads to the policy, other messages to membership where the operator wants it."""
+        """Forward a datagram: loads to the policy, other messages to membership if it is enabled."""
         if self._membership is not None and isinstance(event, PeerMessage):
-            self._membership.take(event.sender, event.body or b"")
+            self._membership.receive(event.sender, event.body or b"")
         else:
             self._on_event(event)
 
     # Running.
 
     def run(self) -> None:
-        """Run until a signal ends it."""
+        """Run until a signal stops the loop."""
         self._counters.info("started", listen="%s:%d" % self._telemetry.at)
-        gc.freeze()  # what start-up made stays, and need not be looked through again
+        gc.freeze()  # objects created at start-up live on: exempt them from garbage collection
         self._loop.run()
 
     def reload(self) -> None:
-        """Read both files again: addresses and node lists may change; a file that cannot be used changes nothing."""
+        """Read both files again, and apply changed addresses and node lists; an invalid file changes nothing."""
         try:
             configuration = read_configuration(Ids(text))
             operator = read_operator_file()
@@ -338,17 +338,17 @@
             self._counters.record_fault("reloads_refused", err)
             return
         self._counters.add("reloads")
-        hub, discovery = configuration.update_source_address, configuration.discovery_address
-        self._counters.info("reloaded", discovery=discovery, hub=hub)
-        self._orders.move(hub)
-        self._proxy_updates.move(hub)
+        relay, discovery = configuration.update_source_address, configuration.discovery_address
+        self._counters.info("reloaded", discovery=discovery, hub=relay)
+        self._orders.move(relay)
+        self._proxy_updates.move(relay)
         self._discovery.move(discovery)
         if self._node_files is not None and operator is not None:
             self._node_files.reload(operator.nodes)
 
     def close(self) -> None:
-        """Close every component, and log the counters a last time."""
-        for part in (
+        """Close every component, and log the final counters."""
+        for component in (
             self._telemetry,
             self._proxy_updates,
             self._orders,
@@ -361,13 +361,13 @@
             self._signals,
             self._loop,
         ):
-            if part is not None:
-                part.close()
+            if component is not None:
+                component.close()
         self._counters.report()
 
 
 def main() -> int:
-    """Run one assigner until a signal ends it. Returns the exit code."""
+    """Run one assigner until a signal stops it; return the exit code."""
     ids = Ids(text)
     try:
         configuration = read_configuration(ids)
--- a/kestrelplank/assigner/__init__.py
+++ b/kestrelplank/assigner/__init__.py
@@ -1,1 +1,1 @@
-"""The assigner in service: adapters between the policy and its peers on sockets. They decide nothing."""
+"""The assigner program: adapters between the policy and its peers on sockets; all decisions are the policy's."""
--- a/kestrelplank/assigner/counters.py
+++ b/kestrelplank/assigner/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what is received, sent and answered, and a log with a bounded rate for each kind of fault."""
+"""Event counters, and a log that limits the rate of each kind of fault."""
 
 import os
 import select
@@ -10,31 +10,31 @@
 
 INFO_LEVEL = 20
 LOG_WINDOW_NS = 10_000_000_000
-MOST_LOGGED = 5  # of one kind in a window; the rest is only counted
-MOST_REASON = 200  # characters
+MAX_LINES_PER_WINDOW = 5  # of one kind of fault; further ones are only counted
+MAX_REASON_LENGTH = 200  # characters
 
 
 class NonBlockingOutput:
-    """A file descriptor for a program that must neither wait for whoever reads its log nor end with it.
+    """Writes log lines to a file descriptor without blocking or raising.
 
-    A line that can't be written at once is lost.
+    A line that can't be written at once is dropped.
     """
 
     def __init__(self, fd: int) -> None:
         self._fd = fd
 
     def write(self, text: str) -> None:
-        """Write a line, or lose it."""
+        """Write a line, or drop it."""
         with suppress(OSError):
             if select.select((), (self._fd,), (), 0)[1]:
                 os.write(self._fd, text.encode()[: select.PIPE_BUF])
 
     def flush(self) -> None:
-        """Do nothing: nothing is held back."""
+        """Do nothing: writes are not buffered."""
 
 
 def logger(name: str) -> structlog.BoundLogger:
-    """Return a logger of logfmt lines on standard error, bound to the assigner's name."""
+    """Return a logger of logfmt lines on standard error, with the assigner's name in every line."""
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="iso"),
@@ -42,14 +42,14 @@
             structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(INFO_LEVEL),
-        logger_factory=structlog.WriteLoggerFactory(NonBlockingOutput(2)),  # type: ignore[arg-type]  # a file to it
+        logger_factory=structlog.WriteLoggerFactory(NonBlockingOutput(2)),  # type: ignore[arg-type]  # write and flush suffice
     )
     bound: structlog.BoundLogger = structlog.get_logger(conductor=name)
     return bound
 
 
 class LogWindow:
-    """How many lines of one kind were logged since the window began."""
+    """Start of the current window and the number of lines of one kind logged in it."""
 
     __slots__ = ("logged", "since")
 
@@ -58,7 +58,7 @@
 
 
 class Counters:
-    """Counters and the log. Names are our own and few; nothing that came over the wire becomes one."""
+    """Counters and the log; names of counters are fixed in the code and never taken from received data."""
 
     def __init__(self, log: structlog.BoundLogger, clock: Callable[[], int]) -> None:
         self._log, self._clock = log, clock
@@ -66,21 +66,21 @@
         self._windows: dict[str, LogWindow] = {}
 
     def add(self, name: str, number: int = 1) -> None:
-        """Count something."""
+        """Increase a counter."""
         self.counts[name] += number
 
     def record_fault(self, name: str, why: object, **fields: object) -> None:
-        """Count a fault, and log it, at most `MOST_LOGGED` of its kind in a window."""
+        """Count a fault and log it, at most `MAX_LINES_PER_WINDOW` of its kind in a window of `LOG_WINDOW_NS`."""
         self.add(name)
         now, window = self._clock(), self._windows.setdefault(name, LogWindow())
         if now - window.since > LOG_WINDOW_NS:
             window.since, window.logged = now, 0
         window.logged += 1
-        if window.logged <= MOST_LOGGED:
-            self._log.warning(name, why=str(why)[:MOST_REASON], so_far=self.counts[name], **fields)
+        if window.logged <= MAX_LINES_PER_WINDOW:
+            self._log.warning(name, why=str(why)[:MAX_REASON_LENGTH], so_far=self.counts[name], **fields)
 
     def defect(self, err: Exception) -> None:
-        """Log an exception that nothing of ours should have raised, with where it was raised."""
+        """Log an unexpected exception with the file and line that raised it."""
         frame = err.__traceback__
         while frame and frame.tb_next:
             frame = frame.tb_next
@@ -88,9 +88,9 @@
         self.record_fault("defects", f"{type(err).__name__}: {err}", at=where)
 
     def info(self, event: str, **fields: object) -> None:
-        """Log something ordinary."""
+        """Log an event at level info."""
         self._log.info(event, **fields)
 
     def report(self) -> None:
-        """Log all counts."""
+        """Log all counters."""
         self._log.info("counters", **{name: self.counts[name] for name in sorted(self.counts)})
--- a/kestrelplank/assigner/health_checks.py
+++ b/kestrelplank/assigner/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of single nodes: a kept connection each, made at the first check of a node."""
+"""Health checks of nodes, each over a persistent connection that the first check of the node opens."""
 
 from collections.abc import Callable, Mapping
 
@@ -11,22 +11,22 @@
 from kestrelplank.sockets.http import Client
 from kestrelplank.sockets.loop import Loop
 
-MOST_NODES = 256  # connections kept, of the nodes checked last
-MOST_BODY_BYTES = 1 << 14
+MAX_NODES = 256  # the least recently checked node is disconnected beyond this
+MAX_BODY_BYTES = 1 << 14
 ANSWER_TIMEOUT_NS = 1000 * NS_PER_MS
-VERDICTS_OF_STATUS = {200: HealthVerdict.OK, 503: HealthVerdict.OVERLOADED}  # all others: failed
+VERDICTS_OF_STATUS = {200: HealthVerdict.OK, 503: HealthVerdict.OVERLOADED}  # any other status: FAILED
 VERDICTS_OF_FAILURE = {
     "silent": HealthVerdict.TIMED_OUT,
     "does not come up": HealthVerdict.UNREACHABLE,
     "ECONNREFUSED": HealthVerdict.UNREACHABLE,
-}  # all others: broken
+}  # any other reason: BROKEN
 
 
 class HealthChecks:
-    """Checks nodes that `addresses` (index to address) has, where the settings allow it.
+    """Checks the nodes in `addresses` (address by index), if the settings allow it.
 
-    :param dial_timeout_ns: how long a connection may take to come up.
-    :param with_load: ask for the node's load, which it answers with its health.
+    :param dial_timeout_ns: limit for a connection to be established.
+    :param with_load: request the node's load together with its health.
     """
 
     def __init__(
@@ -43,13 +43,15 @@
         self.loop, self.pool, self.counters, self.on_event = loop, pool, counters, on_event
         self._addresses, self._allowed, self.dial_timeout_ns = addresses, allowed, dial_timeout_ns
         self.path = "/status/load" if with_load else "/health"
-        self._checks: dict[int, NodeCheck] = {}  # those used last come last
+        self._checks: dict[int, NodeCheck] = {}  # in order of last use
 
     def check(self, node: int) -> None:
-        """Check a node, unless a check of it is in flight."""
+        """Start a check of a node, unless one is in flight."""
         to = self._address_of(node)
         if not self._allowed or not to:
-            self.counters.record_fault("probes_not_sent", "not allowed" if to else f"node {node} has no address")
+            self.counters.record_fault(
+                "probes_not_sent", "the settings allow no health checks" if to else f"node {node} has no valid address"
+            )
             return
         check = self._checks.pop(node, None)
         if check is None or check.client.to != to:
@@ -57,12 +59,12 @@
                 check.client.close()
             check = NodeCheck(self, node, to)
         self._checks[node] = check
-        if len(self._checks) > MOST_NODES:
+        if len(self._checks) > MAX_NODES:
             self._checks.pop(next(iter(self._checks))).client.close()
         check.ask()
 
     def _address_of(self, node: int) -> str:
-        """Return a node's address, empty where it has none that can be used."""
+        """Return a node's address; empty if it has none or an invalid one."""
         to = self._addresses.get(node, "")
         try:
             address(to)
@@ -87,7 +89,7 @@
 
     def __init__(self, checks: HealthChecks, node: int, to: str) -> None:
         self._checks, self._node, self._asked_at = checks, node, 0
-        self.client = Client(checks.loop, checks.pool, to, self, checks.dial_timeout_ns, MOST_BODY_BYTES)
+        self.client = Client(checks.loop, checks.pool, to, self, checks.dial_timeout_ns, MAX_BODY_BYTES)
 
     def ask(self) -> None:
         """Send a check, unless one is in flight."""
@@ -97,18 +99,18 @@
             self.client.call("GET", self._checks.path, b"", ANSWER_TIMEOUT_NS)
 
     def on_answer(self, status: int, body: bytes) -> None:
-        """Handle the node's answer."""
+        """Report the verdict for a response, with the load if it is valid."""
         verdict = VERDICTS_OF_STATUS.get(status, HealthVerdict.FAILED)
         load = NodeLoad()
         try:
             pairs = (pair.split("=") for pair in body.decode(errors="replace").strip().split(","))
             load = read_load(pairs) if verdict is HealthVerdict.OK else load
         except MalformedError:
-            pass  # the verdict stands without the load
+            pass  # the verdict is reported without the load
         self._report(verdict, load)
 
     def on_failure(self, why: str) -> None:
-        """Handle a check that got no answer."""
+        """Report the verdict for a check that got no response."""
         self._report(VERDICTS_OF_FAILURE.get(why, HealthVerdict.BROKEN), NodeLoad())
 
     def _report(self, verdict: HealthVerdict, load: NodeLoad) -> None:
--- a/kestrelplank/assigner/membership_gossip.py
+++ b/kestrelplank/assigner/membership_gossip.py
@@ -1,4 +1,4 @@
-"""Membership over the datagrams between assigners, for installations that allow them."""
+"""Membership gossip over the datagrams between assigners, for installations that allow them."""
 
 from collections.abc import Callable
 
@@ -8,15 +8,15 @@
 from kestrelplank.state.membership_datagram import MalformedDatagramError
 from kestrelplank.state.zone_load import ObservedNode, combined, zone_sums
 
-SUMS_VALID_NS = 3_000_000_000  # of other assigners, in what is shown
+SUMS_VALID_NS = 3_000_000_000  # how long sums of other assigners count in the status
 
 
 class MembershipGossip:
-    """Drives `Membership`: ticks it, feeds it datagrams, sends its own, and shows what it knows.
+    """Drives `Membership` with ticks and received datagrams, sends its datagrams, and reports its status.
 
-    :param send: `send(None, body)` sends to all.
-    :param nodes: the nodes as the policy sees them.
-    :param best: what a node acknowledges in a second at its best.
+    :param send: `send(None, body)` sends to all assigners.
+    :param nodes: returns the nodes as the policy sees them.
+    :param best: returns the highest rate that a node has acknowledged, in operations per second.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
             self._counters.info("members", view=view.version, alive=",".join(map(str, view.alive)))
         self._timer = self._loop.at(now + self._interval_ns, self._tick)
 
-    def take(self, sender: int, body: bytes) -> None:  # noqa: ARG002  the body names the sender
+    def receive(self, sender: int, body: bytes) -> None:  # noqa: ARG002 - the body names the sender
         """Handle a peer's datagram."""
         try:
             self._counters.add("members_news" if self._membership.receive(self._loop.now(), body) else "members_old")
@@ -54,7 +54,7 @@
             self._counters.record_fault("members_unreadable", err)
 
     def status(self) -> dict[str, object]:
-        """Return who is alive, and the zones as all assigners see them together."""
+        """Return the live members, and the zones' sums over all assigners."""
         now = self._loop.now()
         view = self._membership.view(now)
         zones = combined(zone_sums(self._nodes(), self._best()), self._membership.zone_sums(now, SUMS_VALID_NS))
--- a/kestrelplank/assigner/operator_features.py
+++ b/kestrelplank/assigner/operator_features.py
@@ -1,4 +1,4 @@
-"""Features that only an operator's file brings, made here, so that without one nothing of them is loaded."""
+"""Features that only an operator's file enables; their modules are not imported without such a file."""
 
 import time
 from collections.abc import Mapping
@@ -18,7 +18,7 @@
 
 
 def observed_nodes(policy: Policy, now: int) -> list[ObservedNode]:
-    """Return the policy's nodes with rates averaged over their report periods."""
+    """Return the policy's nodes with rates per second, averaged over their report periods."""
     observed = []
     for node in policy.nodes.values():
         seconds = max(1, len(node.periods)) * policy.state.period_ns / SECOND
@@ -29,7 +29,7 @@
 
 
 def best_acknowledged_per_s(policy: Policy) -> float:
-    """Return what a usable node was seen to acknowledge in a second at its best."""
+    """Return the highest rate that a usable node has acknowledged, in operations per second."""
     return policy.shedder.best_acknowledged / (policy.state.period_ns / SECOND)
 
 
@@ -41,14 +41,14 @@
     policy: Policy,
     peers: PeerDatagrams | None,
 ) -> MembershipGossip | None:
-    """Return membership, where the operator wants it and the platform's settings allow datagrams."""
+    """Return the membership component, or None unless the operator enables it and the settings allow datagrams."""
     if not file.enabled:
         return None
     if peers is None:
-        counters.record_fault("members_off", "the settings allow no datagrams between conductors")
+        counters.record_fault("members_off", "the settings allow no datagrams between assigners")
         return None
     detector = DetectorSettings(file.heartbeat_interval_ns, file.suspect_phi, file.dead_phi, file.min_missed_heartbeats)
-    incarnation = int(time.time()) & 0xFFFFFFFF  # grows with each start, unless the clock has been set back past it
+    incarnation = int(time.time()) & 0xFFFFFFFF  # increases with each start, unless the clock has been set back
     core = Membership(loop.now(), settings["ordinal"], incarnation, settings["conductors"], detector)
     return MembershipGossip(
         loop,
@@ -64,9 +64,9 @@
 def make_status_socket(
     loop: Loop, file: StatusSocketSettings, policy: Policy, ids: Ids, members: MembershipGossip | None
 ) -> StatusSocket | None:
-    """Return the status socket, where the operator names one.
+    """Return the status socket, or None if the operator's file names none.
 
-    :raises OSError: it can't be listened at.
+    :raises OSError: the socket can't be created at that path.
     """
     if not file.path:
         return None
@@ -79,7 +79,7 @@
 
 
 def zone_status(policy: Policy, ids: Ids, now: int) -> dict[str, dict[str, int]]:
-    """Return demand, capacity and numbers of nodes by the name of their zone."""
+    """Return demand, capacity and node counts by zone name."""
     names = {index: name for name, index in ids.zones.items()}
     zones = {
         names[sums.zone]: {name: value for name, value in sums._asdict().items() if name != "zone"}
@@ -94,7 +94,7 @@
 
 
 def node_conditions(policy: Policy, node: Node, now: int) -> dict[str, bool]:
-    """Return what is counted of nodes by zone."""
+    """Return the conditions that the status counts by zone, and whether they hold for a node."""
     return {
         "listed": node.state is NodeState.UP,
         "withdrawn": node.withdrawn,
--- a/kestrelplank/assigner/peer_datagrams.py
+++ b/kestrelplank/assigner/peer_datagrams.py
@@ -9,16 +9,16 @@
 from kestrelplank.sockets.connection import address
 from kestrelplank.sockets.loop import READ, Loop
 
-MOST_BYTES = 256  # of a datagram
-MOST_AT_ONCE = 64  # read in one pass, so that a flood of them can't hold up the rest
+MAX_DATAGRAM_BYTES = 256  # of a datagram
+MAX_DATAGRAMS_PER_PASS = 64  # so that a flood of datagrams does not delay other sockets
 
 
 class PeerDatagrams:
-    """Sends datagrams to peers, and takes them from peers only.
+    """Sends datagrams to peers, and accepts datagrams from peers only.
 
-    :param listen: our own address.
+    :param listen: address of this assigner.
     :param peers: addresses of the peers, by number.
-    :param everyone: the address that reaches all of them; empty where there is none.
+    :param broadcast: broadcast address that reaches all peers; empty if there is none.
     """
 
     def __init__(
@@ -27,49 +27,51 @@
         counters: Counters,
         listen: str,
         peers: list[str],
-        everyone: str,
+        broadcast: str,
         ids: Ids,
         on_event: Callable[[Event], None],
     ) -> None:
         self._loop, self._counters, self._ids, self._on_event = loop, counters, ids, on_event
-        self._peers, self._everyone = [address(peer) for peer in peers], address(everyone) if everyone else None
+        self._peers, self._broadcast = [address(peer) for peer in peers], address(broadcast) if broadcast else None
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
         self._sock.bind(address(listen))
         loop.watch(self._sock, READ, self._ready)
 
     def send(self, peer: int | None, body: bytes) -> None:
-        """Send a datagram to a peer, or to all where `peer` is None."""
-        to = self._everyone
+        """Send a datagram to a peer, or to all if `peer` is None."""
+        to = self._broadcast
         if peer is not None:
             to = self._peers[peer] if peer < len(self._peers) else None
-        if to is None or len(body) > MOST_BYTES:
-            self._counters.record_fault("datagrams_not_sent", "too long" if to else "no such peer")
+        if to is None or len(body) > MAX_DATAGRAM_BYTES:
+            self._counters.record_fault(
+                "datagrams_not_sent", "the datagram is too long" if to else "the peer has no address"
+            )
             return
         try:
             self._sock.sendto(body, to)
             self._counters.add("datagrams_sent")
-        except OSError as err:  # a datagram may be lost anyway
+        except OSError as err:  # not retried, as any datagram may be lost
             self._counters.record_fault("datagrams_not_sent", err)
 
     def share_loads(self, loads: Mapping[int, float]) -> None:
-        """Send loads, ops a second by node, to all."""
+        """Send loads, in operations per second by node, to all peers."""
         for body in encode_peer_loads(loads, self._ids.node_ids):
             self.send(None, body)
 
-    def _ready(self, events: int) -> None:  # noqa: ARG002  the loop's callback
-        for _ in range(MOST_AT_ONCE):
+    def _ready(self, events: int) -> None:  # noqa: ARG002 - signature of the loop's callbacks
+        for _ in range(MAX_DATAGRAMS_PER_PASS):
             try:
-                body, sender = self._sock.recvfrom(MOST_BYTES + 1)
+                body, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError as err:  # an ICMP error for one that we sent
+            except OSError as err:  # an ICMP error for a datagram sent earlier
                 self._counters.record_fault("datagrams_failed", err)
                 return
-            self._take(body, sender)
+            self._handle(body, sender)
 
-    def _take(self, body: bytes, sender: tuple[str, int]) -> None:
-        if sender not in self._peers or len(body) > MOST_BYTES:
+    def _handle(self, body: bytes, sender: tuple[str, int]) -> None:
+        if sender not in self._peers or len(body) > MAX_DATAGRAM_BYTES:
             self._counters.record_fault("datagrams_skipped", f"{len(body)} bytes from {sender}")
             return
         self._counters.add("peer_in")
--- a/kestrelplank/assigner/rounds.py
+++ b/kestrelplank/assigner/rounds.py
@@ -1,4 +1,4 @@
-"""Gathers events, runs the policy once a round, and passes its orders on."""
+"""Collects events, runs the policy once per round, and forwards its orders."""
 
 from typing import Protocol
 
@@ -11,21 +11,21 @@
 from kestrelplank.policy import Policy
 from kestrelplank.sockets.loop import Loop
 
-MOST_EVENTS = 50_000  # gathered while rounds are held up; what comes beyond that is reports, as a rule
-MOST_LOG_TEXT = 200
+MAX_EVENTS = 50_000  # while rounds are delayed; only reports are dropped beyond this
+MAX_LOG_TEXT_LENGTH = 200
 
 
 class NodeHolder(Protocol):
-    """A component that keeps something of a node."""
+    """A component that keeps state for each node."""
 
     def forget(self, node: int) -> None:
-        """Release it."""
+        """Remove the state of a node."""
 
 
 class RoundRunner:
-    """The order writer of the policy, and the events of its next round.
+    """Writes the policy's orders, and collects the events of its next round.
 
-    A round runs `gather_ns` after the first event, so that rounds are bounded by time and not by the number of reads.
+    A round runs `gather_ns` after its first event, so that the number of rounds does not depend on the number of reads.
     """
 
     def __init__(
@@ -47,11 +47,11 @@
         self.set_withdrawn, self.set_admission = orders.set_withdrawn, orders.set_admission
         self.request_acknowledgement = orders.request_acknowledgement
         self.check_health, self.fetch_nodes = checks.check, discovery.fetch
-        self.holders: list[NodeHolder] = [orders, discovery, checks]  # told of a node that is forgotten
+        self.holders: list[NodeHolder] = [orders, discovery, checks]  # notified when a node is forgotten
 
     def on_event(self, event: Event) -> None:
-        """Keep an event for the next round."""
-        if len(self._events) >= MOST_EVENTS and isinstance(event, NodeReport | SliceReport | ProxyReport):
+        """Add an event to the next round."""
+        if len(self._events) >= MAX_EVENTS and isinstance(event, NodeReport | SliceReport | ProxyReport):
             self._counters.add("reports_dropped")
             return
         self._events.append(event)
@@ -71,36 +71,36 @@
         finally:
             self._orders.close_round()
 
-    # Orders that do not go to the relay.
+    # Orders that are not sent to the relay.
 
-    def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:  # noqa: ARG002  an order writer's
-        """Drop the order: the relay has none for it."""
-        self._counters.record_fault("orders_dropped", "the relay has no order that binds a proxy")
+    def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:  # noqa: ARG002 - signature of OrderWriter
+        """Drop the order: the relay's protocol has no equivalent."""
+        self._counters.record_fault("orders_dropped", "the relay has no order that binds a proxy to a table")
 
     def send_to_peers(self, peer: int | None, body: bytes) -> None:
-        """Send a datagram, where talk is allowed."""
+        """Send a datagram, if the settings allow datagrams between assigners."""
         if self._peers:
             self._peers.send(peer, body)
         else:
-            self._counters.record_fault("datagrams_not_sent", "not allowed")
+            self._counters.record_fault("datagrams_not_sent", "the settings allow no datagrams between assigners")
 
     def share_loads(self, loads: dict[int, float]) -> None:
-        """Send loads to all peers, where talk is allowed."""
+        """Send loads to all peers, if the settings allow datagrams between assigners."""
         if self._peers:
             self._peers.share_loads(loads)
 
     def watch_nodes(self, enabled: bool) -> None:
-        """Do nothing: the node list is watched from the start."""
+        """Do nothing: the node list is always watched."""
 
     def set_timer(self, at: int, name: str) -> None:
-        """Deliver an event at an instant."""
+        """Add a `TimerFired` event at an instant."""
         self._loop.at(at, lambda: self.on_event(TimerFired(name)))
 
     def forget_node(self, node: int) -> None:
-        """Have every component release a node."""
+        """Remove a node's state from every component."""
         for holder in self.holders:
             holder.forget(node)
 
     def log(self, text: str) -> None:
         """Log a line."""
-        self._counters.info("note", text=text[:MOST_LOG_TEXT])
+        self._counters.info("note", text=text[:MAX_LOG_TEXT_LENGTH])
--- a/kestrelplank/assigner/status_socket.py
+++ b/kestrelplank/assigner/status_socket.py
@@ -1,4 +1,4 @@
-"""What a running assigner shows of itself over a Unix socket: whoever connects gets one JSON object."""
+"""The status of a running assigner over a Unix socket: each connection receives one JSON object."""
 
 import socket
 from collections.abc import Callable, Mapping
@@ -13,14 +13,14 @@
 
 
 class MembersStatus(TypedDict):
-    """Which members the assigner that was asked counts as alive."""
+    """The members that the queried assigner regards as alive."""
 
     view: int
     alive: list[int]
 
 
 class AssignerStatus(TypedDict):
-    """What an assigner shows: figures of each zone by name, members where they talk to each other."""
+    """An assigner's status: figures by zone name, and the members if membership is enabled."""
 
     slices: int
     zones: dict[str, dict[str, float]]
@@ -28,9 +28,9 @@
 
 
 class StatusSocket:
-    """Sends what `status()` returns, called for each connection, at `path`.
+    """Calls `status` for each connection at `path` and sends the result.
 
-    It is written once without waiting, so a slow reader gets what fits the socket's buffer.
+    The result is written once without waiting, so a slow reader receives only what fits into the socket's buffer.
     """
 
     def __init__(self, loop: Loop, path: str, status: Callable[[], Mapping[str, object]]) -> None:
@@ -51,10 +51,10 @@
 
 
 def read_status(path: str, timeout_s: float) -> AssignerStatus:
-    """Return what the assigner at that path shows.
+    """Return the status of the assigner that listens at a path.
 
-    :raises OSError: it can't be reached.
-    :raises ValueError: what it shows is cut off.
+    :raises OSError: the socket can't be reached.
+    :raises ValueError: the received JSON is truncated.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as link:
         link.settimeout(timeout_s)
--- a/kestrelplank/assigner/telemetry_messages.py
+++ b/kestrelplank/assigner/telemetry_messages.py
@@ -1,4 +1,4 @@
-"""Collectors' messages as events in our units; one with an impossible figure is refused whole."""
+"""Parses collectors' messages into events; a message with an invalid figure is rejected completely."""
 
 import re
 from collections.abc import Iterable, Mapping, Sequence
@@ -16,19 +16,19 @@
     "qps": "acknowledged_per_s",
     "eps": "aborted_per_s",
 }
-MOST_DIGITS = 8  # of a slice's number: Python refuses to read thousands of them
-FIGURE = re.compile(r"-?\d+(\.\d+)?([eE][-+]?\d+)?", re.ASCII)  # narrower than what `float` reads
+MAX_DIGITS = 8  # of a slice's number; `int` raises on thousands of digits
+FIGURE = re.compile(r"-?\d+(\.\d+)?([eE][-+]?\d+)?", re.ASCII)  # stricter than `float`
 
 
 def read_figure(value: str) -> float:
-    """Read one figure of a report."""
+    """Parse one figure of a report."""
     if not FIGURE.fullmatch(value):
         raise MalformedError(f"expected a number, got {value[:40]!r}")
     return reported_number(float(value))
 
 
 def read_load(pairs: Iterable[Sequence[str]]) -> NodeLoad:
-    """Read a node's load from names and values already split; what is not known here is skipped."""
+    """Parse a node's load from pairs of name and value; unknown names are skipped."""
     load = NodeLoad()
     for name, *value in pairs:
         if name in LOAD_NAMES:
@@ -37,7 +37,7 @@
 
 
 def read_message(message: Sequence[bytes]) -> tuple[str, dict[str, str]]:
-    """Return a message's kind, and its fields by name."""
+    """Return the type of a message, and its fields by name."""
     try:
         kind, *words = (word.decode() for word in message)
     except UnicodeDecodeError:
@@ -51,7 +51,7 @@
 def read_index(
     kind: str, fields: Mapping[str, str], name: str, indices: Mapping[str, int] | Mapping[str | int, int]
 ) -> int:
-    """Return the index of what a field names."""
+    """Return the index of the zone, node or op type that a field names."""
     value = fields.get(name)
     if value is None or value not in indices:
         raise MalformedError(f"{kind}, field {name}: {value and value[:40]!r} is not known")
@@ -61,7 +61,7 @@
 def read_joining(message: Sequence[bytes], ids: Ids) -> int:
     """Return the zone that a collector names in its first message.
 
-    :raises MalformedError: the message is another one, or names no zone that exists.
+    :raises MalformedError: the message is of another type, or names an unknown zone.
     """
     kind, fields = read_message(message)
     if kind != "telemetry":
@@ -70,20 +70,20 @@
 
 
 def read_report(message: Sequence[bytes], ids: Ids, slices: int, zone: int) -> NodeReport | SliceReport | None:
-    """Read a message from the collector of a zone; None where there is nothing to report.
+    """Parse a message from the collector of a zone; return None for one that is not a report.
 
-    :param slices: how many there are.
-    :raises MalformedError: naming message and field.
+    :param slices: number of slices.
+    :raises MalformedError: the message is invalid; the text names the message and the field.
     """
     kind, fields = read_message(message)
     if kind == "telemetry":
         return None
     if kind not in ("upstream_stats", "range_stats"):
-        raise MalformedError(f"no message is called {kind[:40]!r}")
+        raise MalformedError(f"unknown message type {kind[:40]!r}")
     total, errors = _figure_of(kind, fields, "total"), _figure_of(kind, fields, "errors")
     window_ns = duration_from_ms(_figure_of(kind, fields, "interval"))
     if not window_ns:
-        raise MalformedError(f"{kind}: in no time")
+        raise MalformedError(f"{kind}, field interval: expected a duration above 0")
     if kind == "range_stats":
         return _read_slice_report(fields, ids, slices, total, errors, window_ns)
     return _read_node_report(fields, ids, zone, total, errors, window_ns)
@@ -102,10 +102,10 @@
     fields: Mapping[str, str], ids: Ids, zone: int, attempts: float, failures: float, window_ns: int
 ) -> NodeReport:
     kind = "upstream_stats"
-    if failures > attempts:  # not so for slices: ops that came in earlier windows may abort in this one
-        raise MalformedError(f"{kind}: {failures} of {attempts} failed")
+    if failures > attempts:  # for slices this is valid: ops that arrived in earlier windows may abort in this one
+        raise MalformedError(f"{kind}, field errors: {failures} is more than the total of {attempts}")
     if read_index(kind, fields, "locality", ids.zones) != zone:
-        raise MalformedError(f"{kind}, field locality: not this collector's")
+        raise MalformedError(f"{kind}, field locality: expected the zone that the collector joined with")
     timed = attempts > failures or "rtt" in fields
     mean_latency_ns = duration_from_ms(_figure_of(kind, fields, "rtt")) if timed else None
     metrics = (pair.split(":") for pair in fields.get("metrics", "").split(","))
@@ -117,6 +117,6 @@
     fields: Mapping[str, str], ids: Ids, slices: int, ops: float, aborted: float, window_ns: int
 ) -> SliceReport:
     kind, shard = "range_stats", fields.get("shard", "")
-    if not (shard.isdecimal() and len(shard) <= MOST_DIGITS and int(shard) < slices):
+    if not (shard.isdecimal() and len(shard) <= MAX_DIGITS and int(shard) < slices):
         raise MalformedError(f"{kind}, field shard: {shard[:40]!r} is not known")
     return SliceReport(int(shard), read_index(kind, fields, "route", ids.op_types), ops, aborted, window_ns)
--- a/kestrelplank/assigner/telemetry_server.py
+++ b/kestrelplank/assigner/telemetry_server.py
@@ -1,8 +1,8 @@
-"""The assigner's own address: collectors connect, name their zone and send reports; anybody may send a heartbeat.
+"""The assigner's listening address: collectors join with their zone and send reports; any caller may send heartbeats.
 
-Admission is decided here. A caller that has not joined may only name a zone that exists or send heartbeats, and only
-for a short while: such callers come by hundreds, send nothing, half a message or one without end, and each holds a
-descriptor. A caller is sent the reason before it is disconnected.
+A caller that has not joined may only join with a known zone or send heartbeats, and only for `JOIN_TIMEOUT_NS`: there
+may be hundreds of callers that send nothing, or an incomplete or endless message, and each occupies a descriptor. A
+caller is sent the reason before it is disconnected.
 """
 
 import socket
@@ -18,23 +18,22 @@
 from kestrelplank.sockets.loop import Loop
 
 HEARTBEAT, HEARTBEAT_ANSWER = b"hb", resp.encode(b"hb_ok")
-MOST_UNJOINED = 64  # connections that have not joined; the oldest goes first, as it had its chance
-MOST_OF_ZONE = 4  # joined: one reports, the others may be left over from a machine that vanished
-MOST_UNJOINED_BYTES = 4096  # of a message, from a caller that has not joined
-MOST_UNSENT_BYTES = 1 << 16
-MOST_REASON_BYTES = 80
-SWEEP_INTERVAL_NS = 200 * NS_PER_MS  # also how long listening pauses when descriptors run out
-JOIN_TIMEOUT_NS = 1000 * NS_PER_MS  # kept without joining
-IDLE_TIMEOUT_NS = 120_000 * NS_PER_MS  # joined, since the last bytes
+MAX_UNJOINED_CALLERS = 64  # the oldest is rejected first
+MAX_COLLECTORS_PER_ZONE = 4  # one reports; others may be stale connections of a machine that vanished
+MAX_UNJOINED_BYTES = 4096  # per message of a caller that has not joined
+MAX_UNSENT_BYTES = 1 << 16
+MAX_REASON_BYTES = 80
+SWEEP_INTERVAL_NS = 200 * NS_PER_MS  # also the pause of accepting when descriptors run out
+JOIN_TIMEOUT_NS = 1000 * NS_PER_MS
+IDLE_TIMEOUT_NS = 120_000 * NS_PER_MS  # of a collector, since its last bytes
 
 
 class TelemetryServer:
-    """Admits callers and takes collectors' reports.
+    """Admits callers and processes collectors' reports.
 
-    Callers are held in the order in which their time runs out: those not joined by when they came, collectors
-    by when they joined.
+    Unjoined callers are ordered by the time of their connection, collectors by the time they joined.
 
-    :param slices: how many there are.
+    :param slices: number of slices.
     """
 
     def __init__(
@@ -51,24 +50,24 @@
         self._ids, self._slices, self._on_event = ids, slices, on_event
         self._unjoined: dict[int, Caller] = {}
         self._collectors: dict[int, Caller] = {}
-        self._listener = Listener(loop, at, self._accept, self._make_room, SWEEP_INTERVAL_NS)
+        self._listener = Listener(loop, at, self._accept, self._free_descriptor, SWEEP_INTERVAL_NS)
         self.at = self._listener.at
         self._timer = loop.at(loop.now() + SWEEP_INTERVAL_NS, self._sweep)
 
     # Called by callers.
 
     def join(self, caller: "Caller", message: list[bytes]) -> int:
-        """Admit a caller as collector of the zone that it names, and return the zone."""
+        """Admit a caller as a collector of the zone that it names, and return the zone."""
         zone = read_joining(message, self._ids)
         self._unjoined.pop(id(caller), None)
         same_zone = [other for other in self._collectors.values() if other.zone == zone]
-        if len(same_zone) >= MOST_OF_ZONE:
-            min(same_zone, key=lambda other: other.heard_at).reject("callers_pushed_out", "too many of a zone")
+        if len(same_zone) >= MAX_COLLECTORS_PER_ZONE:
+            min(same_zone, key=lambda other: other.last_received_at).reject("callers_pushed_out", "too many of a zone")
         self._collectors[id(caller)] = caller
         return zone
 
-    def take(self, message: list[bytes], zone: int) -> None:
-        """Handle a report; one that can't be used is skipped, and its connection stays."""
+    def handle_report(self, message: list[bytes], zone: int) -> None:
+        """Process a report; an invalid one is skipped, and its connection stays open."""
         try:
             report = read_report(message, self._ids, self._slices, zone)
         except MalformedError as err:
@@ -78,8 +77,8 @@
             self.counters.add("tries_in" if isinstance(report, NodeReport) else "heat_in")
             self._on_event(report)
 
-    def caller_gone(self, caller: "Caller") -> None:
-        """Forget a caller whose connection is closed."""
+    def caller_closed(self, caller: "Caller") -> None:
+        """Remove a caller whose connection is closed."""
         self._unjoined.pop(id(caller), None)
         self._collectors.pop(id(caller), None)
 
@@ -87,7 +86,7 @@
 
     def _accept(self, sock: socket.socket) -> None:
         self.counters.add("accepted")
-        if len(self._unjoined) >= MOST_UNJOINED:
+        if len(self._unjoined) >= MAX_UNJOINED_CALLERS:
             self._reject_oldest_unjoined("too many")
         caller = Caller(self, sock, self.loop.now())
         self._unjoined[id(caller)] = caller
@@ -95,8 +94,8 @@
     def _reject_oldest_unjoined(self, why: str) -> None:
         next(iter(self._unjoined.values())).reject("callers_pushed_out", why)
 
-    def _make_room(self, why: str) -> bool:
-        """Reject a caller that has not joined, as others need its descriptor; return whether there was one."""
+    def _free_descriptor(self, why: str) -> bool:
+        """Reject the oldest unjoined caller to free its descriptor; return whether there was one."""
         self.counters.record_fault("accept_failed", why)
         if self._unjoined:
             self._reject_oldest_unjoined("short of descriptors")
@@ -107,7 +106,7 @@
         now = self.loop.now()
         for callers, timeout_ns in ((self._unjoined, JOIN_TIMEOUT_NS), (self._collectors, IDLE_TIMEOUT_NS)):
             for caller in list(callers.values()):
-                if now - caller.heard_at >= timeout_ns:
+                if now - caller.last_received_at >= timeout_ns:
                     caller.reject("callers_silent", "has not joined" if caller.zone is None else "says nothing")
         self._timer = self.loop.at(now + SWEEP_INTERVAL_NS, self._sweep)
 
@@ -116,46 +115,46 @@
         self._timer.cancel()
         self._listener.close()
         for caller in [*self._unjoined.values(), *self._collectors.values()]:
-            caller.connection.close("we end")
+            caller.connection.close("closed locally")
 
 
 class Caller:
-    """One connection to our address. It is written to only to answer `hb`, and when it is rejected."""
+    """An inbound connection; only replies to heartbeats and the reason of a rejection are sent on it."""
 
     def __init__(self, server: TelemetryServer, sock: socket.socket, now: int) -> None:
-        self._server, self._parser = server, resp.Parser(MOST_UNJOINED_BYTES)
-        self.heard_at = now  # before it has joined: when it came
-        self.zone: int | None = None  # of a collector
-        self.connection = Connection(server.loop, server.pool, sock, self, MOST_UNSENT_BYTES)
+        self._server, self._parser = server, resp.Parser(MAX_UNJOINED_BYTES)
+        self.last_received_at = now  # until it joins: time of the connection
+        self.zone: int | None = None  # of a collector; None before it has joined
+        self.connection = Connection(server.loop, server.pool, sock, self, MAX_UNSENT_BYTES)
 
     def on_data(self, data: memoryview) -> None:
-        """Handle received bytes."""
+        """Process received bytes."""
         try:
             for message in self._parser.feed(data):
-                if not self.connection.open:  # rejected for what came before
+                if not self.connection.open:  # rejected because of an earlier message
                     return
-                self._take(message)
+                self._handle_message(message)
         except MalformedError as err:
             self.reject("callers_malformed", str(err))
         if self.zone is not None:
-            self.heard_at = self._server.loop.now()
+            self.last_received_at = self._server.loop.now()
 
-    def _take(self, message: list[bytes]) -> None:
+    def _handle_message(self, message: list[bytes]) -> None:
         if message[0] == HEARTBEAT:
             self._server.counters.add("hb_answered")
             self.connection.write(HEARTBEAT_ANSWER)
         elif self.zone is None:
             self.zone = self._server.join(self, message)
-            self._parser.most_bytes = resp.MOST_BYTES
+            self._parser.max_message_bytes = resp.MAX_MESSAGE_BYTES
         else:
-            self._server.take(message, self.zone)
+            self._server.handle_report(message, self.zone)
 
     def reject(self, counter: str, why: str) -> None:
         """Send the caller the reason, and close the connection."""
         self._server.counters.record_fault(counter, why)
-        self.connection.write(resp.encode(b"reject", b"reason", why.encode()[:MOST_REASON_BYTES]))
+        self.connection.write(resp.encode(b"reject", b"reason", why.encode()[:MAX_REASON_BYTES]))
         self.connection.close(why)
 
-    def on_close(self, why: str) -> None:  # noqa: ARG002  a connection's owner
-        """Forget this caller: its connection is closed."""
-        self._server.caller_gone(self)
+    def on_close(self, why: str) -> None:  # noqa: ARG002 - signature of ConnectionHandler
+        """Remove this caller from the server."""
+        self._server.caller_closed(self)
--- a/kestrelplank/decode.py
+++ b/kestrelplank/decode.py
@@ -1,8 +1,8 @@
-"""What all adapters share: readers of fields, ids, and the settings that an assigner is made with.
+"""Shared by all adapters: validation of decoded fields, indices for names, and an assigner's settings.
 
-A reader takes one decoded value and returns it in our units, or raises MalformedError with what was wrong. The
-settings are one object on both wires: the simulator's first message holds it, and so does the configuration of an
-assigner in service. The program in service imports this module: it needs nothing but msgspec.
+A reader validates one decoded value and returns it in internal units, or raises MalformedError. The settings are the
+same object in the simulator's CREATE message and in the configuration file of an assigner. This module imports only
+msgspec, to keep the assigner program small.
 """
 
 import struct
@@ -13,12 +13,14 @@
 import msgspec
 
 NS_PER_MS = 1_000_000
-MAX_NAMES = 65_536  # of nodes or zones held: against a party that never names the same one twice
-MAX_NUMBER = 1e300  # numbers from here on could overflow in sums; NaN is refused too, as no comparison with it holds
-MAX_REPORTED_NUMBER = 1e9  # a count or a time in ms in one report: far above any real one, and sums stay exact enough
-PEER_LOADS = 2  # the first byte of datagrams that hold loads; those of membership begin with another
-PEER_LOAD = struct.Struct("!Ie")  # checksum of a node's name, ops a second as a half-precision float: three digits
-MAX_LOADS_PER_DATAGRAM = (256 - 1) // PEER_LOAD.size  # in a datagram
+MAX_NAMES = 65_536  # of nodes or zones; limits memory if a peer sends ever new names
+MAX_NUMBER = 1e300  # exclusive; sums of larger numbers could overflow
+MAX_REPORTED_NUMBER = 1e9  # a count or a time in ms; far above real values, and small enough for sums to stay precise
+PEER_LOADS = 2  # first byte of datagrams that contain loads; those of membership begin with another byte
+PEER_LOAD = struct.Struct(
+    "!Ie"
+)  # checksum of a node's name; ops/s as a half-precision float, with three significant digits
+MAX_LOADS_PER_DATAGRAM = (256 - 1) // PEER_LOAD.size
 MAX_PEER_LOAD = 65_504.0  # the largest half-precision float
 EFFECTS: dict[object, str] = {"pure": "retryable", "token": "deduplicated", "side_effect": "once-only"}
 PICKS: dict[object, str] = {"random": "random", "rotate": "rotate", "p2c": "two"}
@@ -26,48 +28,48 @@
 
 Value = TypeVar("Value")
 Default = TypeVar("Default")
-NodeName = str | int  # as the wire has it
+NodeName = str | int  # as it is on the wire
 
 
 class MalformedError(ValueError):
-    """A line, or one field of it, that the wire does not allow; the text says which and why."""
+    """A message or field violates the protocol; the text names it and the reason."""
 
 
 def checksum(name: NodeName) -> int:
-    """Return the checksum that names a node between assigners, as each has indices of its own.
+    """Return the checksum that identifies a node in datagrams between assigners, whose indices differ.
 
-    Two of 200 nodes share one on a day in two hundred thousand: the loads of one then count for the other.
+    If two nodes share a checksum (probability about 1 in 200,000 for 200 nodes), the loads of one count for the other.
     """
     return crc32(str(name).encode())
 
 
 class Ids:
-    """Small indices for one instance's nodes, zones and op types, given out in order of appearance.
+    """Indices of the nodes, zones and op types that an assigner knows, assigned in order of appearance.
 
-    No index is given twice: what is still under way for a node that was forgotten must not meet another.
+    Indices are not reused: a late message about a removed node must not be attributed to another node.
 
-    :param read_node: reads what a node is called on the wire, a number or a text.
+    :param read_node: validates the name of a node on the wire, a number or a text.
     """
 
     def __init__(self, read_node: Callable[[object], NodeName]) -> None:
         self._read_node = read_node
         self.nodes: dict[NodeName, int] = {}
         self.node_ids: dict[int, NodeName] = {}
-        self.checksums: dict[int, int] = {}  # of nodes' names, to their indices
+        self.checksums: dict[int, int] = {}  # index of a node, by the checksum of its name
         self._given = 0
         self.zones: dict[str, int] = {}
         self.op_types: dict[str, int] = {}
 
     def node(self, value: object) -> int:
-        """Return the index of a node, a new one where it is named for the first time.
+        """Return the index of a node, a new one if the name is new.
 
-        :raises MalformedError: it is no name, or too many have been named.
+        :raises MalformedError: the value is not a node name, or there are too many names.
         """
         name = self._read_node(value)
         index = self.nodes.get(name)
         if index is None:
             if len(self.node_ids) >= MAX_NAMES:
-                raise MalformedError(f"more than {MAX_NAMES} nodes have been named")
+                raise MalformedError(f"expected at most {MAX_NAMES} node names")
             index = self.nodes[name] = self._given
             self.node_ids[index] = name
             self.checksums[checksum(name)] = index
@@ -75,54 +77,54 @@
         return index
 
     def forget(self, index: int) -> None:
-        """Forget a node; its index stays unused."""
+        """Remove a node; its index is not reused."""
         name = self.node_ids.pop(index)
         del self.nodes[name]
         self.checksums.pop(checksum(name), None)
 
     def zone(self, value: object) -> int:
-        """Return the index of a zone, a new one where it is named for the first time.
+        """Return the index of a zone, a new one if the name is new.
 
-        :raises MalformedError: it is no name, or too many have been named.
+        :raises MalformedError: the value is not text, or there are too many names.
         """
         name = text(value)
         if name not in self.zones and len(self.zones) >= MAX_NAMES:
-            raise MalformedError(f"more than {MAX_NAMES} zones have been named")
+            raise MalformedError(f"expected at most {MAX_NAMES} zone names")
         return self.zones.setdefault(name, len(self.zones))
 
     def op_type(self, value: object) -> int:
         """Return the index of an op type that the settings name.
 
-        :raises MalformedError: the settings do not name it.
+        :raises MalformedError: the settings do not contain that op type.
         """
         name = text(value)
         if name not in self.op_types:
-            raise MalformedError(f"no op type is called {value!r}")
+            raise MalformedError(f"unknown op type {value!r}")
         return self.op_types[name]
 
 
 def parse_json(data: bytes) -> object:
-    """Return JSON as plain values.
+    """Decode JSON into plain values.
 
-    :raises MalformedError: it is not JSON, or nested too deeply.
+    :raises MalformedError: the data is not JSON, or nested too deeply.
     """
     try:
         return msgspec.json.decode(data)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:  # the latter two are not the library's own
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as err:  # the latter two are not msgspec's own
         raise MalformedError(f"not JSON: {err}") from None
 
 
 def number(value: object) -> float:
-    """Return a finite number below `MAX_NUMBER`; a truth value is refused."""
+    """Return a finite number whose magnitude is below `MAX_NUMBER`; a boolean is rejected, and so is NaN."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not abs(value) < MAX_NUMBER:
         reject("a number", value)
     return value
 
 
 def non_negative_int(value: object) -> int:
-    """Return a whole number of 0 or more."""
+    """Return an integer of 0 or more."""
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-        reject("a whole number", value)
+        reject("an integer of 0 or more", value)
     return value
 
 
@@ -135,20 +137,20 @@
 
 
 def reported_number(value: object) -> float:
-    """Return a number that one report may hold."""
+    """Return a number from 0 to `MAX_REPORTED_NUMBER`."""
     read = non_negative(value)
     if read > MAX_REPORTED_NUMBER:
-        reject("a figure of one report", value)
+        reject("a number within the limit of a report", value)
     return read
 
 
 def duration_from_ms(value: object) -> int:
-    """Return in ns a time of 0 or more that the wire has in ms."""
+    """Return a duration in ns from a number of ms of 0 or more."""
     return round(non_negative(value) * NS_PER_MS)
 
 
 def text(value: object) -> str:
-    """Return a text."""
+    """Return a string."""
     if not isinstance(value, str):
         reject("text", value)
     return value
@@ -162,21 +164,21 @@
 
 
 def object_value(value: object) -> dict[str, object]:
-    """Return an object, whose keys are texts as in all JSON."""
+    """Return a JSON object."""
     if not isinstance(value, dict):
         reject("an object", value)
     return value
 
 
 def boolean(value: object) -> bool:
-    """Return a truth value."""
+    """Return a boolean."""
     if not isinstance(value, bool):
         reject("true or false", value)
     return value
 
 
 def one_of(choices: Mapping[str, str] | Set[str]) -> Callable[[object], str]:
-    """Return a reader of one of the words, or of a mapping's keys, for which it returns the values."""
+    """Return a reader that accepts one of a set of strings, or a mapping's keys, which it replaces by their values."""
 
     def read(value: object) -> str:
         chosen = text(value)
@@ -188,18 +190,18 @@
 
 
 def reject(expected: str, value: object) -> NoReturn:
-    """Refuse a value in place of which something else was expected."""
+    """Raise MalformedError for a value."""
     raise MalformedError(f"expected {expected}, got {value!r}")
 
 
 class _SettingsReader:
-    """Reads fields of the wire's settings by their dotted paths; a refusal names the path after `where`."""
+    """Reads fields of the settings by their dotted paths; errors begin with `where` and the path."""
 
     def __init__(self, conf: Mapping[str, object], where: str) -> None:
         self._conf, self._where = conf, where
 
     def __call__(self, path: str, reader: Callable[[object], Value], default: Default) -> Value | Default:
-        """Return a field as `reader` reads it; `default` where the field is absent or null."""
+        """Return a field, validated by `reader`; `default` if it is absent or null."""
         value: object = self._conf
         for key in path.split("."):
             value = value.get(key) if isinstance(value, dict) else None
@@ -210,12 +212,12 @@
 
 
 def read_settings(conf: object, ids: Ids, where: str) -> dict[str, object]:
-    """Return the wire's settings as one flat mapping in our words and units; what is not known here is skipped.
+    """Return the settings as one flat mapping with internal names and units; unknown fields are skipped.
 
     Zones and op types are added to `ids` in the order of the settings.
 
-    :param where: how the settings are called in a message.
-    :raises MalformedError: a field cannot be used; the first is named.
+    :param where: name of the settings in error texts.
+    :raises MalformedError: a field is invalid; the text names the first one.
     """
     if not isinstance(conf, dict):
         raise MalformedError(f"{where}: expected an object, got {conf!r}")
@@ -235,7 +237,7 @@
 
 
 def _op_type(value: object, index: int, ids: Ids, where: str) -> dict[str, object]:
-    """Return an op type, and give it its index."""
+    """Return an op type, and add its index to `ids`."""
     if not isinstance(value, dict):
         raise MalformedError(f"{where}.Categories: entry {index}: expected an object, got {value!r}")
     ids.op_types[text(value.get("Name"))] = index
@@ -250,7 +252,7 @@
 
 
 def _site_settings(read: _SettingsReader, ids: Ids) -> dict[str, object]:
-    """Return who this assigner is, and what there is of assigners, zones, proxies and slices."""
+    """Return the identity of this assigner, and the numbers of assigners, zones, proxies and slices."""
     return {
         "ordinal": read("Ordinal", non_negative_int, 0),
         "conductors": read("Balancers", non_negative_int, 1),
@@ -266,7 +268,7 @@
 
 
 def _channel_settings(read: _SettingsReader) -> dict[str, object]:
-    """Return what the channel to the proxies takes, and how long."""
+    """Return limits and transit times of the channel to the proxies."""
     return {
         "envelope": read("Specifics.Envelope", non_negative, 0),
         "lines_per_s": read("Specifics.EgressPerS", non_negative, 0),
@@ -279,7 +281,7 @@
 
 
 def _load_settings(read: _SettingsReader) -> dict[str, object]:
-    """Return how proxies report and choose, and how nodes are listed."""
+    """Return the settings of reports, of node selection by proxies, and of the node list."""
     return {
         "report_every": read("Specifics.ReportEvery", duration_from_ms, NS_PER_MS * 1000),
         "strikes": read("Specifics.Strikes", non_negative_int, 0),
@@ -293,7 +295,7 @@
 
 
 def _rule_settings(read: _SettingsReader) -> dict[str, object]:
-    """Return the rules that decisions are held to."""
+    """Return the rules that decisions have to follow."""
     return {
         "ask_within": read("Rules.AskWithin", duration_from_ms, 0),
         "cold_from": read("Rules.ColdFrom", non_negative, 1.0),
@@ -306,7 +308,7 @@
 
 
 def _permissions(read: _SettingsReader) -> dict[str, object]:
-    """Return what this assigner may do of itself, and where weights and loads come from."""
+    """Return the permissions of this assigner, and the sources of weights and loads."""
     return {
         "weights": read("WeightSource", text, "none"),
         "tick": read("Tick", duration_from_ms, NS_PER_MS),
@@ -318,22 +320,22 @@
 
 
 def _pick(value: object) -> str:
-    """Return how proxies choose among nodes, at random where the word is not known."""
+    """Return how proxies select a node; at random for an unknown value."""
     return PICKS.get(value, "random")
 
 
 def _admission_kind(value: object) -> str:
-    """Return how op types can be admitted in part; empty where they can't be, or the word is not known."""
+    """Return how op types can be admitted partially; empty if they can't be or the value is unknown."""
     return ADMISSION_KINDS.get(value, "")
 
 
 def encode_peer_loads(loads: Mapping[int, float], names: Mapping[int, NodeName]) -> list[bytes]:
-    """Return datagrams of at most 256 bytes that hold the loads of nodes, for other assigners.
+    """Encode the loads of nodes for other assigners, as datagrams of at most 256 bytes.
 
-    Each can be read without the others, as any may be lost: it holds some nodes, and says nothing of the rest.
+    Each datagram contains some of the nodes and can be decoded without the others, as any may be lost.
 
-    :param loads: ops a second by node.
-    :param names: the nodes' names.
+    :param loads: operations per second, by node.
+    :param names: names of the nodes.
     """
     encoded = [PEER_LOAD.pack(checksum(names[node]), min(load, MAX_PEER_LOAD)) for node, load in loads.items()]
     return [
@@ -343,9 +345,9 @@
 
 
 def decode_peer_loads(body: bytes, ids: Ids) -> list[tuple[int, float]] | None:
-    """Return the loads in such a datagram, ops a second by node; None for any other datagram.
+    """Return the loads in a datagram as (node, operations per second); None for other kinds of datagram.
 
-    Unknown nodes and impossible loads are skipped.
+    Unknown nodes and invalid loads are skipped.
     """
     if body[:1] != bytes([PEER_LOADS]) or (len(body) - 1) % PEER_LOAD.size:
         return None
--- a/kestrelplank/interface.py
+++ b/kestrelplank/interface.py
@@ -1,7 +1,8 @@
-"""What the policy receives and what it may order.
+"""The policy's interface: its settings, the events that it receives, and the orders that it writes.
 
-Nodes, zones, slices, proxies and op types are small indices given out by whoever decodes the wire; an absent value is
-None. A duration is whole ns and its name ends in `_ns`; an instant of the steady clock ends in `_at`.
+Nodes, zones, slices, proxies and op types are indices assigned by the adapter that decodes the wire; an absent value is
+None. Durations are integers in ns with names ending in `_ns`; instants of the monotonic clock have names ending in
+`_at`.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,12 +11,12 @@
 
 import msgspec
 
-SECOND = 1_000_000_000  # ns; the program in service has no other module for units of time
-ALL_TABLES = -1  # in `set_admission`: not one table, but all that this assigner owns
+SECOND = 1_000_000_000  # in ns; defined here, as the assigner program does not import `time_units`
+ALL_TABLES = -1  # in `set_admission`: all tables that this assigner owns
 
 
 class NodeCondition(StrEnum):
-    """What a node list says of a node."""
+    """State of a node in a node list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -23,16 +24,16 @@
 
 
 class NodeListKind(StrEnum):
-    """What a node list covers."""
+    """Extent of a node list."""
 
-    CACHED = "cached"  # all nodes, as remembered from a former incarnation
+    CACHED = "cached"  # all nodes, as stored by a former incarnation
     FULL = "full"  # all nodes
-    DELTA = "delta"  # nodes that have changed
-    FAILED = "failed"  # none: the list could not be had
+    DELTA = "delta"  # only the nodes that have changed
+    FAILED = "failed"  # no nodes: the request for the list failed
 
 
 class HealthVerdict(StrEnum):
-    """How a health check ended."""
+    """Result of a health check."""
 
     OK = "ok"
     FAILED = "failed"
@@ -40,7 +41,7 @@
     TIMED_OUT = "timed out"
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
-    WITHDRAWN = "withdrawn"  # the simulator's wire has this verdict and the next, and uses neither
+    WITHDRAWN = "withdrawn"  # the simulator's protocol defines WITHDRAWN and VOID, but does not use them
     VOID = "void"
 
 
@@ -56,32 +57,32 @@
 
 
 class NodeLoad(TypedDict, total=False):
-    """What a node reports of its own load."""
+    """Load that a node reports about itself."""
 
     in_flight: float
     queued: float
-    utilization: float  # share of the node in use
+    utilization: float  # share of the node's capacity in use
     service_ms: float
     acknowledged_per_s: float
     aborted_per_s: float
 
 
 class NodeListUpdate(msgspec.Struct, frozen=True):
-    """A node list, or a change of one."""
+    """A node list, or a change to one."""
 
     kind: str  # a value of NodeListKind
     entries: Sequence[NodeEntry]
 
 
 class SliceOwnership(msgspec.Struct, frozen=True):
-    """This assigner has become the owner of a slice, or is it no longer."""
+    """This assigner has become, or is no longer, the owner of a slice."""
 
     slice: int
     owned: bool
 
 
 class EndpointStored(msgspec.Struct, frozen=True):
-    """The store holds this endpoint for a slice that was just given."""
+    """The store contains this endpoint of a slice that was just assigned."""
 
     slice: int
     node: int
@@ -89,7 +90,7 @@
 
 
 class SliceSplit(msgspec.Struct, frozen=True):
-    """A slice was cut in two: `new_slice` takes that share of its load, and has no endpoint yet."""
+    """A slice was split: `new_slice` takes the given share of its load, and has no endpoint yet."""
 
     slice: int
     new_slice: int
@@ -97,7 +98,7 @@
 
 
 class ProxyJoined(msgspec.Struct, frozen=True):
-    """A proxy is connected; `fresh`: it holds nothing of earlier streams."""
+    """A proxy has connected; if `fresh`, it keeps no state of earlier streams."""
 
     proxy: int
     zone: int | None
@@ -112,7 +113,7 @@
 
 
 class WatermarkAcknowledged(msgspec.Struct, frozen=True):
-    """A proxy has applied everything up to a watermark, `latency_ns` after that was ordered."""
+    """A proxy has applied all orders up to a watermark, `latency_ns` after the watermark was ordered."""
 
     proxy: int
     watermark: int
@@ -120,7 +121,7 @@
 
 
 class NodeReport(msgspec.Struct, frozen=True):
-    """What proxies of one zone met at a node in a window."""
+    """Attempts, failures and latency at a node that the proxies of one zone observed in a window."""
 
     node: int
     zone: int | None
@@ -132,7 +133,7 @@
 
 
 class SliceReport(msgspec.Struct, frozen=True):
-    """Ops of one type that came for a slice in a window."""
+    """Ops of one type for a slice in a window."""
 
     slice: int
     op_type: int
@@ -142,7 +143,7 @@
 
 
 class ProxyReport(msgspec.Struct, frozen=True):
-    """Ops of one type that came to a proxy in a window."""
+    """Ops of one type that arrived at a proxy in a window."""
 
     proxy: int
     op_type: int
@@ -161,21 +162,21 @@
 
 
 class PeerMessage(msgspec.Struct, frozen=True):
-    """A datagram from a peer that does not hold loads."""
+    """A datagram from a peer that does not contain loads."""
 
     sender: int
     body: bytes | None
 
 
 class PeerLoads(msgspec.Struct, frozen=True):
-    """What the slices of a peer bring to nodes known here: (node, ops a second)."""
+    """Load that a peer's slices put on known nodes: (node, operations per second)."""
 
     sender: int
     loads: Sequence[tuple[int, float]]
 
 
 class TimerFired(msgspec.Struct, frozen=True):
-    """A timer that was set is due."""
+    """A timer has expired."""
 
     name: str
 
@@ -195,11 +196,11 @@
     | PeerMessage
     | PeerLoads
     | TimerFired
-)  # all that the policy takes, a round's at once
+)  # a round of the policy processes all events collected since the last
 
 
 class OpTypeSettings(msgspec.Struct, frozen=True, rename={"target_latency_ns": "target_latency"}):
-    """An op type: its latency target, and its value against that of others."""
+    """An op type: its latency target, and its value relative to other op types."""
 
     target_latency_ns: int
     value: float
@@ -225,29 +226,29 @@
     "ownership_lease_ns": "lease",
     "peers_may_talk": "may_tell",
     "assigners": "conductors",
-}  # fields of PolicySettings, and what `kestrelplank.decode.read_settings` calls them where it has another name
+}  # fields of PolicySettings, and their keys in `kestrelplank.decode.read_settings` if different
 
 
 class PolicySettings(msgspec.Struct, frozen=True, kw_only=True, rename=SETTING_NAMES):
-    """What an assigner is made with.
-
-    :param message_overhead: what a message costs beside its orders, in orders.
-    :param queue_limit: orders that may wait in the channel to the proxies, in sum of all proxies.
-    :param message_limit: messages to proxies in `message_window_ns`; 0 for no limit.
-    :param orders_per_s: orders that leave the channel in a second, in sum of all proxies.
-    :param subscribes_to_nodes: node lists come only once asked for.
-    :param load_window_ns: how much of the past loads rest on; five report intervals where None.
-    :param overload_multiple: a node that gets so many times what it can take fails by overload.
-    :param only_draining_binds: a node that a list merely drops may still be sound.
-    :param cold_capacity_share: what a node can do right after its start, of all that it can do warm.
-    :param exclusive_slices: a slice has one owner at a time, and no write of a slice may go to two.
-    :param initial_retry_mode: the retry mode that proxies begin with; `parameters.RETRY_MODE` is what we order.
-    :param pick: how proxies pick among endpoints of a table; "two" picks the less loaded of two.
-    :param admission: "share" where op types can be admitted in part.
-    :param withdrawal_deadline_ns: proxies must have stopped sending to a draining node so long after its list.
-    :param write_timeout_ns: the longest that a write may run.
-    :param ownership_lease_ns: a proxy that has lost its stream goes on sending writes for so long.
-    :param assigners: how many there are, this one included.
+    """Settings of an assigner's policy.
+
+    :param message_overhead: cost of a message in addition to its orders, in orders.
+    :param queue_limit: maximum number of orders queued in the channel to the proxies, summed over all proxies.
+    :param message_limit: maximum number of messages to proxies in `message_window_ns`; 0 for no limit.
+    :param orders_per_s: orders that leave the channel per second, summed over all proxies.
+    :param subscribes_to_nodes: node lists are sent only after a request.
+    :param load_window_ns: period over which loads are averaged; five report intervals if None.
+    :param overload_multiple: multiple of its capacity at which a node fails by overload.
+    :param only_draining_binds: a node that is merely absent from a list may still be healthy.
+    :param cold_capacity_share: capacity of a node right after its start, as a share of its capacity when warm.
+    :param exclusive_slices: a slice has one owning node at a time, and its writes must not be sent to two nodes.
+    :param initial_retry_mode: the proxies' initial retry mode; the policy orders `parameters.RETRY_MODE`.
+    :param pick: how proxies select an endpoint of a table; "two" selects the less loaded of two random ones.
+    :param admission: "share" if op types can be admitted partially.
+    :param withdrawal_deadline_ns: time from a node list in which proxies must stop sending to a draining node.
+    :param write_timeout_ns: maximum duration of a write.
+    :param ownership_lease_ns: how long a proxy that has lost its stream continues to send writes.
+    :param assigners: number of assigners, including this one.
     """
 
     message_overhead: float
@@ -275,12 +276,12 @@
 
     @classmethod
     def from_mapping(cls, settings: Mapping[str, object]) -> "PolicySettings":
-        """Return the settings that concern decisions out of those that `kestrelplank.decode.read_settings` has read."""
+        """Return the settings that the policy needs from the result of `kestrelplank.decode.read_settings`."""
         return msgspec.convert(settings, cls)
 
 
 class OrderWriter(Protocol):
-    """Takes an assigner's orders in the order in which they are to take effect."""
+    """Receives the policy's orders, in the order in which they take effect."""
 
     def set_endpoint(self, table: int, node: int, weight: float) -> None:
         """Set one endpoint of a slice's table; weight 0 removes it."""
@@ -289,40 +290,40 @@
         """Remove all endpoints and admission shares of a table."""
 
     def set_withdrawn(self, node: int, withdrawn: bool) -> None:
-        """Keep joined proxies from a node whatever their tables say, or let them send to it again."""
+        """Stop joined proxies from sending to a node, regardless of their tables, or let them resume."""
 
     def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
         """Set the admitted share and the retry mode; `op_types` is a bit mask, 0 for all."""
 
     def request_acknowledgement(self, watermark: int, all_proxies: bool, backlog_ns: int = 0) -> None:
-        """Ask proxies to acknowledge once they have applied what this round orders.
+        """Request acknowledgements from proxies once they have applied the orders of this round.
 
-        :param backlog_ns: time until what waits in the channel before it has left; nobody can answer sooner.
+        :param backlog_ns: time until the channel's backlog has been sent; no proxy can acknowledge sooner.
         """
 
     def bind_proxy(self, proxy: int, table: int, op_types: int) -> None:
-        """Put a joined proxy on a table (sites without slices only)."""
+        """Assign a joined proxy to a table (only in sites without slices)."""
 
     def check_health(self, node: int) -> None:
-        """Check a node from this assigner's zone."""
+        """Start a health check of a node from this assigner's zone."""
 
     def send_to_peers(self, peer: int | None, body: bytes) -> None:
-        """Send a short message to a peer, or to all of them."""
+        """Send a short message to a peer, or to all peers if `peer` is None."""
 
     def share_loads(self, loads: dict[int, float]) -> None:
-        """Send all peers what this assigner's slices bring to each node, ops a second."""
+        """Send all peers the load of this assigner's slices on each node, in operations per second."""
 
     def watch_nodes(self, enabled: bool) -> None:
-        """Ask for changes of the node list from now on, or no longer."""
+        """Subscribe to changes of the node list, or unsubscribe."""
 
     def fetch_nodes(self) -> None:
-        """Ask for the complete node list once."""
+        """Request the complete node list once."""
 
     def set_timer(self, at: int, name: str) -> None:
-        """Ask for a `TimerFired` at an instant."""
+        """Request a `TimerFired` event at an instant."""
 
     def forget_node(self, node: int) -> None:
-        """Release a node of which the policy keeps nothing any more; its name may come again with another index."""
+        """Remove a node for which the policy keeps no state; if its name appears again, it gets another index."""
 
     def log(self, text: str) -> None:
-        """Leave a line in the log."""
+        """Write a line to the log."""
--- a/kestrelplank/simulator_protocol/__init__.py
+++ b/kestrelplank/simulator_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that drives the policy over the wire of the operators' simulator; it decides nothing itself."""
+"""The adapter between the policy and the protocol of the operators' simulator; all decisions are the policy's."""
--- a/kestrelplank/simulator_protocol/__main__.py
+++ b/kestrelplank/simulator_protocol/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kestrelplank.simulator_protocol`: batches on standard input, replies on standard output."""
+"""`python -m kestrelplank.simulator_protocol`: reads batches of events from stdin, writes replies to stdout."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Answer batches until standard input ends."""
+    """Reply to batches until standard input ends."""
     host, output = Host(), sys.stdout.buffer
     for line_number, raw in enumerate(sys.stdin.buffer, 1):
         if raw.strip():
--- a/kestrelplank/simulator_protocol/events.py
+++ b/kestrelplank/simulator_protocol/events.py
@@ -1,4 +1,4 @@
-"""Reads events off the simulator's wire: its names, units and order of fields on one side, ours on the other."""
+"""Parses the simulator's events: translates its names, units and order of fields into the policy's events."""
 
 import base64
 import binascii
@@ -41,7 +41,7 @@
     WatermarkAcknowledged,
 )
 
-NODE_FIELDS = 7  # of a node's entry
+NODE_FIELDS = 7  # number of values in a node's entry
 LoadName = Literal["in_flight", "queued", "utilization", "service_ms", "acknowledged_per_s", "aborted_per_s"]
 LOAD_NAMES: dict[str, LoadName] = {
     "busy_reqs": "in_flight",
@@ -69,9 +69,9 @@
 
 
 class FieldReader:
-    """Takes an event's fields in the order of the wire, after its name and the instance.
+    """Reads an event's fields in the order of the wire, after its name and the instance.
 
-    `ids` gives out indices, in the order in which names are read.
+    `ids` assigns indices in the order in which names are read.
     """
 
     def __init__(self, message: Sequence[object], ids: Ids) -> None:
@@ -80,7 +80,7 @@
     def take(self, name: str, reader: Callable[[object], T]) -> T:
         """Return the next field.
 
-        :raises MalformedError: naming event and field, where the reader can't use it.
+        :raises MalformedError: the reader rejects the value; the text names the event and the field.
         """
         value = self._message[self._position] if self._position < len(self._message) else None
         self._position += 1
@@ -90,12 +90,12 @@
             raise MalformedError(f"{self._message[0]}, field {name}: {err}") from None
 
     def take_optional(self, name: str, reader: Callable[[object], T]) -> T | None:
-        """Return the next field, or None where it is null or absent."""
+        """Return the next field, or None if it is null or absent."""
         return self.take(name, lambda value: None if value is None else reader(value))
 
 
 def read_body(value: object) -> bytes:
-    """Read a datagram."""
+    """Decode the body of a datagram from base64."""
     try:
         return base64.b64decode(text(value), validate=True)
     except binascii.Error as err:
@@ -103,7 +103,7 @@
 
 
 def read_load(value: object) -> NodeLoad:
-    """Read what a node reports of its own load; what is not known here is skipped."""
+    """Read the load that a node reports; unknown and null values are skipped."""
     load = NodeLoad()
     for name, figure in object_value(value).items() if value is not None else ():
         if name in LOAD_NAMES and figure is not None:
@@ -120,7 +120,7 @@
     entries = []
     for position, entry in enumerate(value):
         if not isinstance(entry, list) or len(entry) < NODE_FIELDS:
-            raise MalformedError(f"entry {position}: expected seven values, got {entry!r}")
+            raise MalformedError(f"entry {position}: expected at least seven values, got {entry!r}")
         try:
             entries.append(read_entry(entry, ids))
         except MalformedError as err:
@@ -141,7 +141,7 @@
     )
 
 
-# One reader an event. The order in which fields are taken is that of the wire.
+# One reader per event. The order of the `take` calls is the order of the fields on the wire.
 
 
 def read_node_list(fields: FieldReader) -> Event:
@@ -212,7 +212,7 @@
 
 
 def read_datagram(fields: FieldReader) -> Event:
-    """Read DATAGRAM, which may tell loads."""
+    """Read DATAGRAM, which may contain loads of a peer."""
     sender, body = fields.take("Sender", non_negative_int), fields.take_optional("Body", read_body)
     loads = decode_peer_loads(body or b"", fields.ids)
     return PeerMessage(sender, body) if loads is None else PeerLoads(sender, loads)
@@ -240,8 +240,8 @@
 
 
 def read_event(message: Sequence[object], ids: Ids) -> Event:
-    """Read one line, whose name and instance have been looked at.
+    """Read one line, whose name and instance have already been checked.
 
-    :raises MalformedError: naming event and field.
+    :raises MalformedError: a field is invalid; the text names the event and the field.
     """
     return EVENT_READERS[str(message[0])](FieldReader(message, ids))
--- a/kestrelplank/simulator_protocol/host.py
+++ b/kestrelplank/simulator_protocol/host.py
@@ -1,4 +1,4 @@
-"""Keeps a `Policy` for each instance that the simulator has created, and runs each on its events of a batch."""
+"""Runs a `Policy` for each instance that the simulator has created, on the instance's events of each batch."""
 
 import sys
 from collections.abc import Sequence
@@ -12,24 +12,24 @@
 
 
 class Instance(NamedTuple):
-    """One assigner of the simulator: its policy, and the ids of its wire."""
+    """One simulated assigner: its policy, and the indices of the names that it received."""
 
     policy: Policy
     ids: Ids
 
 
 def log_skipped_line(line_number: int, reason: str) -> None:
-    """Say on standard error which line was skipped and why."""
+    """Write the number of a skipped line and the reason to standard error."""
     print(f"line {line_number}: {reason}", file=sys.stderr, flush=True)
 
 
 def field_at(message: Sequence[object], position: int) -> object:
-    """Return one field of a line, None where it is absent."""
+    """Return one field of a line, or None if it is absent."""
     return message[position] if position < len(message) else None
 
 
 class Host:
-    """All instances of a run, and the events of the batch that is being read."""
+    """All instances of a simulation, and the events of the batch that is being read."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
@@ -37,7 +37,7 @@
         self._now: int | None = None
 
     def read(self, raw: bytes, line_number: int) -> list[bytes] | None:
-        """Handle one line of input; return the reply's lines once a batch is complete, else None."""
+        """Process one line of input; return the lines of the reply if it completes a batch, otherwise None."""
         try:
             return self._read(raw)
         except MalformedError as err:
@@ -47,30 +47,30 @@
     def _read(self, raw: bytes) -> list[bytes] | None:
         message = parse_json(raw)
         if not isinstance(message, list) or not message or not isinstance(message[0], str):
-            raise MalformedError(f"expected an array that begins with a name, got {raw[:60]!r}")
+            raise MalformedError(f"expected an array that begins with the name of an event, got {raw[:60]!r}")
         name = message[0]
         if name == "GO":
             return self._reply()
         if name == "ROUND":
             self._begin_batch(message)
         elif self._now is None:
-            raise MalformedError(f"{name} came before a ROUND with a clock")
+            raise MalformedError(f"{name}: expected a valid ROUND line first")
         elif name not in EVENT_READERS and name not in ("CREATE", "KILLED"):
-            raise MalformedError(f"{name}: no event is called that")
+            raise MalformedError(f"{name}: unknown event")
         else:
-            self._take(self._now, message)
+            self._handle_event(self._now, message)
         return None
 
     def _begin_batch(self, message: Sequence[object]) -> None:
-        """Drop what is left of an unfinished batch, and take the new one's clock."""
+        """Discard an unfinished batch, and set the clock of the new one."""
         self._events = {}
         try:
             self._now = duration_from_ms(field_at(message, 1))
         except MalformedError as err:
             raise MalformedError(f"ROUND, field clock: {err}") from None
 
-    def _take(self, now: int, message: Sequence[object]) -> None:
-        """Handle one line that concerns one instance."""
+    def _handle_event(self, now: int, message: Sequence[object]) -> None:
+        """Process one line that concerns one instance."""
         name = message[0]
         try:
             number = non_negative_int(field_at(message, 1))
@@ -88,7 +88,7 @@
             self._events.setdefault(number, []).append(event)
 
     def _create(self, now: int, number: int, message: Sequence[object]) -> None:
-        """Create an instance; it has a round in this batch also without events."""
+        """Create an instance; it runs a round in this batch even without events."""
         try:
             seed = non_negative_int(field_at(message, 2))
         except MalformedError as err:
@@ -99,7 +99,7 @@
         self._events[number] = []
 
     def _reply(self) -> list[bytes]:
-        """Run a round of each instance that got events, and return the reply's lines."""
+        """Run a round of each instance that received events, and return the lines of the reply."""
         reply: list[bytes] = []
         for number, events in self._events.items():
             policy, ids = self.instances[number]
--- a/kestrelplank/simulator_protocol/orders.py
+++ b/kestrelplank/simulator_protocol/orders.py
@@ -1,4 +1,4 @@
-"""Writes orders on the simulator's wire: one order, one line of the reply."""
+"""Writes the policy's orders for the simulator, as one line of the reply each."""
 
 import base64
 from collections.abc import Mapping
@@ -8,11 +8,11 @@
 from kestrelplank.decode import NS_PER_MS, Ids, encode_peer_loads
 from kestrelplank.interface import ALL_TABLES
 
-EVERY_TABLE = 65535  # on this wire, for ALL_TABLES
+WIRE_ALL_TABLES = 65535  # represents ALL_TABLES in this protocol
 
 
 class OrderLines:
-    """The order writer of one instance."""
+    """The `OrderWriter` of one instance."""
 
     def __init__(self, instance: int, ids: Ids, reply: list[bytes]) -> None:
         self._instance, self._ids, self._reply = instance, ids, reply
@@ -34,9 +34,9 @@
 
     def set_admission(self, table: int, op_types: int, share: float, retry_mode: int) -> None:
         """Write ADMIT."""
-        self._write("ADMIT", EVERY_TABLE if table == ALL_TABLES else table, op_types, share, retry_mode)
+        self._write("ADMIT", WIRE_ALL_TABLES if table == ALL_TABLES else table, op_types, share, retry_mode)
 
-    def request_acknowledgement(self, watermark: int, all_proxies: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002  not on this wire
+    def request_acknowledgement(self, watermark: int, all_proxies: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002 - not in this protocol
         """Write NONCE."""
         self._write("NONCE", watermark, all_proxies)
 
@@ -53,7 +53,7 @@
         self._write("BROADCAST_TO", peer, base64.b64encode(body).decode())
 
     def share_loads(self, loads: Mapping[int, float]) -> None:
-        """Write as many BROADCAST_TO as the loads need."""
+        """Write the loads as BROADCAST_TO lines, one per datagram."""
         for datagram in encode_peer_loads(loads, self._ids.node_ids):
             self.send_to_peers(None, datagram)
 
@@ -70,7 +70,7 @@
         self._write("SET_ALARM", at / NS_PER_MS, name)
 
     def forget_node(self, node: int) -> None:
-        """Release the node's name; nothing is written."""
+        """Remove the node's name; nothing is written."""
         self._ids.forget(node)
 
     def log(self, text: str) -> None:
--- a/kestrelplank/sockets/__init__.py
+++ b/kestrelplank/sockets/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets of the assigner in service: event loop, buffers, connections, RESP2 and HTTP/1.1 as a client."""
+"""Event loop, buffer pool, TCP and Unix connections, an RESP2 parser and an HTTP/1.1 client."""
--- a/kestrelplank/sockets/buffers.py
+++ b/kestrelplank/sockets/buffers.py
@@ -1,23 +1,23 @@
-"""Buffers of one size to read into, used again."""
+"""A pool of read buffers of one size."""
 
 
 class BufferPool:
-    """Hands out buffers of `size` bytes; whoever takes one gives it back.
+    """Lends buffers of `size` bytes and keeps at most `max_free` returned ones for reuse.
 
-    At most `most_kept` are kept for the next taker; `out` are taken at present.
+    :ivar in_use: number of buffers that are lent at present.
     """
 
-    def __init__(self, size: int, most_kept: int) -> None:
-        self.size, self._most_kept, self.out = size, most_kept, 0
+    def __init__(self, size: int, max_free: int) -> None:
+        self.size, self._max_free, self.in_use = size, max_free, 0
         self._free: list[bytearray] = []
 
-    def take(self) -> bytearray:
-        """Return a buffer, to be given back."""
-        self.out += 1
+    def acquire(self) -> bytearray:
+        """Return a buffer; the caller has to release it."""
+        self.in_use += 1
         return self._free.pop() if self._free else bytearray(self.size)
 
-    def give(self, buffer: bytearray) -> None:
-        """Give a buffer back."""
-        self.out -= 1
-        if len(self._free) < self._most_kept:
+    def release(self, buffer: bytearray) -> None:
+        """Return a buffer to the pool."""
+        self.in_use -= 1
+        if len(self._free) < self._max_free:
             self._free.append(buffer)
--- a/kestrelplank/sockets/connection.py
+++ b/kestrelplank/sockets/connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection that owns its socket: connecting, reading, a bounded queue of what is to be written."""
+"""TCP connections and listeners: connecting, reading, and a bounded buffer of unsent bytes."""
 
 import errno
 import socket
@@ -8,103 +8,105 @@
 from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.loop import READ, WRITE, Loop, Timer
 
-BACKLOG = 1024  # hundreds may connect while a round is held; who finds it full asks again after seconds only
-MOST_ACCEPTED_AT_ONCE = 16
-FIRST_PORT_BEYOND = 1 << 16
+BACKLOG = 1024  # hundreds may connect during one policy round; a rejected SYN is retried only after a second or more
+MAX_ACCEPTED_PER_PASS = 16
+PORT_COUNT = 1 << 16
 SHORT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-class Owner(Protocol):
-    """Whom a connection calls back."""
+class ConnectionHandler(Protocol):
+    """Receives the callbacks of a connection."""
 
     def on_data(self, data: memoryview) -> None:
-        """Take bytes, which hold during the call only."""
+        """Process received bytes; `data` is valid during the call only."""
 
     def on_close(self, why: str) -> None:
-        """Take that the connection has ended; called once."""
+        """Handle the end of the connection; called once."""
 
 
-class DialOwner(Owner, Protocol):
-    """Whom a connection calls back that we open ourselves."""
+class OutboundHandler(ConnectionHandler, Protocol):
+    """Receives the callbacks of an outbound connection."""
 
     def on_open(self) -> None:
-        """Take that the connection is up."""
+        """Handle that the connection is established."""
 
 
 def address(text: str) -> tuple[str, int]:
-    """Read an IPv4 address and a port.
+    """Parse `host:port` with a numeric IPv4 address.
 
-    Numbers only: a name would be looked up, and the complete program would wait for it.
+    Host names are rejected, as a DNS lookup would block the event loop.
 
-    :raises ValueError: it is none.
+    :raises ValueError: the text is not an IPv4 address and a port.
     """
     host, _, port = text.rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
     except (OSError, ValueError):
         raise ValueError(f"expected an IPv4 address and a port, got {text!r}") from None
-    if not (port.isascii() and port.isdigit() and int(port) < FIRST_PORT_BEYOND):
+    if not (port.isascii() and port.isdigit() and int(port) < PORT_COUNT):
         raise ValueError(f"expected an IPv4 address and a port, got {text!r}")
     return host, int(port)
 
 
 def error_name(err: OSError) -> str:
-    """Return the symbol of an error, as ECONNRESET."""
+    """Return the symbolic name of an error, for instance ECONNRESET."""
     return errno.errorcode.get(err.errno or 0, str(err))
 
 
 def errno_name(number: int) -> str:
-    """Return the symbol of an error number."""
+    """Return the symbolic name of an error number."""
     return errno.errorcode.get(number, str(number))
 
 
 class Connection:
-    """A connection whose `close` is the one place where the socket is given back; the owner hears of it once.
+    """A connection that owns its socket; only `close` releases it, and calls the handler's `on_close` once.
 
-    A read that ends the connection still delivers what came before the end. Who does not read is given up beyond
-    `most_unsent_bytes`.
+    Bytes received before the end of the connection are delivered first. A peer that lets more than `max_unsent_bytes`
+    accumulate is disconnected.
     """
 
-    def __init__(self, loop: Loop, pool: BufferPool, sock: socket.socket, owner: Owner, most_unsent_bytes: int) -> None:
-        self._loop, self._pool, self._sock, self._owner = loop, pool, sock, owner
-        self._unsent, self._most_unsent_bytes, self.open = bytearray(), most_unsent_bytes, True
+    def __init__(
+        self, loop: Loop, pool: BufferPool, sock: socket.socket, handler: ConnectionHandler, max_unsent_bytes: int
+    ) -> None:
+        self._loop, self._pool, self._sock, self._handler = loop, pool, sock, handler
+        self._unsent, self._max_unsent_bytes, self.open = bytearray(), max_unsent_bytes, True
         self._writing, self._reading = False, True
-        self.on_drained: Callable[[], None] | None = None  # called when all that waited has been written
+        self.on_drained: Callable[[], None] | None = None  # called when all unsent bytes have been written
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         loop.watch(sock, READ, self._ready)
 
     def write(self, data: bytes) -> None:
-        """Write, at once or as soon as the other side reads."""
+        """Send data, now or as soon as the socket is writable."""
         if not self.open:
             return
-        if len(self._unsent) + len(data) > self._most_unsent_bytes:
+        if len(self._unsent) + len(data) > self._max_unsent_bytes:
             self.close("the other side does not read")
             return
         self._unsent += data
         self._flush()
 
     def unsent_bytes(self) -> int:
-        """Return the bytes that the other side has not taken yet."""
+        """Return the number of bytes that are buffered and not yet sent."""
         return len(self._unsent)
 
     def set_reading(self, on: bool) -> None:
-        """Read no further, so that the other side is held up in its turn, or go on.
+        """Pause or resume reading, for back-pressure on the peer.
 
-        A connection that is not read does not hear of its own end.
+        While reading is paused, the end of the connection is not noticed.
         """
         if self.open and on != self._reading:
             self._watch(on, self._writing)
 
     def close(self, why: str) -> None:
-        """End the connection, if it is open."""
+        """Close the connection, if it is open."""
         if not self.open:
             return
         self.open = False
         if self._writing or self._reading:
             self._loop.forget(self._sock)
         self._sock.close()
-        self._owner.on_close(why)
+        self._handler.on_close(why)
 
     def _ready(self, events: int) -> None:
         if events & WRITE and self.open:
@@ -118,7 +120,7 @@
                 sent = self._sock.send(self._unsent)
                 del self._unsent[:sent]
         except BlockingIOError:
-            pass  # the loop says when there is room
+            pass  # the loop calls again when the socket is writable
         except OSError as err:
             self.close(error_name(err))
             return
@@ -128,7 +130,7 @@
                 self.on_drained()
 
     def _watch(self, reading: bool, writing: bool) -> None:
-        """Have the loop watch for what is wanted now."""
+        """Register the socket for the events that are wanted now."""
         watched, self._reading, self._writing = self._reading or self._writing, reading, writing
         events = (READ if reading else 0) | (WRITE if writing else 0)
         if not events:
@@ -139,28 +141,28 @@
             self._loop.watch(self._sock, events, self._ready)
 
     def _read(self) -> None:
-        buffer = self._pool.take()
+        buffer = self._pool.acquire()
         try:
             size = self._sock.recv_into(buffer)
             if size:
                 with memoryview(buffer) as view, view[:size] as data:
-                    self._owner.on_data(data)
+                    self._handler.on_data(data)
         except BlockingIOError:
             return
         except OSError as err:
             self.close(error_name(err))
             return
         finally:
-            self._pool.give(buffer)
+            self._pool.release(buffer)
         if not size:
             self.close("ended")
 
 
 class OutboundConnection(Connection):
-    """A connection that we open ourselves: nothing is read or written before it is up.
+    """A connection to a peer; nothing is read or written before it is established.
 
-    :param timeout_ns: after which it is given up.
-    :raises OSError: there is no socket to be had.
+    :param timeout_ns: limit for the connection to be established, after which it is closed.
+    :raises OSError: no socket can be created.
     """
 
     def __init__(
@@ -168,21 +170,21 @@
         loop: Loop,
         pool: BufferPool,
         to: tuple[str, int],
-        owner: DialOwner,
-        most_unsent_bytes: int,
+        handler: OutboundHandler,
+        max_unsent_bytes: int,
         timeout_ns: int,
     ) -> None:
-        super().__init__(loop, pool, socket.socket(socket.AF_INET, socket.SOCK_STREAM), owner, most_unsent_bytes)
-        self._dial_owner, self._up = owner, False
+        super().__init__(loop, pool, socket.socket(socket.AF_INET, socket.SOCK_STREAM), handler, max_unsent_bytes)
+        self._outbound_handler, self._up = handler, False
         self._deadline = loop.at(loop.now() + timeout_ns, lambda: self.close("does not come up"))
         loop.change(self._sock, WRITE, self._ready)
         failed = self._sock.connect_ex(to)
         if failed not in (0, errno.EINPROGRESS):
-            # Told from the loop, as the owner does not hold this object yet.
+            # Reported from the loop, as the handler has no reference to this object yet.
             loop.at(loop.now(), lambda: self.close(errno_name(failed)))
 
     def close(self, why: str) -> None:
-        """End the connection, if it is open."""
+        """Close the connection, if it is open."""
         self._deadline.cancel()
         super().close(why)
 
@@ -197,18 +199,18 @@
         self._up = True
         self._deadline.cancel()
         self._loop.change(self._sock, READ, self._ready)
-        self._dial_owner.on_open()
+        self._outbound_handler.on_open()
         self._flush()
 
 
 class Listener:
-    """Accepts a few connections at a time, so that who came earlier is read between.
+    """Accepts a few connections per pass, so that established connections are read in between.
 
-    Short of descriptors it asks its owner, who hears of any failure, for room; without that it looks away for
-    `pause_ns`, as the socket stays ready and would spin.
+    `on_failure` is called for every failed accept. If descriptors or memory run out and it frees none, accepting pauses
+    for `pause_ns`, as the listening socket stays readable and the loop would spin.
 
     :param at: an address, or a socket that listens already.
-    :param on_failure: whether it has made room.
+    :param on_failure: called with the error's name; returns whether it has freed a descriptor.
     """
 
     def __init__(
@@ -230,8 +232,8 @@
         self._loop.watch(self._sock, READ, self._ready)
         self._watched = True
 
-    def _ready(self, events: int) -> None:  # noqa: ARG002  the loop's callback
-        for _ in range(MOST_ACCEPTED_AT_ONCE):
+    def _ready(self, events: int) -> None:  # noqa: ARG002 - signature of the loop's callbacks
+        for _ in range(MAX_ACCEPTED_PER_PASS):
             try:
                 sock, _ = self._sock.accept()
             except BlockingIOError:
@@ -249,11 +251,11 @@
             self._resume_timer = self._loop.at(self._loop.now() + self._pause_ns, self._watch)
 
     def fileno(self) -> int:
-        """Return the descriptor that listens."""
+        """Return the descriptor of the listening socket."""
         return self._sock.fileno()
 
     def close(self) -> None:
-        """Listen no longer."""
+        """Stop listening."""
         if self._watched:
             self._loop.forget(self._sock)
         elif self._resume_timer:
--- a/kestrelplank/sockets/http.py
+++ b/kestrelplank/sockets/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a client, over httptools: calls on a kept connection, and streams, whose answers do not end."""
+"""An HTTP/1.1 client over httptools: calls on a persistent connection, and streams, whose responses do not end."""
 
 from abc import ABC, abstractmethod
 from typing import NamedTuple, Protocol
@@ -10,45 +10,45 @@
 from kestrelplank.sockets.connection import OutboundConnection, address
 from kestrelplank.sockets.loop import Loop, Timer
 
-DIAL_TIMEOUT_NS = 250 * NS_PER_MS  # for a connection to the relay or the agent to come up
-MOST_UNSENT_BYTES = 1 << 18
-MOST_HEADER_BYTES = 1 << 15  # before an answer's body
+DIAL_TIMEOUT_NS = 250 * NS_PER_MS  # for a connection to the relay or the discovery agent to be established
+MAX_UNSENT_BYTES = 1 << 18
+MAX_HEADER_BYTES = 1 << 15  # of a response
 OK = 200
 
 
-class HttpParty(ABC):
-    """One party and the connection to it, if there is one.
+class HttpPeer(ABC):
+    """A peer and the connection to it, if there is one.
 
-    What the party sends goes through the parser, whose callbacks leave it here; `_take_answer` then looks at what has
-    come, and `_connection_ended` hears that the connection is gone.
+    Received bytes go through the parser, whose callbacks store the response; `_process_answer` is then called, and
+    `_connection_ended` once the connection is closed.
     """
 
-    _parser: httptools.HttpResponseParser  # of the present connection
+    _parser: httptools.HttpResponseParser  # of the current connection
 
     def __init__(self, loop: Loop, pool: BufferPool, to: str, dial_timeout_ns: int) -> None:
         self._loop, self._pool, self.to, self._dial_timeout_ns = loop, pool, to, dial_timeout_ns
         self._connection: OutboundConnection | None = None
         self._timer: Timer | None = None
-        self._status, self._header_bytes = 0, 0  # of the answer that is being read
+        self._status, self._header_bytes = 0, 0  # of the response that is being read
 
     def _begin_answers(self) -> None:
-        """Begin to parse what a new connection brings."""
+        """Reset the parser for a new connection."""
         self._parser = httptools.HttpResponseParser(self)
         self._status, self._header_bytes = 0, 0
-        self._complete, self._keep_alive, self._dialled = False, True, self.to
+        self._complete, self._keep_alive, self._connected_to = False, True, self.to
 
     def _dial(self) -> None:
         self._begin_answers()
         try:
             self._connection = OutboundConnection(
-                self._loop, self._pool, address(self.to), self, MOST_UNSENT_BYTES, self._dial_timeout_ns
+                self._loop, self._pool, address(self.to), self, MAX_UNSENT_BYTES, self._dial_timeout_ns
             )
-        except OSError as err:  # short of descriptors: told from the loop, as whoever called is not done yet
+        except OSError as err:  # out of descriptors: reported from the loop, as the caller has not returned yet
             why = str(err)
             self._timer = self._loop.at(self._loop.now(), lambda: self.on_close(why))
 
     def drop(self, why: str) -> None:
-        """Give the connection up."""
+        """Close the connection, if there is one."""
         if self._connection is not None:
             self._connection.close(why)
 
@@ -61,21 +61,21 @@
             self._timer.cancel()
 
     @abstractmethod
-    def _take_answer(self) -> None:
-        """Look at what has come of the answer."""
+    def _process_answer(self) -> None:
+        """Process the part of the response that has been received."""
 
     @abstractmethod
     def _connection_ended(self, why: str) -> None:
-        """Take that the connection is gone."""
+        """Handle the end of the connection."""
 
     # Called by the connection.
 
     @abstractmethod
     def on_open(self) -> None:
-        """Take that the connection is up."""
+        """Handle that the connection is established."""
 
     def on_data(self, data: memoryview) -> None:
-        """Parse bytes."""
+        """Parse received bytes."""
         if not self._status:
             self._header_bytes += len(data)
         try:
@@ -83,13 +83,13 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
             self.drop(f"unreadable: {err}")
             return
-        if self._header_bytes > MOST_HEADER_BYTES and not self._status:
+        if self._header_bytes > MAX_HEADER_BYTES and not self._status:
             self.drop("too large")
         else:
-            self._take_answer()
+            self._process_answer()
 
     def on_close(self, why: str) -> None:
-        """Take that the connection has ended."""
+        """Clear the connection and its timer."""
         self._connection = None
         self._cancel_timer()
         self._connection_ended(why)
@@ -97,48 +97,48 @@
     # Called by httptools.
 
     def on_headers_complete(self) -> None:
-        """Keep the status."""
+        """Store the status code."""
         self._status = self._parser.get_status_code()
 
     @abstractmethod
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body."""
+        """Store a chunk of the body."""
 
     def on_message_complete(self) -> None:
-        """Keep whether the connection may be used again, which is known here and not later."""
+        """Store whether the connection may be reused, which the parser knows only during this callback."""
         self._complete, self._keep_alive = True, self._parser.should_keep_alive()
 
 
-class CallOwner(Protocol):
-    """Whom a call's end is told."""
+class ResponseHandler(Protocol):
+    """Receives the outcome of a call."""
 
     def on_answer(self, status: int, body: bytes) -> None:
-        """Take the answer."""
+        """Process the response."""
 
     def on_failure(self, why: str) -> None:
-        """Take that there is none."""
+        """Handle a call that got no response."""
 
 
-class Client(HttpParty):
-    """Makes calls, one at a time, and dials when there is one to make.
+class Client(HttpPeer):
+    """Makes one call at a time, and connects when there is a call to make.
 
-    Each call ends in exactly one of the owner's callbacks: a party that says nothing is given up at the deadline, and
-    its connection with it, since a late answer would be taken for the next call's.
+    Each call ends in exactly one of the handler's callbacks. At the deadline the connection is closed with the call, as
+    a late response would be taken for that of the next call.
     """
 
     def __init__(
-        self, loop: Loop, pool: BufferPool, to: str, owner: CallOwner, dial_timeout_ns: int, most_body_bytes: int
+        self, loop: Loop, pool: BufferPool, to: str, handler: ResponseHandler, dial_timeout_ns: int, max_body_bytes: int
     ) -> None:
         super().__init__(loop, pool, to, dial_timeout_ns)
-        self._owner, self._most_body_bytes = owner, most_body_bytes
-        self.busy = False  # a call is out
+        self._handler, self._max_body_bytes = handler, max_body_bytes
+        self.busy = False  # whether a call is in flight
         self._request, self._timeout_ns = b"", 0
         self._up = False
         self._body: list[bytes] = []
         self._body_bytes = 0
 
     def call(self, method: str, path: str, body: bytes, timeout_ns: int) -> None:
-        """Make a call, while none is out.
+        """Start a call; none may be in flight.
 
         :param timeout_ns: counts from when the request is sent.
         """
@@ -154,14 +154,14 @@
 
     @property
     def sent(self) -> bool:
-        """Whether the present call has been handed to a connection: if not, the party has seen nothing of it."""
+        """Whether the current call has been written to a connection; if not, the peer has received nothing of it."""
         return not self._request
 
     def move(self, to: str) -> None:
         """Make calls to another address from now on.
 
-        One that was sent may be carried out where it went, so it ends first; sent to both, it could come after a newer
-        one.
+        A call that has been sent may be executed there, so it ends first: sent to both addresses, it could be executed
+        after a newer one.
         """
         if to != self.to:
             self.to = to
@@ -169,9 +169,9 @@
                 self.drop("moved")
 
     def close(self) -> None:
-        """Give the connection up, and the call that is out."""
+        """Close the connection and abandon the call in flight."""
         self.busy = False
-        self.drop("we end")
+        self.drop("closed locally")
         self._cancel_timer()
 
     def _send(self) -> None:
@@ -179,10 +179,10 @@
         request, self._request = self._request, b""
         self._write(request)
 
-    def _take_answer(self) -> None:
+    def _process_answer(self) -> None:
         if not self.busy:
-            self.drop("an answer to nothing")
-        elif self._body_bytes > self._most_body_bytes:
+            self.drop("a response without a request")
+        elif self._body_bytes > self._max_body_bytes:
             self.drop("too large")
         elif self._complete:
             self._end_call()
@@ -192,9 +192,9 @@
         self._clear_body()
         self._status, self._header_bytes, self._complete, self.busy = 0, 0, False, False
         self._cancel_timer()
-        if not self._keep_alive or self._dialled != self.to:
+        if not self._keep_alive or self._connected_to != self.to:
             self.drop("ended by the answer")
-        self._owner.on_answer(status, body)
+        self._handler.on_answer(status, body)
 
     def _clear_body(self) -> None:
         self._body.clear()
@@ -204,42 +204,43 @@
         self._clear_body()
         if self.busy:
             self.busy = False
-            self._owner.on_failure(why)
+            self._handler.on_failure(why)
 
     def on_open(self) -> None:
-        """Send the call that waits."""
+        """Send the pending call."""
         self._up = True
         if self.busy:
             self._send()
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body."""
+        """Store a chunk of the body, up to the limit."""
         self._body_bytes += len(data)
-        if self._body_bytes <= self._most_body_bytes:
+        if self._body_bytes <= self._max_body_bytes:
             self._body.append(data)
 
 
-class StreamOwner(Protocol):
-    """Whom a stream calls back."""
+class StreamHandler(Protocol):
+    """Receives the callbacks of a stream."""
 
     def stream_path(self) -> str:
-        """Return the path to ask for, each time anew."""
+        """Return the path to request; called for every connection."""
 
     def on_stream_start(self) -> None:
-        """Take that a stream begins."""
+        """Handle the start of a stream."""
 
     def on_stream_line(self, line: bytes) -> None:
-        """Take a line."""
+        """Process a line."""
 
     def on_stream_end(self, why: str) -> None:
-        """Take that a stream has ended, or did not come up; another is dialled."""
+        """Handle that a stream has ended or could not be opened; it is reopened after the backoff."""
 
 
 class StreamLimits(NamedTuple):
     """Limits of a stream.
 
-    :param idle_timeout_ns: it is given up after so long without bytes.
-    :param initial_backoff_ns: before it is dialled again; doubles up to `max_backoff_ns` while streams do not last.
+    :param idle_timeout_ns: it is closed after so long without bytes.
+    :param initial_backoff_ns: delay before reconnecting; doubles up to `max_backoff_ns` while streams end within
+        `idle_timeout_ns`.
     """
 
     idle_timeout_ns: int
@@ -248,43 +249,43 @@
     max_line_bytes: int
 
 
-class Stream(HttpParty):
-    """A GET whose answer does not end, as lines; dialled again after a pause when it breaks, until it is closed."""
+class Stream(HttpPeer):
+    """A GET whose response is an endless sequence of lines; it reconnects with backoff until it is closed."""
 
-    def __init__(self, loop: Loop, pool: BufferPool, to: str, owner: StreamOwner, limits: StreamLimits) -> None:
+    def __init__(self, loop: Loop, pool: BufferPool, to: str, handler: StreamHandler, limits: StreamLimits) -> None:
         super().__init__(loop, pool, to, DIAL_TIMEOUT_NS)
-        self._owner, self._limits = owner, limits
+        self._handler, self._limits = handler, limits
         self._pause_ns, self._closed = limits.initial_backoff_ns, False
-        self._heard_at, self._opened_at = 0, loop.now()
+        self._last_received_at, self._opened_at = 0, loop.now()
         self._start()
 
     def move(self, to: str) -> None:
-        """Dial another address, soon, as after a break."""
+        """Reconnect to another address after the initial backoff."""
         if to != self.to:
             self.to, self._pause_ns = to, self._limits.initial_backoff_ns
             self.drop("moved")
 
     def close(self) -> None:
-        """End the stream for good."""
+        """Close the stream and do not reconnect."""
         self._closed = True
-        self.drop("we end")
+        self.drop("closed locally")
         self._cancel_timer()
 
     def _start(self) -> None:
-        self._line = bytearray()  # its beginning
+        self._line = bytearray()  # the incomplete last line
         self._lines: list[bytes] = []  # complete, not yet delivered
         self._dial()
 
     def _check_silence(self) -> None:
-        """Give a silent stream up; the timer is not set anew with every byte, which would fill the heap."""
-        due_at = self._heard_at + self._limits.idle_timeout_ns
+        """Close an idle stream; the timer is not reset by every read, which would fill the timer heap."""
+        due_at = self._last_received_at + self._limits.idle_timeout_ns
         if self._loop.now() >= due_at:
             self.drop("silent")
         else:
             self._timer = self._loop.at(due_at, self._check_silence)
 
-    def _take_answer(self) -> None:
-        self._heard_at = self._loop.now()
+    def _process_answer(self) -> None:
+        self._last_received_at = self._loop.now()
         if self._status not in (0, OK):
             self.drop(f"status {self._status}")
             return
@@ -293,9 +294,9 @@
             return
         lines, self._lines = self._lines, []
         for line in lines:
-            if self._connection is None:  # the owner has given up the stream that the rest came on
+            if self._connection is None:  # the handler has closed the stream
                 return
-            self._owner.on_stream_line(line)
+            self._handler.on_stream_line(line)
         if self._complete:
             self.drop("ended by the answer")
 
@@ -306,22 +307,22 @@
                 self._pause_ns = self._limits.initial_backoff_ns
             self._timer = self._loop.at(now + self._pause_ns, self._start)
             self._pause_ns = min(2 * self._pause_ns, self._limits.max_backoff_ns)
-            self._owner.on_stream_end(why)
+            self._handler.on_stream_end(why)
 
     def on_open(self) -> None:
-        """Ask for the stream."""
-        self._heard_at = self._opened_at = self._loop.now()
+        """Request the stream."""
+        self._last_received_at = self._opened_at = self._loop.now()
         self._check_silence()
-        self._write(f"GET {self._owner.stream_path()} HTTP/1.1\r\nHost: {self.to}\r\n\r\n".encode())
+        self._write(f"GET {self._handler.stream_path()} HTTP/1.1\r\nHost: {self.to}\r\n\r\n".encode())
 
     def on_headers_complete(self) -> None:
-        """Tell the owner that a stream begins."""
+        """Notify the handler of the start of a stream."""
         super().on_headers_complete()
         if self._status == OK:
-            self._owner.on_stream_start()
+            self._handler.on_stream_start()
 
     def on_body(self, data: bytes) -> None:
-        """Take lines apart."""
+        """Split the body into lines."""
         first, *rest = data.split(b"\n")
         self._line += first
         for beginning in rest:
--- a/kestrelplank/sockets/loop.py
+++ b/kestrelplank/sockets/loop.py
@@ -1,4 +1,4 @@
-"""The one loop of a program: a selector, a heap of timers, a clock. Everything else is called back from here."""
+"""The event loop of a program: a selector, a heap of timers and a clock."""
 
 import heapq
 import selectors
@@ -7,12 +7,12 @@
 from socket import socket
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
-FEWEST_TIMERS_SWEPT = 128  # that are held without looking whether they are still wanted
+MIN_TIMERS_TO_SWEEP = 128  # below this number cancelled timers stay in the heap until they are due
 NS_PER_S = 1e9
 
 
 class Timer:
-    """One call at a time to come; cancelled, it is forgotten when it falls due, or when many are."""
+    """A callback at an instant; a cancelled timer leaves the heap when it is due or when the heap is swept."""
 
     __slots__ = ("callback",)
 
@@ -20,68 +20,67 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        """Call nothing."""
+        """Cancel the callback."""
         self.callback = None
 
 
 class Loop:
-    """Calls back what is ready and what is due. `on_defect` takes what a callback raises."""
+    """Runs callbacks of ready sockets and due timers; `on_defect` receives the exceptions that they raise."""
 
     def __init__(self, on_defect: Callable[[Exception], None]) -> None:
         self._selector = selectors.DefaultSelector()
         self._timers: list[tuple[int, int, Timer]] = []  # due at, number, timer
         self._timers_made, self._running, self._on_defect = 0, False, on_defect
-        self._sweep_at_size = FEWEST_TIMERS_SWEPT
-        # Unix time is read once, so that a clock that is set while we run shifts no instant that was told to us.
+        self._sweep_at_size = MIN_TIMERS_TO_SWEEP
+        # Unix time is read once, so that setting the system clock does not shift instants that were converted before.
         self._unix_offset_ns = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Return the instant of the steady clock, in ns."""
+        """Return the current instant of the monotonic clock, in ns."""
         return time.monotonic_ns()
 
     def from_unix(self, unix_ns: int) -> int:
-        """Return the instant of the steady clock for a Unix time."""
+        """Return the instant of the monotonic clock for a Unix time, both in ns."""
         return unix_ns - self._unix_offset_ns
 
     def at(self, due_at: int, callback: Callable[[], None]) -> Timer:
-        """Call back at an instant; those of one instant in the order of asking."""
-        if len(self._timers) >= self._sweep_at_size:  # deadlines may be set and met faster than they fall due
+        """Schedule a callback; callbacks of the same instant run in the order in which they were scheduled."""
+        if len(self._timers) >= self._sweep_at_size:  # timers may be set and cancelled faster than they become due
             self._timers = [entry for entry in self._timers if entry[2].callback is not None]
             heapq.heapify(self._timers)
-            self._sweep_at_size = max(FEWEST_TIMERS_SWEPT, 2 * len(self._timers))
+            self._sweep_at_size = max(MIN_TIMERS_TO_SWEEP, 2 * len(self._timers))
         timer = Timer(callback)
         self._timers_made += 1
         heapq.heappush(self._timers, (due_at, self._timers_made, timer))
         return timer
 
     def watch(self, sock: socket, events: int, callback: Callable[[int], None]) -> None:
-        """Call back with the events for which a socket is ready, out of these."""
+        """Register a socket; the callback receives those of `events` that are ready."""
         self._selector.register(sock, events, callback)
 
     def change(self, sock: socket, events: int, callback: Callable[[int], None]) -> None:
-        """Watch a watched socket for other events."""
+        """Change the events and the callback of a registered socket."""
         self._selector.modify(sock, events, callback)
 
     def forget(self, sock: socket) -> None:
-        """Watch a socket no longer."""
+        """Unregister a socket."""
         self._selector.unregister(sock)
 
     def stop(self) -> None:
-        """End `run` after the present turn."""
+        """Make `run` return after the current iteration."""
         self._running = False
 
     def run(self) -> None:
-        """Turn until stopped."""
+        """Run iterations until stopped."""
         self._running = True
         while self._running:
             self.run_once()
 
     def run_once(self) -> None:
-        """Wait for what comes first, and call back what is ready and what is due.
+        """Run one iteration: wait for a socket or a timer, then run the callbacks of ready sockets and due timers.
 
-        What has arrived is read before any deadline is held against it: after a stall of ours an answer that came in
-        time must not count as missing. So the selector is asked again before timers are called; stopped and resumed
-        while it waits, it says that nothing came.
+        Sockets are polled once more before due timers run: after a stall of the process, a response that arrived in
+        time must not count as timed out. The first wait may return nothing if the process was stopped and resumed.
         """
         while self._timers and self._timers[0][2].callback is None:
             heapq.heappop(self._timers)
@@ -97,18 +96,20 @@
     def _call_ready(self, timeout_s: float | None) -> None:
         watched = self._selector.get_map()
         for key, events in self._selector.select(timeout_s):
-            entry = watched.get(key.fd)  # forgotten earlier in this turn, or its number given to another since
+            entry = watched.get(
+                key.fd
+            )  # None if unregistered in this iteration; another socket if the descriptor was reused
             if entry is not None and entry.fileobj is key.fileobj:
                 self._call(entry.data, events)
 
     def _call(self, callback: Callable[..., None], *arguments: int) -> None:
-        # Against a defect of our own: one message that trips it must not take the program down.
+        # A bug that one message triggers must not end the program.
         try:
             callback(*arguments)
-        except Exception as err:  # noqa: BLE001  whatever it is
+        except Exception as err:  # noqa: BLE001 - any exception is logged
             self._on_defect(err)
 
     def close(self) -> None:
-        """Forget all timers and sockets."""
+        """Drop all timers and close the selector."""
         self._timers.clear()
         self._selector.close()
--- a/kestrelplank/sockets/unix_listener.py
+++ b/kestrelplank/sockets/unix_listener.py
@@ -1,4 +1,4 @@
-"""A Unix socket that we listen at, for the owner of the process alone."""
+"""A listening Unix socket that only the owner of the process can connect to."""
 
 import os
 import socket
@@ -13,12 +13,12 @@
 
 
 class UnixListener:
-    """Listens at `path`, put there by a rename: whoever connects finds the one before or this one.
+    """Listens at `path`, which is created by a rename, so that the path always refers to a listening socket.
 
-    `on_accept(link)` owns what it is given, which does not block. `close` is the one place where socket and path are
-    given back; a path that somebody else has taken meanwhile is left alone.
+    `on_accept` receives a non-blocking socket, which it has to close. `close` removes the path, unless another process
+    has replaced it.
 
-    :raises OSError: it can't be listened at.
+    :raises OSError: the socket can't be created at that path.
     """
 
     def __init__(self, loop: Loop, path: str, on_accept: Callable[[socket.socket], None]) -> None:
@@ -37,7 +37,7 @@
         self._sock.setblocking(False)
         loop.watch(self._sock, READ, self._ready)
 
-    def _ready(self, events: int) -> None:  # noqa: ARG002  the loop's callback
+    def _ready(self, events: int) -> None:  # noqa: ARG002 - signature of the loop's callbacks
         try:
             link, _ = self._sock.accept()
         except OSError:
@@ -46,7 +46,7 @@
         self._on_accept(link)
 
     def close(self) -> None:
-        """Listen no longer."""
+        """Stop listening."""
         if self._sock.fileno() < 0:
             return
         self._loop.forget(self._sock)
--- a/tests/assigner/test_node_discovery.py
+++ b/tests/assigner/test_node_discovery.py
@@ -75,7 +75,7 @@
     )
     before = None
     for number in range(3000):
-        made._take(node_list(number, instance(f"n-{number}")), None)
+        made._process_list(node_list(number, instance(f"n-{number}")), None)
         probes.check(index := made._ids.nodes[f"n-{number}"])
         conductor.forget_node(index)
         kit.events.clear()
--- a/tests/assigner/test_operator_features.py
+++ b/tests/assigner/test_operator_features.py
@@ -102,8 +102,8 @@
     ]
     wait_until(kit.loop, lambda: len(sent) >= 6)
     for number, body in sent:
-        made[1 - number].take(number, body)
-    made[0].take(1, b"junk")
+        made[1 - number].receive(number, body)
+    made[0].receive(1, b"junk")
     assert made[0].status() == {
         "view": 2,
         "alive": (0, 1),
--- a/tests/assigner/test_order_queue.py
+++ b/tests/assigner/test_order_queue.py
@@ -109,9 +109,9 @@
 def test_orders_wait_while_updates_are_away_and_are_dropped_with_a_slice_that_is_lost(kit):
     made = order_queue(kit)
     made.suspend()
-    made.slice_given(1)
+    made.slice_assigned(1)
     ordered(made, 1, 2)
-    made.slice_taken_back(1)
+    made.slice_revoked(1)
     assert not made._client.bodies
     made.resume()
     assert made._client.bodies == [[("put", 2), ("fence", 2)]]
@@ -119,11 +119,11 @@
 
 def test_a_call_that_is_out_is_sent_again_without_orders_for_a_slice_lost_meanwhile(kit):
     made = order_queue(kit)
-    made.slice_given(1)
+    made.slice_assigned(1)
     ordered(made, 1, 2)
-    made.slice_given(1)
+    made.slice_assigned(1)
     ordered(made, 1)
-    made.slice_taken_back(3)
+    made.slice_revoked(3)
     end(made, None)
     wait_until(kit.loop, lambda: len(made._client.bodies) == 2)
     end(made, b'{"ok_count":2}')
@@ -133,18 +133,18 @@
 @pytest.mark.parametrize("lines, agrees", [({}, True), ({0: 1.0}, True), ({1: 1.0}, False), ({0: 1.0, 1: 1.0}, False)])
 def test_what_the_store_holds_is_compared_with_what_was_ordered(kit, lines, agrees):
     made = order_queue(kit)
-    made.slice_given(1)
+    made.slice_assigned(1)
     ordered(made, 1)  # may have been carried out, or not
-    assert made.explains(1, lines) is agrees
+    assert made.matches_orders(1, lines) is agrees
 
 
 @pytest.mark.parametrize("lines", [{}, {0: 1.0}])
 def test_an_answer_that_comes_while_updates_are_away_waits_for_the_reconciliation(kit, lines):
     made = order_queue(kit)
-    made.slice_given(1)
+    made.slice_assigned(1)
     ordered(made, 1)
     made.suspend()
     end(made, b'{"ok_count":2}')
-    assert made.explains(1, lines)
+    assert made.matches_orders(1, lines)
     made.resume()
-    assert made.explains(1, {0: 1.0}) and not made.explains(1, {}) and not made._queue
+    assert made.matches_orders(1, {0: 1.0}) and not made.matches_orders(1, {}) and not made._queue
--- a/tests/assigner/test_telemetry_server.py
+++ b/tests/assigner/test_telemetry_server.py
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("lasts, stays", [(119_000, True), (121_000, False)])
 def test_a_collector_that_says_nothing_for_long_is_rejected(kit, front, collector, lasts, stays):
     (held,) = front._collectors.values()
-    held.heard_at = kit.loop.now() - lasts * MS
+    held.last_received_at = kit.loop.now() - lasts * MS
     front._timer.cancel()
     front._sweep()
     assert bool(front._collectors) is stays
@@ -149,10 +149,10 @@
     unjoined = [caller(front) for _ in range(2)]
     wait_until(kit.loop, lambda: len(front._unjoined) == 2)
     assert (
-        front._make_room("EMFILE")
+        front._free_descriptor("EMFILE")
         and len(front._unjoined) == 1
-        and front._make_room("EMFILE")
-        and not front._make_room("EMFILE")
+        and front._free_descriptor("EMFILE")
+        and not front._free_descriptor("EMFILE")
     )
     for sock in unjoined:
         sock.close()
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -1,4 +1,4 @@
-"""What tests of the network side are made with, over the stub servers of rehearsals."""
+"""Fixtures and helpers for tests of the assigner's network components, based on the stub servers of rehearsals."""
 
 import json
 
@@ -33,13 +33,13 @@
 def wait_until(loop, condition, seconds=20):
     end = loop.now() + seconds * 1000 * MS
     while not condition():
-        assert loop.now() < end, "what was waited for did not come"
+        assert loop.now() < end, "the condition was not met in time"
         loop.at(loop.now() + 5 * MS, lambda: None)
         loop.run_once()
 
 
 class Kit(stub_server.SocketKit):
-    """What every part of the network side is made with."""
+    """The event loop, buffer pool, counters and collected events that a component under test needs."""
 
     def __init__(self):
         super().__init__()
@@ -50,13 +50,13 @@
 @pytest.fixture
 def kit():
     """A kit, whose loop is closed after the test."""
-    made = Kit()
-    yield made
-    made.loop.close()
+    kit = Kit()
+    yield kit
+    kit.loop.close()
 
 
 class StubServer(stub_server.StubServer):
-    """One that remembers what it was asked."""
+    """A stub server that records its requests."""
 
     def __init__(self, kit, answer=lambda connection, path, body: None):
         super().__init__(kit, answer)
@@ -68,7 +68,7 @@
 
 
 def read_available(sock):
-    """What has come on a socket that does not block; None where nothing has."""
+    """Return the available bytes of a non-blocking socket, or None."""
     try:
         return sock.recv(1 << 20)
     except BlockingIOError:
@@ -85,7 +85,7 @@
 
 
 class FakeClient:
-    """In place of the HTTP client: what would be sent, and outcomes by hand."""
+    """Replaces the HTTP client: records calls; the test reports their outcomes."""
 
     def __init__(self):
         self.bodies, self.busy = [], False
@@ -97,8 +97,8 @@
         self.busy = True
 
 
-def order_queue(kit, first_mark=0):
-    made = OrderQueue(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", sample_ids(), ["look", "buy"], first_mark)
-    made._client = FakeClient()
-    made.resume()
-    return made
+def order_queue(kit, first_stamp=0):
+    queue = OrderQueue(kit.loop, kit.pool, kit.counters, "127.0.0.1:1", sample_ids(), ["look", "buy"], first_stamp)
+    queue._client = FakeClient()
+    queue.resume()
+    return queue
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -198,7 +198,7 @@
             self.attempts.waiting_count(),
             self.proxy.exchanges,
             self.proxy.clients.connections,
-            self.kit.pool.out,
+            self.kit.pool.in_use,
         )
         self.kit.loop.close()
         assert left == ({}, 0, {}, {}, 0), left
--- a/tests/sockets/test_connection.py
+++ b/tests/sockets/test_connection.py
@@ -37,7 +37,7 @@
     assert bytes(got) == sent and not end.gone
     connection.write(b"x" * (9 << 20))
     connection.close("again")
-    assert end.gone == ["the other side does not read"] and kit.pool.out == 0
+    assert end.gone == ["the other side does not read"] and kit.pool.in_use == 0
     theirs.close()
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -307,7 +307,7 @@
     wait_until(kit.loop, lambda: kit.loop.now() > end)
     gc.collect()
     wanted = sum(timer.callback is not None for due, _, timer in kit.loop._timers if due > end + 50 * MS)
-    return len(os.listdir("/proc/self/fd")), wanted, kit.pool.out
+    return len(os.listdir("/proc/self/fd")), wanted, kit.pool.in_use
 
 
 def test_deadlines_that_are_met_do_not_fill_the_heap(kit):
@@ -390,7 +390,7 @@
         made.set_endpoint(0, 0, 1.0)
         made.close_round()
         made.on_answer(200, thing)
-        front.take(
+        front.handle_report(
             [
                 random.choice([b"upstream_stats", b"range_stats", b"hb", b"\xff"]),
                 *(
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -24,7 +24,7 @@
         (b'{"ROUND":1}', "expected an array"),
         (b'["ROUND"', "not JSON"),
         (b'["ROUND","soon"]', "ROUND, field clock"),
-        (b'["NEWS",3]', "no event is called that"),
+        (b'["NEWS",3]', "NEWS: unknown event"),
         (b'["TENURE",9,1,true]', "instance 9 has not been created"),
         (b'["TENURE",3,-1,true]', "TENURE, field SetId"),
         (b'["TENURE",3,1,"yes"]', "TENURE, field Yes"),
