--- a/kestrelplank/assigner/proxy_updates.py
+++ b/kestrelplank/assigner/proxy_updates.py
@@ -64,7 +64,7 @@
     """Turns the relay's stream into events.
 
     No order is sent between the loss of the stream and the end of the reconciliation
-    (`test_orders_wait_while_updates_are_away_and_are_dropped_with_a_slice_that_is_lost`).
+    (`test_orders_wait_while_suspended_and_are_dropped_with_a_revoked_slice`).
 
     :param proxies: maximum number of proxies.
     :param slices: number of slices.
--- a/kestrelplank/policy/assigner_policy.py
+++ b/kestrelplank/policy/assigner_policy.py
@@ -22,7 +22,7 @@
     """All decisions of one assigner.
 
     The order of steps in a round, and that in which nodes and slices became known, are part of the decisions
-    (`test_a_recorded_day_gives_the_recorded_orders`). A withdrawal leaves no slice without an endpoint, but late in its
+    (`test_recorded_day_gives_the_recorded_orders`). A withdrawal leaves no slice without an endpoint, but late in its
     deadline (`test_a_withdrawal_waits_for_the_slice_it_would_leave_without_an_endpoint`). An exclusive slice has one
     owner at a time (`test_an_exclusive_slice_opens_only_when_the_old_owner_is_surely_done`).
     """
--- a/tests/assigner/assigner_parties.py
+++ b/tests/assigner/assigner_parties.py
@@ -1,10 +1,10 @@
-"""Stand-ins, messages and steps that several tests of the assigner use."""
+"""Messages, fakes and helpers shared by the tests of the assigner."""
 
 from parties import StubServer, attach, message, order_queue, sample_ids, wait_until
 
 from kestrelplank.assigner.proxy_updates import ProxyUpdates
 
-REPORT = (
+NODE_REPORT = (
     b"upstream_stats",
     b"locality",
     b"a",
@@ -21,32 +21,32 @@
     b"metrics",
     b"inflight:7,util:0.5,moon:1",
 )
-HEAT = (b"range_stats", b"shard", b"8", b"route", b"look", b"total", b"4", b"errors", b"1", b"interval", b"500")
+SLICE_REPORT = (b"range_stats", b"shard", b"8", b"route", b"look", b"total", b"4", b"errors", b"1", b"interval", b"500")
 
 
-def end(made, outcome):
-    made._client.busy = False
-    made.on_answer(200, outcome) if isinstance(outcome, bytes) else made.on_failure("silent")
+def finish_call(queue, outcome):
+    queue._client.busy = False
+    queue.on_answer(200, outcome) if isinstance(outcome, bytes) else queue.on_failure("silent")
 
 
-def ordered(made, *tables, behind=0):
+def add_round(queue, *tables, backlog_ns=0):
     for table in tables:
-        made.set_endpoint(table, 0, 1.0)
-    made.request_acknowledgement(tables[-1], True, behind)
-    made.close_round()
+        queue.set_endpoint(table, 0, 1.0)
+    queue.request_acknowledgement(tables[-1], True, backlog_ns)
+    queue.close_round()
 
 
-def relayed(kit, *known):
+def connect_to_relay(kit, *snapshot):
     relay = StubServer(kit, lambda visitor, path, body: visitor.begin_stream() if path == "/api/stream" else None)
-    made = order_queue(kit)
-    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, sample_ids(), 9, 9, made, kit.events.append)
+    queue = order_queue(kit)
+    updates = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, sample_ids(), 9, 9, queue, kit.events.append)
     wait_until(kit.loop, lambda: kit.counters.counts["news_started"])
-    relay.connections[-1].send(*known, {})
-    wait_until(kit.loop, lambda: told._reconciliation is None)
-    return relay, told, made
+    relay.connections[-1].send(*snapshot, {})
+    wait_until(kit.loop, lambda: updates._reconciliation is None)
+    return relay, updates, queue
 
 
-STANDING = (
+SNAPSHOT = (
     attach(1),
     attach(2),
     message("owner", shard=3, set=True),
@@ -56,17 +56,17 @@
 )
 
 
-def again(kit, relay, *lines):
+def reconnect(kit, relay, *lines):
     kit.events.clear()
     relay.connections[-1].connection.close("broken off")
     wait_until(kit.loop, lambda: kit.counters.counts["news_started"] == 2)
     relay.connections[-1].send(*lines)
 
 
-class Rounds:
+class RecordingPolicy:
     def __init__(self):
-        self.held = []
+        self.rounds = []
 
-    def round(self, now, events, out):
-        self.held.append(events)
-        out.set_endpoint(0, 0, 1.0)
+    def round(self, now, events, writer):
+        self.rounds.append(events)
+        writer.set_endpoint(0, 0, 1.0)
--- a/tests/assigner/test_health_checks.py
+++ b/tests/assigner/test_health_checks.py
@@ -17,20 +17,20 @@
         (None, b"", "broken", {}),
     ],
 )
-def test_a_health_check_reports_what_the_node_answered(kit, status, body, verdict, load):
+def test_health_check_reports_verdict_and_load_of_the_node(kit, status, body, verdict, load):
     node = StubServer(
         kit, lambda visitor, path, _: visitor.reply(body, status) if status else visitor.connection.close("broken off")
     )
-    probes = HealthChecks(kit.loop, kit.pool, kit.counters, {0: node.at}, True, 250 * MS, True, kit.events.append)
-    probes.check(0)
+    checks = HealthChecks(kit.loop, kit.pool, kit.counters, {0: node.at}, True, 250 * MS, True, kit.events.append)
+    checks.check(0)
     wait_until(kit.loop, lambda: kit.events)
     checked = kit.events[0]
     assert isinstance(checked, HealthChecked)
     assert (checked.node, checked.verdict, checked.load) == (0, verdict, load)
-    probes.check(0)
+    checks.check(0)
     wait_until(kit.loop, lambda: len(kit.events) == 2)
     assert len(node.connections) == (1 if status else 2) and node.requests[0][1] == "/status/load"
-    probes.check(1)
+    checks.check(1)
     assert kit.counters.counts["probes_not_sent"] == 1
-    probes.close()
+    checks.close()
     node.close()
--- a/tests/assigner/test_operator_features.py
+++ b/tests/assigner/test_operator_features.py
@@ -21,27 +21,27 @@
         return "127.0.0.1:%d" % sock.getsockname()[1]
 
 
-def ask(kit, path):
-    """What stands at the socket, while our own loop plays its owner."""
+def read_from_socket(kit, path):
+    """Read the JSON that the status socket sends, while the loop runs its server."""
     link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     link.connect(path)
     link.setblocking(False)
     data = bytearray()
 
-    def come():
+    def reached_end():
         try:
-            part = link.recv(1 << 16)
+            chunk = link.recv(1 << 16)
         except BlockingIOError:
             return False
-        data.extend(part)
-        return not part
+        data.extend(chunk)
+        return not chunk
 
-    wait_until(kit.loop, come)
+    wait_until(kit.loop, reached_end)
     link.close()
     return json.loads(data)
 
 
-def test_two_conductors_know_each_other_over_datagrams_and_a_kill_is_seen(kit, tmp_path, monkeypatch):
+def test_two_assigners_discover_each_other_and_detect_a_kill(kit, tmp_path, monkeypatch):
     at = [free_udp() for _ in range(2)]
     programs = []
     for number in range(2):
@@ -65,33 +65,33 @@
         kit.loop,
         lambda: all(program.log_lines("alive=0,1") or program.log_lines('alive="0,1"') for program in programs),
     )
-    done = CliRunner().invoke(group, ["zones", "--socket", f"{tmp_path}/s0"])
-    assert done.exit_code == 0 and "conductors 0, 1 alive" in done.output
+    result = CliRunner().invoke(group, ["zones", "--socket", f"{tmp_path}/s0"])
+    assert result.exit_code == 0 and "conductors 0, 1 alive" in result.output
     assert read_status(f"{tmp_path}/s1", 5)["members"]["alive"] == [0, 1]
-    programs[0].end(signal.SIGKILL)
+    programs[0].stop(signal.SIGKILL)
     wait_until(kit.loop, lambda: programs[1].log_lines("alive=1"))
-    code, said = programs[1].end(signal.SIGTERM)
-    assert code == 0 and "defects" not in said and not os.path.exists(f"{tmp_path}/s1")
+    code, log = programs[1].stop(signal.SIGTERM)
+    assert code == 0 and "defects" not in log and not os.path.exists(f"{tmp_path}/s1")
 
 
-def test_where_the_settings_bar_talk_it_is_off_and_said_so(kit, tmp_path, monkeypatch):
+def test_membership_is_off_and_logged_when_the_settings_forbid_datagrams(kit, tmp_path, monkeypatch):
     (tmp_path / "k.ini").write_text("[members]\non = yes\n")
     monkeypatch.setenv("KESTRELPLANK_INI", str(tmp_path / "k.ini"))
     program = Program(
         kit, tmp_path / "c.json", discovery=closed_port(), hub={"address": closed_port()}, peer_listen=free_udp()
     )
     assert program.log_lines("event=members_off")
-    code, said = program.end(signal.SIGTERM)
-    assert code == 0 and "datagrams_sent" not in said
+    code, log = program.stop(signal.SIGTERM)
+    assert code == 0 and "datagrams_sent" not in log
 
 
-def test_members_tick_take_and_show_whatever_comes(kit):
+def test_members_exchange_datagrams_skip_invalid_ones_and_report_status(kit):
     sent = []
     nodes = [ObservedNode(0, True, 10.0, 9.0)]
-    made = [
+    members = [
         MembershipGossip(
             kit.loop,
-            Counts(),
+            FakeCounters(),
             Membership(kit.loop.now(), number, 5, 2, DetectorSettings(heartbeat_interval_ns=10_000_000)),
             10_000_000,
             lambda to, body, number=number: sent.append((number, body)),
@@ -102,19 +102,19 @@
     ]
     wait_until(kit.loop, lambda: len(sent) >= 6)
     for number, body in sent:
-        made[1 - number].receive(number, body)
-    made[0].receive(1, b"junk")
-    assert made[0].status() == {
+        members[1 - number].receive(number, body)
+    members[0].receive(1, b"junk")
+    assert members[0].status() == {
         "view": 2,
         "alive": (0, 1),
         "zones": {0: {"demand": 20, "capacity": 20, "ready": 1, "told_by": 2}},
     }
-    assert made[0]._counters.counts["members_unreadable"] == 1
-    for one in made:
-        one.close()
+    assert members[0]._counters.counts["members_unreadable"] == 1
+    for member in members:
+        member.close()
 
 
-class Counts:
+class FakeCounters:
     def __init__(self):
         self.counts = {}
 
@@ -125,33 +125,33 @@
         self.add(name)
 
     def info(self, event, **fields):
-        """Nobody reads it."""
+        """Ignore the event."""
 
 
-def test_who_asks_and_reads_nothing_holds_nobody_up(kit, tmp_path):
+def test_status_client_that_does_not_read_does_not_block_others(kit, tmp_path):
     path = str(tmp_path / "s")
     status = StatusSocket(kit.loop, path, lambda: {"much": "x" * 5_000_000})
-    silent = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    silent.connect(path)
+    reader = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    reader.connect(path)
     wait_until(kit.loop, lambda: True)
     kit.loop.at(kit.loop.now(), lambda: None)
     kit.loop.run_once()
     status.status = lambda: {"little": 1}
-    assert ask(kit, path) == {"little": 1} and os.stat(path).st_mode & 0o777 == 0o600
-    silent.close()
+    assert read_from_socket(kit, path) == {"little": 1} and os.stat(path).st_mode & 0o777 == 0o600
+    reader.close()
     status.close()
     assert not os.path.exists(path)
 
 
 @pytest.mark.parametrize(
-    "words, code, says",
+    "arguments, code, message",
     [
         ((), 2, "no status socket"),
         (("--socket", "/none"), 1, "/none: No such file"),
         (("--ini", "/none"), 2, "can't be read"),
     ],
 )
-def test_zones_that_cannot_be_asked_for_are_one_line(words, code, says, monkeypatch):
+def test_unreachable_status_socket_is_reported_in_one_line(arguments, code, message, monkeypatch):
     monkeypatch.delenv("KESTRELPLANK_INI", raising=False)
-    done = CliRunner().invoke(group, ["zones", *words])
-    assert done.exit_code == code and says in done.output and done.output.count("\n") == 1
+    result = CliRunner().invoke(group, ["zones", *arguments])
+    assert result.exit_code == code and message in result.output and result.output.count("\n") == 1
--- a/tests/assigner/test_peer_datagrams.py
+++ b/tests/assigner/test_peer_datagrams.py
@@ -9,7 +9,7 @@
 )
 
 
-def test_datagrams_go_to_one_peer_or_to_all_and_strangers_are_skipped(kit):
+def test_datagrams_reach_one_or_all_peers_and_unknown_senders_are_skipped(kit):
     others = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
     for sock in others:
         sock.bind(("127.0.0.1", 0))
--- a/tests/assigner/test_telemetry_messages.py
+++ b/tests/assigner/test_telemetry_messages.py
@@ -1,5 +1,5 @@
 import pytest
-from assigner_parties import HEAT, REPORT
+from assigner_parties import NODE_REPORT, SLICE_REPORT
 from parties import sample_ids
 
 from kestrelplank.assigner.telemetry_messages import read_report
@@ -10,8 +10,8 @@
 )
 
 
-def test_a_report_becomes_an_event_in_our_units():
-    assert read_report(list(REPORT), sample_ids(), 9, 0) == NodeReport(
+def test_report_becomes_an_event_in_internal_units():
+    assert read_report(list(NODE_REPORT), sample_ids(), 9, 0) == NodeReport(
         0,
         0,
         9.0,
@@ -20,56 +20,59 @@
         1_000_000_000,
         {"in_flight": 7.0, "utilization": 0.5},
     )
-    assert read_report(list(HEAT), sample_ids(), 9, 0) == SliceReport(8, 0, 4.0, 1.0, 500_000_000)
-    aborted_earlier = read_report([*HEAT[:8], b"5", *HEAT[9:]], sample_ids(), 9, 0)
-    assert (aborted_earlier.ops, aborted_earlier.aborted) == (4.0, 5.0)  # of those that came earlier
-    assert read_report([*REPORT[:7], b"errors", b"9", *REPORT[11:13]], sample_ids(), 9, 0).mean_latency_ns is None
+    assert read_report(list(SLICE_REPORT), sample_ids(), 9, 0) == SliceReport(8, 0, 4.0, 1.0, 500_000_000)
+    aborted_earlier = read_report([*SLICE_REPORT[:8], b"5", *SLICE_REPORT[9:]], sample_ids(), 9, 0)
+    assert (aborted_earlier.ops, aborted_earlier.aborted) == (4.0, 5.0)  # ops of earlier windows may abort in this one
+    assert (
+        read_report([*NODE_REPORT[:7], b"errors", b"9", *NODE_REPORT[11:13]], sample_ids(), 9, 0).mean_latency_ns
+        is None
+    )
 
 
 @pytest.mark.parametrize(
-    "message, place, value",
+    "message, position, value",
     [
-        (REPORT, 2, b"mars"),
-        (REPORT, 2, b"b"),
-        (REPORT, 4, b"s-9"),
-        (REPORT, 6, b"nan"),
-        (REPORT, 6, b"-1"),
-        (REPORT, 6, b"38654705664"),
-        (REPORT, 6, b"1_0"),
-        (REPORT, 6, b" 9"),
-        (REPORT, 6, b"2"),
-        (REPORT, 8, b"inf"),
-        (REPORT, 8, b"10"),
-        (REPORT, 9, b"rt"),
-        (REPORT, 10, b"soon"),
-        (REPORT, 10, b"-41"),
-        (REPORT, 10, b"1e30"),
-        (REPORT, 12, b"1e999"),
-        (REPORT, 12, b"0"),
-        (REPORT, 12, b"-5"),
-        (REPORT, 11, b"total"),
-        (REPORT, 5, b"sum"),
-        (REPORT, 2, b"\xff"),
-        (REPORT, 0, b"downstream"),
-        (REPORT, 14, b"util:1e30"),
-        (REPORT, 14, b"util:-1"),
-        (REPORT, 14, b"util"),
-        (REPORT, 14, b"util:0.5:1"),
-        (HEAT, 2, b"9"),
-        (HEAT, 2, b"-1"),
-        (HEAT, 2, b"1_0"),
-        (HEAT, 2, b""),
-        (HEAT, 2, b"9" * 5000),
-        (HEAT, 4, b"sing"),
-        (HEAT, 6, b"-1"),
-        (HEAT, 8, b"1e30"),
-        (HEAT, 10, b"0"),
-        (HEAT, 9, b"route"),
+        (NODE_REPORT, 2, b"mars"),
+        (NODE_REPORT, 2, b"b"),
+        (NODE_REPORT, 4, b"s-9"),
+        (NODE_REPORT, 6, b"nan"),
+        (NODE_REPORT, 6, b"-1"),
+        (NODE_REPORT, 6, b"38654705664"),
+        (NODE_REPORT, 6, b"1_0"),
+        (NODE_REPORT, 6, b" 9"),
+        (NODE_REPORT, 6, b"2"),
+        (NODE_REPORT, 8, b"inf"),
+        (NODE_REPORT, 8, b"10"),
+        (NODE_REPORT, 9, b"rt"),
+        (NODE_REPORT, 10, b"soon"),
+        (NODE_REPORT, 10, b"-41"),
+        (NODE_REPORT, 10, b"1e30"),
+        (NODE_REPORT, 12, b"1e999"),
+        (NODE_REPORT, 12, b"0"),
+        (NODE_REPORT, 12, b"-5"),
+        (NODE_REPORT, 11, b"total"),
+        (NODE_REPORT, 5, b"sum"),
+        (NODE_REPORT, 2, b"\xff"),
+        (NODE_REPORT, 0, b"downstream"),
+        (NODE_REPORT, 14, b"util:1e30"),
+        (NODE_REPORT, 14, b"util:-1"),
+        (NODE_REPORT, 14, b"util"),
+        (NODE_REPORT, 14, b"util:0.5:1"),
+        (SLICE_REPORT, 2, b"9"),
+        (SLICE_REPORT, 2, b"-1"),
+        (SLICE_REPORT, 2, b"1_0"),
+        (SLICE_REPORT, 2, b""),
+        (SLICE_REPORT, 2, b"9" * 5000),
+        (SLICE_REPORT, 4, b"sing"),
+        (SLICE_REPORT, 6, b"-1"),
+        (SLICE_REPORT, 8, b"1e30"),
+        (SLICE_REPORT, 10, b"0"),
+        (SLICE_REPORT, 9, b"route"),
     ],
 )
-def test_a_report_that_cannot_be_used_is_skipped(message, place, value):
+def test_invalid_report_is_rejected(message, position, value):
     message = list(message)
-    message[place] = value
+    message[position] = value
     ids = sample_ids()
     ids.zone("b")
     with pytest.raises(MalformedError):
--- a/tests/sockets/conftest.py
+++ b/tests/sockets/conftest.py
@@ -1,3 +1,3 @@
-"""The kit that tests of this package run on."""
+"""Makes the `kit` fixture available to the tests of this directory."""
 
-from parties import kit  # noqa: F401  a fixture is found by its name
+from parties import kit  # noqa: F401 - pytest finds fixtures by name
--- a/tests/sockets/test_resp.py
+++ b/tests/sockets/test_resp.py
@@ -1,15 +1,15 @@
 import pytest
-from assigner_parties import REPORT
+from assigner_parties import NODE_REPORT
 
 from kestrelplank.decode import MalformedError
 from kestrelplank.sockets import resp
 
 
-@pytest.mark.parametrize("piece", [1, 2, 7, 10_000])
-def test_messages_come_complete_out_of_any_pieces(piece):
-    parser, data = resp.Parser(), resp.encode(b"hb") + resp.encode(*REPORT) + resp.encode(b"x", b"a\r\nb", b"")
-    found = [m for at in range(0, len(data), piece) for m in parser.feed(data[at : at + piece])]
-    assert found == [[b"hb"], list(REPORT), [b"x", b"a\r\nb", b""]]
+@pytest.mark.parametrize("chunk_size", [1, 2, 7, 10_000])
+def test_messages_are_parsed_from_chunks_of_any_size(chunk_size):
+    parser, data = resp.Parser(), resp.encode(b"hb") + resp.encode(*NODE_REPORT) + resp.encode(b"x", b"a\r\nb", b"")
+    found = [m for at in range(0, len(data), chunk_size) for m in parser.feed(data[at : at + chunk_size])]
+    assert found == [[b"hb"], list(NODE_REPORT), [b"x", b"a\r\nb", b""]]
 
 
 @pytest.mark.parametrize(
@@ -29,6 +29,6 @@
         b"*" + b"1" * 30,
     ],
 )
-def test_garbage_and_too_much_are_rejected_before_anything_is_kept(data):
+def test_invalid_and_oversized_input_is_rejected(data):
     with pytest.raises(MalformedError):
         list(resp.Parser().feed(data))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The whole network side against a relay that keeps the store's meaning and fails in every way the protocol has."""
+"""Guards against an assigner that disagrees with its relay after random faults of connections, calls and ownership."""
 
 import json
 from random import Random
@@ -34,36 +34,36 @@
 
 class Relay(StubServer):
     def __init__(self, kit, seed):
-        super().__init__(kit, self.asked)
-        self.random, self.calm, self.streams, self.away_until = Random(seed), False, [], 0
-        self.out = {proxy: set() for proxy in range(PROXIES)}  # what each proxy is kept from, joined or not
+        super().__init__(kit, self.handle_request)
+        self.random, self.without_faults, self.streams, self.unreachable_until = Random(seed), False, [], 0
+        self.withdrawn = {proxy: set() for proxy in range(PROXIES)}  # withdrawn nodes by proxy, joined or not
         self.joined = set(range(PROXIES))
-        self.lines = {number: {self.random.choice(NODES): 1.0} for number in range(SLICES)}
-        self.held = set(range(SLICES))
+        self.endpoints = {number: {self.random.choice(NODES): 1.0} for number in range(SLICES)}
+        self.owned = set(range(SLICES))
 
-    def asked(self, visitor, path, body):
-        if self.kit.loop.now() < self.away_until:
+    def handle_request(self, visitor, path, body):
+        if self.kit.loop.now() < self.unreachable_until:
             visitor.connection.close("away")
             return
         if path == "/api/stream":
             visitor.begin_stream()
             lines = [attach(proxy, cold=False) for proxy in sorted(self.joined)]
-            for number in sorted(self.held):
-                lines += self.giving(number)
+            for number in sorted(self.owned):
+                lines += self.assignment(number)
             data = b"".join(json.dumps(line).encode() + b"\n" for line in lines)
-            half = self.random.randrange(len(data) + 1)  # in pieces
+            half = self.random.randrange(len(data) + 1)  # sent in two chunks
             visitor.send(*(piece for piece in (data[:half], data[half:]) if piece))
             self.streams.append(visitor)
             return
         fault = (
             "none"
-            if self.calm or self.random.random() < 0.5
+            if self.without_faults or self.random.random() < 0.5
             else self.random.choice(["lost", "lost and broken", "silent", "broken", "unreadable"])
         )
         ops = json.loads(body)["ops"]
         if not fault.startswith("lost"):
             for op in ops:
-                self.take(op)
+                self.execute(op)
         if fault == "none":
             visitor.reply({"ok_count": len(ops)})
         elif fault.endswith("broken"):
@@ -71,129 +71,134 @@
         elif fault == "unreadable":
             visitor.reply(b"}{")
 
-    def take(self, op):
-        if op["verb"] == "put" and op["cluster"] in self.held:
-            self.lines[op["cluster"]].pop(op["endpoint"], None)
+    def execute(self, op):
+        if op["verb"] == "put" and op["cluster"] in self.owned:
+            self.endpoints[op["cluster"]].pop(op["endpoint"], None)
             if op["w"]:
-                self.lines[op["cluster"]][op["endpoint"]] = op["w"]
+                self.endpoints[op["cluster"]][op["endpoint"]] = op["w"]
         elif op["verb"] in ("eject", "uneject"):
             for proxy in sorted(self.joined):
-                (self.out[proxy].add if op["verb"] == "eject" else self.out[proxy].discard)(op["endpoint"])
+                (self.withdrawn[proxy].add if op["verb"] == "eject" else self.withdrawn[proxy].discard)(op["endpoint"])
         elif op["verb"] == "fence":
-            self.tell(*(message("done", node=proxy, nonce=op["stamp"], latency=1.0) for proxy in sorted(self.joined)))
+            self.send_update(
+                *(message("done", node=proxy, nonce=op["stamp"], latency=1.0) for proxy in sorted(self.joined))
+            )
 
-    def tell(self, *lines):
+    def send_update(self, *lines):
         self.streams = [stream for stream in self.streams if stream.closed_because is None]
         for stream in self.streams:
             stream.send(*lines)
 
-    def giving(self, number):
+    def assignment(self, number):
         return [
             message("owner", shard=number, set=True),
-            *(message("entry", shard=number, endpoint=name, w=weight) for name, weight in self.lines[number].items()),
+            *(
+                message("entry", shard=number, endpoint=name, w=weight)
+                for name, weight in self.endpoints[number].items()
+            ),
         ]
 
-    def trouble(self):
+    def inject_fault(self):
         proxy, number = self.random.randrange(PROXIES), self.random.randrange(SLICES)
         kind = self.random.choice(["break", "away", "leave", "join", "take", "take", "give", "give"])
         if kind == "away":
-            self.away_until = self.kit.loop.now() + 300 * MS
+            self.unreachable_until = self.kit.loop.now() + 300 * MS
             for stream in self.streams:
                 stream.connection.close("broken off")
-            for gone in self.random.sample(range(SLICES), 3):  # to other hands and back, unseen
-                self.lines[gone] = {self.random.choice(NODES): 1.0}
-            for gone in self.random.sample(range(PROXIES), 2):  # a stream ended and dialled anew, unseen
-                self.out[gone] ^= {self.random.choice(NODES)}
+            for changed in self.random.sample(range(SLICES), 3):  # another assigner owned these slices meanwhile
+                self.endpoints[changed] = {self.random.choice(NODES): 1.0}
+            for changed in self.random.sample(range(PROXIES), 2):  # these proxies reconnected meanwhile
+                self.withdrawn[changed] ^= {self.random.choice(NODES)}
         elif kind == "break" and self.streams:
             self.random.choice(self.streams).connection.close("broken off")
         elif kind == "leave" and proxy in self.joined:
             self.joined.discard(proxy)
-            self.tell(message("detach", node=proxy))
+            self.send_update(message("detach", node=proxy))
         elif kind == "join" and proxy not in self.joined:
             self.join(proxy)
-        elif kind == "take" and number in self.held:
-            self.held.discard(number)
-            self.tell(message("owner", shard=number, set=False))
-            self.lines[number] = {self.random.choice(NODES): 1.0}  # another conductor's orders
-        elif kind == "give" and number not in self.held:
-            self.held.add(number)
-            self.tell(*self.giving(number))
+        elif kind == "take" and number in self.owned:
+            self.owned.discard(number)
+            self.send_update(message("owner", shard=number, set=False))
+            self.endpoints[number] = {self.random.choice(NODES): 1.0}  # another assigner's orders
+        elif kind == "give" and number not in self.owned:
+            self.owned.add(number)
+            self.send_update(*self.assignment(number))
 
     def join(self, proxy):
         self.joined.add(proxy)
-        self.tell(attach(proxy, cold=False))
+        self.send_update(attach(proxy, cold=False))
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_after_any_faults_module_and_relay_agree(seed):
+def test_assigner_and_relay_converge_after_random_faults(seed):
     kit = Kit()
     relay, random = Relay(kit, seed), Random(seed)
     states = {name: "in_service" for name in NODES}
     known, version = node_list(1, *(instance(name) for name in NODES), reset=True), 1
 
-    def agent_does(visitor, path, body):
+    def serve_discovery(visitor, path, body):
         if "follow" in path:
             visitor.begin_stream()
-        whole = node_list(version, *(instance(name, states[name]) for name in NODES), reset=True)
-        visitor.send(whole) if "follow" in path else visitor.reply(whole)
+        complete_list = node_list(version, *(instance(name, states[name]) for name in NODES), reset=True)
+        visitor.send(complete_list) if "follow" in path else visitor.reply(complete_list)
 
-    agent, ids = StubServer(kit, agent_does), Ids(text)
-    found = read_settings(CONF, ids, "settings")
+    agent, ids = StubServer(kit, serve_discovery), Ids(text)
+    settings = read_settings(CONF, ids, "settings")
 
     def on_event(event):
-        conductor.on_event(event)
+        runner.on_event(event)
 
     orders = OrderQueue(kit.loop, kit.pool, kit.counters, relay.at, ids, ["look"], 65_530)
     discovery = NodeDiscovery(kit.loop, kit.pool, kit.counters, agent.at, ids, on_event)
-    probes = HealthChecks(kit.loop, kit.pool, kit.counters, {}, False, MS, False, on_event)
-    policy = Policy(kit.loop.now(), seed, PolicySettings.from_mapping(found))
-    conductor = RoundRunner(kit.loop, kit.counters, policy, found["tick"], orders, discovery, probes, None)
+    checks = HealthChecks(kit.loop, kit.pool, kit.counters, {}, False, MS, False, on_event)
+    policy = Policy(kit.loop.now(), seed, PolicySettings.from_mapping(settings))
+    runner = RoundRunner(kit.loop, kit.counters, policy, settings["tick"], orders, discovery, checks, None)
     discovery.start(known)
-    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, ids, PROXIES, SLICES, orders, on_event)
+    updates = ProxyUpdates(kit.loop, kit.pool, kit.counters, relay.at, ids, PROXIES, SLICES, orders, on_event)
     end = kit.loop.now() + 2500 * MS
     due = kit.loop.now()
 
-    def chaos():
+    def inject_faults_until_end():
         nonlocal due, version
         while kit.loop.now() >= due:
             due += 40 * MS
-            relay.trouble()
+            relay.inject_fault()
             if random.random() < 0.05:
                 states[random.choice(NODES[:3])] = "terminating"
                 version += 1
         return kit.loop.now() >= end
 
-    wait_until(kit.loop, chaos)
-    relay.calm = True
+    wait_until(kit.loop, inject_faults_until_end)
+    relay.without_faults = True
     for proxy in sorted(set(range(PROXIES)) - relay.joined):
         relay.join(proxy)
 
-    def agree():
+    def is_consistent():
         sent = {
-            number: {ids.node_ids[node]: weight for node, weight in kept.ordered.items()}
-            for number, kept in policy.slices.items()
+            number: {ids.node_ids[node]: weight for node, weight in state.ordered.items()}
+            for number, state in policy.slices.items()
         }
-        want = {
-            number: {ids.node_ids[node]: weight for node, weight in kept.desired.items()}
-            for number, kept in policy.slices.items()
+        desired = {
+            number: {ids.node_ids[node]: weight for node, weight in state.desired.items()}
+            for number, state in policy.slices.items()
         }
         out = {
             name for name in NODES if ids.nodes.get(name) in policy.nodes and policy.nodes[ids.nodes[name]].withdrawn
         }
         drained = {name for name in NODES if states[name] == "terminating"}
         return (
-            sent == want == {number: relay.lines[number] for number in relay.held}
+            sent == desired == {number: relay.endpoints[number] for number in relay.owned}
             and drained <= out
-            and all(relay.out[proxy] == out for proxy in range(PROXIES))
+            and all(relay.withdrawn[proxy] == out for proxy in range(PROXIES))
             and not orders._queue
         )
 
     try:
-        wait_until(kit.loop, agree)
-        later = kit.loop.now() + 500 * MS  # and nothing that was under way undoes it
+        wait_until(kit.loop, is_consistent)
+        later = kit.loop.now() + 500 * MS  # messages in transit must not change the state
         wait_until(kit.loop, lambda: kit.loop.now() > later)
-        wait_until(kit.loop, agree)
+        wait_until(kit.loop, is_consistent)
     finally:
-        for part in (told, orders, discovery, probes, relay, agent):
-            part.close()
+        for component in (updates, orders, discovery, checks, relay, agent):
+            component.close()
         kit.loop.close()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -35,7 +35,7 @@
     "Rules": {"StopSendingWithin": 1500.0},
     "Tick": 4.0,
 }
-STANDING = [
+SNAPSHOT = [
     attach(1, cold=False),
     message("owner", shard=2, set=True),
     message("entry", shard=2, endpoint="s-1", w=1.0),
@@ -45,13 +45,13 @@
 
 @pytest.fixture
 def kit():
-    made = Kit()
-    yield made
-    made.loop.close()
+    kit = Kit()
+    yield kit
+    kit.loop.close()
 
 
 class Program(ProgramProcess):
-    """A conductor, waited for until it listens, and a collector of ours connected to it."""
+    """An assigner process that is listening, and a collector connected to it."""
 
     def __init__(self, kit, path, **config):
         config = {"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "settings": SETTINGS, **config}
@@ -59,7 +59,7 @@
         super().__init__(kit.loop, ASSIGNER, NODE_CONFIG=str(path))
         self.loop, self.answers = kit.loop, b""
         wait_until(self.loop, lambda: self.address() or self.process.poll() is not None)
-        assert self.address(), f"the program ended before it listened: {self.log}"
+        assert self.address(), f"the program ended before it was listening: {self.log}"
         self.collector = socket.create_connection(self.address(), timeout=20)
         self.collector.setblocking(False)
         self.loop.watch(self.collector, READ, self._read_answer)
@@ -84,18 +84,18 @@
         wait_until(self.loop, lambda: self.answers.endswith(b"hb_ok\r\n") or self.collector.fileno() < 0)
         return self.answers
 
-    def end(self, number):
+    def stop(self, number):
         self.kill(number)
         wait_until(self.loop, self.has_ended)
         self._leave()
         return self.process.returncode, self.log.decode()
 
 
-def relay_does(visitor, path, body):
-    """A relay that tells what stands and takes every order."""
+def serve_relay(visitor, path, body):
+    """Serve a relay that sends a snapshot and accepts every order."""
     if path == "/api/stream":
         visitor.begin_stream()
-        visitor.send(*STANDING)
+        visitor.send(*SNAPSHOT)
     else:
         visitor.reply({"ok_count": len(json.loads(body)["ops"])})
 
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, says",
+    "change, message_part",
     [
         (None, "NODE_CONFIG is not set"),
         ("gone", "can't be read"),
@@ -125,7 +125,7 @@
         ({"settings": {"Tick": "soon"}}, "settings.Tick"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_one_plain_line(tmp_path, change, says):
+def test_invalid_configuration_is_reported_in_one_line(tmp_path, change, message_part):
     good = {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
@@ -140,24 +140,24 @@
     done = subprocess.run(
         [sys.executable, "-m", "kestrelplank"], env=env, capture_output=True, text=True, timeout=20, check=False
     )
-    assert done.returncode == 2 and says in done.stderr and done.stderr.count("\n") == 1
+    assert done.returncode == 2 and message_part in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_without_relay_and_discovery_it_answers_all_the_same(kit, tmp_path):
+def test_assigner_answers_heartbeats_without_relay_and_discovery(kit, tmp_path):
     program = Program(kit, tmp_path / "c.json", discovery=closed_port(), hub={"address": closed_port()})
     assert program.hb() == b"*1\r\n$5\r\nhb_ok\r\n"
-    code, said = program.end(signal.SIGTERM)
-    assert code == 0 and "event=counters" in said and "hb_answered=1" in said
+    code, log = program.stop(signal.SIGTERM)
+    assert code == 0 and "event=counters" in log and "hb_answered=1" in log
 
 
-def test_a_drain_reaches_the_relay_though_it_refuses_and_after_a_kill(kit, tmp_path):
+def test_drain_reaches_the_relay_despite_failed_calls_and_after_a_kill(kit, tmp_path):
     lost = []
 
-    def relay_does(visitor, path, body):
+    def serve_relay(visitor, path, body):
         if path == "/api/stream":
             visitor.begin_stream()
-            visitor.send(*STANDING)
-        elif len(lost) < 3:  # silent, broken off, unreadable
+            visitor.send(*SNAPSHOT)
+        elif len(lost) < 3:  # no response, a closed connection, an unreadable response
             lost.append(body)
             [lambda: None, lambda: visitor.connection.close("broken off"), lambda: visitor.reply(b"\xff{")][
                 len(lost) - 1
@@ -166,13 +166,13 @@
             calls.append(json.loads(body)["ops"])
             visitor.reply({"ok_count": len(calls[-1])})
 
-    def agent_does(visitor, path, body):
+    def serve_discovery(visitor, path, body):
         if "follow" in path:
             visitor.begin_stream()
             visitor.send(node_list(2, instance("s-1", "terminating")))
 
     calls = []
-    relay, agent = StubServer(kit, relay_does), StubServer(kit, agent_does)
+    relay, agent = StubServer(kit, serve_relay), StubServer(kit, serve_discovery)
     known = node_list(1, instance("s-1"), instance("s-2"), reset=True)
     for number in (signal.SIGKILL, signal.SIGTERM):
         program = Program(kit, tmp_path / "c.json", discovery=agent.at, hub={"address": relay.at}, known=known)
@@ -183,15 +183,15 @@
         assert {"verb": "eject", "endpoint": "s-1"} in orders
         program.process.send_signal(signal.SIGUSR1)
         wait_until(kit.loop, lambda lines=program.log_lines: lines("event=counters"))
-        code, _ = program.end(number)
+        code, _ = program.stop(number)
         assert code == (0 if number == signal.SIGTERM else -signal.SIGKILL)
     assert len(lost) == 3 and lost[0] == lost[1] == lost[2]
     relay.close()
     agent.close()
 
 
-def test_a_new_configuration_moves_all_parties_and_a_bad_one_changes_nothing(kit, tmp_path):
-    def agent_does(visitor, path, body):
+def test_reload_moves_all_connections_and_an_invalid_file_changes_nothing(kit, tmp_path):
+    def serve_discovery(visitor, path, body):
         if "follow" in path:
             visitor.begin_stream()
             visitor.send(
@@ -201,10 +201,10 @@
                 )
             )
 
-    relays, agents = ([StubServer(kit, does) for _ in range(2)] for does in (relay_does, agent_does))
-    places = [{"discovery": agent.at, "hub": {"address": relay.at}} for agent, relay in zip(agents, relays)]
+    relays, agents = ([StubServer(kit, serve) for _ in range(2)] for serve in (serve_relay, serve_discovery))
+    addresses = [{"discovery": agent.at, "hub": {"address": relay.at}} for agent, relay in zip(agents, relays)]
     known = node_list(1, instance("s-1"), instance("s-2"), reset=True)
-    program = Program(kit, path := tmp_path / "c.json", known=known, **places[0])
+    program = Program(kit, path := tmp_path / "c.json", known=known, **addresses[0])
     good = json.loads(path.read_text())
 
     def reload(written):
@@ -212,40 +212,40 @@
         os.replace(tmp_path / "next", path)
         program.process.send_signal(signal.SIGHUP)
 
-    def settled(place):
+    def is_connected_only_to(index):
         return lambda: all(
-            [v.closed_because for v in party.connections].count(None) == number
-            for parties, number in ((relays, 2), (agents, 2))
-            for party, number in ((parties[place], number), (parties[1 - place], 0))
+            [v.closed_because for v in server.connections].count(None) == number
+            for servers, number in ((relays, 2), (agents, 2))
+            for server, number in ((servers[index], number), (servers[1 - index], 0))
         )
 
-    wait_until(kit.loop, settled(0))
-    held = len(os.listdir(f"/proc/{program.process.pid}/fd"))
+    wait_until(kit.loop, is_connected_only_to(0))
+    baseline = len(os.listdir(f"/proc/{program.process.pid}/fd"))
     for number, bad in enumerate(
         ("{", json.dumps(good | {"hub": {}}), json.dumps(good | {"settings": {"Tick": "soon"}})), 1
     ):
         reload(bad)
         wait_until(kit.loop, lambda number=number: len(program.log_lines("event=reloads_refused")) == number)
-    assert settled(0)()
-    for turn in range(6):
-        reload(json.dumps(good | places[1 - turn % 2]))  # also while the last move is under way
-    wait_until(kit.loop, settled(0))
-    reload(json.dumps(good | places[1]))
+    assert is_connected_only_to(0)()
+    for attempt in range(6):
+        reload(json.dumps(good | addresses[1 - attempt % 2]))  # also while the previous move is in progress
+    wait_until(kit.loop, is_connected_only_to(0))
+    reload(json.dumps(good | addresses[1]))
     wait_until(kit.loop, lambda: any(b'"eject","endpoint":"s-1"' in body for _, _, body in relays[1].requests))
-    wait_until(kit.loop, settled(1))
-    assert len(os.listdir(f"/proc/{program.process.pid}/fd")) == held and program.hb()
-    code, said = program.end(signal.SIGTERM)
-    assert code == 0 and "reloads_refused=3" in said and "defects" not in said
-    for party in (*relays, *agents):
-        party.close()
+    wait_until(kit.loop, is_connected_only_to(1))
+    assert len(os.listdir(f"/proc/{program.process.pid}/fd")) == baseline and program.hb()
+    code, log = program.stop(signal.SIGTERM)
+    assert code == 0 and "reloads_refused=3" in log and "defects" not in log
+    for server in (*relays, *agents):
+        server.close()
 
 
 NODES = "[zone a]\ns-1 = 127.0.0.1:1%s\ns-2 = 127.0.0.1:2\ns-3 = 127.0.0.1:3\ns-4 = 127.0.0.1:4\n"
 
 
-def test_with_an_operators_file_nodes_come_from_watched_files_and_a_bad_one_is_refused(kit, tmp_path, monkeypatch):
-    """Discovery says nothing at all; a drain saved in the list reaches the relay, on SIGHUP terms are read anew."""
-    relay, ini = StubServer(kit, relay_does), tmp_path / "k.ini"
+def test_operators_file_adds_watched_node_files_and_an_invalid_one_is_rejected(kit, tmp_path, monkeypatch):
+    """Discovery is unreachable; a drain in a watched file reaches the relay; SIGHUP reloads the operator's settings."""
+    relay, ini = StubServer(kit, serve_relay), tmp_path / "k.ini"
     (tmp_path / "nodes.ini").write_text(NODES % "")
     good = f"[nodes]\nfiles = {tmp_path}/nodes.ini\nquiet = 20ms\npoll = 50ms\nstate = {tmp_path}/state\n"
     ini.write_text(good)
@@ -264,12 +264,12 @@
     wait_until(kit.loop, lambda: program.log_lines("event=reloaded"))
     (tmp_path / "nodes.ini").write_text(NODES.split("s-3")[0] % " draining")
     wait_until(kit.loop, lambda: len(program.log_lines("event=files_accepted")) == 3)
-    code, said = program.end(signal.SIGTERM)
-    assert code == 0 and "defects" not in said and b'"version":3' in (tmp_path / "state").read_bytes()
+    code, log = program.stop(signal.SIGTERM)
+    assert code == 0 and "defects" not in log and b'"version":3' in (tmp_path / "state").read_bytes()
     relay.close()
 
 
-def test_an_operators_file_that_cannot_be_used_is_one_plain_line(tmp_path):
+def test_invalid_operators_file_is_reported_in_one_line(tmp_path):
     (tmp_path / "c.json").write_text(
         json.dumps(
             {
@@ -290,67 +290,69 @@
     assert "k.ini, line 2, [nodes], field poll: expected a time" in done.stderr
 
 
-def cycles(kit, front, relay, number):
-    """So many callers that come and go in every way, and as many breaks of the news."""
-    for turn in range(number):
-        sock = socket.create_connection(front.at)
-        sock.send([b"", b"*2\r\n$1000\r\nx", b"junk\r\n\r\n", resp.encode(b"hb")][turn % 4])
+def run_cycles(kit, server, relay, number):
+    """Open and close connections in several ways, and break the stream of updates; return the resources in use."""
+    for attempt in range(number):
+        sock = socket.create_connection(server.at)
+        sock.send([b"", b"*2\r\n$1000\r\nx", b"junk\r\n\r\n", resp.encode(b"hb")][attempt % 4])
         before = kit.counters.counts["news_started"]
         relay.connections[-1].connection.close("broken off")
         del relay.connections[:-1], relay.requests[:]
         wait_until(kit.loop, lambda before=before: kit.counters.counts["news_started"] > before)
-        relay.connections[-1].send(*STANDING)
+        relay.connections[-1].send(*SNAPSHOT)
         sock.close()
-        wait_until(kit.loop, lambda: not front._unjoined)
+        wait_until(kit.loop, lambda: not server._unjoined)
     kit.events.clear()
-    end = kit.loop.now() + 300 * MS  # the longest deadline of a dial: its timer leaves the heap by then
+    end = kit.loop.now() + 300 * MS  # longer than the dial timeout, so that its timers have left the heap
     wait_until(kit.loop, lambda: kit.loop.now() > end)
     gc.collect()
     wanted = sum(timer.callback is not None for due, _, timer in kit.loop._timers if due > end + 50 * MS)
     return len(os.listdir("/proc/self/fd")), wanted, kit.pool.in_use
 
 
-def test_deadlines_that_are_met_do_not_fill_the_heap(kit):
+def test_cancelled_timers_do_not_fill_the_heap(kit):
     for _ in range(10_000):
         kit.loop.at(kit.loop.now() + 10_000 * MS, kit.events.clear).cancel()
     assert len(kit.loop._timers) <= 128
 
 
-def test_connects_and_breaks_leave_nothing_behind(kit, monkeypatch):
+def test_connecting_and_disconnecting_leaks_no_resources(kit, monkeypatch):
     limits = proxy_updates.STREAM_LIMITS._replace(initial_backoff_ns=MS, max_backoff_ns=10 * MS)
     monkeypatch.setattr(proxy_updates, "STREAM_LIMITS", limits)
     relay = StubServer(kit, lambda visitor, path, body: visitor.begin_stream() if path == "/api/stream" else None)
-    front = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), sample_ids(), 9, kit.events.append)
-    told = ProxyUpdates(
+    server = TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), sample_ids(), 9, kit.events.append)
+    updates = ProxyUpdates(
         kit.loop, kit.pool, kit.counters, relay.at, sample_ids(), 9, 9, order_queue(kit), kit.events.append
     )
     wait_until(kit.loop, lambda: relay.requests)
-    before = cycles(kit, front, relay, 8)
+    before = run_cycles(kit, server, relay, 8)
     tracemalloc.start()
-    cycles(kit, front, relay, 8)
-    held = tracemalloc.get_traced_memory()[0]
-    after = cycles(kit, front, relay, 60)
-    grown = tracemalloc.get_traced_memory()[0] - held
+    run_cycles(kit, server, relay, 8)
+    baseline = tracemalloc.get_traced_memory()[0]
+    after = run_cycles(kit, server, relay, 60)
+    growth = tracemalloc.get_traced_memory()[0] - baseline
     tracemalloc.stop()
-    # Of the timers, those of the news and of the front stay; all others were met or given up.
-    assert after[0] == before[0] and after[1] <= 4 and after[2] == 0 and grown < 50_000
-    front.close()
-    told.close()
+    # Only the timers of the stream and of the server remain; all others have fired or been cancelled.
+    assert after[0] == before[0] and after[1] <= 4 and after[2] == 0 and growth < 50_000
+    server.close()
+    updates.close()
     relay.close()
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_bytes_of_any_party_raise_anything(kit, seed):
-    random, front = (
+def test_random_input_from_any_peer_raises_no_exception(kit, seed):
+    random, server = (
         Random(seed),
         TelemetryServer(kit.loop, kit.pool, kit.counters, ("127.0.0.1", 0), sample_ids(), 9, kit.events.append),
     )
-    dead = closed_port()
-    told = ProxyUpdates(kit.loop, kit.pool, kit.counters, dead, sample_ids(), 9, 9, order_queue(kit), kit.events.append)
-    told.on_stream_start()
-    listed = NodeDiscovery(kit.loop, kit.pool, kit.counters, dead, sample_ids(), kit.events.append)
-    listed.start(None)
-    made = order_queue(kit)
+    unreachable = closed_port()
+    updates = ProxyUpdates(
+        kit.loop, kit.pool, kit.counters, unreachable, sample_ids(), 9, 9, order_queue(kit), kit.events.append
+    )
+    updates.on_stream_start()
+    discovery_client = NodeDiscovery(kit.loop, kit.pool, kit.counters, unreachable, sample_ids(), kit.events.append)
+    discovery_client.start(None)
+    queue = order_queue(kit)
     values = [None, True, -1, 0, 1, 2.5, 1e400, 10**30, "s-1", "a", "", [], {}, [{}], "x" * 99, float("nan")]
     fields = [
         "node",
@@ -370,27 +372,27 @@
         "startedAtMs",
     ]
     for _ in range(400):
-        thing = {field: random.choice(values) for field in random.sample(fields, 9)}
-        thing = json.dumps(
+        payload = {field: random.choice(values) for field in random.sample(fields, 9)}
+        payload = json.dumps(
             random.choice(
                 [
-                    {"type": random.choice(["attach", "detach", "done", "owner", "entry", None, 5]), "object": thing},
-                    {"generation": random.choice(values), "reset": random.choice(values), "instances": [thing]},
-                    thing,
-                    [thing],
+                    {"type": random.choice(["attach", "detach", "done", "owner", "entry", None, 5]), "object": payload},
+                    {"generation": random.choice(values), "reset": random.choice(values), "instances": [payload]},
+                    payload,
+                    [payload],
                 ]
             )
         ).encode()
         if random.random() < 0.3:
-            at = random.randrange(len(thing))
-            thing = thing[:at] + random.choice([random.randbytes(2), b"\xff" + thing[at:], b"[" * 2000])
-        told.on_stream_line(thing)
-        listed.on_stream_line(thing)
-        listed.on_answer(200, thing)
-        made.set_endpoint(0, 0, 1.0)
-        made.close_round()
-        made.on_answer(200, thing)
-        front.handle_report(
+            at = random.randrange(len(payload))
+            payload = payload[:at] + random.choice([random.randbytes(2), b"\xff" + payload[at:], b"[" * 2000])
+        updates.on_stream_line(payload)
+        discovery_client.on_stream_line(payload)
+        discovery_client.on_answer(200, payload)
+        queue.set_endpoint(0, 0, 1.0)
+        queue.close_round()
+        queue.on_answer(200, payload)
+        server.handle_report(
             [
                 random.choice([b"upstream_stats", b"range_stats", b"hb", b"\xff"]),
                 *(
@@ -404,30 +406,30 @@
         kit.counters.counts["news_skipped"] + kit.counters.counts["news_unreadable"] > 100
         and kit.counters.counts["reports_skipped"] > 100
     )
-    for part in (front, told, listed):
-        part.close()
+    for component in (server, updates, discovery_client):
+        component.close()
 
 
-@pytest.mark.parametrize("says_nothing", [0, 1])
-def test_what_came_during_a_stall_is_read_before_deadlines_are_held_against_it(kit, monkeypatch, says_nothing):
-    """Stopped and resumed, the selector's wait returns nothing though something came."""
-    ours, theirs = socket.socketpair()
-    kit.loop.watch(ours, 1, lambda events: kit.events.append(ours.recv(9)))
+@pytest.mark.parametrize("empty_waits", [0, 1])
+def test_data_received_during_a_stall_is_read_before_timers_run(kit, monkeypatch, empty_waits):
+    """If the process is stopped and resumed, the selector's wait may return nothing although data has arrived."""
+    local, remote = socket.socketpair()
+    kit.loop.watch(local, 1, lambda events: kit.events.append(local.recv(9)))
     kit.loop.at(kit.loop.now(), lambda: kit.events.append("deadline"))
-    theirs.send(b"answer")
+    remote.send(b"answer")
     select, waits = kit.loop._selector.select, []
     monkeypatch.setattr(
         kit.loop._selector,
         "select",
-        lambda wait: waits.append(wait) or ([] if len(waits) <= says_nothing else select(wait)),
+        lambda wait: waits.append(wait) or ([] if len(waits) <= empty_waits else select(wait)),
     )
     kit.loop.run_once()
     assert kit.events == [b"answer", "deadline"]
-    ours.close()
-    theirs.close()
+    local.close()
+    remote.close()
 
 
-def test_a_log_that_nobody_reads_or_that_is_gone_holds_nothing_up():
+def test_log_output_does_not_block_or_raise_when_unread_or_closed():
     read, write = os.pipe()
     out = NonBlockingOutput(write)
     for _ in range(3000):
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -11,15 +11,15 @@
 CONF = {"Areas": ["east"], "Categories": [OP_TYPE], "Specifics": {"Shards": 4, "EgressPerS": 900.0}}
 
 
-def host():
-    made = Host()
+def new_host():
+    host = Host()
     for line in (b'["ROUND",1000.0]', b'["CREATE",3,7,{"Areas":["east"],"Categories":[{"Name":"look"}]}]'):
-        made.read(line, 1)
-    return made
+        host.read(line, 1)
+    return host
 
 
 @pytest.mark.parametrize(
-    "line, says",
+    "line, message",
     [
         (b'{"ROUND":1}', "expected an array"),
         (b'["ROUND"', "not JSON"),
@@ -33,25 +33,25 @@
         (b'["ROSTER_CHANGE",3,1,"delta",[[null,0,"asleep","east",5,"k",1]]]', "entry 0"),
     ],
 )
-def test_a_malformed_line_gets_one_message_that_names_line_and_field(line, says, capsys):
-    made = host()
-    assert made.read(line, 12) is None
-    told = capsys.readouterr().err
-    assert told.startswith("line 12: ") and says in told and told.count("\n") == 1
+def test_malformed_line_is_reported_with_its_number_and_field(line, message, capsys):
+    host = new_host()
+    assert host.read(line, 12) is None
+    reported = capsys.readouterr().err
+    assert reported.startswith("line 12: ") and message in reported and reported.count("\n") == 1
 
 
 @pytest.mark.parametrize("extra", [{}, {"Moon": "full"}, {"Specifics": {"Tilt": 3}}, {"Rules": None}])
 def test_unknown_and_missing_settings_are_skipped(extra):
-    found = read_settings(CONF | extra, Ids(non_negative_int), "settings")
-    assert found["op_types"][0]["target_latency"] == 750_000_000 and found["cold_from"] == 1.0
+    settings = read_settings(CONF | extra, Ids(non_negative_int), "settings")
+    assert settings["op_types"][0]["target_latency"] == 750_000_000 and settings["cold_from"] == 1.0
 
 
 @pytest.mark.parametrize(
-    "told, load",
+    "reported, load",
     [(None, {}), ({}, {}), ({"cpu_share": 0.5, "moon": 1}, {"utilization": 0.5}), ({"served_ps": None}, {})],
 )
-def test_unknown_and_empty_load_values_are_skipped(told, load):
-    assert read_load(told) == load
+def test_unknown_and_empty_load_values_are_skipped(reported, load):
+    assert read_load(reported) == load
 
 
 @pytest.mark.parametrize(
@@ -68,19 +68,19 @@
         b'["DATAGRAM",3,1,""]',
     ],
 )
-def test_zero_counts_nulls_and_what_is_not_known_harm_nothing(line):
-    made = host()
-    made.read(line, 3)
-    assert made.read(b'["GO"]', 4)[-1] == b'["DONE"]'
+def test_zero_counts_nulls_and_unknown_indices_are_accepted(line):
+    host = new_host()
+    host.read(line, 3)
+    assert host.read(b'["GO"]', 4)[-1] == b'["DONE"]'
 
 
-def test_what_one_conductor_shares_reaches_the_other_under_its_own_indices():
-    made = host()
-    made.read(b'["ROSTER_CHANGE",3,1,"full",[[null,0,"up","east",77,"k",1],[null,0,"up","east",78,"k",1]]]', 3)
-    made.read(b'["GO"]', 4)
-    (policy, ids), reply = made.instances[3], []
+def test_loads_shared_between_assigners_are_mapped_to_the_receivers_indices():
+    host = new_host()
+    host.read(b'["ROSTER_CHANGE",3,1,"full",[[null,0,"up","east",77,"k",1],[null,0,"up","east",78,"k",1]]]', 3)
+    host.read(b'["GO"]', 4)
+    (policy, ids), reply = host.instances[3], []
     OrderLines(9, ids, reply).share_loads({1: 4.0})
-    made.read(b'["ROUND",2000.0]', 5)
-    made.read(json.dumps(["DATAGRAM", 3, 1, json.loads(reply[0])[3]]).encode(), 6)
-    made.read(b'["GO"]', 7)
+    host.read(b'["ROUND",2000.0]', 5)
+    host.read(json.dumps(["DATAGRAM", 3, 1, json.loads(reply[0])[3]]).encode(), 6)
+    host.read(b'["GO"]', 7)
     assert policy.nodes[1].peer_loads[1][0] == 4.0 and not policy.nodes[0].peer_loads
