--- a/kestrelplank/assigner/health_checks.py
+++ b/kestrelplank/assigner/health_checks.py
@@ -61,7 +61,7 @@
         self._checks[node] = check
         if len(self._checks) > MAX_NODES:
             self._checks.pop(next(iter(self._checks))).client.close()
-        check.ask()
+        check.start()
 
     def _address_of(self, node: int) -> str:
         """Return a node's address; empty if it has none or an invalid one."""
@@ -88,14 +88,14 @@
     """The checks of one node, one at a time."""
 
     def __init__(self, checks: HealthChecks, node: int, to: str) -> None:
-        self._checks, self._node, self._asked_at = checks, node, 0
+        self._checks, self._node, self._sent_at = checks, node, 0
         self.client = Client(checks.loop, checks.pool, to, self, checks.dial_timeout_ns, MAX_BODY_BYTES)
 
-    def ask(self) -> None:
+    def start(self) -> None:
         """Send a check, unless one is in flight."""
         if not self.client.busy:
             self._checks.counters.add("probes_sent")
-            self._asked_at = self._checks.loop.now()
+            self._sent_at = self._checks.loop.now()
             self.client.call("GET", self._checks.path, b"", ANSWER_TIMEOUT_NS)
 
     def on_answer(self, status: int, body: bytes) -> None:
@@ -115,5 +115,5 @@
 
     def _report(self, verdict: HealthVerdict, load: NodeLoad) -> None:
         self._checks.counters.add("probes_answered")
-        duration_ns = self._checks.loop.now() - self._asked_at
+        duration_ns = self._checks.loop.now() - self._sent_at
         self._checks.on_event(HealthChecked(self._node, verdict, duration_ns, load))
--- a/kestrelplank/assigner/node_discovery.py
+++ b/kestrelplank/assigner/node_discovery.py
@@ -66,7 +66,7 @@
         self._version = 0
         self._list_received = False  # from the agent, as opposed to the cached list
         self._client = Client(loop, pool, agent_address, self, DIAL_TIMEOUT_NS, MAX_LIST_BYTES)
-        self._fetch_wanted = False
+        self._fetch_requested = False
         self._watch: Stream | None = None
         self._poll_timer: Timer | None = None
 
@@ -92,8 +92,8 @@
 
     def fetch(self) -> None:
         """Request the complete list."""
-        self._fetch_wanted = True
-        self._ask()
+        self._fetch_requested = True
+        self._request_list()
 
     def close(self) -> None:
         """Stop watching and polling."""
@@ -106,10 +106,10 @@
     # Polling.
 
     def _poll(self) -> None:
-        self._ask()
+        self._request_list()
         self._poll_timer = self._loop.at(self._loop.now() + POLL_INTERVAL_NS, self._poll)
 
-    def _ask(self) -> None:
+    def _request_list(self) -> None:
         if not self._client.busy:
             self._client.call("GET", PATH, b"", ANSWER_TIMEOUT_NS)
 
@@ -125,9 +125,9 @@
     def _process_answer(self, message: Mapping[str, object]) -> None:
         """Emit the agent's list if a fetch was requested; otherwise only compare its version with the watch's."""
         versions_ahead = non_negative_int(message.get("generation")) - self._version
-        if self._fetch_wanted:
+        if self._fetch_requested:
             self._process_list(message, None)
-            self._fetch_wanted = False
+            self._fetch_requested = False
         elif (
             not versions_ahead and not self._list_received
         ):  # the watch will send no change: the cached list is current
@@ -139,8 +139,8 @@
     def on_failure(self, why: str) -> None:
         """Record a failed poll, and report a failed list if a fetch was requested."""
         self._counters.record_fault("lists_broken", why)
-        if self._fetch_wanted:
-            self._fetch_wanted = False
+        if self._fetch_requested:
+            self._fetch_requested = False
             self._on_event(NodeListUpdate(NodeListKind.FAILED, ()))
 
     # Watching.
--- a/kestrelplank/decode.py
+++ b/kestrelplank/decode.py
@@ -17,9 +17,7 @@
 MAX_NUMBER = 1e300  # exclusive; sums of larger numbers could overflow
 MAX_REPORTED_NUMBER = 1e9  # a count or a time in ms; far above real values, and small enough for sums to stay precise
 PEER_LOADS = 2  # first byte of datagrams that contain loads; those of membership begin with another byte
-PEER_LOAD = struct.Struct(
-    "!Ie"
-)  # checksum of a node's name; ops/s as a half-precision float, with three significant digits
+PEER_LOAD = struct.Struct("!Ie")  # checksum of a node's name, ops/s as a half-precision float (three digits)
 MAX_LOADS_PER_DATAGRAM = (256 - 1) // PEER_LOAD.size
 MAX_PEER_LOAD = 65_504.0  # the largest half-precision float
 EFFECTS: dict[object, str] = {"pure": "retryable", "token": "deduplicated", "side_effect": "once-only"}
--- a/kestrelplank/interface.py
+++ b/kestrelplank/interface.py
@@ -237,7 +237,7 @@
     :param message_limit: maximum number of messages to proxies in `message_window_ns`; 0 for no limit.
     :param orders_per_s: orders that leave the channel per second, summed over all proxies.
     :param subscribes_to_nodes: node lists are sent only after a request.
-    :param load_window_ns: period over which loads are averaged; five report intervals if None.
+    :param load_window_ns: length of the past period on which loads are based; five report intervals if None.
     :param overload_multiple: multiple of its capacity at which a node fails by overload.
     :param only_draining_binds: a node that is merely absent from a list may still be healthy.
     :param cold_capacity_share: capacity of a node right after its start, as a share of its capacity when warm.
--- a/kestrelplank/sockets/connection.py
+++ b/kestrelplank/sockets/connection.py
@@ -8,10 +8,12 @@
 from kestrelplank.sockets.buffers import BufferPool
 from kestrelplank.sockets.loop import READ, WRITE, Loop, Timer
 
-BACKLOG = 1024  # hundreds may connect during one policy round; a rejected SYN is retried only after a second or more
+BACKLOG = (
+    1024  # hundreds may connect during one policy round; a dropped connection request is repeated only after seconds
+)
 MAX_ACCEPTED_PER_PASS = 16
 PORT_COUNT = 1 << 16
-SHORT_OF_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class ConnectionHandler(Protocol):
@@ -175,7 +177,7 @@
         timeout_ns: int,
     ) -> None:
         super().__init__(loop, pool, socket.socket(socket.AF_INET, socket.SOCK_STREAM), handler, max_unsent_bytes)
-        self._outbound_handler, self._up = handler, False
+        self._outbound_handler, self._established = handler, False
         self._deadline = loop.at(loop.now() + timeout_ns, lambda: self.close("does not come up"))
         loop.change(self._sock, WRITE, self._ready)
         failed = self._sock.connect_ex(to)
@@ -189,14 +191,14 @@
         super().close(why)
 
     def _ready(self, events: int) -> None:
-        if self._up:
+        if self._established:
             super()._ready(events)
             return
         failed = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if failed:
             self.close(errno_name(failed))
             return
-        self._up = True
+        self._established = True
         self._deadline.cancel()
         self._loop.change(self._sock, READ, self._ready)
         self._outbound_handler.on_open()
@@ -244,8 +246,8 @@
             self._on_accept(sock)
 
     def _accept_failed(self, err: OSError) -> None:
-        has_room = self._on_failure(error_name(err))
-        if not has_room and err.errno in SHORT_OF_RESOURCES:
+        descriptor_freed = self._on_failure(error_name(err))
+        if not descriptor_freed and err.errno in RESOURCE_ERRORS:
             self._loop.forget(self._sock)
             self._watched = False
             self._resume_timer = self._loop.at(self._loop.now() + self._pause_ns, self._watch)
--- a/kestrelplank/sockets/http.py
+++ b/kestrelplank/sockets/http.py
@@ -31,14 +31,14 @@
         self._timer: Timer | None = None
         self._status, self._header_bytes = 0, 0  # of the response that is being read
 
-    def _begin_answers(self) -> None:
+    def _reset_parser(self) -> None:
         """Reset the parser for a new connection."""
         self._parser = httptools.HttpResponseParser(self)
         self._status, self._header_bytes = 0, 0
         self._complete, self._keep_alive, self._connected_to = False, True, self.to
 
     def _dial(self) -> None:
-        self._begin_answers()
+        self._reset_parser()
         try:
             self._connection = OutboundConnection(
                 self._loop, self._pool, address(self.to), self, MAX_UNSENT_BYTES, self._dial_timeout_ns
@@ -133,7 +133,7 @@
         self._handler, self._max_body_bytes = handler, max_body_bytes
         self.busy = False  # whether a call is in flight
         self._request, self._timeout_ns = b"", 0
-        self._up = False
+        self._established = False
         self._body: list[bytes] = []
         self._body_bytes = 0
 
@@ -147,9 +147,9 @@
             head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
         self._request, self._timeout_ns, self.busy = head.encode() + b"\r\n" + body, timeout_ns, True
         if self._connection is None:
-            self._up = False
+            self._established = False
             self._dial()
-        elif self._up:
+        elif self._established:
             self._send()
 
     @property
@@ -165,7 +165,7 @@
         """
         if to != self.to:
             self.to = to
-            if not (self.busy and self._up):
+            if not (self.busy and self._established):
                 self.drop("moved")
 
     def close(self) -> None:
@@ -208,7 +208,7 @@
 
     def on_open(self) -> None:
         """Send the pending call."""
-        self._up = True
+        self._established = True
         if self.busy:
             self._send()
 
@@ -255,14 +255,14 @@
     def __init__(self, loop: Loop, pool: BufferPool, to: str, handler: StreamHandler, limits: StreamLimits) -> None:
         super().__init__(loop, pool, to, DIAL_TIMEOUT_NS)
         self._handler, self._limits = handler, limits
-        self._pause_ns, self._closed = limits.initial_backoff_ns, False
+        self._backoff_ns, self._closed = limits.initial_backoff_ns, False
         self._last_received_at, self._opened_at = 0, loop.now()
         self._start()
 
     def move(self, to: str) -> None:
         """Reconnect to another address after the initial backoff."""
         if to != self.to:
-            self.to, self._pause_ns = to, self._limits.initial_backoff_ns
+            self.to, self._backoff_ns = to, self._limits.initial_backoff_ns
             self.drop("moved")
 
     def close(self) -> None:
@@ -304,9 +304,9 @@
         if not self._closed:
             now = self._loop.now()
             if now - self._opened_at > self._limits.idle_timeout_ns:
-                self._pause_ns = self._limits.initial_backoff_ns
-            self._timer = self._loop.at(now + self._pause_ns, self._start)
-            self._pause_ns = min(2 * self._pause_ns, self._limits.max_backoff_ns)
+                self._backoff_ns = self._limits.initial_backoff_ns
+            self._timer = self._loop.at(now + self._backoff_ns, self._start)
+            self._backoff_ns = min(2 * self._backoff_ns, self._limits.max_backoff_ns)
             self._handler.on_stream_end(why)
 
     def on_open(self) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -71,14 +71,14 @@
             data = b""
         self.answers += data
         if not data:
-            self._leave()
+            self._close_collector()
 
-    def _leave(self):
+    def _close_collector(self):
         if self.collector.fileno() >= 0:
             self.loop.forget(self.collector)
             self.collector.close()
 
-    def hb(self):
+    def send_heartbeat(self):
         self.answers = b""
         self.collector.send(resp.encode(b"hb"))
         wait_until(self.loop, lambda: self.answers.endswith(b"hb_ok\r\n") or self.collector.fileno() < 0)
@@ -87,7 +87,7 @@
     def stop(self, number):
         self.kill(number)
         wait_until(self.loop, self.has_ended)
-        self._leave()
+        self._close_collector()
         return self.process.returncode, self.log.decode()
 
 
@@ -145,22 +145,22 @@
 
 def test_assigner_answers_heartbeats_without_relay_and_discovery(kit, tmp_path):
     program = Program(kit, tmp_path / "c.json", discovery=closed_port(), hub={"address": closed_port()})
-    assert program.hb() == b"*1\r\n$5\r\nhb_ok\r\n"
+    assert program.send_heartbeat() == b"*1\r\n$5\r\nhb_ok\r\n"
     code, log = program.stop(signal.SIGTERM)
     assert code == 0 and "event=counters" in log and "hb_answered=1" in log
 
 
 def test_drain_reaches_the_relay_despite_failed_calls_and_after_a_kill(kit, tmp_path):
-    lost = []
+    failed_calls = []
 
     def serve_relay(visitor, path, body):
         if path == "/api/stream":
             visitor.begin_stream()
             visitor.send(*SNAPSHOT)
-        elif len(lost) < 3:  # no response, a closed connection, an unreadable response
-            lost.append(body)
+        elif len(failed_calls) < 3:  # no response, a closed connection, an unreadable response
+            failed_calls.append(body)
             [lambda: None, lambda: visitor.connection.close("broken off"), lambda: visitor.reply(b"\xff{")][
-                len(lost) - 1
+                len(failed_calls) - 1
             ]()
         else:
             calls.append(json.loads(body)["ops"])
@@ -185,7 +185,7 @@
         wait_until(kit.loop, lambda lines=program.log_lines: lines("event=counters"))
         code, _ = program.stop(number)
         assert code == (0 if number == signal.SIGTERM else -signal.SIGKILL)
-    assert len(lost) == 3 and lost[0] == lost[1] == lost[2]
+    assert len(failed_calls) == 3 and failed_calls[0] == failed_calls[1] == failed_calls[2]
     relay.close()
     agent.close()
 
@@ -233,7 +233,7 @@
     reload(json.dumps(good | addresses[1]))
     wait_until(kit.loop, lambda: any(b'"eject","endpoint":"s-1"' in body for _, _, body in relays[1].requests))
     wait_until(kit.loop, is_connected_only_to(1))
-    assert len(os.listdir(f"/proc/{program.process.pid}/fd")) == baseline and program.hb()
+    assert len(os.listdir(f"/proc/{program.process.pid}/fd")) == baseline and program.send_heartbeat()
     code, log = program.stop(signal.SIGTERM)
     assert code == 0 and "reloads_refused=3" in log and "defects" not in log
     for server in (*relays, *agents):
@@ -306,8 +306,8 @@
     end = kit.loop.now() + 300 * MS  # longer than the dial timeout, so that its timers have left the heap
     wait_until(kit.loop, lambda: kit.loop.now() > end)
     gc.collect()
-    wanted = sum(timer.callback is not None for due, _, timer in kit.loop._timers if due > end + 50 * MS)
-    return len(os.listdir("/proc/self/fd")), wanted, kit.pool.in_use
+    pending_timers = sum(timer.callback is not None for due, _, timer in kit.loop._timers if due > end + 50 * MS)
+    return len(os.listdir("/proc/self/fd")), pending_timers, kit.pool.in_use
 
 
 def test_cancelled_timers_do_not_fill_the_heap(kit):
