--- a/kestrelplank/policy/assigner_policy.py
+++ b/kestrelplank/policy/assigner_policy.py
@@ -22,7 +22,7 @@
     """All decisions of one assigner.
 
     Decisions depend on the order of steps in a round and on the order in which nodes and slices became known
-    (`test_a_recorded_day_gives_the_recorded_orders`). A withdrawal never leaves a slice without an endpoint, except
+    (`test_recorded_day_gives_the_recorded_orders`). A withdrawal never leaves a slice without an endpoint, except
     late in its deadline (`test_withdrawal_is_ordered_only_with_a_replacement_endpoint_for_the_slice`). An exclusive
     slice has one owner at a time (`test_exclusive_slice_opens_only_after_its_old_owner_has_surely_stopped`).
     """
