--- a/kestrelplank/cli/__init__.py
+++ b/kestrelplank/cli/__init__.py
@@ -1,6 +1,6 @@
-"""`kestrelplank COMMAND`: sub-commands, one a module, each a few lines that call another package.
+"""`kestrelplank COMMAND`: sub-commands, one in each module, which call the other packages.
 
-A command's module is imported once it is asked for, so that none pays for the libraries of another.
+A command's module is imported only when that command runs, so that no command loads the libraries of another.
 """
 
 import sys
@@ -8,26 +8,26 @@
 
 
 class Command(NamedTuple):
-    """A sub-command: the name of its module in this package, and the line that the help shows."""
+    """A sub-command: the name of its module in this package, and its line in the help."""
 
     module: str
     help_line: str
 
 
 COMMANDS = {
-    "serve": Command("serve", "Run a conductor, told all it needs by the file that NODE_CONFIG names."),
-    "check": Command("check", "Say whether files can be used: an operator's file, node lists, scripts."),
-    "config": Command("config", "What the operator's file says, and where each value came from."),
-    "nodes": Command("nodes", "Node lists in files, and the set that is in force."),
-    "relay": Command("relay", "Run a relay: an HTTP/1.1 proxy that obeys the conductors' tables."),
-    "zones": Command("zones", "Each zone as a running conductor sees it."),
-    "rehearse": Command("rehearse", "Play a scripted incident with the real decisions, and hold the rules against it."),
+    "serve": Command("serve", "Run a conductor with the settings file that NODE_CONFIG names."),
+    "check": Command("check", "Validate files: an operator's file, a relay's file, node lists, scripts."),
+    "config": Command("config", "Show the values of the operator's file and the origin of each."),
+    "nodes": Command("nodes", "Show and check node lists in files and the node set in force."),
+    "relay": Command("relay", "Run a relay: an HTTP/1.1 proxy that routes by the conductors' tables."),
+    "zones": Command("zones", "Show the zones of a running conductor."),
+    "rehearse": Command("rehearse", "Rehearse a scripted incident and check the rules of the service."),
 }
 MISSING_EXTRA = "kestrelplank: this command needs the 'cli' extra: pip install 'kestrelplank[cli]'"
 
 
 def main() -> int:
-    """Run the console script. Returns the exit code, as `command_output.ExitCode` names them."""
+    """Run the console script; return a `command_output.ExitCode`."""
     try:
         from kestrelplank.cli.group import group
     except ModuleNotFoundError as err:
--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -1,4 +1,4 @@
-"""`kestrelplank check FILE...`: whether an operator's file, node lists (together one set) and scripts can be used."""
+"""`kestrelplank check FILE...`: validates operator's files, relay's files, scripts, and node lists as one set."""
 
 import sys
 from enum import StrEnum
@@ -14,7 +14,7 @@
 
 
 class FileKind(StrEnum):
-    """What a file is, as the command says it."""
+    """The kind of a file, as the command prints it."""
 
     REFERENCE_PROXY = "relay's file"
     SCRIPT = "script"
@@ -25,7 +25,7 @@
 @click.command()
 @click.argument("paths", metavar="FILE...", nargs=-1, required=True, type=click.Path())
 def command(paths: tuple[str, ...]) -> None:
-    """Say whether files can be used; node lists among them are checked as one set."""
+    """Validate files; all node lists among them are also checked together as one set."""
     unusable, node_lists = False, []
     for path in paths:
         try:
@@ -42,9 +42,9 @@
 
 
 def check_file(path: str) -> tuple[FileKind, NodeList | None]:
-    """Read a file as what it is; of a node list also what it holds.
+    """Read a file by its kind; return the kind and, for a node list, its content.
 
-    :raises InvalidSettingsError: it cannot be used.
+    :raises InvalidSettingsError: the file is invalid.
     """
     ini = IniFile.load(path)
     kind = kind_of(ini)
@@ -65,7 +65,7 @@
 
 
 def kind_of(ini: IniFile) -> FileKind:
-    """Return what a file is, by its sections."""
+    """Return the kind of a file, by its sections."""
     section_kinds = {section.kind for section in ini.sections}
     if "relay" in section_kinds:
         return FileKind.REFERENCE_PROXY
@@ -75,7 +75,7 @@
 
 
 def check_together(node_lists: list[NodeList]) -> bool:
-    """Whether node lists go together as one set; print what it holds, or each conflict."""
+    """Return whether node lists form one valid set; print a summary of the set, or each conflict."""
     try:
         node_set = assemble(node_lists)
     except InvalidNodeSetError as err:
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -1,4 +1,4 @@
-"""`kestrelplank config show`: what holds of the operator's file, and where each value came from."""
+"""`kestrelplank config show`: the values of the operator's file, and the origin of each."""
 
 import click
 
@@ -17,16 +17,16 @@
 }
 
 
-@click.group(name="config", help="What the operator's file says.")
+@click.group(name="config", help="Show the operator's file.")
 def command() -> None:
-    """Show what the operator's file says."""
+    """Show the operator's file."""
 
 
 @command.command()
 @ini_option
-@click.option("--json", "as_json", is_flag=True, help="As JSON, times in ns.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON, with times in ns.")
 def show(path: str | None, as_json: bool) -> None:
-    """Every field with its value, and the line or default that it came from."""
+    """Print every field with its value and its origin: a line of the file, or the default."""
     with refusing_invalid_settings():
         ini = IniFile.load(path) if path else IniFile("no file", "")
         read_operator_settings(ini)
@@ -38,7 +38,7 @@
 
 
 def shown_value(origin: FieldOrigin) -> str:
-    """Return a field's value as it could be written in the file."""
+    """Return a field's value in the syntax of the file."""
     value = origin.value
     if isinstance(value, bool):
         return "yes" if value else "no"
@@ -50,7 +50,7 @@
 
 
 def shown_duration(duration_ns: int) -> str:
-    """Return a time in the largest unit that it is a whole number of; 0 in seconds."""
+    """Return a duration in the largest unit that gives a whole number; 0 is in seconds."""
     units = (unit for unit, size in reversed(NS_PER_UNIT.items()) if duration_ns and not duration_ns % size)
     unit = next(units, "s")
     return f"{duration_ns // NS_PER_UNIT[unit]}{unit}"
--- a/kestrelplank/cli/group.py
+++ b/kestrelplank/cli/group.py
@@ -1,4 +1,4 @@
-"""The group of sub-commands, which imports a command's module when that command is asked for."""
+"""The group of sub-commands, which imports a command's module when that command is called."""
 
 from importlib import import_module
 
@@ -8,7 +8,7 @@
 
 
 class LazyGroup(click.Group):
-    """A group that knows its commands' names and help lines without importing them."""
+    """A group that lists its commands' names and help lines without importing their modules."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:  # noqa: ARG002 - click's signature
         """Return the names of the commands in the order of the help."""
@@ -21,12 +21,12 @@
         command: click.Command = import_module(f"kestrelplank.cli.{COMMANDS[cmd_name].module}").command
         return command
 
-    def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - the same
+    def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - click's signature
         """Write the help line of each command."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, command.help_line) for name, command in COMMANDS.items()])
 
 
-@click.group(cls=LazyGroup, help="An assigner that tells forwarding proxies where work goes.")
+@click.group(cls=LazyGroup, help="An assigner that publishes routing tables to forwarding proxies.")
 def group() -> None:
-    """Run a command of the assigner."""
+    """Run a command of kestrelplank."""
--- a/kestrelplank/cli/nodes/__init__.py
+++ b/kestrelplank/cli/nodes/__init__.py
@@ -1,4 +1,4 @@
-"""`kestrelplank nodes list|check|diff|history`: node lists in files, and the set that is in force."""
+"""`kestrelplank nodes list|check|diff|history`: node lists in files, and the node set in force."""
 
 import click
 
@@ -10,7 +10,7 @@
 
 @click.group(name="nodes")
 def command() -> None:
-    """Node lists in files, and the set in force."""
+    """Show and check node lists in files and the node set in force."""
 
 
 for subcommand in (list_nodes, check, diff, history):
--- a/kestrelplank/cli/nodes/check.py
+++ b/kestrelplank/cli/nodes/check.py
@@ -1,4 +1,4 @@
-"""`kestrelplank nodes check`: whether what the files say may follow what is in force."""
+"""`kestrelplank nodes check`: whether the set from the files may replace the set in force."""
 
 import sys
 
@@ -20,7 +20,7 @@
 @click.command()
 @ini_option
 def check(path: str | None) -> None:
-    """Whether what the files say may follow what is in force. Exit 1: it would wait or be refused."""
+    """Check whether the set from the files may replace the set in force. Exit 1: it would wait or be refused."""
     with refusing_unusable_files():
         settings = read_node_file_settings(path)
         node_lists = read_node_lists(paths_of(settings), settings)
--- a/kestrelplank/cli/nodes/diff.py
+++ b/kestrelplank/cli/nodes/diff.py
@@ -1,4 +1,4 @@
-"""`kestrelplank nodes diff`: what one node list changes of another."""
+"""`kestrelplank nodes diff`: the differences between two node lists."""
 
 import sys
 
@@ -11,12 +11,12 @@
 from kestrelplank.state.node_set import assemble, difference
 
 
-@click.command(help="What one node list changes of another. Exit 1: something.")
+@click.command(help="Show the differences between two node lists. Exit 1: there are differences.")
 @click.argument("old", type=click.Path())
 @click.argument("new", type=click.Path())
 @json_option
 def diff(old: str, new: str, as_json: bool) -> None:
-    """Print what one node list changes of another."""
+    """Print the differences between two node lists."""
     limits = NodeFileSettings()
     with refusing_unusable_files():
         before, after = (assemble(read_node_lists([path], limits)) for path in (old, new))
--- a/kestrelplank/cli/nodes/files.py
+++ b/kestrelplank/cli/nodes/files.py
@@ -1,4 +1,4 @@
-"""What the `nodes` commands read: the operator's file, the node lists that it names, and the set that is in force."""
+"""Reads the files of the `nodes` commands: the operator's file, its node lists, and the state file."""
 
 import glob
 import sys
@@ -17,7 +17,7 @@
 
 @contextmanager
 def refusing_unusable_files() -> Iterator[None]:
-    """End the command with a line for each conflict, or the one reason, why the files cannot be used."""
+    """End the command if the files are invalid, with a line for each conflict or a single reason."""
     try:
         with refusing_invalid_settings():
             yield
@@ -31,9 +31,9 @@
 
 
 def read_node_file_settings(path: str | None) -> NodeFileSettings:
-    """Return what the operator's file says of node lists.
+    """Return the settings of node lists in the operator's file.
 
-    :raises InvalidSettingsError: there is no such file, or it cannot be used.
+    :raises InvalidSettingsError: no file is named, or it can't be read or is invalid.
     """
     if not path:
         raise InvalidSettingsError(f"no operator's file: name one with --ini or {INI_VARIABLE}")
@@ -41,7 +41,7 @@
 
 
 def read_node_lists(paths: Iterable[str], settings: NodeFileSettings) -> list[NodeList]:
-    """Return the node lists in these files, each of which the settings' bounds hold for."""
+    """Return the node lists in these files; the settings' limits apply to each."""
     return [
         parse_node_list(
             path,
@@ -54,7 +54,7 @@
 
 
 def paths_of(settings: NodeFileSettings) -> list[str]:
-    """Return the files that the operator's patterns name; a path without a pattern must be there."""
+    """Return the files that match the operator's patterns; a path without wildcards is returned even if missing."""
     paths: dict[str, None] = {}
     for pattern in settings.files:
         matches = sorted(glob.glob(pattern))  # noqa: PTH207 - Path.glob takes no absolute pattern
@@ -65,5 +65,5 @@
 
 
 def read_state(settings: NodeFileSettings) -> StoredNodeSet | None:
-    """Return the set in force, its version and the versions before it; None where no state is kept."""
+    """Return the node set in force, its version and the history of versions; None if there is no state file."""
     return load_state(settings.state_path) if settings.state_path else None
--- a/kestrelplank/cli/nodes/history.py
+++ b/kestrelplank/cli/nodes/history.py
@@ -1,4 +1,4 @@
-"""`kestrelplank nodes history`: the versions that were in force."""
+"""`kestrelplank nodes history`: the versions of the node set that have been in force."""
 
 import click
 
@@ -7,11 +7,11 @@
 from kestrelplank.command_output import print_json
 
 
-@click.command(help="The versions that were in force, the last of them now.")
+@click.command(help="Show the versions of the node set that have been in force; the last one still is.")
 @ini_option
 @json_option
 def history(path: str | None, as_json: bool) -> None:
-    """Print the versions that were in force."""
+    """Print the versions of the node set that have been in force."""
     with refusing_unusable_files():
         state = read_state(read_node_file_settings(path))
     versions = state[2] if state else ()
--- a/kestrelplank/cli/nodes/list.py
+++ b/kestrelplank/cli/nodes/list.py
@@ -1,4 +1,4 @@
-"""`kestrelplank nodes list`: every node, as the files have it or as it is in force."""
+"""`kestrelplank nodes list`: every node of the files or of the node set in force."""
 
 import sys
 
@@ -19,9 +19,9 @@
 @click.command(name="list")
 @ini_option
 @json_option
-@click.option("--in-force", is_flag=True, help="What stands in the state file instead of what the files say.")
+@click.option("--in-force", is_flag=True, help="Read the state file instead of the node lists.")
 def list_nodes(path: str | None, as_json: bool, in_force: bool) -> None:
-    """Every node, as the files have it or as it is in force."""
+    """Show every node of the files or of the node set in force."""
     with refusing_unusable_files():
         settings = read_node_file_settings(path)
         if in_force:
@@ -30,7 +30,7 @@
         else:
             node_set = assemble(read_node_lists(paths_of(settings), settings))
     if node_set is None:
-        print_refusal("no state is kept")
+        print_refusal("there is no state file yet")
         sys.exit(ExitCode.FOUND_WANTING)
     if as_json:
         print_json([{"name": name, **listed._asdict()} for name, listed in node_set.nodes.items()])
@@ -39,7 +39,7 @@
 
 
 def print_nodes(node_set: NodeSet) -> None:
-    """Print a line for each node, and one for them all."""
+    """Print a line for each node, and a summary line."""
     for name, listed in node_set.nodes.items():
         print(
             f"{name:<40} {listed.zone:<12} {listed.address:<22} {listed.weight:<8g} "
--- a/kestrelplank/cli/rehearsal_report.py
+++ b/kestrelplank/cli/rehearsal_report.py
@@ -1,10 +1,10 @@
-"""A rehearsal's report: as JSON for a file, and as lines for a person. All figures in it are simulated."""
+"""Formats a rehearsal's report, as JSON for a file and as lines of text. All its figures are simulated."""
 
 from typing import Any
 
 import msgspec
 
-Report = dict[str, Any]  # JSON, whose form the emulator owns
+Report = dict[str, Any]  # the JSON object that the emulator defines
 
 SITE_SIZES = ("nodes", "relays", "conductors", "slices")
 LATENCY_COLUMNS = (("p50_ms", 8), ("p95_ms", 8), ("p99_ms", 9))  # key and width
@@ -13,22 +13,22 @@
 
 
 def encoded_report(report: Report) -> bytes:
-    """Return a report as JSON, one field a line, the same bytes for the same figures."""
+    """Return a report as JSON with one field on each line; equal reports give equal bytes."""
     return msgspec.json.format(msgspec.json.encode(report), indent=1) + b"\n"
 
 
 def rules_kept(report: Report) -> bool:
-    """Whether the rules held and no once-only op ran twice, nor was anything acknowledged that never ran."""
+    """Return whether no rule was broken (no once-only op ran twice, among others) and every acknowledged op ran."""
     return not report["broken"] and not report["acked_without_a_run"]
 
 
 def report_lines(report: Report) -> list[str]:
-    """Return a report as lines for a person."""
+    """Return a report as lines of text."""
     return [*site_lines(report), "", *op_type_lines(report), "", *rule_lines(report), *loss_lines(report)]
 
 
 def site_lines(report: Report) -> list[str]:
-    """Return the lines on the whole site."""
+    """Return the lines about the site as a whole."""
     sizes = ", ".join(f"{report['site'][what]} {what}" for what in SITE_SIZES)
     return [
         f"{sizes}; {report['how']}, seed {report['seed']}; all figures are simulated",
@@ -63,7 +63,7 @@
 
 
 def loss_lines(report: Report) -> list[str]:
-    """Return what was lost and which nodes fell over, if any."""
+    """Return the lines on lost ops and on nodes that overload has taken down, if any."""
     lines = []
     if report["lost"]:
         lines += ["", "lost: " + ", ".join(f"{reason} {count}" for reason, count in report["lost"].items())]
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -1,6 +1,6 @@
-"""`kestrelplank rehearse SCRIPT`: an incident played with the real decisions.
+"""`kestrelplank rehearse SCRIPT`: plays a scripted incident with the real decision code.
 
-Exit 0: the rules were kept; 1: one was broken or something ran twice; 2: the script can't be used.
+Exit 0: all rules were kept; 1: a rule was broken or an op ran twice; 2: the script is invalid.
 """
 
 import sys
@@ -20,17 +20,17 @@
 
 @click.command()
 @click.argument("path", metavar="SCRIPT", type=click.Path())
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Of all chance in it.")
-@click.option("--live", is_flag=True, help="Over real sockets on loopback, with conductors as processes, in real time.")
-@click.option("--baseline", is_flag=True, help="Conductors that leave each slice until it has lost its node.")
-@click.option("--knowing", is_flag=True, help="Slices placed by who knows the truth at once: the upper mark.")
+@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Seed of all random choices.")
+@click.option("--live", is_flag=True, help="Use real sockets on loopback, conductor processes, and real time.")
+@click.option("--baseline", is_flag=True, help="Move a slice only when it has lost its node, for comparison.")
+@click.option("--knowing", is_flag=True, help="Place slices with perfect knowledge: the upper bound.")
 @click.option(
-    "--json", "report_path", type=click.Path(), help="Also write the whole report, with a timeline of each node."
+    "--json", "report_path", type=click.Path(), help="Also write the complete report, with each node's timeline, here."
 )
 def command(path: str, seed: int, live: bool, baseline: bool, knowing: bool, report_path: str | None) -> None:
-    """Play a scripted incident with the real decisions, and hold the rules against it."""
+    """Rehearse a scripted incident with the real decision code, and check the rules of the service."""
     if live + baseline + knowing > 1:
-        raise click.UsageError("--live, --baseline and --knowing exclude each other")
+        raise click.UsageError("--live, --baseline and --knowing are mutually exclusive")
     with refusing_invalid_settings():
         incident = read_script(IniFile.load(path))
     report = play_live(incident, seed) if live else play_emulated(incident, seed, baseline=baseline, knowing=knowing)
@@ -41,7 +41,7 @@
 
 
 def play_live(incident: Script, seed: int) -> Report:
-    """Play over real sockets, with conductors as processes."""
+    """Play over real sockets, with conductor processes."""
     from kestrelplank.rehearsal.live_rehearsal import play
 
     with progress_bar() as progress:
@@ -61,7 +61,7 @@
 
 @contextmanager
 def progress_bar() -> Iterator[Callable[[float], None]]:
-    """Show a bar on a terminal; yields what takes the fraction that is done."""
+    """Show a progress bar if standard error is a terminal; yield a callback for the completed fraction."""
     hidden = not sys.stderr.isatty()
     with click.progressbar(length=PROGRESS_STEPS, label="rehearsing", file=sys.stderr, hidden=hidden) as bar:
 
@@ -72,7 +72,7 @@
 
 
 def write_report(path: str, report: Report) -> None:
-    """Write the whole report, or end the command."""
+    """Write the complete report, or end the command with an error."""
     try:
         write_atomically(path, encoded_report(report))
     except OSError as err:
--- a/kestrelplank/cli/zones.py
+++ b/kestrelplank/cli/zones.py
@@ -16,10 +16,12 @@
 
 @click.command()
 @ini_option
-@click.option("--socket", "socket_path", type=click.Path(), help="The status socket, where no file names it.")
+@click.option(
+    "--socket", "socket_path", type=click.Path(), help="The status socket; default: the one in the operator's file."
+)
 @json_option
 def command(path: str | None, socket_path: str | None, as_json: bool) -> None:
-    """Each zone as a running conductor sees it: nodes, demand, capacity, and who of the others is alive."""
+    """Show the zones of a running conductor: nodes, demand, capacity, and which conductors are alive."""
     from kestrelplank.assigner.status_socket import read_status
 
     with refusing_invalid_settings():
--- a/kestrelplank/file_discovery/__init__.py
+++ b/kestrelplank/file_discovery/__init__.py
@@ -1,4 +1,4 @@
-"""Nodes from files: `file_watcher` sees changes, `node_list` reads a file, `node_files` tells what follows.
+"""Nodes from files: `file_watcher` detects changes, `node_list` parses a file, `node_files` notifies the policy.
 
-`atomic_write` is the one writer of files that are there as a whole or not at all.
+`atomic_write` replaces files atomically.
 """
--- a/kestrelplank/file_discovery/atomic_write.py
+++ b/kestrelplank/file_discovery/atomic_write.py
@@ -1,4 +1,4 @@
-"""A file written as a whole or not at all: who reads it meanwhile, or after a crash, finds the old text or the new."""
+"""Replaces a file atomically: a concurrent reader, or a reader after a crash, sees the old content or the new."""
 
 import os
 import tempfile
@@ -8,12 +8,12 @@
 
 
 def write_atomically(path: str, data: bytes) -> None:
-    """Replace the file at `path`, or make it; it keeps the mode of what it replaces.
+    """Replace or create the file at `path`; a replaced file's permissions are kept.
 
-    A temporary file in the same directory, fsync, rename, fsync of the directory, since a rename may be forgotten by a
-    machine that loses its power.
+    Writes and syncs a temporary file in the same directory, renames it, and syncs the directory, as a rename that is
+    not synced may be lost in a power failure.
 
-    :raises OSError: it could not be written; then the old file stands and nothing is left behind.
+    :raises OSError: the file could not be written; the old file is unchanged and the temporary file removed.
     """
     target = Path(path).absolute()
     descriptor, temporary = tempfile.mkstemp(dir=target.parent, prefix=f".{target.name}.")
@@ -31,7 +31,7 @@
 
 
 def permissions(path: Path) -> int:
-    """Return the permissions of the file that is there, or those that a new one gets."""
+    """Return the permissions of an existing file, or those that a new file gets by the umask."""
     try:
         return path.stat().st_mode & PERMISSION_BITS
     except FileNotFoundError:
@@ -43,7 +43,7 @@
 def sync_directory(path: str) -> None:
     """Make the directory's entries durable.
 
-    :raises OSError: the disk refuses.
+    :raises OSError: the directory could not be opened or synced.
     """
     descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
--- a/kestrelplank/file_discovery/file_watcher.py
+++ b/kestrelplank/file_discovery/file_watcher.py
@@ -1,7 +1,7 @@
-"""Watches files: says that one may have changed, by inotify on its directory and by looking now and then.
+"""Watches files: reports that a file may have changed, by inotify on its directory and by polling.
 
-Who hears of it reads the file and judges by its content; a call too many costs a reading. Looking never stops, as
-inotify says nothing on some file systems, drops events when its queue is full, and loses a directory that is replaced.
+The receiver reads the file and compares its content, so a superfluous report costs one read. Polling never stops, as
+inotify reports nothing on some file systems, drops events when its queue is full, and loses replaced directories.
 """
 
 import contextlib
@@ -18,13 +18,13 @@
     from inotify_simple import INotify  # type: ignore[import-untyped] # the library has no types
 
 WILDCARDS = "*?["
-CLOCK_TICK_NS = 100_000_000  # above the tick by which any file system keeps its times
+CLOCK_TICK_NS = 100_000_000  # above the granularity of file times on any file system
 
 
 class FileIdentity(NamedTuple):
-    """What tells one state of a file from another.
+    """Metadata that distinguishes one state of a file from another.
 
-    Times only tell that something differs, never which is newer: clocks are set back.
+    Times are compared only for equality, never for order, as clocks may be set back.
     """
 
     device: int
@@ -36,7 +36,7 @@
 
 
 class WatchedDirectory(NamedTuple):
-    """A directory that inotify watches, and what it was when the watch began."""
+    """A directory that inotify watches: watch descriptor, and the directory's identity when the watch was added."""
 
     descriptor: int
     device: int
@@ -44,19 +44,19 @@
 
 
 class _Unknown:
-    """The identity of a file that equals no other, so that the file is read at the next look."""
+    """An identity that equals no other, so that the file is read at the next poll."""
 
 
 UNKNOWN = _Unknown()
 
 
 class FileWatcher:
-    """Files by path or by pattern (`*`, `?` in the last part).
+    """Watches files given by path or by pattern (wildcards in the last path component).
 
-    :param poll_interval_ns: files are looked at so often.
-    :param use_events: whether inotify is used as well, where it is to be had.
-    :param on_change: called with the path of a file that may have changed, come or gone.
-    :param on_trouble: called with the reason where events can't be had or were lost.
+    :param poll_interval_ns: time between polls of all files.
+    :param use_events: whether to use inotify as well, where it is available.
+    :param on_change: called with the path of a file that may have been changed, created or deleted.
+    :param on_trouble: called with the reason when events are not available or were lost.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
     ) -> None:
         self._loop, self._patterns, self._poll_interval_ns = loop, patterns, poll_interval_ns
         self._on_change, self._on_trouble = on_change, on_trouble
-        self._seen: dict[str, FileIdentity | None | _Unknown] = {}  # None: the file is gone
+        self._seen: dict[str, FileIdentity | None | _Unknown] = {}  # None: no such file
         self._inotify: INotify | None = None
         self._directories: dict[int, str] = {}  # by watch descriptor
         self._watched: dict[str, WatchedDirectory] = {}
@@ -80,21 +80,21 @@
         self._timer = loop.at(loop.now(), self.look)
 
     def paths(self) -> list[str]:
-        """Return the files there are or have been, in the order of their names; one that has gone stays."""
+        """Return the sorted paths of all files seen so far, including deleted ones."""
         return sorted(self._seen)
 
     def close(self) -> None:
-        """End the watch."""
+        """Stop watching."""
         self._timer.cancel()
         if self._inotify is not None:
             self._loop.forget(self._inotify)
             self._inotify.close()
             self._inotify = None
 
-    # Looking.
+    # Polling
 
     def look(self) -> None:
-        """Look at all files now, and again after the interval."""
+        """Check all files now, and again after the poll interval."""
         self._timer.cancel()
         self._look_at_all()
         self._timer = self._loop.at(self._loop.now() + self._poll_interval_ns, self.look)
@@ -115,34 +115,34 @@
     def _look_at(self, path: str) -> None:
         identity = identity_of(path)
         if path not in self._seen or self._seen[path] != identity:
-            # Written a moment ago, it may be written again without a time to tell it by: then it is read once more.
+            # A file that was just written may be written again with the same times, so it is read once more.
             fresh = identity is not None and time.time_ns() - identity.modified_ns < CLOCK_TICK_NS
             self._seen[path] = UNKNOWN if fresh else identity
             self._on_change(path)
 
-    # Events.
+    # Events
 
     def _open_inotify(self) -> None:
         try:
             from inotify_simple import INotify
         except ImportError:
-            self._on_trouble("inotify-simple is not installed; files are looked at now and then")
+            self._on_trouble("inotify-simple is not installed; files are only polled")
             return
         try:
             self._inotify = INotify(nonblocking=True)
         except OSError as err:
-            self._on_trouble(f"no inotify: {err.strerror}; files are looked at now and then")
+            self._on_trouble(f"inotify is not available: {err.strerror}; files are only polled")
             return
         self._loop.watch(self._inotify, READ, self._on_readable)
 
     def _watch_directories(self, inotify: "INotify") -> None:
-        """Watch each directory that holds a file, or to which a link in a file's path leads.
+        """Watch the directory of each file, and the directory that its path resolves to through symbolic links.
 
-        One that was replaced under its name is watched anew.
+        A directory that was replaced by another of the same name gets a new watch.
         """
         wanted: dict[str, None] = {}
         for path in (*self._patterns, *self._seen):
-            wanted[os.path.dirname(path) or "."] = None  # noqa: PTH120 - as inotify and messages shall name it
+            wanted[os.path.dirname(path) or "."] = None  # noqa: PTH120 - the directory as written, for inotify and messages
             wanted[str(Path(os.path.realpath(path)).parent)] = None
         for directory in wanted:
             identity = identity_of(directory)
@@ -159,7 +159,7 @@
         try:
             descriptor = inotify.add_watch(directory, _event_mask())
         except OSError as err:
-            self._on_trouble(f"{directory} can't be watched: {err.strerror}; it is looked at now and then")
+            self._on_trouble(f"{directory} can't be watched: {err.strerror}; its files are only polled")
             return
         self._directories[descriptor] = directory
         self._watched[directory] = WatchedDirectory(descriptor, identity.device, identity.inode)
@@ -167,7 +167,7 @@
     def _unwatch(self, inotify: "INotify", directory: str) -> None:
         watched = self._watched.pop(directory)
         if self._directories.pop(watched.descriptor, None) is not None:
-            with contextlib.suppress(OSError):  # the directory has gone, and its watch with it
+            with contextlib.suppress(OSError):  # the directory was deleted, and its watch with it
                 inotify.rm_watch(watched.descriptor)
 
     def _on_readable(self, _events: int) -> None:
@@ -178,13 +178,13 @@
         named: set[str] = set()
         for event in self._inotify.read(timeout=0):
             if event.mask & flags.Q_OVERFLOW:
-                self._on_trouble("events were lost; all files are looked at")
+                self._on_trouble("inotify events were lost; checking all files")
             if event.mask & flags.IGNORED:
                 directory = self._directories.pop(event.wd, "")
                 self._watched.pop(directory, None)
             named.add(event.name)
-        # A file that was named is read in any case, as a write within one tick of the clock changes no time of its; the
-        # others are looked at, as behind links a file has other names.
+        # A file named by an event is read in any case, as a second write within the granularity of file times does not
+        # change them. The other files are checked too, as a file behind a symbolic link has another name.
         for path in list(self._seen):
             if Path(path).name in named or Path(os.path.realpath(path)).name in named:
                 self._seen[path] = UNKNOWN
@@ -192,7 +192,7 @@
 
 
 def _event_mask() -> int:
-    """Return which events of a directory are asked for: all that may change what a path in it names or holds."""
+    """Return the inotify events to watch for: all that may change the files of a directory."""
     from inotify_simple import flags
 
     mask: int = (
@@ -211,7 +211,7 @@
 
 
 def identity_of(path: str) -> FileIdentity | None:
-    """Return what tells this state of the file from another; None where there is no file."""
+    """Return the identity of a file's current state; None if there is no such file."""
     try:
         status = Path(path).stat()
     except OSError:
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -1,7 +1,7 @@
-"""Nodes from watched files: reads them, hands what they say to the cores in `state/`, and tells the policy.
+"""Nodes from watched files: reads the files, passes their content to `state/`, and notifies the policy.
 
-It decides nothing: `Debounce` says when a reading counts, `NodeSetInForce` whether the set that it makes may
-be in force; `NodeListReporter` tells what follows from the set.
+Decisions are made elsewhere: `Debounce` decides when a file's content is stable, `NodeSetInForce` whether the resulting
+set of nodes takes effect; `NodeListReporter` converts that set into events for the policy.
 """
 
 import os
@@ -28,24 +28,24 @@
 def read_bounded_file(path: str, max_bytes: int) -> bytes:
     """Return a file's bytes.
 
-    :raises OSError: it cannot be read.
-    :raises InvalidSettingsError: it is larger than that.
+    :raises OSError: the file can't be read.
+    :raises InvalidSettingsError: the file is larger than `max_bytes`.
     """
-    descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a pipe put there must not block the loop
-    with open(descriptor, "rb") as file:  # noqa: PTH123 - a descriptor, no path
+    descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a named pipe must not block the event loop
+    with open(descriptor, "rb") as file:  # noqa: PTH123 - a descriptor, not a path
         data = file.read(max_bytes + 1) or b""
     if len(data) > max_bytes:
-        raise InvalidSettingsError(f"over {max_bytes} bytes", file=path)
+        raise InvalidSettingsError(f"larger than {max_bytes} bytes", file=path)
     return data
 
 
 def load_state(path: str) -> StoredNodeSet | None:
-    """Return the state that a file keeps; None where there is no such file yet.
+    """Return the node set stored in a state file; None if there is no such file yet.
 
-    :raises InvalidSettingsError: it cannot be read.
+    :raises InvalidSettingsError: the file can't be read or parsed.
     """
     try:
-        with open(path, "rb") as file:  # noqa: PTH123 - one call less than by Path, at the start of a program
+        with open(path, "rb") as file:  # noqa: PTH123 - one call fewer than with Path, at startup
             return restored(file.read())
     except FileNotFoundError:
         return None
@@ -56,12 +56,12 @@
 
 
 class NodeFiles:
-    """Watched node lists, from a change of a file to what the policy is told.
+    """Watched node lists, from a changed file to the policy's events.
 
-    :param settings: what the operator's file says of them.
-    :param default_grace_ns: holds where the operator's file gives none.
-    :param addresses: discovery's addresses by node index, for health checks; those of the files are added.
-    :param on_event: takes the policy's events.
+    :param settings: the section on node files in the operator's file.
+    :param default_grace_ns: used if the operator's file sets no grace period.
+    :param addresses: discovery's addresses by node index, for health checks; addresses from the files are added.
+    :param on_event: called with events for the policy.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._reporter = NodeListReporter(
             counters, ids, addresses, self._report_settings(), settings.authority, on_event
         )
-        self._read_timers: dict[str, Timer] = {}  # of files that are to be read again
+        self._read_timers: dict[str, Timer] = {}  # by path, for files to be read again
         self._decide_timer: Timer | None = None
         self._report_timer: Timer | None = None
         self.node_set_in_force = self._restore_node_set_in_force()
@@ -88,7 +88,7 @@
         self._watcher = self._new_watcher()
 
     def on_event(self, event: Event) -> None:
-        """Take discovery's events, on their way to the policy."""
+        """Pass an event of discovery to the policy, merged with the nodes from files."""
         self._reporter.on_discovery_event(event)
 
     def forget(self, node: int) -> None:
@@ -96,14 +96,14 @@
         self._reporter.forget(node)
 
     def reload(self, settings: NodeFileSettings) -> None:
-        """Take the operator's file as it was read anew; files that it no longer names are no longer waited for."""
+        """Apply a reloaded operator's file; files that it no longer names leave the set."""
         self._settings = settings
         self.node_set_in_force.limits = self._guard_terms()
         self._reporter.set_terms(self._report_settings())
         former_paths = self._watcher.paths()
         self._watcher.close()
         self._watcher = self._new_watcher()
-        self._watcher.look()  # now, so that what is there is known below
+        self._watcher.look()  # now, so that `paths` is complete below
         for path in former_paths:
             if path not in self._watcher.paths():
                 self._debounce.forget(path)
@@ -111,13 +111,13 @@
         self._decide()
 
     def close(self) -> None:
-        """End the watch and all that is due."""
+        """Stop watching and cancel all timers."""
         for timer in (*self._read_timers.values(), self._decide_timer, self._report_timer):
             if timer is not None:
                 timer.cancel()
         self._watcher.close()
 
-    # What the cores and the watcher are made with.
+    # Settings and components
 
     def _report_settings(self) -> ReportSettings:
         grace_ns = self._settings.grace_ns
@@ -142,7 +142,7 @@
             return NodeSetInForce(self._guard_terms())
         try:
             state = load_state(self._settings.state_path)
-        except InvalidSettingsError as err:  # the set in force is lost; the files still say what shall be
+        except InvalidSettingsError as err:  # the set in force is lost and is built anew from the files
             self._counters.trouble("files_state_refused", err)
             return NodeSetInForce(self._guard_terms())
         if state is None:
@@ -151,10 +151,10 @@
         self._counters.info("files_restored", version=version, hash=node_set.short_hash, nodes=len(node_set))
         return NodeSetInForce(self._guard_terms(), *state)
 
-    # Reading.
+    # Reading files
 
     def _read(self, path: str) -> None:
-        """Read a file that may have changed, and decide once what was read counts and no other file is written."""
+        """Read a file that may have changed; decide once its content, and that of all other files, is stable."""
         now, problem, data = self._loop.now(), "", b""
         try:
             data = read_bounded_file(path, self._settings.max_file_bytes)
@@ -175,7 +175,7 @@
             self._decide()
 
     def _parsed(self, path: str, data: bytes) -> NodeList | str:
-        """Return what the file lists, or why it cannot be used."""
+        """Return the parsed node list, or the reason why it is invalid."""
         settings = self._settings
         try:
             return parse_node_list(path, data, max_nodes=settings.max_nodes, trailer_required=settings.trailer_required)
@@ -187,7 +187,7 @@
             self._read_timers[path].cancel()
         self._read_timers[path] = self._loop.at(at, lambda: self._read(path))
 
-    # Deciding is the cores' part; this does what they say.
+    # Carrying out decisions of `NodeSetInForce`
 
     def _decide(self) -> None:
         outcome = self.node_set_in_force.decide(self._loop.now())
@@ -209,23 +209,23 @@
         if path:
             try:
                 write_atomically(path, self.node_set_in_force.stored())
-            except OSError as err:  # the set holds all the same; a restart would know an older one
+            except OSError as err:  # the set stays in force, but a restart would restore an older one
                 self._counters.trouble("files_state_not_saved", f"{path}: {err.strerror}")
 
     def _report_accepted(self) -> None:
-        """Tell the policy of the set that is in force now, if there is one."""
+        """Report the set in force to the policy, if there is one."""
         if self.node_set_in_force.node_set is not None:
             self._reporter.accept(self._loop.now(), self.node_set_in_force.node_set)
             self._report()
 
     def _report(self) -> None:
-        """Tell the policy what is due, and come back when more is."""
+        """Report due changes to the policy, and set a timer for the next ones."""
         due = self._reporter.report(self._loop.now())
         if due is not None:
             self._report_timer = self._replaced(self._report_timer, due, self._report)
 
     def _replaced(self, timer: Timer | None, at: int, callback: Callable[[], None]) -> Timer:
-        """Return a timer in place of one that is set already."""
+        """Cancel a timer and return its replacement."""
         if timer is not None:
             timer.cancel()
         return self._loop.at(at, callback)
--- a/kestrelplank/file_discovery/node_list.py
+++ b/kestrelplank/file_discovery/node_list.py
@@ -1,7 +1,7 @@
-"""A node list in a file: its text to a checked part of a set, and back.
+"""Parses and formats a node list, a file that lists some or all nodes of a set.
 
 [list]
-confirm = 3f9a21c4          # the set in force that this replaces, where much of it goes
+confirm = 3f9a21c4          # confirms a large change: hash of the set in force that this list may replace
 
 [zone toronto]
 order-4.toronto.example.org = 10.1.0.18:9000
@@ -24,27 +24,27 @@
 NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9._-]{0,251}[A-Za-z0-9])?", re.ASCII)
 TRAILER = re.compile(r"#\s*end (\d{1,9}) nodes?\s*")
 LARGEST_WEIGHT = 1e6
-LONGEST_QUOTED_NAME = 60  # characters of a wrong name that a message repeats
+LONGEST_QUOTED_NAME = 60  # characters of an invalid name quoted in a message
 
 
 class ListHeader(Struct):
-    """[list]: `confirm` is the hash of the set that the list means to replace."""
+    """The section [list]: `confirm` is the hash of the set in force that the list may replace."""
 
     confirm: str = ""
 
 
 def parse_node_list(path: str, data: bytes, *, max_nodes: int, trailer_required: bool) -> NodeList:
-    """Return what a file's bytes list.
+    """Return the node list in a file's bytes.
 
     :param path: the file's path, for messages.
-    :param trailer_required: the last line must be `# end N nodes`, which proves that nothing is missing; where there
-        is one it must be true in any case.
-    :raises InvalidSettingsError: it is no valid list; file and line are named.
+    :param trailer_required: whether the last line must be `# end N nodes`, which detects truncation. A trailer that is
+        present must be correct in any case.
+    :raises InvalidSettingsError: the list is invalid; the message names file and line.
     """
     try:
         text = data.decode()
     except UnicodeDecodeError as err:
-        raise InvalidSettingsError(f"not text: byte {err.start} is no UTF-8", file=path) from None
+        raise InvalidSettingsError(f"not text: byte {err.start} is not valid UTF-8", file=path) from None
     if not text.strip():
         raise InvalidSettingsError("the file is empty", file=path)
     ini = IniFile(path, text)
@@ -56,11 +56,11 @@
 
 
 def _parse_zones(ini: IniFile, max_nodes: int) -> list[NodeListEntry]:
-    """Return the nodes of all zones in the order of the file."""
+    """Return the nodes of all zones in file order."""
     lines: list[NodeListEntry] = []
     for section in ini.named_sections("zone"):
         if not NAME.fullmatch(section.name):
-            raise ini.error(section, None, f"{section.name[:LONGEST_QUOTED_NAME]!r} is no name for a zone")
+            raise ini.error(section, None, f"{section.name[:LONGEST_QUOTED_NAME]!r} is not a valid zone name")
         lines += [_parse_node(ini, section, name) for name in section.fields]
         if len(lines) > max_nodes:
             raise ini.error(section, None, f"more than {max_nodes} nodes are listed")
@@ -68,11 +68,11 @@
 
 
 def _parse_node(ini: IniFile, section: Section, name: str) -> NodeListEntry:
-    """Return one line of a zone: an address, and after it `weight W`, `cell N` and `draining` in any order."""
+    """Parse a node's line: an address, followed by `weight W`, `cell N` and `draining` in any order."""
     text, line = section.fields[name]
     try:
         if not NAME.fullmatch(name):
-            raise ValueError(f"{name[:LONGEST_QUOTED_NAME]!r} is no name for a node")
+            raise ValueError(f"{name[:LONGEST_QUOTED_NAME]!r} is not a valid node name")
         address, *words = text.split()
         check_address(address)
         return NodeListEntry(name, _with_attributes(ListedNode(section.name, address), words), line)
@@ -81,12 +81,15 @@
 
 
 def _with_attributes(listed: ListedNode, words: list[str]) -> ListedNode:
-    """Return a node with what the words after its address say; raises ValueError where they say nothing."""
+    """Return a node with the attributes that follow its address.
+
+    :raises ValueError: an attribute is invalid or given twice.
+    """
     seen: set[str] = set()
     remaining = iter(words)
     for word in remaining:
         if word in seen:
-            raise ValueError(f"{word} stands twice")
+            raise ValueError(f"{word} is given twice")
         seen.add(word)
         value = next(remaining, None) if word in ("weight", "cell") else None
         if word == "draining":
@@ -98,27 +101,28 @@
         else:
             raise ValueError(f"expected weight W, cell N or draining, got {word!r}")
     if listed.weight > LARGEST_WEIGHT:
-        raise ValueError(f"a weight is at most {LARGEST_WEIGHT:g}")
+        raise ValueError(f"expected a weight of at most {LARGEST_WEIGHT:g}")
     return listed
 
 
 def _check_trailer(path: str, text: str, listed: int, *, trailer_required: bool) -> None:
-    """Raise InvalidSettingsError where the last line counts other nodes, or does not count them and must.
+    """Check the trailer.
 
-    :param listed: how many nodes are listed.
+    :param listed: number of nodes in the list.
+    :raises InvalidSettingsError: the trailer's number is wrong, or a required trailer is missing.
     """
     rows = text.rstrip().splitlines()
     trailer = TRAILER.fullmatch(rows[-1])
     if trailer_required and not (trailer and text.endswith("\n")):
-        reason = "the last line is not `# end N nodes`: the file may be cut short"
+        reason = "the last line is not `# end N nodes`: the file may be truncated"
         raise InvalidSettingsError(reason, file=path, line=len(rows))
     if trailer and int(trailer[1]) != listed:
-        reason = f"{trailer[1]} nodes are announced and {listed} are listed"
+        reason = f"the last line says {trailer[1]} nodes, but {listed} are listed"
         raise InvalidSettingsError(reason, file=path, line=len(rows))
 
 
 def format_node_list(nodes: NodeSet) -> str:
-    """Return the text of a list that is read back as that set, with its trailer."""
+    """Return the text of a node list, with a trailer, that parses to this set."""
     rows: list[str] = []
     zone = None
     for name, listed in sorted(nodes.nodes.items(), key=lambda item: (item[1].zone, item[0])):
--- a/kestrelplank/file_discovery/node_list_reporter.py
+++ b/kestrelplank/file_discovery/node_list_reporter.py
@@ -1,4 +1,4 @@
-"""From the set of nodes in force to the policy's events: what it comes to over time, together with discovery's word."""
+"""Converts the node set in force into events for the policy over time, merged with the events of discovery."""
 
 from collections.abc import Callable
 
@@ -11,13 +11,13 @@
 
 
 class NodeListReporter:
-    """Tells the policy of nodes.
+    """Reports nodes to the policy.
 
-    `ReportedNodes` says what a set comes to over time, `NodeListMerge` how it goes with discovery.
+    `ReportedNodes` computes the nodes' conditions and weights over time, `NodeListMerge` merges them with discovery.
 
-    :param addresses: discovery's addresses by node index; those of the set in force are added.
-    :param terms: how long a node that has vanished is kept, and how fast weights move.
-    :param authority: who says which nodes there are, `files` or `discovery`.
+    :param addresses: discovery's addresses by node index; addresses of the set in force are added.
+    :param terms: the grace period of a node that is no longer listed, and the step of weight changes.
+    :param authority: the source that decides which nodes exist, `files` or `discovery`.
     """
 
     def __init__(
@@ -36,16 +36,19 @@
         self._reported = False
 
     def set_terms(self, terms: ReportSettings) -> None:
-        """Let other terms hold from now on."""
+        """Use other settings from now on."""
         self._nodes.settings = terms
 
     def accept(self, now: int, node_set: NodeSet) -> None:
-        """Take the set that is in force now; `report` tells what follows."""
+        """Record the set that is in force now; `report` sends the resulting changes."""
         self._node_set = node_set
         self._nodes.accept(now, node_set)
 
     def report(self, now: int) -> int | None:
-        """Tell the policy what is due, at first everything. Returns the time at which more is due, if any."""
+        """Report due changes to the policy, on the first call all nodes.
+
+        Return the time at which the next change is due, if any.
+        """
         entries = self._nodes.advance(now)
         if self._reported:
             self._report_list(NodeSource.FILES, NodeListKind.DELTA, self._indexed(entries))
@@ -55,7 +58,7 @@
         return self._nodes.due_at(now)
 
     def on_discovery_event(self, event: Event) -> None:
-        """Pass an event of discovery on; a list of nodes together with what the files say."""
+        """Pass an event of discovery to the policy; a list of nodes is merged with those from the files first."""
         if isinstance(event, NodeListUpdate) and event.kind != NodeListKind.FAILED:
             self._report_list(NodeSource.DISCOVERY, event.kind, list(event.entries))
         else:
@@ -66,7 +69,7 @@
         self._merge.forget(node)
 
     def _indexed(self, entries: list[ReportedEntry]) -> list[NodeEntry]:
-        """Return entries with indices in place of names, and note the nodes' addresses."""
+        """Return the entries with indices in place of names, and store the nodes' addresses."""
         listed = self._node_set.nodes if self._node_set is not None else {}
         indexed: list[NodeEntry] = []
         for name, condition, zone, cell, weight, started_at in entries:
@@ -77,7 +80,7 @@
         return indexed
 
     def _report_list(self, source: NodeSource, kind: str, entries: list[NodeEntry]) -> None:
-        """Tell the policy what a list of one source (`kind`: full, delta, cached) changes."""
+        """Report the changes due to one source's list to the policy (`kind`: full, delta, cached)."""
         kind, entries = self._merge.update(source, kind, entries)
         if entries or kind != NodeListKind.DELTA:
             self._counters.add("files_told")
--- a/kestrelplank/reference_proxy/assembly.py
+++ b/kestrelplank/reference_proxy/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of a reference proxy, made from its settings and joined: proxy, cores, tables, the client of its hub."""
+"""Builds a reference proxy from its settings: proxy, decision components, tables, and the update client."""
 
 import socket
 from random import Random
@@ -29,10 +29,10 @@
 
 
 class ReferenceProxy:
-    """All parts of one proxy.
+    """All components of one proxy.
 
-    :param listening: a predecessor's socket, or the address to listen at.
-    :raises OSError: where it can't listen.
+    :param listening: a predecessor's listening socket, or the address to listen on.
+    :raises OSError: it can't listen.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._distances_timer = io.loop.at(io.loop.now() + REPORT_INTERVAL_NS, self._update_distances)
         self._save_timer = io.loop.at(io.loop.now() + process.state_interval_ns, self._save_regularly)
 
-    # The parts.
+    # Components
 
     def _make_attempts(self, limits: ConcurrencyLimits) -> Attempts:
         settings, ops = self._settings.attempts, list(self._settings.op_types.values())
@@ -121,7 +121,7 @@
             self._set_node_zone,
         )
 
-    # What the hub's client tells.
+    # Callbacks of the update client
 
     def _tables_changed(self, tables: list[int]) -> None:
         self._tables_file.note_change()
@@ -132,10 +132,10 @@
         if self.zones:
             self.zones.set_node_zone(node, zone)
 
-    # What the proxy asks and tells (`ProxyHooks`).
+    # Callbacks of the proxy (`ProxyHooks`)
 
     def _table_of(self, request: ClientRequest) -> int:
-        """Return the slice of a request: by the header that the file names, or its path."""
+        """Return the table of a request, by a hash of the configured header or of the path."""
         key = request.header(self._slice_header) if self._slice_header else request.target.partition(b"?")[0]
         return crc32(key or b"") % self._tables.size
 
@@ -154,10 +154,10 @@
         pool = self.proxy.nodes.pools.get(node)
         return 1.0 if pool is None else pool.weight_share(self._io.loop.now())
 
-    # What is done regularly.
+    # Periodic tasks
 
     def _update_distances(self) -> None:
-        """Take what the last period's answers say of how far zones are."""
+        """Update the distances of zones from the latencies of the last period."""
         loop = self._io.loop
         self._distances_timer = loop.at(loop.now() + REPORT_INTERVAL_NS, self._update_distances)
         self._distances.close_period()
@@ -172,25 +172,23 @@
         loop = self._io.loop
         self._save_timer = loop.at(loop.now() + self._settings.process.state_interval_ns, self._save_regularly)
 
-    # Settings, and the end.
+    # Reload and shutdown
 
     def reload(self, settings: ReferenceProxySettings) -> None:
-        """Use the settings of clients, bodies and op types from now on; no connection is dropped.
+        """Apply changed settings of clients, bodies and op types without dropping a connection.
 
-        What concerns the process, tables and limits waits for a restart, which a successor can be.
+        Settings of the process, tables and limits take effect only after a restart or a handover to a successor.
 
-        :raises InvalidSettingsError: where op types are others.
+        :raises InvalidSettingsError: the names or the order of op types have changed.
         """
         if list(settings.op_types) != list(self._settings.op_types):
-            raise InvalidSettingsError(
-                "op types can't be added, taken away or put in another order while the relay runs"
-            )
+            raise InvalidSettingsError("op types can't be added, removed or reordered while the relay runs")
         self._settings = settings
         self.proxy.reconfigure(core_settings.op_types(settings), core_settings.exchange_limits(settings))
         self.proxy.admission.settings = core_settings.admission_settings(settings)
 
     def close(self) -> None:
-        """Save the tables, and end every connection."""
+        """Save the tables and close every connection."""
         self._save_timer.cancel()
         self._distances_timer.cancel()
         self._tables_file.save()
--- a/kestrelplank/reference_proxy/client_connection.py
+++ b/kestrelplank/reference_proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: its requests are taken in order, one in progress at a time."""
+"""One client connection: its requests are handled in order, one at a time."""
 
 import socket
 from collections import deque
@@ -17,27 +17,30 @@
 
 
 class RequestHandler(ExchangeOwner, Protocol):
-    """Who answers the requests of clients."""
+    """Handles the requests of client connections."""
 
     def begin(self, exchange: Exchange) -> None:
-        """Take a request whose head is complete, and which is the first on its connection."""
+        """Start a request whose head is complete and that is the first in its connection's queue."""
         ...
 
     def body_received(self, exchange: Exchange) -> None:
-        """Take note that a request's body has come in full."""
+        """Handle the end of a request's body."""
         ...
 
     def withdraw(self, exchange: Exchange) -> None:
-        """Take note that nobody waits for a request any more, or that the rest of it will never come."""
+        """Abandon a request whose client has gone, or whose remaining bytes will not arrive."""
         ...
 
     def client_closed(self, client: "ClientConnection") -> None:
-        """Take note that a client's connection has ended."""
+        """Handle the end of a client's connection."""
         ...
 
 
 class ClientConnection:
-    """The first request in `queue` is in progress; the others are read no further than what has come with it."""
+    """A client connection; the first request in `queue` is in progress.
+
+    While further requests are queued (pipelining), nothing more is read from the socket.
+    """
 
     def __init__(
         self, io: ProxyIo, admission: Admission, handler: RequestHandler, sock: socket.socket, number: int
@@ -47,15 +50,15 @@
         self.queue: deque[Exchange] = deque()
         self._incoming: Exchange | None = None
         self._head_bytes, self._in_trailers = 0, False
-        self._rejection: Rejection | None = None  # for what came last; nothing after it is read
+        self._rejection: Rejection | None = None  # of the last request; nothing after it is read
         self._answers_rejection = True
         self._connection = Connection(io.loop, io.buffers, sock, self, MAX_UNSENT_BYTES)
         self._connection.on_drained = self._drained
 
-    # The connection's callbacks.
+    # Callbacks of the socket connection
 
     def on_data(self, data: memoryview) -> None:
-        """Parse what has come, and begin the first request if it may."""
+        """Parse received bytes, and begin the first request if it has not begun."""
         if self._rejection is not None:
             return
         if self._reads_head():
@@ -72,37 +75,37 @@
         if self._incoming is not None and self._reads_head() and head_is_too_long:
             self.refuse(431, "the head is too long")
         if self._rejection is None and len(self.queue) > 1:
-            self._connection.read(False)  # what comes next waits outside; with one in progress its client's end is seen
+            self._connection.read(False)  # with a single request, reading continues so that a closed client is noticed
         self._begin_next()
 
-    def on_close(self, why: str) -> None:  # noqa: ARG002 - as the connection calls it
-        """Tell the handler."""
+    def on_close(self, why: str) -> None:  # noqa: ARG002 - the connection's callback signature
+        """Notify the handler."""
         self._handler.client_closed(self)
 
     def _drained(self) -> None:
-        """Read the node again, as the client has taken what waited."""
+        """Resume reading from the node, as all bytes for the client have been written."""
         if self.queue and self.queue[0].connection is not None:
             self.queue[0].connection.read(True)
 
     def _reads_head(self) -> bool:
         return self._incoming is None or self._incoming.stage is Stage.READING_HEAD
 
-    # The parser's callbacks; nothing raises inside them.
+    # Callbacks of the parser; they must not raise
 
     def on_message_begin(self) -> None:
         """Begin a request."""
         self._incoming, self._in_trailers = Exchange(self, self._handler), False
 
     def _in_parser(self) -> Exchange:
-        assert self._incoming is not None, "the parser begins a message before it tells of its parts"
+        assert self._incoming is not None, "the parser calls on_message_begin before any other callback of a message"
         return self._incoming
 
     def on_url(self, url: bytes) -> None:
-        """Collect the request's target."""
+        """Append to the request's target."""
         self._in_parser().request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header; trailers are not forwarded."""
+        """Store a header; trailers are dropped."""
         if not self._in_trailers:
             self._in_parser().request.headers.append((name, value))
 
@@ -118,51 +121,51 @@
             self.queue.append(incoming)
 
     def on_body(self, data: bytes) -> None:
-        """Hand a piece of the body to the exchange."""
+        """Pass body data to the exchange."""
         if self._rejection is None:
             self._in_parser().receive(data)
 
     def on_message_complete(self) -> None:
-        """Take note that the request has come in full."""
+        """Handle the end of a request."""
         if self._rejection is None:
             incoming = self._in_parser()
             incoming.keep = self._parser.should_keep_alive()
             incoming.body_complete()
             self._handler.body_received(incoming)
 
-    # What the exchange and the proxy want of it (`ClientSide`).
+    # Operations for the exchange and the proxy (`ClientSide`)
 
     def refuse(self, status: int, why: str) -> None:
-        """Read nothing after this; requests before it get their answers first."""
+        """Reject the incoming request once earlier ones have been answered; nothing more is read."""
         if self._rejection is not None:
             return
         self._rejection = Rejection(status, why)
         self._io.counters.add("requests_refused")
         incoming = self._incoming
         if incoming is not None and incoming in self.queue and not incoming.request.complete:
-            # Else it has an answer, or the beginning of one.
+            # No rejection is written into a response that has already begun.
             self._answers_rejection = incoming.stage is not Stage.ANSWERING
             self._handler.withdraw(incoming)
         self._begin_next_from_loop()
 
     def hold(self, held: bool) -> None:
-        """Read no further for now, as the node is behind; or go on."""
+        """Pause reading from the client while the node is slower than it, or resume it."""
         self._connection.read(not held and len(self.queue) <= 1)
 
     def write(self, data: bytes) -> None:
-        """Send bytes of an answer."""
+        """Send bytes of a response."""
         self._connection.write(data)
 
     def waiting(self) -> int:
-        """Return how many bytes the client has not taken yet."""
+        """Return the number of bytes that have not been written to the client's socket yet."""
         return self._connection.waiting()
 
     def close(self, why: str) -> None:
-        """End the connection."""
+        """Close the connection."""
         self._connection.close(why)
 
     def finished(self, exchange: Exchange) -> None:
-        """Take note that the first request has its answer."""
+        """Remove the first request, which has been answered, and begin the next or close the connection."""
         if not self.queue or self.queue[0] is not exchange:
             return
         self.queue.popleft()
@@ -177,17 +180,17 @@
             self._connection.read(len(self.queue) <= 1)
         self._begin_next_from_loop()
 
-    # The next request.
+    # The next request
 
     def _enter_state(self, state: ConnectionState) -> None:
         self._admission.enter_state(self._io.loop.now(), self.number, state)
 
     def _begin_next_from_loop(self) -> None:
-        """Begin the next request, but not at once, as the parser may be feeding."""
+        """Begin the next request from the event loop, as the parser may still be running."""
         self._io.loop.at(self._io.loop.now(), self._begin_next)
 
     def _begin_next(self) -> None:
-        """Begin the first request, if it has not begun; once all have their answers, reject what came last."""
+        """Begin the first request if it has not begun; once the queue is empty, send a pending rejection."""
         if self.queue and self.queue[0].stage is Stage.QUEUED and self._connection.open:
             self._enter_state(ConnectionState.BUSY)
             self._handler.begin(self.queue[0])
--- a/kestrelplank/reference_proxy/client_connections.py
+++ b/kestrelplank/reference_proxy/client_connections.py
@@ -1,4 +1,4 @@
-"""All connections of clients: accepted as `Admission` says, closed when they are late."""
+"""All client connections: accepted as `Admission` decides, and closed when they time out."""
 
 import socket
 
@@ -9,14 +9,14 @@
 from kestrelplank.sockets.connection import Listener
 from kestrelplank.time_units import MILLISECOND
 
-DESCRIPTOR_SHORTAGE_PAUSE_NS = 100 * MILLISECOND  # for which nobody is accepted
+DESCRIPTOR_SHORTAGE_PAUSE_NS = 100 * MILLISECOND  # without accepting connections
 REQUEST_TIMEOUT = 408
 
 
 class ClientConnections:
     """The listener, and the connections that it has accepted.
 
-    :param at: the address to listen at, or a listening socket.
+    :param at: the address to listen on, or a listening socket.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         decision = self._admission.connect(self._io.loop.now(), number, client)
         if decision.evicted is not None:
             counters.add("clients_pushed_out")
-            self.connections[decision.evicted].close("pushed out")
+            self.connections[decision.evicted].close("evicted for a new connection")
         if not decision.admitted:
             counters.add("clients_refused")
             sock.close()
@@ -46,12 +46,12 @@
         self._io.counters.trouble("accept_failed", why)
 
     def forget(self, client: ClientConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has closed."""
         self.connections.pop(client.number, None)
         self._admission.disconnect(client.number)
 
     def close_late(self) -> None:
-        """Close who sends no complete head in time, or nothing for too long."""
+        """Close connections that have not sent a complete head in time or have been idle for too long."""
         late = self._admission.late_connections(self._io.loop.now(), stopping=self._handler.stopping)
         for number, reason in late:
             client = self.connections.get(number)
@@ -63,6 +63,6 @@
             client.close(reason)
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         for client in list(self.connections.values()):
-            client.close("we end")
+            client.close("proxy shutting down")
--- a/kestrelplank/reference_proxy/client_request.py
+++ b/kestrelplank/reference_proxy/client_request.py
@@ -1,4 +1,4 @@
-"""One request as a client sent it: its head, the bytes of its body so far, and its form towards a node."""
+"""A client's request: its head, the body received so far, and its encoding for a node."""
 
 from typing import NamedTuple
 
@@ -14,14 +14,14 @@
 )
 from kestrelplank.state.sealed import digest_of
 
-DEADLINE_HEADER = b"X-Deadline-Ms"  # the time that the op has left, for the node
-REPLACED_HEADERS = (b"host", DEADLINE_HEADER.lower())  # written anew towards a node
+DEADLINE_HEADER = b"X-Deadline-Ms"  # sent to the node: time left until the op's deadline (ms)
+REPLACED_HEADERS = (b"host", DEADLINE_HEADER.lower())  # not forwarded, but set by the proxy
 
 
 class OpType(NamedTuple):
-    """An op type as the proxy needs it.
+    """An op type: its matching rule, and how its requests are handled.
 
-    A request is of the first op type whose `method` and `prefix` of the target match; an empty one matches any.
+    A request belongs to the first op type whose `method` and target `prefix` match; an empty one matches any.
     """
 
     name: str
@@ -36,7 +36,7 @@
 
 
 class Rejection(NamedTuple):
-    """An answer of the proxy's own in place of a node's; `may_retry`: the client may come again later."""
+    """A response that rejects a request; `may_retry`: the client may retry later."""
 
     status: int
     reason: str
@@ -44,11 +44,11 @@
 
 
 class ClientRequest:
-    """A request of which at least the first byte has come.
+    """A request of which at least the first byte has been received.
 
-    :ivar body: the pieces that have come, to be sent again; None once that is too much.
-    :ivar size: of the body so far, in bytes.
-    :ivar complete: whether all of it has come.
+    :ivar body: the body data received so far, kept for a retry; None once it exceeds the limit for that.
+    :ivar size: number of body bytes received so far.
+    :ivar complete: whether the request has been received completely.
     """
 
     __slots__ = ("method", "target", "version", "headers", "length", "chunked", "body", "size", "complete")
@@ -66,7 +66,7 @@
         return first_value(self.headers, name)
 
     def take_head(self, method: bytes, version: str, max_body_bytes: int) -> Rejection | None:
-        """Take note that all headers are there; return why the request can't be served, if so."""
+        """Complete the head once all headers are parsed; return a rejection if the request can't be served."""
         self.method, self.version = method, version
         self.length, self.chunked, problem = framing(self.headers)
         if problem:
@@ -82,15 +82,15 @@
         return None
 
     def expects_continue(self) -> bool:
-        """Whether the client waits for `100 Continue` before it sends the body."""
+        """Whether the client waits for `100 Continue` before sending the body."""
         return self.header(b"expect") is not None and not self.complete
 
     def encode_piece(self, data: bytes) -> bytes:
-        """Return a piece of the body as it goes to a node."""
+        """Return body data as it is sent to a node."""
         return render_chunk(data) if self.chunked else data
 
     def render(self, remaining_ms: int) -> bytes:
-        """Return the head towards a node, with the time that is left, and what of the body has come."""
+        """Return the head for a node, with the remaining time, and the body received so far."""
         own = [(DEADLINE_HEADER, b"%d" % remaining_ms), (b"Host", self.header(b"host") or b"")]
         headers = [(name, value) for name, value in end_to_end(self.headers) if name.lower() not in REPLACED_HEADERS]
         first_line = self.method + b" " + self.target + b" HTTP/1.1"
@@ -101,6 +101,6 @@
         return b"".join(parts)
 
     def digest(self) -> str:
-        """Return what tells one request with a key from another, in hexadecimal."""
+        """Return a hexadecimal digest that distinguishes different requests with the same idempotency key."""
         parts = self.method, self.target, b"".join(self.body or ())
         return digest_of(b"\0".join(parts))
--- a/kestrelplank/reference_proxy/core_settings.py
+++ b/kestrelplank/reference_proxy/core_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a proxy's file, as its parts take them."""
+"""Converts the settings of a proxy's file into the settings of its components."""
 
 from kestrelplank.load_balancing.admission import AdmissionSettings
 from kestrelplank.load_balancing.attempts import AttemptSettings
@@ -35,7 +35,7 @@
 
 
 def admission_settings(settings: ReferenceProxySettings) -> AdmissionSettings:
-    """Return how many connections of clients are held, and for how long."""
+    """Return the limits on the number and the age of client connections."""
     clients = settings.clients
     return AdmissionSettings(
         max_connections=clients.max_connections,
@@ -46,7 +46,7 @@
 
 
 def pool_settings(settings: ReferenceProxySettings) -> PoolSettings:
-    """Return the bounds of a node's connections."""
+    """Return the limits of the connection pool of one node."""
     nodes = settings.nodes
     return PoolSettings(
         max_connections=nodes.max_connections,
@@ -59,20 +59,20 @@
 
 
 def answer_cache_limits(settings: ReferenceProxySettings) -> CacheLimits:
-    """Return how many answers of deduplicated ops are kept."""
+    """Return the limits of the cache of deduplicated ops' responses."""
     clients = settings.clients
     return CacheLimits(clients.kept_answers, clients.kept_answers_bytes, clients.kept_answer_age_ns)
 
 
 def attempt_settings(settings: ReferenceProxySettings) -> AttemptSettings:
-    """Return how ops are attempted."""
+    """Return the time-outs and the node selection method of attempts."""
     attempts = settings.attempts
     timeouts_ns = [op_type.timeout_ns for op_type in settings.op_types.values()]
     return AttemptSettings(timeouts_ns, SelectionMethod(attempts.pick), attempts.hold_ns)
 
 
 def concurrency_limit_settings(settings: ReferenceProxySettings) -> ConcurrencyLimitSettings:
-    """Return how the limits of ops in flight at a node move."""
+    """Return the settings of the adaptive limits of ops in flight at a node."""
     attempts = settings.attempts
     return ConcurrencyLimitSettings(
         initial=attempts.first_limit,
@@ -83,7 +83,7 @@
 
 
 def zone_preference_settings(settings: ReferenceProxySettings) -> ZonePreferenceSettings:
-    """Return when other zones are used."""
+    """Return the settings of the choice between the proxy's own zone and other zones."""
     zones = settings.zones
     return ZonePreferenceSettings(
         spill_shares=tuple(map(parse_fraction, zones.spill_fractions)),
@@ -95,7 +95,7 @@
 
 
 def flap_damping_settings(settings: ReferenceProxySettings) -> FlapDampingSettings:
-    """Return how long a zone that comes and goes is held down."""
+    """Return for how long a flapping zone is kept out of use."""
     zones = settings.zones
     return FlapDampingSettings(
         window_ns=zones.loss_window_ns,
--- a/kestrelplank/reference_proxy/exchange.py
+++ b/kestrelplank/reference_proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange of the proxy: a client's request, its op, and the answer on its way back."""
+"""One exchange of the proxy: a client's request, its op, and the response."""
 
 from enum import Enum
 from typing import NamedTuple, Protocol
@@ -19,20 +19,20 @@
 from kestrelplank.sockets.loop import Timer
 from kestrelplank.time_units import MILLISECOND
 
-MAX_WAITING_BYTES = 1 << 18  # to be written on one side, from which on the other side is not read
-NOT_STARTED_HEADER = b"x-not-started"  # a node's own word that the op has not begun
+MAX_WAITING_BYTES = 1 << 18  # pending on one side; beyond it, reading from the other side is paused
+NOT_STARTED_HEADER = b"x-not-started"  # with status 503: the node states that it has not started the op
 SERVICE_UNAVAILABLE, FIRST_SERVER_ERROR = 503, 500
 
 
 class ExchangeLimits(NamedTuple):
     """Limits of one exchange.
 
-    :param head_bytes: of a request's head.
-    :param kept_body_bytes: of a request's body, to be sent again.
-    :param body_bytes: of a request's body at the most.
-    :param kept_answer_bytes: of an answer that is kept for a deduplicated op.
-    :param dial_timeout_ns: for a connection to a node to come up.
-    :param key_header: names a key.
+    :param head_bytes: maximum size of a request's head.
+    :param kept_body_bytes: maximum size of a request's body that is kept for a retry.
+    :param body_bytes: maximum size of a request's body.
+    :param kept_answer_bytes: maximum size of a response that is cached for a deduplicated op.
+    :param dial_timeout_ns: time limit for connecting to a node.
+    :param key_header: name of the header with the idempotency key, in lower case.
     """
 
     head_bytes: int = 1 << 15
@@ -44,71 +44,71 @@
 
 
 class Stage(Enum):
-    """How far an exchange has come; the request's body comes in beside that."""
+    """The progress of an exchange; the request's body may arrive at any stage."""
 
     READING_HEAD = "reading head"
     QUEUED = "queued"  # its head is complete
-    ASKED = "asked"  # its op was asked for
+    ASKED = "asked"  # the proxy has begun to handle the request
     ANSWERING = "answering"
     DONE = "done"
 
 
 class ClientSide(Protocol):
-    """The connection that a request came on."""
+    """The client's connection, as an exchange uses it."""
 
     def refuse(self, status: int, why: str) -> None:
-        """Answer that the request can't be served; nothing after it is read."""
+        """Reject the incoming request; nothing more is read."""
         ...
 
     def hold(self, held: bool) -> None:
-        """Read no further for now, as the node is behind; or go on."""
+        """Pause reading from the client while the node is slower than it, or resume it."""
         ...
 
     def write(self, data: bytes) -> None:
-        """Send bytes of an answer."""
+        """Send bytes of a response."""
         ...
 
     def waiting(self) -> int:
-        """Return how many bytes the client has not taken yet."""
+        """Return the number of bytes that have not been written to the client's socket yet."""
         ...
 
     def close(self, why: str) -> None:
-        """End the connection."""
+        """Close the connection."""
         ...
 
     def finished(self, exchange: "Exchange") -> None:
-        """Take note that the exchange has its answer."""
+        """Handle the end of the exchange's response."""
         ...
 
 
 class ExchangeOwner(Protocol):
-    """What an exchange needs of the proxy that it is in."""
+    """The proxy, as an exchange uses it."""
 
     limits: ExchangeLimits
     stopping: bool
 
     def now(self) -> int:
-        """Return the present instant (ns)."""
+        """Return the current time (ns)."""
         ...
 
     def attempt_ended(
         self, exchange: "Exchange", connection: NodeConnection, *, keep: bool, outcome: AttemptOutcome
     ) -> None:
-        """Take the end of an attempt by the node's doing; `keep`: its connection may be used again."""
+        """Handle the end of an attempt by the node; `keep`: its connection may be reused."""
         ...
 
 
 class Exchange:
-    """The sink of its node's connection (`reference_proxy/node_connection.py`).
-
-    :ivar number: its op's.
-    :ivar op_type: the index of its op type.
-    :ivar key: that of a deduplicated op while it holds one.
-    :ivar deadline: the instant at which its client stops waiting.
-    :ivar keep: whether the client's connection may be kept after the answer.
-    :ivar node: the node that its attempt is for.
-    :ivar connection: the one that its attempt is on.
-    :ivar record: of an answer that is to be kept; None for any other, or once it is too long.
+    """A request and its response; the sink of the node's connection (`reference_proxy/node_connection.py`).
+
+    :ivar number: number of its op.
+    :ivar op_type: index of its op type.
+    :ivar key: idempotency key of a deduplicated op; empty without one, or once it is released.
+    :ivar deadline: time at which the client stops waiting (ns).
+    :ivar keep: whether the client's connection may stay open after the response.
+    :ivar node: node of the current attempt.
+    :ivar connection: connection of the current attempt.
+    :ivar record: bytes of a response that is to be cached; None if it is not, or is too long.
     """
 
     def __init__(self, client: ClientSide, owner: ExchangeOwner) -> None:
@@ -122,15 +122,15 @@
         self.connection: NodeConnection | None = None
         self.record: list[bytes] | None = None
         self._recorded_bytes = self._status = 0
-        self._not_started = False  # the node's answer says so, and is not forwarded
+        self._not_started = False  # the node has not started the op; its response is not forwarded
         self._sends_chunks = False
-        self._answered_early = False  # before the request had come: the rest of it goes nowhere
+        self._answered_early = False  # before the request was complete: the rest of it is dropped
         self._unwritten: list[bytes] = []
 
-    # From the client.
+    # Data from the client
 
     def receive(self, data: bytes) -> None:
-        """Take a piece of the request's body."""
+        """Handle data of the request's body."""
         request, limits = self.request, self._owner.limits
         request.size += len(data)
         if request.size > limits.body_bytes:
@@ -146,25 +146,25 @@
             if connection.waiting() > MAX_WAITING_BYTES:
                 self.client.hold(True)
         elif request.size > limits.kept_body_bytes:
-            self.client.hold(True)  # until some node takes it
+            self.client.hold(True)  # until the request is sent to a node
 
     def body_complete(self) -> None:
-        """Take note that the request's body has come."""
+        """Handle the end of the request's body."""
         self.request.complete = True
         connection = self._connection_in_use()
         if self.request.chunked and connection is not None and not self._answered_early:
             connection.write(LAST_CHUNK)
 
     def _connection_in_use(self) -> NodeConnection | None:
-        """Return the connection to the node that has been sent the beginning of this request, and answers it."""
+        """Return the connection on which this request has been begun and its response is expected."""
         connection = self.connection
         return connection if connection is not None and connection.written and connection.sink is self else None
 
-    # To a node.
+    # Sending to a node
 
     def send(self, connection: NodeConnection) -> None:
-        """Send the head, and what of the body has come."""
-        assert self.op is not None, "only a request whose op was asked for is sent"
+        """Send the head and the body received so far."""
+        assert self.op is not None, "only a request with a submitted op is sent"
         self.connection = connection
         remaining_ms = max(1, (self.op.deadline - self._owner.now()) // MILLISECOND)
         connection.begin(self, self.request.render(remaining_ms), without_body=self.request.method == b"HEAD")
@@ -173,17 +173,17 @@
         self.client.hold(False)
 
     def is_repeatable(self) -> bool:
-        """Whether the complete request could be sent once more."""
+        """Whether the request can be sent again, as its body has been kept."""
         return self.request.body is not None
 
     def forget_attempt(self) -> None:
-        """Forget the last attempt, as another may follow."""
+        """Reset the state of the last attempt, as another may follow."""
         self._not_started = False
 
-    # From the node (`AnswerSink`).
+    # Data from the node (`AnswerSink`)
 
     def on_head(self, status: int, reason: bytes, headers: list[Header], length: int | None, chunked: bool) -> None:
-        """Forward the answer's head, unless the node has not started the op."""
+        """Forward the response's head, unless the node has not started the op."""
         self._status = status
         if status == SERVICE_UNAVAILABLE and first_value(headers, NOT_STARTED_HEADER) is not None:
             self._not_started = True
@@ -191,11 +191,11 @@
         self.stage, self._answered_early = Stage.ANSWERING, not self.request.complete
         in_chunks = chunked and self.request.method != b"HEAD" and status not in STATUSES_WITHOUT_BODY
         self._sends_chunks = in_chunks and self.request.version == "1.1"
-        until_close = in_chunks and not self._sends_chunks  # HTTP/1.0: the end of the connection is the answer's end
+        until_close = in_chunks and not self._sends_chunks  # HTTP/1.0: the response ends with the connection
         self.keep = self.keep and self.request.complete and not self._owner.stopping and not until_close
         first_line = b"HTTP/1.1 %d %s" % (status, reason)
         forwarded, announced_length = end_to_end(headers), None if in_chunks else length
-        if self.record is not None:  # without what is said of this connection alone
+        if self.record is not None:  # without the Connection header
             has_end = length is not None or self._sends_chunks
             kept = render_head(first_line, forwarded, announced_length, chunked=self._sends_chunks)
             self.record = [kept] if has_end else None
@@ -204,12 +204,12 @@
         self._unwritten.append(head)
 
     def on_body(self, data: bytes) -> None:
-        """Forward a piece of the answer's body."""
+        """Forward data of the response's body."""
         if not self._not_started:
             self._write(render_chunk(data) if self._sends_chunks else data)
 
     def flush(self) -> None:
-        """Write what one read of the node brought in one piece."""
+        """Write the data of one read from the node to the client in one call."""
         if not self._unwritten:
             return
         data = b"".join(self._unwritten)
@@ -219,7 +219,7 @@
             self.connection.read(False)
 
     def on_complete(self, keep: bool) -> None:
-        """Take the answer's end."""
+        """Handle the end of the response."""
         if self._sends_chunks and not self._not_started:
             self._write(LAST_CHUNK)
         self.flush()
@@ -230,8 +230,8 @@
             outcome = AttemptOutcome.FAILED if failed else AttemptOutcome.SUCCEEDED
         self._end_attempt(keep=keep and self.request.complete, outcome=outcome)
 
-    def on_lost(self, why: str) -> None:  # noqa: ARG002 - as the connection calls it
-        """Take the end of the connection before the answer's."""
+    def on_lost(self, why: str) -> None:  # noqa: ARG002 - the connection's callback signature
+        """Handle the loss of the connection before the response is complete."""
         assert self.connection is not None
         if not self.connection.written:
             outcome = AttemptOutcome.UNSENT
@@ -244,7 +244,7 @@
 
     def _end_attempt(self, *, keep: bool, outcome: AttemptOutcome) -> None:
         connection, self.connection = self.connection, None
-        assert connection is not None, "an answer comes on the connection of the attempt"
+        assert connection is not None, "a response arrives on the connection of the attempt"
         self._owner.attempt_ended(self, connection, keep=keep, outcome=outcome)
 
     def _write(self, data: bytes) -> None:
@@ -255,9 +255,9 @@
                 self.record = None
         self._unwritten.append(data)
 
-    # From the proxy itself.
+    # Responses of the proxy itself
 
     def answer(self, data: bytes) -> None:
-        """Send an answer of the proxy's own, or one that was kept."""
+        """Send a response that the proxy has generated or cached."""
         self.stage = Stage.ANSWERING
         self.client.write(data)
--- a/kestrelplank/reference_proxy/http_messages.py
+++ b/kestrelplank/reference_proxy/http_messages.py
@@ -1,14 +1,15 @@
-"""HTTP/1.1 messages on both sides of the proxy: heads, framing, and what is never forwarded.
+"""HTTP/1.1 messages on both sides of the proxy: heads, framing and hop-by-hop headers.
 
-httptools parses, and refuses what could be read in two ways: two lengths, a length beside chunks, a bare LF, a folded
-line, white space before a colon. What it lets through and we do not is rejected here.
+httptools parses messages and rejects ambiguous ones: two Content-Length headers, Content-Length together with chunked
+coding, a bare LF, a folded header line, white space before a colon. This module rejects further messages that httptools
+accepts.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 HOP_BY_HOP = frozenset(
-    (  # looked up, never walked
+    (
         b"connection",
         b"keep-alive",
         b"proxy-connection",
@@ -53,13 +54,16 @@
 
 
 def end_to_end(headers: list[Header]) -> list[Header]:
-    """Return the headers that are for the other end: none that belong to one connection (RFC 9110, section 7.6.1)."""
+    """Return the headers to forward, without hop-by-hop headers (RFC 9110, section 7.6.1)."""
     named = list_values(headers, b"connection")
     return [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP and name.lower() not in named]
 
 
 class Framing(NamedTuple):
-    """How a message's body is delimited; `problem` says why it can't be read, and is empty where it can."""
+    """How a message's body is delimited.
+
+    :ivar problem: why the framing is not supported; empty if it is.
+    """
 
     length: int | None
     chunked: bool
@@ -67,7 +71,7 @@
 
 
 def framing(headers: list[Header]) -> Framing:
-    """Return the framing of a head that the parser let through."""
+    """Return the framing of a head that the parser has accepted."""
     coding = list_values(headers, b"transfer-encoding")
     length = first_value(headers, b"content-length")
     if coding and coding != [b"chunked"]:
@@ -78,7 +82,10 @@
 def render_head(
     first_line: bytes, headers: Iterable[Header], length: int | None, *, chunked: bool, more: Iterable[Header] = ()
 ) -> bytes:
-    """Return a head as it goes out, with framing of its own."""
+    """Return the bytes of a head.
+
+    :param headers: without framing headers, which are added by `length` and `chunked`.
+    """
     lines = [first_line, *(name + b": " + value for name, value in (*headers, *more))]
     if chunked:
         lines.append(b"Transfer-Encoding: chunked")
@@ -88,7 +95,7 @@
 
 
 def render_chunk(data: bytes) -> bytes:
-    """Return a piece of a body in the chunked coding (RFC 9112, section 7.1)."""
+    """Return body data as one chunk of the chunked coding (RFC 9112, section 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -96,9 +103,9 @@
 
 
 def own_answer(status: int, text: str, *, keep: bool, more: Iterable[Header] = ()) -> bytes:
-    """Return an answer of the proxy's own: a line of text.
+    """Return a response that the proxy itself generates: one line of text.
 
-    :param keep: whether the client's connection is kept after it.
+    :param keep: whether the client's connection stays open after it.
     """
     body = text.encode() + b"\n"
     extra = (*more, *(() if keep else (CLOSE_HEADER,)))
--- a/kestrelplank/reference_proxy/keyed_requests.py
+++ b/kestrelplank/reference_proxy/keyed_requests.py
@@ -1,4 +1,4 @@
-"""Requests with a key, of deduplicated op types: one of them runs, the others get its answer."""
+"""Deduplicated requests: of those with the same idempotency key, one is forwarded and the others get its response."""
 
 from dataclasses import dataclass
 
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """The request is the first with its key: its op is asked for."""
+    """The request is the first with its key and is to be forwarded."""
 
 
 @dataclass(frozen=True, slots=True)
 class AwaitFirst:
-    """The first with its key is in progress: the request gets what that one gets."""
+    """The first request with the key is in progress; this request waits for its response."""
 
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """The request gets this answer, which the first one got."""
+    """The request gets the response of the first request with its key."""
 
     answer: bytes
 
@@ -37,13 +37,13 @@
 
 
 class KeyedRequests:
-    """The exchanges that hold a key: each from `look_up` until it is settled or released."""
+    """The exchanges with an idempotency key, from `look_up` until `settle` or `release`."""
 
     def __init__(self, answers: IdempotencyCache, counters: Counters) -> None:
         self._answers, self._counters = answers, counters
 
     def look_up(self, now: int, exchange: Exchange, max_body_bytes: int) -> KeyDecision:
-        """Return what becomes of a request that has come in full."""
+        """Return how to handle a request that has been received completely."""
         if exchange.request.size > max_body_bytes:
             exchange.key = ""
             return TOO_LONG
@@ -61,9 +61,9 @@
     def settle(
         self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None
     ) -> tuple[list[int], Replay | Rejection]:
-        """Take the end of the first one's op; return the numbers of those who wait for it, and what they get.
+        """Handle the end of a forwarded request's op; return the numbers of the waiting exchanges and their response.
 
-        :param answer: the one that it had, if any.
+        :param answer: the op's response, if any.
         """
         key, exchange.key = exchange.key, ""
         if answer:
@@ -73,7 +73,7 @@
         return self._answers.handle_failed(key, may_have_run), MAY_HAVE_RUN if may_have_run else FIRST_REJECTED
 
     def release(self, exchange: Exchange) -> None:
-        """Let an exchange no longer wait for the first one."""
+        """End an exchange's wait for the first request with its key."""
         if exchange.key:
             self._answers.cancel_wait(exchange.key, exchange.number)
             exchange.key = ""
--- a/kestrelplank/reference_proxy/node_connection.py
+++ b/kestrelplank/reference_proxy/node_connection.py
@@ -1,4 +1,4 @@
-"""A connection of the proxy to a node: one op at a time, its answer parsed for an `AnswerSink`."""
+"""A connection from the proxy to a node: sends one request at a time and parses its response for an `AnswerSink`."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -17,36 +17,37 @@
 
 
 class AnswerSink(Protocol):
-    """Who an answer is for."""
+    """Receives the parts of a response."""
 
     def on_head(self, status: int, reason: bytes, headers: list[Header], length: int | None, chunked: bool) -> None:
-        """Take the answer's head."""
+        """Handle the response's head."""
         ...
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the answer's body."""
+        """Handle data of the response's body."""
         ...
 
     def flush(self) -> None:
-        """Write out what one read of the node brought."""
+        """Write out the data of one read from the node."""
         ...
 
     def on_complete(self, keep: bool) -> None:
-        """Take the answer's end; `keep`: the node lets the connection be used again."""
+        """Handle the end of the response; `keep`: the connection may be reused."""
         ...
 
     def on_lost(self, why: str) -> None:
-        """Take the end of the connection before the answer's."""
+        """Handle the loss of the connection before the response is complete."""
         ...
 
 
 class NodeConnection:
-    """One connection that was dialled.
+    """An outgoing connection to a node.
 
-    :param dial_timeout_ns: time to come up.
-    :param on_up: called once it can be written to.
+    :param dial_timeout_ns: time limit for establishing the connection.
+    :param on_up: called once the connection is established.
     :param on_ended: called when it has closed.
-    :ivar written: whether any byte of the present op has been handed over; else the node has seen nothing of it.
+    :ivar written: whether any byte of the current request has been passed to the connection; if not, the node has seen
+        nothing of the request.
     """
 
     def __init__(
@@ -70,13 +71,16 @@
         self._headers: list[Header] = []
         self._reason, self._head_bytes, self._head_complete = b"", 0, False
         self._without_body = without_body
-        self._complete: bool | None = None  # its answer has come; whether the node lets the connection be used again
+        self._complete: bool | None = None  # once the response is complete: whether the connection may be reused
         self._ends_with_connection, self._problem = False, ""
 
-    # What the proxy wants of it.
+    # Operations for the proxy
 
     def begin(self, sink: AnswerSink, data: bytes, *, without_body: bool) -> None:
-        """Send the beginning of a request; `without_body`: its answer has none whatever it announces (HEAD)."""
+        """Send the beginning of a request.
+
+        :param without_body: the response has no body even if its head announces a length (HEAD).
+        """
         self._expect_answer(without_body=without_body)
         self.sink, self.written = sink, True
         self._connection.write(data)
@@ -86,37 +90,37 @@
         self._connection.write(data)
 
     def waiting(self) -> int:
-        """Return how many bytes the node has not taken yet."""
+        """Return the number of bytes that have not been written to the node's socket yet."""
         return self._connection.waiting()
 
     def read(self, enabled: bool) -> None:
-        """Read on, or not, so that the node is held up."""
+        """Resume or pause reading from the node."""
         self._connection.read(enabled)
 
     def on_drained(self, callback: Callable[[], None]) -> None:
-        """Call the callback whenever all that waited has been written."""
+        """Set the callback for when all pending bytes have been written."""
         self._connection.on_drained = callback
 
     def finish_op(self) -> None:
-        """Forget the op, as it is over; the connection may take another."""
+        """Detach the finished op, so that the connection can take another."""
         self.sink, self.written = None, False
 
     def close(self, why: str) -> None:
-        """End the connection."""
+        """Close the connection."""
         self.closed = True
         self._connection.close(why)
 
-    # The connection's callbacks.
+    # Callbacks of the socket connection
 
     def on_open(self) -> None:
-        """Take note that it is up."""
+        """Handle the established connection."""
         self.is_up = True
         self._on_up(self)
 
     def on_data(self, data: memoryview) -> None:
-        """Parse what has come, and tell the sink of it."""
+        """Parse received bytes and pass them to the sink."""
         if self.sink is None:
-            self.close("an answer to nothing")
+            self.close("data received without a request")
             return
         if not self._head_complete:
             self._head_bytes += len(data)
@@ -125,18 +129,18 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as err:
             self._problem = self._problem or f"unreadable: {err}"
         if not self._head_complete and self._head_bytes > MAX_HEAD_BYTES:
-            self._problem = "its head is too long"
+            self._problem = "response head too long"
         if self.sink is not None:
             self.sink.flush()
-        # Not from inside the parser: whoever hears of the end may send the next op on this connection at once, and
-        # what the node wrote behind its answer must not be taken for that op's.
+        # Not from inside the parser: the sink may send the next request on this connection at once, and bytes that the
+        # node sent after this response must not be parsed as the next one.
         if self._complete is not None:
             self._finish(self._complete and not self._problem)
         elif self._problem and not self.closed:
             self.close(self._problem)
 
     def on_close(self, why: str) -> None:
-        """Tell the sink, if an answer is missing, and the owner."""
+        """Notify the sink, if its response is incomplete or ends with the connection, and the owner."""
         self.closed = True
         if self.sink is not None:
             sink, self.sink = self.sink, None
@@ -146,29 +150,29 @@
                 sink.on_lost(why)
         self._on_ended(self)
 
-    # The parser's callbacks.
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Begin a head; there may be but one final answer."""
+        """Begin a response head; only one final response is allowed."""
         self._headers, self._reason = [], b""
         if self._head_complete:
-            self._problem = "a second answer"
+            self._problem = "second response to one request"
 
     def on_status(self, reason: bytes) -> None:
-        """Collect the reason phrase."""
+        """Append to the reason phrase."""
         self._reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header; trailers are not forwarded."""
+        """Store a header; trailers are dropped."""
         if not self._head_complete:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Hand the head of a final answer on; a provisional one is for us alone."""
+        """Forward the head of a final response; informational (1xx) responses are dropped."""
         status = self._parser.get_status_code()
         if status < FIRST_FINAL_STATUS or self._problem:
             if status == SWITCHING_PROTOCOLS:
-                self._problem = "it switches protocols unasked"
+                self._problem = "unrequested protocol switch"
             return
         framed = framing(self._headers)
         if framed.problem:
@@ -188,12 +192,12 @@
             self._complete = False
 
     def on_body(self, data: bytes) -> None:
-        """Hand a piece of the body on."""
+        """Forward data of the body."""
         if self.sink is not None and self._head_complete and not self._problem and not self._without_body:
             self.sink.on_body(data)
 
     def on_message_complete(self) -> None:
-        """Take note of the answer's end."""
+        """Record that the response is complete."""
         if self._head_complete and not self._problem:
             self._complete = self._parser.should_keep_alive()
 
--- a/kestrelplank/reference_proxy/node_connections.py
+++ b/kestrelplank/reference_proxy/node_connections.py
@@ -1,4 +1,4 @@
-"""The proxy's connections to nodes, in one `ConnectionPool` a node, and the exchanges that wait for one of them."""
+"""The proxy's connections to nodes, with a `ConnectionPool` for each node, and the exchanges that wait for one."""
 
 from collections import deque
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 class NodeConnections:
     """All connections to nodes.
 
-    :param addresses: by node.
-    :param on_failed: called with an exchange and the outcome of an attempt that ended before anything of it was sent.
+    :param addresses: by node index; the caller may change them.
+    :param on_failed: called with an exchange and the outcome when an attempt ends before anything of it was sent.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
         self._on_failed = on_failed
         self._last_number = 0
         self.pools: dict[int, ConnectionPool] = {}  # by node
-        self.connections: dict[int, NodeConnection] = {}  # those that are up, by number
-        self.waiting: dict[int, deque[Exchange]] = {}  # for a connection, by node
+        self.connections: dict[int, NodeConnection] = {}  # established ones, by number
+        self.waiting: dict[int, deque[Exchange]] = {}  # exchanges waiting for a connection, by node
 
     def send(self, exchange: Exchange, node: int) -> None:
-        """Begin an attempt of the exchange at that node, on a connection kept or new; it waits where all are busy."""
+        """Begin an attempt at that node, on a pooled or a new connection; wait if the pool is exhausted."""
         exchange.node = node
         now = self._loop.now()
         pool = self.pools.get(node)
@@ -55,15 +55,15 @@
             exchange.send(self.connections[connection])
 
     def release(self, node: int, connection: NodeConnection, keep: bool) -> None:
-        """Take back a connection whose attempt has ended; `keep`: it may be used again."""
+        """Release the connection of an attempt that has ended; `keep`: it may be reused."""
         if not connection.closed and connection.number in self.connections:
             connection.finish_op()
             self._give_back(node, connection, keep)
 
     def detach(self, exchange: Exchange) -> NodeConnection | None:
-        """Part an exchange from its attempt.
+        """Detach an exchange from its attempt.
 
-        Return the connection that the attempt is on, if it is still open: to be closed, as an answer may yet come.
+        Return the attempt's connection if it is still open. The caller has to close it, as a response may still arrive.
         """
         connection, exchange.connection = exchange.connection, None
         if exchange.node is not None and exchange in self.waiting.get(exchange.node, ()):
@@ -75,7 +75,7 @@
         return None if connection.closed else connection
 
     def use_only(self, nodes: dict[int, None]) -> None:
-        """Let only these nodes get new attempts; those in flight at others may end by themselves."""
+        """Withdraw all other nodes: they get no new attempts, while attempts in flight there may finish."""
         now = self._loop.now()
         for node, pool in self.pools.items():
             if node in nodes:
@@ -87,17 +87,17 @@
                     self._on_failed(exchange, AttemptOutcome.UNSENT)
 
     def close_late(self) -> None:
-        """Close connections that have been idle too long, or whose ops outlive the grace of a withdrawn node."""
+        """Close connections that have been idle too long, or are busy beyond a withdrawn node's grace period."""
         now = self._loop.now()
         for pool in self.pools.values():
             for number in pool.expire_idle(now) + pool.overdue(now):
                 if number in self.connections:
-                    self.connections[number].close("idle, or past the grace")
+                    self.connections[number].close("idle time-out, or withdrawn node's grace period over")
 
     def close(self) -> None:
         """Close all connections."""
         for connection in list(self.connections.values()):
-            connection.close("we end")
+            connection.close("proxy shutting down")
 
     def _dial(self, exchange: Exchange, node: int, pool: ConnectionPool) -> None:
         if node not in self._addresses:
@@ -116,26 +116,26 @@
                 lambda connection: self._ended(exchange, node, connection),
             )
             connection.on_drained(lambda: self._drained(connection))
-        except OSError as err:  # short of descriptors
+        except OSError as err:  # out of file descriptors
             self._counters.trouble("dials_failed", err)
             pool.dial_failed()
             self._on_failed(exchange, AttemptOutcome.REFUSED)
 
     def _dialled(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
-        """Take a connection that was dialled for the exchange, now that it can be written to."""
+        """Handle an established connection that was opened for the exchange."""
         pool = self.pools[node]
         pool.dial_succeeded(connection.number)
         self.connections[connection.number] = connection
         if self._is_attempted_at(exchange, node) and pool.withdrawn_at is None:
             exchange.send(connection)
             return
-        # Abandoned meanwhile, or the node was withdrawn while it was dialled: nothing has been sent.
+        # The attempt was abandoned, or the node withdrawn, during connection setup: nothing has been sent.
         self._give_back(node, connection, True)
         if self._is_attempted_at(exchange, node):
             self._on_failed(exchange, AttemptOutcome.UNSENT)
 
     def _ended(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
-        """Take the end of a connection, or that it did not come up for the exchange that it was dialled for."""
+        """Handle a closed connection, or one that could not be established for the exchange."""
         pool = self.pools[node]
         if connection.is_up:
             if self.connections.pop(connection.number, None) is not None:
@@ -148,7 +148,7 @@
         self._next_waiting(node)
 
     def _drained(self, connection: NodeConnection) -> None:
-        """Read the client again, as the node has taken what waited for it."""
+        """Resume reading from the client, as all bytes for the node have been written."""
         sink = connection.sink
         if connection.number in self.connections and isinstance(sink, Exchange) and not sink.request.complete:
             sink.client.hold(False)
@@ -156,11 +156,11 @@
     def _give_back(self, node: int, connection: NodeConnection, keep: bool) -> None:
         if not self.pools[node].release(self._loop.now(), connection.number, keep):
             del self.connections[connection.number]
-            connection.close("done with")
+            connection.close("not reused")
         self._next_waiting(node)
 
     def _next_waiting(self, node: int) -> None:
-        """Begin the attempt that waits longest, as there may be a connection to the node."""
+        """Begin the attempt that has waited longest, as a connection may be available."""
         waiting = self.waiting.get(node)
         if waiting:
             exchange = waiting.popleft()
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -1,4 +1,4 @@
-"""`kestrelplank relay --config FILE`: a reference proxy as a process, its signals, and its successor."""
+"""`kestrelplank relay --config FILE`: the reference proxy as a process, with signals and handover to a successor."""
 
 import signal
 import sys
@@ -18,14 +18,14 @@
 from kestrelplank.time_units import MILLISECOND
 
 BUFFER_BYTES, BUFFERS = 1 << 16, 64
-IDLE_CHECK_INTERVAL_NS = 20 * MILLISECOND  # between looks whether all clients are gone, while it stops
+IDLE_CHECK_INTERVAL_NS = 20 * MILLISECOND  # between checks whether all clients have gone, during shutdown
 CANNOT_LISTEN, UNUSABLE_SETTINGS = 1, 2  # exit codes
 
 
 class Program:
-    """A proxy that takes signals, may take over a predecessor's socket, and hands its own to a successor.
+    """A proxy process: handles signals, may take over a predecessor's socket, and passes its own to a successor.
 
-    :raises OSError: where it can't listen.
+    :raises OSError: it can't listen.
     """
 
     def __init__(self, loop: Loop, counters: Counters, path: str, settings: ReferenceProxySettings) -> None:
@@ -43,7 +43,7 @@
             self._successor = SuccessorListener(loop, successor_path, descriptor, lambda: self.stop("successor"))
 
     def run(self) -> None:
-        """Run until told to stop, and then until requests in progress have their answers."""
+        """Run until stopped, and then until the requests in progress have been answered."""
         handlers: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self.stop,
             signal.SIGINT: self.stop,
@@ -68,7 +68,7 @@
         self._report()
 
     def stop(self, why: str = "signal") -> None:
-        """Take no new connection, and end once all are closed, or that has taken long enough."""
+        """Accept no new connections, and end once all are closed or the stop time-out has passed."""
         self._counters.info("stopping", why=why)
         self._reference_proxy.proxy.stop()
         self._end_when_idle(self._loop.now() + self._stop_timeout_ns)
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -1,9 +1,9 @@
-"""The proxy: clients on one side, nodes on the other, and between them one exchange an op.
+"""The proxy: takes requests from clients, forwards them to nodes, with one exchange for each op.
 
-What is decided comes from the cores: `Admission` holds client connections, `Attempts` ops and their attempts, a
-`ConnectionPool` a node's connections, `IdempotencyCache` the answers of deduplicated ops. Here ops are led from their
-request to their answer; bytes are moved by `client_connection`, `exchange` and `node_connections`, bounded on both
-sides: who does not read holds up who writes.
+Decisions are made by components without I/O: `Admission` for client connections, `Attempts` for ops and their attempts,
+a `ConnectionPool` for each node's connections, and `IdempotencyCache` for responses of deduplicated ops. `Proxy` takes
+each op from request to response. `client_connection`, `exchange` and `node_connections` move the bytes, with bounded
+buffers and backpressure in both directions.
 """
 
 import socket
@@ -30,15 +30,15 @@
 from kestrelplank.state.tables import Tables
 from kestrelplank.time_units import MILLISECOND
 
-SWEEP_INTERVAL_NS = 100 * MILLISECOND  # between looks for connections that are late
-LONG_QUEUE = 1 << 10  # ops that wait, at which who is rejected is told to come again twice as late
+SWEEP_INTERVAL_NS = 100 * MILLISECOND  # between checks for connections that have timed out
+LONG_QUEUE = 1 << 10  # waiting ops at which the delay in Retry-After is doubled
 NO_OP_TYPE = Rejection(501, "no op type has this method and target")
 HEALTH_TARGET = b"/health"
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyCores:
-    """What decides for a proxy, without I/O."""
+    """The components without I/O that make a proxy's decisions."""
 
     tables: Tables
     attempts: Attempts
@@ -48,11 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyHooks:
-    """What a proxy asks and tells its owner.
+    """A proxy's callbacks to its owner.
 
-    :param table_of: returns the table of a request.
-    :param on_attempt: called at each attempt's end with table, node, op type, success and ns.
-    :param on_op: called at each op's end with table, op type and verdict.
+    :param table_of: returns the table that a request is routed by.
+    :param on_attempt: called when an attempt ends, with table, node, op type, success and latency (ns).
+    :param on_op: called when an op ends, with table, op type and verdict.
     """
 
     table_of: Callable[[ClientRequest], int]
@@ -61,12 +61,12 @@
 
 
 class Proxy:
-    """A proxy; it is what its clients' connections call `RequestHandler`.
+    """A proxy; the `RequestHandler` of its client connections.
 
-    Invariant: every op that was asked for ends once, and nothing is held after it (`Site.close` in the tests).
+    Invariant: every submitted op ends exactly once and then holds no resources (checked by `Site.close` in the tests).
 
-    :param at: the address to listen at, or a listening socket.
-    :param addresses: of nodes, by number; may change.
+    :param at: the address to listen on, or a listening socket.
+    :param addresses: node addresses by node index; the caller may change them.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self._tables, self._attempts, self.admission = cores.tables, cores.attempts, cores.admission
         self._op_types, self.limits, self.stopping = op_types, limits, False
         self.outcomes: Counter[str] = Counter()
-        self.exchanges: dict[int, Exchange] = {}  # by number
+        self.exchanges: dict[int, Exchange] = {}  # by op number
         self._last_number = 0
         self._keyed = KeyedRequests(cores.answers, io.counters)
         self.nodes = NodeConnections(
@@ -95,16 +95,16 @@
         self._timer = io.loop.at(io.loop.now() + SWEEP_INTERVAL_NS, self._sweep)
 
     def reconfigure(self, op_types: list[OpType], limits: ExchangeLimits) -> None:
-        """Use these for what comes from now on."""
+        """Use these settings for requests that arrive from now on."""
         self._op_types, self.limits = op_types, limits
         self.nodes.dial_timeout_ns = limits.dial_timeout_ns
 
     def now(self) -> int:
-        """Return the present instant (ns)."""
+        """Return the current time (ns)."""
         return self._loop.now()
 
     def tables_changed(self, tables: list[int]) -> None:
-        """Let ops go that wait for a node of these tables; nodes that no table names get nothing more."""
+        """Resume ops that wait for an endpoint in these tables; withdraw nodes that no table names."""
         for op, step in self._attempts.tables_changed(self._loop.now(), tables):
             self._act(self.exchanges[op.number], step)
         self._settle()
@@ -113,10 +113,10 @@
             named.update((node, None) for node, _ in self._tables.available(table))
         self.nodes.use_only(named)
 
-    # Requests (`RequestHandler`).
+    # Requests (`RequestHandler`)
 
     def begin(self, exchange: Exchange) -> None:
-        """Take a request whose head is complete, and which is the first on its connection."""
+        """Start a request whose head is complete and that is the first in its connection's queue."""
         request = exchange.request
         exchange.stage = Stage.ASKED
         self._last_number += 1
@@ -146,19 +146,19 @@
             self._look_up(exchange)
 
     def body_received(self, exchange: Exchange) -> None:
-        """Look a request with a key up, now that its body has come in full."""
+        """Look up a request's idempotency key, which needs the complete body."""
         if exchange.stage is Stage.ASKED and exchange.key and exchange.op is None:
             self._look_up(exchange)
 
     def client_closed(self, client: ClientConnection) -> None:
-        """Withdraw the requests of a client whose connection has ended."""
+        """Cancel the requests of a client whose connection has closed."""
         self.clients.forget(client)
         for exchange in list(client.queue):
             self.withdraw(exchange)
         client.queue.clear()
 
     def withdraw(self, exchange: Exchange) -> None:
-        """Abandon a request for which nobody waits any more, or of which the rest will never come."""
+        """Abandon a request whose client has gone, or whose remaining bytes will not arrive."""
         if exchange.op is not None:
             self.outcomes["gone"] += 1
             self._abandon_attempt(exchange, EndReason.CALLER_GONE)
@@ -178,7 +178,7 @@
             self._answer_by_key(exchange, decision)
 
     def _time_out(self, exchange: Exchange) -> None:
-        """Answer that the op has timed out."""
+        """End an op whose deadline has passed."""
         if exchange.number not in self.exchanges:
             return
         if exchange.op is None:
@@ -189,7 +189,7 @@
         self._act(exchange, self._attempts.abandon(self._loop.now(), exchange.op))
         self._settle()
 
-    # Answers that are not a node's.
+    # Responses that do not come from a node
 
     def _answer_by_key(self, exchange: Exchange, decision: KeyDecision) -> None:
         if isinstance(decision, Replay):
@@ -217,13 +217,13 @@
         exchange.client.finished(exchange)
 
     def _release(self, exchange: Exchange) -> None:
-        """Let an exchange wait no longer for another's answer, or for its own body."""
+        """Remove an exchange that has no op: cancel its timer and its wait for another request with the same key."""
         self.exchanges.pop(exchange.number, None)
         if exchange.timer is not None:
             exchange.timer.cancel()
         self._keyed.release(exchange)
 
-    # Ops.
+    # Ops
 
     def _submit(self, exchange: Exchange) -> None:
         now, table = self._loop.now(), self._hooks.table_of(exchange.request)
@@ -242,7 +242,7 @@
             self._end(exchange, step.verdict, step.reason)
 
     def _settle(self) -> None:
-        """Act on what the last calls of `Attempts` have settled of other ops."""
+        """Carry out the steps that the last calls of `Attempts` produced for other ops."""
         for op, step in self._attempts.take_settled(self._loop.now()):
             if op.number in self.exchanges:
                 self._act(self.exchanges[op.number], step)
@@ -255,7 +255,7 @@
         self._loop.at(until, expire)
 
     def _end(self, exchange: Exchange, verdict: Verdict, reason: EndReason | AttemptOutcome) -> None:
-        """End an op; unless its answer is on its way, the proxy gives one."""
+        """End an op; the proxy sends a response unless a node's response is already being forwarded."""
         self.outcomes[verdict] += 1
         answered = verdict is Verdict.ACKED or reason is AttemptOutcome.FAILED
         complete = exchange.stage is Stage.ANSWERING and answered
@@ -263,26 +263,26 @@
         if complete:
             exchange.client.finished(exchange)
         elif exchange.stage is Stage.ANSWERING:
-            exchange.client.close("cut short")  # the one way to say that an answer is not complete
+            exchange.client.close("response truncated")  # closing signals an incomplete response (RFC 9112, section 8)
         else:
             may_retry = verdict is Verdict.REJECTED
             self._answer(exchange, self._status_of(verdict, reason), f"{verdict}: {reason}", may_retry=may_retry)
 
     @staticmethod
     def _status_of(verdict: Verdict, reason: EndReason | AttemptOutcome) -> HTTPStatus:
-        """Return the status of an op that has ended without a node's answer."""
+        """Return the HTTP status for an op that has ended without a node's response."""
         if reason is EndReason.OP_TIMEOUT:
             return HTTPStatus.GATEWAY_TIMEOUT
         return HTTPStatus.BAD_GATEWAY if verdict is Verdict.ABORTED else HTTPStatus.SERVICE_UNAVAILABLE
 
     def _finish_op(self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None) -> None:
-        """Give back the op's timer and its key, as nothing more comes of it.
+        """Release the timer and the idempotency key of an op that has ended.
 
-        :param answer: the one that it had, which whoever waits for the same key gets too.
+        :param answer: its response, if any, which requests waiting for the same key receive too.
         """
         self.exchanges.pop(exchange.number, None)
         op, exchange.op = exchange.op, None
-        assert op is not None and exchange.timer is not None, "the op was asked for"
+        assert op is not None and exchange.timer is not None, "the op was submitted"
         exchange.timer.cancel()
         self._hooks.on_op(op.table, exchange.op_type, verdict)
         if not exchange.key:
@@ -292,13 +292,13 @@
             other.key = ""
             self._answer_by_key(other, decision)
 
-    # Attempts.
+    # Attempts
 
     def attempt_ended(
         self, exchange: Exchange, connection: NodeConnection, *, keep: bool, outcome: AttemptOutcome
     ) -> None:
-        """Take the end of an attempt by the node's doing."""
-        assert exchange.node is not None, "an attempt is at some node"
+        """Handle the end of an attempt that the node's response or its connection's loss has ended."""
+        assert exchange.node is not None, "an attempt has a node"
         self.nodes.release(exchange.node, connection, keep)
         self._end_attempt(exchange, outcome)
 
@@ -319,7 +319,7 @@
         if exchange.stage is Stage.ANSWERING or exchange.is_repeatable():
             exchange.forget_attempt()
             step = self._attempts.attempt_ended(self._loop.now(), op, outcome)
-        else:  # proof or not, the request can't be sent again
+        else:  # the request can't be sent again, even if the node has not started it
             step = self._attempts.abandon(self._loop.now(), op, outcome)
         self._act(exchange, step)
         self._settle()
@@ -329,7 +329,7 @@
             latency_ns = self._loop.now() - op.sent_at
             self._hooks.on_attempt(op.table, op.node, op.op_type, succeeded, latency_ns)
 
-    # Late connections, and the end.
+    # Time-outs and shutdown
 
     def _sweep(self) -> None:
         self.clients.close_late()
@@ -337,21 +337,21 @@
         self._timer = self._loop.at(self._loop.now() + SWEEP_INTERVAL_NS, self._sweep)
 
     def stop(self) -> None:
-        """Take no new connection; requests are answered, and each connection then closed."""
+        """Stop accepting connections; close each one once its requests have been answered."""
         if not self.stopping:
             self.stopping = True
-            self.clients.listener.close()  # connections at rest end by and by, see `Admission.late_connections`
+            self.clients.listener.close()  # idle connections time out, see `Admission.late_connections`
 
     def idle(self) -> bool:
         """Whether no client is connected."""
         return not self.clients.connections
 
     def descriptor(self) -> int:
-        """Return the listening socket's descriptor, to be passed to a successor."""
+        """Return the listening socket's file descriptor, to be passed to a successor."""
         return self.clients.listener.fileno()
 
     def close(self) -> None:
-        """Close every connection at once."""
+        """Close every connection immediately."""
         self.stop()
         self._timer.cancel()
         self.clients.close()
--- a/kestrelplank/reference_proxy/proxy_io.py
+++ b/kestrelplank/reference_proxy/proxy_io.py
@@ -1,4 +1,4 @@
-"""What all parts of a proxy do I/O with."""
+"""The objects that a proxy's components share for I/O."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class ProxyIo(NamedTuple):
-    """The loop, the buffers of all connections, and the counters."""
+    """The event loop, the buffer pool of all connections, and the counters."""
 
     loop: Loop
     buffers: Pool
--- a/kestrelplank/reference_proxy/socket_handover.py
+++ b/kestrelplank/reference_proxy/socket_handover.py
@@ -1,8 +1,9 @@
-"""A listening socket handed from a proxy to its successor over a Unix socket.
+"""Passes a listening socket from a proxy to its successor over a Unix socket.
 
-No connection is refused between them: both hold the same queue of connections until the first has closed it.
+No connection is refused during the handover, since both processes share the socket's accept queue.
 
-The successor connects, gets the descriptor with one byte, and says one byte once it listens; then the first stops.
+The successor connects, receives the descriptor with one byte, and sends one byte once it listens; then the predecessor
+stops.
 """
 
 import errno
@@ -12,16 +13,16 @@
 from kestrelplank.sockets.loop import READ, Loop
 from kestrelplank.sockets.unix_listener import UnixListener
 
-LISTENING = b"1"  # says the successor once it listens
-HANDOVER_TIMEOUT_S = 2.0  # for a predecessor, which may be gone, or hang
+LISTENING = b"1"  # sent by the successor once it listens
+HANDOVER_TIMEOUT_S = 2.0  # the predecessor may hang
 
 
 def receive_socket(path: str) -> tuple[socket.socket, socket.socket] | None:
-    """Return the predecessor's listening socket, and the connection over which to say that we listen.
+    """Return the predecessor's listening socket, and the connection on which to confirm that this process listens.
 
-    None where there is no predecessor.
+    None if there is no predecessor.
 
-    :raises OSError: where there is one that does not hand over.
+    :raises OSError: the predecessor did not pass its socket.
     """
     link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     link.settimeout(HANDOVER_TIMEOUT_S)
@@ -29,10 +30,10 @@
         link.connect(path)
         _, fds, _, _ = socket.recv_fds(link, 1, 1)
         if not fds:
-            raise OSError(errno.EPROTO, "the predecessor sent no socket")
+            raise OSError(errno.EPROTO, "the predecessor sent no listening socket")
         listening = socket.socket(fileno=fds[0])
         return listening, link
-    except (FileNotFoundError, ConnectionRefusedError):  # none, or one that died and left its path behind
+    except (FileNotFoundError, ConnectionRefusedError):  # no predecessor, or one that left a stale socket file
         link.close()
         return None
     except OSError:
@@ -41,17 +42,17 @@
 
 
 def confirm_listening(link: socket.socket) -> None:
-    """Tell the predecessor to stop."""
+    """Notify the predecessor that this process listens, so that it stops."""
     link.sendall(LISTENING)
     link.close()
 
 
 class SuccessorListener:
-    """Waits for a successor; who connects and says nothing changes nothing.
+    """Waits for a successor; a connection without its confirmation has no effect.
 
-    :param path: of the Unix socket.
-    :param descriptor: returns the listening socket's.
-    :param on_taken: called once a successor listens; then this is closed.
+    :param path: path of the Unix socket.
+    :param descriptor: returns the listening socket's file descriptor.
+    :param on_taken: called once a successor has confirmed that it listens; this listener is closed by then.
     """
 
     def __init__(self, loop: Loop, path: str, descriptor: Callable[[], int], on_taken: Callable[[], None]) -> None:
@@ -83,7 +84,7 @@
             self._on_taken()
 
     def close(self) -> None:
-        """Stop waiting."""
+        """Stop waiting for a successor."""
         self._listener.close()
         for link in self._links:
             self._loop.forget(link)
--- a/kestrelplank/reference_proxy/table_messages.py
+++ b/kestrelplank/reference_proxy/table_messages.py
@@ -1,7 +1,8 @@
-"""The messages of a hub's stream, read and applied to a proxy's tables.
+"""Parses the messages of an update stream and applies them to a proxy's tables.
 
-Each is `{"type": ..., "object": {...}}`: `node` (name, address, zone), `joined` (source), `table` (table, source,
-lines) and `orders` (source, number, orders). Messages of an assigner (`source`) are numbered from 0 on each stream.
+A message is `{"type": ..., "object": {...}}`. Types and fields: `node` (name, address, zone), `joined` (source),
+`table` (table, source, lines) and `orders` (source, number, orders). On each stream, the `orders` messages of an
+assigner (`source`) are numbered from 0.
 """
 
 from collections.abc import Callable, Mapping
@@ -28,16 +29,16 @@
 )
 from kestrelplank.state.tables import Tables
 
-ORDER_FIELDS = {"line": 3, "take_out": 2, "level": 4, "clear": 1, "mark": 1}  # how many follow the word
+ORDER_FIELDS = {"line": 3, "take_out": 2, "level": 4, "clear": 1, "mark": 1}  # number of fields after the order's name
 
 
 class TableMessages:
-    """Applies messages to the tables, and keeps node addresses up to date.
+    """Applies messages to the tables and the node addresses.
 
-    :param addresses: by node.
-    :param on_tables_changed: called with tables that may have other open nodes now.
+    :param addresses: by node index; updated.
+    :param on_tables_changed: called with the tables whose available nodes may have changed.
     :param on_node_zone: called with a node and its zone.
-    :param acknowledge: called with an assigner and a watermark that has been reached.
+    :param acknowledge: called with an assigner and the watermark that it asked to have acknowledged.
     """
 
     def __init__(
@@ -55,8 +56,8 @@
     def apply(self, line: bytes) -> bool:
         """Apply a line of the stream; return whether it held orders. An empty object is a heartbeat.
 
-        :raises Malformed: where it is no message.
-        :raises RefusedError: where it can't be applied; nothing of it has taken effect.
+        :raises Malformed: it is not a valid message.
+        :raises RefusedError: it can't be applied; the tables are unchanged.
         """
         message = object_value(parse_json(line))
         if not message:
@@ -72,7 +73,7 @@
             case "orders":
                 self._take_orders(fields)
             case _:
-                raise Malformed(f"nothing is called {str(kind)[:40]!r}")
+                raise Malformed(f"unknown message type {str(kind)[:40]!r}")
         return kind == "orders"
 
     def _take_node(self, fields: Mapping[str, object]) -> None:
@@ -85,7 +86,7 @@
     def _take_table(self, fields: Mapping[str, object]) -> None:
         table = non_negative_int(fields.get("table"))
         if table >= self._tables.size:
-            raise Malformed(f"no table has the number {table}")
+            raise Malformed(f"table number {table} is out of range")
         weights = {self._node(name): non_negative(weight) for name, weight in object_value(fields.get("lines")).items()}
         nonzero = {node: weight for node, weight in weights.items() if weight}
         self._tables.set_table(table, non_negative_int(fields.get("source")), nonzero)
@@ -103,7 +104,7 @@
     def _read_order(self, order: object) -> TableOrder:
         word, *fields = list_value(order) or [None]
         if not isinstance(word, str) or len(fields) != ORDER_FIELDS.get(word):
-            raise Malformed(f"no order is {str(order)[:60]!r}")
+            raise Malformed(f"unknown order or wrong number of fields: {str(order)[:60]!r}")
         match word:
             case "line":
                 return SetEndpoint(non_negative_int(fields[0]), self._node(fields[1]), non_negative(fields[2]))
@@ -115,7 +116,7 @@
                 return SetAdmission(table, op_types, share, non_negative_int(fields[3]))
             case "clear":
                 return ClearTable(non_negative_int(fields[0]))
-            case _:  # "mark": no other word is in ORDER_FIELDS
+            case _:  # "mark", the only other name in ORDER_FIELDS
                 return RequestAcknowledgement(non_negative_int(fields[0]))
 
     def _node(self, name: object) -> int:
--- a/kestrelplank/reference_proxy/tables_file.py
+++ b/kestrelplank/reference_proxy/tables_file.py
@@ -1,4 +1,4 @@
-"""A proxy's tables and node addresses in a file, from which it serves again after a restart without a hub."""
+"""A proxy's tables and node addresses in a file, so that a restarted proxy can serve without its update source."""
 
 import time
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 class TablesFile:
-    """The file, written only when something has changed; with an empty path nothing is kept."""
+    """The tables file, written only after changes; with an empty path nothing is read or written."""
 
     def __init__(self, path: str, counters: Counters, ids: Ids, tables: Tables, addresses: dict[int, str]) -> None:
         self._path, self._counters = path, counters
@@ -21,11 +21,11 @@
         self._has_changes = False
 
     def note_change(self) -> None:
-        """Take note that the tables have changed since they were written."""
+        """Record that the tables have changed since they were last written."""
         self._has_changes = True
 
     def restore(self) -> bool:
-        """Read tables and addresses back; return whether there were any that can be used."""
+        """Read tables and addresses from the file; return whether it held any that can be used."""
         if not self._path:
             return False
         try:
@@ -41,7 +41,7 @@
         return bool(kept["at"])
 
     def save(self) -> None:
-        """Write the tables that hold, if any have changed since."""
+        """Write the current tables if they have changed since the last write."""
         if not (self._has_changes and self._path):
             return
         self._has_changes = False
--- a/kestrelplank/reference_proxy/update_client.py
+++ b/kestrelplank/reference_proxy/update_client.py
@@ -1,11 +1,11 @@
-"""The proxy's client of the users' hub: updates of tables, acknowledgements of watermarks, and reports, each second.
+"""The proxy's client of its update source: receives table updates, acknowledges watermarks, and reports each second.
 
     GET /v1/tables?relay=17&zone=a          chunked, one JSON object a line, never ends
     POST /v1/done {"relay":17,"source":0,"mark":905}
     POST /v1/reports {"relay":17,"zone":"a","span":1000.0,"tries":[...],"heat":[...]}
 
-A stream first tells all that holds. A message that is missing, or can't be used, ends the stream, and all is told anew:
-what was applied stays in force until then.
+A stream starts with the complete current state. A missing or unusable message ends the stream, and the next stream
+sends the complete state again; what has been applied stays in force until then.
 """
 
 from collections.abc import Callable
@@ -23,16 +23,16 @@
 
 REPORT_INTERVAL_NS = 1 * SECOND
 STREAM_LIMITS = StreamLimits(
-    silence_ns=3 * SECOND,  # a heartbeat comes each second
+    silence_ns=3 * SECOND,  # heartbeats arrive each second
     first_pause_ns=20 * MILLISECOND,
     longest_pause_ns=2 * SECOND,
     most_line_bytes=1 << 22,
 )
-NO_SOURCE = -1  # in reports: a table that no assigner owns
+NO_SOURCE = -1  # in reports: no assigner owns the table
 
 
 class UpdateSourceSettings(NamedTuple):
-    """Where updates come from, and which proxy this is; op types by their index."""
+    """The address of the update source, and this proxy's identity; `op_types` are names in the order of their index."""
 
     address: str
     proxy_number: int
@@ -41,10 +41,10 @@
 
 
 class UpdateClient:
-    """One proxy's client.
+    """The client of one proxy.
 
-    :param addresses: by node, kept up to date.
-    :param on_tables_changed: called with tables that may have other open nodes now.
+    :param addresses: by node index; updated.
+    :param on_tables_changed: called with the tables whose available nodes may have changed.
     :param on_node_zone: called with a node and its zone.
     """
 
@@ -69,29 +69,29 @@
         self._timer = io.loop.at(io.loop.now() + REPORT_INTERVAL_NS, self._report)
 
     def close(self) -> None:
-        """End the stream and the posts."""
+        """Close the stream and the connection for posts."""
         self._timer.cancel()
         self._stream.close()
         self._posts.close()
 
-    # The stream of tables.
+    # The stream of table updates
 
     def stream_path(self) -> str:
-        """Return the path to ask for."""
+        """Return the path of the stream's request."""
         return f"/v1/tables?relay={self._settings.proxy_number}&zone={self._settings.zone}"
 
     def on_stream_start(self) -> None:
-        """Take note that a stream begins."""
+        """Handle the start of a stream."""
         self._joined_at = self._loop.now()
         self._counters.add("tables_streams")
 
     def on_stream_end(self, why: str) -> None:
-        """Take note that the stream has ended; it is dialled again."""
+        """Handle the end of a stream; `Stream` reconnects by itself."""
         self._joined_at = None
         self._counters.trouble("tables_broken", why)
 
     def on_stream_line(self, line: bytes) -> None:
-        """Apply a message; one that can't be used ends the stream."""
+        """Apply a message; an unusable one ends the stream."""
         if not line.strip():
             return
         try:
@@ -99,16 +99,16 @@
                 self._counters.add("tables_messages")
         except RefusedError as err:
             self._counters.trouble("tables_refused", err)
-            self._stream.drop("a message that can't be applied")
+            self._stream.drop("a message could not be applied")
         except Malformed as err:
             self._counters.trouble("tables_unreadable", err)
-            self._stream.drop("unreadable")
+            self._stream.drop("a message could not be parsed")
 
     def _acknowledge(self, source: int, watermark: int) -> None:
         body = {"relay": self._settings.proxy_number, "source": source, "mark": watermark}
         self._posts.add(ACKNOWLEDGEMENT_PATH, body)
 
-    # Reports.
+    # Reports
 
     def attempt_ended(self, table: int, node: int, succeeded: bool, latency_ns: int) -> None:
         """Count an attempt for the next report."""
--- a/kestrelplank/reference_proxy/update_posts.py
+++ b/kestrelplank/reference_proxy/update_posts.py
@@ -1,6 +1,7 @@
-"""What a proxy posts to its hub: one call at a time, in order.
+"""Acknowledgements and reports that a proxy posts to its update source: one call at a time, in order.
 
-The acknowledgement of a watermark is sent until it is taken; a report is sent once, as it may have been counted.
+An acknowledgement is retried until it is answered. A report is sent only once, since one whose response was lost may
+already have been counted.
 """
 
 from collections import deque
@@ -13,7 +14,7 @@
 from kestrelplank.time_units import MILLISECOND
 
 ACKNOWLEDGEMENT_PATH, REPORT_PATH = "/v1/done", "/v1/reports"
-MAX_POSTS = 64  # that wait; the oldest report goes first, acknowledgements never
+MAX_POSTS = 64  # in the queue; beyond it the oldest report is dropped, or the oldest post where there is no report
 MAX_ANSWER_BYTES = 1 << 12
 CALL_TIMEOUT_NS = 500 * MILLISECOND
 RETRY_INTERVAL_NS = 20 * MILLISECOND
@@ -21,7 +22,7 @@
 
 
 class UpdatePosts:
-    """Posts that wait, the first of them in progress."""
+    """A queue of posts, of which the first is in progress."""
 
     def __init__(self, io: ProxyIo, source_address: str) -> None:
         self._loop, self._counters = io.loop, io.counters
@@ -29,7 +30,7 @@
         self._client = Client(io.loop, io.buffers, source_address, self, DIAL_TIMEOUT_NS, MAX_ANSWER_BYTES)
 
     def add(self, path: str, body: Mapping[str, object]) -> None:
-        """Post that after all that waits."""
+        """Append a post to the queue."""
         self._posts.append((path, msgspec.json.encode(body)))
         while len(self._posts) > MAX_POSTS:
             dropped = next((post for post in self._posts if post[0] == REPORT_PATH), self._posts[0])
@@ -42,15 +43,15 @@
             path, body = self._posts[0]
             self._client.call("POST", path, body, CALL_TIMEOUT_NS)
 
-    def on_answer(self, status: int, body: bytes) -> None:  # noqa: ARG002 - as the client calls it
-        """Take the hub's answer, and send the next post."""
+    def on_answer(self, status: int, body: bytes) -> None:  # noqa: ARG002 - the client's callback signature
+        """Remove the answered post and send the next one."""
         self._posts.popleft()
         if status != OK:
             self._counters.trouble("posts_refused", f"status {status}")
         self._send_next()
 
     def on_broken(self, why: str) -> None:
-        """Take that there is no answer; send the next post after a pause."""
+        """Handle a call without a response: drop a report, and send the next post after a pause."""
         self._counters.trouble("posts_broken", why)
         if self._posts and self._posts[0][0] == REPORT_PATH:
             self._posts.popleft()
@@ -58,5 +59,5 @@
             self._loop.at(self._loop.now() + RETRY_INTERVAL_NS, self._send_next)
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self._client.close()
--- a/tests/file_discovery/test_node_list.py
+++ b/tests/file_discovery/test_node_list.py
@@ -52,17 +52,17 @@
             "line 7, [zone toronto], field order-5.toronto.example.org: expected a number of 0 or more",
         ),
         ("weight 1.5", "weight nan", "expected a number of 0 or more, got 'nan'"),
-        ("weight 1.5", "weight 1e9", "a weight is at most"),
+        ("weight 1.5", "weight 1e9", "expected a weight of at most 1e+06"),
         ("weight 1.5", "weight", "line 7"),
         ("weight 1.5", "weigth 1.5", "expected weight W, cell N or draining, got 'weigth'"),
-        ("cell 3", "weight 3", "weight stands twice"),
+        ("cell 3", "weight 3", "weight is given twice"),
         ("cell 3", "cell 3.5", "expected a whole number"),
         (
             "order-1.windsor.example.org =",
             "order 1 =",
-            "line 10, [zone windsor], field order 1: 'order 1' is no name for a node",
+            "line 10, [zone windsor], field order 1: 'order 1' is not a valid node name",
         ),
-        ("[zone windsor]", "[zone wind sor]", "line 9, [zone wind sor]: 'wind sor' is no name for a zone"),
+        ("[zone windsor]", "[zone wind sor]", "line 9, [zone wind sor]: 'wind sor' is not a valid zone name"),
         ("[zone windsor]", "[zon windsor]", "line 9: no section is called [zon windsor]"),
         (
             "order-5.toronto",
@@ -70,9 +70,9 @@
             "line 7, [zone toronto]: the field order-4.toronto.example.org stands twice",
         ),
         ("confirm", "confirms", "line 3, [list], field confirms: no field is called that; is confirm meant?"),
-        ("# end 3 nodes\n", "", "line 10: the last line is not `# end N nodes`: the file may be cut short"),
+        ("# end 3 nodes\n", "", "line 10: the last line is not `# end N nodes`: the file may be truncated"),
         ("# end 3 nodes\n", "# end 3 nodes", "line 11: the last line is not"),
-        ("# end 3", "# end 4", "line 11: 4 nodes are announced and 3 are listed"),
+        ("# end 3", "# end 4", "line 11: the last line says 4 nodes, but 3 are listed"),
     ],
 )
 def test_an_invalid_list_is_refused_with_its_line(old, new, says):
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, says", [("", "the file is empty"), (" \n\n", "the file is empty"), (b"\xff", "no UTF-8")]
+    "data, says", [("", "the file is empty"), (" \n\n", "the file is empty"), (b"\xff", "not valid UTF-8")]
 )
 def test_a_file_without_text_is_refused(data, says):
     with pytest.raises(InvalidSettingsError, match=says):
@@ -97,7 +97,7 @@
 
 def test_a_trailer_that_is_not_required_must_be_true_all_the_same():
     assert len(part(TEXT.replace("# end 3 nodes\n", ""), trailer=False).entries) == 3
-    with pytest.raises(InvalidSettingsError, match="4 nodes are announced"):
+    with pytest.raises(InvalidSettingsError, match="the last line says 4 nodes"):
         part(TEXT.replace("# end 3", "# end 4"), trailer=False)
 
 
