--- a/kestrelplank/cli/check.py
+++ b/kestrelplank/cli/check.py
@@ -37,7 +37,7 @@
         else:
             node_lists += [node_list] if node_list else []
     if node_lists and not unusable:
-        unusable = not check_together(node_lists)
+        unusable = not check_node_set(node_lists)
     sys.exit(ExitCode.UNUSABLE_INPUT if unusable else ExitCode.DONE)
 
 
@@ -74,7 +74,7 @@
     return FileKind.NODE_LIST if section_kinds & {"zone", "list"} else FileKind.OPERATOR
 
 
-def check_together(node_lists: list[NodeList]) -> bool:
+def check_node_set(node_lists: list[NodeList]) -> bool:
     """Return whether node lists form one valid set; print a summary of the set, or each conflict."""
     try:
         node_set = assemble(node_lists)
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -34,10 +34,10 @@
         print_json([dict(zip(("section", "field", "value", "from"), origin)) for origin in ini.origins])
         return
     for origin in ini.origins:
-        print(f"{origin.section:<10} {origin.field:<16} {shown_value(origin):<28} {origin.origin}")
+        print(f"{origin.section:<10} {origin.field:<16} {format_value(origin):<28} {origin.origin}")
 
 
-def shown_value(origin: FieldOrigin) -> str:
+def format_value(origin: FieldOrigin) -> str:
     """Return a field's value in the syntax of the file."""
     value = origin.value
     if isinstance(value, bool):
@@ -45,11 +45,11 @@
     if isinstance(value, tuple):
         return ", ".join(map(str, value))
     if isinstance(value, int) and (origin.section, origin.field) in DURATIONS:
-        return shown_duration(value)
+        return format_duration(value)
     return "" if value is None else str(value)
 
 
-def shown_duration(duration_ns: int) -> str:
+def format_duration(duration_ns: int) -> str:
     """Return a duration in the largest unit that gives a whole number; 0 is in seconds."""
     units = (unit for unit, size in reversed(NS_PER_UNIT.items()) if duration_ns and not duration_ns % size)
     unit = next(units, "s")
--- a/kestrelplank/cli/nodes/check.py
+++ b/kestrelplank/cli/nodes/check.py
@@ -5,7 +5,7 @@
 import click
 
 from kestrelplank.cli.nodes.files import (
-    paths_of,
+    expand_patterns,
     read_node_file_settings,
     read_node_lists,
     read_state,
@@ -23,11 +23,11 @@
     """Check whether the set from the files may replace the set in force. Exit 1: it would wait or be refused."""
     with refusing_unusable_files():
         settings = read_node_file_settings(path)
-        node_lists = read_node_lists(paths_of(settings), settings)
+        node_lists = read_node_lists(expand_patterns(settings), settings)
         node_set = assemble(node_lists)
         state = read_state(settings)
     confirmations = tuple(node_list.confirmed_hash for node_list in node_lists if node_list.confirmed_hash)
-    terms = ChangeLimits(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
-    verdict = judge(state[0] if state else None, node_set, confirmations, 0, terms)
+    limits = ChangeLimits(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
+    verdict = judge(state[0] if state else None, node_set, confirmations, 0, limits)
     print(f"{verdict.decision}: {verdict.reason}")
     sys.exit(ExitCode.DONE if verdict.decision is Decision.ACCEPTED else ExitCode.FOUND_WANTING)
--- a/kestrelplank/cli/nodes/files.py
+++ b/kestrelplank/cli/nodes/files.py
@@ -53,7 +53,7 @@
     ]
 
 
-def paths_of(settings: NodeFileSettings) -> list[str]:
+def expand_patterns(settings: NodeFileSettings) -> list[str]:
     """Return the files that match the operator's patterns; a path without wildcards is returned even if missing."""
     paths: dict[str, None] = {}
     for pattern in settings.files:
--- a/kestrelplank/cli/nodes/list.py
+++ b/kestrelplank/cli/nodes/list.py
@@ -5,7 +5,7 @@
 import click
 
 from kestrelplank.cli.nodes.files import (
-    paths_of,
+    expand_patterns,
     read_node_file_settings,
     read_node_lists,
     read_state,
@@ -28,7 +28,7 @@
             state = read_state(settings)
             node_set = state[0] if state else None
         else:
-            node_set = assemble(read_node_lists(paths_of(settings), settings))
+            node_set = assemble(read_node_lists(expand_patterns(settings), settings))
     if node_set is None:
         print_refusal("there is no state file yet")
         sys.exit(ExitCode.FOUND_WANTING)
--- a/kestrelplank/cli/rehearsal_report.py
+++ b/kestrelplank/cli/rehearsal_report.py
@@ -8,8 +8,8 @@
 
 SITE_SIZES = ("nodes", "relays", "conductors", "slices")
 LATENCY_COLUMNS = (("p50_ms", 8), ("p95_ms", 8), ("p99_ms", 9))  # key and width
-UNITS_OF_RULES = {"bare": "s", "drains": "s", "cold": "of what it may be sent", "queue": "lines", "repeats": "ops"}
-LONGEST_NAME = 17
+RULE_UNITS = {"bare": "s", "drains": "s", "cold": "of what it may be sent", "queue": "lines", "repeats": "ops"}
+MAX_NAME_LENGTH = 17
 
 
 def encoded_report(report: Report) -> bytes:
@@ -46,7 +46,7 @@
     for name, counts in report["op_types"].items():
         latencies = "".join(f"{counts[key] or 0:>{width}.0f}" for key, width in LATENCY_COLUMNS)
         lines.append(
-            f"{name[:LONGEST_NAME]:<18}{counts['asked']:>8}{counts['in_time']:>9}{counts['acked']:>8}"
+            f"{name[:MAX_NAME_LENGTH]:<18}{counts['asked']:>8}{counts['in_time']:>9}{counts['acked']:>8}"
             f"{counts['rejected']:>10}{counts['aborted']:>9}{latencies}{report['duplicates'][name]:>7}"
         )
     return lines
@@ -58,7 +58,7 @@
     for rule, outcome in report["rules"].items():
         broken = "" if outcome["kept"] else f"  BROKEN: {outcome['where']}"
         figures = f"{outcome['worst']:>10.4g}{outcome['limit']:>10.4g}{outcome['margin']:>8.0%}"
-        lines.append(f"{rule:<10}{figures}  {UNITS_OF_RULES[rule]}{broken}")
+        lines.append(f"{rule:<10}{figures}  {RULE_UNITS[rule]}{broken}")
     return lines
 
 
--- a/kestrelplank/cli/rehearse.py
+++ b/kestrelplank/cli/rehearse.py
@@ -33,7 +33,9 @@
         raise click.UsageError("--live, --baseline and --knowing are mutually exclusive")
     with refusing_invalid_settings():
         incident = read_script(IniFile.load(path))
-    report = play_live(incident, seed) if live else play_emulated(incident, seed, baseline=baseline, knowing=knowing)
+    report = (
+        play_live(incident, seed) if live else play_emulated(incident, seed, baseline=baseline, ideal_placement=knowing)
+    )
     click.echo("\n".join(report_lines(report)))
     if report_path:
         write_report(report_path, report)
@@ -48,7 +50,7 @@
         return play(incident, seed, progress)
 
 
-def play_emulated(incident: Script, seed: int, *, baseline: bool, knowing: bool) -> Report:
+def play_emulated(incident: Script, seed: int, *, baseline: bool, ideal_placement: bool) -> Report:
     """Play in simulated time."""
     from kestrelplank.emulator import rehearsal
     from kestrelplank.emulator.baseline_policies import StaticPolicy
@@ -56,7 +58,7 @@
 
     make_policy = StaticPolicy if baseline else Policy
     with progress_bar() as progress:
-        return rehearsal.play(incident, seed, make_policy, on_progress=progress, ideal_placement=knowing)
+        return rehearsal.play(incident, seed, make_policy, on_progress=progress, ideal_placement=ideal_placement)
 
 
 @contextmanager
--- a/kestrelplank/file_discovery/file_watcher.py
+++ b/kestrelplank/file_discovery/file_watcher.py
@@ -18,7 +18,7 @@
     from inotify_simple import INotify  # type: ignore[import-untyped] # the library has no types
 
 WILDCARDS = "*?["
-CLOCK_TICK_NS = 100_000_000  # above the granularity of file times on any file system
+MAX_FILE_TIME_GRANULARITY_NS = 100_000_000  # above the granularity of file times on any file system
 
 
 class FileIdentity(NamedTuple):
@@ -56,7 +56,7 @@
     :param poll_interval_ns: time between polls of all files.
     :param use_events: whether to use inotify as well, where it is available.
     :param on_change: called with the path of a file that may have been changed, created or deleted.
-    :param on_trouble: called with the reason when events are not available or were lost.
+    :param on_problem: called with the reason when events are not available or were lost.
     """
 
     def __init__(
@@ -67,17 +67,17 @@
         *,
         use_events: bool,
         on_change: Callable[[str], None],
-        on_trouble: Callable[[str], None],
+        on_problem: Callable[[str], None],
     ) -> None:
         self._loop, self._patterns, self._poll_interval_ns = loop, patterns, poll_interval_ns
-        self._on_change, self._on_trouble = on_change, on_trouble
+        self._on_change, self._on_problem = on_change, on_problem
         self._seen: dict[str, FileIdentity | None | _Unknown] = {}  # None: no such file
         self._inotify: INotify | None = None
         self._directories: dict[int, str] = {}  # by watch descriptor
         self._watched: dict[str, WatchedDirectory] = {}
         if use_events:
             self._open_inotify()
-        self._timer = loop.at(loop.now(), self.look)
+        self._timer = loop.at(loop.now(), self.poll)
 
     def paths(self) -> list[str]:
         """Return the sorted paths of all files seen so far, including deleted ones."""
@@ -93,13 +93,13 @@
 
     # Polling
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Check all files now, and again after the poll interval."""
         self._timer.cancel()
-        self._look_at_all()
-        self._timer = self._loop.at(self._loop.now() + self._poll_interval_ns, self.look)
+        self._check_all()
+        self._timer = self._loop.at(self._loop.now() + self._poll_interval_ns, self.poll)
 
-    def _look_at_all(self) -> None:
+    def _check_all(self) -> None:
         if self._inotify is not None:
             self._watch_directories(self._inotify)
         paths = dict.fromkeys(self._seen)
@@ -110,13 +110,13 @@
             else:
                 paths[pattern] = None
         for path in paths:
-            self._look_at(path)
+            self._check(path)
 
-    def _look_at(self, path: str) -> None:
+    def _check(self, path: str) -> None:
         identity = identity_of(path)
         if path not in self._seen or self._seen[path] != identity:
             # A file that was just written may be written again with the same times, so it is read once more.
-            fresh = identity is not None and time.time_ns() - identity.modified_ns < CLOCK_TICK_NS
+            fresh = identity is not None and time.time_ns() - identity.modified_ns < MAX_FILE_TIME_GRANULARITY_NS
             self._seen[path] = UNKNOWN if fresh else identity
             self._on_change(path)
 
@@ -126,12 +126,12 @@
         try:
             from inotify_simple import INotify
         except ImportError:
-            self._on_trouble("inotify-simple is not installed; files are only polled")
+            self._on_problem("inotify-simple is not installed; files are only polled")
             return
         try:
             self._inotify = INotify(nonblocking=True)
         except OSError as err:
-            self._on_trouble(f"inotify is not available: {err.strerror}; files are only polled")
+            self._on_problem(f"inotify is not available: {err.strerror}; files are only polled")
             return
         self._loop.watch(self._inotify, READ, self._on_readable)
 
@@ -159,7 +159,7 @@
         try:
             descriptor = inotify.add_watch(directory, _event_mask())
         except OSError as err:
-            self._on_trouble(f"{directory} can't be watched: {err.strerror}; its files are only polled")
+            self._on_problem(f"{directory} can't be watched: {err.strerror}; its files are only polled")
             return
         self._directories[descriptor] = directory
         self._watched[directory] = WatchedDirectory(descriptor, identity.device, identity.inode)
@@ -178,7 +178,7 @@
         named: set[str] = set()
         for event in self._inotify.read(timeout=0):
             if event.mask & flags.Q_OVERFLOW:
-                self._on_trouble("inotify events were lost; checking all files")
+                self._on_problem("inotify events were lost; checking all files")
             if event.mask & flags.IGNORED:
                 directory = self._directories.pop(event.wd, "")
                 self._watched.pop(directory, None)
@@ -188,7 +188,7 @@
         for path in list(self._seen):
             if Path(path).name in named or Path(os.path.realpath(path)).name in named:
                 self._seen[path] = UNKNOWN
-        self._look_at_all()
+        self._check_all()
 
 
 def _event_mask() -> int:
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -98,12 +98,12 @@
     def reload(self, settings: NodeFileSettings) -> None:
         """Apply a reloaded operator's file; files that it no longer names leave the set."""
         self._settings = settings
-        self.node_set_in_force.limits = self._guard_terms()
-        self._reporter.set_terms(self._report_settings())
+        self.node_set_in_force.limits = self._change_limits()
+        self._reporter.set_settings(self._report_settings())
         former_paths = self._watcher.paths()
         self._watcher.close()
         self._watcher = self._new_watcher()
-        self._watcher.look()  # now, so that `paths` is complete below
+        self._watcher.poll()  # now, so that `paths` is complete below
         for path in former_paths:
             if path not in self._watcher.paths():
                 self._debounce.forget(path)
@@ -123,7 +123,7 @@
         grace_ns = self._settings.grace_ns
         return ReportSettings(self._default_grace_ns if grace_ns is None else grace_ns, self._settings.weight_step)
 
-    def _guard_terms(self) -> ChangeLimits:
+    def _change_limits(self) -> ChangeLimits:
         settings = self._settings
         return ChangeLimits(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
 
@@ -134,22 +134,22 @@
             self._settings.poll_interval_ns,
             use_events=self._settings.events,
             on_change=self._read,
-            on_trouble=lambda reason: self._counters.trouble("files_watch_troubles", reason),
+            on_problem=lambda reason: self._counters.trouble("files_watch_troubles", reason),
         )
 
     def _restore_node_set_in_force(self) -> NodeSetInForce:
         if not self._settings.state_path:
-            return NodeSetInForce(self._guard_terms())
+            return NodeSetInForce(self._change_limits())
         try:
             state = load_state(self._settings.state_path)
         except InvalidSettingsError as err:  # the set in force is lost and is built anew from the files
             self._counters.trouble("files_state_refused", err)
-            return NodeSetInForce(self._guard_terms())
+            return NodeSetInForce(self._change_limits())
         if state is None:
-            return NodeSetInForce(self._guard_terms())
+            return NodeSetInForce(self._change_limits())
         node_set, version, _ = state
         self._counters.info("files_restored", version=version, hash=node_set.short_hash, nodes=len(node_set))
-        return NodeSetInForce(self._guard_terms(), *state)
+        return NodeSetInForce(self._change_limits(), *state)
 
     # Reading files
 
@@ -168,13 +168,13 @@
         outcome = self._debounce.see(now, path, digest)
         if outcome is Reading.SETTLED:
             self._counters.add("files_read")
-            self.node_set_in_force.update_file(path, problem or self._parsed(path, data))
+            self.node_set_in_force.update_file(path, problem or self._parse_list(path, data))
         elif isinstance(outcome, int):
             self._read_again_at(path, outcome)
         if outcome in (Reading.SETTLED, Reading.SAME) and self._debounce.at_rest(now):
             self._decide()
 
-    def _parsed(self, path: str, data: bytes) -> NodeList | str:
+    def _parse_list(self, path: str, data: bytes) -> NodeList | str:
         """Return the parsed node list, or the reason why it is invalid."""
         settings = self._settings
         try:
@@ -192,7 +192,7 @@
     def _decide(self) -> None:
         outcome = self.node_set_in_force.decide(self._loop.now())
         if self.node_set_in_force.decide_at is not None:
-            self._decide_timer = self._replaced(self._decide_timer, self.node_set_in_force.decide_at, self._decide)
+            self._decide_timer = self._reschedule(self._decide_timer, self.node_set_in_force.decide_at, self._decide)
         if outcome is None:
             return
         if outcome.decision is Decision.ACCEPTED:
@@ -222,9 +222,9 @@
         """Report due changes to the policy, and set a timer for the next ones."""
         due = self._reporter.report(self._loop.now())
         if due is not None:
-            self._report_timer = self._replaced(self._report_timer, due, self._report)
+            self._report_timer = self._reschedule(self._report_timer, due, self._report)
 
-    def _replaced(self, timer: Timer | None, at: int, callback: Callable[[], None]) -> Timer:
+    def _reschedule(self, timer: Timer | None, at: int, callback: Callable[[], None]) -> Timer:
         """Cancel a timer and return its replacement."""
         if timer is not None:
             timer.cancel()
--- a/kestrelplank/file_discovery/node_list.py
+++ b/kestrelplank/file_discovery/node_list.py
@@ -23,8 +23,8 @@
 
 NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9._-]{0,251}[A-Za-z0-9])?", re.ASCII)
 TRAILER = re.compile(r"#\s*end (\d{1,9}) nodes?\s*")
-LARGEST_WEIGHT = 1e6
-LONGEST_QUOTED_NAME = 60  # characters of an invalid name quoted in a message
+MAX_WEIGHT = 1e6
+MAX_QUOTED_NAME_LENGTH = 60  # characters of an invalid name quoted in a message
 
 
 class ListHeader(Struct):
@@ -49,22 +49,22 @@
         raise InvalidSettingsError("the file is empty", file=path)
     ini = IniFile(path, text)
     header = ini.read_section("list", ListHeader)
-    lines = _parse_zones(ini, max_nodes)
+    entries = _parse_zones(ini, max_nodes)
     ini.reject_unread_sections()
-    _check_trailer(path, text, len(lines), trailer_required=trailer_required)
-    return NodeList(path, tuple(lines), header.confirm)
+    _check_trailer(path, text, len(entries), trailer_required=trailer_required)
+    return NodeList(path, tuple(entries), header.confirm)
 
 
 def _parse_zones(ini: IniFile, max_nodes: int) -> list[NodeListEntry]:
     """Return the nodes of all zones in file order."""
-    lines: list[NodeListEntry] = []
+    entries: list[NodeListEntry] = []
     for section in ini.named_sections("zone"):
         if not NAME.fullmatch(section.name):
-            raise ini.error(section, None, f"{section.name[:LONGEST_QUOTED_NAME]!r} is not a valid zone name")
-        lines += [_parse_node(ini, section, name) for name in section.fields]
-        if len(lines) > max_nodes:
+            raise ini.error(section, None, f"{section.name[:MAX_QUOTED_NAME_LENGTH]!r} is not a valid zone name")
+        entries += [_parse_node(ini, section, name) for name in section.fields]
+        if len(entries) > max_nodes:
             raise ini.error(section, None, f"more than {max_nodes} nodes are listed")
-    return lines
+    return entries
 
 
 def _parse_node(ini: IniFile, section: Section, name: str) -> NodeListEntry:
@@ -72,7 +72,7 @@
     text, line = section.fields[name]
     try:
         if not NAME.fullmatch(name):
-            raise ValueError(f"{name[:LONGEST_QUOTED_NAME]!r} is not a valid node name")
+            raise ValueError(f"{name[:MAX_QUOTED_NAME_LENGTH]!r} is not a valid node name")
         address, *words = text.split()
         check_address(address)
         return NodeListEntry(name, _with_attributes(ListedNode(section.name, address), words), line)
@@ -100,8 +100,8 @@
             listed = listed._replace(cell=parse_count(value))
         else:
             raise ValueError(f"expected weight W, cell N or draining, got {word!r}")
-    if listed.weight > LARGEST_WEIGHT:
-        raise ValueError(f"expected a weight of at most {LARGEST_WEIGHT:g}")
+    if listed.weight > MAX_WEIGHT:
+        raise ValueError(f"expected a weight of at most {MAX_WEIGHT:g}")
     return listed
 
 
--- a/kestrelplank/file_discovery/node_list_reporter.py
+++ b/kestrelplank/file_discovery/node_list_reporter.py
@@ -16,7 +16,7 @@
     `ReportedNodes` computes the nodes' conditions and weights over time, `NodeListMerge` merges them with discovery.
 
     :param addresses: discovery's addresses by node index; addresses of the set in force are added.
-    :param terms: the grace period of a node that is no longer listed, and the step of weight changes.
+    :param settings: the grace period of a node that is no longer listed, and the step of weight changes.
     :param authority: the source that decides which nodes exist, `files` or `discovery`.
     """
 
@@ -25,19 +25,19 @@
         counters: Counters,
         ids: Ids,
         addresses: dict[int, str],
-        terms: ReportSettings,
+        settings: ReportSettings,
         authority: str,
         on_event: Callable[[Event], None],
     ) -> None:
         self._counters, self._ids, self._addresses, self._on_event = counters, ids, addresses, on_event
-        self._nodes = ReportedNodes(terms)
+        self._nodes = ReportedNodes(settings)
         self._merge = NodeListMerge(authority)
         self._node_set: NodeSet | None = None
         self._reported = False
 
-    def set_terms(self, terms: ReportSettings) -> None:
+    def set_settings(self, settings: ReportSettings) -> None:
         """Use other settings from now on."""
-        self._nodes.settings = terms
+        self._nodes.settings = settings
 
     def accept(self, now: int, node_set: NodeSet) -> None:
         """Record the set that is in force now; `report` sends the resulting changes."""
--- a/kestrelplank/reference_proxy/assembly.py
+++ b/kestrelplank/reference_proxy/assembly.py
@@ -43,7 +43,7 @@
         self._ids = Ids(text)
         self._tables = Tables(process.slices, len(settings.op_types), int(settings.attempts.retry))
         self._addresses: dict[int, str] = {}
-        self._zone_of: dict[int, int] = {}
+        self._node_zones: dict[int, int] = {}
         limits = ConcurrencyLimits(core_settings.concurrency_limit_settings(settings))
         self.zones = self._make_zone_preference(limits) if settings.zones.prefer_near else None
         self._distances = ZoneDistances()
@@ -51,7 +51,7 @@
         by_path = process.slice_key == SLICE_BY_PATH
         self._slice_header = b"" if by_path else process.slice_key.lower().encode()
         self._tables_file = TablesFile(process.state_path, io.counters, self._ids, self._tables, self._addresses)
-        self.has_kept_tables = self._tables_file.restore()
+        self.has_restored_tables = self._tables_file.restore()
         self.proxy = self._make_proxy(listening)
         self._update_client = self._make_update_client() if process.update_source_address else None
         self._distances_timer = io.loop.at(io.loop.now() + REPORT_INTERVAL_NS, self._update_distances)
@@ -124,11 +124,11 @@
     # Callbacks of the update client
 
     def _tables_changed(self, tables: list[int]) -> None:
-        self._tables_file.note_change()
+        self._tables_file.mark_changed()
         self.proxy.tables_changed(tables)
 
     def _set_node_zone(self, node: int, zone: int) -> None:
-        self._zone_of[node] = zone
+        self._node_zones[node] = zone
         if self.zones:
             self.zones.set_node_zone(node, zone)
 
@@ -141,14 +141,14 @@
 
     def _attempt_ended(self, table: int, node: int, _op_type: int, succeeded: bool, latency_ns: int) -> None:
         if self._update_client:
-            self._update_client.attempt_ended(table, node, succeeded, latency_ns)
-        if self.zones and succeeded and node in self._zone_of:
+            self._update_client.record_attempt(table, node, succeeded, latency_ns)
+        if self.zones and succeeded and node in self._node_zones:
             own_zone = self._ids.zone(self._settings.process.zone)
-            self._distances.add(own_zone, self._zone_of[node], 1, latency_ns)
+            self._distances.add(own_zone, self._node_zones[node], 1, latency_ns)
 
     def _op_ended(self, table: int, op_type: int, verdict: Verdict) -> None:
         if self._update_client:
-            self._update_client.op_ended(table, op_type, verdict)
+            self._update_client.record_op(table, op_type, verdict)
 
     def _weight_factor(self, node: int) -> float:
         pool = self.proxy.nodes.pools.get(node)
--- a/kestrelplank/reference_proxy/client_connection.py
+++ b/kestrelplank/reference_proxy/client_connection.py
@@ -9,7 +9,7 @@
 from kestrelplank.load_balancing.admission import Admission, ConnectionState
 from kestrelplank.reference_proxy.client_request import Rejection
 from kestrelplank.reference_proxy.exchange import Exchange, ExchangeOwner, Stage
-from kestrelplank.reference_proxy.http_messages import own_answer
+from kestrelplank.reference_proxy.http_messages import proxy_response
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.sockets.connection import Connection
 
@@ -19,7 +19,7 @@
 class RequestHandler(ExchangeOwner, Protocol):
     """Handles the requests of client connections."""
 
-    def begin(self, exchange: Exchange) -> None:
+    def begin_request(self, exchange: Exchange) -> None:
         """Start a request whose head is complete and that is the first in its connection's queue."""
         ...
 
@@ -27,7 +27,7 @@
         """Handle the end of a request's body."""
         ...
 
-    def withdraw(self, exchange: Exchange) -> None:
+    def cancel_request(self, exchange: Exchange) -> None:
         """Abandon a request whose client has gone, or whose remaining bytes will not arrive."""
         ...
 
@@ -51,9 +51,9 @@
         self._incoming: Exchange | None = None
         self._head_bytes, self._in_trailers = 0, False
         self._rejection: Rejection | None = None  # of the last request; nothing after it is read
-        self._answers_rejection = True
+        self._sends_rejection = True
         self._connection = Connection(io.loop, io.buffers, sock, self, MAX_UNSENT_BYTES)
-        self._connection.on_drained = self._drained
+        self._connection.on_drained = self._resume_node
 
     # Callbacks of the socket connection
 
@@ -68,12 +68,12 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.refuse(501, "upgrades are not passed on")
+            self.reject(501, "upgrades are not passed on")
         except httptools.HttpParserError as err:
-            self.refuse(400, f"unreadable: {err}")
-        head_is_too_long = self._head_bytes > self._handler.limits.head_bytes
+            self.reject(400, f"unreadable: {err}")
+        head_is_too_long = self._head_bytes > self._handler.limits.max_head_bytes
         if self._incoming is not None and self._reads_head() and head_is_too_long:
-            self.refuse(431, "the head is too long")
+            self.reject(431, "the head is too long")
         if self._rejection is None and len(self.queue) > 1:
             self._connection.read(False)  # with a single request, reading continues so that a closed client is noticed
         self._begin_next()
@@ -82,7 +82,7 @@
         """Notify the handler."""
         self._handler.client_closed(self)
 
-    def _drained(self) -> None:
+    def _resume_node(self) -> None:
         """Resume reading from the node, as all bytes for the client have been written."""
         if self.queue and self.queue[0].connection is not None:
             self.queue[0].connection.read(True)
@@ -112,11 +112,11 @@
     def on_headers_complete(self) -> None:
         """Queue the request, or reject it."""
         incoming, parser = self._in_parser(), self._parser
-        max_body_bytes = self._handler.limits.body_bytes
-        rejection = incoming.request.take_head(parser.get_method(), parser.get_http_version(), max_body_bytes)
+        max_body_bytes = self._handler.limits.max_body_bytes
+        rejection = incoming.request.complete_head(parser.get_method(), parser.get_http_version(), max_body_bytes)
         self._in_trailers, self._head_bytes, incoming.stage = True, 0, Stage.QUEUED
         if rejection is not None:
-            self.refuse(rejection.status, rejection.reason)
+            self.reject(rejection.status, rejection.reason)
         if self._rejection is None:
             self.queue.append(incoming)
 
@@ -135,28 +135,28 @@
 
     # Operations for the exchange and the proxy (`ClientSide`)
 
-    def refuse(self, status: int, why: str) -> None:
+    def reject(self, status: int, reason: str) -> None:
         """Reject the incoming request once earlier ones have been answered; nothing more is read."""
         if self._rejection is not None:
             return
-        self._rejection = Rejection(status, why)
+        self._rejection = Rejection(status, reason)
         self._io.counters.add("requests_refused")
         incoming = self._incoming
         if incoming is not None and incoming in self.queue and not incoming.request.complete:
             # No rejection is written into a response that has already begun.
-            self._answers_rejection = incoming.stage is not Stage.ANSWERING
-            self._handler.withdraw(incoming)
+            self._sends_rejection = incoming.stage is not Stage.ANSWERING
+            self._handler.cancel_request(incoming)
         self._begin_next_from_loop()
 
-    def hold(self, held: bool) -> None:
+    def pause_reading(self, paused: bool) -> None:
         """Pause reading from the client while the node is slower than it, or resume it."""
-        self._connection.read(not held and len(self.queue) <= 1)
+        self._connection.read(not paused and len(self.queue) <= 1)
 
     def write(self, data: bytes) -> None:
         """Send bytes of a response."""
         self._connection.write(data)
 
-    def waiting(self) -> int:
+    def unsent_bytes(self) -> int:
         """Return the number of bytes that have not been written to the client's socket yet."""
         return self._connection.waiting()
 
@@ -164,7 +164,7 @@
         """Close the connection."""
         self._connection.close(why)
 
-    def finished(self, exchange: Exchange) -> None:
+    def exchange_finished(self, exchange: Exchange) -> None:
         """Remove the first request, which has been answered, and begin the next or close the connection."""
         if not self.queue or self.queue[0] is not exchange:
             return
@@ -193,15 +193,15 @@
         """Begin the first request if it has not begun; once the queue is empty, send a pending rejection."""
         if self.queue and self.queue[0].stage is Stage.QUEUED and self._connection.open:
             self._enter_state(ConnectionState.BUSY)
-            self._handler.begin(self.queue[0])
+            self._handler.begin_request(self.queue[0])
         elif self._rejection is not None and not self.queue and self._connection.open:
-            if self._answers_rejection:
-                self._connection.write(own_answer(self._rejection.status, self._rejection.reason, keep=False))
+            if self._sends_rejection:
+                self._connection.write(proxy_response(self._rejection.status, self._rejection.reason, keep=False))
             self._close_when_written()
 
     def _close_when_written(self) -> None:
         if self._rejection is None:
-            self._rejection, self._answers_rejection = Rejection(0, ""), False
+            self._rejection, self._sends_rejection = Rejection(0, ""), False
         self.queue.clear()
         self._connection.read(False)
         if not self._connection.waiting():
--- a/kestrelplank/reference_proxy/client_connections.py
+++ b/kestrelplank/reference_proxy/client_connections.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.load_balancing.admission import Admission, CloseReason
 from kestrelplank.reference_proxy.client_connection import ClientConnection, RequestHandler
-from kestrelplank.reference_proxy.http_messages import own_answer
+from kestrelplank.reference_proxy.http_messages import proxy_response
 from kestrelplank.reference_proxy.proxy_io import ProxyIo
 from kestrelplank.sockets.connection import Listener
 from kestrelplank.time_units import MILLISECOND
@@ -16,16 +16,16 @@
 class ClientConnections:
     """The listener, and the connections that it has accepted.
 
-    :param at: the address to listen on, or a listening socket.
+    :param listen_at: the address to listen on, or a listening socket.
     """
 
     def __init__(
-        self, io: ProxyIo, admission: Admission, handler: RequestHandler, at: tuple[str, int] | socket.socket
+        self, io: ProxyIo, admission: Admission, handler: RequestHandler, listen_at: tuple[str, int] | socket.socket
     ) -> None:
         self._io, self._admission, self._handler = io, admission, handler
         self.connections: dict[int, ClientConnection] = {}  # by number
         self._last_number = 0
-        self.listener = Listener(io.loop, at, self._accept, self._accept_failed, DESCRIPTOR_SHORTAGE_PAUSE_NS)
+        self.listener = Listener(io.loop, listen_at, self._accept, self._accept_failed, DESCRIPTOR_SHORTAGE_PAUSE_NS)
 
     def _accept(self, sock: socket.socket) -> None:
         counters = self._io.counters
@@ -45,21 +45,21 @@
     def _accept_failed(self, why: str) -> None:
         self._io.counters.trouble("accept_failed", why)
 
-    def forget(self, client: ClientConnection) -> None:
+    def remove(self, client: ClientConnection) -> None:
         """Remove a connection that has closed."""
         self.connections.pop(client.number, None)
         self._admission.disconnect(client.number)
 
-    def close_late(self) -> None:
+    def close_timed_out(self) -> None:
         """Close connections that have not sent a complete head in time or have been idle for too long."""
-        late = self._admission.late_connections(self._io.loop.now(), stopping=self._handler.stopping)
-        for number, reason in late:
+        timed_out = self._admission.late_connections(self._io.loop.now(), stopping=self._handler.stopping)
+        for number, reason in timed_out:
             client = self.connections.get(number)
             if client is None:
                 continue
             self._io.counters.add("clients_late")
             if reason is not CloseReason.IDLE:
-                client.write(own_answer(REQUEST_TIMEOUT, reason, keep=False))
+                client.write(proxy_response(REQUEST_TIMEOUT, reason, keep=False))
             client.close(reason)
 
     def close(self) -> None:
--- a/kestrelplank/reference_proxy/client_request.py
+++ b/kestrelplank/reference_proxy/client_request.py
@@ -5,7 +5,7 @@
 from kestrelplank.reference_proxy.http_messages import (
     LAST_CHUNK,
     Header,
-    end_to_end,
+    end_to_end_headers,
     first_value,
     framing,
     list_values,
@@ -65,7 +65,7 @@
         """Return the first value of a header, by its name in lower case."""
         return first_value(self.headers, name)
 
-    def take_head(self, method: bytes, version: str, max_body_bytes: int) -> Rejection | None:
+    def complete_head(self, method: bytes, version: str, max_body_bytes: int) -> Rejection | None:
         """Complete the head once all headers are parsed; return a rejection if the request can't be served."""
         self.method, self.version = method, version
         self.length, self.chunked, problem = framing(self.headers)
@@ -85,17 +85,19 @@
         """Whether the client waits for `100 Continue` before sending the body."""
         return self.header(b"expect") is not None and not self.complete
 
-    def encode_piece(self, data: bytes) -> bytes:
+    def encode_body_data(self, data: bytes) -> bytes:
         """Return body data as it is sent to a node."""
         return render_chunk(data) if self.chunked else data
 
     def render(self, remaining_ms: int) -> bytes:
         """Return the head for a node, with the remaining time, and the body received so far."""
         own = [(DEADLINE_HEADER, b"%d" % remaining_ms), (b"Host", self.header(b"host") or b"")]
-        headers = [(name, value) for name, value in end_to_end(self.headers) if name.lower() not in REPLACED_HEADERS]
+        headers = [
+            (name, value) for name, value in end_to_end_headers(self.headers) if name.lower() not in REPLACED_HEADERS
+        ]
         first_line = self.method + b" " + self.target + b" HTTP/1.1"
         head = render_head(first_line, headers, self.length, chunked=self.chunked, more=own)
-        parts = [head, *map(self.encode_piece, self.body or ())]
+        parts = [head, *map(self.encode_body_data, self.body or ())]
         if self.chunked and self.complete:
             parts.append(LAST_CHUNK)
         return b"".join(parts)
--- a/kestrelplank/reference_proxy/core_settings.py
+++ b/kestrelplank/reference_proxy/core_settings.py
@@ -26,11 +26,11 @@
     """Return the limits of one exchange."""
     clients = settings.clients
     return ExchangeLimits(
-        head_bytes=clients.max_header_bytes,
-        kept_body_bytes=clients.kept_body_bytes,
-        body_bytes=clients.max_body_bytes,
+        max_head_bytes=clients.max_header_bytes,
+        max_resend_body_bytes=clients.kept_body_bytes,
+        max_body_bytes=clients.max_body_bytes,
         dial_timeout_ns=settings.attempts.connect_timeout_ns,
-        key_header=clients.idempotency_header.lower().encode(),
+        idempotency_key_header=clients.idempotency_header.lower().encode(),
     )
 
 
--- a/kestrelplank/reference_proxy/exchange.py
+++ b/kestrelplank/reference_proxy/exchange.py
@@ -10,7 +10,7 @@
     LAST_CHUNK,
     STATUSES_WITHOUT_BODY,
     Header,
-    end_to_end,
+    end_to_end_headers,
     first_value,
     render_chunk,
     render_head,
@@ -27,20 +27,20 @@
 class ExchangeLimits(NamedTuple):
     """Limits of one exchange.
 
-    :param head_bytes: maximum size of a request's head.
-    :param kept_body_bytes: maximum size of a request's body that is kept for a retry.
-    :param body_bytes: maximum size of a request's body.
-    :param kept_answer_bytes: maximum size of a response that is cached for a deduplicated op.
+    :param max_head_bytes: maximum size of a request's head.
+    :param max_resend_body_bytes: maximum size of a request's body that is kept for a retry.
+    :param max_body_bytes: maximum size of a request's body.
+    :param max_cached_response_bytes: maximum size of a response that is cached for a deduplicated op.
     :param dial_timeout_ns: time limit for connecting to a node.
-    :param key_header: name of the header with the idempotency key, in lower case.
+    :param idempotency_key_header: name of the header with the idempotency key, in lower case.
     """
 
-    head_bytes: int = 1 << 15
-    kept_body_bytes: int = 1 << 16
-    body_bytes: int = 64 << 20
-    kept_answer_bytes: int = 1 << 16
+    max_head_bytes: int = 1 << 15
+    max_resend_body_bytes: int = 1 << 16
+    max_body_bytes: int = 64 << 20
+    max_cached_response_bytes: int = 1 << 16
     dial_timeout_ns: int = 250 * MILLISECOND
-    key_header: bytes = b"idempotency-key"
+    idempotency_key_header: bytes = b"idempotency-key"
 
 
 class Stage(Enum):
@@ -48,7 +48,7 @@
 
     READING_HEAD = "reading head"
     QUEUED = "queued"  # its head is complete
-    ASKED = "asked"  # the proxy has begun to handle the request
+    PROCESSING = "processing"  # the proxy has begun to handle the request
     ANSWERING = "answering"
     DONE = "done"
 
@@ -56,11 +56,11 @@
 class ClientSide(Protocol):
     """The client's connection, as an exchange uses it."""
 
-    def refuse(self, status: int, why: str) -> None:
+    def reject(self, status: int, reason: str) -> None:
         """Reject the incoming request; nothing more is read."""
         ...
 
-    def hold(self, held: bool) -> None:
+    def pause_reading(self, paused: bool) -> None:
         """Pause reading from the client while the node is slower than it, or resume it."""
         ...
 
@@ -68,7 +68,7 @@
         """Send bytes of a response."""
         ...
 
-    def waiting(self) -> int:
+    def unsent_bytes(self) -> int:
         """Return the number of bytes that have not been written to the client's socket yet."""
         ...
 
@@ -76,7 +76,7 @@
         """Close the connection."""
         ...
 
-    def finished(self, exchange: "Exchange") -> None:
+    def exchange_finished(self, exchange: "Exchange") -> None:
         """Handle the end of the exchange's response."""
         ...
 
@@ -103,24 +103,24 @@
 
     :ivar number: number of its op.
     :ivar op_type: index of its op type.
-    :ivar key: idempotency key of a deduplicated op; empty without one, or once it is released.
+    :ivar idempotency_key: idempotency key of a deduplicated op; empty without one, or once it is released.
     :ivar deadline: time at which the client stops waiting (ns).
     :ivar keep: whether the client's connection may stay open after the response.
     :ivar node: node of the current attempt.
     :ivar connection: connection of the current attempt.
-    :ivar record: bytes of a response that is to be cached; None if it is not, or is too long.
+    :ivar recorded_response: bytes of a response that is to be cached; None if it is not, or is too long.
     """
 
     def __init__(self, client: ClientSide, owner: ExchangeOwner) -> None:
         self.client, self._owner, self.request = client, owner, ClientRequest()
-        self.number, self.op_type, self.key, self.deadline = 0, 0, "", 0
+        self.number, self.op_type, self.idempotency_key, self.deadline = 0, 0, "", 0
         self.stage = Stage.READING_HEAD
         self.keep = True
         self.op: Op | None = None
         self.timer: Timer | None = None
         self.node: int | None = None
         self.connection: NodeConnection | None = None
-        self.record: list[bytes] | None = None
+        self.recorded_response: list[bytes] | None = None
         self._recorded_bytes = self._status = 0
         self._not_started = False  # the node has not started the op; its response is not forwarded
         self._sends_chunks = False
@@ -133,20 +133,20 @@
         """Handle data of the request's body."""
         request, limits = self.request, self._owner.limits
         request.size += len(data)
-        if request.size > limits.body_bytes:
-            self.client.refuse(413, "the body is too long")
+        if request.size > limits.max_body_bytes:
+            self.client.reject(413, "the body is too long")
             return
         connection = self._connection_in_use()
         if request.body is not None:
             request.body.append(data)
-            if request.size > limits.kept_body_bytes and connection is not None:
+            if request.size > limits.max_resend_body_bytes and connection is not None:
                 request.body = None
         if connection is not None and not self._answered_early:
-            connection.write(request.encode_piece(data))
-            if connection.waiting() > MAX_WAITING_BYTES:
-                self.client.hold(True)
-        elif request.size > limits.kept_body_bytes:
-            self.client.hold(True)  # until the request is sent to a node
+            connection.write(request.encode_body_data(data))
+            if connection.unsent_bytes() > MAX_WAITING_BYTES:
+                self.client.pause_reading(True)
+        elif request.size > limits.max_resend_body_bytes:
+            self.client.pause_reading(True)  # until the request is sent to a node
 
     def body_complete(self) -> None:
         """Handle the end of the request's body."""
@@ -158,7 +158,7 @@
     def _connection_in_use(self) -> NodeConnection | None:
         """Return the connection on which this request has been begun and its response is expected."""
         connection = self.connection
-        return connection if connection is not None and connection.written and connection.sink is self else None
+        return connection if connection is not None and connection.request_begun and connection.sink is self else None
 
     # Sending to a node
 
@@ -167,20 +167,20 @@
         assert self.op is not None, "only a request with a submitted op is sent"
         self.connection = connection
         remaining_ms = max(1, (self.op.deadline - self._owner.now()) // MILLISECOND)
-        connection.begin(self, self.request.render(remaining_ms), without_body=self.request.method == b"HEAD")
-        if self.request.size > self._owner.limits.kept_body_bytes:
+        connection.begin_request(self, self.request.render(remaining_ms), without_body=self.request.method == b"HEAD")
+        if self.request.size > self._owner.limits.max_resend_body_bytes:
             self.request.body = None
-        self.client.hold(False)
+        self.client.pause_reading(False)
 
-    def is_repeatable(self) -> bool:
+    def can_resend(self) -> bool:
         """Whether the request can be sent again, as its body has been kept."""
         return self.request.body is not None
 
-    def forget_attempt(self) -> None:
+    def reset_attempt(self) -> None:
         """Reset the state of the last attempt, as another may follow."""
         self._not_started = False
 
-    # Data from the node (`AnswerSink`)
+    # Data from the node (`ResponseSink`)
 
     def on_head(self, status: int, reason: bytes, headers: list[Header], length: int | None, chunked: bool) -> None:
         """Forward the response's head, unless the node has not started the op."""
@@ -194,11 +194,11 @@
         until_close = in_chunks and not self._sends_chunks  # HTTP/1.0: the response ends with the connection
         self.keep = self.keep and self.request.complete and not self._owner.stopping and not until_close
         first_line = b"HTTP/1.1 %d %s" % (status, reason)
-        forwarded, announced_length = end_to_end(headers), None if in_chunks else length
-        if self.record is not None:  # without the Connection header
+        forwarded, announced_length = end_to_end_headers(headers), None if in_chunks else length
+        if self.recorded_response is not None:  # without the Connection header
             has_end = length is not None or self._sends_chunks
             kept = render_head(first_line, forwarded, announced_length, chunked=self._sends_chunks)
-            self.record = [kept] if has_end else None
+            self.recorded_response = [kept] if has_end else None
         more = () if self.keep else (CLOSE_HEADER,)
         head = render_head(first_line, forwarded, announced_length, chunked=self._sends_chunks, more=more)
         self._unwritten.append(head)
@@ -215,7 +215,7 @@
         data = b"".join(self._unwritten)
         self._unwritten.clear()
         self.client.write(data)
-        if self.client.waiting() > MAX_WAITING_BYTES and self.connection is not None:
+        if self.client.unsent_bytes() > MAX_WAITING_BYTES and self.connection is not None:
             self.connection.read(False)
 
     def on_complete(self, keep: bool) -> None:
@@ -233,7 +233,7 @@
     def on_lost(self, why: str) -> None:  # noqa: ARG002 - the connection's callback signature
         """Handle the loss of the connection before the response is complete."""
         assert self.connection is not None
-        if not self.connection.written:
+        if not self.connection.request_begun:
             outcome = AttemptOutcome.UNSENT
         elif self.stage is Stage.ANSWERING or self._not_started:
             outcome = AttemptOutcome.TRUNCATED
@@ -248,11 +248,11 @@
         self._owner.attempt_ended(self, connection, keep=keep, outcome=outcome)
 
     def _write(self, data: bytes) -> None:
-        if self.record is not None:
-            self.record.append(data)
+        if self.recorded_response is not None:
+            self.recorded_response.append(data)
             self._recorded_bytes += len(data)
-            if self._recorded_bytes > self._owner.limits.kept_answer_bytes:
-                self.record = None
+            if self._recorded_bytes > self._owner.limits.max_cached_response_bytes:
+                self.recorded_response = None
         self._unwritten.append(data)
 
     # Responses of the proxy itself
--- a/kestrelplank/reference_proxy/http_messages.py
+++ b/kestrelplank/reference_proxy/http_messages.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -45,18 +45,25 @@
 
 def first_value(headers: Iterable[Header], name: bytes) -> bytes | None:
     """Return the first value of a header, by its name in lower case."""
-    return next((value for held, value in headers if held.lower() == name), None)
+    return next((value for header_name, value in headers if header_name.lower() == name), None)
 
 
 def list_values(headers: Iterable[Header], name: bytes) -> list[bytes]:
     """Return the members of a list header, in lower case (RFC 9110, section 5.6.1)."""
-    return [word.strip().lower() for held, value in headers if held.lower() == name for word in value.split(b",")]
+    return [
+        word.strip().lower()
+        for header_name, value in headers
+        if header_name.lower() == name
+        for word in value.split(b",")
+    ]
 
 
-def end_to_end(headers: list[Header]) -> list[Header]:
+def end_to_end_headers(headers: list[Header]) -> list[Header]:
     """Return the headers to forward, without hop-by-hop headers (RFC 9110, section 7.6.1)."""
     named = list_values(headers, b"connection")
-    return [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP and name.lower() not in named]
+    return [
+        (name, value) for name, value in headers if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() not in named
+    ]
 
 
 class Framing(NamedTuple):
@@ -102,7 +109,7 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def own_answer(status: int, text: str, *, keep: bool, more: Iterable[Header] = ()) -> bytes:
+def proxy_response(status: int, text: str, *, keep: bool, more: Iterable[Header] = ()) -> bytes:
     """Return a response that the proxy itself generates: one line of text.
 
     :param keep: whether the client's connection stays open after it.
--- a/kestrelplank/reference_proxy/keyed_requests.py
+++ b/kestrelplank/reference_proxy/keyed_requests.py
@@ -45,15 +45,15 @@
     def look_up(self, now: int, exchange: Exchange, max_body_bytes: int) -> KeyDecision:
         """Return how to handle a request that has been received completely."""
         if exchange.request.size > max_body_bytes:
-            exchange.key = ""
+            exchange.idempotency_key = ""
             return TOO_LONG
-        state, answer = self._answers.look_up(now, exchange.key, exchange.request.digest(), exchange.number)
+        state, answer = self._answers.look_up(now, exchange.idempotency_key, exchange.request.digest(), exchange.number)
         self._counters.add(f"keys_{state}")
         if state == LookupStatus.PENDING:
             return AwaitFirst()
         if state == LookupStatus.NEW:
             return Forward()
-        exchange.key = ""
+        exchange.idempotency_key = ""
         if state == LookupStatus.ANSWERED and answer:
             return Replay(answer)
         return {LookupStatus.FULL: TOO_MANY, LookupStatus.MISMATCH: OTHER_REQUEST}.get(state, MAY_HAVE_RUN)
@@ -65,7 +65,7 @@
 
         :param answer: the op's response, if any.
         """
-        key, exchange.key = exchange.key, ""
+        key, exchange.idempotency_key = exchange.idempotency_key, ""
         if answer:
             complete = b"".join(answer)
             return self._answers.handle_answered(key, complete), Replay(complete)
@@ -74,6 +74,6 @@
 
     def release(self, exchange: Exchange) -> None:
         """End an exchange's wait for the first request with its key."""
-        if exchange.key:
-            self._answers.cancel_wait(exchange.key, exchange.number)
-            exchange.key = ""
+        if exchange.idempotency_key:
+            self._answers.cancel_wait(exchange.idempotency_key, exchange.number)
+            exchange.idempotency_key = ""
--- a/kestrelplank/reference_proxy/node_connection.py
+++ b/kestrelplank/reference_proxy/node_connection.py
@@ -1,4 +1,4 @@
-"""A connection from the proxy to a node: sends one request at a time and parses its response for an `AnswerSink`."""
+"""A connection from the proxy to a node: sends one request at a time and parses its response for an `ResponseSink`."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,7 +16,7 @@
 SWITCHING_PROTOCOLS = 101
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Receives the parts of a response."""
 
     def on_head(self, status: int, reason: bytes, headers: list[Header], length: int | None, chunked: bool) -> None:
@@ -44,10 +44,10 @@
     """An outgoing connection to a node.
 
     :param dial_timeout_ns: time limit for establishing the connection.
-    :param on_up: called once the connection is established.
-    :param on_ended: called when it has closed.
-    :ivar written: whether any byte of the current request has been passed to the connection; if not, the node has seen
-        nothing of the request.
+    :param on_established: called once the connection is established.
+    :param on_closed: called when it has closed.
+    :ivar request_begun: whether any byte of the current request has been passed to the connection; if not, the node
+        has seen nothing of the request.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
         node_address: str,
         dial_timeout_ns: int,
         number: int,
-        on_up: Callable[["NodeConnection"], None],
-        on_ended: Callable[["NodeConnection"], None],
+        on_established: Callable[["NodeConnection"], None],
+        on_closed: Callable[["NodeConnection"], None],
     ) -> None:
-        self._on_up, self._on_ended, self.number = on_up, on_ended, number
-        self.sink: AnswerSink | None = None
-        self.written = self.is_up = self.closed = False
+        self._on_established, self._on_closed, self.number = on_established, on_closed, number
+        self.sink: ResponseSink | None = None
+        self.request_begun = self.is_established = self.closed = False
         self._expect_answer(without_body=False)
         self._connection = Dialled(loop, buffers, address(node_address), self, MAX_UNSENT_BYTES, dial_timeout_ns)
 
@@ -76,20 +76,20 @@
 
     # Operations for the proxy
 
-    def begin(self, sink: AnswerSink, data: bytes, *, without_body: bool) -> None:
+    def begin_request(self, sink: ResponseSink, data: bytes, *, without_body: bool) -> None:
         """Send the beginning of a request.
 
         :param without_body: the response has no body even if its head announces a length (HEAD).
         """
         self._expect_answer(without_body=without_body)
-        self.sink, self.written = sink, True
+        self.sink, self.request_begun = sink, True
         self._connection.write(data)
 
     def write(self, data: bytes) -> None:
         """Send more of the request."""
         self._connection.write(data)
 
-    def waiting(self) -> int:
+    def unsent_bytes(self) -> int:
         """Return the number of bytes that have not been written to the node's socket yet."""
         return self._connection.waiting()
 
@@ -103,7 +103,7 @@
 
     def finish_op(self) -> None:
         """Detach the finished op, so that the connection can take another."""
-        self.sink, self.written = None, False
+        self.sink, self.request_begun = None, False
 
     def close(self, why: str) -> None:
         """Close the connection."""
@@ -114,8 +114,8 @@
 
     def on_open(self) -> None:
         """Handle the established connection."""
-        self.is_up = True
-        self._on_up(self)
+        self.is_established = True
+        self._on_established(self)
 
     def on_data(self, data: memoryview) -> None:
         """Parse received bytes and pass them to the sink."""
@@ -148,7 +148,7 @@
                 sink.on_complete(False)
             else:
                 sink.on_lost(why)
-        self._on_ended(self)
+        self._on_closed(self)
 
     # Callbacks of the parser
 
@@ -181,9 +181,9 @@
         self._head_complete = True
         without_body = self._without_body or status in STATUSES_WITHOUT_BODY
         self._ends_with_connection = not without_body and framed.length is None and not framed.chunked
-        self._hand_head_on(status, framed)
+        self._forward_head(status, framed)
 
-    def _hand_head_on(self, status: int, framed: Framing) -> None:
+    def _forward_head(self, status: int, framed: Framing) -> None:
         if self.sink is None:
             return
         chunked = framed.chunked or self._ends_with_connection
--- a/kestrelplank/reference_proxy/node_connections.py
+++ b/kestrelplank/reference_proxy/node_connections.py
@@ -58,7 +58,7 @@
         """Release the connection of an attempt that has ended; `keep`: it may be reused."""
         if not connection.closed and connection.number in self.connections:
             connection.finish_op()
-            self._give_back(node, connection, keep)
+            self._return_to_pool(node, connection, keep)
 
     def detach(self, exchange: Exchange) -> NodeConnection | None:
         """Detach an exchange from its attempt.
@@ -74,7 +74,7 @@
         connection.sink = None
         return None if connection.closed else connection
 
-    def use_only(self, nodes: dict[int, None]) -> None:
+    def restrict_to(self, nodes: dict[int, None]) -> None:
         """Withdraw all other nodes: they get no new attempts, while attempts in flight there may finish."""
         now = self._loop.now()
         for node, pool in self.pools.items():
@@ -86,7 +86,7 @@
                 for exchange in self.waiting.pop(node, ()):
                     self._on_failed(exchange, AttemptOutcome.UNSENT)
 
-    def close_late(self) -> None:
+    def close_timed_out(self) -> None:
         """Close connections that have been idle too long, or are busy beyond a withdrawn node's grace period."""
         now = self._loop.now()
         for pool in self.pools.values():
@@ -112,16 +112,16 @@
                 self._addresses[node],
                 self.dial_timeout_ns,
                 self._last_number,
-                lambda connection: self._dialled(exchange, node, connection),
-                lambda connection: self._ended(exchange, node, connection),
+                lambda connection: self._handle_established(exchange, node, connection),
+                lambda connection: self._handle_closed(exchange, node, connection),
             )
-            connection.on_drained(lambda: self._drained(connection))
+            connection.on_drained(lambda: self._resume_client(connection))
         except OSError as err:  # out of file descriptors
             self._counters.trouble("dials_failed", err)
             pool.dial_failed()
             self._on_failed(exchange, AttemptOutcome.REFUSED)
 
-    def _dialled(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
+    def _handle_established(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
         """Handle an established connection that was opened for the exchange."""
         pool = self.pools[node]
         pool.dial_succeeded(connection.number)
@@ -130,36 +130,36 @@
             exchange.send(connection)
             return
         # The attempt was abandoned, or the node withdrawn, during connection setup: nothing has been sent.
-        self._give_back(node, connection, True)
+        self._return_to_pool(node, connection, True)
         if self._is_attempted_at(exchange, node):
             self._on_failed(exchange, AttemptOutcome.UNSENT)
 
-    def _ended(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
+    def _handle_closed(self, exchange: Exchange, node: int, connection: NodeConnection) -> None:
         """Handle a closed connection, or one that could not be established for the exchange."""
         pool = self.pools[node]
-        if connection.is_up:
+        if connection.is_established:
             if self.connections.pop(connection.number, None) is not None:
                 pool.connection_lost(connection.number)
-                self._next_waiting(node)
+                self._begin_next_waiting(node)
             return
         pool.dial_failed()
         if self._is_attempted_at(exchange, node):
             self._on_failed(exchange, AttemptOutcome.REFUSED)
-        self._next_waiting(node)
+        self._begin_next_waiting(node)
 
-    def _drained(self, connection: NodeConnection) -> None:
+    def _resume_client(self, connection: NodeConnection) -> None:
         """Resume reading from the client, as all bytes for the node have been written."""
         sink = connection.sink
         if connection.number in self.connections and isinstance(sink, Exchange) and not sink.request.complete:
-            sink.client.hold(False)
+            sink.client.pause_reading(False)
 
-    def _give_back(self, node: int, connection: NodeConnection, keep: bool) -> None:
+    def _return_to_pool(self, node: int, connection: NodeConnection, keep: bool) -> None:
         if not self.pools[node].release(self._loop.now(), connection.number, keep):
             del self.connections[connection.number]
             connection.close("not reused")
-        self._next_waiting(node)
+        self._begin_next_waiting(node)
 
-    def _next_waiting(self, node: int) -> None:
+    def _begin_next_waiting(self, node: int) -> None:
         """Begin the attempt that has waited longest, as a connection may be available."""
         waiting = self.waiting.get(node)
         if waiting:
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -53,8 +53,8 @@
         signals = Signals(self._loop, handlers)
         self._counters.info(
             "started",
-            listen="%s:%d" % self._reference_proxy.proxy.at,
-            tables="kept" if self._reference_proxy.has_kept_tables else "none yet",
+            listen="%s:%d" % self._reference_proxy.proxy.listen_address,
+            tables="kept" if self._reference_proxy.has_restored_tables else "none yet",
             predecessor=bool(self._predecessor),
         )
         if self._predecessor:
@@ -65,7 +65,7 @@
             self._successor.close()
         signals.close()
         self._loop.close()
-        self._report()
+        self._report_totals()
 
     def stop(self, why: str = "signal") -> None:
         """Accept no new connections, and end once all are closed or the stop time-out has passed."""
@@ -89,7 +89,7 @@
         self._counters.add("reloads")
         self._counters.info("reloaded")
 
-    def _report(self) -> None:
+    def _report_totals(self) -> None:
         parts, counters = self._reference_proxy, self._counters
         for verdict, number in sorted(parts.proxy.outcomes.items()):
             counters.add(f"ops_{verdict}", number)
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -21,7 +21,7 @@
 from kestrelplank.reference_proxy.client_connections import ClientConnections
 from kestrelplank.reference_proxy.client_request import ClientRequest, OpType, Rejection
 from kestrelplank.reference_proxy.exchange import Exchange, ExchangeLimits, Stage
-from kestrelplank.reference_proxy.http_messages import Header, own_answer
+from kestrelplank.reference_proxy.http_messages import Header, proxy_response
 from kestrelplank.reference_proxy.keyed_requests import Forward, KeyDecision, KeyedRequests, Replay
 from kestrelplank.reference_proxy.node_connection import NodeConnection
 from kestrelplank.reference_proxy.node_connections import NodeConnections
@@ -51,13 +51,13 @@
     """A proxy's callbacks to its owner.
 
     :param table_of: returns the table that a request is routed by.
-    :param on_attempt: called when an attempt ends, with table, node, op type, success and latency (ns).
-    :param on_op: called when an op ends, with table, op type and verdict.
+    :param on_attempt_ended: called when an attempt ends, with table, node, op type, success and latency (ns).
+    :param on_op_ended: called when an op ends, with table, op type and verdict.
     """
 
     table_of: Callable[[ClientRequest], int]
-    on_attempt: Callable[[int, int, int, bool, int], None]
-    on_op: Callable[[int, int, Verdict], None]
+    on_attempt_ended: Callable[[int, int, int, bool, int], None]
+    on_op_ended: Callable[[int, int, Verdict], None]
 
 
 class Proxy:
@@ -65,14 +65,14 @@
 
     Invariant: every submitted op ends exactly once and then holds no resources (checked by `Site.close` in the tests).
 
-    :param at: the address to listen on, or a listening socket.
+    :param listen_at: the address to listen on, or a listening socket.
     :param addresses: node addresses by node index; the caller may change them.
     """
 
     def __init__(
         self,
         io: ProxyIo,
-        at: tuple[str, int] | socket.socket,
+        listen_at: tuple[str, int] | socket.socket,
         op_types: list[OpType],
         limits: ExchangeLimits,
         cores: ProxyCores,
@@ -90,9 +90,9 @@
         self.nodes = NodeConnections(
             io.loop, io.buffers, io.counters, pool_settings, addresses, limits.dial_timeout_ns, self._end_attempt
         )
-        self.clients = ClientConnections(io, cores.admission, self, at)
-        self.at = self.clients.listener.at
-        self._timer = io.loop.at(io.loop.now() + SWEEP_INTERVAL_NS, self._sweep)
+        self.clients = ClientConnections(io, cores.admission, self, listen_at)
+        self.listen_address = self.clients.listener.at
+        self._timer = io.loop.at(io.loop.now() + SWEEP_INTERVAL_NS, self._close_timed_out)
 
     def reconfigure(self, op_types: list[OpType], limits: ExchangeLimits) -> None:
         """Use these settings for requests that arrive from now on."""
@@ -104,25 +104,25 @@
         return self._loop.now()
 
     def tables_changed(self, tables: list[int]) -> None:
-        """Resume ops that wait for an endpoint in these tables; withdraw nodes that no table names."""
+        """Resume ops that wait for an endpoint in these tables; cancel_request nodes that no table names."""
         for op, step in self._attempts.tables_changed(self._loop.now(), tables):
-            self._act(self.exchanges[op.number], step)
-        self._settle()
+            self._apply_step(self.exchanges[op.number], step)
+        self._apply_settled()
         named: dict[int, None] = {}
         for table in range(self._tables.size):
             named.update((node, None) for node, _ in self._tables.available(table))
-        self.nodes.use_only(named)
+        self.nodes.restrict_to(named)
 
     # Requests (`RequestHandler`)
 
-    def begin(self, exchange: Exchange) -> None:
+    def begin_request(self, exchange: Exchange) -> None:
         """Start a request whose head is complete and that is the first in its connection's queue."""
         request = exchange.request
-        exchange.stage = Stage.ASKED
+        exchange.stage = Stage.PROCESSING
         self._last_number += 1
         exchange.number = self._last_number
         if request.method == b"GET" and request.target == HEALTH_TARGET:
-            self._answer(exchange, HTTPStatus.OK, "ok")
+            self._respond(exchange, HTTPStatus.OK, "ok")
             return
         op_type = next((index for index, op_type in enumerate(self._op_types) if op_type.matches(request)), None)
         if op_type is None:
@@ -139,84 +139,84 @@
         exchange.timer = self._loop.at(exchange.deadline, lambda: self._time_out(exchange))
         self.exchanges[exchange.number] = exchange
         if settings.deduplicated:
-            exchange.key = (request.header(self.limits.key_header) or b"").decode("latin-1")
-        if not exchange.key:
+            exchange.idempotency_key = (request.header(self.limits.idempotency_key_header) or b"").decode("latin-1")
+        if not exchange.idempotency_key:
             self._submit(exchange)
         elif request.complete:
             self._look_up(exchange)
 
     def body_received(self, exchange: Exchange) -> None:
         """Look up a request's idempotency key, which needs the complete body."""
-        if exchange.stage is Stage.ASKED and exchange.key and exchange.op is None:
+        if exchange.stage is Stage.PROCESSING and exchange.idempotency_key and exchange.op is None:
             self._look_up(exchange)
 
     def client_closed(self, client: ClientConnection) -> None:
         """Cancel the requests of a client whose connection has closed."""
-        self.clients.forget(client)
+        self.clients.remove(client)
         for exchange in list(client.queue):
-            self.withdraw(exchange)
+            self.cancel_request(exchange)
         client.queue.clear()
 
-    def withdraw(self, exchange: Exchange) -> None:
+    def cancel_request(self, exchange: Exchange) -> None:
         """Abandon a request whose client has gone, or whose remaining bytes will not arrive."""
         if exchange.op is not None:
             self.outcomes["gone"] += 1
             self._abandon_attempt(exchange, EndReason.CALLER_GONE)
             end = self._attempts.abandon(self._loop.now(), exchange.op, EndReason.CALLER_GONE)
-            self._finish_op(exchange, end.verdict, None)
-            self._settle()
+            self._release_op(exchange, end.verdict, None)
+            self._apply_settled()
         else:
-            self._release(exchange)
-        exchange.client.finished(exchange)
+            self._release_exchange(exchange)
+        exchange.client.exchange_finished(exchange)
 
     def _look_up(self, exchange: Exchange) -> None:
-        decision = self._keyed.look_up(self._loop.now(), exchange, self.limits.kept_body_bytes)
+        decision = self._keyed.look_up(self._loop.now(), exchange, self.limits.max_resend_body_bytes)
         if isinstance(decision, Forward):
-            exchange.record = []
+            exchange.recorded_response = []
             self._submit(exchange)
         else:
-            self._answer_by_key(exchange, decision)
+            self._respond_by_key(exchange, decision)
 
     def _time_out(self, exchange: Exchange) -> None:
         """End an op whose deadline has passed."""
         if exchange.number not in self.exchanges:
             return
         if exchange.op is None:
-            self._release(exchange)
-            self._answer(exchange, HTTPStatus.GATEWAY_TIMEOUT, EndReason.OP_TIMEOUT)
+            self._release_exchange(exchange)
+            self._respond(exchange, HTTPStatus.GATEWAY_TIMEOUT, EndReason.OP_TIMEOUT)
             return
         self._abandon_attempt(exchange, EndReason.OP_TIMEOUT)
-        self._act(exchange, self._attempts.abandon(self._loop.now(), exchange.op))
-        self._settle()
+        self._apply_step(exchange, self._attempts.abandon(self._loop.now(), exchange.op))
+        self._apply_settled()
 
     # Responses that do not come from a node
 
-    def _answer_by_key(self, exchange: Exchange, decision: KeyDecision) -> None:
+    def _respond_by_key(self, exchange: Exchange, decision: KeyDecision) -> None:
         if isinstance(decision, Replay):
             self._replay(exchange, decision.answer)
         elif isinstance(decision, Rejection):
             self._reject(exchange, decision)
 
     def _replay(self, exchange: Exchange, answer: bytes) -> None:
-        self._release(exchange)
+        self._release_exchange(exchange)
         self.outcomes["kept"] += 1
         exchange.answer(answer)
-        exchange.client.finished(exchange)
+        exchange.client.exchange_finished(exchange)
 
     def _reject(self, exchange: Exchange, rejection: Rejection) -> None:
-        self._answer(exchange, rejection.status, rejection.reason, may_retry=rejection.may_retry)
+        self._respond(exchange, rejection.status, rejection.reason, may_retry=rejection.may_retry)
 
-    def _answer(self, exchange: Exchange, status: int, text: str, *, may_retry: bool = False) -> None:
+    def _respond(self, exchange: Exchange, status: int, text: str, *, may_retry: bool = False) -> None:
         exchange.keep = exchange.keep and exchange.request.complete and not self.stopping
         more: list[Header] = []
         if may_retry:
             wait_s = retry_after_s(0, self._attempts.waiting_count(), LONG_QUEUE)
             more.append((b"Retry-After", b"%d" % wait_s))
-        self._release(exchange)
-        exchange.answer(own_answer(status, text, keep=exchange.keep, more=more))
-        exchange.client.finished(exchange)
+        self._release_exchange(exchange)
+        exchange.answer(proxy_response(status, text, keep=exchange.keep, more=more))
+        exchange.client.exchange_finished(exchange)
 
-    def _release(self, exchange: Exchange) -> None:
+    def _release_exchange(self, exchange: Exchange) -> None:
         """Remove an exchange that has no op: cancel its timer and its wait for another request with the same key."""
         self.exchanges.pop(exchange.number, None)
         if exchange.timer is not None:
@@ -228,45 +228,45 @@
     def _submit(self, exchange: Exchange) -> None:
         now, table = self._loop.now(), self._hooks.table_of(exchange.request)
         exchange.op, step = self._attempts.submit(
-            now, exchange.number, exchange.op_type, table, exchange.deadline - now, exchange.key
+            now, exchange.number, exchange.op_type, table, exchange.deadline - now, exchange.idempotency_key
         )
-        self._act(exchange, step)
-        self._settle()
+        self._apply_step(exchange, step)
+        self._apply_settled()
 
-    def _act(self, exchange: Exchange, step: Step) -> None:
+    def _apply_step(self, exchange: Exchange, step: Step) -> None:
         if isinstance(step, Send):
             self.nodes.send(exchange, step.node)
         elif isinstance(step, Wait):
             self._expire_at(step.until, exchange)
         else:
-            self._end(exchange, step.verdict, step.reason)
+            self._end_op(exchange, step.verdict, step.reason)
 
-    def _settle(self) -> None:
+    def _apply_settled(self) -> None:
         """Carry out the steps that the last calls of `Attempts` produced for other ops."""
         for op, step in self._attempts.take_settled(self._loop.now()):
             if op.number in self.exchanges:
-                self._act(self.exchanges[op.number], step)
+                self._apply_step(self.exchanges[op.number], step)
 
     def _expire_at(self, until: int, exchange: Exchange) -> None:
         def expire() -> None:
             if exchange.op is not None and exchange.op.waits_until == until:
-                self._act(exchange, self._attempts.wait_expired(exchange.op))
+                self._apply_step(exchange, self._attempts.wait_expired(exchange.op))
 
         self._loop.at(until, expire)
 
-    def _end(self, exchange: Exchange, verdict: Verdict, reason: EndReason | AttemptOutcome) -> None:
+    def _end_op(self, exchange: Exchange, verdict: Verdict, reason: EndReason | AttemptOutcome) -> None:
         """End an op; the proxy sends a response unless a node's response is already being forwarded."""
         self.outcomes[verdict] += 1
         answered = verdict is Verdict.ACKED or reason is AttemptOutcome.FAILED
         complete = exchange.stage is Stage.ANSWERING and answered
-        self._finish_op(exchange, verdict, exchange.record if complete else None)
+        self._release_op(exchange, verdict, exchange.recorded_response if complete else None)
         if complete:
-            exchange.client.finished(exchange)
+            exchange.client.exchange_finished(exchange)
         elif exchange.stage is Stage.ANSWERING:
             exchange.client.close("response truncated")  # closing signals an incomplete response (RFC 9112, section 8)
         else:
             may_retry = verdict is Verdict.REJECTED
-            self._answer(exchange, self._status_of(verdict, reason), f"{verdict}: {reason}", may_retry=may_retry)
+            self._respond(exchange, self._status_of(verdict, reason), f"{verdict}: {reason}", may_retry=may_retry)
 
     @staticmethod
     def _status_of(verdict: Verdict, reason: EndReason | AttemptOutcome) -> HTTPStatus:
@@ -275,7 +275,7 @@
             return HTTPStatus.GATEWAY_TIMEOUT
         return HTTPStatus.BAD_GATEWAY if verdict is Verdict.ABORTED else HTTPStatus.SERVICE_UNAVAILABLE
 
-    def _finish_op(self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None) -> None:
+    def _release_op(self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None) -> None:
         """Release the timer and the idempotency key of an op that has ended.
 
         :param answer: its response, if any, which requests waiting for the same key receive too.
@@ -284,13 +284,13 @@
         op, exchange.op = exchange.op, None
         assert op is not None and exchange.timer is not None, "the op was submitted"
         exchange.timer.cancel()
-        self._hooks.on_op(op.table, exchange.op_type, verdict)
-        if not exchange.key:
+        self._hooks.on_op_ended(op.table, exchange.op_type, verdict)
+        if not exchange.idempotency_key:
             return
         waiting, decision = self._keyed.settle(exchange, verdict, answer)
         for other in [self.exchanges[number] for number in waiting if number in self.exchanges]:
-            other.key = ""
-            self._answer_by_key(other, decision)
+            other.idempotency_key = ""
+            self._respond_by_key(other, decision)
 
     # Attempts
 
@@ -306,7 +306,7 @@
         """Abandon the attempt, if one is in flight."""
         connection = self.nodes.detach(exchange)
         if connection is not None and exchange.op is not None:
-            self._report(exchange.op, succeeded=False)
+            self._report_attempt(exchange.op, succeeded=False)
             connection.close(why)
 
     def _end_attempt(self, exchange: Exchange, outcome: AttemptOutcome) -> None:
@@ -315,26 +315,26 @@
             return
         exchange.node = None
         if outcome is not AttemptOutcome.UNSENT:
-            self._report(op, succeeded=outcome is AttemptOutcome.SUCCEEDED)
-        if exchange.stage is Stage.ANSWERING or exchange.is_repeatable():
-            exchange.forget_attempt()
+            self._report_attempt(op, succeeded=outcome is AttemptOutcome.SUCCEEDED)
+        if exchange.stage is Stage.ANSWERING or exchange.can_resend():
+            exchange.reset_attempt()
             step = self._attempts.attempt_ended(self._loop.now(), op, outcome)
         else:  # the request can't be sent again, even if the node has not started it
             step = self._attempts.abandon(self._loop.now(), op, outcome)
-        self._act(exchange, step)
-        self._settle()
+        self._apply_step(exchange, step)
+        self._apply_settled()
 
-    def _report(self, op: Op, *, succeeded: bool) -> None:
+    def _report_attempt(self, op: Op, *, succeeded: bool) -> None:
         if op.node is not None:
             latency_ns = self._loop.now() - op.sent_at
-            self._hooks.on_attempt(op.table, op.node, op.op_type, succeeded, latency_ns)
+            self._hooks.on_attempt_ended(op.table, op.node, op.op_type, succeeded, latency_ns)
 
     # Time-outs and shutdown
 
-    def _sweep(self) -> None:
-        self.clients.close_late()
-        self.nodes.close_late()
-        self._timer = self._loop.at(self._loop.now() + SWEEP_INTERVAL_NS, self._sweep)
+    def _close_timed_out(self) -> None:
+        self.clients.close_timed_out()
+        self.nodes.close_timed_out()
+        self._timer = self._loop.at(self._loop.now() + SWEEP_INTERVAL_NS, self._close_timed_out)
 
     def stop(self) -> None:
         """Stop accepting connections; close each one once its requests have been answered."""
--- a/kestrelplank/reference_proxy/socket_handover.py
+++ b/kestrelplank/reference_proxy/socket_handover.py
@@ -52,11 +52,14 @@
 
     :param path: path of the Unix socket.
     :param descriptor: returns the listening socket's file descriptor.
-    :param on_taken: called once a successor has confirmed that it listens; this listener is closed by then.
+    :param on_successor_listening: called once a successor has confirmed that it listens; this listener is closed by
+        then.
     """
 
-    def __init__(self, loop: Loop, path: str, descriptor: Callable[[], int], on_taken: Callable[[], None]) -> None:
-        self._loop, self._descriptor, self._on_taken = loop, descriptor, on_taken
+    def __init__(
+        self, loop: Loop, path: str, descriptor: Callable[[], int], on_successor_listening: Callable[[], None]
+    ) -> None:
+        self._loop, self._descriptor, self._on_successor_listening = loop, descriptor, on_successor_listening
         self._links: list[socket.socket] = []
         self._listener = UnixListener(loop, path, self._accept)
 
@@ -81,7 +84,7 @@
         link.close()
         if data == LISTENING:
             self.close()
-            self._on_taken()
+            self._on_successor_listening()
 
     def close(self) -> None:
         """Stop waiting for a successor."""
--- a/kestrelplank/reference_proxy/table_messages.py
+++ b/kestrelplank/reference_proxy/table_messages.py
@@ -29,7 +29,13 @@
 )
 from kestrelplank.state.tables import Tables
 
-ORDER_FIELDS = {"line": 3, "take_out": 2, "level": 4, "clear": 1, "mark": 1}  # number of fields after the order's name
+ORDER_FIELD_COUNTS = {
+    "line": 3,
+    "take_out": 2,
+    "level": 4,
+    "clear": 1,
+    "mark": 1,
+}  # number of fields after the order's name
 
 
 class TableMessages:
@@ -65,25 +71,25 @@
         kind, fields = message.get("type"), object_value(message.get("object"))
         match kind:
             case "node":
-                self._take_node(fields)
+                self._apply_node(fields)
             case "joined":
                 self._tables.begin_stream(non_negative_int(fields.get("source")))
             case "table":
-                self._take_table(fields)
+                self._apply_table(fields)
             case "orders":
-                self._take_orders(fields)
+                self._apply_orders(fields)
             case _:
                 raise Malformed(f"unknown message type {str(kind)[:40]!r}")
         return kind == "orders"
 
-    def _take_node(self, fields: Mapping[str, object]) -> None:
+    def _apply_node(self, fields: Mapping[str, object]) -> None:
         node = self._node(fields.get("name"))
         self._addresses[node] = text(fields.get("address"))
         zone = fields.get("zone")
         if zone is not None:
             self._on_node_zone(node, self._ids.zone(text(zone)))
 
-    def _take_table(self, fields: Mapping[str, object]) -> None:
+    def _apply_table(self, fields: Mapping[str, object]) -> None:
         table = non_negative_int(fields.get("table"))
         if table >= self._tables.size:
             raise Malformed(f"table number {table} is out of range")
@@ -92,20 +98,20 @@
         self._tables.set_table(table, non_negative_int(fields.get("source")), nonzero)
         self._on_tables_changed([table])
 
-    def _take_orders(self, fields: Mapping[str, object]) -> None:
+    def _apply_orders(self, fields: Mapping[str, object]) -> None:
         source, number = non_negative_int(fields.get("source")), non_negative_int(fields.get("number"))
-        orders = [self._read_order(order) for order in list_value(fields.get("orders"))]
+        orders = [self._parse_order(order) for order in list_value(fields.get("orders"))]
         changed, watermarks = self._tables.apply(source, number, orders)
         if changed:
             self._on_tables_changed(changed)
         for watermark in watermarks:
             self._acknowledge(source, watermark)
 
-    def _read_order(self, order: object) -> TableOrder:
-        word, *fields = list_value(order) or [None]
-        if not isinstance(word, str) or len(fields) != ORDER_FIELDS.get(word):
+    def _parse_order(self, order: object) -> TableOrder:
+        name, *fields = list_value(order) or [None]
+        if not isinstance(name, str) or len(fields) != ORDER_FIELD_COUNTS.get(name):
             raise Malformed(f"unknown order or wrong number of fields: {str(order)[:60]!r}")
-        match word:
+        match name:
             case "line":
                 return SetEndpoint(non_negative_int(fields[0]), self._node(fields[1]), non_negative(fields[2]))
             case "take_out":
@@ -116,7 +122,7 @@
                 return SetAdmission(table, op_types, share, non_negative_int(fields[3]))
             case "clear":
                 return ClearTable(non_negative_int(fields[0]))
-            case _:  # "mark", the only other name in ORDER_FIELDS
+            case _:  # "mark", the only other name in ORDER_FIELD_COUNTS
                 return RequestAcknowledgement(non_negative_int(fields[0]))
 
     def _node(self, name: object) -> int:
--- a/kestrelplank/reference_proxy/tables_file.py
+++ b/kestrelplank/reference_proxy/tables_file.py
@@ -20,7 +20,7 @@
         self._ids, self._tables, self._addresses = ids, tables, addresses
         self._has_changes = False
 
-    def note_change(self) -> None:
+    def mark_changed(self) -> None:
         """Record that the tables have changed since they were last written."""
         self._has_changes = True
 
@@ -29,16 +29,16 @@
         if not self._path:
             return False
         try:
-            kept = unsealed(FORMAT_VERSION, Path(self._path).read_bytes())
-            self._tables.restore(kept["tables"], self._ids.node)
-            self._addresses.update((self._ids.node(name), at) for name, at in kept["addresses"].items())
+            restored = unsealed(FORMAT_VERSION, Path(self._path).read_bytes())
+            self._tables.restore(restored["tables"], self._ids.node)
+            self._addresses.update((self._ids.node(name), at) for name, at in restored["addresses"].items())
         except FileNotFoundError:
             return False
         except (OSError, Malformed, RefusedError) as err:
             self._counters.trouble("tables_not_restored", f"{self._path}: {err}")
             return False
-        self._counters.info("tables_restored", age_s=round(time.time() - kept["at"], 1))
-        return bool(kept["at"])
+        self._counters.info("tables_restored", age_s=round(time.time() - restored["at"], 1))
+        return bool(restored["at"])
 
     def save(self) -> None:
         """Write the current tables if they have changed since the last write."""
--- a/kestrelplank/reference_proxy/update_client.py
+++ b/kestrelplank/reference_proxy/update_client.py
@@ -60,7 +60,7 @@
     ) -> None:
         self._loop, self._counters, self._settings = io.loop, io.counters, settings
         self._ids, self._tables, self.addresses = ids, tables, addresses
-        self._joined_at: int | None = None
+        self._stream_began_at: int | None = None
         self._attempts: dict[tuple[int, int], AttemptSum] = {}  # by node and assigner
         self._ops: dict[tuple[int, int], OpSum] = {}  # by table and op type
         self._messages = TableMessages(ids, tables, addresses, on_tables_changed, on_node_zone, self._acknowledge)
@@ -82,12 +82,12 @@
 
     def on_stream_start(self) -> None:
         """Handle the start of a stream."""
-        self._joined_at = self._loop.now()
+        self._stream_began_at = self._loop.now()
         self._counters.add("tables_streams")
 
     def on_stream_end(self, why: str) -> None:
         """Handle the end of a stream; `Stream` reconnects by itself."""
-        self._joined_at = None
+        self._stream_began_at = None
         self._counters.trouble("tables_broken", why)
 
     def on_stream_line(self, line: bytes) -> None:
@@ -110,13 +110,13 @@
 
     # Reports
 
-    def attempt_ended(self, table: int, node: int, succeeded: bool, latency_ns: int) -> None:
+    def record_attempt(self, table: int, node: int, succeeded: bool, latency_ns: int) -> None:
         """Count an attempt for the next report."""
         source = self._tables.owner(table)
         key = node, NO_SOURCE if source is None else source
         self._attempts.setdefault(key, AttemptSum()).add(succeeded, latency_ns)
 
-    def op_ended(self, table: int, op_type: int, verdict: Verdict) -> None:
+    def record_op(self, table: int, op_type: int, verdict: Verdict) -> None:
         """Count an op for the next report."""
         sums = self._ops.setdefault((table, op_type), OpSum())
         sums.count += 1
@@ -126,7 +126,7 @@
         self._timer = self._loop.at(self._loop.now() + REPORT_INTERVAL_NS, self._report)
         attempts, self._attempts = self._attempts, {}
         ops, self._ops = self._ops, {}
-        if not (attempts or ops) or self._joined_at is None:
+        if not (attempts or ops) or self._stream_began_at is None:
             return
         names, op_types = self._ids.node_ids, self._settings.op_types
         attempt_rows = [
--- a/kestrelplank/reference_proxy/update_posts.py
+++ b/kestrelplank/reference_proxy/update_posts.py
@@ -15,7 +15,7 @@
 
 ACKNOWLEDGEMENT_PATH, REPORT_PATH = "/v1/done", "/v1/reports"
 MAX_POSTS = 64  # in the queue; beyond it the oldest report is dropped, or the oldest post where there is no report
-MAX_ANSWER_BYTES = 1 << 12
+MAX_RESPONSE_BYTES = 1 << 12
 CALL_TIMEOUT_NS = 500 * MILLISECOND
 RETRY_INTERVAL_NS = 20 * MILLISECOND
 OK = 200
@@ -27,7 +27,7 @@
     def __init__(self, io: ProxyIo, source_address: str) -> None:
         self._loop, self._counters = io.loop, io.counters
         self._posts: deque[tuple[str, bytes]] = deque()  # path and body
-        self._client = Client(io.loop, io.buffers, source_address, self, DIAL_TIMEOUT_NS, MAX_ANSWER_BYTES)
+        self._client = Client(io.loop, io.buffers, source_address, self, DIAL_TIMEOUT_NS, MAX_RESPONSE_BYTES)
 
     def add(self, path: str, body: Mapping[str, object]) -> None:
         """Append a post to the queue."""
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -277,7 +277,7 @@
     here.wait(lambda: len(here.in_force()) == 8)
     (tmp_path / "data.new").symlink_to("v1")
     os.replace(tmp_path / "data.new", tmp_path / "data")
-    here.source._watcher.look()  # the link's own folder is not the file's: found by looking
+    here.source._watcher.poll()  # the link's own folder is not the file's: found by looking
     here.wait(lambda: len(here.in_force()) == 9)
 
 
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -171,7 +171,7 @@
         )
 
     def client(self, data=b""):
-        self.clients.append(Client(self.kit, self.proxy.at))
+        self.clients.append(Client(self.kit, self.proxy.listen_address))
         self.clients[-1].send(data)
         return self.clients[-1]
 
@@ -509,14 +509,14 @@
     here = site(
         answers_with(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"z" * size), timeouts=(20 * S, S, S)
     )
-    sock = socket.create_connection(here.proxy.at)
+    sock = socket.create_connection(here.proxy.listen_address)
     sock.sendall(GET)
     most = 0
     end = here.kit.loop.now() + 300 * MS
     while here.kit.loop.now() < end:
         here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
         here.kit.loop.turn()
-        most = max([most, *(client.waiting() for client in here.proxy.clients.connections.values())])
+        most = max([most, *(client.unsent_bytes() for client in here.proxy.clients.connections.values())])
     assert 0 < most < 1 << 20
     sock.setblocking(False)
     got = 0
@@ -542,7 +542,9 @@
 
 def test_a_request_too_long_to_be_sent_again_is_not(site):
     here = site(
-        answers_with(NOT_STARTED), answers_with(NOT_STARTED), limits_of_exchanges=ExchangeLimits(kept_body_bytes=100)
+        answers_with(NOT_STARTED),
+        answers_with(NOT_STARTED),
+        limits_of_exchanges=ExchangeLimits(max_resend_body_bytes=100),
     )
     client = here.client(post(body=b"x" * 1000))
     here.wait(lambda: client.data)
@@ -654,7 +656,7 @@
     here.wait(lambda: busy.ended and here.proxy.idle())
     assert b"Connection: close" in busy.data and busy.data.endswith(b"ok")
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(here.proxy.at)
+        socket.create_connection(here.proxy.listen_address)
 
 
 def test_a_node_that_is_slow_to_take_a_body_holds_up_the_client(site):
@@ -671,7 +673,7 @@
             pass
         here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
         here.kit.loop.turn()
-    assert sent < 25_000_000 and all(to.waiting() < 1 << 20 for to in here.proxy.nodes.connections.values())
+    assert sent < 25_000_000 and all(to.unsent_bytes() < 1 << 20 for to in here.proxy.nodes.connections.values())
 
 
 def test_second_tries_are_bounded_by_their_budget_when_half_the_nodes_refuse_for_being_full(site):
--- a/tests/reference_proxy/test_update_client.py
+++ b/tests/reference_proxy/test_update_client.py
@@ -154,8 +154,8 @@
     here.wait(lambda: here.changed)
     node = here.ids.node("s-1")
     for good in (True, True, False):
-        here.control.attempt_ended(1, node, good, 30 * MS)
-        here.control.op_ended(1, 0, Verdict.ACKED if good else Verdict.ABORTED)
+        here.control.record_attempt(1, node, good, 30 * MS)
+        here.control.record_op(1, 0, Verdict.ACKED if good else Verdict.ABORTED)
     here.wait(lambda: here.posts("/v1/reports"))
     assert here.posts("/v1/reports")[0] == {
         "relay": 17,
@@ -181,4 +181,4 @@
     here.wait(lambda: here.changed)
     here.hub.close()
     here.wait(lambda: here.count("tables_broken") >= 2)
-    assert here.lines(1) == {"s-1": 1.0, "s-2": 2.0} and here.control._joined_at is None
+    assert here.lines(1) == {"s-1": 1.0, "s-2": 2.0} and here.control._stream_began_at is None
