--- a/kestrelplank/reference_proxy/client_request.py
+++ b/kestrelplank/reference_proxy/client_request.py
@@ -96,7 +96,7 @@
             (name, value) for name, value in end_to_end_headers(self.headers) if name.lower() not in REPLACED_HEADERS
         ]
         first_line = self.method + b" " + self.target + b" HTTP/1.1"
-        head = render_head(first_line, headers, self.length, chunked=self.chunked, more=own)
+        head = render_head(first_line, headers, self.length, chunked=self.chunked, extra_headers=own)
         parts = [head, *map(self.encode_body_data, self.body or ())]
         if self.chunked and self.complete:
             parts.append(LAST_CHUNK)
--- a/kestrelplank/reference_proxy/exchange.py
+++ b/kestrelplank/reference_proxy/exchange.py
@@ -199,8 +199,10 @@
             has_end = length is not None or self._sends_chunks
             kept = render_head(first_line, forwarded, announced_length, chunked=self._sends_chunks)
             self.recorded_response = [kept] if has_end else None
-        more = () if self.keep else (CLOSE_HEADER,)
-        head = render_head(first_line, forwarded, announced_length, chunked=self._sends_chunks, more=more)
+        extra_headers = () if self.keep else (CLOSE_HEADER,)
+        head = render_head(
+            first_line, forwarded, announced_length, chunked=self._sends_chunks, extra_headers=extra_headers
+        )
         self._unwritten.append(head)
 
     def on_body(self, data: bytes) -> None:
@@ -257,7 +259,7 @@
 
     # Responses of the proxy itself
 
-    def answer(self, data: bytes) -> None:
+    def send_response(self, data: bytes) -> None:
         """Send a response that the proxy has generated or cached."""
         self.stage = Stage.ANSWERING
         self.client.write(data)
--- a/kestrelplank/reference_proxy/http_messages.py
+++ b/kestrelplank/reference_proxy/http_messages.py
@@ -87,13 +87,18 @@
 
 
 def render_head(
-    first_line: bytes, headers: Iterable[Header], length: int | None, *, chunked: bool, more: Iterable[Header] = ()
+    first_line: bytes,
+    headers: Iterable[Header],
+    length: int | None,
+    *,
+    chunked: bool,
+    extra_headers: Iterable[Header] = (),
 ) -> bytes:
     """Return the bytes of a head.
 
     :param headers: without framing headers, which are added by `length` and `chunked`.
     """
-    lines = [first_line, *(name + b": " + value for name, value in (*headers, *more))]
+    lines = [first_line, *(name + b": " + value for name, value in (*headers, *extra_headers))]
     if chunked:
         lines.append(b"Transfer-Encoding: chunked")
     elif length is not None:
@@ -109,12 +114,15 @@
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def proxy_response(status: int, text: str, *, keep: bool, more: Iterable[Header] = ()) -> bytes:
+def proxy_response(status: int, text: str, *, keep: bool, extra_headers: Iterable[Header] = ()) -> bytes:
     """Return a response that the proxy itself generates: one line of text.
 
     :param keep: whether the client's connection stays open after it.
     """
     body = text.encode() + b"\n"
-    extra = (*more, *(() if keep else (CLOSE_HEADER,)))
+    appended = (*extra_headers, *(() if keep else (CLOSE_HEADER,)))
     first_line = f"HTTP/1.1 {status} {REASONS.get(status, 'Error')}".encode()
-    return render_head(first_line, [(b"Content-Type", b"text/plain")], len(body), chunked=False, more=extra) + body
+    return (
+        render_head(first_line, [(b"Content-Type", b"text/plain")], len(body), chunked=False, extra_headers=appended)
+        + body
+    )
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -104,7 +104,7 @@
         return self._loop.now()
 
     def tables_changed(self, tables: list[int]) -> None:
-        """Resume ops that wait for an endpoint in these tables; cancel_request nodes that no table names."""
+        """Resume ops that wait for an endpoint in these tables; withdraw nodes that no table names."""
         for op, step in self._attempts.tables_changed(self._loop.now(), tables):
             self._apply_step(self.exchanges[op.number], step)
         self._apply_settled()
@@ -200,7 +200,7 @@
     def _replay(self, exchange: Exchange, answer: bytes) -> None:
         self._release_exchange(exchange)
         self.outcomes["kept"] += 1
-        exchange.answer(answer)
+        exchange.send_response(answer)
         exchange.client.exchange_finished(exchange)
 
     def _reject(self, exchange: Exchange, rejection: Rejection) -> None:
@@ -208,12 +208,12 @@
 
     def _respond(self, exchange: Exchange, status: int, text: str, *, may_retry: bool = False) -> None:
         exchange.keep = exchange.keep and exchange.request.complete and not self.stopping
-        more: list[Header] = []
+        extra_headers: list[Header] = []
         if may_retry:
             wait_s = retry_after_s(0, self._attempts.waiting_count(), LONG_QUEUE)
-            more.append((b"Retry-After", b"%d" % wait_s))
+            extra_headers.append((b"Retry-After", b"%d" % wait_s))
         self._release_exchange(exchange)
-        exchange.answer(proxy_response(status, text, keep=exchange.keep, more=more))
+        exchange.send_response(proxy_response(status, text, keep=exchange.keep, extra_headers=extra_headers))
         exchange.client.exchange_finished(exchange)
 
     def _release_exchange(self, exchange: Exchange) -> None:
