--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -159,7 +159,7 @@
     """One assigner in service: its components, made in the order in which they need each other.
 
     What only an operator's file brings is imported and made only with one (tests/cli/test_cli.py,
-    `test_the_platforms_run_imports_nothing_new`).
+    `test_conductor_without_an_operators_file_loads_no_optional_module`).
 
     :raises CannotListenError: another program has the address.
     """
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -53,18 +53,18 @@
     assert found["rules"]["queue"]["kept"] and len(found["timelines"]) == 4 and found["form"] == 1
 
 
-def test_an_invalid_script_is_one_line_and_exit_code_2(path):
+def test_invalid_script_prints_one_line_and_exits_with_2(path):
     Path(path).write_text(SCRIPT.replace("500ms", "soon"))
     done = run("rehearse", path)
     assert done.exit_code == 2 and done.output.count("\n") == 1 and "line 11, [op look], field target" in done.output
 
 
-def test_a_report_that_cannot_be_written_is_one_line_and_exit_code_2(path, tmp_path):
+def test_unwritable_report_prints_its_reason_and_exits_with_2(path, tmp_path):
     done = run("rehearse", path, "--json", str(tmp_path / "no" / "r.json"))
     assert done.exit_code == 2 and "can't be written: No such file or directory" in done.output
 
 
-def test_a_broken_rule_is_exit_code_1(path, monkeypatch):
+def test_broken_rule_exits_with_1(path, monkeypatch):
     from kestrelplank.emulator import environment
 
     monkeypatch.setattr(environment, "TIME_LIMIT_TOLERANCE_NS", -(10**12))  # so that no time is short enough
@@ -72,7 +72,7 @@
     assert done.exit_code == 1 and "BROKEN" in done.output
 
 
-def test_the_platforms_run_imports_nothing_new():
+def test_conductor_without_an_operators_file_loads_no_optional_module():
     """Without an operator's file, nothing of the command line, the emulator or an extra is loaded."""
     code = "import sys, kestrelplank.__main__; print('\\n'.join(sys.modules))"
     loaded = subprocess.run(
@@ -123,7 +123,7 @@
     return node_set_in_force.node_set.short_hash
 
 
-def test_check_prints_what_each_file_is_and_names_conflicts(site, path):
+def test_check_prints_each_files_kind_and_conflicts(site, path):
     done = run("check", str(site / "k.ini"), str(site / "nodes" / "a.ini"), path)
     assert done.exit_code == 0 and "4 nodes, 3 ready, in 2 zones" in done.output
     assert [line.rpartition(": ")[2] for line in done.output.splitlines()[:3]] == [
@@ -145,7 +145,7 @@
     assert {row["from"] for row in json.loads(run("config", "show", "--json").output)} == {"default"}
 
 
-def test_nodes_are_listed_from_the_files_or_as_they_are_in_force(site):
+def test_nodes_are_listed_from_the_files_or_from_the_set_in_force(site):
     ini = ("--ini", str(site / "k.ini"))
     assert "4 nodes, 3 ready; hash" in run("nodes", "list", *ini).output
     assert json.loads(run("nodes", "list", *ini, "--json").output)[2] == {
@@ -191,7 +191,7 @@
         (("diff", "none", "none"), "none: can't be read"),
     ],
 )
-def test_a_file_that_the_nodes_commands_cannot_use_is_one_line_and_exit_code_2(words, says, monkeypatch):
+def test_unusable_file_of_a_nodes_command_prints_one_line_and_exits_with_2(words, says, monkeypatch):
     monkeypatch.delenv("KESTRELPLANK_INI", raising=False)
     done = run("nodes", *words)
     assert done.exit_code == 2 and says in done.output and done.output.count("\n") == 1
--- a/tests/file_discovery/test_atomic_write.py
+++ b/tests/file_discovery/test_atomic_write.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("fails", ["fsync", "replace"])
-def test_a_write_that_fails_keeps_the_old_file_and_leaves_no_temporary_one(tmp_path, monkeypatch, fails):
+def test_failed_write_keeps_the_old_file_and_leaves_no_temporary_file(tmp_path, monkeypatch, fails):
     path = tmp_path / "nodes.ini"
     path.write_bytes(b"one")
 
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -170,27 +170,27 @@
 
 
 @pytest.fixture
-def site(tmp_path):
-    made = []
+def make_site(tmp_path):
+    sites = []
 
     def make(first, **fields):
-        made.append(Site(tmp_path, first, **fields))
-        return made[-1]
+        sites.append(Site(tmp_path, first, **fields))
+        return sites[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for site in sites:
+        site.close()
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_a_saved_file_is_in_force_and_nodes_that_vanished_drain_first(site, events):
-    here = site(text_of(range(1, 9)), events=events)
-    here.wait(lambda: len(here.in_force()) == 8)
-    here.write("a.ini", text_of([*range(1, 8), 9]))
-    here.wait(lambda: here.told().get(name(8)) == "draining")
-    assert here.told()[name(9)] == "up"
-    here.wait(lambda: here.told().get(name(8)) == "removed")
-    assert here.source.node_set_in_force.version == 2 and here.count("files_accepted") == 2
+def test_saved_file_takes_effect_and_unlisted_nodes_drain_before_removal(make_site, events):
+    site = make_site(text_of(range(1, 9)), events=events)
+    site.wait(lambda: len(site.in_force()) == 8)
+    site.write("a.ini", text_of([*range(1, 8), 9]))
+    site.wait(lambda: site.told().get(name(8)) == "draining")
+    assert site.told()[name(9)] == "up"
+    site.wait(lambda: site.told().get(name(8)) == "removed")
+    assert site.source.node_set_in_force.version == 2 and site.count("files_accepted") == 2
 
 
 def spoil_zone_twice(data):
@@ -208,161 +208,161 @@
         (lambda data: "[zone toronto]\n# end 0 nodes\n", "it lists no node"),
     ],
 )
-def test_an_invalid_list_changes_nothing_and_is_logged_with_its_line(site, capfd, spoil, says):
-    here = site(text_of(range(1, 9)), trailer_required=True)
-    here.wait(lambda: len(here.in_force()) == 8)
-    before, calls = here.in_force(), len(here.calls)
-    here.write("a.ini", spoil(text_of(range(1, 9))))
-    here.wait(lambda: here.count("files_refused"))
-    assert here.in_force() == before and here.source.node_set_in_force.version == 1 and len(here.calls) <= calls + 1
+def test_invalid_list_is_refused_and_logged_with_its_reason(make_site, capfd, spoil, says):
+    site = make_site(text_of(range(1, 9)), trailer_required=True)
+    site.wait(lambda: len(site.in_force()) == 8)
+    before, calls = site.in_force(), len(site.calls)
+    site.write("a.ini", spoil(text_of(range(1, 9))))
+    site.wait(lambda: site.count("files_refused"))
+    assert site.in_force() == before and site.source.node_set_in_force.version == 1 and len(site.calls) <= calls + 1
     said = capfd.readouterr().err
     assert "files_refused" in said and says in said and "in_force=1" in said
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_a_file_deleted_made_again_replaced_by_a_directory_or_unreadable_keeps_the_set_in_force(site, events):
-    here = site(text_of(range(1, 9)), events=events)
-    here.wait(lambda: len(here.in_force()) == 8)
-    path, before = here.folder / "a.ini", here.in_force()
+def test_missing_or_unreadable_file_keeps_the_set_in_force(make_site, events):
+    site = make_site(text_of(range(1, 9)), events=events)
+    site.wait(lambda: len(site.in_force()) == 8)
+    path, before = site.folder / "a.ini", site.in_force()
     path.unlink()
-    here.wait(lambda: here.count("files_refused") == 1)
+    site.wait(lambda: site.count("files_refused") == 1)
     path.mkdir()
-    here.wait(lambda: here.count("files_refused") == 2)
+    site.wait(lambda: site.count("files_refused") == 2)
     path.rmdir()
     os.mkfifo(path)  # which is no file, and must not hold the loop up
-    here.wait(lambda: here.count("files_refused") == 3)
+    site.wait(lambda: site.count("files_refused") == 3)
     path.unlink()
     path.symlink_to(path)  # a link to itself: it can't be read
-    here.wait(lambda: here.count("files_refused") == 4)
-    assert here.in_force() == before and here.source.node_set_in_force.version == 1
+    site.wait(lambda: site.count("files_refused") == 4)
+    assert site.in_force() == before and site.source.node_set_in_force.version == 1
     path.unlink()
-    here.write("a.ini", text_of(range(1, 10)))
-    here.wait(lambda: len(here.in_force()) == 9)
+    site.write("a.ini", text_of(range(1, 10)))
+    site.wait(lambda: len(site.in_force()) == 9)
 
 
-def test_a_file_gone_for_less_than_the_quiet_time_is_not_noticed(site):
-    here = site(text_of(range(1, 9)), quiet_period_ns=150 * MS)
-    here.wait(lambda: len(here.in_force()) == 8)
-    (here.folder / "a.ini").unlink()
-    end = here.kit.loop.now() + 30 * MS
-    here.wait(lambda: here.kit.loop.now() > end)
-    here.write("a.ini", text_of(range(1, 9)))
+def test_file_missing_for_less_than_the_quiet_period_is_ignored(make_site):
+    site = make_site(text_of(range(1, 9)), quiet_period_ns=150 * MS)
+    site.wait(lambda: len(site.in_force()) == 8)
+    (site.folder / "a.ini").unlink()
+    end = site.kit.loop.now() + 30 * MS
+    site.wait(lambda: site.kit.loop.now() > end)
+    site.write("a.ini", text_of(range(1, 9)))
     end += 400 * MS
-    here.wait(lambda: here.kit.loop.now() > end)
-    assert not here.count("files_refused") and here.source.node_set_in_force.version == 1
+    site.wait(lambda: site.kit.loop.now() > end)
+    assert not site.count("files_refused") and site.source.node_set_in_force.version == 1
 
 
 @pytest.mark.parametrize("events", [True, False])
-def test_an_edit_in_place_of_the_same_size_is_seen_and_a_touch_changes_nothing(site, events):
-    here = site(text_of(range(1, 9)), events=events)
-    here.wait(lambda: len(here.in_force()) == 8)
-    path = here.folder / "a.ini"
+def test_in_place_edit_is_detected_despite_equal_size_and_modification_time(make_site, events):
+    site = make_site(text_of(range(1, 9)), events=events)
+    site.wait(lambda: len(site.in_force()) == 8)
+    path = site.folder / "a.ini"
     os.utime(path, ns=(1, 1))  # a time set back
-    reads = here.count("files_read")
+    reads = site.count("files_read")
     data = text_of(range(1, 9)).replace("10.1.0.1:9001", "10.1.0.1:9099")
     with open(path, "r+") as file:
         file.write(data)
     os.utime(path, ns=(1, 1))
-    here.wait(lambda: here.in_force()[name(1)].address == "10.1.0.1:9099")
-    assert here.count("files_read") == reads + 1
+    site.wait(lambda: site.in_force()[name(1)].address == "10.1.0.1:9099")
+    assert site.count("files_read") == reads + 1
 
 
-def test_a_symbolic_link_that_is_swapped_is_read_anew(site, tmp_path):
+def test_replaced_symbolic_link_is_detected(make_site, tmp_path):
     """A file behind a link to a folder behind another link, which is replaced whole."""
     for number, nodes in enumerate((range(1, 9), range(1, 10))):
         (tmp_path / f"v{number}").mkdir()
         (tmp_path / f"v{number}" / "nodes.ini").write_text(text_of(nodes))
     (tmp_path / "data").symlink_to("v0")
-    here = site(text_of(range(1, 9)), files=(str(tmp_path / "data" / "nodes.ini"),), poll_interval_ns=60_000 * MS)
-    here.wait(lambda: len(here.in_force()) == 8)
+    site = make_site(text_of(range(1, 9)), files=(str(tmp_path / "data" / "nodes.ini"),), poll_interval_ns=60_000 * MS)
+    site.wait(lambda: len(site.in_force()) == 8)
     (tmp_path / "data.new").symlink_to("v1")
     os.replace(tmp_path / "data.new", tmp_path / "data")
-    here.source._watcher.poll()  # the link's own folder is not the file's: found by looking
-    here.wait(lambda: len(here.in_force()) == 9)
-
-
-def test_two_files_changed_together_are_taken_together(site):
-    here = site(text_of(range(1, 9)), quiet_period_ns=60 * MS)
-    here.write("b.ini", text_of(range(11, 15)))
-    here.wait(lambda: len(here.in_force()) == 12)
-    here.write("a.ini", text_of([*range(1, 9), 11, 21]))  # node 11 goes over from one to the other
-    here.write("b.ini", text_of(range(12, 15)))
-    here.wait(lambda: len(here.in_force()) == 13)
-    assert here.source.node_set_in_force.version == 2 and not here.count("files_refused")
-
-
-def test_a_set_that_waits_is_in_force_with_its_marker(site):
-    here = site(text_of(range(1, 9)))
-    here.wait(lambda: len(here.in_force()) == 8)
-    here.write("a.ini", text_of(range(1, 5)))
-    here.wait(lambda: here.count("files_waiting"))
-    assert len(here.in_force()) == 8
-    here.write(
-        "a.ini", f"[list]\nconfirm = {here.source.node_set_in_force.node_set.short_hash}\n" + text_of(range(1, 5))
+    site.source._watcher.poll()  # the link's own folder is not the file's: found by looking
+    site.wait(lambda: len(site.in_force()) == 9)
+
+
+def test_two_files_changed_within_the_quiet_period_take_effect_as_one_version(make_site):
+    site = make_site(text_of(range(1, 9)), quiet_period_ns=60 * MS)
+    site.write("b.ini", text_of(range(11, 15)))
+    site.wait(lambda: len(site.in_force()) == 12)
+    site.write("a.ini", text_of([*range(1, 9), 11, 21]))  # node 11 goes over from one to the other
+    site.write("b.ini", text_of(range(12, 15)))
+    site.wait(lambda: len(site.in_force()) == 13)
+    assert site.source.node_set_in_force.version == 2 and not site.count("files_refused")
+
+
+def test_large_change_takes_effect_with_its_confirmation(make_site):
+    site = make_site(text_of(range(1, 9)))
+    site.wait(lambda: len(site.in_force()) == 8)
+    site.write("a.ini", text_of(range(1, 5)))
+    site.wait(lambda: site.count("files_waiting"))
+    assert len(site.in_force()) == 8
+    site.write(
+        "a.ini", f"[list]\nconfirm = {site.source.node_set_in_force.node_set.short_hash}\n" + text_of(range(1, 5))
     )
-    here.wait(lambda: len(here.in_force()) == 4)
+    site.wait(lambda: len(site.in_force()) == 4)
 
 
-def test_a_set_that_stays_the_same_for_the_confirmation_period_is_in_force(site):
-    here = site(text_of(range(1, 9)), confirmation_period_ns=120 * MS)
-    here.wait(lambda: len(here.in_force()) == 8)
-    here.write("a.ini", text_of(range(1, 5)))
-    here.wait(lambda: len(here.in_force()) == 4)
-    assert here.count("files_waiting") == 1
+def test_large_change_takes_effect_after_the_confirmation_period(make_site):
+    site = make_site(text_of(range(1, 9)), confirmation_period_ns=120 * MS)
+    site.wait(lambda: len(site.in_force()) == 8)
+    site.write("a.ini", text_of(range(1, 5)))
+    site.wait(lambda: len(site.in_force()) == 4)
+    assert site.count("files_waiting") == 1
 
 
-def test_after_a_restart_with_an_invalid_list_the_former_set_is_in_force(site):
-    here = site(text_of(range(1, 9)))
-    here.wait(lambda: len(here.in_force()) == 8)
-    again = site("[zone toronto\n")
+def test_set_in_force_is_restored_after_a_restart_with_an_invalid_list(make_site):
+    site = make_site(text_of(range(1, 9)))
+    site.wait(lambda: len(site.in_force()) == 8)
+    again = make_site("[zone toronto\n")
     again.wait(lambda: again.count("files_refused"))
-    assert again.in_force() == here.in_force() and again.source.node_set_in_force.version == 1
+    assert again.in_force() == site.in_force() and again.source.node_set_in_force.version == 1
     assert sorted(again.told()) == sorted(map(name, range(1, 9)))
 
 
-def test_a_torn_state_file_is_logged_and_the_lists_are_in_force(site, tmp_path, capfd):
+def test_corrupt_state_file_is_logged_and_the_lists_take_effect(make_site, tmp_path, capfd):
     (tmp_path / "state").write_text("{")
-    here = site(text_of(range(1, 9)))
-    here.wait(lambda: len(here.in_force()) == 8)
-    assert here.count("files_state_refused") == 1 and f"{tmp_path}/state: torn or changed" in capfd.readouterr().err
+    site = make_site(text_of(range(1, 9)))
+    site.wait(lambda: len(site.in_force()) == 8)
+    assert site.count("files_state_refused") == 1 and f"{tmp_path}/state: torn or changed" in capfd.readouterr().err
 
 
-def test_a_change_during_the_start_is_in_force(site):
-    here = site(text_of(range(1, 9)))
-    here.write("a.ini", text_of(range(1, 10)))
-    here.wait(lambda: here.in_force())
-    assert len(here.in_force()) == 9 and here.source.node_set_in_force.version == 1
+def test_change_during_startup_takes_effect(make_site):
+    site = make_site(text_of(range(1, 9)))
+    site.write("a.ini", text_of(range(1, 10)))
+    site.wait(lambda: site.in_force())
+    assert len(site.in_force()) == 9 and site.source.node_set_in_force.version == 1
 
 
-def test_a_file_that_is_gone_leaves_the_set_when_the_operators_file_is_reloaded(site):
-    here = site(text_of(range(1, 9)))
-    here.write("b.ini", text_of(range(9, 11)))
-    here.wait(lambda: len(here.in_force()) == 10)
-    (here.folder / "b.ini").unlink()
-    here.wait(lambda: here.count("files_refused"))
-    here.source.reload(here.source._settings)
-    here.wait(lambda: len(here.in_force()) == 8)
+def test_nodes_of_a_deleted_file_leave_the_set_on_reload(make_site):
+    site = make_site(text_of(range(1, 9)))
+    site.write("b.ini", text_of(range(9, 11)))
+    site.wait(lambda: len(site.in_force()) == 10)
+    (site.folder / "b.ini").unlink()
+    site.wait(lambda: site.count("files_refused"))
+    site.source.reload(site.source._settings)
+    site.wait(lambda: len(site.in_force()) == 8)
 
 
-def test_of_a_thousand_changes_in_a_row_the_last_is_in_force(site):
-    here = site(text_of(range(1, 9)))
-    here.wait(lambda: len(here.in_force()) == 8)
+def test_last_of_a_thousand_consecutive_changes_takes_effect(make_site):
+    site = make_site(text_of(range(1, 9)))
+    site.wait(lambda: len(site.in_force()) == 8)
     for turn in range(1000):
-        here.write("a.ini", text_of(range(1, 9 + turn % 3)))
+        site.write("a.ini", text_of(range(1, 9 + turn % 3)))
         if turn % 20 == 0:
-            here.kit.loop.at(here.kit.loop.now(), lambda: None)
-            here.kit.loop.turn()
-    here.write("a.ini", text_of(range(1, 12)))
-    here.wait(lambda: len(here.in_force()) == 11)
-    assert here.count("files_refused") == 0 and here.bare == 0
+            site.kit.loop.at(site.kit.loop.now(), lambda: None)
+            site.kit.loop.turn()
+    site.write("a.ini", text_of(range(1, 12)))
+    site.wait(lambda: len(site.in_force()) == 11)
+    assert site.count("files_refused") == 0 and site.bare == 0
 
 
-def rewrites(here, random, number):
+def rewrites(site, random, number):
     """So many rewrites, few of them valid; relays are checked all the way. Returns every name that a valid list had: a
     changed byte may leave one, with another name in it."""
     names = {name(one) for one in range(1, 25)}
     for turn in range(number):
-        valid = [int(node.split(".")[0].partition("-")[2] or 1) for node in here.in_force()]
+        valid = [int(node.split(".")[0].partition("-")[2] or 1) for node in site.in_force()]
         wanted = {*random.sample(range(1, 25), random.randrange(3)), *valid}
         data = text_of(sorted(wanted - {*random.sample(valid, random.randrange(4))}))
         how = random.choice(["valid", "torn", "byte", "twice", "gone", "empty", "in place", "valid", "none"])
@@ -383,43 +383,43 @@
         elif how == "none":
             data = "[list]\n# end 0 nodes\n"
         if how == "gone":
-            (here.folder / "a.ini").unlink(missing_ok=True)
+            (site.folder / "a.ini").unlink(missing_ok=True)
         elif how == "in place":
-            (here.folder / "a.ini").write_text(data[:-9])
+            (site.folder / "a.ini").write_text(data[:-9])
         else:
-            here.write("a.ini", "" if how == "empty" else data)
+            site.write("a.ini", "" if how == "empty" else data)
         if how == "valid":  # it is taken, or waits for a second word
-            here.wait(
+            site.wait(
                 lambda data=data: (
-                    format_node_list(NodeSet(here.in_force())) == data or here.source.node_set_in_force.waiting
+                    format_node_list(NodeSet(site.in_force())) == data or site.source.node_set_in_force.waiting
                 )
             )
         else:
-            end = here.kit.loop.now() + random.randrange(6) * MS
-            here.wait(lambda end=end: here.kit.loop.now() >= end)
-        assert here.bare == 0
+            end = site.kit.loop.now() + random.randrange(6) * MS
+            site.wait(lambda end=end: site.kit.loop.now() >= end)
+        assert site.bare == 0
     return names
 
 
 @pytest.mark.parametrize("seed, events", [(1, True), (2, False)])
-def test_relays_only_see_complete_valid_tables_over_a_thousand_rewrites(site, seed, events):
-    here = site(
+def test_relays_only_see_complete_valid_tables_over_a_thousand_rewrites(make_site, seed, events):
+    site = make_site(
         text_of(range(1, 17)), trailer_required=True, events=events, quiet_period_ns=2 * MS, poll_interval_ns=3 * MS
     )
-    here.wait(lambda: len(here.in_force()) == 16 and len(here.policy.slices) == SLICES)
-    nodes = rewrites(here, Random(seed), int(os.environ.get("REWRITES", 500)))
+    site.wait(lambda: len(site.in_force()) == 16 and len(site.policy.slices) == SLICES)
+    nodes = rewrites(site, Random(seed), int(os.environ.get("REWRITES", 500)))
     last = text_of(range(1, 17))
-    here.write("a.ini", f"[list]\nconfirm = {here.source.node_set_in_force.node_set.short_hash}\n{last}")
-    here.wait(lambda: format_node_list(NodeSet(here.in_force())) == last)
-    for _, orders in here.calls:
+    site.write("a.ini", f"[list]\nconfirm = {site.source.node_set_in_force.node_set.short_hash}\n{last}")
+    site.wait(lambda: format_node_list(NodeSet(site.in_force())) == last)
+    for _, orders in site.calls:
         for order in orders:
             assert isinstance(order, RequestAcknowledgement) or order.node in nodes
-    force = set(here.in_force())
-    here.wait(
+    force = set(site.in_force())
+    site.wait(
         lambda: all(
             set(dict(relay.available(table))) <= force and relay.available(table)
-            for relay in here.relays
+            for relay in site.relays
             for table in range(SLICES)
         )
     )
-    assert here.bare == 0 and here.count("files_refused") > 20 and here.count("files_accepted") > 20
+    assert site.bare == 0 and site.count("files_refused") > 20 and site.count("files_accepted") > 20
--- a/tests/file_discovery/test_node_list.py
+++ b/tests/file_discovery/test_node_list.py
@@ -25,7 +25,7 @@
     return parse_node_list("n.ini", data, max_nodes=most, trailer_required=trailer)
 
 
-def test_a_list_is_read_with_its_lines():
+def test_list_is_parsed_with_line_numbers():
     assert part() == (
         "n.ini",
         (
@@ -75,7 +75,7 @@
         ("# end 3", "# end 4", "line 11: the last line says 4 nodes, but 3 are listed"),
     ],
 )
-def test_an_invalid_list_is_refused_with_its_line(old, new, says):
+def test_invalid_list_is_refused_with_its_line_number(old, new, says):
     assert old in TEXT
     with pytest.raises(InvalidSettingsError) as found:
         part(TEXT.replace(old, new, 1))
@@ -95,13 +95,13 @@
         part(most=2)
 
 
-def test_a_trailer_that_is_not_required_must_be_true_all_the_same():
+def test_optional_trailer_must_be_correct_if_present():
     assert len(part(TEXT.replace("# end 3 nodes\n", ""), trailer=False).entries) == 3
     with pytest.raises(InvalidSettingsError, match="the last line says 4 nodes"):
         part(TEXT.replace("# end 3", "# end 4"), trailer=False)
 
 
-def test_a_list_cut_short_at_any_byte_is_refused_where_the_trailer_is_required():
+def test_list_truncated_at_any_byte_is_refused_if_the_trailer_is_required():
     data = TEXT.encode()
     for cut in range(len(data)):
         with pytest.raises(InvalidSettingsError):
@@ -133,13 +133,13 @@
 
 
 @given(sets)
-def test_a_set_that_is_formatted_is_read_back_as_it_was(made):
+def test_formatted_node_set_parses_to_the_same_set(made):
     lines = part(format_node_list(made)).entries
     assert NodeSet({line.name: line.listed for line in lines}) == made and len(lines) == len(made)
 
 
 @given(some.binary(max_size=80))
-def test_no_bytes_raise_anything_but_invalid_settings(data):
+def test_arbitrary_bytes_raise_only_invalid_settings_errors(data):
     try:
         part(data, trailer=False)
     except InvalidSettingsError as err:
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -205,39 +205,39 @@
 
 
 @pytest.fixture
-def site():
-    made = []
+def make_site():
+    sites = []
 
     def make(*nodes, **fields):
-        made.append(Site(*nodes, **fields))
-        return made[-1]
+        sites.append(Site(*nodes, **fields))
+        return sites[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for site in sites:
+        site.close()
 
 
-def test_an_op_goes_to_a_node_and_its_answer_comes_back_over_kept_connections(site):
-    here = site(answers_with(OK))
-    client = here.client()
+def test_requests_are_answered_over_reused_connections(make_site):
+    site = make_site(answers_with(OK))
+    client = site.client()
     for turn in range(1, 4):
         client.send(GET)
-        here.wait(lambda turn=turn: client.data.count(b"ok") == turn)
-    assert len(here.nodes[0].peers) == 1 and client.data == OK * 3
-    assert [told[2:4] for told in here.tries] == [(LOOK, True)] * 3 and here.ops == [(0, LOOK, "acked")] * 3
+        site.wait(lambda turn=turn: client.data.count(b"ok") == turn)
+    assert len(site.nodes[0].peers) == 1 and client.data == OK * 3
+    assert [told[2:4] for told in site.tries] == [(LOOK, True)] * 3 and site.ops == [(0, LOOK, "acked")] * 3
 
 
-def test_what_belongs_to_one_connection_is_not_passed_on_and_the_deadline_is(site):
-    here = site(
+def test_hop_by_hop_headers_are_dropped_and_the_deadline_header_is_set(make_site):
+    site = make_site(
         answers_with(
             b"HTTP/1.1 200 OK\r\nX-A: 1\r\nKeep-Alive: 5\r\nConnection: x-b\r\nX-B: 2\r\nContent-Length: 0\r\n\r\n"
         )
     )
-    client = here.client(
+    client = site.client(
         b"GET /look HTTP/1.1\r\nHost: a\r\nConnection: X-Mine, close\r\nX-Mine: 1\r\nTE: x\r\nX-Deadline-Ms: 9\r\nX-Kept: 1\r\n\r\n"
     )
-    here.wait(lambda: client.ended)
-    seen = here.nodes[0].seen().lower()
+    site.wait(lambda: client.ended)
+    seen = site.nodes[0].seen().lower()
     assert (
         b"x-kept: 1" in seen and b"x-mine" not in seen and b"\r\nte:" not in seen and seen.count(b"x-deadline-ms") == 1
     )
@@ -246,137 +246,137 @@
 
 
 @pytest.mark.parametrize("second", [OK, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"])
-def test_a_nodes_word_that_it_has_not_started_brings_a_second_try_and_no_third(site, second):
-    here = site(answers_with(NOT_STARTED), answers_with(second), lines={0: 1e9, 1: 1e-9})
-    client = here.client(post())
-    here.wait(lambda: client.data)
-    assert client.data.startswith(second[:12]) and here.requests() == 2 and b"full" not in client.data
+def test_not_started_response_is_retried_once(make_site, second):
+    site = make_site(answers_with(NOT_STARTED), answers_with(second), lines={0: 1e9, 1: 1e-9})
+    client = site.client(post())
+    site.wait(lambda: client.data)
+    assert client.data.startswith(second[:12]) and site.requests() == 2 and b"full" not in client.data
 
 
-def test_a_refused_connection_is_proof_and_the_op_goes_elsewhere(site):
-    here = site(answers_with(OK), answers_with(OK), lines={0: 1e9, 1: 1e-9})
-    here.nodes[0].listener.close()
-    client = here.client(post())
-    here.wait(lambda: client.data == OK)
-    assert here.attempts.counts["second_tries"] == 1
+def test_refused_connection_is_retried_at_another_node(make_site):
+    site = make_site(answers_with(OK), answers_with(OK), lines={0: 1e9, 1: 1e-9})
+    site.nodes[0].listener.close()
+    client = site.client(post())
+    site.wait(lambda: client.data == OK)
+    assert site.attempts.counts["second_tries"] == 1
 
 
-def test_an_order_place_whose_first_try_timed_out_is_not_tried_again(site):
-    here = site(None, None, timeouts=(2 * S, 80 * MS, S))
-    client = here.client(post())
-    here.wait(lambda: client.data)
+def test_timed_out_attempt_is_not_retried(make_site):
+    site = make_site(None, None, timeouts=(2 * S, 80 * MS, S))
+    client = site.client(post())
+    site.wait(lambda: client.data)
     assert client.data.startswith(b"HTTP/1.1 504") and b"aborted: op timeout" in client.data
-    here.pass_time(50 * MS)
-    assert here.requests() == 1 and here.attempts.counts["second_tries"] == 0
-    assert all(peer.gone for node in here.nodes for peer in node.peers)  # an answer may yet have come on it
+    site.pass_time(50 * MS)
+    assert site.requests() == 1 and site.attempts.counts["second_tries"] == 0
+    assert all(peer.gone for node in site.nodes for peer in node.peers)  # an answer may yet have come on it
 
 
-def test_nor_when_the_reset_came_after_the_last_byte(site):
-    here = site(lambda peer: peer.connection.close("reset"), lambda peer: peer.connection.close("reset"))
-    client = here.client(post())
-    here.wait(lambda: client.data)
-    assert client.data.startswith(b"HTTP/1.1 502") and b"aborted: reset" in client.data and here.requests() == 1
+def test_attempt_reset_after_the_complete_request_is_not_retried(make_site):
+    site = make_site(lambda peer: peer.connection.close("reset"), lambda peer: peer.connection.close("reset"))
+    client = site.client(post())
+    site.wait(lambda: client.data)
+    assert client.data.startswith(b"HTTP/1.1 502") and b"aborted: reset" in client.data and site.requests() == 1
 
 
-def test_an_answer_cut_short_closes_the_connection_and_is_not_tried_again(site):
+def test_truncated_response_closes_the_client_connection_without_a_retry(make_site):
     def cut(peer):
         peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
         peer.connection.close("cut")
 
-    here = site(cut, cut)
-    client = here.client(GET)
-    here.wait(lambda: client.ended)
-    assert client.data.endswith(b"half") and here.requests() == 1 and here.ops == [(0, LOOK, "aborted")]
-
-
-def test_a_table_message_in_the_middle_of_a_second_try_changes_nothing_of_it(site):
-    here = site(answers_with(NOT_STARTED), None, lines={0: 1e9, 1: 1e-9})
-    client = here.client(post())
-    here.wait(lambda: here.nodes[1].peers and here.nodes[1].peers[0].data)
-    here.order(SetEndpoint(0, 1, 0), SetEndpoint(0, 0, 0))
-    here.nodes[1].peers[0].write(OK)
-    here.wait(lambda: client.data == OK)
-    assert here.requests() == 2
-
-
-def test_a_node_withdrawn_while_its_connection_is_dialled_gets_nothing(site):
-    here = site(answers_with(OK), answers_with(OK), lines={0: 1e9, 1: 1e-9})
-    client = here.client(GET)
-    here.wait(lambda: here.proxy.nodes.pools)  # the dial is out, its answer has not been looked at
-    here.order(SetWithdrawn(0, True))
-    here.wait(lambda: client.data == OK)
-    assert b"GET" not in here.nodes[0].seen() and here.nodes[1].seen().count(b"GET") == 1
-
-
-def test_a_withdrawn_node_gets_no_further_op_and_finishes_what_it_has(site):
-    here = site(None, answers_with(OK), lines={0: 1e9, 1: 1e-9})
-    first = here.client(post())
-    here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data)
-    here.order(SetWithdrawn(0, True))
-    second = here.client(GET)
-    here.wait(lambda: second.data == OK)
-    here.nodes[0].peers[0].write(OK)
-    here.wait(lambda: first.data == OK)
-    here.wait(lambda: here.nodes[0].peers[0].gone)
-    assert here.nodes[0].seen().count(b"HTTP/1.1") == 1
-
-
-def test_what_outlives_the_grace_at_a_withdrawn_node_is_closed(site):
-    here = site(None, lines={0: 1.0}, pools=PoolSettings(withdrawal_grace_ns=50 * MS), timeouts=(9 * S, 9 * S, S))
-    client = here.client(post())
-    here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data)
-    here.order(SetWithdrawn(0, True))
-    here.wait(lambda: client.data)
+    site = make_site(cut, cut)
+    client = site.client(GET)
+    site.wait(lambda: client.ended)
+    assert client.data.endswith(b"half") and site.requests() == 1 and site.ops == [(0, LOOK, "aborted")]
+
+
+def test_table_change_does_not_affect_a_retry_in_flight(make_site):
+    site = make_site(answers_with(NOT_STARTED), None, lines={0: 1e9, 1: 1e-9})
+    client = site.client(post())
+    site.wait(lambda: site.nodes[1].peers and site.nodes[1].peers[0].data)
+    site.order(SetEndpoint(0, 1, 0), SetEndpoint(0, 0, 0))
+    site.nodes[1].peers[0].write(OK)
+    site.wait(lambda: client.data == OK)
+    assert site.requests() == 2
+
+
+def test_node_withdrawn_during_connection_setup_receives_no_request(make_site):
+    site = make_site(answers_with(OK), answers_with(OK), lines={0: 1e9, 1: 1e-9})
+    client = site.client(GET)
+    site.wait(lambda: site.proxy.nodes.pools)  # the dial is out, its answer has not been looked at
+    site.order(SetWithdrawn(0, True))
+    site.wait(lambda: client.data == OK)
+    assert b"GET" not in site.nodes[0].seen() and site.nodes[1].seen().count(b"GET") == 1
+
+
+def test_withdrawn_node_finishes_its_op_and_gets_no_new_one(make_site):
+    site = make_site(None, answers_with(OK), lines={0: 1e9, 1: 1e-9})
+    first = site.client(post())
+    site.wait(lambda: site.nodes[0].peers and site.nodes[0].peers[0].data)
+    site.order(SetWithdrawn(0, True))
+    second = site.client(GET)
+    site.wait(lambda: second.data == OK)
+    site.nodes[0].peers[0].write(OK)
+    site.wait(lambda: first.data == OK)
+    site.wait(lambda: site.nodes[0].peers[0].gone)
+    assert site.nodes[0].seen().count(b"HTTP/1.1") == 1
+
+
+def test_op_at_a_withdrawn_node_is_aborted_after_the_grace_period(make_site):
+    site = make_site(None, lines={0: 1.0}, pools=PoolSettings(withdrawal_grace_ns=50 * MS), timeouts=(9 * S, 9 * S, S))
+    client = site.client(post())
+    site.wait(lambda: site.nodes[0].peers and site.nodes[0].peers[0].data)
+    site.order(SetWithdrawn(0, True))
+    site.wait(lambda: client.data)
     assert client.data.startswith(b"HTTP/1.1 502")
 
 
-def test_where_every_node_is_avoided_all_are_used(site):
-    here = site(answers_with(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), strikes=2)
-    client = here.client()
+def test_ejected_nodes_are_used_if_all_are_ejected(make_site):
+    site = make_site(answers_with(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), strikes=2)
+    client = site.client()
     for turn in range(1, 7):
         client.send(GET)
-        here.wait(lambda turn=turn: client.data.count(b"500 No") == turn)
+        site.wait(lambda turn=turn: client.data.count(b"500 No") == turn)
 
 
-def test_a_node_that_answers_before_the_body_is_whole(site):
+def test_response_before_the_complete_body_is_forwarded_and_closes_both_connections(make_site):
     def early(peer):
         if b"\r\n\r\n" in peer.data and not getattr(peer, "replied", False):
             peer.replied = True
             peer.write(b"HTTP/1.1 413 Too long\r\nContent-Length: 0\r\n\r\n")
 
-    here = site(early)
-    client = here.client(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\nbegin")
-    here.wait(lambda: client.ended)
+    site = make_site(early)
+    client = site.client(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\nbegin")
+    site.wait(lambda: client.ended)
     assert client.data.startswith(b"HTTP/1.1 413") and b"Connection: close" in client.data
-    assert here.nodes[0].peers[0].gone  # half a request is on it
+    assert site.nodes[0].peers[0].gone  # half a request is on it
 
 
-def test_pipelined_requests_behind_a_slow_one_are_answered_in_order(site):
-    here = site(None)
-    client = here.client(GET + GET.replace(b"/look", b"/look/2") + GET.replace(b"/look", b"/look/3"))
+def test_pipelined_requests_behind_a_slow_one_are_answered_in_order(make_site):
+    site = make_site(None)
+    client = site.client(GET + GET.replace(b"/look", b"/look/2") + GET.replace(b"/look", b"/look/3"))
     for place in range(1, 4):
-        here.wait(lambda place=place: here.nodes[0].seen().count(b"GET") == place)
-        here.pass_time(5 * MS)
-        assert here.nodes[0].seen().count(b"GET") == place  # one at a time
-        here.nodes[0].peers[0].write(OK.replace(b"ok", b"a%d" % place))
-    here.wait(lambda: client.data.endswith(b"a3"))
+        site.wait(lambda place=place: site.nodes[0].seen().count(b"GET") == place)
+        site.pass_time(5 * MS)
+        assert site.nodes[0].seen().count(b"GET") == place  # one at a time
+        site.nodes[0].peers[0].write(OK.replace(b"ok", b"a%d" % place))
+    site.wait(lambda: client.data.endswith(b"a3"))
     assert client.data == b"".join(OK.replace(b"ok", b"a%d" % place) for place in range(1, 4))
 
 
 @pytest.mark.parametrize("at", ["waiting for an answer", "in its body", "in its head", "waiting for a line"])
-def test_a_client_that_closes_in_the_middle_leaves_nothing_behind(site, at):
-    here = site(None, lines={} if at == "waiting for a line" else None)
-    client = here.client({"in its head": b"GET /lo", "in its body": post(body=b"x" * 99)[:-9]}.get(at, post()))
+def test_client_closing_at_any_stage_cancels_its_attempt_without_a_retry(make_site, at):
+    site = make_site(None, lines={} if at == "waiting for a line" else None)
+    client = site.client({"in its head": b"GET /lo", "in its body": post(body=b"x" * 99)[:-9]}.get(at, post()))
     if at == "waiting for a line":
-        here.wait(lambda: here.attempts.waiting_count())
+        site.wait(lambda: site.attempts.waiting_count())
     elif at != "in its head":
-        here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data)
+        site.wait(lambda: site.nodes[0].peers and site.nodes[0].peers[0].data)
     else:
-        here.wait(lambda: len(here.proxy.admission))
+        site.wait(lambda: len(site.proxy.admission))
     client.close()
-    here.wait(lambda: not len(here.proxy.admission))
-    here.wait(lambda: all(peer.gone for peer in here.nodes[0].peers))
-    assert here.attempts.counts["second_tries"] == 0
+    site.wait(lambda: not len(site.proxy.admission))
+    site.wait(lambda: all(peer.gone for peer in site.nodes[0].peers))
+    assert site.attempts.counts["second_tries"] == 0
 
 
 @pytest.mark.parametrize(
@@ -393,11 +393,11 @@
         b"GET /look HTTP/9.9\r\nHost: a\r\n\r\n",
     ],
 )
-def test_a_request_that_can_be_read_in_two_ways_or_not_at_all_is_refused_and_reaches_no_node(site, request_):
-    here = site(answers_with(OK))
-    client = here.client(request_ + GET)
-    here.wait(lambda: client.ended)
-    assert client.data.startswith(b"HTTP/1.1 400") and client.data.count(b"HTTP/1.1") == 1 and not here.nodes[0].peers
+def test_ambiguous_or_malformed_request_is_rejected_and_reaches_no_node(make_site, request_):
+    site = make_site(answers_with(OK))
+    client = site.client(request_ + GET)
+    site.wait(lambda: client.ended)
+    assert client.data.startswith(b"HTTP/1.1 400") and client.data.count(b"HTTP/1.1") == 1 and not site.nodes[0].peers
 
 
 @pytest.mark.parametrize(
@@ -412,11 +412,11 @@
         (b"GET /look HTTP/1.1\r\nHost: a\r\n" + b"X: %s\r\n" % (b"y" * 8000) * 5, 431),
     ],
 )
-def test_what_is_not_served_says_so(site, request_, status):
-    here = site(answers_with(OK))
-    client = here.client(request_)
-    here.wait(lambda: client.data)
-    assert client.data.startswith(b"HTTP/1.1 %d" % status) and not here.nodes[0].peers
+def test_unsupported_request_is_rejected_with_its_status(make_site, request_, status):
+    site = make_site(answers_with(OK))
+    client = site.client(request_)
+    site.wait(lambda: client.data)
+    assert client.data.startswith(b"HTTP/1.1 %d" % status) and not site.nodes[0].peers
 
 
 @pytest.mark.parametrize(
@@ -431,19 +431,19 @@
         b"HTTP/1.1 200 OK\r\n" + b"X: %s\r\n" % (b"y" * 9000) * 5,
     ],
 )
-def test_an_answer_that_can_be_read_in_two_ways_or_not_at_all_ends_its_try_without_proof(site, reply):
-    here = site(answers_with(reply), answers_with(reply))
-    client = here.client(post())
-    here.wait(lambda: client.data)
-    assert client.data.startswith(b"HTTP/1.1 502") and here.requests() == 1
-    here.wait(lambda: all(peer.gone for node in here.nodes for peer in node.peers))
+def test_ambiguous_or_malformed_response_aborts_the_op_without_a_retry(make_site, reply):
+    site = make_site(answers_with(reply), answers_with(reply))
+    client = site.client(post())
+    site.wait(lambda: client.data)
+    assert client.data.startswith(b"HTTP/1.1 502") and site.requests() == 1
+    site.wait(lambda: all(peer.gone for node in site.nodes for peer in node.peers))
 
 
-def test_what_a_node_writes_behind_its_answer_is_no_answer_to_the_next_op(site):
-    here = site(answers_with(OK + OK.replace(b"ok", b"no"), OK))
-    client = here.client(GET + GET)
-    here.wait(lambda: client.data.count(b"HTTP/1.1") == 2)
-    assert client.data == OK * 2 and here.nodes[0].peers[0].gone
+def test_bytes_after_a_response_are_not_taken_as_the_next_response(make_site):
+    site = make_site(answers_with(OK + OK.replace(b"ok", b"no"), OK))
+    client = site.client(GET + GET)
+    site.wait(lambda: client.data.count(b"HTTP/1.1") == 2)
+    assert client.data == OK * 2 and site.nodes[0].peers[0].gone
 
 
 @pytest.mark.parametrize(
@@ -457,36 +457,36 @@
         (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, OK),
     ],
 )
-def test_answers_of_every_framing_come_through(site, reply, expected):
-    here = site(answers_with(reply))
-    client = here.client(GET)
-    here.wait(lambda: client.data.endswith(expected))
+def test_responses_of_every_framing_are_forwarded(make_site, reply, expected):
+    site = make_site(answers_with(reply))
+    client = site.client(GET)
+    site.wait(lambda: client.data.endswith(expected))
     client.send(GET)
-    here.wait(lambda: client.data.count(b"HTTP/1.1") == 2)
-    assert len(here.nodes[0].peers) == 1
+    site.wait(lambda: client.data.count(b"HTTP/1.1") == 2)
+    assert len(site.nodes[0].peers) == 1
 
 
-def test_an_answer_that_ends_with_its_connection_is_whole_for_either_version(site):
+def test_response_ended_by_close_is_forwarded_completely_to_http_1_0_and_1_1_clients(make_site):
     def does(peer):
         peer.write(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         peer.connection.close("end")
 
-    here = site(does)
-    new, old = here.client(GET), here.client(GET.replace(b"1.1", b"1.0"))
-    here.wait(lambda: new.data.endswith(b"0\r\n\r\n") and old.ended)
+    site = make_site(does)
+    new, old = site.client(GET), site.client(GET.replace(b"1.1", b"1.0"))
+    site.wait(lambda: new.data.endswith(b"0\r\n\r\n") and old.ended)
     assert b"9\r\nall of it\r\n" in new.data and old.data.endswith(b"\r\n\r\nall of it")
 
 
-def test_an_answer_to_head_has_no_body_whatever_it_announces(site):
-    here = site(answers_with(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", OK))
-    client = here.client(b"HEAD /keyed HTTP/1.1\r\nHost: a\r\n\r\n")
-    here.wait(lambda: b"Content-Length: 5" in client.data)
+def test_response_to_head_has_no_body_despite_its_content_length(make_site):
+    site = make_site(answers_with(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", OK))
+    client = site.client(b"HEAD /keyed HTTP/1.1\r\nHost: a\r\n\r\n")
+    site.wait(lambda: b"Content-Length: 5" in client.data)
     client.send(GET)
-    here.wait(lambda: client.data.endswith(OK))
+    site.wait(lambda: client.data.endswith(OK))
 
 
 @pytest.mark.parametrize("chunked", [True, False])
-def test_long_bodies_go_through_both_ways_with_bounded_memory(site, chunked):
+def test_long_bodies_are_forwarded_in_both_directions(make_site, chunked):
     size = 3 << 20
 
     def echo(peer):
@@ -494,93 +494,93 @@
         if b"0\r\n\r\n" in peer.data[-5:] if chunked else len(peer.data) >= size:
             peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"z" * size)
 
-    here = site(echo, timeouts=(20 * S, 20 * S, S))
+    site = make_site(echo, timeouts=(20 * S, 20 * S, S))
     body = b"".join(b"%x\r\n%s\r\n" % (1 << 16, b"y" * (1 << 16)) for _ in range(size >> 16)) + b"0\r\n\r\n"
     head = b"POST /place HTTP/1.1\r\nHost: a\r\n" + (
         b"Transfer-Encoding: chunked\r\n\r\n" if chunked else b"Content-Length: %d\r\n\r\n" % size
     )
-    client = here.client(head + (body if chunked else b"y" * size))
-    here.wait(lambda: client.data.endswith(b"z" * 9) and len(client.data) > size)
-    assert here.nodes[0].peers[0].data.count(b"y") == size and client.data.count(b"z") == size
+    client = site.client(head + (body if chunked else b"y" * size))
+    site.wait(lambda: client.data.endswith(b"z" * 9) and len(client.data) > size)
+    assert site.nodes[0].peers[0].data.count(b"y") == size and client.data.count(b"z") == size
 
 
-def test_a_slow_reader_holds_up_the_node_and_not_the_relays_memory(site):
+def test_slow_client_pauses_reading_from_the_node_with_bounded_memory(make_site):
     size = 12 << 20
-    here = site(
+    site = make_site(
         answers_with(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"z" * size), timeouts=(20 * S, S, S)
     )
-    sock = socket.create_connection(here.proxy.listen_address)
+    sock = socket.create_connection(site.proxy.listen_address)
     sock.sendall(GET)
     most = 0
-    end = here.kit.loop.now() + 300 * MS
-    while here.kit.loop.now() < end:
-        here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
-        here.kit.loop.turn()
-        most = max([most, *(client.unsent_bytes() for client in here.proxy.clients.connections.values())])
+    end = site.kit.loop.now() + 300 * MS
+    while site.kit.loop.now() < end:
+        site.kit.loop.at(site.kit.loop.now() + MS, lambda: None)
+        site.kit.loop.turn()
+        most = max([most, *(client.unsent_bytes() for client in site.proxy.clients.connections.values())])
     assert 0 < most < 1 << 20
     sock.setblocking(False)
     got = 0
     while got < size:
-        here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
-        here.kit.loop.turn()
+        site.kit.loop.at(site.kit.loop.now() + MS, lambda: None)
+        site.kit.loop.turn()
         try:
             got += len(sock.recv(1 << 20))
         except BlockingIOError:
             pass
     sock.close()
-    here.wait(lambda: not here.proxy.clients.connections)
+    site.wait(lambda: not site.proxy.clients.connections)
 
 
-def test_an_expectation_is_met_once_the_op_is_let_in(site):
-    here = site(answers_with(OK))
-    client = here.client(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n")
-    here.wait(lambda: client.data == b"HTTP/1.1 100 Continue\r\n\r\n")
+def test_expect_100_continue_is_answered_before_the_body_is_sent(make_site):
+    site = make_site(answers_with(OK))
+    client = site.client(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n")
+    site.wait(lambda: client.data == b"HTTP/1.1 100 Continue\r\n\r\n")
     client.send(b"x")
-    here.wait(lambda: client.data.endswith(OK))
-    assert b"xpect" not in here.nodes[0].seen()
+    site.wait(lambda: client.data.endswith(OK))
+    assert b"xpect" not in site.nodes[0].seen()
 
 
-def test_a_request_too_long_to_be_sent_again_is_not(site):
-    here = site(
+def test_request_with_a_body_too_long_to_keep_is_not_retried(make_site):
+    site = make_site(
         answers_with(NOT_STARTED),
         answers_with(NOT_STARTED),
         limits_of_exchanges=ExchangeLimits(max_resend_body_bytes=100),
     )
-    client = here.client(post(body=b"x" * 1000))
-    here.wait(lambda: client.data)
-    assert client.data.startswith(b"HTTP/1.1 502") and here.requests() == 1
+    client = site.client(post(body=b"x" * 1000))
+    site.wait(lambda: client.data)
+    assert client.data.startswith(b"HTTP/1.1 502") and site.requests() == 1
 
 
-def test_who_asks_again_with_its_key_gets_the_first_answer(site):
-    here = site(None)
+def test_repeated_key_gets_the_first_response_and_another_body_is_rejected(make_site):
+    site = make_site(None)
     keyed = post(b"/keyed", b"body", b"Idempotency-Key: k1\r\n")
-    first, second = here.client(keyed), here.client(keyed)
-    here.wait(lambda: here.kit.counters.counts["keys_busy"] == 1 and here.nodes[0].peers)
-    here.wait(lambda: b"body" in here.nodes[0].seen())
-    here.nodes[0].peers[0].write(OK)
-    here.wait(lambda: first.data == second.data == OK)
-    third = here.client(keyed)
-    here.wait(lambda: third.data == OK)
-    other = here.client(post(b"/keyed", b"else", b"Idempotency-Key: k1\r\n"))
-    here.wait(lambda: other.data.startswith(b"HTTP/1.1 409"))
-    assert here.requests() == 1
-
-
-def test_a_key_whose_op_may_have_run_is_not_run_again(site):
-    here = site(lambda peer: peer.connection.close("reset"), timeouts=(S, S, S))
+    first, second = site.client(keyed), site.client(keyed)
+    site.wait(lambda: site.kit.counters.counts["keys_busy"] == 1 and site.nodes[0].peers)
+    site.wait(lambda: b"body" in site.nodes[0].seen())
+    site.nodes[0].peers[0].write(OK)
+    site.wait(lambda: first.data == second.data == OK)
+    third = site.client(keyed)
+    site.wait(lambda: third.data == OK)
+    other = site.client(post(b"/keyed", b"else", b"Idempotency-Key: k1\r\n"))
+    site.wait(lambda: other.data.startswith(b"HTTP/1.1 409"))
+    assert site.requests() == 1
+
+
+def test_repeated_key_is_rejected_if_the_first_op_may_have_run(make_site):
+    site = make_site(lambda peer: peer.connection.close("reset"), timeouts=(S, S, S))
     keyed = post(b"/keyed", b"body", b"Idempotency-Key: k1\r\n")
-    first = here.client(keyed)
-    here.wait(lambda: first.data.startswith(b"HTTP/1.1 502"))
-    second = here.client(keyed)
-    here.wait(lambda: second.data.startswith(b"HTTP/1.1 409"))
-    assert here.requests() == 1
+    first = site.client(keyed)
+    site.wait(lambda: first.data.startswith(b"HTTP/1.1 502"))
+    second = site.client(keyed)
+    site.wait(lambda: second.data.startswith(b"HTTP/1.1 409"))
+    assert site.requests() == 1
 
 
-def test_who_waits_for_a_key_whose_first_was_rejected_may_come_again(site):
-    here = site(lines={}, hold=50 * MS)
+def test_request_waiting_for_a_rejected_first_request_gets_retry_after(make_site):
+    site = make_site(lines={}, hold=50 * MS)
     keyed = post(b"/keyed", b"body", b"Idempotency-Key: k1\r\n")
-    first, second = here.client(keyed), here.client(keyed)
-    here.wait(lambda: first.data and second.data)
+    first, second = site.client(keyed), site.client(keyed)
+    site.wait(lambda: first.data and second.data)
     assert (
         first.data.startswith(b"HTTP/1.1 503")
         and second.data.startswith(b"HTTP/1.1 503")
@@ -589,100 +589,100 @@
 
 
 @pytest.mark.parametrize("lines, hold, why", [({}, 0, "no line"), ({}, 30 * MS, "no line")])
-def test_what_is_given_up_is_answered_at_once_with_when_to_come_back(site, lines, hold, why):
-    here = site(answers_with(OK), lines=lines, hold=hold)
-    began = here.kit.loop.now()
-    client = here.client(GET)
-    here.wait(lambda: client.data)
+def test_op_without_an_endpoint_is_rejected_in_time_with_retry_after(make_site, lines, hold, why):
+    site = make_site(answers_with(OK), lines=lines, hold=hold)
+    began = site.kit.loop.now()
+    client = site.client(GET)
+    site.wait(lambda: client.data)
     assert client.data.startswith(b"HTTP/1.1 503") and f"rejected: {why}".encode() in client.data
-    assert b"Retry-After: 1" in client.data and here.kit.loop.now() - began < hold + 200 * MS
+    assert b"Retry-After: 1" in client.data and site.kit.loop.now() - began < hold + 200 * MS
 
 
-def test_ops_that_wait_for_a_line_go_when_a_table_gets_one(site):
-    here = site(answers_with(OK), lines={}, hold=S)
-    client = here.client(GET)
-    here.wait(lambda: here.attempts.waiting_count())
-    here.order(SetEndpoint(0, 0, 1.0))
-    here.wait(lambda: client.data == OK)
+def test_waiting_op_is_sent_when_its_table_gets_an_endpoint(make_site):
+    site = make_site(answers_with(OK), lines={}, hold=S)
+    client = site.client(GET)
+    site.wait(lambda: site.attempts.waiting_count())
+    site.order(SetEndpoint(0, 0, 1.0))
+    site.wait(lambda: client.data == OK)
 
 
-def test_a_full_node_has_ops_wait_and_the_dearest_goes_first(site):
-    here = site(None, limits=(1, 1, 1), timeouts=(2 * S, 2 * S, 2 * S))
-    first, cheap = here.client(GET), here.client(GET.replace(b"look", b"look2"))
-    here.wait(lambda: here.attempts.waiting_count() == 1 and here.nodes[0].peers and here.nodes[0].peers[0].data)
-    here.nodes[0].peers[0].write(OK)
-    here.wait(lambda: first.data == OK and b"look2" in here.nodes[0].seen())
-    here.nodes[0].peers[0].write(OK)
-    here.wait(lambda: cheap.data == OK)
+def test_op_waits_at_a_full_node_and_is_sent_when_the_first_ends(make_site):
+    site = make_site(None, limits=(1, 1, 1), timeouts=(2 * S, 2 * S, 2 * S))
+    first, cheap = site.client(GET), site.client(GET.replace(b"look", b"look2"))
+    site.wait(lambda: site.attempts.waiting_count() == 1 and site.nodes[0].peers and site.nodes[0].peers[0].data)
+    site.nodes[0].peers[0].write(OK)
+    site.wait(lambda: first.data == OK and b"look2" in site.nodes[0].seen())
+    site.nodes[0].peers[0].write(OK)
+    site.wait(lambda: cheap.data == OK)
 
 
-def test_connections_to_a_node_are_bounded_and_who_waits_for_one_gets_it(site):
-    here = site(None, pools=PoolSettings(max_connections=1))
-    first, second = here.client(GET), here.client(GET)
-    here.wait(lambda: here.proxy.nodes.waiting and here.nodes[0].peers and here.nodes[0].peers[0].data)
-    here.nodes[0].peers[0].write(OK)
-    here.wait(lambda: here.nodes[0].seen().count(b"GET") == 2)
-    here.nodes[0].peers[0].write(OK)
-    here.wait(lambda: first.data == second.data == OK)
-    assert len(here.nodes[0].peers) == 1
+def test_op_waits_for_a_connection_when_the_pool_limit_is_reached(make_site):
+    site = make_site(None, pools=PoolSettings(max_connections=1))
+    first, second = site.client(GET), site.client(GET)
+    site.wait(lambda: site.proxy.nodes.waiting and site.nodes[0].peers and site.nodes[0].peers[0].data)
+    site.nodes[0].peers[0].write(OK)
+    site.wait(lambda: site.nodes[0].seen().count(b"GET") == 2)
+    site.nodes[0].peers[0].write(OK)
+    site.wait(lambda: first.data == second.data == OK)
+    assert len(site.nodes[0].peers) == 1
 
 
 @pytest.mark.parametrize("sent, says", [(b"", b"408"), (b"GET /lo", b"408")])
-def test_a_head_that_does_not_come_is_told_so_and_closed(site, sent, says):
-    here = site(answers_with(OK), admission=AdmissionSettings(head_timeout_ns=150 * MS))
-    client = here.client(sent)
-    here.wait(lambda: client.ended)
+def test_incomplete_head_times_out_with_status_408(make_site, sent, says):
+    site = make_site(answers_with(OK), admission=AdmissionSettings(head_timeout_ns=150 * MS))
+    client = site.client(sent)
+    site.wait(lambda: client.ended)
     assert says in client.data
 
 
-def test_one_client_that_opens_too_many_gives_way(site):
-    here = site(answers_with(OK), admission=AdmissionSettings(max_connections=4, max_per_client=4))
-    many = [here.client() for _ in range(4)]
-    here.wait(lambda: len(here.proxy.admission) == 4)
-    fifth = here.client(GET)
-    here.wait(lambda: fifth.ended)  # all come from one address
+def test_connection_beyond_the_per_client_limit_is_refused(make_site):
+    site = make_site(answers_with(OK), admission=AdmissionSettings(max_connections=4, max_per_client=4))
+    many = [site.client() for _ in range(4)]
+    site.wait(lambda: len(site.proxy.admission) == 4)
+    fifth = site.client(GET)
+    site.wait(lambda: fifth.ended)  # all come from one address
     assert not any(client.ended for client in many)
 
 
-def test_a_stop_answers_what_is_in_hand_and_then_ends(site):
-    here = site(None)
-    began = here.kit.loop.now()
-    busy, idle = here.client(GET), here.client()
-    here.wait(lambda: here.nodes[0].peers and here.nodes[0].peers[0].data and len(here.proxy.admission) == 2)
-    here.proxy.stop()
-    here.wait(lambda: idle.ended)
-    assert not here.proxy.idle() and here.kit.loop.now() - began >= STOPPING_IDLE_TIMEOUT_NS
-    here.nodes[0].peers[0].write(OK)
-    here.wait(lambda: busy.ended and here.proxy.idle())
+def test_stop_completes_requests_in_progress_and_closes_all_connections(make_site):
+    site = make_site(None)
+    began = site.kit.loop.now()
+    busy, idle = site.client(GET), site.client()
+    site.wait(lambda: site.nodes[0].peers and site.nodes[0].peers[0].data and len(site.proxy.admission) == 2)
+    site.proxy.stop()
+    site.wait(lambda: idle.ended)
+    assert not site.proxy.idle() and site.kit.loop.now() - began >= STOPPING_IDLE_TIMEOUT_NS
+    site.nodes[0].peers[0].write(OK)
+    site.wait(lambda: busy.ended and site.proxy.idle())
     assert b"Connection: close" in busy.data and busy.data.endswith(b"ok")
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(here.proxy.listen_address)
+        socket.create_connection(site.proxy.listen_address)
 
 
-def test_a_node_that_is_slow_to_take_a_body_holds_up_the_client(site):
-    here = site(None, timeouts=(S, 20 * S, S))
-    here.nodes[0].does = lambda peer: peer.connection.read(False)
-    client = here.client()
+def test_slow_node_pauses_reading_from_the_client(make_site):
+    site = make_site(None, timeouts=(S, 20 * S, S))
+    site.nodes[0].does = lambda peer: peer.connection.read(False)
+    client = site.client()
     client.send(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 30000000\r\n\r\n")
     sent = 0
-    end = here.kit.loop.now() + 300 * MS
-    while here.kit.loop.now() < end:
+    end = site.kit.loop.now() + 300 * MS
+    while site.kit.loop.now() < end:
         try:
             sent += client.sock.send(b"x" * 65536)
         except BlockingIOError:
             pass
-        here.kit.loop.at(here.kit.loop.now() + MS, lambda: None)
-        here.kit.loop.turn()
-    assert sent < 25_000_000 and all(to.unsent_bytes() < 1 << 20 for to in here.proxy.nodes.connections.values())
+        site.kit.loop.at(site.kit.loop.now() + MS, lambda: None)
+        site.kit.loop.turn()
+    assert sent < 25_000_000 and all(to.unsent_bytes() < 1 << 20 for to in site.proxy.nodes.connections.values())
 
 
-def test_second_tries_are_bounded_by_their_budget_when_half_the_nodes_refuse_for_being_full(site):
-    here = site(answers_with(NOT_STARTED), answers_with(OK), budget=RetryBudget(3, 0.1, 1.0))
-    client = here.client()
+def test_retries_are_bounded_by_the_retry_budget_when_half_of_the_nodes_are_full(make_site):
+    site = make_site(answers_with(NOT_STARTED), answers_with(OK), budget=RetryBudget(3, 0.1, 1.0))
+    client = site.client()
     for turn in range(1, 101):
         client.send(GET)
-        here.wait(lambda turn=turn: client.data.count(b"HTTP/1.1") == turn)
-    assert 100 < here.requests() <= 100 * 1.1 + 1
+        site.wait(lambda turn=turn: client.data.count(b"HTTP/1.1") == turn)
+    assert 100 < site.requests() <= 100 * 1.1 + 1
 
 
 BYTES = some.lists(
@@ -710,19 +710,19 @@
 
 
 @given(BYTES, BYTES, some.integers(1, 40))
-def test_no_bytes_of_either_side_raise_anything_or_leave_anything_behind(sent, reply, cut):
-    """The loop raises whatever is raised in it; `close` of the site holds that all was given back."""
-    here = Site(
+def test_arbitrary_bytes_from_client_and_node_raise_nothing_and_leak_nothing(sent, reply, cut):
+    """The loop raises whatever is raised in it; `close` of the make_site holds that all was given back."""
+    site = Site(
         lambda peer: peer.gone or peer.write(reply) or peer.connection.close("end"), timeouts=(60 * MS,) * 3, hold=0
     )
-    client = here.client()
+    client = site.client()
     for place in range(0, len(sent), cut):
         client.send(sent[place : place + cut])
-        here.pass_time(0)
+        site.pass_time(0)
         if client.ended:
             break
     client.close()
-    here.wait(lambda: not here.proxy.clients.connections and not here.proxy.exchanges)
-    told = sum(here.attempts.counts[word] for word in ("acked", "rejected", "aborted"))
-    assert told == here.attempts.counts["asked"] == len(here.ops)
-    here.close()
+    site.wait(lambda: not site.proxy.clients.connections and not site.proxy.exchanges)
+    told = sum(site.attempts.counts[word] for word in ("acked", "rejected", "aborted"))
+    assert told == site.attempts.counts["asked"] == len(site.ops)
+    site.close()
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -83,12 +83,12 @@
 
 @pytest.fixture
 def site(tmp_path):
-    made = Site(tmp_path)
-    yield made
-    made.close()
+    site = Site(tmp_path)
+    yield site
+    site.close()
 
 
-def test_it_serves_reports_stops_and_serves_again_from_kept_tables_without_a_hub(site):
+def test_restarted_proxy_serves_from_its_tables_file_without_the_update_source(site):
     first = site.start()
     client = site.client(first, GET)
     site.wait(lambda: client.data == OK)
@@ -107,7 +107,7 @@
     site.wait(lambda: again.data == OK)
 
 
-def test_tables_that_were_kept_and_are_torn_are_named_and_the_hub_tells_anew(site):
+def test_corrupt_tables_file_is_logged_and_tables_come_from_the_update_source(site):
     (site.folder / "state").write_text("{")
     program = site.start()
     assert "torn or changed" in program.log_lines("event=tables_not_restored")[0]
@@ -115,7 +115,7 @@
     site.wait(lambda: client.data == OK)
 
 
-def test_its_file_is_read_anew_without_dropping_a_connection(site):
+def test_reload_refuses_invalid_settings_and_applies_valid_ones_without_dropping_a_connection(site):
     program = site.start()
     client = site.client(program, GET)
     site.wait(lambda: client.data == OK)
@@ -135,7 +135,7 @@
     assert client.data.endswith(b"no op type has this method and target\n") and not client.ended
 
 
-def test_a_successor_takes_the_socket_over_under_load_and_no_op_fails(site):
+def test_successor_takes_over_the_socket_under_load_without_failing_an_op(site):
     program, sent, turns = site.start(), 0, int(os.environ.get("TAKEOVERS", 6))
     at = program.address()
 
@@ -173,7 +173,7 @@
     assert sent > 20 * turns
 
 
-def test_a_predecessor_that_hangs_is_no_reason_to_wait_for_ever(site):
+def test_start_fails_when_the_predecessor_hangs(site):
     office = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     office.bind(str(site.folder / "successor"))
     office.listen(1)
@@ -200,7 +200,7 @@
         ),
     ],
 )
-def test_a_relays_file_that_cannot_be_used_names_its_line(old, new, says):
+def test_invalid_relay_file_is_reported_with_its_line(old, new, says):
     text = FILE % ("127.0.0.1:1", "x", "x")
     assert old in text
     if not says:
@@ -213,7 +213,7 @@
     assert says in str(found.value)
 
 
-def test_the_kept_state_is_whole_json_with_its_checksum(site):
+def test_tables_file_is_json_with_tables_and_addresses(site):
     program = site.start()
     client = site.client(program, GET)
     site.wait(lambda: client.data == OK and (site.folder / "state").exists())
--- a/tests/reference_proxy/test_update_client.py
+++ b/tests/reference_proxy/test_update_client.py
@@ -73,31 +73,31 @@
 
 
 @pytest.fixture
-def site():
-    made = []
+def make_site():
+    sites = []
 
     def make(*standing):
-        made.append(Site(*standing))
-        made[-1].wait(lambda: made[-1].streams())
-        return made[-1]
+        sites.append(Site(*standing))
+        sites[-1].wait(lambda: sites[-1].streams())
+        return sites[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for site in sites:
+        site.close()
 
 
-def test_what_stands_and_messages_are_taken_and_marks_answered(site):
-    here = site(*STANDING)
-    here.wait(lambda: here.changed == [[1]])
-    assert here.lines(1) == {"s-1": 1.0, "s-2": 2.0} and here.control.addresses == {here.ids.node("s-1"): "127.0.0.1:1"}
-    here.tell(
+def test_state_and_orders_are_applied_and_watermarks_acknowledged(make_site):
+    site = make_site(*STANDING)
+    site.wait(lambda: site.changed == [[1]])
+    assert site.lines(1) == {"s-1": 1.0, "s-2": 2.0} and site.control.addresses == {site.ids.node("s-1"): "127.0.0.1:1"}
+    site.tell(
         message(
             "orders", source=0, number=0, orders=[["line", 2, "s-3", 1.5], ["take_out", "s-2", True], ["mark", 905]]
         )
     )
-    here.wait(lambda: here.posts("/v1/done"))
-    assert here.posts("/v1/done") == [{"relay": 17, "source": 0, "mark": 905}]
-    assert here.lines(1) == {"s-1": 1.0} and sorted(here.changed[-1]) == [1, 2]
+    site.wait(lambda: site.posts("/v1/done"))
+    assert site.posts("/v1/done") == [{"relay": 17, "source": 0, "mark": 905}]
+    assert site.lines(1) == {"s-1": 1.0} and sorted(site.changed[-1]) == [1, 2]
 
 
 @pytest.mark.parametrize(
@@ -121,43 +121,43 @@
         ({"type": "orders"}, "tables_unreadable"),
     ],
 )
-def test_what_cannot_be_used_ends_the_stream_and_what_was_applied_stays_until_all_is_told_anew(site, line, counter):
-    here = site(*STANDING)
-    here.wait(lambda: here.changed)
-    here.tell(
+def test_unusable_message_ends_the_stream_and_keeps_the_tables_until_the_next_stream(make_site, line, counter):
+    site = make_site(*STANDING)
+    site.wait(lambda: site.changed)
+    site.tell(
         message("orders", source=0, number=0, orders=[["line", 2, "s-3", 1.5]]) if "number=3" in str(line) else {}
     )
-    here.standing = (*STANDING, message("table", table=2, source=0, lines={"s-9": 1.0}))
-    here.tell(line)
-    here.wait(lambda: here.count(counter) == 1)
-    assert here.lines(1) == {"s-1": 1.0, "s-2": 2.0}
-    here.wait(lambda: len(here.streams()) == 2 and here.lines(2) == {"s-9": 1.0})
-    here.tell(message("orders", source=0, number=0, orders=[["line", 2, "s-9", 0]]))  # numbered from 0 again
-    here.wait(lambda: here.lines(2) == {})
-
-
-def test_an_answer_to_a_mark_is_sent_until_it_is_taken_and_a_message_that_comes_again_takes_no_second_effect(site):
-    here = site(*STANDING)
-    here.wait(lambda: here.changed)
-    here.fails = 3
+    site.standing = (*STANDING, message("table", table=2, source=0, lines={"s-9": 1.0}))
+    site.tell(line)
+    site.wait(lambda: site.count(counter) == 1)
+    assert site.lines(1) == {"s-1": 1.0, "s-2": 2.0}
+    site.wait(lambda: len(site.streams()) == 2 and site.lines(2) == {"s-9": 1.0})
+    site.tell(message("orders", source=0, number=0, orders=[["line", 2, "s-9", 0]]))  # numbered from 0 again
+    site.wait(lambda: site.lines(2) == {})
+
+
+def test_acknowledgement_is_retried_and_a_repeated_message_has_no_second_effect(make_site):
+    site = make_site(*STANDING)
+    site.wait(lambda: site.changed)
+    site.fails = 3
     order = message("orders", source=0, number=0, orders=[["line", 1, "s-1", 0], ["mark", 5]])
-    here.tell(order)
-    here.wait(lambda: len(here.posts("/v1/done")) == 4)
-    changes = len(here.changed)
-    here.tell(order)
-    here.wait(lambda: len(here.posts("/v1/done")) == 5)
-    assert len(here.changed) == changes and here.lines(1) == {"s-2": 2.0}
-
-
-def test_what_was_met_is_reported_each_second_and_only_while_joined(site):
-    here = site(*STANDING)
-    here.wait(lambda: here.changed)
-    node = here.ids.node("s-1")
+    site.tell(order)
+    site.wait(lambda: len(site.posts("/v1/done")) == 4)
+    changes = len(site.changed)
+    site.tell(order)
+    site.wait(lambda: len(site.posts("/v1/done")) == 5)
+    assert len(site.changed) == changes and site.lines(1) == {"s-2": 2.0}
+
+
+def test_attempts_and_ops_are_summed_in_a_report(make_site):
+    site = make_site(*STANDING)
+    site.wait(lambda: site.changed)
+    node = site.ids.node("s-1")
     for good in (True, True, False):
-        here.control.record_attempt(1, node, good, 30 * MS)
-        here.control.record_op(1, 0, Verdict.ACKED if good else Verdict.ABORTED)
-    here.wait(lambda: here.posts("/v1/reports"))
-    assert here.posts("/v1/reports")[0] == {
+        site.control.record_attempt(1, node, good, 30 * MS)
+        site.control.record_op(1, 0, Verdict.ACKED if good else Verdict.ABORTED)
+    site.wait(lambda: site.posts("/v1/reports"))
+    assert site.posts("/v1/reports")[0] == {
         "relay": 17,
         "zone": "a",
         "span": 1000.0,
@@ -166,19 +166,19 @@
     }
 
 
-def test_posts_that_pile_up_are_bounded_and_marks_outlast_reports(site):
-    here = site(*STANDING)
-    here.wait(lambda: here.changed)
-    here.fails = 10**9
+def test_post_queue_is_bounded_and_drops_reports_before_acknowledgements(make_site):
+    site = make_site(*STANDING)
+    site.wait(lambda: site.changed)
+    site.fails = 10**9
     for turn in range(200):
-        here.control._posts.add("/v1/reports" if turn % 2 else "/v1/done", {"turn": turn})
-    assert len(here.control._posts._posts) == 64 and here.count("posts_dropped") == 136
-    assert all(path == "/v1/done" for path, _ in here.control._posts._posts)
+        site.control._posts.add("/v1/reports" if turn % 2 else "/v1/done", {"turn": turn})
+    assert len(site.control._posts._posts) == 64 and site.count("posts_dropped") == 136
+    assert all(path == "/v1/done" for path, _ in site.control._posts._posts)
 
 
-def test_a_relay_without_a_hub_keeps_its_tables(site):
-    here = site(*STANDING)
-    here.wait(lambda: here.changed)
-    here.hub.close()
-    here.wait(lambda: here.count("tables_broken") >= 2)
-    assert here.lines(1) == {"s-1": 1.0, "s-2": 2.0} and here.control._stream_began_at is None
+def test_tables_are_kept_when_the_update_source_is_lost(make_site):
+    site = make_site(*STANDING)
+    site.wait(lambda: site.changed)
+    site.hub.close()
+    site.wait(lambda: site.count("tables_broken") >= 2)
+    assert site.lines(1) == {"s-1": 1.0, "s-2": 2.0} and site.control._stream_began_at is None
