--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -1,5 +1,5 @@
-"""The whole way from a saved file to what relays hold: the real parts over loopback, a hub stand-in round the tables
-core, and rewrites of every kind drawn from a seed."""
+"""Tests of node files from a saved file to the tables of relays, with real components over loopback and a stub hub: an
+invalid or partly written file must change no table."""
 
 import json
 import os
@@ -26,7 +26,7 @@
 from kestrelplank.state.tables import Tables
 
 RELAYS, SLICES = 2, 12
-CONF = {
+SETTINGS = {
     "Areas": ["toronto", "windsor"],
     "Categories": [{"Name": "look"}],
     "Tick": 2.0,
@@ -43,34 +43,36 @@
     return ListedNode("toronto" if number % 2 else "windsor", f"10.1.0.1:{9000 + number}", **more)
 
 
-def text_of(numbers, **more):
+def list_text(numbers, **more):
     return format_node_list(NodeSet({name(number): listed(number, **more) for number in numbers}))
 
 
 class Site:
-    """A conductor with node files in place of discovery, and relays that hold what its hub is ordered."""
+    """A conductor with node files in place of discovery, a stub hub, and relays whose tables follow the hub's orders."""
 
     def __init__(self, folder, first, **fields):
         self.kit, self.folder = Kit(), folder
         self.write("a.ini", first)
         self.relays = [Tables(SLICES, 1, 1) for _ in range(RELAYS)]
-        self.numbers, self.calls, self.bare, self.at_orders = 0, [], 0, None
+        self.next_number, self.calls, self.empty_tables, self.at_orders = 0, [], 0, None
         for relay in self.relays:
             relay.begin_stream(0)
             for table in range(SLICES):
                 relay.set_table(table, 0, {name(1 + table % 2): 1.0})
-        self.hub = StubServer(self.kit, self.asked)
-        self.agent = StubServer(self.kit)  # says nothing
+        self.hub = StubServer(self.kit, self.handle_request)
+        self.agent = StubServer(self.kit)  # sends nothing
         ids = self.ids = Ids(text)
-        found = read_settings(CONF, ids, "settings")
+        settings = read_settings(SETTINGS, ids, "settings")
         kit = self.kit
         self.events = []
         orders = OrderQueue(kit.loop, kit.pool, kit.counters, self.hub.at, ids, ["look"], 7)
-        discovery = NodeDiscovery(kit.loop, kit.pool, kit.counters, self.agent.at, ids, self.source_event)
-        probes = HealthChecks(kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event)
-        self.policy = Policy(kit.loop.now(), 5, PolicySettings.from_mapping(found))
+        discovery = NodeDiscovery(kit.loop, kit.pool, kit.counters, self.agent.at, ids, self.on_discovery_event)
+        health_checks = HealthChecks(
+            kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event
+        )
+        self.policy = Policy(kit.loop.now(), 5, PolicySettings.from_mapping(settings))
         self.conductor = RoundRunner(
-            kit.loop, kit.counters, self.policy, found["tick"], orders, discovery, probes, None
+            kit.loop, kit.counters, self.policy, settings["tick"], orders, discovery, health_checks, None
         )
         nodes = NodeFileSettings(
             **{
@@ -83,31 +85,33 @@
                 **fields,
             }
         )
-        self.source = NodeFiles(kit.loop, kit.counters, nodes, 40 * MS, ids, discovery.addresses, self.on_event)
-        self.conductor.holders.append(self.source)
-        told = ProxyUpdates(kit.loop, kit.pool, kit.counters, self.hub.at, ids, RELAYS, SLICES, orders, self.on_event)
-        self.parts = [told, orders, self.source, probes, self.hub, self.agent]
+        self.node_files = NodeFiles(kit.loop, kit.counters, nodes, 40 * MS, ids, discovery.addresses, self.on_event)
+        self.conductor.holders.append(self.node_files)
+        proxy_updates = ProxyUpdates(
+            kit.loop, kit.pool, kit.counters, self.hub.at, ids, RELAYS, SLICES, orders, self.on_event
+        )
+        self.components = [proxy_updates, orders, self.node_files, health_checks, self.hub, self.agent]
 
     def on_event(self, event):
         self.events.append(event)
         self.conductor.on_event(event)
 
-    def source_event(self, event):
-        self.source.on_event(event)
+    def on_discovery_event(self, event):
+        self.node_files.on_event(event)
 
-    def asked(self, visitor, path, body):
+    def handle_request(self, connection, path, body):
         if path == "/api/stream":
-            visitor.begin_stream()
-            visitor.send(*(attach(relay) | {"type": "attach"} for relay in range(RELAYS)))
+            connection.begin_stream()
+            connection.send(*(attach(relay) | {"type": "attach"} for relay in range(RELAYS)))
             for table in range(SLICES):
-                visitor.send(
+                connection.send(
                     message("owner", shard=table, set=True),
                     *(
                         message("entry", shard=table, endpoint=node, w=weight)
                         for node, weight in self.relays[0].weights(table).items()
                     ),
                 )
-            visitor.send({})
+            connection.send({})
             return
         ops = json.loads(body)["ops"]
         orders = [
@@ -120,11 +124,11 @@
             if op["verb"] != "gate"
         ]
         for relay in self.relays:
-            relay.apply(0, self.numbers, orders)
-            self.bare += sum(not relay.available(table) for table in range(SLICES))
-        self.numbers += 1
+            relay.apply(0, self.next_number, orders)
+            self.empty_tables += sum(not relay.available(table) for table in range(SLICES))
+        self.next_number += 1
         self.calls.append((self.kit.loop.now(), orders))
-        visitor.reply({"ok_count": len(ops)})
+        connection.reply({"ok_count": len(ops)})
         for order in orders:
             if isinstance(order, RequestAcknowledgement):
                 for stream in self.hub.connections:
@@ -137,7 +141,7 @@
                         )
 
     def write(self, file, data):
-        """As an editor does that renames, and as one that does not."""
+        """Replace a file by renaming a new one, as many editors do."""
         path = self.folder / file
         data = data if isinstance(data, bytes) else data.encode()
         (self.folder / ".new").write_bytes(data)
@@ -151,21 +155,25 @@
 
     def in_force(self):
         return (
-            {} if self.source.node_set_in_force.node_set is None else dict(self.source.node_set_in_force.node_set.nodes)
+            {}
+            if self.node_files.node_set_in_force.node_set is None
+            else dict(self.node_files.node_set_in_force.node_set.nodes)
         )
 
-    def told(self):
-        """Name to condition, as a fold of what the module was told."""
-        found = {}
+    def reported_conditions(self):
+        """Return the last reported condition of each node by name, from the events for the policy."""
+        conditions = {}
         for event in self.events:
             if isinstance(event, NodeListUpdate):
-                found = {} if event.kind != NodeListKind.DELTA else found
-                found.update({entry.node: entry.condition for entry in event.entries})
-        return {self.ids.node_ids[node]: condition for node, condition in found.items() if node in self.ids.node_ids}
+                conditions = {} if event.kind != NodeListKind.DELTA else conditions
+                conditions.update({entry.node: entry.condition for entry in event.entries})
+        return {
+            self.ids.node_ids[node]: condition for node, condition in conditions.items() if node in self.ids.node_ids
+        }
 
     def close(self):
-        for part in self.parts:
-            part.close()
+        for component in self.components:
+            component.close()
         self.kit.loop.close()
 
 
@@ -184,44 +192,44 @@
 
 @pytest.mark.parametrize("events", [True, False])
 def test_saved_file_takes_effect_and_unlisted_nodes_drain_before_removal(make_site, events):
-    site = make_site(text_of(range(1, 9)), events=events)
+    site = make_site(list_text(range(1, 9)), events=events)
     site.wait(lambda: len(site.in_force()) == 8)
-    site.write("a.ini", text_of([*range(1, 8), 9]))
-    site.wait(lambda: site.told().get(name(8)) == "draining")
-    assert site.told()[name(9)] == "up"
-    site.wait(lambda: site.told().get(name(8)) == "removed")
-    assert site.source.node_set_in_force.version == 2 and site.count("files_accepted") == 2
+    site.write("a.ini", list_text([*range(1, 8), 9]))
+    site.wait(lambda: site.reported_conditions().get(name(8)) == "draining")
+    assert site.reported_conditions()[name(9)] == "up"
+    site.wait(lambda: site.reported_conditions().get(name(8)) == "removed")
+    assert site.node_files.node_set_in_force.version == 2 and site.count("files_accepted") == 2
 
 
-def spoil_zone_twice(data):
+def list_node_in_two_zones(data):
     data = re.sub(r"# end (\d+)", lambda found: f"# end {int(found[1]) + 1}", data)
     return data.replace("[zone windsor]", "[zone windsor]\n" + name(1) + " = 10.9.9.9:1", 1)
 
 
 @pytest.mark.parametrize(
-    "spoil, says",
+    "corrupt, expected",
     [
-        (spoil_zone_twice, "stands in zone windsor and in zone toronto"),
+        (list_node_in_two_zones, "stands in zone windsor and in zone toronto"),
         (lambda data: data[: len(data) // 2], "line"),
         (lambda data: "", "the file is empty"),
         (lambda data: data.replace("10.1.0.1", "10.1.0.x", 1), "expected an IPv4 address"),
         (lambda data: "[zone toronto]\n# end 0 nodes\n", "it lists no node"),
     ],
 )
-def test_invalid_list_is_refused_and_logged_with_its_reason(make_site, capfd, spoil, says):
-    site = make_site(text_of(range(1, 9)), trailer_required=True)
+def test_invalid_list_is_refused_and_logged_with_its_reason(make_site, capfd, corrupt, expected):
+    site = make_site(list_text(range(1, 9)), trailer_required=True)
     site.wait(lambda: len(site.in_force()) == 8)
     before, calls = site.in_force(), len(site.calls)
-    site.write("a.ini", spoil(text_of(range(1, 9))))
+    site.write("a.ini", corrupt(list_text(range(1, 9))))
     site.wait(lambda: site.count("files_refused"))
-    assert site.in_force() == before and site.source.node_set_in_force.version == 1 and len(site.calls) <= calls + 1
-    said = capfd.readouterr().err
-    assert "files_refused" in said and says in said and "in_force=1" in said
+    assert site.in_force() == before and site.node_files.node_set_in_force.version == 1 and len(site.calls) <= calls + 1
+    log = capfd.readouterr().err
+    assert "files_refused" in log and expected in log and "in_force=1" in log
 
 
 @pytest.mark.parametrize("events", [True, False])
 def test_missing_or_unreadable_file_keeps_the_set_in_force(make_site, events):
-    site = make_site(text_of(range(1, 9)), events=events)
+    site = make_site(list_text(range(1, 9)), events=events)
     site.wait(lambda: len(site.in_force()) == 8)
     path, before = site.folder / "a.ini", site.in_force()
     path.unlink()
@@ -229,37 +237,37 @@
     path.mkdir()
     site.wait(lambda: site.count("files_refused") == 2)
     path.rmdir()
-    os.mkfifo(path)  # which is no file, and must not hold the loop up
+    os.mkfifo(path)  # a named pipe must not block the loop
     site.wait(lambda: site.count("files_refused") == 3)
     path.unlink()
-    path.symlink_to(path)  # a link to itself: it can't be read
+    path.symlink_to(path)  # a symbolic link to itself can't be read
     site.wait(lambda: site.count("files_refused") == 4)
-    assert site.in_force() == before and site.source.node_set_in_force.version == 1
+    assert site.in_force() == before and site.node_files.node_set_in_force.version == 1
     path.unlink()
-    site.write("a.ini", text_of(range(1, 10)))
+    site.write("a.ini", list_text(range(1, 10)))
     site.wait(lambda: len(site.in_force()) == 9)
 
 
 def test_file_missing_for_less_than_the_quiet_period_is_ignored(make_site):
-    site = make_site(text_of(range(1, 9)), quiet_period_ns=150 * MS)
+    site = make_site(list_text(range(1, 9)), quiet_period_ns=150 * MS)
     site.wait(lambda: len(site.in_force()) == 8)
     (site.folder / "a.ini").unlink()
     end = site.kit.loop.now() + 30 * MS
     site.wait(lambda: site.kit.loop.now() > end)
-    site.write("a.ini", text_of(range(1, 9)))
+    site.write("a.ini", list_text(range(1, 9)))
     end += 400 * MS
     site.wait(lambda: site.kit.loop.now() > end)
-    assert not site.count("files_refused") and site.source.node_set_in_force.version == 1
+    assert not site.count("files_refused") and site.node_files.node_set_in_force.version == 1
 
 
 @pytest.mark.parametrize("events", [True, False])
 def test_in_place_edit_is_detected_despite_equal_size_and_modification_time(make_site, events):
-    site = make_site(text_of(range(1, 9)), events=events)
+    site = make_site(list_text(range(1, 9)), events=events)
     site.wait(lambda: len(site.in_force()) == 8)
     path = site.folder / "a.ini"
-    os.utime(path, ns=(1, 1))  # a time set back
+    os.utime(path, ns=(1, 1))  # a modification time in the past
     reads = site.count("files_read")
-    data = text_of(range(1, 9)).replace("10.1.0.1:9001", "10.1.0.1:9099")
+    data = list_text(range(1, 9)).replace("10.1.0.1:9001", "10.1.0.1:9099")
     with open(path, "r+") as file:
         file.write(data)
     os.utime(path, ns=(1, 1))
@@ -268,107 +276,111 @@
 
 
 def test_replaced_symbolic_link_is_detected(make_site, tmp_path):
-    """A file behind a link to a folder behind another link, which is replaced whole."""
+    """The file's directory is a symbolic link, which is replaced."""
     for number, nodes in enumerate((range(1, 9), range(1, 10))):
         (tmp_path / f"v{number}").mkdir()
-        (tmp_path / f"v{number}" / "nodes.ini").write_text(text_of(nodes))
+        (tmp_path / f"v{number}" / "nodes.ini").write_text(list_text(nodes))
     (tmp_path / "data").symlink_to("v0")
-    site = make_site(text_of(range(1, 9)), files=(str(tmp_path / "data" / "nodes.ini"),), poll_interval_ns=60_000 * MS)
+    site = make_site(
+        list_text(range(1, 9)), files=(str(tmp_path / "data" / "nodes.ini"),), poll_interval_ns=60_000 * MS
+    )
     site.wait(lambda: len(site.in_force()) == 8)
     (tmp_path / "data.new").symlink_to("v1")
     os.replace(tmp_path / "data.new", tmp_path / "data")
-    site.source._watcher.poll()  # the link's own folder is not the file's: found by looking
+    site.node_files._watcher.poll()  # the directory that holds the link is not watched: the change is found by polling
     site.wait(lambda: len(site.in_force()) == 9)
 
 
 def test_two_files_changed_within_the_quiet_period_take_effect_as_one_version(make_site):
-    site = make_site(text_of(range(1, 9)), quiet_period_ns=60 * MS)
-    site.write("b.ini", text_of(range(11, 15)))
+    site = make_site(list_text(range(1, 9)), quiet_period_ns=60 * MS)
+    site.write("b.ini", list_text(range(11, 15)))
     site.wait(lambda: len(site.in_force()) == 12)
-    site.write("a.ini", text_of([*range(1, 9), 11, 21]))  # node 11 goes over from one to the other
-    site.write("b.ini", text_of(range(12, 15)))
+    site.write("a.ini", list_text([*range(1, 9), 11, 21]))  # node 11 moves from b.ini to a.ini
+    site.write("b.ini", list_text(range(12, 15)))
     site.wait(lambda: len(site.in_force()) == 13)
-    assert site.source.node_set_in_force.version == 2 and not site.count("files_refused")
+    assert site.node_files.node_set_in_force.version == 2 and not site.count("files_refused")
 
 
 def test_large_change_takes_effect_with_its_confirmation(make_site):
-    site = make_site(text_of(range(1, 9)))
+    site = make_site(list_text(range(1, 9)))
     site.wait(lambda: len(site.in_force()) == 8)
-    site.write("a.ini", text_of(range(1, 5)))
+    site.write("a.ini", list_text(range(1, 5)))
     site.wait(lambda: site.count("files_waiting"))
     assert len(site.in_force()) == 8
     site.write(
-        "a.ini", f"[list]\nconfirm = {site.source.node_set_in_force.node_set.short_hash}\n" + text_of(range(1, 5))
+        "a.ini", f"[list]\nconfirm = {site.node_files.node_set_in_force.node_set.short_hash}\n" + list_text(range(1, 5))
     )
     site.wait(lambda: len(site.in_force()) == 4)
 
 
 def test_large_change_takes_effect_after_the_confirmation_period(make_site):
-    site = make_site(text_of(range(1, 9)), confirmation_period_ns=120 * MS)
+    site = make_site(list_text(range(1, 9)), confirmation_period_ns=120 * MS)
     site.wait(lambda: len(site.in_force()) == 8)
-    site.write("a.ini", text_of(range(1, 5)))
+    site.write("a.ini", list_text(range(1, 5)))
     site.wait(lambda: len(site.in_force()) == 4)
     assert site.count("files_waiting") == 1
 
 
 def test_set_in_force_is_restored_after_a_restart_with_an_invalid_list(make_site):
-    site = make_site(text_of(range(1, 9)))
+    site = make_site(list_text(range(1, 9)))
     site.wait(lambda: len(site.in_force()) == 8)
-    again = make_site("[zone toronto\n")
-    again.wait(lambda: again.count("files_refused"))
-    assert again.in_force() == site.in_force() and again.source.node_set_in_force.version == 1
-    assert sorted(again.told()) == sorted(map(name, range(1, 9)))
+    restarted = make_site("[zone toronto\n")
+    restarted.wait(lambda: restarted.count("files_refused"))
+    assert restarted.in_force() == site.in_force() and restarted.node_files.node_set_in_force.version == 1
+    assert sorted(restarted.reported_conditions()) == sorted(map(name, range(1, 9)))
 
 
 def test_corrupt_state_file_is_logged_and_the_lists_take_effect(make_site, tmp_path, capfd):
     (tmp_path / "state").write_text("{")
-    site = make_site(text_of(range(1, 9)))
+    site = make_site(list_text(range(1, 9)))
     site.wait(lambda: len(site.in_force()) == 8)
     assert site.count("files_state_refused") == 1 and f"{tmp_path}/state: torn or changed" in capfd.readouterr().err
 
 
 def test_change_during_startup_takes_effect(make_site):
-    site = make_site(text_of(range(1, 9)))
-    site.write("a.ini", text_of(range(1, 10)))
+    site = make_site(list_text(range(1, 9)))
+    site.write("a.ini", list_text(range(1, 10)))
     site.wait(lambda: site.in_force())
-    assert len(site.in_force()) == 9 and site.source.node_set_in_force.version == 1
+    assert len(site.in_force()) == 9 and site.node_files.node_set_in_force.version == 1
 
 
 def test_nodes_of_a_deleted_file_leave_the_set_on_reload(make_site):
-    site = make_site(text_of(range(1, 9)))
-    site.write("b.ini", text_of(range(9, 11)))
+    site = make_site(list_text(range(1, 9)))
+    site.write("b.ini", list_text(range(9, 11)))
     site.wait(lambda: len(site.in_force()) == 10)
     (site.folder / "b.ini").unlink()
     site.wait(lambda: site.count("files_refused"))
-    site.source.reload(site.source._settings)
+    site.node_files.reload(site.node_files._settings)
     site.wait(lambda: len(site.in_force()) == 8)
 
 
 def test_last_of_a_thousand_consecutive_changes_takes_effect(make_site):
-    site = make_site(text_of(range(1, 9)))
+    site = make_site(list_text(range(1, 9)))
     site.wait(lambda: len(site.in_force()) == 8)
     for turn in range(1000):
-        site.write("a.ini", text_of(range(1, 9 + turn % 3)))
+        site.write("a.ini", list_text(range(1, 9 + turn % 3)))
         if turn % 20 == 0:
             site.kit.loop.at(site.kit.loop.now(), lambda: None)
             site.kit.loop.turn()
-    site.write("a.ini", text_of(range(1, 12)))
+    site.write("a.ini", list_text(range(1, 12)))
     site.wait(lambda: len(site.in_force()) == 11)
-    assert site.count("files_refused") == 0 and site.bare == 0
+    assert site.count("files_refused") == 0 and site.empty_tables == 0
 
 
 def rewrites(site, random, number):
-    """So many rewrites, few of them valid; relays are checked all the way. Returns every name that a valid list had: a
-    changed byte may leave one, with another name in it."""
-    names = {name(one) for one in range(1, 25)}
+    """Rewrite the file `number` times, mostly with invalid lists, and check that no table of a relay is ever empty.
+
+    Return the names of all nodes in valid lists, including lists that a changed byte left valid with another name.
+    """
+    names = {name(index) for index in range(1, 25)}
     for turn in range(number):
         valid = [int(node.split(".")[0].partition("-")[2] or 1) for node in site.in_force()]
         wanted = {*random.sample(range(1, 25), random.randrange(3)), *valid}
-        data = text_of(sorted(wanted - {*random.sample(valid, random.randrange(4))}))
-        how = random.choice(["valid", "torn", "byte", "twice", "gone", "empty", "in place", "valid", "none"])
-        if how == "torn":
+        data = list_text(sorted(wanted - {*random.sample(valid, random.randrange(4))}))
+        kind = random.choice(["valid", "torn", "byte", "twice", "gone", "empty", "in place", "valid", "none"])
+        if kind == "torn":
             data = data[: random.randrange(len(data))]
-        elif how == "byte":
+        elif kind == "byte":
             at = random.randrange(len(data))
             data = data[:at] + random.choice("\x00=[]#\n") + data[at + 1 :]
             try:
@@ -378,48 +390,48 @@
                 )
             except InvalidSettingsError:
                 pass
-        elif how == "twice":
-            data = spoil_zone_twice(data)
-        elif how == "none":
+        elif kind == "twice":
+            data = list_node_in_two_zones(data)
+        elif kind == "none":
             data = "[list]\n# end 0 nodes\n"
-        if how == "gone":
+        if kind == "gone":
             (site.folder / "a.ini").unlink(missing_ok=True)
-        elif how == "in place":
+        elif kind == "in place":
             (site.folder / "a.ini").write_text(data[:-9])
         else:
-            site.write("a.ini", "" if how == "empty" else data)
-        if how == "valid":  # it is taken, or waits for a second word
+            site.write("a.ini", "" if kind == "empty" else data)
+        if kind == "valid":  # it takes effect, or waits for confirmation
             site.wait(
                 lambda data=data: (
-                    format_node_list(NodeSet(site.in_force())) == data or site.source.node_set_in_force.waiting
+                    format_node_list(NodeSet(site.in_force())) == data or site.node_files.node_set_in_force.waiting
                 )
             )
         else:
             end = site.kit.loop.now() + random.randrange(6) * MS
             site.wait(lambda end=end: site.kit.loop.now() >= end)
-        assert site.bare == 0
+        assert site.empty_tables == 0
     return names
 
 
 @pytest.mark.parametrize("seed, events", [(1, True), (2, False)])
 def test_relays_only_see_complete_valid_tables_over_a_thousand_rewrites(make_site, seed, events):
     site = make_site(
-        text_of(range(1, 17)), trailer_required=True, events=events, quiet_period_ns=2 * MS, poll_interval_ns=3 * MS
+        list_text(range(1, 17)), trailer_required=True, events=events, quiet_period_ns=2 * MS, poll_interval_ns=3 * MS
     )
     site.wait(lambda: len(site.in_force()) == 16 and len(site.policy.slices) == SLICES)
-    nodes = rewrites(site, Random(seed), int(os.environ.get("REWRITES", 500)))
-    last = text_of(range(1, 17))
-    site.write("a.ini", f"[list]\nconfirm = {site.source.node_set_in_force.node_set.short_hash}\n{last}")
+    valid_names = rewrites(site, Random(seed), int(os.environ.get("REWRITES", 500)))
+    last = list_text(range(1, 17))
+    site.write("a.ini", f"[list]\nconfirm = {site.node_files.node_set_in_force.node_set.short_hash}\n{last}")
     site.wait(lambda: format_node_list(NodeSet(site.in_force())) == last)
     for _, orders in site.calls:
         for order in orders:
-            assert isinstance(order, RequestAcknowledgement) or order.node in nodes
-    force = set(site.in_force())
+            assert isinstance(order, RequestAcknowledgement) or order.node in valid_names
+    names_in_force = set(site.in_force())
     site.wait(
         lambda: all(
-            set(dict(relay.available(table))) <= force and relay.available(table)
+            set(dict(relay.available(table))) <= names_in_force and relay.available(table)
             for relay in site.relays
             for table in range(SLICES)
         )
     )
-    assert site.bare == 0 and site.count("files_refused") > 20 and site.count("files_accepted") > 20
+    assert site.empty_tables == 0 and site.count("files_refused") > 20 and site.count("files_accepted") > 20
--- a/tests/file_discovery/test_node_list.py
+++ b/tests/file_discovery/test_node_list.py
@@ -20,13 +20,13 @@
 """
 
 
-def part(text=TEXT, most=99, trailer=True):
+def parse(text=TEXT, max_nodes=99, trailer_required=True):
     data = text.encode() if isinstance(text, str) else text
-    return parse_node_list("n.ini", data, max_nodes=most, trailer_required=trailer)
+    return parse_node_list("n.ini", data, max_nodes=max_nodes, trailer_required=trailer_required)
 
 
 def test_list_is_parsed_with_line_numbers():
-    assert part() == (
+    assert parse() == (
         "n.ini",
         (
             NodeListEntry("order-4.toronto.example.org", ListedNode("toronto", "10.1.0.18:9000"), 6),
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, says",
+    "old, new, expected",
     [
         (
             "10.1.0.18:9000",
@@ -75,37 +75,37 @@
         ("# end 3", "# end 4", "line 11: the last line says 4 nodes, but 3 are listed"),
     ],
 )
-def test_invalid_list_is_refused_with_its_line_number(old, new, says):
+def test_invalid_list_is_refused_with_its_line_number(old, new, expected):
     assert old in TEXT
-    with pytest.raises(InvalidSettingsError) as found:
-        part(TEXT.replace(old, new, 1))
-    assert says in str(found.value) and str(found.value).startswith("n.ini")
+    with pytest.raises(InvalidSettingsError) as raised:
+        parse(TEXT.replace(old, new, 1))
+    assert expected in str(raised.value) and str(raised.value).startswith("n.ini")
 
 
 @pytest.mark.parametrize(
-    "data, says", [("", "the file is empty"), (" \n\n", "the file is empty"), (b"\xff", "not valid UTF-8")]
+    "data, expected", [("", "the file is empty"), (" \n\n", "the file is empty"), (b"\xff", "not valid UTF-8")]
 )
-def test_a_file_without_text_is_refused(data, says):
-    with pytest.raises(InvalidSettingsError, match=says):
-        part(data)
+def test_a_file_without_text_is_refused(data, expected):
+    with pytest.raises(InvalidSettingsError, match=expected):
+        parse(data)
 
 
 def test_too_many_nodes_are_refused():
     with pytest.raises(InvalidSettingsError, match="line 9, .zone windsor.: more than 2 nodes are listed"):
-        part(most=2)
+        parse(max_nodes=2)
 
 
 def test_optional_trailer_must_be_correct_if_present():
-    assert len(part(TEXT.replace("# end 3 nodes\n", ""), trailer=False).entries) == 3
+    assert len(parse(TEXT.replace("# end 3 nodes\n", ""), trailer_required=False).entries) == 3
     with pytest.raises(InvalidSettingsError, match="the last line says 4 nodes"):
-        part(TEXT.replace("# end 3", "# end 4"), trailer=False)
+        parse(TEXT.replace("# end 3", "# end 4"), trailer_required=False)
 
 
 def test_list_truncated_at_any_byte_is_refused_if_the_trailer_is_required():
     data = TEXT.encode()
     for cut in range(len(data)):
         with pytest.raises(InvalidSettingsError):
-            part(data[:cut])
+            parse(data[:cut])
 
 
 def test_one_node_in_two_zones_of_one_file_is_refused_with_both_lines():
@@ -113,7 +113,7 @@
         InvalidNodeSetError,
         match="n.ini, line 10: order-4.toronto.example.org stands in zone windsor and in zone toronto .n.ini, line 6.",
     ):
-        assemble([part(TEXT.replace("order-1.windsor", "order-4.toronto"))])
+        assemble([parse(TEXT.replace("order-1.windsor", "order-4.toronto"))])
 
 
 names = some.from_regex(r"[a-z][a-z0-9-]{0,5}[a-z0-9](\.[a-z]{2,4})?", fullmatch=True)
@@ -133,14 +133,14 @@
 
 
 @given(sets)
-def test_formatted_node_set_parses_to_the_same_set(made):
-    lines = part(format_node_list(made)).entries
-    assert NodeSet({line.name: line.listed for line in lines}) == made and len(lines) == len(made)
+def test_formatted_node_set_parses_to_the_same_set(node_set):
+    entries = parse(format_node_list(node_set)).entries
+    assert NodeSet({entry.name: entry.listed for entry in entries}) == node_set and len(entries) == len(node_set)
 
 
 @given(some.binary(max_size=80))
 def test_arbitrary_bytes_raise_only_invalid_settings_errors(data):
     try:
-        part(data, trailer=False)
+        parse(data, trailer_required=False)
     except InvalidSettingsError as err:
         assert "\n" not in str(err)
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy over loopback between clients that are bytes on sockets and nodes that do as they are told."""
+"""Tests of the proxy over loopback sockets: wrong retries, HTTP framing faults, missing backpressure, and leaks."""
 
 import socket
 from random import Random
@@ -38,7 +38,7 @@
 
 
 class Peer:
-    """One connection to a node: what came in, and what the test writes."""
+    """A connection that a stub node has accepted: records received bytes and writes the test's replies."""
 
     def __init__(self, node, sock):
         self.node, self.data, self.gone = node, b"", None
@@ -46,8 +46,8 @@
 
     def on_data(self, data):
         self.data += data
-        if self.node.does:
-            self.node.does(self)
+        if self.node.handler:
+            self.node.handler(self)
 
     def on_close(self, why):
         self.gone = why
@@ -60,8 +60,8 @@
 
 
 class Node:
-    def __init__(self, kit, does=None):
-        self.kit, self.does, self.peers = kit, does, []
+    def __init__(self, kit, handler=None):
+        self.kit, self.handler, self.peers = kit, handler, []
         self.listener = Listener(
             kit.loop, ("127.0.0.1", 0), lambda sock: self.peers.append(Peer(self, sock)), print, MS
         )
@@ -77,15 +77,15 @@
 
 
 def answers_with(*replies):
-    """Replies to whole requests, in turn; the last one again and again."""
-    left = list(replies)
+    """Return a handler that answers each complete request with the next reply and repeats the last one."""
+    remaining = list(replies)
 
-    def does(peer):
+    def respond(peer):
         while peer.data.count(b"\r\n\r\n") > getattr(peer, "replied", 0):
             peer.replied = getattr(peer, "replied", 0) + 1
-            peer.write(left.pop(0) if len(left) > 1 else left[0])
+            peer.write(remaining.pop(0) if len(remaining) > 1 else remaining[0])
 
-    return does
+    return respond
 
 
 class Client:
@@ -123,28 +123,30 @@
 
 
 class Site:
-    def __init__(self, *nodes, lines=None, tables=1, **fields):
+    def __init__(self, *nodes, weights=None, tables=1, **options):
         self.kit, self.clients = Kit(), []
-        self.nodes = [Node(self.kit, does) for does in nodes]
+        self.nodes = [Node(self.kit, handler) for handler in nodes]
         self.tables = Tables(tables, 3, 1)
         self.tables.begin_stream(0)
         for table in range(tables):
-            self.tables.set_table(table, 0, lines if lines is not None else {place: 1.0 for place in range(len(nodes))})
-        random = Random(fields.get("seed", 1))
-        timeouts = fields.get("timeouts", (2 * S, S, 2 * S))
+            self.tables.set_table(
+                table, 0, weights if weights is not None else {index: 1.0 for index in range(len(nodes))}
+            )
+        random = Random(options.get("seed", 1))
+        timeouts = options.get("timeouts", (2 * S, S, 2 * S))
         self.attempts = Attempts(
             random,
             self.tables,
-            AttemptSettings(timeouts, SelectionMethod(fields.get("pick", "random")), fields.get("hold", 300 * MS)),
-            OutlierEjection(random, fields.get("strikes", 0), (S, S)),
+            AttemptSettings(timeouts, SelectionMethod(options.get("pick", "random")), options.get("hold", 300 * MS)),
+            OutlierEjection(random, options.get("strikes", 0), (S, S)),
             OverloadControl(
-                fields.get("budget"),
-                ConcurrencyLimits(ConcurrencyLimitSettings(*fields["limits"])) if "limits" in fields else None,
+                options.get("budget"),
+                ConcurrencyLimits(ConcurrencyLimitSettings(*options["limits"])) if "limits" in options else None,
                 WaitingQueue(4, (S, S, S), (1.0, 5.0, 2.0), 0.5),
             ),
         )
-        self.addresses = {place: node.at for place, node in enumerate(self.nodes)}
-        self.tries, self.ops = [], []
+        self.addresses = {index: node.at for index, node in enumerate(self.nodes)}
+        self.attempt_reports, self.ops = [], []
         op_types = [
             OpType("look", b"GET", b"/look", False, timeouts[0]),
             OpType("place", b"POST", b"/place", False, timeouts[1]),
@@ -154,18 +156,18 @@
             ProxyIo(self.kit.loop, self.kit.pool, self.kit.counters),
             ("127.0.0.1", 0),
             op_types,
-            fields.get("limits_of_exchanges", ExchangeLimits()),
+            options.get("exchange_limits", ExchangeLimits()),
             ProxyCores(
                 self.tables,
                 self.attempts,
-                Admission(fields.get("admission", AdmissionSettings())),
+                Admission(options.get("admission", AdmissionSettings())),
                 idempotency_cache.IdempotencyCache(idempotency_cache.CacheLimits()),
             ),
-            fields.get("pools", PoolSettings()),
+            options.get("pools", PoolSettings()),
             self.addresses,
             ProxyHooks(
-                fields.get("table_of", lambda request: 0),
-                lambda *attempt: self.tries.append(attempt),
+                options.get("table_of", lambda request: 0),
+                lambda *attempt: self.attempt_reports.append(attempt),
                 lambda *op: self.ops.append(op),
             ),
         )
@@ -178,8 +180,8 @@
     def wait(self, condition, seconds=10):
         until(self.kit.loop, condition, seconds)
 
-    def pass_time(self, span):
-        end = self.kit.loop.now() + span
+    def pass_time(self, duration):
+        end = self.kit.loop.now() + duration
         self.wait(lambda: self.kit.loop.now() >= end)
 
     def requests(self):
@@ -191,9 +193,9 @@
 
     def close(self):
         self.proxy.close()
-        for one in (*self.clients, *self.nodes):
-            one.close()
-        left = (
+        for endpoint in (*self.clients, *self.nodes):
+            endpoint.close()
+        remaining = (
             self.attempts.in_flight,
             self.attempts.waiting_count(),
             self.proxy.exchanges,
@@ -201,15 +203,15 @@
             self.kit.pool.out,
         )
         self.kit.loop.close()
-        assert left == ({}, 0, {}, {}, 0), left
+        assert remaining == ({}, 0, {}, {}, 0), remaining
 
 
 @pytest.fixture
 def make_site():
     sites = []
 
-    def make(*nodes, **fields):
-        sites.append(Site(*nodes, **fields))
+    def make(*nodes, **options):
+        sites.append(Site(*nodes, **options))
         return sites[-1]
 
     yield make
@@ -224,7 +226,9 @@
         client.send(GET)
         site.wait(lambda turn=turn: client.data.count(b"ok") == turn)
     assert len(site.nodes[0].peers) == 1 and client.data == OK * 3
-    assert [told[2:4] for told in site.tries] == [(LOOK, True)] * 3 and site.ops == [(0, LOOK, "acked")] * 3
+    assert [report[2:4] for report in site.attempt_reports] == [(LOOK, True)] * 3 and site.ops == [
+        (0, LOOK, "acked")
+    ] * 3
 
 
 def test_hop_by_hop_headers_are_dropped_and_the_deadline_header_is_set(make_site):
@@ -247,14 +251,14 @@
 
 @pytest.mark.parametrize("second", [OK, b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"])
 def test_not_started_response_is_retried_once(make_site, second):
-    site = make_site(answers_with(NOT_STARTED), answers_with(second), lines={0: 1e9, 1: 1e-9})
+    site = make_site(answers_with(NOT_STARTED), answers_with(second), weights={0: 1e9, 1: 1e-9})
     client = site.client(post())
     site.wait(lambda: client.data)
     assert client.data.startswith(second[:12]) and site.requests() == 2 and b"full" not in client.data
 
 
 def test_refused_connection_is_retried_at_another_node(make_site):
-    site = make_site(answers_with(OK), answers_with(OK), lines={0: 1e9, 1: 1e-9})
+    site = make_site(answers_with(OK), answers_with(OK), weights={0: 1e9, 1: 1e-9})
     site.nodes[0].listener.close()
     client = site.client(post())
     site.wait(lambda: client.data == OK)
@@ -268,7 +272,7 @@
     assert client.data.startswith(b"HTTP/1.1 504") and b"aborted: op timeout" in client.data
     site.pass_time(50 * MS)
     assert site.requests() == 1 and site.attempts.counts["second_tries"] == 0
-    assert all(peer.gone for node in site.nodes for peer in node.peers)  # an answer may yet have come on it
+    assert all(peer.gone for node in site.nodes for peer in node.peers)  # closed, as a late response might still arrive
 
 
 def test_attempt_reset_after_the_complete_request_is_not_retried(make_site):
@@ -290,7 +294,7 @@
 
 
 def test_table_change_does_not_affect_a_retry_in_flight(make_site):
-    site = make_site(answers_with(NOT_STARTED), None, lines={0: 1e9, 1: 1e-9})
+    site = make_site(answers_with(NOT_STARTED), None, weights={0: 1e9, 1: 1e-9})
     client = site.client(post())
     site.wait(lambda: site.nodes[1].peers and site.nodes[1].peers[0].data)
     site.order(SetEndpoint(0, 1, 0), SetEndpoint(0, 0, 0))
@@ -300,16 +304,16 @@
 
 
 def test_node_withdrawn_during_connection_setup_receives_no_request(make_site):
-    site = make_site(answers_with(OK), answers_with(OK), lines={0: 1e9, 1: 1e-9})
+    site = make_site(answers_with(OK), answers_with(OK), weights={0: 1e9, 1: 1e-9})
     client = site.client(GET)
-    site.wait(lambda: site.proxy.nodes.pools)  # the dial is out, its answer has not been looked at
+    site.wait(lambda: site.proxy.nodes.pools)  # the connection is being set up
     site.order(SetWithdrawn(0, True))
     site.wait(lambda: client.data == OK)
     assert b"GET" not in site.nodes[0].seen() and site.nodes[1].seen().count(b"GET") == 1
 
 
 def test_withdrawn_node_finishes_its_op_and_gets_no_new_one(make_site):
-    site = make_site(None, answers_with(OK), lines={0: 1e9, 1: 1e-9})
+    site = make_site(None, answers_with(OK), weights={0: 1e9, 1: 1e-9})
     first = site.client(post())
     site.wait(lambda: site.nodes[0].peers and site.nodes[0].peers[0].data)
     site.order(SetWithdrawn(0, True))
@@ -322,7 +326,9 @@
 
 
 def test_op_at_a_withdrawn_node_is_aborted_after_the_grace_period(make_site):
-    site = make_site(None, lines={0: 1.0}, pools=PoolSettings(withdrawal_grace_ns=50 * MS), timeouts=(9 * S, 9 * S, S))
+    site = make_site(
+        None, weights={0: 1.0}, pools=PoolSettings(withdrawal_grace_ns=50 * MS), timeouts=(9 * S, 9 * S, S)
+    )
     client = site.client(post())
     site.wait(lambda: site.nodes[0].peers and site.nodes[0].peers[0].data)
     site.order(SetWithdrawn(0, True))
@@ -348,24 +354,24 @@
     client = site.client(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\nbegin")
     site.wait(lambda: client.ended)
     assert client.data.startswith(b"HTTP/1.1 413") and b"Connection: close" in client.data
-    assert site.nodes[0].peers[0].gone  # half a request is on it
+    assert site.nodes[0].peers[0].gone  # closed, as the request was not sent completely
 
 
 def test_pipelined_requests_behind_a_slow_one_are_answered_in_order(make_site):
     site = make_site(None)
     client = site.client(GET + GET.replace(b"/look", b"/look/2") + GET.replace(b"/look", b"/look/3"))
-    for place in range(1, 4):
-        site.wait(lambda place=place: site.nodes[0].seen().count(b"GET") == place)
+    for index in range(1, 4):
+        site.wait(lambda index=index: site.nodes[0].seen().count(b"GET") == index)
         site.pass_time(5 * MS)
-        assert site.nodes[0].seen().count(b"GET") == place  # one at a time
-        site.nodes[0].peers[0].write(OK.replace(b"ok", b"a%d" % place))
+        assert site.nodes[0].seen().count(b"GET") == index  # one at a time
+        site.nodes[0].peers[0].write(OK.replace(b"ok", b"a%d" % index))
     site.wait(lambda: client.data.endswith(b"a3"))
-    assert client.data == b"".join(OK.replace(b"ok", b"a%d" % place) for place in range(1, 4))
+    assert client.data == b"".join(OK.replace(b"ok", b"a%d" % index) for index in range(1, 4))
 
 
 @pytest.mark.parametrize("at", ["waiting for an answer", "in its body", "in its head", "waiting for a line"])
 def test_client_closing_at_any_stage_cancels_its_attempt_without_a_retry(make_site, at):
-    site = make_site(None, lines={} if at == "waiting for a line" else None)
+    site = make_site(None, weights={} if at == "waiting for a line" else None)
     client = site.client({"in its head": b"GET /lo", "in its body": post(body=b"x" * 99)[:-9]}.get(at, post()))
     if at == "waiting for a line":
         site.wait(lambda: site.attempts.waiting_count())
@@ -467,14 +473,14 @@
 
 
 def test_response_ended_by_close_is_forwarded_completely_to_http_1_0_and_1_1_clients(make_site):
-    def does(peer):
+    def respond(peer):
         peer.write(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         peer.connection.close("end")
 
-    site = make_site(does)
-    new, old = site.client(GET), site.client(GET.replace(b"1.1", b"1.0"))
-    site.wait(lambda: new.data.endswith(b"0\r\n\r\n") and old.ended)
-    assert b"9\r\nall of it\r\n" in new.data and old.data.endswith(b"\r\n\r\nall of it")
+    site = make_site(respond)
+    client_1_1, client_1_0 = site.client(GET), site.client(GET.replace(b"1.1", b"1.0"))
+    site.wait(lambda: client_1_1.data.endswith(b"0\r\n\r\n") and client_1_0.ended)
+    assert b"9\r\nall of it\r\n" in client_1_1.data and client_1_0.data.endswith(b"\r\n\r\nall of it")
 
 
 def test_response_to_head_has_no_body_despite_its_content_length(make_site):
@@ -490,7 +496,7 @@
     size = 3 << 20
 
     def echo(peer):
-        peer.node.most = max(getattr(peer.node, "most", 0), len(peer.data))
+        peer.node.max_received = max(getattr(peer.node, "max_received", 0), len(peer.data))
         if b"0\r\n\r\n" in peer.data[-5:] if chunked else len(peer.data) >= size:
             peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"z" * size)
 
@@ -511,20 +517,22 @@
     )
     sock = socket.create_connection(site.proxy.listen_address)
     sock.sendall(GET)
-    most = 0
+    max_unsent_bytes = 0
     end = site.kit.loop.now() + 300 * MS
     while site.kit.loop.now() < end:
         site.kit.loop.at(site.kit.loop.now() + MS, lambda: None)
         site.kit.loop.turn()
-        most = max([most, *(client.unsent_bytes() for client in site.proxy.clients.connections.values())])
-    assert 0 < most < 1 << 20
+        max_unsent_bytes = max(
+            [max_unsent_bytes, *(client.unsent_bytes() for client in site.proxy.clients.connections.values())]
+        )
+    assert 0 < max_unsent_bytes < 1 << 20
     sock.setblocking(False)
-    got = 0
-    while got < size:
+    received = 0
+    while received < size:
         site.kit.loop.at(site.kit.loop.now() + MS, lambda: None)
         site.kit.loop.turn()
         try:
-            got += len(sock.recv(1 << 20))
+            received += len(sock.recv(1 << 20))
         except BlockingIOError:
             pass
     sock.close()
@@ -544,7 +552,7 @@
     site = make_site(
         answers_with(NOT_STARTED),
         answers_with(NOT_STARTED),
-        limits_of_exchanges=ExchangeLimits(max_resend_body_bytes=100),
+        exchange_limits=ExchangeLimits(max_resend_body_bytes=100),
     )
     client = site.client(post(body=b"x" * 1000))
     site.wait(lambda: client.data)
@@ -577,7 +585,7 @@
 
 
 def test_request_waiting_for_a_rejected_first_request_gets_retry_after(make_site):
-    site = make_site(lines={}, hold=50 * MS)
+    site = make_site(weights={}, hold=50 * MS)
     keyed = post(b"/keyed", b"body", b"Idempotency-Key: k1\r\n")
     first, second = site.client(keyed), site.client(keyed)
     site.wait(lambda: first.data and second.data)
@@ -588,18 +596,18 @@
     )
 
 
-@pytest.mark.parametrize("lines, hold, why", [({}, 0, "no line"), ({}, 30 * MS, "no line")])
-def test_op_without_an_endpoint_is_rejected_in_time_with_retry_after(make_site, lines, hold, why):
-    site = make_site(answers_with(OK), lines=lines, hold=hold)
+@pytest.mark.parametrize("weights, hold, reason", [({}, 0, "no line"), ({}, 30 * MS, "no line")])
+def test_op_without_an_endpoint_is_rejected_in_time_with_retry_after(make_site, weights, hold, reason):
+    site = make_site(answers_with(OK), weights=weights, hold=hold)
     began = site.kit.loop.now()
     client = site.client(GET)
     site.wait(lambda: client.data)
-    assert client.data.startswith(b"HTTP/1.1 503") and f"rejected: {why}".encode() in client.data
+    assert client.data.startswith(b"HTTP/1.1 503") and f"rejected: {reason}".encode() in client.data
     assert b"Retry-After: 1" in client.data and site.kit.loop.now() - began < hold + 200 * MS
 
 
 def test_waiting_op_is_sent_when_its_table_gets_an_endpoint(make_site):
-    site = make_site(answers_with(OK), lines={}, hold=S)
+    site = make_site(answers_with(OK), weights={}, hold=S)
     client = site.client(GET)
     site.wait(lambda: site.attempts.waiting_count())
     site.order(SetEndpoint(0, 0, 1.0))
@@ -608,12 +616,12 @@
 
 def test_op_waits_at_a_full_node_and_is_sent_when_the_first_ends(make_site):
     site = make_site(None, limits=(1, 1, 1), timeouts=(2 * S, 2 * S, 2 * S))
-    first, cheap = site.client(GET), site.client(GET.replace(b"look", b"look2"))
+    first, second = site.client(GET), site.client(GET.replace(b"look", b"look2"))
     site.wait(lambda: site.attempts.waiting_count() == 1 and site.nodes[0].peers and site.nodes[0].peers[0].data)
     site.nodes[0].peers[0].write(OK)
     site.wait(lambda: first.data == OK and b"look2" in site.nodes[0].seen())
     site.nodes[0].peers[0].write(OK)
-    site.wait(lambda: cheap.data == OK)
+    site.wait(lambda: second.data == OK)
 
 
 def test_op_waits_for_a_connection_when_the_pool_limit_is_reached(make_site):
@@ -627,21 +635,21 @@
     assert len(site.nodes[0].peers) == 1
 
 
-@pytest.mark.parametrize("sent, says", [(b"", b"408"), (b"GET /lo", b"408")])
-def test_incomplete_head_times_out_with_status_408(make_site, sent, says):
+@pytest.mark.parametrize("sent, expected", [(b"", b"408"), (b"GET /lo", b"408")])
+def test_incomplete_head_times_out_with_status_408(make_site, sent, expected):
     site = make_site(answers_with(OK), admission=AdmissionSettings(head_timeout_ns=150 * MS))
     client = site.client(sent)
     site.wait(lambda: client.ended)
-    assert says in client.data
+    assert expected in client.data
 
 
 def test_connection_beyond_the_per_client_limit_is_refused(make_site):
     site = make_site(answers_with(OK), admission=AdmissionSettings(max_connections=4, max_per_client=4))
-    many = [site.client() for _ in range(4)]
+    others = [site.client() for _ in range(4)]
     site.wait(lambda: len(site.proxy.admission) == 4)
     fifth = site.client(GET)
     site.wait(lambda: fifth.ended)  # all come from one address
-    assert not any(client.ended for client in many)
+    assert not any(client.ended for client in others)
 
 
 def test_stop_completes_requests_in_progress_and_closes_all_connections(make_site):
@@ -661,7 +669,7 @@
 
 def test_slow_node_pauses_reading_from_the_client(make_site):
     site = make_site(None, timeouts=(S, 20 * S, S))
-    site.nodes[0].does = lambda peer: peer.connection.read(False)
+    site.nodes[0].handler = lambda peer: peer.connection.read(False)
     client = site.client()
     client.send(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 30000000\r\n\r\n")
     sent = 0
@@ -673,7 +681,9 @@
             pass
         site.kit.loop.at(site.kit.loop.now() + MS, lambda: None)
         site.kit.loop.turn()
-    assert sent < 25_000_000 and all(to.unsent_bytes() < 1 << 20 for to in site.proxy.nodes.connections.values())
+    assert sent < 25_000_000 and all(
+        connection.unsent_bytes() < 1 << 20 for connection in site.proxy.nodes.connections.values()
+    )
 
 
 def test_retries_are_bounded_by_the_retry_budget_when_half_of_the_nodes_are_full(make_site):
@@ -685,7 +695,7 @@
     assert 100 < site.requests() <= 100 * 1.1 + 1
 
 
-BYTES = some.lists(
+MESSAGE_BYTES = some.lists(
     some.sampled_from(
         [
             GET,
@@ -709,20 +719,20 @@
 ).map(b"".join)
 
 
-@given(BYTES, BYTES, some.integers(1, 40))
+@given(MESSAGE_BYTES, MESSAGE_BYTES, some.integers(1, 40))
 def test_arbitrary_bytes_from_client_and_node_raise_nothing_and_leak_nothing(sent, reply, cut):
-    """The loop raises whatever is raised in it; `close` of the make_site holds that all was given back."""
+    """The loop re-raises exceptions of its callbacks; `Site.close` asserts that all resources were released."""
     site = Site(
         lambda peer: peer.gone or peer.write(reply) or peer.connection.close("end"), timeouts=(60 * MS,) * 3, hold=0
     )
     client = site.client()
-    for place in range(0, len(sent), cut):
-        client.send(sent[place : place + cut])
+    for index in range(0, len(sent), cut):
+        client.send(sent[index : index + cut])
         site.pass_time(0)
         if client.ended:
             break
     client.close()
     site.wait(lambda: not site.proxy.clients.connections and not site.proxy.exchanges)
-    told = sum(site.attempts.counts[word] for word in ("acked", "rejected", "aborted"))
-    assert told == site.attempts.counts["asked"] == len(site.ops)
+    ended = sum(site.attempts.counts[word] for word in ("acked", "rejected", "aborted"))
+    assert ended == site.attempts.counts["asked"] == len(site.ops)
     site.close()
--- a/tests/reference_proxy/test_relay_program.py
+++ b/tests/reference_proxy/test_relay_program.py
@@ -1,4 +1,4 @@
-"""The relay as a process: kept tables, reload, stop, and a successor that takes its socket over under load."""
+"""Tests of the relay process: tables file, reload, stop, and handover of its socket to a successor under load."""
 
 import json
 import os
@@ -14,8 +14,8 @@
 from kestrelplank.settings.ini import IniFile
 from kestrelplank.settings.reference_proxy import read_reference_proxy_settings
 
-WORDS = ("-c", "from kestrelplank.cli import main; raise SystemExit(main())", "relay", "--config")
-FILE = """[relay]
+COMMAND = ("-c", "from kestrelplank.cli import main; raise SystemExit(main())", "relay", "--config")
+RELAY_FILE = """[relay]
 listen = 127.0.0.1:0
 hub = %s
 number = 3
@@ -44,16 +44,16 @@
     def __init__(self, folder):
         self.kit, self.folder, self.programs, self.clients = Kit(), folder, [], []
         self.node = Node(self.kit, answers_with(OK))
-        self.hub = StubServer(self.kit, self.asked)
+        self.update_source = StubServer(self.kit, self.handle_request)
         self.path = folder / "relay.ini"
-        self.path.write_text(FILE % (self.hub.at, folder, folder))
+        self.path.write_text(RELAY_FILE % (self.update_source.at, folder, folder))
 
-    def asked(self, visitor, path, body):
+    def handle_request(self, connection, path, body):
         if not path.startswith("/v1/tables"):
-            visitor.reply({})
+            connection.reply({})
             return
-        visitor.begin_stream()
-        visitor.send(
+        connection.begin_stream()
+        connection.send(
             {"type": "node", "object": {"name": "s-1", "address": self.node.at}},
             {"type": "joined", "object": {"source": 0}},
             *({"type": "table", "object": {"table": table, "source": 0, "lines": {"s-1": 1.0}}} for table in range(4)),
@@ -61,7 +61,7 @@
         )
 
     def start(self):
-        program = ProgramProcess(self.kit.loop, WORDS + (str(self.path),))
+        program = ProgramProcess(self.kit.loop, COMMAND + (str(self.path),))
         self.programs.append(program)
         until(self.kit.loop, lambda: program.address() or program.process.poll() is not None)
         assert program.address(), program.log
@@ -76,8 +76,8 @@
         until(self.kit.loop, condition)
 
     def close(self):
-        for one in (*self.programs, *self.clients, self.node, self.hub):
-            one.close()
+        for endpoint in (*self.programs, *self.clients, self.node, self.update_source):
+            endpoint.close()
         self.kit.loop.close()
 
 
@@ -92,19 +92,19 @@
     first = site.start()
     client = site.client(first, GET)
     site.wait(lambda: client.data == OK)
-    site.wait(lambda: any(path == "/v1/reports" for _, path, _ in site.hub.requests))
+    site.wait(lambda: any(path == "/v1/reports" for _, path, _ in site.update_source.requests))
     site.wait(lambda: (site.folder / "state").exists())
     first.kill(signal.SIGTERM)
     site.wait(first.has_ended)
     assert first.process.returncode == 0 and "ops_acked=1" in first.log.decode() and "defects" not in first.log.decode()
-    site.hub.close()
+    site.update_source.close()
     second = site.start()
     assert (
         "tables=kept" in second.log_lines("event=started")[0]
         and "age_s=" in second.log_lines("event=tables_restored")[0]
     )
-    again = site.client(second, GET)
-    site.wait(lambda: again.data == OK)
+    second_client = site.client(second, GET)
+    site.wait(lambda: second_client.data == OK)
 
 
 def test_corrupt_tables_file_is_logged_and_tables_come_from_the_update_source(site):
@@ -120,13 +120,13 @@
     client = site.client(program, GET)
     site.wait(lambda: client.data == OK)
     text = site.path.read_text()
-    for bad, says in (
+    for invalid, expected in (
         (text.replace("kept_bytes", "keptbytes"), "is kept_bytes meant?"),
         (text.replace("order-place", "other"), "op types can't be"),
     ):
-        site.path.write_text(bad)
+        site.path.write_text(invalid)
         program.kill(signal.SIGHUP)
-        site.wait(lambda says=says: program.log_lines(says))
+        site.wait(lambda expected=expected: program.log_lines(expected))
     site.path.write_text(text.replace("prefix = /look", "prefix = /see"))
     program.kill(signal.SIGHUP)
     site.wait(lambda: program.log_lines("event=reloaded"))
@@ -149,14 +149,14 @@
         clients = [site.client(program) for _ in range(4)]
         for client in clients:
             ask(client)
-        successor = ProgramProcess(site.kit.loop, WORDS + (str(site.path),))
+        successor = ProgramProcess(site.kit.loop, COMMAND + (str(site.path),))
         site.programs.append(successor)
         while not program.has_ended():
-            for place, client in enumerate(clients):
+            for index, client in enumerate(clients):
                 if client.data.endswith(b"\r\n\r\nok"):
-                    if client.ended:  # it was told so with its answer
+                    if client.ended:  # as announced in the response
                         assert b"Connection: close" in client.data
-                        clients[place] = client = Client(site.kit, at)
+                        clients[index] = client = Client(site.kit, at)
                         site.clients.append(client)
                     if b"Connection: close" not in client.data:
                         ask(client)
@@ -164,8 +164,8 @@
             site.kit.loop.at(site.kit.loop.now() + MS, lambda: None)
             site.kit.loop.turn()
         assert program.process.returncode == 0 and successor.address() == at
-        said = program.log.decode()
-        assert "ops_aborted" not in said and "ops_rejected" not in said and "why=successor" in said
+        log = program.log.decode()
+        assert "ops_aborted" not in log and "ops_rejected" not in log and "why=successor" in log
         site.wait(lambda clients=clients: all(client.data.endswith(b"ok") for client in clients))
         program = successor
         for client in clients:
@@ -174,18 +174,18 @@
 
 
 def test_start_fails_when_the_predecessor_hangs(site):
-    office = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    office.bind(str(site.folder / "successor"))
-    office.listen(1)
-    program = ProgramProcess(site.kit.loop, WORDS + (str(site.path),))
+    predecessor = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    predecessor.bind(str(site.folder / "successor"))
+    predecessor.listen(1)
+    program = ProgramProcess(site.kit.loop, COMMAND + (str(site.path),))
     site.programs.append(program)
     site.wait(program.has_ended)
     assert program.process.returncode == 1 and "can't listen" in program.log.decode()
-    office.close()
+    predecessor.close()
 
 
 @pytest.mark.parametrize(
-    "old, new, says",
+    "old, new, expected",
     [
         ("listen = 127.0.0.1:0", "listen = here", "line 2, [relay], field listen: expected an IPv4 address"),
         ("zone = a\n", "", "line 1, [relay]: field zone of [relay]: missing"),
@@ -200,26 +200,26 @@
         ),
     ],
 )
-def test_invalid_relay_file_is_reported_with_its_line(old, new, says):
-    text = FILE % ("127.0.0.1:1", "x", "x")
+def test_invalid_relay_file_is_reported_with_its_line(old, new, expected):
+    text = RELAY_FILE % ("127.0.0.1:1", "x", "x")
     assert old in text
-    if not says:
+    if not expected:
         assert (
             read_reference_proxy_settings(IniFile("r.ini", text.replace(old, new))).process.update_source_address == ""
         )
         return
-    with pytest.raises(InvalidSettingsError) as found:
+    with pytest.raises(InvalidSettingsError) as raised:
         read_reference_proxy_settings(IniFile("r.ini", text.replace(old, new)))
-    assert says in str(found.value)
+    assert expected in str(raised.value)
 
 
 def test_tables_file_is_json_with_tables_and_addresses(site):
     program = site.start()
     client = site.client(program, GET)
     site.wait(lambda: client.data == OK and (site.folder / "state").exists())
-    kept = json.loads((site.folder / "state").read_text().splitlines()[0])
+    stored = json.loads((site.folder / "state").read_text().splitlines()[0])
     assert (
-        kept["form"] == 1
-        and kept["tables"]["lines"] == [{"s-1": 1.0}] * 4
-        and kept["addresses"] == {"s-1": site.node.at}
+        stored["form"] == 1
+        and stored["tables"]["lines"] == [{"s-1": 1.0}] * 4
+        and stored["addresses"] == {"s-1": site.node.at}
     )
