--- a/kestrelplank/cli/rehearsal_report.py
+++ b/kestrelplank/cli/rehearsal_report.py
@@ -68,5 +68,5 @@
     if report["lost"]:
         lines += ["", "lost: " + ", ".join(f"{reason} {count}" for reason, count in report["lost"].items())]
     if report["fallen_nodes"]:
-        lines.append(f"pushed over: nodes {', '.join(map(str, report['fallen_nodes']))}")
+        lines.append(f"failed from overload: nodes {', '.join(map(str, report['fallen_nodes']))}")
     return lines
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -96,7 +96,7 @@
         self._reporter.forget(node)
 
     def reload(self, settings: NodeFileSettings) -> None:
-        """Apply a reloaded operator's file; files that it no longer names leave the set."""
+        """Apply a reloaded operator's file; files that no longer match its patterns leave the set."""
         self._settings = settings
         self.node_set_in_force.limits = self._change_limits()
         self._reporter.set_settings(self._report_settings())
--- a/kestrelplank/reference_proxy/exchange.py
+++ b/kestrelplank/reference_proxy/exchange.py
@@ -19,7 +19,7 @@
 from kestrelplank.sockets.loop import Timer
 from kestrelplank.time_units import MILLISECOND
 
-MAX_WAITING_BYTES = 1 << 18  # pending on one side; beyond it, reading from the other side is paused
+MAX_PENDING_BYTES = 1 << 18  # pending on one side; beyond it, reading from the other side is paused
 NOT_STARTED_HEADER = b"x-not-started"  # with status 503: the node states that it has not started the op
 SERVICE_UNAVAILABLE, FIRST_SERVER_ERROR = 503, 500
 
@@ -124,7 +124,7 @@
         self._recorded_bytes = self._status = 0
         self._not_started = False  # the node has not started the op; its response is not forwarded
         self._sends_chunks = False
-        self._answered_early = False  # before the request was complete: the rest of it is dropped
+        self._responded_early = False  # before the request was complete: the rest of it is dropped
         self._unwritten: list[bytes] = []
 
     # Data from the client
@@ -141,9 +141,9 @@
             request.body.append(data)
             if request.size > limits.max_resend_body_bytes and connection is not None:
                 request.body = None
-        if connection is not None and not self._answered_early:
+        if connection is not None and not self._responded_early:
             connection.write(request.encode_body_data(data))
-            if connection.unsent_bytes() > MAX_WAITING_BYTES:
+            if connection.unsent_bytes() > MAX_PENDING_BYTES:
                 self.client.pause_reading(True)
         elif request.size > limits.max_resend_body_bytes:
             self.client.pause_reading(True)  # until the request is sent to a node
@@ -152,7 +152,7 @@
         """Handle the end of the request's body."""
         self.request.complete = True
         connection = self._connection_in_use()
-        if self.request.chunked and connection is not None and not self._answered_early:
+        if self.request.chunked and connection is not None and not self._responded_early:
             connection.write(LAST_CHUNK)
 
     def _connection_in_use(self) -> NodeConnection | None:
@@ -188,7 +188,7 @@
         if status == SERVICE_UNAVAILABLE and first_value(headers, NOT_STARTED_HEADER) is not None:
             self._not_started = True
             return
-        self.stage, self._answered_early = Stage.ANSWERING, not self.request.complete
+        self.stage, self._responded_early = Stage.ANSWERING, not self.request.complete
         in_chunks = chunked and self.request.method != b"HEAD" and status not in STATUSES_WITHOUT_BODY
         self._sends_chunks = in_chunks and self.request.version == "1.1"
         until_close = in_chunks and not self._sends_chunks  # HTTP/1.0: the response ends with the connection
@@ -197,8 +197,8 @@
         forwarded, announced_length = end_to_end_headers(headers), None if in_chunks else length
         if self.recorded_response is not None:  # without the Connection header
             has_end = length is not None or self._sends_chunks
-            kept = render_head(first_line, forwarded, announced_length, chunked=self._sends_chunks)
-            self.recorded_response = [kept] if has_end else None
+            recorded_head = render_head(first_line, forwarded, announced_length, chunked=self._sends_chunks)
+            self.recorded_response = [recorded_head] if has_end else None
         extra_headers = () if self.keep else (CLOSE_HEADER,)
         head = render_head(
             first_line, forwarded, announced_length, chunked=self._sends_chunks, extra_headers=extra_headers
@@ -217,7 +217,7 @@
         data = b"".join(self._unwritten)
         self._unwritten.clear()
         self.client.write(data)
-        if self.client.unsent_bytes() > MAX_WAITING_BYTES and self.connection is not None:
+        if self.client.unsent_bytes() > MAX_PENDING_BYTES and self.connection is not None:
             self.connection.read(False)
 
     def on_complete(self, keep: bool) -> None:
--- a/kestrelplank/reference_proxy/keyed_requests.py
+++ b/kestrelplank/reference_proxy/keyed_requests.py
@@ -8,11 +8,11 @@
 from kestrelplank.reference_proxy.exchange import Exchange
 from kestrelplank.state.idempotency_cache import IdempotencyCache, LookupStatus
 
-UNKNOWN = "the first may have run, and its end is not known"
-TOO_LONG = Rejection(413, "too long for an op with a key")
-TOO_MANY = Rejection(503, "too many keys in hand", may_retry=True)
+OUTCOME_UNKNOWN = "the first may have run, and its end is not known"
+BODY_TOO_LONG = Rejection(413, "too long for an op with a key")
+TOO_MANY_KEYS = Rejection(503, "too many keys in hand", may_retry=True)
 OTHER_REQUEST = Rejection(409, "the key was used with another request")
-MAY_HAVE_RUN = Rejection(409, UNKNOWN)
+FIRST_MAY_HAVE_RUN = Rejection(409, OUTCOME_UNKNOWN)
 FIRST_REJECTED = Rejection(503, "the first was rejected", may_retry=True)
 
 
@@ -46,7 +46,7 @@
         """Return how to handle a request that has been received completely."""
         if exchange.request.size > max_body_bytes:
             exchange.idempotency_key = ""
-            return TOO_LONG
+            return BODY_TOO_LONG
         state, answer = self._answers.look_up(now, exchange.idempotency_key, exchange.request.digest(), exchange.number)
         self._counters.add(f"keys_{state}")
         if state == LookupStatus.PENDING:
@@ -56,7 +56,7 @@
         exchange.idempotency_key = ""
         if state == LookupStatus.ANSWERED and answer:
             return Replay(answer)
-        return {LookupStatus.FULL: TOO_MANY, LookupStatus.MISMATCH: OTHER_REQUEST}.get(state, MAY_HAVE_RUN)
+        return {LookupStatus.FULL: TOO_MANY_KEYS, LookupStatus.MISMATCH: OTHER_REQUEST}.get(state, FIRST_MAY_HAVE_RUN)
 
     def settle(
         self, exchange: Exchange, verdict: Verdict, answer: list[bytes] | None
@@ -70,7 +70,7 @@
             complete = b"".join(answer)
             return self._answers.handle_answered(key, complete), Replay(complete)
         may_have_run = verdict is not Verdict.REJECTED
-        return self._answers.handle_failed(key, may_have_run), MAY_HAVE_RUN if may_have_run else FIRST_REJECTED
+        return self._answers.handle_failed(key, may_have_run), FIRST_MAY_HAVE_RUN if may_have_run else FIRST_REJECTED
 
     def release(self, exchange: Exchange) -> None:
         """End an exchange's wait for the first request with its key."""
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -90,12 +90,12 @@
         self._counters.info("reloaded")
 
     def _report_totals(self) -> None:
-        parts, counters = self._reference_proxy, self._counters
-        for verdict, number in sorted(parts.proxy.outcomes.items()):
+        components, counters = self._reference_proxy, self._counters
+        for verdict, number in sorted(components.proxy.outcomes.items()):
             counters.add(f"ops_{verdict}", number)
-        for name, number in sorted(parts.zones.counts.items()) if parts.zones else ():
+        for name, number in sorted(components.zones.counts.items()) if components.zones else ():
             counters.add(name, number)
-        counters.add("second_tries", parts.attempts.counts["second_tries"])
+        counters.add("second_tries", components.attempts.counts["second_tries"])
         counters.report()
 
 
--- a/kestrelplank/reference_proxy/proxy.py
+++ b/kestrelplank/reference_proxy/proxy.py
@@ -31,7 +31,7 @@
 from kestrelplank.time_units import MILLISECOND
 
 SWEEP_INTERVAL_NS = 100 * MILLISECOND  # between checks for connections that have timed out
-LONG_QUEUE = 1 << 10  # waiting ops at which the delay in Retry-After is doubled
+RETRY_AFTER_QUEUE_LENGTH = 1 << 10  # waiting ops at which the delay in Retry-After is doubled
 NO_OP_TYPE = Rejection(501, "no op type has this method and target")
 HEALTH_TARGET = b"/health"
 
@@ -210,7 +210,7 @@
         exchange.keep = exchange.keep and exchange.request.complete and not self.stopping
         extra_headers: list[Header] = []
         if may_retry:
-            wait_s = retry_after_s(0, self._attempts.waiting_count(), LONG_QUEUE)
+            wait_s = retry_after_s(0, self._attempts.waiting_count(), RETRY_AFTER_QUEUE_LENGTH)
             extra_headers.append((b"Retry-After", b"%d" % wait_s))
         self._release_exchange(exchange)
         exchange.send_response(proxy_response(status, text, keep=exchange.keep, extra_headers=extra_headers))
