--- a/kestrelplank/reference_proxy/table_messages.py
+++ b/kestrelplank/reference_proxy/table_messages.py
@@ -29,13 +29,7 @@
 )
 from kestrelplank.state.tables import Tables
 
-ORDER_FIELD_COUNTS = {
-    "line": 3,
-    "take_out": 2,
-    "level": 4,
-    "clear": 1,
-    "mark": 1,
-}  # number of fields after the order's name
+ORDER_FIELD_COUNTS = {"line": 3, "take_out": 2, "level": 4, "clear": 1, "mark": 1}  # fields after the order's name
 
 
 class TableMessages:
