--- a/kestrelplank/__main__.py
+++ b/kestrelplank/__main__.py
@@ -159,7 +159,7 @@
     """The components of one assigner, created in the order of their dependencies.
 
     Features that only an operator's file enables are not imported without one (tests/cli/test_cli.py,
-    `test_the_platforms_run_imports_nothing_new`).
+    `test_conductor_without_an_operators_file_loads_no_optional_module`).
 
     :raises CannotListenError: an address is in use or invalid.
     """
--- a/kestrelplank/reference_proxy/http_messages.py
+++ b/kestrelplank/reference_proxy/http_messages.py
@@ -1,14 +1,15 @@
-"""HTTP/1.1 messages on both sides of the proxy: heads, framing, and what is never forwarded.
+"""HTTP/1.1 messages on both sides of the proxy: heads, framing and hop-by-hop headers.
 
-httptools parses, and refuses what could be read in two ways: two lengths, a length beside chunks, a bare LF, a folded
-line, white space before a colon. What it lets through and we do not is rejected here.
+httptools parses messages and rejects ambiguous ones: two Content-Length headers, Content-Length together with chunked
+coding, a bare LF, a folded header line, white space before a colon. This module rejects further messages that httptools
+accepts.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
-HOP_BY_HOP = frozenset(
-    (  # looked up, never walked
+HOP_BY_HOP_HEADERS = frozenset(
+    (
         b"connection",
         b"keep-alive",
         b"proxy-connection",
@@ -44,22 +45,32 @@
 
 def first_value(headers: Iterable[Header], name: bytes) -> bytes | None:
     """Return the first value of a header, by its name in lower case."""
-    return next((value for held, value in headers if held.lower() == name), None)
+    return next((value for header_name, value in headers if header_name.lower() == name), None)
 
 
 def list_values(headers: Iterable[Header], name: bytes) -> list[bytes]:
     """Return the members of a list header, in lower case (RFC 9110, section 5.6.1)."""
-    return [word.strip().lower() for held, value in headers if held.lower() == name for word in value.split(b",")]
+    return [
+        word.strip().lower()
+        for header_name, value in headers
+        if header_name.lower() == name
+        for word in value.split(b",")
+    ]
 
 
-def end_to_end(headers: list[Header]) -> list[Header]:
-    """Return the headers that are for the other end: none that belong to one connection (RFC 9110, section 7.6.1)."""
+def end_to_end_headers(headers: list[Header]) -> list[Header]:
+    """Return the headers to forward, without hop-by-hop headers (RFC 9110, section 7.6.1)."""
     named = list_values(headers, b"connection")
-    return [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP and name.lower() not in named]
+    return [
+        (name, value) for name, value in headers if name.lower() not in HOP_BY_HOP_HEADERS and name.lower() not in named
+    ]
 
 
 class Framing(NamedTuple):
-    """How a message's body is delimited; `problem` says why it can't be read, and is empty where it can."""
+    """How a message's body is delimited.
+
+    :ivar problem: why the framing is not supported; empty if it is.
+    """
 
     length: int | None
     chunked: bool
@@ -67,7 +78,7 @@
 
 
 def framing(headers: list[Header]) -> Framing:
-    """Return the framing of a head that the parser let through."""
+    """Return the framing of a head that the parser has accepted."""
     coding = list_values(headers, b"transfer-encoding")
     length = first_value(headers, b"content-length")
     if coding and coding != [b"chunked"]:
@@ -76,10 +87,18 @@
 
 
 def render_head(
-    first_line: bytes, headers: Iterable[Header], length: int | None, *, chunked: bool, more: Iterable[Header] = ()
+    first_line: bytes,
+    headers: Iterable[Header],
+    length: int | None,
+    *,
+    chunked: bool,
+    extra_headers: Iterable[Header] = (),
 ) -> bytes:
-    """Return a head as it goes out, with framing of its own."""
-    lines = [first_line, *(name + b": " + value for name, value in (*headers, *more))]
+    """Return the bytes of a head.
+
+    :param headers: without framing headers, which are added by `length` and `chunked`.
+    """
+    lines = [first_line, *(name + b": " + value for name, value in (*headers, *extra_headers))]
     if chunked:
         lines.append(b"Transfer-Encoding: chunked")
     elif length is not None:
@@ -88,19 +107,22 @@
 
 
 def render_chunk(data: bytes) -> bytes:
-    """Return a piece of a body in the chunked coding (RFC 9112, section 7.1)."""
+    """Return body data as one chunk of the chunked coding (RFC 9112, section 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-def own_answer(status: int, text: str, *, keep: bool, more: Iterable[Header] = ()) -> bytes:
-    """Return an answer of the proxy's own: a line of text.
+def proxy_response(status: int, text: str, *, keep: bool, extra_headers: Iterable[Header] = ()) -> bytes:
+    """Return a response that the proxy itself generates: one line of text.
 
-    :param keep: whether the client's connection is kept after it.
+    :param keep: whether the client's connection stays open after it.
     """
     body = text.encode() + b"\n"
-    extra = (*more, *(() if keep else (CLOSE_HEADER,)))
+    appended = (*extra_headers, *(() if keep else (CLOSE_HEADER,)))
     first_line = f"HTTP/1.1 {status} {REASONS.get(status, 'Error')}".encode()
-    return render_head(first_line, [(b"Content-Type", b"text/plain")], len(body), chunked=False, more=extra) + body
+    return (
+        render_head(first_line, [(b"Content-Type", b"text/plain")], len(body), chunked=False, extra_headers=appended)
+        + body
+    )
--- a/kestrelplank/reference_proxy/program.py
+++ b/kestrelplank/reference_proxy/program.py
@@ -1,4 +1,4 @@
-"""`kestrelplank relay --config FILE`: a reference proxy as a process, its signals, and its successor."""
+"""`kestrelplank relay --config FILE`: the reference proxy as a process, with signals and handover to a successor."""
 
 import signal
 import sys
@@ -18,14 +18,14 @@
 from kestrelplank.time_units import MILLISECOND
 
 BUFFER_BYTES, BUFFERS = 1 << 16, 64
-IDLE_CHECK_INTERVAL_NS = 20 * MILLISECOND  # between looks whether all clients are gone, while it stops
+IDLE_CHECK_INTERVAL_NS = 20 * MILLISECOND  # between checks whether all clients have gone, during shutdown
 CANNOT_LISTEN, UNUSABLE_SETTINGS = 1, 2  # exit codes
 
 
 class Program:
-    """A proxy that takes signals, may take over a predecessor's socket, and hands its own to a successor.
+    """A proxy process: handles signals, may take over a predecessor's socket, and passes its own to a successor.
 
-    :raises OSError: where it can't listen.
+    :raises OSError: it can't listen.
     """
 
     def __init__(self, loop: Loop, counters: Counters, path: str, settings: ReferenceProxySettings) -> None:
@@ -43,7 +43,7 @@
             self._successor = SuccessorListener(loop, successor_path, descriptor, lambda: self.stop("successor"))
 
     def run(self) -> None:
-        """Run until told to stop, and then until requests in progress have their answers."""
+        """Run until stopped, and then until the requests in progress have been answered."""
         handlers: dict[int, Callable[[], None]] = {
             signal.SIGTERM: self.stop,
             signal.SIGINT: self.stop,
@@ -53,8 +53,8 @@
         signals = Signals(self._loop, handlers)
         self._counters.info(
             "started",
-            listen="%s:%d" % self._reference_proxy.proxy.at,
-            tables="kept" if self._reference_proxy.has_kept_tables else "none yet",
+            listen="%s:%d" % self._reference_proxy.proxy.listen_address,
+            tables="kept" if self._reference_proxy.has_restored_tables else "none yet",
             predecessor=bool(self._predecessor),
         )
         if self._predecessor:
@@ -65,10 +65,10 @@
             self._successor.close()
         signals.close()
         self._loop.close()
-        self._report()
+        self._report_totals()
 
     def stop(self, why: str = "signal") -> None:
-        """Take no new connection, and end once all are closed, or that has taken long enough."""
+        """Accept no new connections, and end once all are closed or the stop time-out has passed."""
         self._counters.info("stopping", why=why)
         self._reference_proxy.proxy.stop()
         self._end_when_idle(self._loop.now() + self._stop_timeout_ns)
@@ -89,13 +89,13 @@
         self._counters.add("reloads")
         self._counters.info("reloaded")
 
-    def _report(self) -> None:
-        parts, counters = self._reference_proxy, self._counters
-        for verdict, number in sorted(parts.proxy.outcomes.items()):
+    def _report_totals(self) -> None:
+        components, counters = self._reference_proxy, self._counters
+        for verdict, number in sorted(components.proxy.outcomes.items()):
             counters.add(f"ops_{verdict}", number)
-        for name, number in sorted(parts.zones.counts.items()) if parts.zones else ():
+        for name, number in sorted(components.zones.counts.items()) if components.zones else ():
             counters.add(name, number)
-        counters.add("second_tries", parts.attempts.counts["second_tries"])
+        counters.add("second_tries", components.attempts.counts["second_tries"])
         counters.report()
 
 
--- a/kestrelplank/reference_proxy/tables_file.py
+++ b/kestrelplank/reference_proxy/tables_file.py
@@ -1,4 +1,4 @@
-"""A proxy's tables and node addresses in a file, from which it serves again after a restart without a hub."""
+"""A proxy's tables and node addresses in a file, so that a restarted proxy can serve without its update source."""
 
 import time
 from pathlib import Path
@@ -13,35 +13,35 @@
 
 
 class TablesFile:
-    """The file, written only when something has changed; with an empty path nothing is kept."""
+    """The tables file, written only after changes; with an empty path nothing is read or written."""
 
     def __init__(self, path: str, counters: Counters, ids: Ids, tables: Tables, addresses: dict[int, str]) -> None:
         self._path, self._counters = path, counters
         self._ids, self._tables, self._addresses = ids, tables, addresses
         self._has_changes = False
 
-    def note_change(self) -> None:
-        """Take note that the tables have changed since they were written."""
+    def mark_changed(self) -> None:
+        """Record that the tables have changed since they were last written."""
         self._has_changes = True
 
     def restore(self) -> bool:
-        """Read tables and addresses back; return whether there were any that can be used."""
+        """Read tables and addresses from the file; return whether it held any that can be used."""
         if not self._path:
             return False
         try:
-            kept = decode_checksummed(FORMAT_VERSION, Path(self._path).read_bytes())
-            self._tables.restore(kept["tables"], self._ids.node)
-            self._addresses.update((self._ids.node(name), at) for name, at in kept["addresses"].items())
+            restored = decode_checksummed(FORMAT_VERSION, Path(self._path).read_bytes())
+            self._tables.restore(restored["tables"], self._ids.node)
+            self._addresses.update((self._ids.node(name), at) for name, at in restored["addresses"].items())
         except FileNotFoundError:
             return False
         except (OSError, MalformedError, UpdateRejectedError) as err:
             self._counters.record_fault("tables_not_restored", f"{self._path}: {err}")
             return False
-        self._counters.info("tables_restored", age_s=round(time.time() - kept["at"], 1))
-        return bool(kept["at"])
+        self._counters.info("tables_restored", age_s=round(time.time() - restored["at"], 1))
+        return bool(restored["at"])
 
     def save(self) -> None:
-        """Write the tables that hold, if any have changed since."""
+        """Write the current tables if they have changed since the last write."""
         if not (self._has_changes and self._path):
             return
         self._has_changes = False
