--- a/kestrelplank/emulator/__init__.py
+++ b/kestrelplank/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""An emulator of clients, proxies, nodes and the network between them, in which the real decisions are played.
+"""An emulator of clients, proxies, nodes and the network between them, driven by the production decision code.
 
-A script (`script.py`) says what the site is and which faults meet it; `simulation.py` composes what is emulated;
-`rehearsal.py` plays a script on a virtual clock and reports.
+A script (`script.py`) describes a site and the faults injected into it, `simulation.py` builds the emulated site, and
+`rehearsal.py` runs a script on a virtual clock and returns a report.
 """
--- a/kestrelplank/emulator/assigners.py
+++ b/kestrelplank/emulator/assigners.py
@@ -1,4 +1,4 @@
-"""The assigners of a simulation, as policies in this process."""
+"""The assigners of a simulation, each running a policy in this process."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -18,22 +18,22 @@
 
 
 class OrderReceiver(Protocol):
-    """Who carries out the orders of assigners."""
+    """Executes the orders of assigners."""
 
     def execute(self, assigner: int, orders: list[TableOrder]) -> None:
-        """Carry out one call's orders."""
+        """Execute the orders of one round."""
         ...
 
 
 class Assigner(ProcessActor):
-    """An assigner, wherever it runs."""
+    """An assigner, running in this process or in its own."""
 
     def __init__(self, environment: Environment, number: int) -> None:
         super().__init__(environment.clock, number, number % len(environment.script.site.zones))
         self.environment = environment
 
     def start(self) -> None:
-        """Begin a new incarnation."""
+        """Start a new incarnation."""
         raise NotImplementedError
 
     def kill(self) -> None:
@@ -41,17 +41,17 @@
         raise NotImplementedError
 
     def notify(self, event: Event, after_ns: int = 0) -> None:
-        """Let an event, in the simulation's numbers, arrive after that time; it is lost if the process ends first."""
+        """Deliver an event, in the simulation's node numbers, after a delay; it is lost if the process ends first."""
         if self.alive:
             self.call_in_this_incarnation(self.clock.now() + after_ns, lambda: self.receive(event))
 
     def receive(self, event: Event) -> None:
-        """Take an event that has arrived."""
+        """Handle an event that has arrived."""
         raise NotImplementedError
 
 
 class LocalAssigner(Assigner):
-    """A policy, and the events of its next round."""
+    """Runs a policy, and collects the events of its next round."""
 
     def __init__(
         self, environment: Environment, number: int, make_policy: PolicyFactory, order_receiver: OrderReceiver
@@ -63,7 +63,7 @@
         self._ids = Ids(non_negative_int)
 
     def start(self) -> None:
-        """Begin a new incarnation, with a policy that knows nothing yet."""
+        """Start a new incarnation with a new policy."""
         self.alive, self.incarnation, self._events, self._round_is_due = True, self.incarnation + 1, [], False
         self._ids = Ids(non_negative_int)
         script = self.environment.script
@@ -76,14 +76,14 @@
         self.alive = False
 
     def receive(self, event: Event) -> None:
-        """Take an event for the next round."""
+        """Add an event to the next round."""
         self._events.append(self._with_own_numbers(event))
         if not self._round_is_due:
             self._round_is_due = True
             self.call_in_this_incarnation(self.clock.now() + self.environment.script.rules.tick, self._round)
 
     def _with_own_numbers(self, event: Event) -> Event:
-        """Return the event with the numbers that this incarnation has given to nodes."""
+        """Return the event with the node numbers that this incarnation uses."""
         match event:
             case NodeListUpdate(kind, entries):
                 return NodeListUpdate(kind, [entry._replace(node=self._ids.node(entry.node)) for entry in entries])
--- a/kestrelplank/emulator/baseline_policies.py
+++ b/kestrelplank/emulator/baseline_policies.py
@@ -1,4 +1,4 @@
-"""Policies that the real one is held against."""
+"""Policies that the production policy is compared with."""
 
 from collections.abc import Iterable
 
@@ -7,17 +7,17 @@
 
 
 class StaticPolicy(Policy):
-    """Every slice stays where it is until it has lost its node: no node is ejected, and no load moves."""
+    """Keeps every slice on its node until that node is lost: it ejects no node and moves no load."""
 
     def eject_unhealthy(self, now: int) -> None:
         """Eject nothing."""
 
     def balance(self, now: int) -> None:
-        """Move nothing for its load."""
+        """Move no slice because of its load."""
 
 
 class IdlePolicy(StaticPolicy):
-    """Orders nothing."""
+    """Issues no orders."""
 
     def round(self, now: int, events: Iterable[Event], out: OrderWriter) -> None:
-        """Do nothing, as somebody else places slices."""
+        """Do nothing: the simulation places the slices."""
--- a/kestrelplank/emulator/client_op.py
+++ b/kestrelplank/emulator/client_op.py
@@ -1,14 +1,14 @@
-"""An op as its client sees it."""
+"""An op from the point of view of its client."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class ClientOp:
-    """One op over all the client's attempts.
+    """One op, across all attempts of its client.
 
-    :param work: what it is to a node that does not know its key, in ns of one core at speed 1.
-    :param requested_at: when the client first asked for it.
+    :param work: at a node that does not have its key cached, in ns of one core at speed 1.
+    :param requested_at: when the client first requested it.
     """
 
     op_type: int
--- a/kestrelplank/emulator/clients.py
+++ b/kestrelplank/emulator/clients.py
@@ -1,4 +1,4 @@
-"""The clients of a simulation: when they ask for ops, of whom, and what they ask for again."""
+"""The clients of a simulation: when they request ops, from which proxy, and what they retry."""
 
 from collections.abc import Sequence
 
@@ -11,11 +11,11 @@
 from kestrelplank.load_balancing.operations import Op, Verdict
 from kestrelplank.time_units import MILLISECOND, SECOND
 
-NO_LOAD_INTERVAL_NS = 100 * MILLISECOND  # between looks whether clients ask for anything again
+NO_LOAD_INTERVAL_NS = 100 * MILLISECOND  # between checks of the load while it is 0
 
 
 class EmulatedClients:
-    """Each op goes to a proxy that is alive, drawn by chance."""
+    """Send each op to a random proxy that is alive."""
 
     def __init__(
         self,
@@ -29,19 +29,19 @@
         self._store, self._reports = store, reports
         self._clock = environment.clock
         self.random = environment.random("clients")
-        self.proxy_of: dict[int, EmulatedProxy] = {}  # by op, the proxy that it waits for
+        self.proxy_of: dict[int, EmulatedProxy] = {}  # by op number: the proxy that handles it
         self._last_number = 0
 
     def begin(self) -> None:
-        """Let clients ask for ops from now on, until the script's length is over."""
+        """Request ops from now on, until the end of the script."""
         self._schedule_next(self._clock.now())
 
-    def _ask_for_next(self, asks: bool) -> None:
-        """Ask for a new op, if there is any load, and schedule the next."""
+    def _request_next(self, has_load: bool) -> None:
+        """Request a new op if there is any load, and schedule the next one."""
         now = self._clock.now()
         if now >= self._environment.ends_at:
-            return  # what was asked for may end yet
-        if asks:
+            return  # ops in progress still run to their end
+        if has_load:
             client_op = self._load.draw_op(self.random, now)
             self._environment.score.op_requested(now, client_op.op_type)
             self._submit(client_op)
@@ -50,10 +50,10 @@
     def _schedule_next(self, now: int) -> None:
         ops_per_s = self._load.ops_per_s(now)
         wait_ns = self.random.expovariate(ops_per_s) * SECOND if ops_per_s else NO_LOAD_INTERVAL_NS
-        self._clock.at(now + max(1, round(wait_ns)), lambda: self._ask_for_next(ops_per_s > 0))
+        self._clock.at(now + max(1, round(wait_ns)), lambda: self._request_next(ops_per_s > 0))
 
     def _submit(self, client_op: ClientOp) -> None:
-        """Send the op to some proxy that is alive; with none, nobody answers."""
+        """Send the op to a proxy that is alive; if none is, the op gets no answer."""
         proxy = self._choose_proxy()
         client_op.attempts += 1
         self._last_number += 1
@@ -62,7 +62,7 @@
             self._reports.op_sum(owner, client_op.slice, client_op.op_type).count += 1
         if proxy.alive:
             self.proxy_of[number] = proxy
-            proxy.when_awake(lambda: proxy.submit(client_op, number))
+            proxy.call_when_resumed(lambda: proxy.submit(client_op, number))
 
     def _choose_proxy(self) -> EmulatedProxy:
         proxies = self._proxies
@@ -74,7 +74,7 @@
         return proxy
 
     def receive_answer(self, client_op: ClientOp, op: Op, verdict: Verdict, reason: EndReasonOrOutcome) -> None:
-        """Take an answer; the client may ask again, but not for what may have run and must not run again."""
+        """Handle an answer; retry the op unless it may have run and must not run twice."""
         del self.proxy_of[op.number]
         now, score = self._clock.now(), self._environment.score
         score.op_ended(now - op.deadline)
--- a/kestrelplank/emulator/discovery.py
+++ b/kestrelplank/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""What assigners of a simulation learn of nodes by discovery."""
+"""Node discovery of a simulation: the node list that assigners receive."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class ListedNode(NamedTuple):
-    """A node as it is listed, and when its process last started (None: long ago)."""
+    """A listed node, and when its process last started (None: before the simulation)."""
 
     condition: str
     started_at: int | None
@@ -26,7 +26,7 @@
 
 
 class Discovery:
-    """Knows whether processes run, late; each assigner learns of it in order, a little apart."""
+    """Detects starts and ends of processes after a delay; each assigner receives changes in order, at its own time."""
 
     def __init__(self, environment: Environment, assigners: Sequence[Assigner]) -> None:
         self.environment, self.assigners, self.clock = environment, assigners, environment.clock
@@ -36,7 +36,7 @@
         self._last_notified_at = [0] * site.conductors
 
     def entry(self, node: int) -> NodeEntry:
-        """Return a node as assigners learn of it."""
+        """Return a node as it is listed to assigners."""
         listed = self.listed[node]
         return NodeEntry(node, listed.condition, self.environment.zone_of_node(node), 0, 1.0, listed.started_at)
 
@@ -51,7 +51,7 @@
     def change(
         self, nodes: list[int], condition: NodeCondition, started_at: int | None, delay_range_ns: tuple[int, int]
     ) -> None:
-        """Let nodes be found to be so, after a time drawn from a range."""
+        """List nodes with that condition after a random delay."""
         found_at = self.clock.now() + self.random.randint(*delay_range_ns)
         self.clock.at(found_at, lambda: self._list(nodes, condition, started_at))
 
@@ -59,7 +59,7 @@
         changes = [
             NodeChange(node, condition, started_at)
             for node in nodes
-            if started_at is not None or condition == NodeCondition.DRAINING or self._is_of_last_start(node)
+            if started_at is not None or condition == NodeCondition.DRAINING or self._describes_last_start(node)
         ]
         for change in changes:
             last_start = started_at if started_at is not None else self.listed[change.node].started_at
@@ -71,8 +71,8 @@
             self._last_notified_at[assigner.number] = notified_at
             self._notify_at(notified_at, assigner, entries, changes)
 
-    def _is_of_last_start(self, node: int) -> bool:
-        """Whether what is listed is of the node's last start."""
+    def _describes_last_start(self, node: int) -> bool:
+        """Whether the listed entry describes the node's last start."""
         return self.listed[node].started_at in (None, self.environment.node_started_at[node])
 
     def _notify_at(self, at: int, assigner: Assigner, entries: list[NodeEntry], changes: list[NodeChange]) -> None:
@@ -85,7 +85,7 @@
         self.clock.at(at, notify)
 
     def notify_changes(self, assigner: Assigner, entries: list[NodeEntry], changes: list[NodeChange]) -> None:
-        """Let an assigner that is alive learn of changes."""
+        """Notify an assigner of changes, if it is alive."""
         if not assigner.alive or not entries:
             return
         assigner.notify(NodeListUpdate(NodeListKind.DELTA, entries))
--- a/kestrelplank/emulator/environment.py
+++ b/kestrelplank/emulator/environment.py
@@ -1,4 +1,4 @@
-"""What all parts of a simulation share."""
+"""State shared by all components of a simulation."""
 
 from collections.abc import Callable
 from random import Random
@@ -12,13 +12,13 @@
 from kestrelplank.emulator.virtual_clock import Clock
 from kestrelplank.time_units import MILLISECOND
 
-TIME_LIMIT_TOLERANCE_NS = 300 * MILLISECOND  # what the protocol's page grants time limits on sockets
+TIME_LIMIT_TOLERANCE_NS = 300 * MILLISECOND  # granted by the protocol's specification for time limits over sockets
 
 
 class Environment:
-    """The script and its chance, the clock, the nodes, and what is measured.
+    """The script, random generators, the clock, the nodes, and the measurements.
 
-    :param on_node_dropped: called with a node that fell, as all connections to it end.
+    :param on_node_dropped: called with the number of a node that failed from overload; all connections to it end.
     """
 
     def __init__(self, script: Script, seed: int, clock: Clock, on_node_dropped: Callable[[int], None]) -> None:
@@ -30,7 +30,7 @@
         self.score = ServiceScore(script, self.started_at)
         self._on_node_dropped = on_node_dropped
         self.nodes = [self._make_node(number) for number in range(script.site.nodes)]
-        self.node_started_at: list[int | None] = [None] * script.site.nodes  # as discovery finds it
+        self.node_started_at: list[int | None] = [None] * script.site.nodes  # None: before the simulation
 
     def _make_node(self, number: int) -> EmulatedNode:
         random = self.random("node", number)
@@ -39,7 +39,7 @@
         )
 
     def random(self, *names: object) -> Random:
-        """Return the chance of the part with that name."""
+        """Return the random generator of the component with that name."""
         return seeded_random(self.seed, *names)
 
     def zone_of_node(self, node: int) -> int:
@@ -48,7 +48,7 @@
 
     @property
     def ends_at(self) -> int:
-        """When clients ask for nothing more."""
+        """When clients stop requesting ops."""
         return self.started_at + self.script.site.length
 
     def _op_ran(self, number: int, op_type: int) -> None:
--- a/kestrelplank/emulator/fault_injector.py
+++ b/kestrelplank/emulator/fault_injector.py
@@ -1,4 +1,4 @@
-"""The faults of a simulation, as its script has them: whom they meet, how they begin, and how they end."""
+"""Injection of a script's faults: their targets, how they begin, and how they end."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTargets:
-    """The parties that a fault is for, by number, each once and in order."""
+    """Numbers of the nodes, proxies and assigners that a fault affects, without duplicates and in order."""
 
     nodes: list[int]
     proxies: list[int]
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveFault:
-    """A fault that has begun, and ends at that instant."""
+    """A fault that has begun, and when it ends."""
 
     name: str
     fault: Fault
@@ -37,7 +37,7 @@
 
 
 class FaultInjector:
-    """Begins faults and ends them by the clock."""
+    """Begins and ends faults at their scheduled times."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
             "lost": self._lose,
             "edit": self._edit,
             "drain": self._drain,
-            "silent": self._cut_off,
+            "silent": self._isolate,
             "stall": self._stall,
         }
 
     def schedule_all(self) -> None:
-        """Let each fault of the script begin at its time."""
+        """Schedule the begin of each fault in the script."""
         started_at = self._environment.started_at
         for scheduled in self._environment.script.faults:
             self._schedule(scheduled, started_at)
@@ -72,7 +72,7 @@
         targets, fault = self._targets(scheduled), scheduled.fault
         text = f"{scheduled.name}: {fault.kind} begins"
         self._environment.score.event(self._clock.now(), text, targets.nodes)
-        begin = self._begin_by_kind.get(fault.kind, self._weaken)
+        begin = self._begin_by_kind.get(fault.kind, self._degrade)
         begin(ActiveFault(scheduled.name, fault, started_at + scheduled.end_ns, targets))
 
     def _targets(self, scheduled: ScheduledFault) -> FaultTargets:
@@ -87,9 +87,9 @@
             targets[selector.kind].update(dict.fromkeys(matching))
         return FaultTargets(*map(list, targets.values()))
 
-    # Faults of nodes and of their list.
+    # Faults of nodes and of the node list.
 
-    def _weaken(self, active: ActiveFault) -> None:
+    def _degrade(self, active: ActiveFault) -> None:
         kind, strength = NodeFaultKind(active.fault.kind), active.fault.strength or 1.0
         for node in active.targets.nodes:
             self._environment.nodes[node].add_fault(self._clock.now(), active.name, kind, strength)
@@ -102,7 +102,7 @@
 
     def _edit(self, active: ActiveFault) -> None:
         files = self._discovery
-        assert isinstance(files, NodeFiles), "the script was checked to have node files"
+        assert isinstance(files, NodeFiles), "an edit fault requires node files, checked when the script is read"
         files.save_edit(active.fault, active.targets.nodes)
         self._clock.at(active.ends_at, files.restore)
 
@@ -111,20 +111,20 @@
         self._discovery.change(nodes, NodeCondition.DRAINING, None, (0, 0))
         self._clock.at(active.ends_at, lambda: self._start_nodes(nodes))
 
-    def _cut_off(self, active: ActiveFault) -> None:
+    def _isolate(self, active: ActiveFault) -> None:
         nodes = active.targets.nodes
         for node in nodes:
             self._environment.nodes[node].add_fault(self._clock.now(), active.name, NodeFaultKind.SILENT, 1.0)
         self._discovery.change(nodes, NodeCondition.REMOVED, None, self._environment.script.discovery.silent)
-        self._clock.at(active.ends_at, lambda: self._reach_again(active))
+        self._clock.at(active.ends_at, lambda: self._reconnect(active))
 
-    def _reach_again(self, active: ActiveFault) -> None:
+    def _reconnect(self, active: ActiveFault) -> None:
         for node in active.targets.nodes:
             self._environment.nodes[node].remove_fault(self._clock.now(), active.name)
         self._start_nodes(active.targets.nodes, keeps_queue=active.fault.keeps_queue)
 
     def _start_nodes(self, nodes: list[int], *, keeps_queue: bool = False) -> None:
-        """Start nodes' processes: cold, and listed as such a little later."""
+        """Start nodes' processes, which are cold; discovery lists the new starts after its delay."""
         environment, now = self._environment, self._clock.now()
         for node in nodes:
             environment.nodes[node].start(now, keeps_queue=keeps_queue)
@@ -138,7 +138,7 @@
     # Pauses.
 
     def _stall(self, active: ActiveFault) -> None:
-        """Pause each target once in `every`, not all at the same moment."""
+        """Pause each target once in every `every`, at its own random offset."""
         random, fault, now = self._environment.random("stall", active.name), active.fault, self._clock.now()
         for node in active.targets.nodes:
             for at in range(now + random.randrange(fault.every), active.ends_at, fault.every):
--- a/kestrelplank/emulator/ideal_placement.py
+++ b/kestrelplank/emulator/ideal_placement.py
@@ -1,8 +1,8 @@
-"""What a placement reaches that knows the truth: the upper mark for a script and a seed.
+"""Placement with complete knowledge of the simulated state: an upper bound on the service for a script and a seed.
 
-It sees at once which nodes run, how fast and how warm they are and what each slice asks for, and changes all proxies'
-tables on the spot, with no channel, no reports and no list between. Clients, proxies' attempts, nodes and faults are
-the same as ever, so what is lost at the moment of a fault is lost here too.
+It reads which nodes run, their speed and warm-up and the load of each slice directly, and updates the tables of all
+proxies at once, without channel, reports or node list. Clients, attempts of proxies, nodes and faults are those of
+every simulation, so ops that are lost when a fault begins are lost here too.
 """
 
 from collections.abc import Sequence
@@ -15,15 +15,15 @@
 from kestrelplank.time_units import MILLISECOND
 
 INTERVAL_NS = 50 * MILLISECOND
-REBALANCE_FACTOR = 1.25  # over the mean, from which a slice leaves the fullest node
-MAX_MOVES = 4  # for load, at a time
-COLD_SHARE = 0.5  # of the overload multiple, that a cold node is given at the most
+REBALANCE_FACTOR = 1.25  # times the mean load, above which slices are moved off the most loaded node
+MAX_MOVES = 4  # because of load, per interval
+COLD_SHARE = 0.5  # of the overload multiple: the most load that is placed on a cold node
 
 
-class NodeFills:
-    """How much of its capacity each node is given.
+class NodeLoads:
+    """The load that is placed on each node, relative to its capacity.
 
-    :param capacities: by node, as they are at present; 0 for one that does not run.
+    :param capacities: by node, at present; 0 for one that does not run.
     :param full_capacity: of a warm node without faults.
     """
 
@@ -35,37 +35,37 @@
         self.work = [0.0] * len(capacities)
         self.live = [node for node, capacity in enumerate(capacities) if capacity > 0]
 
-    def fill(self, node: int, more: float = 0.0) -> float:
-        """Return the node's work, and so much more, over what it may be given.
+    def load(self, node: int, extra_work: float = 0.0) -> float:
+        """Return the node's work, with that much extra, divided by the work that may be placed on it.
 
-        A cold node may be asked for more than it does by now, as it grows; the rule on cold nodes is the limit.
+        A cold node may be given more than its present capacity, which grows; the rule on cold nodes sets the limit.
         """
         capacity = self.capacities[node]
         if capacity < self._full_capacity:
             capacity = min(self._full_capacity, capacity * self._cold_multiple)
-        return (self.work[node] + more) / capacity
+        return (self.work[node] + extra_work) / capacity
 
     def mean(self) -> float:
-        """Return the mean fill of nodes that run."""
-        return sum(map(self.fill, self.live)) / len(self.live)
+        """Return the mean load of the nodes that run."""
+        return sum(map(self.load, self.live)) / len(self.live)
 
-    def fullest(self) -> int:
-        """Return the fullest node that runs."""
-        return max(self.live, key=lambda node: (self.fill(node), -node))
+    def most_loaded(self) -> int:
+        """Return the most loaded node that runs."""
+        return max(self.live, key=lambda node: (self.load(node), -node))
 
-    def emptiest(self, more: float = 0.0) -> int:
-        """Return the node that runs and is the least full with so much more."""
-        return min(self.live, key=lambda node: (self.fill(node, more), node))
+    def least_loaded(self, extra_work: float = 0.0) -> int:
+        """Return the running node that is the least loaded with that much extra work."""
+        return min(self.live, key=lambda node: (self.load(node, extra_work), node))
 
 
 class IdealPlacementSimulation(Simulation):
-    """A site whose slices are placed by who knows the truth."""
+    """A site whose slices are placed with complete knowledge of its state."""
 
     def __init__(self, script: Script, seed: int, clock: Clock) -> None:
         super().__init__(script, seed, clock, IdlePolicy)
 
     def start(self) -> None:
-        """Start the site, and place slices from now on."""
+        """Start the site and the placement of slices."""
         super().start()
         self.clock.at(self.clock.now(), self._place)
 
@@ -74,22 +74,22 @@
         self.clock.at(now + INTERVAL_NS, self._place)
         if now >= self.environment.ends_at:
             return
-        fills = self._measure(now)
-        if fills.live:
-            self._place_lost_slices(fills)
-            self._rebalance(fills)
+        node_loads = self._measure(now)
+        if node_loads.live:
+            self._place_lost_slices(node_loads)
+            self._rebalance(node_loads)
 
-    def _measure(self, now: int) -> NodeFills:
+    def _measure(self, now: int) -> NodeLoads:
         kind = self.script.node_kind
         capacities = [self._capacity(node, now) for node in range(len(self.environment.nodes))]
-        fills = NodeFills(
+        node_loads = NodeLoads(
             capacities, self.load.work_per_slice(now), kind.cores * kind.speed, kind.fall_multiple * COLD_SHARE
         )
         for slice_ in range(self.script.site.slices):
             node = self._node_of(slice_)
             if node is not None:
-                fills.work[node] += fills.slice_work[slice_]
-        return fills
+                node_loads.work[node] += node_loads.slice_work[slice_]
+        return node_loads
 
     def _capacity(self, number: int, now: int) -> float:
         node, kind = self.environment.nodes[number], self.script.node_kind
@@ -100,38 +100,42 @@
     def _node_of(self, slice_: int) -> int | None:
         return next(iter(self.store.weights[slice_]), None)
 
-    def _place_lost_slices(self, fills: NodeFills) -> None:
-        """Move slices off nodes that don't run, those of most work first."""
-        for slice_ in sorted(range(self.script.site.slices), key=lambda slice_: -fills.slice_work[slice_]):
+    def _place_lost_slices(self, node_loads: NodeLoads) -> None:
+        """Move slices off nodes that don't run, those with the most work first."""
+        for slice_ in sorted(range(self.script.site.slices), key=lambda slice_: -node_loads.slice_work[slice_]):
             node = self._node_of(slice_)
-            if node is None or fills.capacities[node] <= 0:
-                self._move(slice_, fills.emptiest(fills.slice_work[slice_]), fills)
+            if node is None or node_loads.capacities[node] <= 0:
+                self._move(slice_, node_loads.least_loaded(node_loads.slice_work[slice_]), node_loads)
 
-    def _rebalance(self, fills: NodeFills) -> None:
-        """Move slices off the fullest node while it is far over the mean."""
+    def _rebalance(self, node_loads: NodeLoads) -> None:
+        """Move slices off the most loaded node while it is far above the mean."""
         for _ in range(MAX_MOVES):
-            fullest, mean = fills.fullest(), fills.mean()
-            slices = [slice_ for slice_ in range(self.script.site.slices) if self._node_of(slice_) == fullest]
-            if fills.fill(fullest) <= REBALANCE_FACTOR * mean or len(slices) <= 1:
+            most_loaded, mean = node_loads.most_loaded(), node_loads.mean()
+            slices = [slice_ for slice_ in range(self.script.site.slices) if self._node_of(slice_) == most_loaded]
+            if node_loads.load(most_loaded) <= REBALANCE_FACTOR * mean or len(slices) <= 1:
                 return
-            target = fills.emptiest()
+            target = node_loads.least_loaded()
             fitting = [
-                slice_ for slice_ in slices if fills.fill(target, fills.slice_work[slice_]) < fills.fill(fullest)
+                slice_
+                for slice_ in slices
+                if node_loads.load(target, node_loads.slice_work[slice_]) < node_loads.load(most_loaded)
             ]
             if not fitting:
                 return
-            self._move(min(fitting, key=lambda slice_: self._distance(slice_, target, mean, fills)), target, fills)
+            self._move(
+                min(fitting, key=lambda slice_: self._distance(slice_, target, mean, node_loads)), target, node_loads
+            )
 
     @staticmethod
-    def _distance(slice_: int, target: int, mean: float, fills: NodeFills) -> tuple[float, int]:
-        """Return how far from the mean the slice would bring the target."""
-        return abs(fills.fill(target, fills.slice_work[slice_]) - mean), slice_
+    def _distance(slice_: int, target: int, mean: float, node_loads: NodeLoads) -> tuple[float, int]:
+        """Return how far from the mean load the target would be with the slice."""
+        return abs(node_loads.load(target, node_loads.slice_work[slice_]) - mean), slice_
 
-    def _move(self, slice_: int, node: int, fills: NodeFills) -> None:
+    def _move(self, slice_: int, node: int, node_loads: NodeLoads) -> None:
         old = self._node_of(slice_)
         if old is not None:
-            fills.work[old] -= fills.slice_work[slice_]
-        fills.work[node] += fills.slice_work[slice_]
+            node_loads.work[old] -= node_loads.slice_work[slice_]
+        node_loads.work[node] += node_loads.slice_work[slice_]
         self.store.moves += 1
         self.store.weights[slice_] = {node: 1.0}
         for proxy in self.proxies:
@@ -140,4 +144,4 @@
 
     def _update_table(self, proxy: EmulatedProxy, slice_: int) -> None:
         proxy.tables.set_table(slice_, self.store.owner[slice_] or 0, self.store.weights[slice_])
-        proxy.when_awake(lambda: proxy.tables_changed([slice_]))
+        proxy.call_when_resumed(lambda: proxy.tables_changed([slice_]))
--- a/kestrelplank/emulator/network.py
+++ b/kestrelplank/emulator/network.py
@@ -1,4 +1,4 @@
-"""The network of a simulation, without sockets: attempts on their way to nodes, and how they end."""
+"""The network of a simulation, without sockets: attempts in transit to nodes, and their outcomes."""
 
 from dataclasses import dataclass
 
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptInTransit:
-    """An attempt on its way to a node.
+    """An attempt in transit to a node.
 
-    :param delay_ns: of the way there.
-    :param knowing: whether the proxy could know of the node's last start.
+    :param delay_ns: of the message from the proxy to the node.
+    :param start_known: whether the proxy could know of the node's last start.
     """
 
     proxy: EmulatedProxy
@@ -27,19 +27,19 @@
     client_op: ClientOp
     node: int
     delay_ns: int
-    knowing: bool
+    start_known: bool
 
 
 class EmulatedNetwork:
-    """Carries attempts to nodes and their ends back."""
+    """Carries attempts to nodes and their outcomes back to proxies."""
 
     def __init__(self, environment: Environment, store: SliceStore, clients: EmulatedClients) -> None:
         self._environment, self._store, self._clients = environment, store, clients
         self._clock, self._random = environment.clock, environment.random("network")
         self.first_attempts = self.cross_zone_attempts = 0
         nodes = environment.script.site.nodes
-        self.generations = [0] * nodes  # of each node's connections: all of one end together
-        self._steps: list[tuple[int, Timer] | None] = [None] * nodes  # when a node is stepped next
+        self.generations = [0] * nodes  # by node, of its connections: all of one generation end together
+        self._steps: list[tuple[int, Timer] | None] = [None] * nodes  # by node: when it is stepped next
 
     # Delays.
 
@@ -59,8 +59,8 @@
         delay_ns = self.delay_to_node_ns(proxy, node)
         self.first_attempts += len(op.attempted_nodes) == 1
         self.cross_zone_attempts += proxy.zone != self._environment.zone_of_node(node)
-        knowing = self._check_rules(proxy, op, node)
-        self.begin_attempt(AttemptInTransit(proxy, op.number, client_op, node, delay_ns, knowing))
+        start_known = self._check_rules(proxy, op, node)
+        self.begin_attempt(AttemptInTransit(proxy, op.number, client_op, node, delay_ns, start_known))
 
     def _check_rules(self, proxy: EmulatedProxy, op: Op, node: int) -> bool:
         """Check the rule on drains; return whether the proxy could know of the node's last start."""
@@ -73,7 +73,7 @@
         return rules.knows_last_start(now, owner, node, proxy.ordered_at[owner])
 
     def begin_attempt(self, attempt: AttemptInTransit) -> None:
-        """Dial and send, as far as the node lets either."""
+        """Connect if necessary and send, or end the attempt if the node can't be reached."""
         node, proxy = self._environment.nodes[attempt.node], attempt.proxy
         connected = proxy.connected.get(attempt.node) == self.generations[attempt.node]
         if not connected and node.silent:
@@ -97,7 +97,7 @@
             client_op.work,
             client_op.key,
             new_connection=new_connection,
-            knowing=attempt.knowing,
+            start_known=attempt.start_known,
         )
         self._environment.rules.cold_node_loaded(attempt.node, node.worst_overload)
         if node.silent:
@@ -108,33 +108,33 @@
             self.end_attempt(attempt, OUTCOMES[result], attempt.delay_ns)
 
     def end_attempt(self, attempt: AttemptInTransit, outcome: AttemptOutcome, after_ns: int) -> None:
-        """Let the proxy learn after that time how an attempt has ended."""
+        """Notify the proxy after a delay of an attempt's outcome."""
         self.notify_proxy(attempt.proxy, attempt.number, attempt.node, outcome, after_ns)
 
     def notify_proxy(
         self, proxy: EmulatedProxy, number: int, node: int, outcome: AttemptOutcome, after_ns: int
     ) -> None:
-        """Let the proxy learn after that time how the attempt of an op at that node has ended."""
+        """Notify the proxy after a delay of the outcome of an op's attempt at that node."""
         self._clock.at(
             self._clock.now() + after_ns,
-            lambda: proxy.when_awake(lambda: proxy.attempt_ended(number, node, outcome)),
+            lambda: proxy.call_when_resumed(lambda: proxy.attempt_ended(number, node, outcome)),
         )
 
     def cancel_attempt(self, proxy: EmulatedProxy, number: int, node: int) -> None:
-        """Let the node learn that the proxy no longer wants an attempt."""
+        """Send the node the cancellation of an attempt."""
         arrives_at = self._clock.now() + self.delay_to_node_ns(proxy, node)
         self._clock.at(arrives_at, lambda: self.cancel_at_node(node, number))
 
     # Nodes.
 
     def cancel_at_node(self, node: int, number: int) -> None:
-        """Tell a node that nobody waits for an op any more."""
+        """Cancel an op at a node."""
         if not self._environment.nodes[node].silent:
             self._environment.nodes[node].cancel(self._clock.now(), number)
             self.schedule_step(node)
 
     def schedule_step(self, node: int) -> None:
-        """See to it that the node is stepped when its next op ends; never later than was scheduled before."""
+        """Schedule the node's step for the end of its next op, unless an earlier step is scheduled."""
         due, scheduled = self._environment.nodes[node].next_step_at(self._clock.now()), self._steps[node]
         if due is None or scheduled is not None and scheduled[0] <= due:
             return
@@ -156,7 +156,7 @@
             self.notify_proxy(proxy, number, node, AttemptOutcome.SUCCEEDED, delay_ns)
 
     def drop_connections(self, node: int) -> None:
-        """End all connections to a node, and the attempts on them; whether it takes new ones is its own state."""
+        """End all connections to a node and the attempts on them; the node decides whether it accepts new ones."""
         self.generations[node] += 1
         for number, proxy in list(self._clients.proxy_of.items()):
             if number in proxy.ops and proxy.ops[number].op.node == node:
--- a/kestrelplank/emulator/node.py
+++ b/kestrelplank/emulator/node.py
@@ -1,8 +1,9 @@
 """An emulated order node without I/O: cores, slots, a queue, warm-up, a cache of keys, and faults.
 
-All running ops share the cores evenly, so each advances at one pace (processor sharing); the progress is what an op
-that ran throughout would have had done by now, and an op ends when the progress has grown by its work. That makes a
-step cost the logarithm of what runs, and the sum of work done is the pace times who shared it, never over cores x time.
+All running ops share the cores evenly, so they advance at the same pace (processor sharing). The node's progress is the
+work that an op running since the beginning would have received; an op ends when the progress has grown by the op's
+work since it began. A step costs O(log n) in the number of running ops, and the work done is the pace times the number
+of running ops, which is never over cores x time.
 """
 
 import heapq
@@ -15,13 +16,13 @@
 from kestrelplank.emulator.script_sections import NodeKind
 from kestrelplank.time_units import MILLISECOND
 
-COLD_STEP_NS = 50 * MILLISECOND  # a cold node's pace grows: it is looked at anew that often
-OVERLOAD_TOLERANCE = 1.1  # of what makes a cold node fall, for chance
+COLD_STEP_NS = 50 * MILLISECOND  # the longest step of a cold node, whose pace grows
+OVERLOAD_TOLERANCE = 1.1  # times the budget of a cold node, for random variation of the load
 COMPLETION_TOLERANCE = 0.5  # ns of work that may be missing at an op's end
 
 
 class OfferResult(Enum):
-    """What becomes of an op that is offered to a node."""
+    """The result of offering an op to a node."""
 
     TAKEN = "taken"
     NOT_STARTED = "not started"
@@ -29,7 +30,7 @@
 
 
 class NodeOp:
-    """An op at a node; it ends when the node's progress has come to `ends_at`."""
+    """An op at a node; it ends when the node's progress reaches `ends_at`."""
 
     __slots__ = ("number", "op_type", "work", "ends_at")
 
@@ -40,13 +41,13 @@
 class EmulatedNode:
     """One node.
 
-    A node that is `down` refuses connections, one that is `silent` swallows all.
+    A node that is `down` refuses connections; one that is `silent` accepts data and never answers.
 
     Invariants: no more ops run than there are slots, and no more work is done than the cores can do (test
     `test_work_is_never_over_cores_times_time_and_nothing_acked_has_not_run`).
 
-    :param on_run: called with number and op type when an op begins to run: from then on its effect counts as made.
-    :param on_fall: called when the node fell as it was sent too much while cold.
+    :param on_run: called with number and op type when an op begins to run; from then on its effect counts as done.
+    :param on_fall: called when the node fails because it was overloaded while cold.
     """
 
     def __init__(
@@ -54,46 +55,47 @@
     ) -> None:
         self.kind, self._random, self._on_run, self._on_fall = kind, random, on_run, on_fall
         self._progress, self._advanced_at, self._started_at = 0.0, now, now
-        self._warming_from: float | None = None  # the work done when it started; None: it is warm
+        self._warming_from: float | None = None  # `work_done` at its start; None: it is warm
         self._running: list[tuple[float, int, NodeOp]] = []
         self._waiting: dict[int, NodeOp] = {}
-        self._sent: deque[tuple[int, float, float]] = deque()  # while cold: when, work, and work sent knowingly
-        self._sent_work, self._knowing_work, self._last_order = 0.0, 0.0, 0
+        # While cold, by attempt: time, work, and that work again if its sender could know of the start (else 0).
+        self._sent: deque[tuple[int, float, float]] = deque()
+        self._sent_work, self._start_known_work, self._last_order = 0.0, 0.0, 0
         self._key_seen_at: dict[int, int] = {}
         self.faults = NodeFaults()
         self.down, self.fallen, self.work_done = False, False, 0.0
-        self.worst_overload = 0.0  # of what was mostly sent knowingly, against the budget: over 1 breaks the rule
+        self.worst_overload = 0.0  # of work mostly from senders that could know of the start; above 1: rule broken
         self.counts: Counter[str] = Counter()
 
     # Faults and the process.
 
     def add_fault(self, now: int, name: object, kind: NodeFaultKind, strength: float) -> None:
-        """Let a fault hold, until it is removed by its name."""
+        """Add a fault, which is active until it is removed by its name."""
         self._advance(now)
         self.faults.add(name, kind, strength)
 
     def remove_fault(self, now: int, name: object) -> None:
-        """Let a fault end."""
+        """Remove a fault, if it is active."""
         self._advance(now)
         self.faults.remove(name)
         self._fill_slots()
 
     @property
     def silent(self) -> bool:
-        """Whether it is out of reach."""
+        """Whether the node is unreachable."""
         return self.faults.has(NodeFaultKind.SILENT)
 
     def kill(self, now: int) -> None:
-        """End the process: all that it had is lost."""
+        """End the process; all its ops and cached keys are lost."""
         self._advance(now)
         self.down = True
         self._running, self._waiting = [], {}
         self._key_seen_at.clear()
 
     def start(self, now: int, *, keeps_queue: bool = False) -> None:
-        """Start the process, cold, unless it has fallen.
+        """Start the process, which is cold, unless the node has failed from overload.
 
-        :param keeps_queue: with what waited, as its machine had only been out of reach.
+        :param keeps_queue: keep the queued ops, for a node that was only unreachable.
         """
         if self.fallen:
             return
@@ -102,13 +104,13 @@
         self.kill(now)
         self.down, self._started_at, self._warming_from, self._waiting = False, now, self.work_done, waiting
         self._sent.clear()
-        self._sent_work = self._knowing_work = 0.0
+        self._sent_work = self._start_known_work = 0.0
         self._fill_slots()
 
     # Progress.
 
     def capacity_share(self, now: int) -> float:
-        """Return the share of its capacity that it has by now."""
+        """Return the share of full capacity that the node has reached in its warm-up."""
         kind = self.kind
         if self._warming_from is None:
             return 1.0
@@ -119,7 +121,7 @@
         return min(1.0, kind.cold_from + (1 - kind.cold_from) * warmed)
 
     def _pace(self, capacity_share: float) -> float:
-        """Return the work that each running op has done in 1 ns."""
+        """Return the work that each running op receives per ns."""
         if not self._running or self.down or self.faults.is_frozen:
             return 0.0
         share_of_cores = min(1.0, self.kind.cores / len(self._running))
@@ -141,15 +143,23 @@
     # Ops.
 
     def offer(
-        self, now: int, number: int, op_type: int, work: float, key: int, *, new_connection: bool, knowing: bool = True
+        self,
+        now: int,
+        number: int,
+        op_type: int,
+        work: float,
+        key: int,
+        *,
+        new_connection: bool,
+        start_known: bool = True,
     ) -> OfferResult:
-        """Take one attempt of an op, or not.
+        """Queue one attempt of an op, or reject it.
 
-        :param work: what the op is to a node that does not know its key, in ns of one core at speed 1.
-        :param knowing: whether the sender could know of the node's last start.
+        :param work: at a node that does not have the op's key cached, in ns of one core at speed 1.
+        :param start_known: whether the sender could know of the node's last start.
         """
         self._advance(now)
-        self._count_cold_load(now, work, work if knowing else 0.0)
+        self._count_cold_load(now, work, work if start_known else 0.0)
         if self.down:
             return OfferResult.NOT_STARTED
         if self.faults.has(NodeFaultKind.FAIL) and self._random.random() < self.faults.strongest(NodeFaultKind.FAIL):
@@ -166,7 +176,7 @@
         return result
 
     def _work_with_key(self, now: int, work: float, key: int) -> float:
-        """Return the op's work, which is less for a key that is remembered; the key is remembered from now on."""
+        """Return the op's work, which is less for a cached key, and cache the key."""
         if now - self._key_seen_at.pop(key, -self.kind.key_for) < self.kind.key_for:
             work *= 1 - self.kind.key_gain
         self._key_seen_at[key] = now
@@ -174,26 +184,27 @@
             del self._key_seen_at[next(iter(self._key_seen_at))]
         return work
 
-    def _count_cold_load(self, now: int, work: float, knowing_work: float) -> None:
-        """Let a cold node fall if it was sent more than its budget.
+    def _count_cold_load(self, now: int, work: float, start_known_work: float) -> None:
+        """Count work sent to a cold node; the node fails if it exceeds its budget.
 
-        What is sent in any `tip_after` must stay under the multiple of what the node can do by then. Any work makes it
-        fall; the rule is broken where two thirds of it were sent knowingly.
+        The work sent within any `tip_after` must stay below `fall_multiple` times what the node can do by then. All
+        work counts for the failure; the rule is broken only where senders of at least two thirds of it could know of
+        the node's start.
         """
         if self._warming_from is None or self.down:
             return
         kind = self.kind
-        self._sent.append((now, work, knowing_work))
+        self._sent.append((now, work, start_known_work))
         self._sent_work += work
-        self._knowing_work += knowing_work
+        self._start_known_work += start_known_work
         while self._sent[0][0] <= now - kind.tip_after:
-            _, old_work, old_knowing_work = self._sent.popleft()
+            _, old_work, old_start_known_work = self._sent.popleft()
             self._sent_work -= old_work
-            self._knowing_work -= old_knowing_work
+            self._start_known_work -= old_start_known_work
         capacity = kind.cores * kind.speed * self.capacity_share(now)
         budget = kind.fall_multiple * capacity * kind.tip_after * OVERLOAD_TOLERANCE
         overload = self._sent_work / budget if kind.tip_after else 0.0
-        if self._knowing_work * 3 >= self._sent_work * 2:
+        if self._start_known_work * 3 >= self._sent_work * 2:
             self.worst_overload = max(self.worst_overload, overload)
         if overload > 1:
             self.kill(now)
@@ -201,7 +212,7 @@
             self._on_fall()
 
     def _fill_slots(self) -> None:
-        """Give free slots to who waits longest. A frozen node reads nothing."""
+        """Start the ops that have waited longest in free slots; a frozen node starts none."""
         while self._waiting and len(self._running) < self.kind.slots and not self.faults.is_frozen:
             op = self._waiting.pop(next(iter(self._waiting)))
             op.ends_at = self._progress + op.work
@@ -210,7 +221,7 @@
             self._on_run(op.number, op.op_type)
 
     def cancel(self, now: int, number: int) -> None:
-        """Take note that nobody waits for an op any more."""
+        """Cancel an op, as far as the node's `cancel` mode allows."""
         self._advance(now)
         if self.kind.cancel == "none":
             return
@@ -222,7 +233,7 @@
                 self._fill_slots()
 
     def next_step_at(self, now: int) -> int | None:
-        """Return when to call `step`, if nothing else happens; None while nothing advances."""
+        """Return when to call `step` if nothing else happens; None while no op advances."""
         self._advance(now)
         pace = self._pace(self.capacity_share(now))
         if not pace:
@@ -231,7 +242,7 @@
         return ends_at if self._warming_from is None else min(ends_at, now + COLD_STEP_NS)
 
     def step(self, now: int) -> list[int]:
-        """Return the ops that have ended by now, but for those whose answer a fault swallows."""
+        """Return the ops that have ended by now, except those whose answer a fault drops."""
         self._advance(now)
         ended = []
         while self._running and self._running[0][0] <= self._progress + COMPLETION_TOLERANCE:
@@ -244,5 +255,5 @@
         return ended
 
     def load(self) -> tuple[int, int]:
-        """Return how many ops run, and how many wait."""
+        """Return the numbers of running and of queued ops."""
         return len(self._running), len(self._waiting)
--- a/kestrelplank/emulator/node_files.py
+++ b/kestrelplank/emulator/node_files.py
@@ -1,4 +1,4 @@
-"""Node lists in files in place of discovery, edited by the script: the cores of `state/` over texts, without a disk."""
+"""Node lists in files instead of discovery, edited by the script: the logic of `state/` on texts, without a disk."""
 
 from collections.abc import Sequence
 
@@ -22,11 +22,11 @@
 
 
 class NodeFiles(Discovery):
-    """A list that the operator edits. Which processes run, nobody tells."""
+    """A node list that the operator edits; starts and ends of processes are not detected."""
 
     def __init__(self, environment: Environment, assigners: Sequence[Assigner], settings: NodeFileGuards) -> None:
         super().__init__(environment, assigners)
-        self._nodes = {f"n{node}": self._listed(node) for node in range(environment.script.site.nodes)}
+        self._nodes = {f"n{node}": self._file_entry(node) for node in range(environment.script.site.nodes)}
         self._in_force = NodeSetInForce(ChangeLimits(settings.most_closed, settings.stand, False))
         self._debounce = Debounce(settings.quiet)
         self._reported = ReportedNodes(ReportSettings(environment.script.rules.grace, settings.weight_step))
@@ -34,7 +34,7 @@
         self._weights = [1.0] * len(self._nodes)
         self._read_first_list(settings.quiet)
 
-    def _listed(self, node: int) -> FileNode:
+    def _file_entry(self, node: int) -> FileNode:
         zone = self.environment.script.site.zones[self.environment.zone_of_node(node)]
         return FileNode(zone, f"127.0.0.1:{FIRST_PORT + node}")
 
@@ -49,18 +49,18 @@
         self._reported.all_entries()
 
     def entry(self, node: int) -> NodeEntry:
-        """Return a node as assigners learn of it, with its weight."""
+        """Return a node as it is listed to assigners, with its weight."""
         return super().entry(node)._replace(weight=self._weights[node])
 
     def change(
         self, nodes: list[int], condition: NodeCondition, started_at: int | None, delay_range_ns: tuple[int, int]
     ) -> None:
-        """Do nothing: a file does not know of processes."""
+        """Do nothing: a file does not change when processes start or end."""
 
     # Edits.
 
     def save_edit(self, fault: Fault, nodes: list[int]) -> None:
-        """Save the file as the script says."""
+        """Save the file with the edit that the fault describes."""
         if fault.how == "gone":
             self._save(None)
         elif fault.how == "empty":
@@ -109,13 +109,13 @@
             self.clock.at(self._in_force.decide_at, self._read)
 
     def _accept(self, now: int) -> None:
-        """Let the list that is in force be the one to come to, step by step."""
+        """Make the list that is in force the target of the stepwise changes."""
         accepted = self._in_force.node_set
-        assert accepted is not None, "a list is in force once it has been decided"
+        assert accepted is not None, "a node set is in force after a decision"
         self._reported.accept(now, accepted)
 
     def _read_at(self, now: int) -> int | Outcome | None:
-        """Return when to read again, or what has been decided."""
+        """Return when to read again, or the decision on the list."""
         step = self._debounce.see(now, FILE_NAME, None if self._text is None else digest_of(self._text))
         if isinstance(step, int):
             return step
@@ -125,7 +125,7 @@
         return decided
 
     def _parsed(self) -> NodeList | str:
-        """Return the list, or why it can't be used."""
+        """Return the list, or the reason why it can't be used."""
         if self._text is None:
             return f"{FILE_NAME}: there is no such file"
         try:
@@ -135,7 +135,7 @@
             return str(err)
 
     def _advance(self) -> None:
-        """Let assigners learn of the next step towards the list that was accepted."""
+        """Notify assigners of the next step towards the accepted list."""
         now, changes = self.clock.now(), []
         for name, condition, _, _, weight, started_at in self._reported.advance(now):
             node = int(name[1:])
--- a/kestrelplank/emulator/process_actor.py
+++ b/kestrelplank/emulator/process_actor.py
@@ -1,4 +1,4 @@
-"""What proxies and assigners of a simulation have in common: a process that may end, start anew, and be paused."""
+"""The common base of proxies and assigners: a process that can end, restart and be paused."""
 
 from collections.abc import Callable
 
@@ -6,14 +6,14 @@
 
 
 class ProcessActor:
-    """A process by its number, over its incarnations."""
+    """A process with a number, across its incarnations."""
 
     def __init__(self, clock: Clock, number: int, zone: int) -> None:
         self.clock, self.number, self.zone = clock, number, zone
         self.alive, self.incarnation, self.paused_until = False, 0, 0
 
     def call_in_this_incarnation(self, at: int, callback: Callable[[], None]) -> None:
-        """Call the callback at that instant, unless the incarnation has ended by then."""
+        """Call the callback at that time, unless the incarnation has ended by then."""
         incarnation = self.incarnation
 
         def call() -> None:
@@ -23,5 +23,5 @@
         self.clock.at(at, call)
 
     def pause(self, until: int) -> None:
-        """Let the process stand still until that instant."""
+        """Pause the process until that time."""
         self.paused_until = max(self.paused_until, until)
--- a/kestrelplank/emulator/process_failures.py
+++ b/kestrelplank/emulator/process_failures.py
@@ -1,4 +1,4 @@
-"""Proxies and assigners of a simulation that are lost and come back."""
+"""Crashes and restarts of proxies and assigners of a simulation."""
 
 from collections.abc import Callable, Sequence
 
@@ -10,9 +10,9 @@
 
 
 class ProcessFailures:
-    """Ends processes, and starts them again at a later instant.
+    """Ends processes, and restarts them at a later time.
 
-    :param begin_assigner: begins an incarnation of an assigner, which then is sent the list of nodes.
+    :param begin_assigner: starts an incarnation of an assigner and sends it the node list.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self._store, self._clients, self._begin_assigner = store, clients, begin_assigner
 
     def lose_proxy(self, number: int, until: int) -> None:
-        """End a proxy's process until that instant."""
+        """End a proxy's process, and restart it at that time."""
         proxy = self._proxies[number]
         if not proxy.alive:
             return
@@ -49,9 +49,9 @@
         self._clock.at(joins_at, lambda: self._store.join(proxy, assigner))
 
     def lose_assigner(self, number: int, until: int) -> None:
-        """End an assigner's process until that instant.
+        """End an assigner's process, and restart it at that time.
 
-        Its streams break, its slices pass to whoever is alive, and return some time after it is back.
+        Its streams break; its slices pass to assigners that are alive, and return some time after its restart.
         """
         assigner = self._assigners[number]
         if not assigner.alive:
--- a/kestrelplank/emulator/proxies.py
+++ b/kestrelplank/emulator/proxies.py
@@ -1,4 +1,4 @@
-"""The proxies of a simulation, round the core in `load_balancing/attempts`."""
+"""The proxies of a simulation, which run the logic of `load_balancing/attempts`."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class OrderStream:
-    """A proxy's stream from an assigner; `delivered_at`: when its last message arrives."""
+    """A proxy's stream from an assigner; `delivered_at` is when its latest message arrives."""
 
     number: int
     joined_at: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderMessage:
-    """Orders of an assigner on their way to a proxy."""
+    """A message of orders in transit from an assigner to a proxy."""
 
     assigner: int
     stream: int
@@ -48,21 +48,21 @@
     ordered_at: int
 
 
-class ProxySurroundings(Protocol):
-    """What a proxy needs of the simulation it is in."""
+class ProxyCallbacks(Protocol):
+    """The functions of the simulation that a proxy calls."""
 
     def send_attempt(self, proxy: "EmulatedProxy", op: Op, client_op: ClientOp, node: int) -> None:
-        """Send an op to a node; its end is told by `attempt_ended`."""
+        """Send an op to a node; `attempt_ended` of the proxy is called with the outcome."""
         ...
 
     def cancel_attempt(self, proxy: "EmulatedProxy", number: int, node: int) -> None:
-        """Let the node know that nobody waits for the op any more."""
+        """Cancel an op at a node."""
         ...
 
     def record_attempt(
         self, proxy: "EmulatedProxy", client_op: ClientOp, node: int, succeeded: bool, latency_ns: int
     ) -> None:
-        """Take note of an attempt's end."""
+        """Record an attempt's end."""
         ...
 
     def answer(self, client_op: ClientOp, op: Op, verdict: Verdict, reason: EndReasonOrOutcome) -> None:
@@ -70,7 +70,7 @@
         ...
 
     def acknowledge(self, proxy: "EmulatedProxy", assigner: int, watermark: int, latency_ns: int) -> None:
-        """Let an assigner know that its orders have been applied up to the watermark."""
+        """Notify an assigner that its orders have been applied up to the watermark."""
         ...
 
     def slice_needs_node(self, slice_: int) -> bool:
@@ -79,25 +79,25 @@
 
 
 class EmulatedProxy(ProcessActor):
-    """A proxy; while it is paused it puts off what comes, and does it afterwards.
+    """A proxy; what arrives while it is paused is handled when the pause ends.
 
-    :param proofs: the outcomes that it takes for proof that an attempt never ran.
+    :param proofs: the outcomes that it accepts as proof that an attempt never ran.
     """
 
     def __init__(
         self,
         environment: Environment,
         number: int,
-        surroundings: ProxySurroundings,
+        callbacks: ProxyCallbacks,
         proofs: tuple[AttemptOutcome, ...],
     ) -> None:
         super().__init__(environment.clock, number, number % len(environment.script.site.zones))
-        self._environment, self._surroundings, self._proofs = environment, surroundings, proofs
+        self._environment, self._callbacks, self._proofs = environment, callbacks, proofs
         self.alive = True
-        self.connected: dict[int, int] = {}  # node to the generation of its connections that ours belongs to
+        self.connected: dict[int, int] = {}  # by node: the generation that this proxy's connection belongs to
         self.ops: dict[int, ProxyOp] = {}  # by number
         self.streams: dict[int, OrderStream] = {}  # by assigner
-        self.ordered_at: dict[int, int] = {}  # by assigner: when what was applied last was ordered
+        self.ordered_at: dict[int, int] = {}  # by assigner: when the orders applied last were issued
         self._begin_incarnation()
 
     def _begin_incarnation(self) -> None:
@@ -112,60 +112,60 @@
     # The process.
 
     def kill(self) -> None:
-        """End the process at once: its clients get no answer but that."""
+        """End the process at once; its clients' ops are aborted."""
         self.alive = False
         for number, proxy_op in list(self.ops.items()):
             del self.ops[number]
             proxy_op.timer.cancel()
             if proxy_op.op.node is not None:
-                self._surroundings.cancel_attempt(self, number, proxy_op.op.node)
-            self._surroundings.answer(proxy_op.client_op, proxy_op.op, Verdict.ABORTED, "relay lost")
+                self._callbacks.cancel_attempt(self, number, proxy_op.op.node)
+            self._callbacks.answer(proxy_op.client_op, proxy_op.op, Verdict.ABORTED, "relay lost")
         self.streams.clear()
         self.connected.clear()
         self._environment.rules.proxy_ended(self.number, range(self._environment.script.site.slices))
 
     def start(self) -> None:
-        """Begin a new incarnation."""
+        """Start a new incarnation."""
         self.alive, self.incarnation = True, self.incarnation + 1
         self._begin_incarnation()
 
-    def when_awake(self, callback: Callable[[], None]) -> None:
-        """Call the callback now, or once the proxy is no longer paused; never in another incarnation."""
+    def call_when_resumed(self, callback: Callable[[], None]) -> None:
+        """Call the callback once the proxy is not paused, and only in this incarnation."""
         if self.clock.now() < self.paused_until:
-            self.call_in_this_incarnation(self.paused_until, lambda: self.when_awake(callback))
+            self.call_in_this_incarnation(self.paused_until, lambda: self.call_when_resumed(callback))
         elif self.alive:
             callback()
 
     # Ops.
 
     def submit(self, client_op: ClientOp, number: int) -> None:
-        """Take a client's op."""
+        """Handle a new op of a client."""
         now = self.clock.now()
         timeout_ns = self._environment.op_types[client_op.op_type].timeout - (now - client_op.requested_at)
         op, step = self.attempts.submit(now, number, client_op.op_type, client_op.slice, timeout_ns)
-        timer = self.clock.at(op.deadline, lambda: self.when_awake(lambda: self._time_out(number)))
+        timer = self.clock.at(op.deadline, lambda: self.call_when_resumed(lambda: self._time_out(number)))
         self.ops[number] = ProxyOp(op, client_op, timer)
-        self._act(op, step)
+        self._execute_step(op, step)
 
     def attempt_ended(self, number: int, node: int, outcome: AttemptOutcome) -> None:
-        """Take an attempt's end; one of an op that is over, or is tried elsewhere by now, is late and means nothing."""
+        """Handle an attempt's end; it is ignored if the op has ended or is now attempted at another node."""
         proxy_op = self.ops.get(number)
         if proxy_op is None or proxy_op.op.node != node:
             return
         now, op = self.clock.now(), proxy_op.op
         succeeded = outcome is AttemptOutcome.SUCCEEDED
-        self._surroundings.record_attempt(self, proxy_op.client_op, node, succeeded, now - op.sent_at)
-        self._act(op, self.attempts.attempt_ended(now, op, outcome))
+        self._callbacks.record_attempt(self, proxy_op.client_op, node, succeeded, now - op.sent_at)
+        self._execute_step(op, self.attempts.attempt_ended(now, op, outcome))
 
-    def _act(self, op: Op, step: Step) -> None:
+    def _execute_step(self, op: Op, step: Step) -> None:
         if isinstance(step, Send):
-            self._surroundings.send_attempt(self, op, self.ops[op.number].client_op, step.node)
+            self._callbacks.send_attempt(self, op, self.ops[op.number].client_op, step.node)
         elif isinstance(step, Wait):
-            self.clock.at(step.until, lambda: self.when_awake(lambda: self._expire_wait(op.number)))
+            self.clock.at(step.until, lambda: self.call_when_resumed(lambda: self._expire_wait(op.number)))
         else:
             proxy_op = self.ops.pop(op.number)
             proxy_op.timer.cancel()
-            self._surroundings.answer(proxy_op.client_op, op, step.verdict, step.reason)
+            self._callbacks.answer(proxy_op.client_op, op, step.verdict, step.reason)
 
     def _time_out(self, number: int) -> None:
         proxy_op = self.ops.get(number)
@@ -173,14 +173,14 @@
             return
         node = proxy_op.op.node
         if node is not None:
-            self._surroundings.record_attempt(self, proxy_op.client_op, node, succeeded=False, latency_ns=0)
-            self._surroundings.cancel_attempt(self, number, node)
-        self._act(proxy_op.op, self.attempts.abandon(self.clock.now(), proxy_op.op))
+            self._callbacks.record_attempt(self, proxy_op.client_op, node, succeeded=False, latency_ns=0)
+            self._callbacks.cancel_attempt(self, number, node)
+        self._execute_step(proxy_op.op, self.attempts.abandon(self.clock.now(), proxy_op.op))
 
     def _expire_wait(self, number: int) -> None:
         proxy_op = self.ops.get(number)
         if proxy_op is not None and proxy_op.op.waits_until is not None:
-            self._act(proxy_op.op, self.attempts.wait_expired(proxy_op.op))
+            self._execute_step(proxy_op.op, self.attempts.wait_expired(proxy_op.op))
 
     # Orders.
 
@@ -194,15 +194,13 @@
         now = self.clock.now()
         self.tables_changed(changed)
         for watermark in watermarks:
-            self._surroundings.acknowledge(self, message.assigner, watermark, now - message.ordered_at)
+            self._callbacks.acknowledge(self, message.assigner, watermark, now - message.ordered_at)
 
     def tables_changed(self, slices: list[int]) -> None:
-        """Let ops go that wait for a node of these slices, and check the rule on slices without one."""
+        """Resume ops that wait for a node of these slices, and check the rule on slices without a node."""
         now = self.clock.now()
         for slice_ in slices:
             has_node = bool(self.tables.available(slice_))
-            self._environment.rules.slice_changed(
-                now, self.number, slice_, has_node, self._surroundings.slice_needs_node
-            )
+            self._environment.rules.slice_changed(now, self.number, slice_, has_node, self._callbacks.slice_needs_node)
         for op, step in self.attempts.tables_changed(now, slices):
-            self._act(op, step)
+            self._execute_step(op, step)
--- a/kestrelplank/emulator/rehearsal.py
+++ b/kestrelplank/emulator/rehearsal.py
@@ -1,4 +1,4 @@
-"""One rehearsal from script and seed, on the virtual clock, with a report that is equal byte for byte each time."""
+"""Runs a rehearsal on the virtual clock; the same script and seed give the same report, byte for byte."""
 
 from collections.abc import Callable
 
@@ -14,8 +14,8 @@
 from kestrelplank.time_units import MILLISECOND
 
 REPORT_FORMAT = 1
-STEP_NS = 500 * MILLISECOND  # of virtual time between two calls of progress
-FIRST_INSTANT = 1_000_000_000_000  # a node's start is never 0, which would mean long ago
+STEP_NS = 500 * MILLISECOND  # of virtual time between progress callbacks
+START_NS = 1_000_000_000_000  # above 0, as a node's start time of 0 would mean long ago
 
 
 def play(
@@ -27,12 +27,12 @@
     *,
     ideal_placement: bool = False,
 ) -> dict[str, object]:
-    """Play a script and return the report.
+    """Run a script and return the report.
 
-    :param on_progress: called now and then with the share of its length that has passed.
-    :param ideal_placement: slices are placed by who knows the truth, the upper mark.
+    :param on_progress: called regularly with the share of the rehearsal that has passed.
+    :param ideal_placement: place slices with complete knowledge of the simulated state, as an upper bound.
     """
-    clock = VirtualClock(FIRST_INSTANT)
+    clock = VirtualClock(START_NS)
     if ideal_placement:
         simulation: Simulation = IdealPlacementSimulation(script, seed, clock)
     else:
@@ -42,7 +42,7 @@
 
 
 def report(simulation: Simulation, how: str) -> dict[str, object]:
-    """Return what a played simulation has shown. The policies have no part in any figure here."""
+    """Return the report of a finished simulation. All figures are measured by the simulation, none by a policy."""
     environment, store, network = simulation.environment, simulation.store, simulation.network
     rules, score, site = environment.rules, environment.score, simulation.script.site
     rules.close(simulation.clock.now())
@@ -64,5 +64,5 @@
     }
 
 
-def _share(part: int, total: int) -> float:
-    return round(part / total, 4) if total else 0.0
+def _share(count: int, total: int) -> float:
+    return round(count / total, 4) if total else 0.0
--- a/kestrelplank/emulator/rule_checks.py
+++ b/kestrelplank/emulator/rule_checks.py
@@ -1,6 +1,6 @@
-"""The five rules held against what happens in a rehearsal: for each its worst figure, its limit and the margin left.
+"""Checks of the five rules in a rehearsal: for each rule the worst figure, the limit and the remaining margin.
 
-Nothing here steers; the simulation tells what it did.
+The checks only observe: the simulation reports to them and is not influenced by them.
 """
 
 from collections import Counter
@@ -18,13 +18,13 @@
 
     SLICE_WITHOUT_NODE = "bare"  # how long a proxy may have no node for a slice (s)
     REPEATED_OP = "repeats"  # how often an op that may run once ran again
-    DRAIN = "drains"  # how long ops go on to a node that drains or is gone (s)
-    COLD_NODE = "cold"  # what a cold node is sent, against what it may be sent
-    CHANNEL_QUEUE = "queue"  # orders that wait in an assigner's channel
+    DRAIN = "drains"  # how long ops are still sent to a node that drains or has been removed (s)
+    COLD_NODE = "cold"  # work sent to a cold node over its budget
+    CHANNEL_QUEUE = "queue"  # orders queued in an assigner's channel
 
 
 class RuleReport(msgspec.Struct, frozen=True):
-    """One rule in a report; `margin`: the share of the limit that was left; `where`: where the worst was."""
+    """One rule in a report; `margin`: the unused share of the limit; `where`: the place of the worst figure."""
 
     worst: float
     limit: float
@@ -36,8 +36,8 @@
 class RuleChecks:
     """The worst figure of each rule so far.
 
-    :param max_without_node_ns, withdrawal_deadline_ns, max_queued_orders: the settings' figures.
-    :param tolerance_ns: what is granted on top of time limits for the way there.
+    :param max_without_node_ns, withdrawal_deadline_ns, max_queued_orders: limits from the script.
+    :param tolerance_ns: added to time limits for transmission.
     """
 
     def __init__(
@@ -54,12 +54,13 @@
         self._where: dict[Rule, str] = {}
         self._withdrawal_deadline_ns = withdrawal_deadline_ns
         self._without_node_since: dict[tuple[int, int], int] = {}  # by proxy and slice
-        self._gone_since: dict[tuple[int, int], int] = {}  # by assigner and node: since when it knows that
-        self._start_known_at: dict[tuple[int, int], int] = {}  # by assigner and node: of its last start
+        # By assigner and node: when the assigner learned that the node drains or is removed, and of its last start.
+        self._gone_since: dict[tuple[int, int], int] = {}
+        self._start_known_at: dict[tuple[int, int], int] = {}
         self._runs: Counter[int] = Counter()  # by op
-        self.duplicates: Counter[str] = Counter()  # ops that ran again, by op type, whatever its effect
+        self.duplicates: Counter[str] = Counter()  # repeated runs by op type, retryable ones included
 
-    def _note(self, rule: Rule, figure: float, where: str) -> None:
+    def _record(self, rule: Rule, figure: float, where: str) -> None:
         if figure > self.worst[rule]:
             self.worst[rule], self._where[rule] = figure, where
 
@@ -68,53 +69,53 @@
     def slice_changed(
         self, now: int, proxy: int, slice_: int, has_node: bool, rule_applies: Callable[[int], bool]
     ) -> None:
-        """Take note that a proxy has some open node for a slice now, or none.
+        """Record whether a proxy now has an available node for a slice.
 
         :param rule_applies: whether the slice's owner lists a warm node as up, so that the time without one counts.
         """
         if has_node or not rule_applies(slice_):
             since = self._without_node_since.pop((proxy, slice_), None) if self._without_node_since else None
             if since is not None:
-                self._note_without_node(now, proxy, slice_, since)
+                self._record_time_without_node(now, proxy, slice_, since)
         else:
             self._without_node_since.setdefault((proxy, slice_), now)
 
-    def _note_without_node(self, now: int, proxy: int, slice_: int, since: int) -> None:
-        self._note(Rule.SLICE_WITHOUT_NODE, (now - since) / SECOND, f"relay {proxy}, slice {slice_}")
+    def _record_time_without_node(self, now: int, proxy: int, slice_: int, since: int) -> None:
+        self._record(Rule.SLICE_WITHOUT_NODE, (now - since) / SECOND, f"relay {proxy}, slice {slice_}")
 
     def owner_changed(self, now: int, slice_: int, proxies: Iterable[int]) -> None:
-        """Let the time of a slice without a node begin anew, as it has a new owner."""
+        """Restart the time that a slice has been without a node, as it has a new owner."""
         for proxy in proxies:
             if (proxy, slice_) in self._without_node_since:
                 self._without_node_since[proxy, slice_] = now
 
     def proxy_ended(self, proxy: int, slices: Iterable[int]) -> None:
-        """Forget a proxy that has ended."""
+        """Delete the state kept for a proxy that has ended."""
         for slice_ in slices:
             self._without_node_since.pop((proxy, slice_), None)
 
     # No op twice.
 
     def op_ran(self, number: int, op_type: str, *, once_only: bool) -> None:
-        """Take note that an op begins to run at some node."""
+        """Record that an op begins to run at a node."""
         self._runs[number] += 1
         if self._runs[number] > 1:
             self.duplicates[op_type] += 1
             if once_only:
-                self._note(Rule.REPEATED_OP, self.worst[Rule.REPEATED_OP] + 1, f"{op_type} {number}")
+                self._record(Rule.REPEATED_OP, self.worst[Rule.REPEATED_OP] + 1, f"{op_type} {number}")
 
     def runs(self, number: int) -> int:
-        """Return how often an op has begun to run."""
+        """Return how many times an op has begun to run."""
         return self._runs[number]
 
-    def most_runs(self) -> int:
-        """Return how often the op that ran most has run."""
+    def max_runs(self) -> int:
+        """Return the largest number of runs of one op."""
         return max(self._runs.values())
 
     # Draining and cold nodes.
 
     def assigner_learned(self, now: int, assigner: int, node: int, condition: str, started: bool) -> None:
-        """Take note that an assigner has learned a node's condition, and whether it is a new start."""
+        """Record that an assigner has received a node's condition, and whether the node has started anew."""
         if condition == NodeCondition.UP:
             self._gone_since.pop((assigner, node), None)
             if started:
@@ -123,55 +124,56 @@
             self._gone_since.setdefault((assigner, node), now)
 
     def assigner_ended(self, assigner: int, nodes: Iterable[int]) -> None:
-        """Forget what an assigner that has ended knew."""
+        """Delete the state kept for an assigner that has ended."""
         for node in nodes:
             self._gone_since.pop((assigner, node), None)
             self._start_known_at.pop((assigner, node), None)
 
     def attempt_sent(self, now: int, proxy: int, assigner: int, node: int, since: int) -> None:
-        """Take note of an attempt for a slice of that assigner's.
+        """Record an attempt for a slice that the assigner owns.
 
-        :param since: when the proxy joined the assigner or the slice was given to it, the later of both: from then on
-            the time of a drain runs.
+        :param since: when the proxy joined the assigner or the assigner became the owner, whichever is later; the time
+            of a drain is counted from then at the earliest.
         """
         known_at = self._gone_since.get((assigner, node))
         if known_at is not None:
-            self._note(Rule.DRAIN, (now - max(known_at, since)) / SECOND, f"relay {proxy}, node {node}")
+            self._record(Rule.DRAIN, (now - max(known_at, since)) / SECOND, f"relay {proxy}, node {node}")
 
     def knows_last_start(self, now: int, assigner: int, node: int, ordered_at: int) -> bool:
-        """Whether who sends for a slice of that assigner could know of the node's last start.
+        """Whether a proxy that sends for a slice of that assigner could know of the node's last start.
 
-        The proxy's last order came after the assigner learned of it, or the assigner has known for the deadline.
+        This holds if the proxy's last orders were issued after the assigner learned of the start, or if the assigner
+        learned of it at least the withdrawal deadline ago.
         """
         known_at = self._start_known_at.get((assigner, node))
         return known_at is not None and (ordered_at >= known_at or now - known_at >= self._withdrawal_deadline_ns)
 
     def cold_node_loaded(self, node: int, share: float) -> None:
-        """Take note of what was mostly sent knowingly to a cold node, over what it may be sent."""
-        self._note(Rule.COLD_NODE, share, f"node {node}")
+        """Record the work sent to a cold node over its budget, where senders mostly could know of its start."""
+        self._record(Rule.COLD_NODE, share, f"node {node}")
 
     # The channel.
 
     def channel_queued(self, assigner: int, orders: float) -> None:
-        """Take note of how many orders wait in an assigner's channel."""
-        self._note(Rule.CHANNEL_QUEUE, orders, f"conductor {assigner}")
+        """Record the number of orders queued in an assigner's channel."""
+        self._record(Rule.CHANNEL_QUEUE, orders, f"conductor {assigner}")
 
     # At the end.
 
     def close(self, now: int) -> None:
-        """Count what has lasted until now."""
+        """Record the time of slices that are still without a node."""
         for (proxy, slice_), since in self._without_node_since.items():
-            self._note_without_node(now, proxy, slice_, since)
+            self._record_time_without_node(now, proxy, slice_, since)
 
     def _is_kept(self, rule: Rule) -> bool:
         return self.worst[rule] <= self.limits[rule]
 
     def broken(self) -> list[str]:
-        """Return the names of rules that were broken."""
+        """Return the names of the broken rules."""
         return [rule.value for rule in self.limits if not self._is_kept(rule)]
 
     def report(self) -> dict[str, RuleReport]:
-        """Return what is reported of each rule."""
+        """Return the report of each rule by its name."""
         return {rule.value: self._report_of(rule) for rule in self.limits}
 
     def _report_of(self, rule: Rule) -> RuleReport:
--- a/kestrelplank/emulator/script.py
+++ b/kestrelplank/emulator/script.py
@@ -1,4 +1,4 @@
-"""A rehearsal's script: the site, its load over time, and faults, from an INI file; checked, or refused."""
+"""A rehearsal's script: reads the site, its load over time and the faults from an INI file, and validates them."""
 
 from msgspec import Struct
 
@@ -26,7 +26,7 @@
 
 
 class ScheduledFault(Struct, frozen=True):
-    """A fault of the script, with its end (ns from the beginning) and whom it is for."""
+    """A fault of the script, with its end (ns from the beginning) and its targets."""
 
     name: str
     fault: Fault
@@ -35,9 +35,9 @@
 
 
 class Script(Struct, frozen=True, kw_only=True):
-    """All that a script says.
+    """The contents of a script.
 
-    :param loads: from when on (ns from the beginning) the load is what, in order.
+    :param loads: in order, pairs of a time (ns from the beginning) and the load from then on.
     """
 
     site: Site
@@ -56,9 +56,9 @@
 
 
 def read_script(ini: IniFile) -> Script:
-    """Return the script that a file holds.
+    """Read a script from a file.
 
-    :raises InvalidSettingsError: saying where, and what can't be used.
+    :raises InvalidSettingsError: the script is not valid; the message names file, section and field.
     """
     site = _read_site(ini)
     script = Script(
@@ -85,23 +85,23 @@
 def _read_site(ini: IniFile) -> Site:
     site, section = ini.read_section("site", Site), ini.find_section("site")
     if not site.zones or len(set(site.zones)) < len(site.zones):
-        raise ini.error(section, "zones", "expected names of zones, each once")
+        raise ini.error(section, "zones", "expected the names of zones, at least one and without duplicates")
     if site.settle >= site.length:
-        raise ini.error(section, "settle", "nothing is left of the rehearsal to be counted")
+        raise ini.error(section, "settle", "must be less than the length of the rehearsal, or no op is counted")
     return site
 
 
 def _read_op_types(ini: IniFile) -> dict[str, OpType]:
     op_types = ini.read_named_sections("op", OpType)
     if not op_types:
-        raise ini.error(None, None, "no section [op NAME]")
+        raise ini.error(None, None, "expected at least one section [op NAME]")
     if abs(sum(op_type.share for _, op_type in op_types) - 1) > SHARE_TOLERANCE:
-        raise ini.error(op_types[-1][0], "share", "the shares of all op types do not sum to 100%")
+        raise ini.error(op_types[-1][0], "share", "the shares of all op types must sum to 100%")
     for section, op_type in op_types:
         if not 0 < op_type.target <= op_type.timeout:
-            raise ini.error(section, "target", "expected above 0 and within the op timeout")
+            raise ini.error(section, "target", "expected a duration above 0 and at most the op timeout")
         if not op_type.work:
-            raise ini.error(section, "work", "expected some")
+            raise ini.error(section, "work", "expected a duration above 0")
     return {section.name: op_type for section, op_type in op_types}
 
 
@@ -109,7 +109,7 @@
     loads = [(0, site.load)]
     for section, load in ini.read_named_sections("load", Load):
         if load.at < loads[-1][0]:
-            raise ini.error(section, "at", "loads stand in the order of time")
+            raise ini.error(section, "at", "expected a time not before that of the previous section [load NAME]")
         loads.append((load.at, load.load))
     return tuple(loads)
 
@@ -119,7 +119,7 @@
     if kind.cancel not in CANCEL_MODES:
         raise ini.error(ini.find_section("nodes"), "cancel", f"expected waiting, all or none, got {kind.cancel!r}")
     if not (kind.cores and kind.slots and kind.speed):
-        raise ini.error(ini.find_section("nodes"), None, "cores, slots and speed are above 0")
+        raise ini.error(ini.find_section("nodes"), None, "cores, slots and speed must be above 0")
     return kind
 
 
@@ -135,9 +135,9 @@
     except ValueError as err:
         raise ini.error(section, "who", str(err)) from None
     if not selectors:
-        raise ini.error(section, "who", "names nobody")
+        raise ini.error(section, "who", "expected at least one target")
     if any(selector.kind != "node" for selector in selectors) and fault.kind not in ("stall", "lost"):
-        raise ini.error(section, "who", f"{fault.kind} is for nodes alone")
+        raise ini.error(section, "who", f"a fault of kind {fault.kind} can target only nodes")
     _check_fields(ini, section, fault)
     return ScheduledFault(section.name, fault, end_ns, selectors)
 
@@ -148,24 +148,24 @@
     elif fault.end is not None and fault.length is None:
         end_ns, field = fault.end, "end"
     else:
-        raise ini.error(section, None, "give either length or end")
+        raise ini.error(section, None, "expected either length or end")
     if end_ns <= fault.start:
-        raise ini.error(section, field, "the fault ends before it begins")
+        raise ini.error(section, field, "the fault must end after it starts")
     if fault.start >= site.length:
-        raise ini.error(section, "start", "the rehearsal is over by then")
+        raise ini.error(section, "start", "expected a time before the end of the rehearsal")
     return end_ns
 
 
 def _check_fields(ini: IniFile, section: Section, fault: Fault) -> None:
-    """Refuse a fault whose fields don't suit its kind."""
+    """Check the fields that depend on the kind of a fault."""
     strength = fault.strength or 0
     if fault.kind in ("fail", "mute") and not 0 < strength <= 1:
-        raise ini.error(section, "strength", "expected a share over 0 and up to 1")
+        raise ini.error(section, "strength", "expected a share above 0 and at most 1")
     if fault.kind == "edit" and ini.find_section("files") is None:
-        raise ini.error(section, "kind", "there are no node files: the script has no section [files]")
+        raise ini.error(section, "kind", "a fault of kind edit needs a section [files]")
     if fault.kind == "edit" and fault.how == "weight" and not strength:
-        raise ini.error(section, "strength", "expected by how much weights are multiplied")
+        raise ini.error(section, "strength", "expected a factor above 0 for the weights")
     if fault.kind == "slow" and not strength > 1:
-        raise ini.error(section, "strength", "expected how many times slower, over 1")
+        raise ini.error(section, "strength", "expected a slowdown factor above 1")
     if fault.kind == "stall" and not 0 < fault.pause < fault.every:
-        raise ini.error(section, "pause", "a pause is shorter than the time from one to the next")
+        raise ini.error(section, "pause", "expected a duration above 0 and less than field every")
--- a/kestrelplank/emulator/script_sections.py
+++ b/kestrelplank/emulator/script_sections.py
@@ -1,7 +1,7 @@
-"""The sections of a rehearsal's script, as msgspec structs whose fields are the users' keys.
+"""The sections of a rehearsal's script, as msgspec structs whose fields are the keys of the script.
 
-Each `Duration` is read from text with a unit and is whole ns; each `DurationRange` is a least and a most, between which
-is drawn.
+A `Duration` is read from text with a unit and stored in ns; a `DurationRange` is the minimum and maximum of a random
+draw.
 """
 
 from typing import Annotated, Literal
@@ -17,8 +17,8 @@
 class Site(Struct, frozen=True, kw_only=True):
     """[site].
 
-    :param settle: ops before that are played and not counted.
-    :param load: work asked for over what all nodes can do.
+    :param settle: ops requested before then are run but not counted.
+    :param load: requested work over the capacity of all nodes.
     """
 
     zones: Words
@@ -32,17 +32,18 @@
 
 
 class NodeKind(Struct, frozen=True, kw_only=True):
-    """[nodes]: what a node is.
-
-    :param slots: ops that run at once.
-    :param room: ops that wait; one more is answered "not started".
-    :param speed: work done in a second by one core.
-    :param warm_work: above 0, a node is warm by so much work done instead of by time.
-    :param fall_multiple: sent more than so many times its present capacity over `tip_after`, a cold node falls and
-        stays down.
+    """[nodes]: the properties of every node.
+
+    :param slots: maximum number of running ops.
+    :param room: maximum number of queued ops; further ops are answered "not started".
+    :param speed: work done per second by one core.
+    :param warm_work: if above 0, a node is warm after this much work instead of after `warm_up`.
+    :param cold_from: share of its capacity that a node has when it starts.
+    :param fall_multiple: a cold node that is sent more than this multiple of its present capacity over `tip_after`
+        fails and stays down.
     :param connection: work that a new connection costs.
-    :param keys: how many are remembered, each for `key_for`; an op with a remembered key is less work by `key_gain`.
-    :param cancel: what an op's cancellation ends: waiting, all or none.
+    :param keys: capacity of the key cache; a key is cached for `key_for` and reduces an op's work by `key_gain`.
+    :param cancel: which ops a cancellation ends: waiting, all or none.
     """
 
     cores: Count = 3
@@ -62,7 +63,7 @@
 
 
 class OpType(Struct, frozen=True, kw_only=True):
-    """[op NAME]; `spread` is the deviation of its work over the mean, drawn lognormal."""
+    """[op NAME]; `spread` is the standard deviation of its work, which is lognormal, over the mean."""
 
     share: Fraction
     work: Duration
@@ -76,8 +77,8 @@
 class ClientBehaviour(Struct, frozen=True, kw_only=True):
     """[clients].
 
-    :param retries: by clients themselves, of what was rejected, or may run again.
-    :param keys: of a slice; the first are the most asked for.
+    :param retries: by clients, of ops that were rejected or that may run again.
+    :param keys: number of keys in a slice; the first ones are requested most often.
     """
 
     retries: Annotated[Count, Meta(le=7)] = 1
@@ -89,8 +90,8 @@
 class ProxyBehaviour(Struct, frozen=True, kw_only=True):
     """[relays].
 
-    :param notice: until the end of a proxy or assigner is known where nothing was reset.
-    :param apply_line: to apply one order.
+    :param notice: delay until the end of a proxy or assigner is detected where no connection was reset.
+    :param apply_line: time to apply one order.
     """
 
     pick: Literal["random", "rotate", "two"] = "random"
@@ -104,7 +105,7 @@
 
 
 class Channel(Struct, frozen=True, kw_only=True):
-    """[channel] from an assigner to proxies; `backlog`: orders at that pace may wait."""
+    """[channel] from an assigner to proxies; `backlog`: the longest queue, as time at `lines_per_s`."""
 
     lines_per_s: Number = 7500.0
     envelope: Count = 16
@@ -113,7 +114,7 @@
 
 
 class Reports(Struct, frozen=True, kw_only=True):
-    """[reports]: what assigners learn of attempts and ops, and how late."""
+    """[reports]: the reports on attempts and ops that assigners receive, and their delays."""
 
     every: Annotated[Duration, Meta(ge=10 * MILLISECOND)] = 1 * SECOND
     late: DurationRange = (530 * MILLISECOND, 1_200 * MILLISECOND)
@@ -124,9 +125,10 @@
 class DiscoveryDelays(Struct, frozen=True, kw_only=True):
     """[discovery].
 
-    :param notice: until it is known that a process has ended.
-    :param silent: until it is known that a machine is out of reach.
-    :param spread: between assigners.
+    :param notice: delay until the end of a process is detected.
+    :param silent: delay until an unreachable machine is detected.
+    :param add: delay until the start of a process is detected.
+    :param spread: further delay, drawn for each assigner.
     """
 
     notice: DurationRange = (1_600 * MILLISECOND, 4_400 * MILLISECOND)
@@ -136,14 +138,14 @@
 
 
 class NetworkDelays(Struct, frozen=True, kw_only=True):
-    """[network]: the time of a message within a zone and between two."""
+    """[network]: the delays of a message within a zone and between zones."""
 
     same: DurationRange = (100_000, 320_000)
     cross: DurationRange = (1_400_000, 2_600_000)
 
 
 class RuleLimits(Struct, frozen=True, kw_only=True):
-    """[rules]: limits that the rules set, and how slices pass to another assigner."""
+    """[rules]: limits of the rules, and delays until the slices of an assigner pass to others and return."""
 
     grace: Duration = 1_500 * MILLISECOND
     bare: Duration = 2_500 * MILLISECOND
@@ -153,7 +155,7 @@
 
 
 class NodeFileGuards(Struct, frozen=True, kw_only=True):
-    """[files]: node lists in files in place of discovery, with the operator's guards."""
+    """[files]: node lists in files instead of discovery, with the operator's change limits."""
 
     quiet: Duration = 200 * MILLISECOND
     most_closed: Fraction = 0.25
@@ -162,7 +164,7 @@
 
 
 class Load(Struct, frozen=True, kw_only=True):
-    """[load NAME]: the load from that time on."""
+    """[load NAME]: the load from time `at` on."""
 
     at: Duration
     load: Fraction
@@ -171,10 +173,10 @@
 class Fault(Struct, frozen=True, kw_only=True):
     """[fault NAME].
 
-    :param strength: slow: times slower; fail, mute: a share; edit: times the weight.
-    :param how: edit: what is saved.
-    :param pause: stall: the process is paused for that long, once in `every`.
-    :param keeps_queue: silent: what waited is still there when the node comes back.
+    :param strength: slow: slowdown factor; fail, mute: share of ops; edit: factor for the weight.
+    :param how: edit: how the saved file is changed.
+    :param pause: stall: length of each pause, of which there is one in every `every`.
+    :param keeps_queue: silent: the node keeps its queued ops when it returns.
     """
 
     kind: Literal["stall", "slow", "silent", "fail", "mute", "lost", "drain", "edit"]
--- a/kestrelplank/emulator/service_score.py
+++ b/kestrelplank/emulator/service_score.py
@@ -1,4 +1,4 @@
-"""What a rehearsal measures: service, latencies, losses by cause, a timeline of each node. Figures are simulated."""
+"""Measurements of a rehearsal, all simulated: service, latencies, lost ops by cause, a timeline of each node."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -14,13 +14,13 @@
 
 
 class ServiceScore:
-    """Service is value acked within the latency target over value asked for; an op counts once for all its attempts."""
+    """Service is the value acked within the latency target over the value requested; an op counts once."""
 
     def __init__(self, script: Script, started_at: int) -> None:
         self._op_types, self._names = list(script.op_types.values()), list(script.op_types)
         self._started_at, self._counted_from = started_at, started_at + script.site.settle
         self._value_asked, self._value_in_time = 0.0, 0.0
-        self._windows: dict[int, list[float]] = {}  # value asked for and in time
+        self._windows: dict[int, list[float]] = {}  # value requested, and value acked in time
         self._counts: dict[str, Counter[str]] = {name: Counter() for name in self._names}
         self._latencies_ns: list[list[int]] = [[] for _ in self._names]
         self.lost_by_reason: Counter[str] = Counter()
@@ -28,16 +28,16 @@
         self.events: list[list[object]] = []
         self.fallen_nodes: list[int] = []
         self.ended_ops = 0
-        self.latest_end_ns = 0  # by how much an op's end came after its time-out at the most
-        self.acked_without_a_run = 0  # there must be none
+        self.latest_end_ns = 0  # longest time from an op's deadline to its end at a proxy
+        self.acked_without_a_run = 0  # must stay 0
 
     def _window(self, at: int) -> list[float]:
         return self._windows.setdefault((at - self._started_at) // WINDOW_NS, [0.0, 0.0])
 
-    # What happens.
+    # Recording.
 
     def op_requested(self, now: int, op_type: int) -> None:
-        """Count an op that a client asks for."""
+        """Count an op that a client requests."""
         if now >= self._counted_from:
             value = self._op_types[op_type].value
             self._value_asked += value
@@ -47,7 +47,7 @@
     def op_acked(self, now: int, op_type: int, requested_at: int, runs: int) -> None:
         """Count an op that has been acked.
 
-        :param runs: how often it has run.
+        :param runs: how many times it has run.
         """
         self.acked_without_a_run += not runs
         if requested_at < self._counted_from:
@@ -61,12 +61,12 @@
             self._window(requested_at)[1] += settings.value
 
     def op_ended(self, late_ns: int) -> None:
-        """Count an op's end at a proxy, so long after its time-out."""
+        """Count an op's end at a proxy, `late_ns` after its deadline."""
         self.ended_ops += 1
         self.latest_end_ns = max(self.latest_end_ns, late_ns)
 
     def op_lost(self, now: int, op_type: int, verdict: str, reason: str) -> None:
-        """Count an op that its client has given up."""
+        """Count an op that its client doesn't retry any more."""
         if now >= self._counted_from:
             self._counts[self._names[op_type]][verdict] += 1
             self.lost_by_reason[f"{verdict}: {reason}"] += 1
@@ -76,18 +76,18 @@
         self._attempts[node].setdefault((now - self._started_at) // SECOND, AttemptSum()).add(succeeded, latency_ns)
 
     def event(self, now: int, text: str, nodes: Sequence[int]) -> None:
-        """Keep an event for the report."""
+        """Add an event to the report."""
         self.events.append([round((now - self._started_at) / SECOND, 3), text, nodes])
 
-    # What is reported.
+    # Reporting.
 
     @property
     def service(self) -> float:
-        """The value acked in time over the value asked for."""
+        """The value acked in time over the value requested."""
         return self._value_in_time / self._value_asked if self._value_asked else 1.0
 
     def report(self) -> dict[str, object]:
-        """Return what is reported of service and losses."""
+        """Return the report on service and lost ops."""
         worst = min((in_time / asked for asked, in_time in self._windows.values() if asked), default=1.0)
         return {
             "service": round(self.service, 6),
@@ -110,7 +110,7 @@
         }
 
     def timelines(self) -> list[list[list[object]]]:
-        """Return by node rows of second, attempts, failures and mean ms of the good."""
+        """Return for each node rows of second, attempts, failures and the mean ms of the successful attempts."""
         return [
             [self._timeline_row(second, sums) for second, sums in sorted(seconds.items())] for seconds in self._attempts
         ]
@@ -122,7 +122,7 @@
 
 
 def percentile_ms(latencies_ns: Sequence[int], percent: float) -> float | None:
-    """Return the least of sorted latencies that is not below so many in a hundred, in ms."""
+    """Return a percentile of sorted latencies, in ms; None if there are none."""
     if not latencies_ns:
         return None
     position = min(len(latencies_ns) - 1, int(percent / 100 * len(latencies_ns)))
--- a/kestrelplank/emulator/sharded_service.py
+++ b/kestrelplank/emulator/sharded_service.py
@@ -1,7 +1,7 @@
-"""A sharded service on a clock of its own: servers with queues, a stream of requests, and who decides where keys are.
+"""A sharded service on a simulated clock, without sockets: servers with queues, requests, and the placement of keys.
 
-No sockets. The stream and the work are drawn; waits, moves and late answers follow. Times are in seconds, but for those
-of the code under test.
+Requests and their work are drawn at random; waiting times, moves and late answers follow from them. Times are in
+seconds, except those of the code under test, which are in ns.
 """
 
 import math
@@ -19,25 +19,25 @@
 from kestrelplank.time_units import SECOND
 
 WORK_SPREAD = 0.8  # standard deviation of the logarithm of a request's work
-MAX_WORK_FACTOR = 6  # times the mean
+MAX_WORK_FACTOR = 6  # of a request's work, over the mean
 REPORT_PERIOD_S, TICKS_PER_REPORT = 0.5, 10
 TICK_S = REPORT_PERIOD_S / TICKS_PER_REPORT
-STARTED_AT = 100 * SECOND  # by the clock of the code under test
+STARTED_AT = 100 * SECOND  # on the clock of the code under test
 
 
 class ShardedService:
-    """All servers of one service, `KeyRanges` and `Placement` over them, and a stream of requests.
+    """All servers of one service, their `KeyRanges` and `Placement`, and a stream of requests.
 
     The keys of requests follow a Zipf law over a contiguous block of keys.
 
     :ivar hot_key: a key and the share of all requests that are for it.
     :ivar request_count: requests since the last `run` began; `late_count` and `requests_by_server` likewise.
-    :param speeds: of the servers, as multiples of the usual.
+    :param speeds: of the servers, relative to the usual speed.
     :param mean_work_s: of a request, at the usual speed.
-    :param latency_target_s: beyond which an answer is late.
-    :param moves_keys: False where keys stay at the server that gets them first.
+    :param latency_target_s: an answer that takes longer is late.
+    :param moves_keys: if False, keys stay at the server that first owned them.
     :param skew: exponent of the Zipf law.
-    :param popular_keys: number of keys that are asked for.
+    :param popular_keys: number of keys that are requested.
     """
 
     def __init__(
@@ -65,8 +65,8 @@
         self._popularity = list(accumulate(1 / (rank + 1) ** skew for rank in range(popular_keys)))
         self._time_s = 0.0
         self._next_request_at = 0.0
-        self._waiting: list[tuple[float, int]] = []  # requests for keys that nobody holds: when they came, and the key
-        self._releases: list[tuple[float, ReleaseKeyRange]] = []  # when each is answered
+        self._waiting: list[tuple[float, int]] = []  # requests for keys without an owner: arrival time and key
+        self._releases: list[tuple[float, ReleaseKeyRange]] = []  # time of each answer, and the release
         self.begin_term(1, None, None)
         self.key_ranges.divide(4 * len(speeds))
 
@@ -76,7 +76,7 @@
         recorded: Sequence[RecordedKeyRange] | None,
         learned_speeds: Mapping[str, Sequence[float]] | None,
     ) -> None:
-        """Another leader begins, with what the former one left."""
+        """Start the term of another leader, with the records of its predecessor."""
         listed = [
             ShardServer(name, f"{name}:80", "abc"[number % 3], 2, True, 0) for number, name in enumerate(self.servers)
         ]
@@ -86,7 +86,7 @@
         self.placement = Placement(self._now(), term, self.key_ranges, latency_target_ns, learned_speeds)
 
     def run(self, seconds: float) -> float:
-        """Go on for so long. Return the share of requests that were late."""
+        """Run for that time. Return the share of requests that were late."""
         self.request_count = self.late_count = 0
         for name in self.requests_by_server:
             self.requests_by_server[name] = 0
@@ -95,11 +95,11 @@
         return self.late_count / max(1, self.request_count)
 
     def busiest_over_mean(self) -> float:
-        """Return the busiest server's requests over the mean, since the last `run` began."""
+        """Return the busiest server's requests over the mean of all servers, since the last `run` began."""
         return max(self.requests_by_server.values()) * len(self.servers) / max(1, self.request_count)
 
     def owner_of_key(self, firsts: list[int], key: int) -> str:
-        """Return the server that holds this key, "" while none does.
+        """Return the server that owns this key, "" while none does.
 
         :param firsts: the first keys of all ranges.
         """
@@ -125,12 +125,12 @@
             server.begin_report()
 
     def _send_requests(self) -> list[int]:
-        """Send what waits for a holder, and what comes in this tick; return the keys of the latter."""
+        """Send requests that waited for an owner, and those that arrive in this tick; return the keys of the latter."""
         firsts = [key_range.first for key_range in self.key_ranges.ranges]
         keys: list[int] = []
         waiting, self._waiting = self._waiting, []
-        for came_at, key in waiting:
-            self._send(firsts, self._time_s - TICK_S, came_at, key)
+        for arrived_at, key in waiting:
+            self._send(firsts, self._time_s - TICK_S, arrived_at, key)
         while self._next_request_at < self._time_s:
             keys.append(self._draw_key())
             self._send(firsts, self._next_request_at, self._next_request_at, keys[-1])
@@ -144,19 +144,19 @@
         rank = bisect(self._popularity, self.random.random() * self._popularity[-1])
         return (self.first_popular_key + rank) % KEY_COUNT
 
-    def _send(self, firsts: list[int], at: float, came_at: float, key: int) -> None:
-        """Send a request to the server that holds its key, or have it wait for one."""
+    def _send(self, firsts: list[int], at: float, arrived_at: float, key: int) -> None:
+        """Send a request to the owner of its key, or queue it until there is one."""
         name = self.owner_of_key(firsts, key)
         if not name:
-            self._waiting.append((came_at, key))
+            self._waiting.append((arrived_at, key))
             return
         log_mean = math.log(self._mean_work_s) - WORK_SPREAD**2 / 2
         work = min(self.random.lognormvariate(log_mean, WORK_SPREAD), MAX_WORK_FACTOR * self._mean_work_s)
-        self.late_count += self.servers[name].serve(at, work, key) - came_at > self._latency_target_s
+        self.late_count += self.servers[name].serve(at, work, key) - arrived_at > self._latency_target_s
         self.requests_by_server[name] += 1
 
     def _carry_out_effects(self) -> None:
-        """Commit records and answer grants at once, and releases when what runs on their keys has ended."""
+        """Commit records and answer grants at once; answer a release when the requests for its keys have ended."""
         now = self._now()
         for release in [release for release in self._releases if release[0] <= self._time_s]:
             self._releases.remove(release)
@@ -168,5 +168,5 @@
                 self.key_ranges.handle_call_ended(now, effect, ServerCallResult(True, 200))
             elif isinstance(effect, ReleaseKeyRange):
                 keys = effect.key_range
-                free_at = self.servers[keys.server].free_of(keys.first, keys.last)
-                self._releases.append((free_at, effect))
+                idle_at = self.servers[keys.server].keys_idle_at(keys.first, keys.last)
+                self._releases.append((idle_at, effect))
--- a/kestrelplank/emulator/simulation.py
+++ b/kestrelplank/emulator/simulation.py
@@ -1,7 +1,7 @@
-"""The emulated site: clients, proxies, nodes, the network, the store of slices, discovery, and assigners.
+"""The emulated site: clients, proxies, nodes, the network, the slice store, discovery, and assigners.
 
-Each part has a chance of its own (`Environment.random`), so that a change in one leaves the draws of all others as they
-were.
+Each component has its own random generator (`Environment.random`), so that a change in one component does not change
+the draws of the others.
 """
 
 from collections.abc import Callable
@@ -27,14 +27,14 @@
 
 
 class Simulation:
-    """All parts of a site; it is what its proxies call `ProxySurroundings`.
+    """All components of a site; implements `ProxyCallbacks` for its proxies.
 
     Invariants: the same script and seed give the same report (test
     `test_the_same_script_and_seed_give_the_same_bytes_and_another_seed_others`); every op of every proxy ends once
     (test `test_every_op_of_every_proxy_ends_once_and_none_after_its_time_out`).
 
-    :param make_policy: makes the policy of an assigner's incarnation.
-    :param proofs: the outcomes that its proxies take for proof that an attempt never ran.
+    :param make_policy: creates the policy of an assigner's incarnation.
+    :param proofs: the outcomes that its proxies accept as proof that an attempt never ran.
     """
 
     def __init__(
@@ -62,11 +62,11 @@
         self._draw_site()
 
     def make_network(self) -> EmulatedNetwork:
-        """Make the network; a rehearsal over sockets has its own."""
+        """Create the network; overridden in a rehearsal over sockets."""
         return EmulatedNetwork(self.environment, self.store, self.clients)
 
     def make_assigner(self, number: int) -> Assigner:
-        """Make an assigner; a rehearsal over sockets has its own."""
+        """Create an assigner; overridden in a rehearsal over sockets."""
         return LocalAssigner(self.environment, number, self._make_policy, self.store)
 
     def _make_discovery(self) -> Discovery:
@@ -81,7 +81,7 @@
         return FaultInjector(self.environment, self.network, self.discovery, failures, self.proxies, self.assigners)
 
     def _draw_site(self) -> None:
-        """Draw how much each slice is asked for, and which node it has."""
+        """Draw each slice's share of the load, and the node on which it starts."""
         site, random = self.script.site, self.environment.random("site")
         self.load.draw_slices(random)
         nodes = [number % site.nodes for number in range(site.slices)]
@@ -89,7 +89,7 @@
         for slice_, node in enumerate(nodes):
             self.store.weights[slice_] = {node: 1.0}
 
-    # Playing.
+    # Running.
 
     def start(self) -> None:
         """Start assigners, join proxies to them, and schedule faults, reports and clients."""
@@ -106,14 +106,14 @@
 
     @property
     def over_at(self) -> int:
-        """When everything asked for has ended one way or another."""
+        """When all requested ops have ended."""
         return self.environment.ends_at + max(op_type.timeout for op_type in self.environment.op_types)
 
     def play(self, run: Callable[[int], None], step_ns: int, on_progress: Callable[[float], None]) -> None:
-        """Start, and let time pass until all is over.
+        """Start the site, and run it until all ops have ended.
 
-        :param run: lets time pass until an instant.
-        :param on_progress: called after each step with the share of time that has passed.
+        :param run: advances the clock to the given time.
+        :param on_progress: called after each step with the share of the time that has passed.
         """
         self.start()
         started_at = self.environment.started_at
@@ -129,20 +129,20 @@
     def _drop_connections(self, node: int) -> None:
         self.network.drop_connections(node)
 
-    # What proxies call (`ProxySurroundings`).
+    # Callbacks of proxies (`ProxyCallbacks`).
 
     def send_attempt(self, proxy: EmulatedProxy, op: Op, client_op: ClientOp, node: int) -> None:
         """Send an op to a node."""
         self.network.send_attempt(proxy, op, client_op, node)
 
     def cancel_attempt(self, proxy: EmulatedProxy, number: int, node: int) -> None:
-        """Let the node know that nobody waits for the op any more."""
+        """Cancel an op at a node."""
         self.network.cancel_attempt(proxy, number, node)
 
     def record_attempt(
         self, proxy: EmulatedProxy, client_op: ClientOp, node: int, succeeded: bool, latency_ns: int
     ) -> None:
-        """Take note of an attempt's end: for the score, and for reports to whoever owns the slice."""
+        """Record an attempt's end in the score, and in the reports to the slice's owner."""
         owner = proxy.tables.owner(client_op.slice)
         if owner is not None:
             self.reports.record_attempt(owner, proxy.zone, node, succeeded, latency_ns)
@@ -153,7 +153,7 @@
         self.clients.receive_answer(client_op, op, verdict, reason)
 
     def acknowledge(self, proxy: EmulatedProxy, assigner: int, watermark: int, latency_ns: int) -> None:
-        """Let an assigner know that its orders have been applied up to the watermark."""
+        """Notify an assigner that its orders have been applied up to the watermark."""
         event = WatermarkAcknowledged(proxy.number, watermark, latency_ns)
         self.assigners[assigner].notify(event, self.network.delay_ns(0, 0))
 
--- a/kestrelplank/emulator/slice_store.py
+++ b/kestrelplank/emulator/slice_store.py
@@ -1,4 +1,4 @@
-"""The users' store of slices: which nodes each slice has, which assigner owns it, and each assigner's channel."""
+"""The slice store: the nodes and the owner of each slice, and the channel of each assigner."""
 
 from collections.abc import Sequence
 
@@ -13,9 +13,9 @@
 
 
 class SliceStore:
-    """The store and the channels.
+    """Stores slices, and sends orders to proxies.
 
-    Invariant: a slice has one owner or none; orders of others for it change nothing.
+    Invariant: a slice has at most one owner; orders of other assigners for it are ignored.
     """
 
     def __init__(
@@ -30,19 +30,21 @@
         self._clock = environment.clock
         self.random = environment.random("hub")
         site = environment.script.site
-        self.weights: list[dict[int, float]] = [{} for _ in range(site.slices)]  # by slice, of its nodes
+        self.weights: list[dict[int, float]] = [{} for _ in range(site.slices)]  # by slice: the weights of its nodes
         self.owner: list[int | None] = [None] * site.slices
-        self.home = [number % site.conductors for number in range(site.slices)]  # the owner when all assigners live
+        self.home = [
+            number % site.conductors for number in range(site.slices)
+        ]  # the owner while all assigners are alive
         self.assigned_at = [0] * site.slices
-        self._channel_free_at = [0] * site.conductors  # when the channel will have sent all that waits
+        self._channel_free_at = [0] * site.conductors  # by assigner: when its channel has sent all queued orders
         self.messages = self.orders_sent = self.moves = self._last_stream = 0
 
     # Orders.
 
     def execute(self, assigner: int, orders: list[TableOrder]) -> None:
-        """Store one call's orders, and send them as one message to each joined proxy.
+        """Store the orders of one round, and send them as one message to each joined proxy.
 
-        What is for a slice that the assigner does not own changes nothing.
+        Orders for slices that the assigner does not own are ignored.
         """
         valid = [order for order in orders if self._may_order(assigner, order)]
         for order in valid:
@@ -81,12 +83,12 @@
         self._environment.rules.channel_queued(assigner, (leaves_at - now) / SECOND * channel.lines_per_s)
 
     def _deliver(self, proxy: EmulatedProxy, stream: OrderStream, message: OrderMessage) -> None:
-        self._clock.at(stream.delivered_at, lambda: proxy.when_awake(lambda: proxy.apply(message)))
+        self._clock.at(stream.delivered_at, lambda: proxy.call_when_resumed(lambda: proxy.apply(message)))
 
     # Owners.
 
     def assign(self, slice_: int, assigner: int) -> None:
-        """Give a slice to an assigner, with its nodes; proxies joined to it read them from the store."""
+        """Make an assigner the owner of a slice; proxies that are joined to it read the slice from the store."""
         now, rules = self._clock.now(), self._environment.rules
         old, self.owner[slice_] = self.owner[slice_], assigner
         if old is not None and self._assigners[old].alive:
@@ -101,7 +103,7 @@
                 self._read(proxy, assigner, [slice_])
 
     def take_from(self, assigner: int) -> list[int]:
-        """Take its slices from an assigner that has ended; return them, as nobody owns them."""
+        """Remove an assigner that has ended as the owner of its slices; return these."""
         now = self._clock.now()
         slices = [slice_ for slice_, owner in enumerate(self.owner) if owner == assigner]
         for slice_ in slices:
@@ -112,7 +114,7 @@
     # Streams.
 
     def join(self, proxy: EmulatedProxy, assigner: int) -> None:
-        """Connect a proxy to an assigner's stream, if both are alive and it is not."""
+        """Connect a proxy to an assigner's stream, if both are alive and it is not connected yet."""
         if not proxy.alive or not self._assigners[assigner].alive or assigner in proxy.streams:
             return
         self._last_stream += 1
@@ -125,12 +127,12 @@
         self._read(proxy, assigner, [slice_ for slice_, owner in enumerate(self.owner) if owner == assigner])
 
     def leave(self, proxy: EmulatedProxy, assigner: int, notice_ns: int) -> None:
-        """Break a proxy's stream; the assigner learns of it after that time."""
+        """End a proxy's stream; the assigner is notified after a delay."""
         proxy.streams.pop(assigner, None)
         self._assigners[assigner].notify(ProxyLeft(proxy.number), notice_ns)
 
     def _read(self, proxy: EmulatedProxy, assigner: int, slices: list[int]) -> None:
-        """Let the proxy read these slices by itself, at once, with all that is on its way behind it."""
+        """Let the proxy read these slices from the store at once, ahead of messages in transit."""
         for slice_ in slices:
             proxy.tables.set_table(slice_, assigner, self.weights[slice_])
-        proxy.when_awake(lambda: proxy.tables_changed(slices))
+        proxy.call_when_resumed(lambda: proxy.tables_changed(slices))
--- a/kestrelplank/emulator/usage_reports.py
+++ b/kestrelplank/emulator/usage_reports.py
@@ -1,4 +1,4 @@
-"""What assigners of a simulation learn of attempts and ops: sums, late, and only so many a second."""
+"""Reports on attempts and ops to the assigners of a simulation: sums, delayed and limited in rate."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 
 
 class UsageReports:
-    """Sums by assigner: of attempts by zone of the proxy and node, of ops by slice and op type."""
+    """Sums for each assigner: of attempts by zone of the proxy and node, and of ops by slice and op type."""
 
     def __init__(self, environment: Environment, assigners: Sequence[Assigner]) -> None:
         self._environment, self._assigners = environment, assigners
@@ -25,11 +25,11 @@
         self._attempts[owner].setdefault((zone, node), AttemptSum()).add(succeeded, latency_ns)
 
     def op_sum(self, owner: int, slice_: int, op_type: int) -> OpSum:
-        """Return the sum that such an op counts in."""
+        """Return the sum of an assigner for ops of that slice and op type."""
         return self._ops[owner].setdefault((slice_, op_type), OpSum())
 
     def close_window(self) -> None:
-        """Report to each assigner what the window has shown, as far as it takes that in; the next window begins."""
+        """Report the window's sums to each assigner, within its rate limit, and start the next window."""
         settings, clock = self._environment.script.reports, self._environment.clock
         for assigner in self._assigners:
             number = assigner.number
--- a/kestrelplank/emulator/virtual_clock.py
+++ b/kestrelplank/emulator/virtual_clock.py
@@ -1,4 +1,4 @@
-"""A clock that only runs when it is told to: the loop's `now` and `at`, without sockets."""
+"""A clock that advances only in calls to `run`: the loop's `now` and `at`, without sockets."""
 
 import heapq
 from collections.abc import Callable
@@ -8,19 +8,19 @@
 
 
 class Clock(Protocol):
-    """What both the virtual clock and the loop of real sockets offer."""
+    """The interface that the virtual clock and the loop of real sockets share."""
 
     def now(self) -> int:
-        """Return the present instant (ns)."""
+        """Return the present time (ns)."""
         ...
 
     def at(self, due: int, callback: Callable[[], None]) -> Timer:
-        """Call the callback at that instant."""
+        """Call the callback at that time."""
         ...
 
 
 class VirtualClock:
-    """A clock on which calls that are due at the same instant are made in the order in which they were asked for."""
+    """A clock that makes calls due at the same time in the order in which they were scheduled."""
 
     def __init__(self, now: int = 0) -> None:
         self._now, self._last_order = now, 0
@@ -28,18 +28,18 @@
         self.calls = 0
 
     def now(self) -> int:
-        """Return the present instant (ns)."""
+        """Return the present time (ns)."""
         return self._now
 
     def at(self, due: int, callback: Callable[[], None]) -> Timer:
-        """Call the callback at that instant, or next if that has passed."""
+        """Call the callback at that time, or as soon as possible if it has passed."""
         timer = Timer(callback)
         self._last_order += 1
         heapq.heappush(self._timers, (max(due, self._now), self._last_order, timer))
         return timer
 
     def run(self, until: int) -> None:
-        """Make all calls that are due up to that instant, which then is the present one."""
+        """Make all calls that are due until that time, and advance the clock to it."""
         timers = self._timers
         while timers and timers[0][0] <= until:
             self._now, _, timer = heapq.heappop(timers)
--- a/kestrelplank/rehearsal/live_network.py
+++ b/kestrelplank/rehearsal/live_network.py
@@ -39,7 +39,7 @@
         op = attempt.client_op
         path = (
             f"/op?number={attempt.number}&type={op.op_type}&work={op.work}&key={op.key}"
-            f"&new={int(not self._was_used)}&knowing={int(attempt.knowing)}"
+            f"&new={int(not self._was_used)}&knowing={int(attempt.start_known)}"
         )
         self._was_used = True
         self._client.call("POST", path, b"", CALL_TIMEOUT_NS)
--- a/kestrelplank/rehearsal/node_server.py
+++ b/kestrelplank/rehearsal/node_server.py
@@ -66,7 +66,7 @@
             float(op["work"]),
             int(op["key"]),
             new_connection=op["new"] == "1",
-            knowing=op["knowing"] == "1",
+            start_known=op["knowing"] == "1",
         )
         self._environment.rules.cold_node_loaded(self._number, self._node.worst_overload)
         return result
--- a/tests/emulator/test_node.py
+++ b/tests/emulator/test_node.py
@@ -159,7 +159,7 @@
     made.kill(0)
     made.start(0)
     for number in range(60):
-        made.offer(0, number, 0, 100 * MS, number, new_connection=False, knowing=number % 2 == 0)
+        made.offer(0, number, 0, 100 * MS, number, new_connection=False, start_known=number % 2 == 0)
     assert fell and made.worst_overload < 1
 
 
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -135,7 +135,7 @@
         simulation.environment.score.lost_by_reason["aborted: op timeout"] > 20
     )  # the second may run yet: nothing more is sent
     simulation.environment.rules.close(clock.now())
-    assert simulation.environment.rules.worst[Rule.REPEATED_OP] == 0 and simulation.environment.rules.most_runs() == 1
+    assert simulation.environment.rules.worst[Rule.REPEATED_OP] == 0 and simulation.environment.rules.max_runs() == 1
 
 
 def test_a_node_that_dies_after_the_work_and_before_the_answer_is_no_proof():
@@ -221,36 +221,45 @@
     [
         (
             "kind = stall, who = node 1, start = 5s, end = 4s",
-            "line 32, [fault f0], field end: the fault ends before it begins",
+            "line 32, [fault f0], field end: the fault must end after it starts",
         ),
         (
             "kind = stall, who = node 1, start = 5s, length = 0",
-            "line 32, [fault f0], field length: the fault ends before it begins",
+            "line 32, [fault f0], field length: the fault must end after it starts",
+        ),
+        ("kind = stall, who = node 1, start = 5s", "line 28, [fault f0]: expected either length or end"),
+        (
+            "kind = stall, who = node 1, start = 50s, length = 1s",
+            "field start: expected a time before the end of the rehearsal",
         ),
-        ("kind = stall, who = node 1, start = 5s", "line 28, [fault f0]: give either length or end"),
-        ("kind = stall, who = node 1, start = 50s, length = 1s", "field start: the rehearsal is over by then"),
         (
             "kind = stall, who = node 9, start = 5s, length = 1s",
-            "field who: there is no node 9: there are 9, counted from 0",
+            "field who: there is no node 9: the site has 9, numbered from 0",
         ),
         (
             "kind = stall, who = zone detroit, start = 5s, length = 1s",
-            "no zone is called 'detroit'; there are niagara, windsor",
+            "there is no zone 'detroit'; the site's zones are niagara, windsor",
         ),
-        ("kind = stall, who = zone, start = 5s, length = 1s", "names no zone"),
+        ("kind = stall, who = zone, start = 5s, length = 1s", "expected the name of a zone after 'zone'"),
         (
             "kind = stall, who = bridges, start = 5s, length = 1s",
             "expected zone, nodes, relays or conductors, got 'bridges'",
         ),
-        ("kind = slow, who = relays 10%, start = 5s, length = 1s, strength = 2", "field who: slow is for nodes alone"),
-        ("kind = slow, who = nodes, start = 5s, length = 1s", "expected how many times slower, over 1"),
-        ("kind = fail, who = nodes, start = 5s, length = 1s, strength = 2", "expected a share over 0 and up to 1"),
-        ("kind = stall, who = nodes, start = 5s, length = 1s, pause = 3s", "a pause is shorter than"),
+        (
+            "kind = slow, who = relays 10%, start = 5s, length = 1s, strength = 2",
+            "field who: a fault of kind slow can target only nodes",
+        ),
+        ("kind = slow, who = nodes, start = 5s, length = 1s", "expected a slowdown factor above 1"),
+        ("kind = fail, who = nodes, start = 5s, length = 1s, strength = 2", "expected a share above 0 and at most 1"),
+        (
+            "kind = stall, who = nodes, start = 5s, length = 1s, pause = 3s",
+            "field pause: expected a duration above 0 and less than field every",
+        ),
         (
             "kind = quake, who = nodes, start = 5s, length = 1s",
             "line 29, [fault f0], field kind: invalid enum value 'quake'",
         ),
-        ("kind = stall, who = , start = 5s, length = 1s", "names nobody"),
+        ("kind = stall, who = , start = 5s, length = 1s", "field who: expected at least one target"),
     ],
 )
 def test_a_fault_that_cannot_be_played_is_refused_with_its_line(fault, says):
@@ -262,18 +271,18 @@
 @pytest.mark.parametrize(
     "old, new, says",
     [
-        ("share = 60%", "share = 50%", "do not sum to 100%"),
-        ("target = 700ms", "target = 3s", "within the op timeout"),
-        ("zones = niagara, windsor, toronto", "zones = a, a", "each once"),
-        ("settle = 2s", "settle = 20s", "nothing is left"),
+        ("share = 60%", "share = 50%", "must sum to 100%"),
+        ("target = 700ms", "target = 3s", "above 0 and at most the op timeout"),
+        ("zones = niagara, windsor, toronto", "zones = a, a", "at least one and without duplicates"),
+        ("settle = 2s", "settle = 20s", "must be less than the length of the rehearsal"),
         ("[nodes]", "[node]", "no section is called [node]; is nodes meant?"),
-        ("work = 100ms", "work = 0", "expected some"),
+        ("work = 100ms", "work = 0", "expected a duration above 0"),
         ("warm_up = 4s", "cancel = some", "expected waiting, all or none"),
         ("nodes = 9", "nodes = 0", "expected `int` >= 1"),
         (
             "load = 50%",
             "load = 50%\n[load b]\nat = 5s\nload = 1\n[load c]\nat = 4s\nload = 1",
-            "loads stand in the order of time",
+            "expected a time not before that of the previous section",
         ),
     ],
 )
@@ -292,7 +301,7 @@
 
 
 def test_an_edit_needs_node_files():
-    with pytest.raises(InvalidSettingsError, match="there are no node files"):
+    with pytest.raises(InvalidSettingsError, match="needs a section \\[files\\]"):
         site_with("kind = edit, who = nodes, start = 3s, length = 3s")
 
 
