--- a/kestrelplank/rehearsal/__init__.py
+++ b/kestrelplank/rehearsal/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals with real processes on loopback: of a small gateway, and of the assigner among emulated nodes."""
+"""Rehearsals with real processes on loopback: of a small gateway, and of assigners with emulated nodes."""
--- a/kestrelplank/rehearsal/asgi.py
+++ b/kestrelplank/rehearsal/asgi.py
@@ -1,4 +1,4 @@
-"""Whole ASGI messages, for the servers of a rehearsal."""
+"""Complete ASGI messages, for the servers of a rehearsal."""
 
 from collections.abc import Sequence
 
@@ -6,7 +6,7 @@
 
 
 async def receive_body(receive: Receive) -> bytes | None:
-    """Return the body of a request; None where its client has gone."""
+    """Return the body of a request, None if its client has disconnected."""
     body: bytes = b""
     while True:
         message = await receive()
@@ -18,7 +18,7 @@
 
 
 async def send_answer(send: Send, status: int, headers: Sequence[tuple[bytes, bytes]], body: bytes) -> None:
-    """Send an answer in full."""
+    """Send a complete answer."""
     all_headers = [*headers, (b"content-length", str(len(body)).encode())]
     await send({"type": "http.response.start", "status": status, "headers": all_headers})
     await send({"type": "http.response.body", "body": body})
--- a/kestrelplank/rehearsal/assigner_process.py
+++ b/kestrelplank/rehearsal/assigner_process.py
@@ -1,4 +1,4 @@
-"""An assigner of a live rehearsal: the real program as a process, its relay and its agent on sockets."""
+"""An assigner of a live rehearsal: the real program as a process, with its relay and its agent on sockets."""
 
 import json
 import signal
@@ -44,14 +44,14 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 HEARTBEAT_INTERVAL_NS = 1 * SECOND
-LISTEN_CHECK_INTERVAL_NS = 20 * MILLISECOND  # between looks whether a process listens
+LISTEN_CHECK_INTERVAL_NS = 20 * MILLISECOND  # between checks whether a process listens
 LIFECYCLES = {"up": "in_service", "draining": "terminating", "removed": "terminated"}
 
 
 class AssignerProcess(Assigner):
-    """An assigner's relay and agent, kept over its incarnations, and its process.
+    """An assigner's process, and its relay and agent, which live across its incarnations.
 
-    :param node_addresses: where nodes listen, by number.
+    :param node_addresses: of the nodes, by number.
     :param folder: for the process's settings file.
     """
 
@@ -71,15 +71,15 @@
         self._node_addresses, self._settings_path = node_addresses, folder / f"n{number}.json"
         self._relay = StubServer(kit, self._answer_relay_request)
         self._agent = StubServer(kit, self._answer_agent_request)
-        self._streams: list[StubConnection] = []  # of the relay
-        self._watches: list[StubConnection] = []  # of the agent
+        self._streams: list[StubConnection] = []  # open streams of the relay
+        self._watches: list[StubConnection] = []  # open watches of the agent
         self._listed: dict[int, JsonObject] = {}
         self._list_version = 0
         self._heartbeat: Timer | None = None
         self._process: ProgramProcess | None = None
         self._telemetry: list[TelemetryConnection] = []
         self._address: tuple[str, int] | None = None
-        self.logs: list[bytes] = []  # of incarnations that have ended
+        self.logs: list[bytes] = []  # of ended incarnations
 
     def _zone_name(self, zone: int | None) -> str:
         return self.environment.script.site.zones[zone or 0]
@@ -87,7 +87,7 @@
     # The process.
 
     def start(self) -> None:
-        """Begin a new incarnation."""
+        """Start a new incarnation."""
         self.alive, self.incarnation, self._address = True, self.incarnation + 1, None
         self._settings_path.write_text(json.dumps(self._settings()))
         self._process = ProgramProcess(self._kit.loop, ASSIGNER, NODE_CONFIG=str(self._settings_path))
@@ -107,7 +107,7 @@
         }
 
     def _connect_telemetry(self) -> None:
-        """Connect each zone, once the process listens."""
+        """Open a telemetry connection for each zone, once the process listens."""
         if not self.alive or self._process is None:
             return
         address = self._address = self._process.address()
@@ -139,7 +139,7 @@
             self._process = None
 
     def pause(self, until: int) -> None:
-        """Let the process stand still until that instant."""
+        """Pause the process until that time."""
         process = self._process
         if process:
             process.kill(signal.SIGSTOP)
@@ -154,7 +154,7 @@
     # Events of the simulation.
 
     def receive(self, event: Event) -> None:
-        """Tell the process of an event in the words of its protocol."""
+        """Send the process an event in its protocol."""
         match event:
             case NodeReport():
                 self._report_attempts(event)
@@ -180,7 +180,7 @@
             case EndpointStored(slice_, node, weight):
                 return message("entry", shard=slice_, endpoint=f"s-{node}", w=weight)
             case _:
-                raise ValueError(f"the simulation has no event {event!r}")
+                raise ValueError(f"event {event!r} has no message in the relay's stream")
 
     def _report_attempts(self, report: NodeReport) -> None:
         where = "locality", self._zone_name(report.zone), "endpoint", f"s-{report.node}"
@@ -199,7 +199,7 @@
             all_words = *words, "interval", f"{window_ns / MILLISECOND:.1f}"
             self._telemetry[zone].send(*(str(word).encode() for word in all_words))
 
-    # Its relay.
+    # The relay.
 
     def _answer_relay_request(self, connection: StubConnection, path: str, body: bytes) -> None:
         if path == "/api/stream":
@@ -211,7 +211,7 @@
         connection.reply({"ok_count": len(orders)})
 
     def _begin_stream(self, connection: StubConnection) -> None:
-        """Begin with all that holds."""
+        """Begin a stream with the complete state."""
         ops_per_s = self._load.ops_per_s(self._kit.loop.now()) / len(self._proxies)
         joined = [proxy for proxy in self._proxies if self.number in proxy.streams]
         events: list[Event] = [ProxyJoined(proxy.number, proxy.zone, ops_per_s, False) for proxy in joined]
@@ -226,7 +226,7 @@
         self._streams = [stream for stream in self._streams if stream.closed_because is None] + [connection]
 
     def _read_order(self, order: dict[str, Any]) -> TableOrder:
-        """Return an order of the process's as the store takes it."""
+        """Parse an order of the process."""
         verb = order["verb"]
         if verb == "put":
             return SetEndpoint(order["cluster"], int(order["endpoint"][2:]), order["w"])
@@ -241,7 +241,7 @@
         op_types = sum(1 << names.index(name) for name in order.get("for", ()))
         return SetAdmission(table, op_types, order["gate"], order["again"])
 
-    # Its agent.
+    # The agent.
 
     def _update_list(self, update: NodeListUpdate) -> None:
         changed = {entry.node: self._instance(entry) for entry in update.entries}
--- a/kestrelplank/rehearsal/gateway_processes.py
+++ b/kestrelplank/rehearsal/gateway_processes.py
@@ -1,4 +1,4 @@
-"""The programs of a small gateway as processes on loopback, each on an address 127.0.0.x of its own."""
+"""The programs of a small gateway as processes on loopback, each on its own address 127.0.x.y."""
 
 import asyncio
 import contextlib
@@ -15,11 +15,11 @@
 from kestrelplank.rehearsal.simulated_platform import ZONE
 
 STOP_TIMEOUT_S = 8.0  # for a process to end after SIGTERM
-PLATFORM_HOST, FIRST_SERVER_HOST = 99, 100  # last parts of addresses
+PLATFORM_HOST, FIRST_SERVER_HOST = 99, 100  # last octets of addresses
 
 
 class Role(Enum):
-    """What a process of the gateway is. The values are commands of `kestrelplank.gateway`."""
+    """The role of a process of the gateway. The values are commands of `kestrelplank.gateway`."""
 
     CONTROL = "control"
     EDGE = "edge"
@@ -34,7 +34,7 @@
 
 
 class LoopbackNetwork:
-    """The addresses and ports of one rehearsal, all free when it begins."""
+    """The addresses and ports of one rehearsal; all are free when it begins."""
 
     def __init__(self, machines: int) -> None:
         self._prefix = f"127.0.{random.SystemRandom().randrange(1, 250)}"
@@ -43,7 +43,7 @@
         self.platform_address = self._address(PLATFORM_HOST)
 
     def server_address(self, number: int) -> tuple[str, int]:
-        """Return an address for the server with that number."""
+        """Return a free address for the server with that number."""
         return self._address(FIRST_SERVER_HOST + number)
 
     def _address(self, host: int) -> tuple[str, int]:
@@ -52,7 +52,7 @@
 
 
 class GatewayProcesses:
-    """The gateway's machines, and the processes that run.
+    """The gateway's machines and their running processes.
 
     :param folder: for settings files and the data of control members.
     :param log_level: of the processes.
@@ -95,15 +95,15 @@
 """
 
     def with_role(self, role: Role) -> list[Machine]:
-        """Return the machines of that role, running or not, but for the replacement."""
+        """Return all machines of that role, running or not, except the replacement."""
         return [machine for machine in self.machines if machine.role is role]
 
     def running(self, role: Role) -> list[Machine]:
-        """Return the machines of that role whose process was started and not stopped."""
+        """Return the machines of that role whose process has been started and not stopped."""
         return [machine for machine in self._running if machine.role is role]
 
     def is_running(self, machine: Machine) -> bool:
-        """Whether its process was started and not stopped."""
+        """Whether the machine's process has been started and not stopped."""
         return machine in self._running
 
     async def start(self, machine: Machine) -> None:
@@ -118,7 +118,7 @@
         )
 
     async def restart(self, machine: Machine) -> None:
-        """Start the machine's process in a gateway that was booted before."""
+        """Start the machine's process to join a gateway that already exists."""
         settings = machine.settings_path.read_text()
         machine.settings_path.write_text(settings.replace("initial_boot = true", "initial_boot = false"))
         await self.start(machine)
@@ -128,7 +128,7 @@
         self._signal(machine, signal.SIGKILL)
 
     def terminate(self, machine: Machine) -> None:
-        """Let the machine's process end in order."""
+        """Shut the machine's process down gracefully."""
         self._signal(machine, signal.SIGTERM)
 
     def _signal(self, machine: Machine, number: signal.Signals) -> None:
@@ -137,7 +137,7 @@
             process.send_signal(number)
 
     async def stop_all(self) -> None:
-        """Let all processes end, and wait for that."""
+        """Shut all processes down gracefully, and wait for them for a limited time."""
         for machine, process in list(self._running.items()):
             self.terminate(machine)
             with contextlib.suppress(TimeoutError):
--- a/kestrelplank/rehearsal/gateway_rehearsal.py
+++ b/kestrelplank/rehearsal/gateway_rehearsal.py
@@ -1,6 +1,6 @@
-"""A small gateway on loopback through a scenario of faults: its real programs, and stand-ins for all others.
+"""A rehearsal of a small gateway on loopback: its real programs run through a scenario of faults.
 
-The stand-ins are the platform, the servers, the operator and clients; they count what the rules are judged by.
+The platform, the servers, the operator and the clients are simulated; they record what the rules are checked against.
 """
 
 import asyncio
@@ -28,14 +28,14 @@
 
 READY_TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.1
-KEY_SAMPLE_STEP = 512  # one key in so many is looked at for whether all have an owner
+KEY_SAMPLE_STEP = 512  # between the keys that are checked for an owner
 
 
 class GatewayRehearsal:
-    """A gateway of so many control members and edge machines, and one control member more as a replacement.
+    """A gateway of control members and edge machines, with one more control member as a replacement.
 
     :param folder: for settings files and the data of control members.
-    :param seed: of what clients ask.
+    :param seed: of the requests of clients.
     :param log_level: of the gateway's processes.
     """
 
@@ -54,7 +54,7 @@
         self._clients = SimulatedClients(Random(seed), self._processes, self._observations)
 
     async def run(self, requests: int, per_s: float) -> GatewayReport:
-        """Play the scenario while clients send requests; return what was seen."""
+        """Run the scenario while clients send requests; return the report."""
         async with self._platform():
             try:
                 return await self._run(requests, per_s)
@@ -67,18 +67,18 @@
         started_at = time.monotonic()
         for machine in self._processes.machines:
             await self._processes.start(machine)
-        if not await self._operator.configure(1) or not await self._becomes_ready():
+        if not await self._operator.configure(1) or not await self._wait_until_ready():
             return GatewayReport(ready=False, replaced=False)
         ready_s = time.monotonic() - started_at
         sending = asyncio.create_task(self._clients.send_requests(requests, per_s))
         faults = await self._play_faults()
         await sending
-        replaced = await self._becomes_true(lambda: self._operator.is_voter(self._processes.replacement))
+        replaced = await self._wait_until(lambda: self._operator.is_voter(self._processes.replacement))
         return self._report(ready_s, faults, replaced)
 
     @asynccontextmanager
     async def _platform(self) -> AsyncIterator[None]:
-        """Serve the list of servers; in the end, when no request runs any more, stop them too."""
+        """Serve the list of servers; at the end, after all requests, stop the servers too."""
         http_server = create_server(SimulatedPlatform(self._servers).app, IDLE_TIMEOUT_S, GRACE_S)
         address = self._processes.network.platform_address
         serving = asyncio.create_task(http_server.serve([listening_socket(*address)]))
@@ -92,11 +92,11 @@
 
     # Readiness.
 
-    async def _becomes_ready(self) -> bool:
-        return await self._becomes_true(self._is_ready)
+    async def _wait_until_ready(self) -> bool:
+        return await self._wait_until(self._is_ready)
 
     async def _is_ready(self) -> bool:
-        """Whether all edges say so, and all keys have an owner."""
+        """Whether all edges report ready, and all sampled keys have an owner."""
         port = self._processes.network.readiness_port
         edges = self._processes.running(Role.EDGE)
         answers = [await call((edge.ip, port), "GET", "/api/readiness") for edge in edges]
@@ -110,8 +110,8 @@
             and all(answer is not None and answer.status == HTTPStatus.OK for answer in answers)
         )
 
-    async def _becomes_true(self, condition: Callable[[], Awaitable[bool]]) -> bool:
-        """Wait for the condition; return whether it came true in time."""
+    async def _wait_until(self, condition: Callable[[], Awaitable[bool]]) -> bool:
+        """Wait until the condition holds; return whether it did within the time-out."""
         until = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < until:
             if await condition():
@@ -122,7 +122,7 @@
     # The scenario.
 
     async def _play_faults(self) -> list[str]:
-        """Lose parts of the gateway one after the other; return what was done."""
+        """Inject the faults one after the other; return a description of each."""
         members, edges = self._processes.with_role(Role.CONTROL), self._processes.with_role(Role.EDGE)
         assigning = [member for member in members if await self._operator.assigns_shards(member)]
         killed = (assigning or members)[0]
@@ -134,47 +134,47 @@
         await asyncio.sleep(1.0)
         await self._processes.restart(killed)
         faults.append(await self._lose_server(self._servers[1]))
-        await self._becomes_true(lambda: self._operator.is_current(killed))
+        await self._wait_until(lambda: self._operator.is_current(killed))
         faults.append(await self._replace(next(member for member in members if member is not killed)))
         return faults
 
     def _kill_assigning_member(self, member: Machine) -> str:
         self._processes.kill(member)
-        return f"killed {member.ip}, which decided"
+        return f"{member.ip}, which assigned keys, was killed"
 
     def _drain(self, simulated: SimulatedServer) -> str:
         simulated.state = "draining"
-        return f"{simulated.name} drains"
+        return f"{simulated.name} is draining"
 
     def _terminate_edge(self, edge: Machine) -> str:
         self._processes.terminate(edge)
-        return f"{edge.ip} is told to stop"
+        return f"{edge.ip} was sent SIGTERM"
 
     async def _lose_server(self, simulated: SimulatedServer) -> str:
         simulated.state = "gone"
         await simulated.stop()
-        return f"{simulated.name} is lost"
+        return f"{simulated.name} was removed and stopped"
 
     async def _replace(self, member: Machine) -> str:
         self._processes.kill(member)
         await self._processes.restart(self._processes.replacement)
-        return f"{member.ip} is lost for good, {self._processes.replacement.ip} comes empty"
+        return f"{member.ip} was killed for good, {self._processes.replacement.ip} replaces it without data"
 
     # The report.
 
     def _report(self, ready_s: float, faults: list[str], replaced: bool) -> GatewayReport:
-        seen, now = self._observations, time.monotonic()
+        observed, now = self._observations, time.monotonic()
         return GatewayReport(
             ready=True,
             ready_s=round(ready_s, 2),
             faults=faults,
             replaced=replaced,
-            requests=seen.requests,
-            served=seen.served,
-            answers=dict(sorted(seen.answers.items())),
-            run_twice=seen.run_twice(),
-            rejected_but_ran=seen.rejected_but_ran,
-            keys_with_two_owners=seen.keys_with_two_owners,
+            requests=observed.requests,
+            served=observed.served,
+            answers=dict(sorted(observed.answers.items())),
+            run_twice=observed.run_twice(),
+            rejected_but_ran=observed.rejected_but_ran,
+            keys_with_two_owners=observed.keys_with_two_owners,
             keys_by_server={
                 simulated.name: simulated.keys_held(now)
                 for simulated in self._servers
@@ -184,7 +184,7 @@
 
 
 def play(requests: int = 300, per_s: float = 60.0, log_level: str = "WARNING") -> dict[str, object]:
-    """Play the scenario on a small gateway; return the report by the names under which it is printed."""
+    """Run the scenario on a small gateway; return the report under its printed names."""
     with tempfile.TemporaryDirectory() as folder:
         rehearsal = GatewayRehearsal(Path(folder), log_level=log_level)
         report = asyncio.run(rehearsal.run(requests, per_s))
--- a/kestrelplank/rehearsal/gateway_report.py
+++ b/kestrelplank/rehearsal/gateway_report.py
@@ -1,4 +1,4 @@
-"""What a rehearsal of the small gateway has shown."""
+"""The report of a rehearsal of the small gateway."""
 
 import msgspec
 
@@ -12,11 +12,11 @@
 
 
 class GatewayReport(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, rename=WIRE_NAMES):
-    """The report as it is printed; what follows `ready` and `replaced` is left out where the gateway never was ready.
+    """The report as it is printed; only `ready` and `replaced` are given if the gateway never became ready.
 
-    :param replaced: the control member that came with empty storage votes.
-    :param faults: what was done to the gateway, in order.
-    :param answers: by HTTP status, 0 where no answer came.
+    :param replaced: whether the replacement control member, which starts with empty storage, has become a voter.
+    :param faults: descriptions of the injected faults, in order.
+    :param answers: number of answers by HTTP status, 0 for no answer.
     """
 
     ready: bool
--- a/kestrelplank/rehearsal/live_network.py
+++ b/kestrelplank/rehearsal/live_network.py
@@ -1,4 +1,4 @@
-"""The network of a live rehearsal: attempts travel over loopback, each sent once its delay has passed."""
+"""The network of a live rehearsal: each attempt is sent over loopback after its simulated delay."""
 
 from collections.abc import Sequence
 
@@ -15,17 +15,17 @@
 
 IDLE_TIMEOUT_NS = 15 * SECOND  # of an unused connection to a node
 MAX_ANSWER_BYTES = 1 << 12
-CALL_TIMEOUT_NS = 3600 * SECOND  # for ever: the proxy's own core gives up, not the connection
+CALL_TIMEOUT_NS = 3600 * SECOND  # never reached: the proxy times attempts out, not the connection
 OUTCOMES_BY_STATUS = {
     200: AttemptOutcome.SUCCEEDED,
     503: AttemptOutcome.NOT_STARTED,
     500: AttemptOutcome.FAILED,
-}  # any other is cut short
+}  # any other: TRUNCATED
 DIAL_FAILURES = ("does not come up", "ECONNREFUSED")
 
 
 class ProxyConnection:
-    """One kept connection of a proxy to a node, with one attempt at a time."""
+    """A persistent connection of a proxy to a node, with one attempt at a time."""
 
     def __init__(self, network: "LiveNetwork", proxy: EmulatedProxy, node: int) -> None:
         self._network, self.proxy, self.node, self.idle_since = network, proxy, node, 0
@@ -45,13 +45,13 @@
         self._client.call("POST", path, b"", CALL_TIMEOUT_NS)
 
     def on_answer(self, status: int, body: bytes) -> None:  # noqa: ARG002 - as the client calls it
-        """Take the node's answer; the connection may take another attempt."""
+        """Handle the node's answer; the connection can be used for another attempt."""
         number = self._finish()
         self._network.keep(self)
         self._end(number, OUTCOMES_BY_STATUS.get(status, AttemptOutcome.TRUNCATED))
 
     def on_broken(self, why: str) -> None:
-        """Take the end of the connection."""
+        """Handle the end of the connection."""
         self._was_used = False
         outcome = AttemptOutcome.RESET if self._client.sent else AttemptOutcome.UNSENT
         if why in DIAL_FAILURES:
@@ -59,7 +59,7 @@
         self._end(self._finish(), outcome)
 
     def _finish(self) -> int | None:
-        """Return the number of the op whose attempt is over."""
+        """Unregister the attempt that is over; return the number of its op."""
         number, self._number = self._number, None
         self._network.finish(self.proxy, number)
         return number
@@ -75,7 +75,7 @@
 
 
 class LiveNetwork(EmulatedNetwork):
-    """Carries attempts over real connections to `servers`, which are to be added, one for each node."""
+    """Carries attempts over real connections to `servers`; the caller adds one for each node."""
 
     def __init__(self, environment: Environment, store: SliceStore, clients: EmulatedClients, kit: SocketKit) -> None:
         super().__init__(environment, store, clients)
@@ -86,23 +86,23 @@
 
     @property
     def addresses(self) -> Sequence[str]:
-        """Where nodes listen, by number."""
+        """The addresses of nodes, by number."""
         return [server.address for server in self.servers]
 
     def make_client(self, connection: ProxyConnection, node: int) -> Client:
-        """Return an HTTP client of a node, whose ends go to the connection."""
+        """Return an HTTP client for a node that calls back to the connection."""
         dial_timeout_ns, kit = self._environment.script.proxies.dial, self._kit
         address = self.servers[node].address
         return Client(kit.loop, kit.pool, address, connection, dial_timeout_ns, MAX_ANSWER_BYTES)
 
     def begin_attempt(self, attempt: AttemptInTransit) -> None:
-        """Send an attempt once its delay has passed."""
+        """Send an attempt after its delay."""
         self._clock.at(self._clock.now() + attempt.delay_ns, lambda: self._send(attempt))
 
     def _send(self, attempt: AttemptInTransit) -> None:
         proxy, node, now = attempt.proxy, attempt.node, self._clock.now()
         if attempt.number not in proxy.ops or proxy.ops[attempt.number].op.node != node:
-            return  # abandoned while it was on its way
+            return  # abandoned in transit
         idle = self._idle.get((proxy.number, node), [])
         while idle and now - idle[0].idle_since > IDLE_TIMEOUT_NS:
             idle.pop(0).close()
@@ -111,16 +111,16 @@
         connection.send(attempt)
 
     def finish(self, proxy: EmulatedProxy, number: int | None) -> None:
-        """Forget the connection of an attempt that is over."""
+        """Unregister the connection of an attempt that is over."""
         self._in_use.pop((proxy.number, number), None)
 
     def keep(self, connection: ProxyConnection) -> None:
-        """Keep a connection for another attempt."""
+        """Return a connection to the idle pool for another attempt."""
         connection.idle_since = self._clock.now()
         self._idle.setdefault((connection.proxy.number, connection.node), []).append(connection)
 
     def cancel_attempt(self, proxy: EmulatedProxy, number: int, node: int) -> None:  # noqa: ARG002 - as in the base class
-        """End the connection of an attempt that the proxy no longer wants."""
+        """Close the connection of an attempt that the proxy has cancelled."""
         connection = self._in_use.pop((proxy.number, number), None)
         if connection is not None:
             connection.close()
@@ -130,14 +130,14 @@
         self.servers[node].op_done(number)
 
     def drop_connections(self, node: int) -> None:
-        """End all connections to a node; it listens again if it runs."""
+        """Close all connections to a node; it listens again if it runs."""
         self.generations[node] += 1
         self.servers[node].close()
         if not self._environment.nodes[node].down:
             self.servers[node].open()
 
     def close(self) -> None:
-        """End all connections and servers."""
+        """Close all connections and servers."""
         for connection in [*self._in_use.values(), *(kept for idle in self._idle.values() for kept in idle)]:
             connection.close()
         for server in self.servers:
--- a/kestrelplank/rehearsal/live_rehearsal.py
+++ b/kestrelplank/rehearsal/live_rehearsal.py
@@ -1,7 +1,7 @@
-"""The same site over real sockets and in real time: nodes behind HTTP/1.1 on loopback, assigners as processes.
+"""A rehearsal over real sockets and in real time: nodes serve HTTP/1.1 on loopback, and assigners are processes.
 
 Proxies, clients, the store and its channels, discovery and the faults are those of `emulator/simulation.py`. Attempts
-travel over kept connections. Delays between zones are waited for.
+use persistent connections, and are delayed by the simulated network delays.
 """
 
 import tempfile
@@ -35,7 +35,7 @@
         super().__init__(script, seed, kit.loop)
 
     def make_network(self) -> EmulatedNetwork:
-        """Make the network, and a server for each node."""
+        """Create the network, and a server for each node."""
         self._live_network = LiveNetwork(self.environment, self.store, self.clients, self._kit)
         self._live_network.servers += [
             NodeServer(self.environment, self._kit, node, self._live_network) for node in range(self.script.site.nodes)
@@ -43,7 +43,7 @@
         return self._live_network
 
     def make_assigner(self, number: int) -> Assigner:
-        """Make an assigner that is a process."""
+        """Create an assigner that runs as a process."""
         process = AssignerProcess(
             self.environment,
             number,
@@ -65,7 +65,7 @@
 
 
 def play(script: Script, seed: int, on_progress: Callable[[float], None] = lambda _share: None) -> dict[str, object]:
-    """Play a script in real time and return its report. Everything it started has ended by then."""
+    """Run a script in real time and return its report; all processes and sockets it opened are closed by then."""
     kit = SocketKit()
     with tempfile.TemporaryDirectory() as folder:
         simulation = LiveSimulation(script, seed, kit, Path(folder))
@@ -81,7 +81,7 @@
 
 
 def _run(loop: Loop, until: int) -> None:
-    """Let the loop turn until that instant."""
+    """Run the loop until that time."""
     loop.at(until, lambda: None)
     while loop.now() < until:
         loop.turn()
--- a/kestrelplank/rehearsal/loopback.py
+++ b/kestrelplank/rehearsal/loopback.py
@@ -1,4 +1,4 @@
-"""Ports on loopback, and single calls to them."""
+"""Free ports on loopback, and single HTTP calls."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
     body: bytes = b"",
     headers: Iterable[tuple[bytes, bytes]] = (),
 ) -> Answer | None:
-    """Make one call on a connection of its own; None where no answer came."""
+    """Make one call on a new connection; return None if there was no answer."""
     all_headers = [(b"Host", HOST_NAME.encode()), (b"Content-Length", str(len(body)).encode()), *headers]
     try:
         async with asyncio.timeout(CALL_TIMEOUT_S):
--- a/kestrelplank/rehearsal/node_server.py
+++ b/kestrelplank/rehearsal/node_server.py
@@ -1,4 +1,4 @@
-"""A node of a live rehearsal: the emulated one behind HTTP/1.1 on loopback."""
+"""A node of a live rehearsal: an emulated node that serves HTTP/1.1 on loopback."""
 
 from typing import Protocol
 from urllib.parse import parse_qsl, urlsplit
@@ -10,24 +10,24 @@
 
 
 class NodeStepper(Protocol):
-    """Who steps nodes when their ops end."""
+    """Steps nodes when their ops end."""
 
     def schedule_step(self, node: int) -> None:
-        """See to it that the node is stepped when its next op ends."""
+        """Schedule the node's step for the end of its next op."""
         ...
 
     def cancel_at_node(self, node: int, number: int) -> None:
-        """Tell a node that nobody waits for an op any more."""
+        """Cancel an op at a node."""
         ...
 
 
 class NodeServer:
-    """Answers `/op`, with the op's figures in its query, and `/health`."""
+    """Answers `/op`, whose query describes the op, and `/health`."""
 
     def __init__(self, environment: Environment, kit: SocketKit, number: int, stepper: NodeStepper) -> None:
         self._environment, self._kit, self._number, self._stepper = environment, kit, number, stepper
         self._node = environment.nodes[number]
-        self._connection_of: dict[int, StubConnection] = {}  # by op in progress
+        self._connection_of: dict[int, StubConnection] = {}  # by number of an op in progress
         self._server: StubServer | None = self._listen(("127.0.0.1", 0))
         self.address = self._server.at
 
@@ -88,13 +88,13 @@
             self._stepper.cancel_at_node(self._number, connection.op)
 
     def close(self) -> None:
-        """End the node's process, and every connection with it."""
+        """Stop listening, and close all connections."""
         if self._server:
             self._connection_of.clear()
             server, self._server = self._server, None
             server.close()
 
     def open(self) -> None:
-        """Listen again where it did."""
+        """Listen again on the same address."""
         if self._server is None:
             self._server = self._listen(address(self.address))
--- a/kestrelplank/rehearsal/observations.py
+++ b/kestrelplank/rehearsal/observations.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of a rehearsal see, by which the rules are judged."""
+"""Observations of a rehearsal's simulated parties, against which the rules are checked."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,13 +6,13 @@
 
 @dataclass(slots=True)
 class Observations:
-    """Counts over a whole rehearsal.
+    """Counts over a complete rehearsal.
 
-    :param runs: how often each request ran, by its attempt id.
+    :param runs: number of runs of each request, by attempt id.
     :param at_most_once: attempt ids of requests that may run at most once.
-    :param answers: by HTTP status, 0 where no answer came.
-    :param rejected_but_ran: requests that the gateway promised had not run, and that had.
-    :param keys_with_two_owners: requests for a key that two servers held at the time.
+    :param answers: number of answers by HTTP status, 0 for no answer.
+    :param rejected_but_ran: requests that had run although the gateway's answer promised that they had not.
+    :param keys_with_two_owners: requests for a key that two servers owned at the time.
     """
 
     runs: Counter[str] = field(default_factory=Counter)
@@ -24,5 +24,5 @@
     keys_with_two_owners: int = 0
 
     def run_twice(self) -> int:
-        """Return how many requests ran twice that may run at most once."""
+        """Return how many requests that may run at most once ran more often."""
         return sum(self.runs[attempt_id] > 1 for attempt_id in self.at_most_once)
--- a/kestrelplank/rehearsal/program_process.py
+++ b/kestrelplank/rehearsal/program_process.py
@@ -1,4 +1,4 @@
-"""A program of ours as a process, for rehearsals and tests that play the other side."""
+"""A kestrelplank program as a process, for rehearsals and tests that simulate its peers."""
 
 import os
 import signal
@@ -15,11 +15,11 @@
 
 
 class ProgramProcess:
-    """A running program whose log is read by our loop: nothing here blocks while it runs.
+    """A running program whose log is read by the given loop, without blocking.
 
-    The loop takes whatever has a descriptor, a pipe as well as a socket.
+    The log is a pipe; the loop watches anything that has a file descriptor.
 
-    :param arguments: those of the interpreter.
+    :param arguments: of the Python interpreter.
     :param variables: added to the environment.
     """
 
@@ -43,12 +43,12 @@
         self._stderr.close()
 
     def log_lines(self, text: str) -> list[str]:
-        """Return the complete lines of its log so far that contain the text."""
+        """Return the complete lines of the log so far that contain the text."""
         complete = self.log[: self.log.rfind(b"\n") + 1].decode()
         return [line for line in complete.splitlines() if text in line]
 
     def address(self) -> tuple[str, int] | None:
-        """Return where it listens, once it has said so."""
+        """Return the address on which it listens, None until it has logged it."""
         started = self.log_lines("event=started")
         if not started:
             return None
@@ -56,16 +56,16 @@
         return host, port
 
     def has_ended(self) -> bool:
-        """Whether it has ended and its log is read."""
+        """Whether the process has ended and its log has been read to the end."""
         return self.process.poll() is not None and self._stderr.closed
 
     def kill(self, number: int = signal.SIGKILL) -> None:
-        """Send it a signal, if it runs."""
+        """Send the process a signal, if it runs."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def close(self) -> None:
-        """End it in order, or else at once."""
+        """Shut the process down gracefully; kill it after `STOP_TIMEOUT_S`."""
         self.kill(signal.SIGCONT)
         self.kill(signal.SIGTERM)
         try:
--- a/kestrelplank/rehearsal/services.py
+++ b/kestrelplank/rehearsal/services.py
@@ -1,10 +1,10 @@
-"""The services behind the small gateway, and what clients ask of them."""
+"""The services behind the small gateway, and the mix of requests to them."""
 
 from typing import NamedTuple
 
 
 class RehearsedService(NamedTuple):
-    """One service: its route, its servers, and the requests that clients make."""
+    """One service: its route, its servers, and the requests of clients."""
 
     name: str
     method: str
--- a/kestrelplank/rehearsal/simulated_clients.py
+++ b/kestrelplank/rehearsal/simulated_clients.py
@@ -1,4 +1,4 @@
-"""The clients of the small gateway: they send requests, and judge the answers."""
+"""The clients of the small gateway: they send requests, and check the answers."""
 
 import asyncio
 from http import HTTPStatus
@@ -12,17 +12,17 @@
 
 MAX_ATTEMPTS, RETRY_INTERVAL_S = 3, 0.1
 KEYS = 1 << 16
-REJECTIONS = (408, 421, 429, 503)  # each promises that the request has not run
+REJECTIONS = (408, 421, 429, 503)  # each guarantees that the request has not run
 
 
 class SimulatedClients:
-    """Clients that each send one request, and again where it was promised that it has not run."""
+    """Clients that each send one request, and retry it where an answer guarantees that it has not run."""
 
     def __init__(self, random: Random, processes: GatewayProcesses, observations: Observations) -> None:
         self._random, self._processes, self._observations = random, processes, observations
 
     async def send_requests(self, requests: int, per_s: float) -> None:
-        """Begin so many requests a second, and wait for their ends."""
+        """Send that many requests at that rate, and wait until they have ended."""
         tasks = []
         for number in range(requests):
             tasks.append(asyncio.create_task(self._request(number)))
--- a/kestrelplank/rehearsal/simulated_operator.py
+++ b/kestrelplank/rehearsal/simulated_operator.py
@@ -1,4 +1,4 @@
-"""The operator of the small gateway: it sends a configuration and asks members what they see."""
+"""The operator of the small gateway: it sends a configuration and queries the status of members."""
 
 import asyncio
 from http import HTTPStatus
@@ -14,7 +14,7 @@
 
 
 def route(service: RehearsedService) -> dict[str, str | int | float]:
-    """Return the route to that service as the operator writes it."""
+    """Return the route to that service as it stands in the configuration."""
     return {
         "name": service.name,
         "path_prefix": service.path_prefix,
@@ -34,7 +34,7 @@
         self._processes = processes
 
     async def configure(self, version: int) -> bool:
-        """Send the configuration with that version until a member takes it; return whether one has."""
+        """Send the configuration with that version until a member accepts it; return whether one has."""
         configuration = msgspec.json.encode(
             {
                 "config_version": f"{version:08x}",
@@ -53,7 +53,7 @@
         return False
 
     async def status(self, machine: Machine) -> MemberStatus | None:
-        """Return what that control member sees, None where it does not answer."""
+        """Return the status of that control member, None if it does not answer."""
         answer = await call((machine.ip, self._processes.network.port), "GET", "/api/status")
         if answer is None or answer.status != HTTPStatus.OK:
             return None
@@ -65,11 +65,11 @@
         return status is not None and any(service.assigned_here for service in status.services.values())
 
     async def is_current(self, machine: Machine) -> bool:
-        """Whether that member has all that is agreed."""
+        """Whether that member has all committed entries."""
         status = await self.status(machine)
         return status is not None and status.current
 
     async def is_voter(self, machine: Machine) -> bool:
-        """Whether that member votes, and has all that is agreed."""
+        """Whether that member is a voter, and has all committed entries."""
         status = await self.status(machine)
         return status is not None and status.current and status.member in status.voters
--- a/kestrelplank/rehearsal/simulated_platform.py
+++ b/kestrelplank/rehearsal/simulated_platform.py
@@ -1,4 +1,4 @@
-"""The platform, played on loopback: it lists the servers."""
+"""The platform, simulated on loopback: it lists the servers."""
 
 from collections.abc import Sequence
 
@@ -12,13 +12,13 @@
 
 
 class SimulatedPlatform:
-    """Answers every call with the list of servers that are not gone."""
+    """Answers every call with the list of servers, except those that are gone."""
 
     def __init__(self, servers: Sequence[SimulatedServer]) -> None:
         self._servers = servers
 
     async def app(self, scope: Scope, receive: Receive, send: Send) -> None:  # noqa: ARG002 - as ASGI calls it
-        """Answer a call for the list."""
+        """Answer a call with the list."""
         await receive()
         instances = [self._entry(server) for server in self._servers if server.state != "gone"]
         await send_answer(send, 200, [], msgspec.json.encode({"instances": instances, "next_token": None}))
--- a/kestrelplank/rehearsal/simulated_server.py
+++ b/kestrelplank/rehearsal/simulated_server.py
@@ -1,4 +1,4 @@
-"""A server of a service, played on loopback: it holds keys as it is granted them, and counts what it runs."""
+"""A server of a service, simulated on loopback: it owns the keys granted to it, and counts the requests it runs."""
 
 import asyncio
 import random
@@ -14,14 +14,14 @@
 from kestrelplank.rehearsal.asgi import receive_body, send_answer
 from kestrelplank.rehearsal.observations import Observations
 
-WORK_RANGE_S = (0.01, 0.03)  # spent on a request
+WORK_RANGE_S = (0.01, 0.03)  # of a request
 SLOTS = 4
 IDLE_TIMEOUT_S, GRACE_S = 10, 1
 GRANT_PATH, RELEASE_PATH = "/api/grant", "/api/release"
 
 
 class KeyGrant(NamedTuple):
-    """A range of keys that the server holds until that time (s)."""
+    """A range of keys that the server owns until that time (s)."""
 
     first_key: int
     last_key: int
@@ -34,7 +34,7 @@
     frozen=True,
     rename={"first_key": "source", "last_key": "target_version", "fencing_token": "fence"},
 ):
-    """A call of the control side that grants or releases a range of keys."""
+    """A call of a control member that grants or releases a range of keys."""
 
     first_key: int
     last_key: int
@@ -45,7 +45,7 @@
 class SimulatedServer:
     """One server of a service.
 
-    :param peers: all servers of the rehearsal, by which a key that two of them hold is found.
+    :param peers: all servers of the rehearsal, to detect keys that two of them own.
     """
 
     def __init__(
@@ -65,22 +65,22 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether it serves."""
+        """Whether the server is serving."""
         return self._http_server is not None
 
     async def start(self) -> None:
-        """Serve on its address."""
+        """Start serving on the server's address."""
         self._http_server = create_server(self.app, IDLE_TIMEOUT_S, GRACE_S)
         self._serving = asyncio.create_task(self._http_server.serve([listening_socket(*self.address)]))
 
     async def stop(self) -> None:
-        """Stop serving; requests that run are answered."""
+        """Stop serving; running requests are answered."""
         if self._http_server is not None:
             self._http_server.should_exit, self._http_server = True, None
             await self._serving
 
     async def app(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer a call of the control side, or a request."""
+        """Answer a call of a control member, or a request."""
         body = await receive_body(receive)
         if body is None:
             return
@@ -102,7 +102,7 @@
         return sum(grant.last_key - grant.first_key + 1 for grant in self.grants if grant.until > now)
 
     def grant(self, call: GrantCall) -> int:
-        """Take a grant; return the status, 409 where a newer one for some of the keys is known."""
+        """Accept a grant; return the HTTP status, 409 if a newer grant for some of the keys is known."""
         overlapping = (
             grant for grant in self.grants if grant.first_key <= call.last_key and call.first_key <= grant.last_key
         )
@@ -112,12 +112,12 @@
         return 200
 
     def release(self, call: GrantCall) -> int:
-        """Give keys back; the grant's fencing token stays known. Return the status."""
+        """Release keys, but keep the grant's fencing token; return the HTTP status."""
         self._set_grant(call, 0.0)
         return 200
 
     def _set_grant(self, call: GrantCall, until: float) -> None:
-        unchanged = []  # what the call does not speak of
+        unchanged = []  # grants, or what is left of them, outside the call's range
         for first, last, fencing_token, granted_until in self.grants:
             below, above = (first, min(last, call.first_key - 1)), (max(first, call.last_key + 1), last)
             unchanged += [KeyGrant(a, b, fencing_token, granted_until) for a, b in (below, above) if a <= b]
--- a/kestrelplank/rehearsal/stub_server.py
+++ b/kestrelplank/rehearsal/stub_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for an outside party that speaks HTTP: its requests are parsed, and its answers are written by hand."""
+"""A stub for an external HTTP server: requests are parsed, and answers are written by the caller."""
 
 import json
 import socket
@@ -16,12 +16,12 @@
 
 
 def raise_error(err: object) -> None:
-    """Raise what went wrong, for who must not go on after a defect."""
+    """Raise the error, for callers that must not continue after a defect."""
     raise err if isinstance(err, Exception) else RuntimeError(err)
 
 
 class SocketKit:
-    """The loop and the buffers that stand-ins share."""
+    """The loop and the buffers that stubs share."""
 
     def __init__(self) -> None:
         self.loop, self.pool = Loop(raise_error), Pool(BUFFER_BYTES, BUFFERS)
@@ -30,9 +30,9 @@
 class StubConnection:
     """One connection to a stub server.
 
-    :ivar closed_because: why it ended, None while it is open.
+    :ivar closed_because: the reason for its end, None while it is open.
     :ivar path: of the last request.
-    :ivar op: an op that is in progress on it, for its owner to set.
+    :ivar op: the op in progress on the connection, set by the owner.
     """
 
     def __init__(self, server: "StubServer", sock: socket.socket) -> None:
@@ -46,12 +46,12 @@
     # The connection's callbacks.
 
     def on_data(self, data: memoryview) -> None:
-        """Parse what has come."""
+        """Parse received data."""
         self.bytes_received += len(data)
         self.parser.feed_data(data)
 
     def on_close(self, why: str) -> None:
-        """Tell the server."""
+        """Notify the server."""
         self.closed_because = why
         self.server.connection_closed(self)
 
@@ -66,7 +66,7 @@
         self._body += data
 
     def on_message_complete(self) -> None:
-        """Hand the request to the server."""
+        """Pass the request to the server."""
         self.server.request_received(self, self.path, self._body)
 
     # Answers.
@@ -77,7 +77,7 @@
         self.connection.write(b"HTTP/1.1 %d OK\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
 
     def begin_stream(self) -> None:
-        """Begin an answer that does not end; `send` goes on with it."""
+        """Begin an answer that does not end; `send` continues it."""
         self.connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 
     def send(self, *lines: object) -> None:
@@ -88,10 +88,10 @@
 
 
 class StubServer:
-    """Listens on loopback.
+    """A server on loopback.
 
-    :param answer: says what to do with a request; by default nothing.
-    :param at: address and port; port 0 is a free one.
+    :param answer: called with each request; by default does nothing.
+    :param at: address and port to listen on; port 0 selects a free one.
     """
 
     def __init__(
@@ -113,10 +113,10 @@
         self.answer(connection, path, body)
 
     def connection_closed(self, connection: StubConnection) -> None:
-        """Take note that a connection has ended."""
+        """Handle the end of a connection."""
 
     def close(self) -> None:
-        """Stop listening, and end all connections."""
+        """Stop listening, and close all connections."""
         self.listener.close()
         for connection in list(self.connections):
             connection.connection.close("over")
--- a/kestrelplank/rehearsal/telemetry_connection.py
+++ b/kestrelplank/rehearsal/telemetry_connection.py
@@ -1,4 +1,4 @@
-"""A zone's connection to an assigner, over which it reports."""
+"""A zone's connection to an assigner, which carries its reports."""
 
 from collections.abc import Callable
 
@@ -14,13 +14,13 @@
 
 
 class TelemetryConnection:
-    """Dials again when it ends.
+    """Connects again when the connection ends.
 
-    :param address_of: returns where the assigner listens at present.
+    :param get_address: returns the present address of the assigner.
     """
 
-    def __init__(self, kit: SocketKit, address_of: Callable[[], tuple[str, int]], zone_name: bytes) -> None:
-        self._kit, self._address_of, self._zone_name = kit, address_of, zone_name
+    def __init__(self, kit: SocketKit, get_address: Callable[[], tuple[str, int]], zone_name: bytes) -> None:
+        self._kit, self._get_address, self._zone_name = kit, get_address, zone_name
         self._is_open = self._closed = False
         self._redial: Timer | None = None
         self._dial()
@@ -28,18 +28,18 @@
     def _dial(self) -> None:
         self._is_open = False
         kit = self._kit
-        self._connection = Dialled(kit.loop, kit.pool, self._address_of(), self, MAX_UNSENT_BYTES, DIAL_TIMEOUT_NS)
+        self._connection = Dialled(kit.loop, kit.pool, self._get_address(), self, MAX_UNSENT_BYTES, DIAL_TIMEOUT_NS)
 
     def on_open(self) -> None:
-        """Say whose connection it is."""
+        """Send the zone's name."""
         self._is_open = True
         self.send(b"telemetry", b"locality", self._zone_name)
 
     def on_data(self, data: memoryview) -> None:
-        """Ignore what comes: an assigner writes nothing but why it ends the connection."""
+        """Ignore received data: an assigner only writes the reason before it closes the connection."""
 
     def on_close(self, why: str) -> None:  # noqa: ARG002 - as the connection calls it
-        """Dial again after a while."""
+        """Connect again after `REDIAL_INTERVAL_NS`."""
         self._is_open = False
         if not self._closed:
             loop = self._kit.loop
@@ -51,7 +51,7 @@
             self._connection.write(resp.encode(*words))
 
     def close(self) -> None:
-        """End the connection for good."""
+        """Close the connection, and don't connect again."""
         self._closed = True
         if self._redial:
             self._redial.cancel()
