--- a/kestrelplank/emulator/node.py
+++ b/kestrelplank/emulator/node.py
@@ -44,7 +44,7 @@
     A node that is `down` refuses connections; one that is `silent` accepts data and never answers.
 
     Invariants: no more ops run than there are slots, and no more work is done than the cores can do (test
-    `test_work_is_never_over_cores_times_time_and_nothing_acked_has_not_run`).
+    `test_work_done_is_at_most_cores_times_time_and_every_acked_op_has_run_once`).
 
     :param on_run: called with number and op type when an op begins to run; from then on its effect counts as done.
     :param on_fall: called when the node fails because it was overloaded while cold.
--- a/kestrelplank/emulator/simulation.py
+++ b/kestrelplank/emulator/simulation.py
@@ -30,8 +30,8 @@
     """All components of a site; implements `ProxyCallbacks` for its proxies.
 
     Invariants: the same script and seed give the same report (test
-    `test_the_same_script_and_seed_give_the_same_bytes_and_another_seed_others`); every op of every proxy ends once
-    (test `test_every_op_of_every_proxy_ends_once_and_none_after_its_time_out`).
+    `test_the_same_script_and_seed_give_identical_reports_and_another_seed_a_different_one`); every op of every proxy
+    ends once (test `test_every_op_of_every_proxy_ends_once_and_none_after_its_time_out`).
 
     :param make_policy: creates the policy of an assigner's incarnation.
     :param proofs: the outcomes that its proxies accept as proof that an attempt never ran.
--- a/tests/emulator/test_recorded_reports.py
+++ b/tests/emulator/test_recorded_reports.py
@@ -1,6 +1,6 @@
-"""The reports of the scripts in `rehearsals/` are byte for byte those of 4f929ce, the last commit before the emulator was rewritten.
+"""Guards against changes of any byte in the reports of the scripts in `rehearsals/`.
 
-The digests in `recorded_reports.json` were made in a clone at 4f929ce.
+The digests in `recorded_reports.json` were recorded at commit 4f929ce.
 """
 
 import hashlib
@@ -18,15 +18,15 @@
 RECORDED = json.loads((Path(__file__).parent / "recorded_reports.json").read_text())
 
 
-def report_digest(name, seed, more, knowing):
-    text = (SCRIPTS / f"{name}.ini").read_text() + more
+def report_digest(name, seed, extra_text, ideal_placement):
+    text = (SCRIPTS / f"{name}.ini").read_text() + extra_text
     return hashlib.sha256(
-        encoded_report(play(read_script(IniFile(f"{name}.ini", text)), seed, ideal_placement=knowing))
+        encoded_report(play(read_script(IniFile(f"{name}.ini", text)), seed, ideal_placement=ideal_placement))
     ).hexdigest()
 
 
 @pytest.mark.parametrize(
     "row", RECORDED, ids=lambda row: f"{row['script']}-{row['seed']}-{row['more'].split()[-1:]}-{row['knowing']}"
 )
-def test_a_report_is_as_recorded_before_the_rewriting(row):
+def test_a_report_matches_its_recorded_digest(row):
     assert report_digest(row["script"], row["seed"], row["more"], row["knowing"]) == row["sha256"]
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -59,23 +59,23 @@
             site
             + "\n"
             + "\n\n".join(
-                f"[fault f{place}]\n" + fault.replace(", ", "\n").replace(" & ", ", ")
-                for place, fault in enumerate(faults)
+                f"[fault f{number}]\n" + fault.replace(", ", "\n").replace(" & ", ", ")
+                for number, fault in enumerate(faults)
             ),
         )
     )
 
 
-def test_the_same_script_and_seed_give_the_same_bytes_and_another_seed_others():
-    made = site_with("kind = lost, who = zone windsor, start = 4s, length = 4s")
-    first = encoded_report(play(made, 3))
-    assert encoded_report(play(made, 3)) == first and encoded_report(play(made, 4)) != first
+def test_the_same_script_and_seed_give_identical_reports_and_another_seed_a_different_one():
+    script = site_with("kind = lost, who = zone windsor, start = 4s, length = 4s")
+    first = encoded_report(play(script, 3))
+    assert encoded_report(play(script, 3)) == first and encoded_report(play(script, 4)) != first
 
 
-def test_the_same_bytes_from_another_folder_and_under_another_hash_seed(tmp_path):
+def test_a_report_does_not_depend_on_the_working_directory_or_the_hash_seed(tmp_path):
     path = tmp_path / "s.ini"
     path.write_text(SITE + "\n[fault f]\nkind = silent\nwho = nodes 20%\nstart = 4s\nlength = 3s\n")
-    found = []
+    reports = []
     for place, seed in enumerate(("0", "77")):
         (tmp_path / seed).mkdir()
         root = str(Path(__file__).parents[2])
@@ -95,30 +95,30 @@
             capture_output=True,
             env=os.environ | {"PYTHONHASHSEED": seed, "PYTHONPATH": root},
         )
-        found.append((tmp_path / seed / "r.json").read_bytes())
-    assert found[0] == found[1]
+        reports.append((tmp_path / seed / "r.json").read_bytes())
+    assert reports[0] == reports[1]
 
 
 @pytest.mark.parametrize("name", sorted(path.name for path in SCRIPTS.glob("*.ini")))
-def test_every_script_of_the_repository_can_be_used(name):
-    made = read_script(IniFile.load(str(SCRIPTS / name)))
-    Simulation(made, 1, VirtualClock(10**12)).start()
+def test_every_script_in_the_repository_is_valid(name):
+    script = read_script(IniFile.load(str(SCRIPTS / name)))
+    Simulation(script, 1, VirtualClock(10**12)).start()
 
 
-def test_a_zone_lost_with_its_proxies_and_an_assigner_keeps_the_rules_and_beats_the_static_policy():
-    made, services = read_script(IniFile.load(str(SCRIPTS / "windsor-lost.ini"))), {Policy: [], StaticPolicy: []}
-    for policy, found in services.items():
+def test_loss_of_a_zone_with_proxies_and_an_assigner_keeps_the_rules_and_beats_the_static_policy():
+    script, services = read_script(IniFile.load(str(SCRIPTS / "windsor-lost.ini"))), {Policy: [], StaticPolicy: []}
+    for policy, values in services.items():
         for seed in range(4):
-            played = play(made, seed, policy)
-            assert played["broken"] == [] and played["duplicates"]["order-place"] == 0 and rules_kept(played)
-            assert [what for _, what, _ in played["events"]] == ["windsor: lost begins", "back"]
-            found.append(played["service"])
+            report = play(script, seed, policy)
+            assert report["broken"] == [] and report["duplicates"]["order-place"] == 0 and rules_kept(report)
+            assert [text for _, text, _ in report["events"]] == ["windsor: lost begins", "back"]
+            values.append(report["service"])
     assert sum(services[Policy]) > sum(services[StaticPolicy]) and min(services[Policy]) > 0.95
 
 
-def test_a_stall_that_begins_while_a_retry_is_in_flight_gets_no_third_attempt():
-    """Nodes 0 to 2 are gone, so what is sent there is proved not to have run and goes to others, which stall."""
-    made = site_with(
+def test_an_op_whose_retry_is_in_flight_when_nodes_stall_gets_no_third_attempt():
+    """Attempts at nodes 0 to 2, which are down, provably don't run and are retried at other nodes, which stall."""
+    script = site_with(
         "kind = lost, who = node 0 & node 1 & node 2, start = 3s, length = 8s",
         "kind = stall, who = nodes, start = 3010ms, length = 8s, pause = 1900ms, every = 2s",
         slices="9",
@@ -126,61 +126,61 @@
         site=SITE + "\n[relays]\nstrikes = 5\n[discovery]\nnotice = 7s\n",
     )
     clock = VirtualClock(10**12)
-    simulation = Simulation(made, 5, clock, StaticPolicy)
+    simulation = Simulation(script, 5, clock, StaticPolicy)
     simulation.store.weights = [{table % 3: 1.0, 3 + table % 6: 1.0} for table in range(9)]
     simulation.start()
-    clock.run(clock.now() + made.site.length)
+    clock.run(clock.now() + script.site.length)
     assert sum(proxy.attempts.counts["second_tries"] for proxy in simulation.proxies) > 20
     assert (
         simulation.environment.score.lost_by_reason["aborted: op timeout"] > 20
-    )  # the second may run yet: nothing more is sent
+    )  # the second attempt may still run, so there is no third
     simulation.environment.rules.close(clock.now())
     assert simulation.environment.rules.worst[Rule.REPEATED_OP] == 0 and simulation.environment.rules.max_runs() == 1
 
 
-def test_a_node_that_dies_after_the_work_and_before_the_answer_is_no_proof():
-    made = site_with(
+def test_a_reset_after_an_answer_was_lost_is_no_proof_that_the_op_did_not_run():
+    script = site_with(
         "kind = mute, who = nodes 50%, start = 3s, length = 3s, strength = 1",
         "kind = lost, who = nodes, start = 3050ms, length = 1s",
     )
-    found = play(made, 2)
-    assert "aborted: reset" in found["lost"] and found["broken"] == [] and found["duplicates"]["order-place"] == 0
+    report = play(script, 2)
+    assert "aborted: reset" in report["lost"] and report["broken"] == [] and report["duplicates"]["order-place"] == 0
 
 
 @pytest.mark.parametrize("keeps", ["yes", "no"])
-def test_a_silent_node_that_comes_back_cold_with_its_queue_runs_what_was_given_up_once(keeps):
-    made = site_with(f"kind = silent, who = nodes 34%, start = 3s, length = 4s, keeps_queue = {keeps}")
-    found = play(made, 2)
-    assert found["lost"]["aborted: op timeout"] > 10 and found["broken"] == []
-    assert found["duplicates"] == {"look": 0, "order-place": 0}
+def test_a_silent_node_that_restarts_with_or_without_its_queue_runs_no_op_twice(keeps):
+    script = site_with(f"kind = silent, who = nodes 34%, start = 3s, length = 4s, keeps_queue = {keeps}")
+    report = play(script, 2)
+    assert report["lost"]["aborted: op timeout"] > 10 and report["broken"] == []
+    assert report["duplicates"] == {"look": 0, "order-place": 0}
 
 
-def test_two_faults_on_one_node_hold_together():
-    made = site_with(
+def test_two_faults_on_the_same_nodes_reduce_the_service_more_than_one():
+    script = site_with(
         "kind = slow, who = nodes, start = 3s, length = 9s, strength = 2",
         "kind = fail, who = nodes, start = 3s, length = 9s, strength = 0.2",
     )
     slower = site_with("kind = slow, who = nodes, start = 3s, length = 9s, strength = 2")
-    found, slow, calm = (play(one, 2) for one in (made, slower, site_with()))
-    assert found["service"] < slow["service"] < calm["service"] and "aborted: failed" in found["lost"]
+    both, slow, calm = (play(each, 2) for each in (script, slower, site_with()))
+    assert both["service"] < slow["service"] < calm["service"] and "aborted: failed" in both["lost"]
 
 
-def test_a_drain_is_kept_within_its_grace_and_the_node_comes_back():
-    found = play(site_with("kind = drain, who = node 3 & node 4, start = 4s, length = 5s"), 2)
-    assert 0 < found["rules"]["drains"]["worst"] < 1.5 and found["broken"] == []
+def test_a_drain_ends_within_its_grace_period_and_breaks_no_rule():
+    report = play(site_with("kind = drain, who = node 3 & node 4, start = 4s, length = 5s"), 2)
+    assert 0 < report["rules"]["drains"]["worst"] < 1.5 and report["broken"] == []
 
 
 @pytest.mark.parametrize(
     "proofs, broken",
     [(PROOFS_NOT_EXECUTED, False), ((*PROOFS_NOT_EXECUTED, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT), True)],
 )
-def test_a_planted_proxy_that_retries_without_proof_is_caught(proofs, broken):
-    """A node that dies may have run what it had; a proxy that sends it again runs it twice."""
-    made = site_with("kind = lost, who = nodes 45%, start = 4s, length = 2s", load="90%")
-    simulation = Simulation(made, 1, clock := VirtualClock(10**12), StaticPolicy, proofs)
+def test_the_rule_on_repeats_detects_a_proxy_that_retries_without_proof(proofs, broken):
+    """A node that is lost may have run its ops; a proxy that sends them again runs them twice."""
+    script = site_with("kind = lost, who = nodes 45%, start = 4s, length = 2s", load="90%")
+    simulation = Simulation(script, 1, clock := VirtualClock(10**12), StaticPolicy, proofs)
     simulation.store.weights = [{table % 9: 1.0, (table + 1) % 9: 1.0} for table in range(36)]
     simulation.start()
-    clock.run(clock.now() + made.site.length)
+    clock.run(clock.now() + script.site.length)
     assert (
         ("repeats" in simulation.environment.rules.broken())
         == broken
@@ -188,36 +188,36 @@
     )
 
 
-def test_a_planted_policy_that_orders_nothing_is_caught_by_the_rules_on_drains_and_slices_without_a_node():
+def test_the_rules_on_drains_and_slices_without_a_node_detect_faulty_policies():
     class OrdersNothing(StaticPolicy):
         def round(self, now, events, out):
-            """Orders nothing, so proxies go on as the store has it."""
+            """Issue no orders, so that proxies keep the tables of the store."""
 
-    made = site_with("kind = drain, who = node 3, start = 3s, length = 8s")
-    assert "drains" in play(made, 1, OrdersNothing)["broken"]
+    script = site_with("kind = drain, who = node 3, start = 3s, length = 8s")
+    assert "drains" in play(script, 1, OrdersNothing)["broken"]
 
     class WithdrawsAllNodes(StaticPolicy):
         def round(self, now, events, out):
             super().round(now, events, out)
-            if self.slices and not hasattr(self, "said"):
-                self.said = [out.set_withdrawn(index, True) for index in self.nodes]
+            if self.slices and not hasattr(self, "has_withdrawn_all_nodes"):
+                self.has_withdrawn_all_nodes = [out.set_withdrawn(index, True) for index in self.nodes]
 
     assert "bare" in play(site_with(), 1, WithdrawsAllNodes)["broken"]
 
 
-def test_an_assigner_that_ends_is_followed_by_the_other_and_its_slices_return():
-    made = site_with("kind = lost, who = conductor 1, start = 3s, length = 2s")
-    simulation = Simulation(made, 1, clock := VirtualClock(10**12))
+def test_slices_of_a_lost_assigner_pass_to_the_other_and_return():
+    script = site_with("kind = lost, who = conductor 1, start = 3s, length = 2s")
+    simulation = Simulation(script, 1, clock := VirtualClock(10**12))
     simulation.start()
-    held = []
+    owned_slices = []
     for at in (2, 7, 18):
         clock.run(10**12 + at * 10**9)
-        held.append(simulation.store.owner.count(1))
-    assert held == [18, 0, 18] and simulation.environment.rules.broken() == []
+        owned_slices.append(simulation.store.owner.count(1))
+    assert owned_slices == [18, 0, 18] and simulation.environment.rules.broken() == []
 
 
 @pytest.mark.parametrize(
-    "fault, says",
+    "fault, expected_text",
     [
         (
             "kind = stall, who = node 1, start = 5s, end = 4s",
@@ -262,14 +262,14 @@
         ("kind = stall, who = , start = 5s, length = 1s", "field who: expected at least one target"),
     ],
 )
-def test_a_fault_that_cannot_be_played_is_refused_with_its_line(fault, says):
-    with pytest.raises(InvalidSettingsError) as found:
+def test_an_invalid_fault_is_rejected_with_its_line_and_reason(fault, expected_text):
+    with pytest.raises(InvalidSettingsError) as error:
         site_with(fault)
-    assert says in str(found.value) and str(found.value).startswith("s.ini")
+    assert expected_text in str(error.value) and str(error.value).startswith("s.ini")
 
 
 @pytest.mark.parametrize(
-    "old, new, says",
+    "old, new, expected_text",
     [
         ("share = 60%", "share = 50%", "must sum to 100%"),
         ("target = 700ms", "target = 3s", "above 0 and at most the op timeout"),
@@ -286,21 +286,23 @@
         ),
     ],
 )
-def test_a_site_that_cannot_be_played_is_refused(old, new, says):
-    with pytest.raises(InvalidSettingsError) as found:
+def test_an_invalid_site_is_rejected_with_its_reason(old, new, expected_text):
+    with pytest.raises(InvalidSettingsError) as error:
         read_script(IniFile("s.ini", SITE.replace(old, new, 1)))
-    assert says in str(found.value)
+    assert expected_text in str(error.value)
 
 
-def test_a_midnight_edit_never_empties_a_key_block_and_each_refusal_names_its_line():
-    found = play(read_script(IniFile.load(str(SCRIPTS / "midnight-edit.ini"))), 3)
-    said = [what for _, what, _ in found["events"] if what.startswith("list")]
-    assert [what.split(":")[0] for what in said] == ["list refused"] * 4 + ["list waiting"] + ["list accepted"] * 4
-    assert "stands in zone" in said[1] and all("nodes.ini" in what for what in said[:4])
-    assert found["broken"] == [] and found["rules"]["bare"]["worst"] == 0 and found["service"] > 0.99
+def test_the_edits_of_midnight_edit_leave_no_slice_without_a_node_and_each_refusal_names_the_file():
+    report = play(read_script(IniFile.load(str(SCRIPTS / "midnight-edit.ini"))), 3)
+    list_events = [text for _, text, _ in report["events"] if text.startswith("list")]
+    assert [text.split(":")[0] for text in list_events] == ["list refused"] * 4 + ["list waiting"] + [
+        "list accepted"
+    ] * 4
+    assert "stands in zone" in list_events[1] and all("nodes.ini" in text for text in list_events[:4])
+    assert report["broken"] == [] and report["rules"]["bare"]["worst"] == 0 and report["service"] > 0.99
 
 
-def test_an_edit_needs_node_files():
+def test_an_edit_fault_without_node_files_is_rejected():
     with pytest.raises(InvalidSettingsError, match="needs a section \\[files\\]"):
         site_with("kind = edit, who = nodes, start = 3s, length = 3s")
 
@@ -315,24 +317,24 @@
     assert (
         counts["asked"]
         == simulation.environment.score.ended_ops
-        == sum(counts[word] for word in ("acked", "rejected", "aborted"))
+        == sum(counts[verdict] for verdict in ("acked", "rejected", "aborted"))
         > 500
     )
     assert simulation.environment.score.latest_end_ns <= 0 and not any(proxy.ops for proxy in simulation.proxies)
 
 
 def test_load_follows_the_script_over_time():
-    made = read_script(
+    script = read_script(
         IniFile("s.ini", SITE + "\n[load more]\nat = 5s\nload = 100%\n[load none]\nat = 10s\nload = 0\n")
     )
-    simulation = Simulation(made, 1, VirtualClock(10**12))
+    simulation = Simulation(script, 1, VirtualClock(10**12))
     rates = [simulation.load.ops_per_s(10**12 + at * 10**9) for at in (0, 5, 10)]
     assert rates[1] == pytest.approx(2 * rates[0]) and rates[2] == 0
 
 
-def test_the_mean_in_a_nodes_timeline_is_that_of_its_good_attempts():
+def test_a_nodes_timeline_has_the_mean_latency_of_its_successful_attempts():
     score = ServiceScore(site_with(), 0)
-    for good, time in ((True, 20), (False, 700), (True, 40)):
-        score.attempt_ended(10**9, 2, good, time * 10**6)
+    for succeeded, latency_ms in ((True, 20), (False, 700), (True, 40)):
+        score.attempt_ended(10**9, 2, succeeded, latency_ms * 10**6)
     score.attempt_ended(3 * 10**9, 2, False, 10**6)
     assert score.timelines()[2] == [[1, 3, 1, 30.0], [3, 1, 1, None]]
