--- a/kestrelplank/emulator/clients.py
+++ b/kestrelplank/emulator/clients.py
@@ -15,7 +15,7 @@
 
 
 class EmulatedClients:
-    """Send each op to a random proxy that is alive."""
+    """Clients that send each op to a random proxy that is alive."""
 
     def __init__(
         self,
--- a/kestrelplank/emulator/fault_injector.py
+++ b/kestrelplank/emulator/fault_injector.py
@@ -60,7 +60,7 @@
         }
 
     def schedule_all(self) -> None:
-        """Schedule the begin of each fault in the script."""
+        """Schedule the start of each fault in the script."""
         started_at = self._environment.started_at
         for scheduled in self._environment.script.faults:
             self._schedule(scheduled, started_at)
@@ -138,7 +138,7 @@
     # Pauses.
 
     def _stall(self, active: ActiveFault) -> None:
-        """Pause each target once in every `every`, at its own random offset."""
+        """Pause each target once per interval `every`, at a random offset of its own."""
         random, fault, now = self._environment.random("stall", active.name), active.fault, self._clock.now()
         for node in active.targets.nodes:
             for at in range(now + random.randrange(fault.every), active.ends_at, fault.every):
--- a/kestrelplank/emulator/fault_selector.py
+++ b/kestrelplank/emulator/fault_selector.py
@@ -11,7 +11,7 @@
 FULL_PERCENT = 100
 SHARE_PATTERN = re.compile(r"(\d+(?:\.\d+)?)%")
 
-TargetKind = Literal["node", "relay", "conductor"]  # words of scripts for nodes, proxies and assigners
+TargetKind = Literal["node", "relay", "conductor"]  # names in scripts of nodes, proxies and assigners
 
 
 class FaultSelector(Struct, frozen=True):
--- a/kestrelplank/emulator/ideal_placement.py
+++ b/kestrelplank/emulator/ideal_placement.py
@@ -17,7 +17,7 @@
 INTERVAL_NS = 50 * MILLISECOND
 REBALANCE_FACTOR = 1.25  # times the mean load, above which slices are moved off the most loaded node
 MAX_MOVES = 4  # because of load, per interval
-COLD_SHARE = 0.5  # of the overload multiple: the most load that is placed on a cold node
+COLD_SHARE = 0.5  # of `fall_multiple`: limit of the load that is placed on a cold node
 
 
 class NodeLoads:
--- a/kestrelplank/emulator/node_faults.py
+++ b/kestrelplank/emulator/node_faults.py
@@ -4,10 +4,10 @@
 
 
 class NodeFaultKind(Enum):
-    """The effect of a fault. The values are the words of scripts."""
+    """The effect of a fault. The values are the kinds of faults in scripts."""
 
     STALL = "stall"  # no op advances, and nothing is read
-    SILENT = "silent"  # unreachable: stalled, and all that is sent to it is lost
+    SILENT = "silent"  # unreachable: as STALL, and nothing is answered
     SLOW = "slow"  # slower by a factor
     FAIL = "fail"  # a share of ops fails at once
     MUTE = "mute"  # a share of answers is lost
--- a/kestrelplank/emulator/rule_checks.py
+++ b/kestrelplank/emulator/rule_checks.py
@@ -16,8 +16,8 @@
 class Rule(Enum):
     """The rules, by the names that reports use."""
 
-    SLICE_WITHOUT_NODE = "bare"  # how long a proxy may have no node for a slice (s)
-    REPEATED_OP = "repeats"  # how often an op that may run once ran again
+    SLICE_WITHOUT_NODE = "bare"  # how long a proxy has no node for a slice (s)
+    REPEATED_OP = "repeats"  # repeated runs of ops that may run at most once
     DRAIN = "drains"  # how long ops are still sent to a node that drains or has been removed (s)
     COLD_NODE = "cold"  # work sent to a cold node over its budget
     CHANNEL_QUEUE = "queue"  # orders queued in an assigner's channel
--- a/kestrelplank/emulator/service_score.py
+++ b/kestrelplank/emulator/service_score.py
@@ -14,7 +14,7 @@
 
 
 class ServiceScore:
-    """Service is the value acked within the latency target over the value requested; an op counts once."""
+    """Service is the value acked within the latency target over the value requested; an op counts once, not per attempt."""
 
     def __init__(self, script: Script, started_at: int) -> None:
         self._op_types, self._names = list(script.op_types.values()), list(script.op_types)
--- a/kestrelplank/emulator/slice_store.py
+++ b/kestrelplank/emulator/slice_store.py
@@ -32,9 +32,7 @@
         site = environment.script.site
         self.weights: list[dict[int, float]] = [{} for _ in range(site.slices)]  # by slice: the weights of its nodes
         self.owner: list[int | None] = [None] * site.slices
-        self.home = [
-            number % site.conductors for number in range(site.slices)
-        ]  # the owner while all assigners are alive
+        self.home = [number % site.conductors for number in range(site.slices)]  # owner while all assigners live
         self.assigned_at = [0] * site.slices
         self._channel_free_at = [0] * site.conductors  # by assigner: when its channel has sent all queued orders
         self.messages = self.orders_sent = self.moves = self._last_stream = 0
