--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -23,7 +23,7 @@
 from kestrelplank.policy import Policy
 from kestrelplank.rehearsal.stub_server import SocketKit
 from kestrelplank.settings.operator import NodeFileSettings
-from kestrelplank.state.change_guard import ChangeLimits, judge
+from kestrelplank.state.change_guard import ChangeLimits, evaluate_change
 from kestrelplank.state.node_set import ListedNode, NodeSet, assemble
 from kestrelplank.state.reported_nodes import ReportedNodes, ReportSettings
 from kestrelplank.time_units import MILLISECOND as MS
@@ -75,7 +75,9 @@
     )
     timed("all parts checked and put together, with the hash", lambda: assemble(parts))
     fewer = NodeSet(dict(list(made.nodes.items())[: -nodes // 100]))
-    timed("the difference of two sets, judged", lambda: judge(made, fewer, (), 0, ChangeLimits(0.25, 0, False)))
+    timed(
+        "the difference of two sets, judged", lambda: evaluate_change(made, fewer, (), 0, ChangeLimits(0.25, 0, False))
+    )
     reported = ReportedNodes(ReportSettings(1000 * MS, 0.1))
     reported.accept(0, made)
     timed("what to tell of a set that lacks a hundredth", lambda: (reported.accept(1, fewer), reported.advance(1)), 1)
@@ -125,16 +127,16 @@
         )
         source = NodeFiles(kit.loop, Counters(Quiet(), kit.loop.now), nodes, 1, Ids(text), {}, on_event)
         took = []
-        while source.intake.node_set is None:
+        while source.node_set_in_force.node_set is None:
             kit.loop.at(kit.loop.now() + MS, lambda: None)
-            kit.loop.turn()
+            kit.loop.run_once()
         heard.clear()
         for turn in range(number):
             write_atomically(path, (whole if turn % 2 else drained).encode())
             took.append(kit.loop.now())
             while len(heard) <= turn:
                 kit.loop.at(kit.loop.now() + MS, lambda: None)
-                kit.loop.turn()
+                kit.loop.run_once()
         late = sorted(at - begun - quiet for begun, at in zip(took, heard))
         source.close()
         kit.loop.close()
--- a/kestrelplank/assigner/membership_gossip.py
+++ b/kestrelplank/assigner/membership_gossip.py
@@ -6,7 +6,7 @@
 from kestrelplank.sockets.loop import Loop
 from kestrelplank.state.membership import Membership
 from kestrelplank.state.membership_datagram import MalformedDatagramError
-from kestrelplank.state.zone_load import ObservedNode, combined, zone_sums
+from kestrelplank.state.zone_load import ObservedNode, combine_zone_sums, zone_sums
 
 SUMS_VALID_NS = 3_000_000_000  # of other assigners, in what is shown
 
@@ -51,13 +51,15 @@
         try:
             self._counters.add("members_news" if self._membership.receive(self._loop.now(), body) else "members_old")
         except MalformedDatagramError as err:
-            self._counters.trouble("members_unreadable", err)
+            self._counters.record_fault("members_unreadable", err)
 
     def status(self) -> dict[str, object]:
         """Return who is alive, and the zones as all assigners see them together."""
         now = self._loop.now()
         view = self._membership.view(now)
-        zones = combined(zone_sums(self._nodes(), self._best()), self._membership.zone_sums(now, SUMS_VALID_NS))
+        zones = combine_zone_sums(
+            zone_sums(self._nodes(), self._best()), self._membership.zone_sums(now, SUMS_VALID_NS)
+        )
         return {
             "view": view.version,
             "alive": view.alive,
--- a/kestrelplank/emulator/order_collector.py
+++ b/kestrelplank/emulator/order_collector.py
@@ -41,7 +41,7 @@
         """Order the share of ops that is admitted."""
         self.orders.append(SetAdmission(table, op_types, share, retry_mode))
 
-    def request_acknowledgement(self, watermark: int, everyone: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002 - interface
+    def request_acknowledgement(self, watermark: int, all_proxies: bool, backlog_ns: int = 0) -> None:  # noqa: ARG002 - interface
         """Order that proxies acknowledge when they have applied all orders before this one."""
         self.orders.append(RequestAcknowledgement(watermark))
 
--- a/kestrelplank/emulator/sharded_service.py
+++ b/kestrelplank/emulator/sharded_service.py
@@ -68,7 +68,7 @@
         self._waiting: list[tuple[float, int]] = []  # requests for keys without an owner: arrival time and key
         self._releases: list[tuple[float, ReleaseKeyRange]] = []  # time of each answer, and the release
         self.begin_term(1, None, None)
-        self.key_ranges.divide(4 * len(speeds))
+        self.key_ranges.create_initial_ranges(4 * len(speeds))
 
     def begin_term(
         self,
--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from kestrelplank.assigner.counters import Counters
-from kestrelplank.decode import Ids, Malformed
+from kestrelplank.decode import Ids, MalformedError
 from kestrelplank.file_discovery.atomic_write import write_atomically
 from kestrelplank.file_discovery.file_watcher import FileWatcher
 from kestrelplank.file_discovery.node_list import parse_node_list
@@ -18,9 +18,9 @@
 from kestrelplank.settings.operator import NodeFileSettings
 from kestrelplank.sockets.loop import Loop, Timer
 from kestrelplank.state.change_guard import ChangeLimits, Decision
-from kestrelplank.state.debounce import Debounce, Reading
+from kestrelplank.state.debounce import Debounce, DebounceResult
 from kestrelplank.state.node_set import NodeList
-from kestrelplank.state.node_set_in_force import NodeSetInForce, StoredNodeSet, restored
+from kestrelplank.state.node_set_in_force import NodeSetInForce, StoredNodeSet, decode_stored_node_set
 from kestrelplank.state.reported_nodes import ReportSettings
 from kestrelplank.state.sealed import digest_of
 
@@ -46,12 +46,12 @@
     """
     try:
         with open(path, "rb") as file:  # noqa: PTH123 - one call less than by Path, at the start of a program
-            return restored(file.read())
+            return decode_stored_node_set(file.read())
     except FileNotFoundError:
         return None
     except OSError as err:
         raise InvalidSettingsError(f"can't be read: {err.strerror}", file=path) from None
-    except Malformed as err:
+    except MalformedError as err:
         raise InvalidSettingsError(str(err), file=path) from None
 
 
@@ -83,7 +83,7 @@
         self._read_timers: dict[str, Timer] = {}  # of files that are to be read again
         self._decide_timer: Timer | None = None
         self._report_timer: Timer | None = None
-        self.intake = self._restored_intake()
+        self.node_set_in_force = self._restore_node_set_in_force()
         self._report_accepted()
         self._watcher = self._new_watcher()
 
@@ -98,7 +98,7 @@
     def reload(self, settings: NodeFileSettings) -> None:
         """Take the operator's file as it was read anew; files that it no longer names are no longer waited for."""
         self._settings = settings
-        self.intake.limits = self._guard_terms()
+        self.node_set_in_force.limits = self._guard_terms()
         self._reporter.set_terms(self._report_settings())
         former_paths = self._watcher.paths()
         self._watcher.close()
@@ -107,7 +107,7 @@
         for path in former_paths:
             if path not in self._watcher.paths():
                 self._debounce.forget(path)
-                self.intake.remove_file(path)
+                self.node_set_in_force.remove_file(path)
         self._decide()
 
     def close(self) -> None:
@@ -134,16 +134,16 @@
             self._settings.poll_interval_ns,
             use_events=self._settings.events,
             on_change=self._read,
-            on_trouble=lambda reason: self._counters.trouble("files_watch_troubles", reason),
+            on_trouble=lambda reason: self._counters.record_fault("files_watch_troubles", reason),
         )
 
-    def _restored_intake(self) -> NodeSetInForce:
+    def _restore_node_set_in_force(self) -> NodeSetInForce:
         if not self._settings.state_path:
             return NodeSetInForce(self._guard_terms())
         try:
             state = load_state(self._settings.state_path)
         except InvalidSettingsError as err:  # the set in force is lost; the files still say what shall be
-            self._counters.trouble("files_state_refused", err)
+            self._counters.record_fault("files_state_refused", err)
             return NodeSetInForce(self._guard_terms())
         if state is None:
             return NodeSetInForce(self._guard_terms())
@@ -165,13 +165,13 @@
             digest, problem = f"!{err.errno}", f"{path}: can't be read: {err.strerror}"
         except InvalidSettingsError as err:
             digest, problem = "!size", str(err)
-        outcome = self._debounce.see(now, path, digest)
-        if outcome is Reading.SETTLED:
+        outcome = self._debounce.observe(now, path, digest)
+        if outcome is DebounceResult.SETTLED:
             self._counters.add("files_read")
-            self.intake.update_file(path, problem or self._parsed(path, data))
+            self.node_set_in_force.update_file(path, problem or self._parsed(path, data))
         elif isinstance(outcome, int):
             self._read_again_at(path, outcome)
-        if outcome in (Reading.SETTLED, Reading.SAME) and self._debounce.at_rest(now):
+        if outcome in (DebounceResult.SETTLED, DebounceResult.SAME) and self._debounce.may_decide(now):
             self._decide()
 
     def _parsed(self, path: str, data: bytes) -> NodeList | str:
@@ -190,9 +190,9 @@
     # Deciding is the cores' part; this does what they say.
 
     def _decide(self) -> None:
-        outcome = self.intake.decide(self._loop.now())
-        if self.intake.decide_at is not None:
-            self._decide_timer = self._replaced(self._decide_timer, self.intake.decide_at, self._decide)
+        outcome = self.node_set_in_force.decide(self._loop.now())
+        if self.node_set_in_force.decide_at is not None:
+            self._decide_timer = self._replaced(self._decide_timer, self.node_set_in_force.decide_at, self._decide)
         if outcome is None:
             return
         if outcome.decision is Decision.ACCEPTED:
@@ -202,20 +202,20 @@
             self._report_accepted()
         else:
             name = "files_refused" if outcome.decision is Decision.REFUSED else "files_waiting"
-            self._counters.trouble(name, outcome.reason, in_force=outcome.version, hash=outcome.short_hash)
+            self._counters.record_fault(name, outcome.reason, in_force=outcome.version, hash=outcome.short_hash)
 
     def _save(self) -> None:
         path = self._settings.state_path
         if path:
             try:
-                write_atomically(path, self.intake.stored())
+                write_atomically(path, self.node_set_in_force.encode())
             except OSError as err:  # the set holds all the same; a restart would know an older one
-                self._counters.trouble("files_state_not_saved", f"{path}: {err.strerror}")
+                self._counters.record_fault("files_state_not_saved", f"{path}: {err.strerror}")
 
     def _report_accepted(self) -> None:
         """Tell the policy of the set that is in force now, if there is one."""
-        if self.intake.node_set is not None:
-            self._reporter.accept(self._loop.now(), self.intake.node_set)
+        if self.node_set_in_force.node_set is not None:
+            self._reporter.accept(self._loop.now(), self.node_set_in_force.node_set)
             self._report()
 
     def _report(self) -> None:
--- a/kestrelplank/reference_proxy/client_connections.py
+++ b/kestrelplank/reference_proxy/client_connections.py
@@ -43,7 +43,7 @@
         self.connections[number] = ClientConnection(self._io, self._admission, self._handler, sock, number)
 
     def _accept_failed(self, why: str) -> None:
-        self._io.counters.trouble("accept_failed", why)
+        self._io.counters.record_fault("accept_failed", why)
 
     def forget(self, client: ClientConnection) -> None:
         """Forget a connection that has ended."""
@@ -52,7 +52,7 @@
 
     def close_late(self) -> None:
         """Close who sends no complete head in time, or nothing for too long."""
-        late = self._admission.late_connections(self._io.loop.now(), stopping=self._handler.stopping)
+        late = self._admission.expired_connections(self._io.loop.now(), stopping=self._handler.stopping)
         for number, reason in late:
             client = self.connections.get(number)
             if client is None:
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -17,7 +17,7 @@
     PutRecord,
 )
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.control_state import NO_CHANGE, ApplyResult, ControlState
 
 MEMBERS = ChangeMembership(Membership(2, ("a:1/first", "b:1/first")))
@@ -106,7 +106,7 @@
     ],
 )
 def test_an_order_is_acknowledged_once_it_is_in_force_or_overtaken(commands, asked, answer):
-    assert applied(*commands)[0].acknowledges(asked) is answer
+    assert applied(*commands)[0].is_decided(asked) is answer
 
 
 def test_the_configuration_in_force_is_compiled_once_and_again_for_the_next():
@@ -171,7 +171,7 @@
 def test_a_snapshot_that_cannot_be_read_changes_nothing(snapshot, names):
     state, _ = applied(FIVE, VIEWS)
     before = state.snapshot()
-    with pytest.raises(Malformed, match=names):
+    with pytest.raises(MalformedError, match=names):
         state.restore(snapshot)
     assert state.snapshot() == before and state.parsed.key.version == 5
 
@@ -180,7 +180,7 @@
     state, _ = applied(BOTH, VIEWS, ORDERS)
     whole = state.snapshot()
     for end in range(len(whole)):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedError):
             ControlState().restore(whole[:end])
 
 
