--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -1,9 +1,12 @@
-"""What a request costs the edge program, by hand: one edge process, a server that answers at once and clients that ask
-again at once, each in a process of its own on loopback. `python benchmarks/edge.py [SECONDS] [--profile]`.
+"""Measures what a request costs the edge program: `python benchmarks/edge.py [SECONDS] [--profile]`.
 
-With `--rate=N` requests come at so many a second, at random times, and what the edge adds to each is told: the time to
-the whole answer, beside that of the same requests sent straight to the server. `--servers=N`: so many are listed, in
-180 services, 34 of them or all if fewer of the one that is asked."""
+One edge process, a server that responds immediately and clients that send the next request as soon as they have a
+response run on loopback, each in a process of its own.
+
+With `--rate=N`, N requests a second arrive at random times, and the latency that the edge adds is printed: the time to
+the complete response, compared with requests sent directly to the server. `--servers=N` sets the length of the server
+list: 180 services, of which the requested one has 34 servers, or all if there are fewer.
+"""
 
 import asyncio
 import cProfile
@@ -23,7 +26,7 @@
 from kestrelplank.transport.messages import ConfigurationUpdate
 
 IP, CLIENTS = "127.0.0.1", 8
-ASKED_SERVERS, OTHER_SERVICES = 34, 179  # servers of the service that is asked, and the other services
+TARGET_SERVERS, OTHER_SERVICES = 34, 179  # servers of the requested service; number of other services
 CONFIGURATION = json.dumps(
     {
         "config_version": "00000007",
@@ -38,18 +41,18 @@
         ],
     }
 ).encode()
-ASK = (
+REQUEST = (
     b"GET /a/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: %016x\r\nX-Deadline-Remaining: 1500\r\n"
     b"X-Shard-Key: 4711\r\n\r\n"
 )
-ANSWER = (
+RESPONSE = (
     b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: s\r\nX-Server-Load: 1,0,2\r\n"
     b"Keep-Alive: timeout=10\r\nContent-Length: 400\r\n\r\n" + bytes(400)
 )
 
 
-class Serving(asyncio.Protocol):
-    """A server that answers each request at once."""
+class ServerProtocol(asyncio.Protocol):
+    """A server that responds to each request immediately."""
 
     def connection_made(self, transport):
         self.transport, self.buffer = transport, b""
@@ -59,26 +62,29 @@
         while b"\r\n\r\n" in self.buffer:
             head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
             lines = (line for line in head.split(b"\r\n") if line.lower().startswith(b"x-attempt"))
-            self.transport.write(ANSWER % next(lines).split(b": ")[1])
+            self.transport.write(RESPONSE % next(lines).split(b": ")[1])
 
 
-def listed(servers, server_port):
-    """The platform's list: the servers that are asked, each at an address of its own, and those of other services."""
-    asked = min(servers, ASKED_SERVERS)
-    found = [(f"views-{at}", "views", f"127.0.0.{at + 1}:{server_port}", "hall", 64, "ready", 0) for at in range(asked)]
-    for at in range(servers - asked):
-        address = f"10.{at >> 16}.{at >> 8 & 255}.{at & 255}:80"
-        found.append((f"i-{at:08x}", f"other-{at % OTHER_SERVICES}", address, "hall", 2, "ready", 0))
-    return found
+def server_list(servers, server_port):
+    """A server list: servers of the requested service, each at an address of its own, and those of other services."""
+    target_count = min(servers, TARGET_SERVERS)
+    entries = [
+        (f"views-{index}", "views", f"127.0.0.{index + 1}:{server_port}", "hall", 64, "ready", 0)
+        for index in range(target_count)
+    ]
+    for index in range(servers - target_count):
+        address = f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:80"
+        entries.append((f"i-{index:08x}", f"other-{index % OTHER_SERVICES}", address, "hall", 2, "ready", 0))
+    return entries
 
 
-async def serve(port, servers):
-    hosts = [f"127.0.0.{at + 1}" for at in range(min(servers, ASKED_SERVERS))]
-    server = await asyncio.get_running_loop().create_server(Serving, hosts, port)
+async def run_server(port, servers):
+    hosts = [f"127.0.0.{index + 1}" for index in range(min(servers, TARGET_SERVERS))]
+    server = await asyncio.get_running_loop().create_server(ServerProtocol, hosts, port)
     await server.serve_forever()
 
 
-async def edge(port, server_port, servers, seconds, profile, results):
+async def run_edge(port, server_port, servers, seconds, profile, results):
     from kestrelplank.edge.program import EdgeProgram
 
     program = EdgeProgram(
@@ -91,7 +97,7 @@
     )
     program.listen()
     program.receive("member", ConfigurationUpdate(7, CONFIGURATION))
-    program.receive("member", ServerListUpdate(0, listed(servers, server_port)))
+    program.receive("member", ServerListUpdate(0, server_list(servers, server_port)))
     await asyncio.sleep(1)
     profiler, processor_s = cProfile.Profile(), time.process_time()
     if profile:
@@ -103,7 +109,7 @@
         pstats.Stats(profiler).sort_stats("tottime").print_stats(45)
 
 
-async def ask(port, seconds, results):
+async def run_clients(port, seconds, results):
     await asyncio.sleep(0.9)
     until, counts = time.monotonic() + seconds, [0] * CLIENTS
 
@@ -112,7 +118,7 @@
         number = index << 32
         while time.monotonic() < until:
             number += 1
-            writer.write(ASK % number)
+            writer.write(REQUEST % number)
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200"), head
             await reader.readexactly(400)
@@ -123,38 +129,40 @@
     results.send(sum(counts))
 
 
-async def pace(ports, seconds, rate, results):
-    """Requests at random times to each of the ports by turns; milliseconds that each took, by port."""
+async def run_paced_clients(ports, seconds, rate, results):
+    """Send requests at random times to the ports in turn; the result is each request's duration in ms, by port."""
     await asyncio.sleep(0.9)
-    spare, took, number = {port: [] for port in ports}, {port: [] for port in ports}, 0
+    idle, durations_ms, number = {port: [] for port in ports}, {port: [] for port in ports}, 0
 
-    async def one(port, number):
-        began = time.perf_counter()
-        reader, writer = spare[port].pop() if spare[port] else await asyncio.open_connection(IP, port)
-        writer.write(ASK % number)
+    async def send_request(port, number):
+        started = time.perf_counter()
+        reader, writer = idle[port].pop() if idle[port] else await asyncio.open_connection(IP, port)
+        writer.write(REQUEST % number)
         head = await reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200"), head
         await reader.readexactly(400)
-        took[port].append(1000 * (time.perf_counter() - began))
-        spare[port].append((reader, writer))
+        durations_ms[port].append(1000 * (time.perf_counter() - started))
+        idle[port].append((reader, writer))
 
     due, until, tasks = time.monotonic(), time.monotonic() + seconds, []
     while due < until:
         await asyncio.sleep(max(0, due - time.monotonic()))
         number += 1
-        tasks.append(asyncio.create_task(one(ports[number % len(ports)], number)))
+        tasks.append(asyncio.create_task(send_request(ports[number % len(ports)], number)))
         due += random.expovariate(rate * len(ports))
     await asyncio.gather(*tasks)
-    results.send([took[port] for port in ports])
+    results.send([durations_ms[port] for port in ports])
 
 
-def option(name, usual):
-    """The number that was given as `--name=N`."""
-    return int(next((word.split("=")[1] for word in sys.argv[1:] if word.startswith(f"--{name}=")), usual))
+def integer_option(name, default):
+    """The number given as `--name=N` on the command line, or the default."""
+    return int(
+        next((argument.split("=")[1] for argument in sys.argv[1:] if argument.startswith(f"--{name}=")), default)
+    )
 
 
-def free_ports():
-    """The first of ten ports of which those used here are free, below those that the system gives away by itself."""
+def find_free_ports():
+    """The first of ten ports below the ephemeral range; those that this benchmark uses are free."""
     while True:
         first = random.randrange(20_000, 30_000)
         try:
@@ -166,36 +174,40 @@
 
 
 def main():
-    seconds = float(next((word for word in sys.argv[1:] if not word.startswith("-")), "5"))
-    rate, servers = option("rate", 0), option("servers", 1)
-    port = free_ports()
+    seconds = float(next((argument for argument in sys.argv[1:] if not argument.startswith("-")), "5"))
+    rate, servers = integer_option("rate", 0), integer_option("servers", 1)
+    port = find_free_ports()
     pipes = [multiprocessing.Pipe(False) for _ in range(2)]
-    work = [
-        (serve, (port + 9, servers)),
-        (edge, (port, port + 9, servers, seconds, "--profile" in sys.argv, pipes[0][1])),
-        (pace, ((port, port + 9), seconds, rate, pipes[1][1])) if rate else (ask, (port, seconds, pipes[1][1])),
+    tasks = [
+        (run_server, (port + 9, servers)),
+        (run_edge, (port, port + 9, servers, seconds, "--profile" in sys.argv, pipes[0][1])),
+        (run_paced_clients, ((port, port + 9), seconds, rate, pipes[1][1]))
+        if rate
+        else (run_clients, (port, seconds, pipes[1][1])),
     ]
-    processes = [multiprocessing.Process(target=run, args=one, daemon=True) for one in work]
+    processes = [multiprocessing.Process(target=run_coroutine, args=task, daemon=True) for task in tasks]
     for process in processes:
         process.start()
-    if not all(end.poll(seconds + 10) for end, _ in pipes):
-        sys.exit("one of the processes failed")
-    (processor_s, memory), count = pipes[0][0].recv(), pipes[1][0].recv()
+    if not all(receiver.poll(seconds + 10) for receiver, _ in pipes):
+        sys.exit("no result in time from the edge process or the clients")
+    (processor_s, memory_kb), count = pipes[0][0].recv(), pipes[1][0].recv()
     if rate:
-        through, straight = ([quantiles(took, n=1000)[at] for at in (499, 899, 989)] for took in count)
-        for name, one, other in zip(("half", "9 in 10", "99 in 100"), through, straight):
-            print(f"{name}: {one:.2f} ms, straight to the server {other:.2f}, added {one - other:.2f}")
+        via_edge, direct = (
+            [quantiles(durations_ms, n=1000)[rank] for rank in (499, 899, 989)] for durations_ms in count
+        )
+        for name, edge_ms, direct_ms in zip(("p50", "p90", "p99"), via_edge, direct):
+            print(f"{name}: {edge_ms:.2f} ms, directly to the server {direct_ms:.2f}, added {edge_ms - direct_ms:.2f}")
         count = len(count[0])
     print(
-        f"{count / seconds:.0f} requests a second, {1e6 * processor_s / count:.0f} us of processor each, "
-        f"{memory / 1024:.0f} MB at most"
+        f"{count / seconds:.0f} requests a second, {1e6 * processor_s / count:.0f} us of processor time each, "
+        f"{memory_kb / 1024:.0f} MB peak memory"
     )
     processes[1].join(5)
     processes[0].terminate()
 
 
-def run(what, given):
-    asyncio.run(what(*given))
+def run_coroutine(function, arguments):
+    asyncio.run(function(*arguments))
 
 
 if __name__ == "__main__":
--- a/benchmarks/endpoints.py
+++ b/benchmarks/endpoints.py
@@ -1,12 +1,14 @@
-"""What a request and a report cost an edge member by the number of servers that it knows, and what it keeps of them and
-of key ranges, by hand: `python benchmarks/endpoints.py`. Without sockets, which `benchmarks/edge.py` has."""
+"""Measures an edge member's requests and load reports by the number of servers: `python benchmarks/endpoints.py`.
+
+Also measured: memory of the server list and of key ranges. Runs without sockets; `benchmarks/edge.py` uses them.
+"""
 
 import json
 from random import Random
 
 import msgspec
 from server_list import entries
-from slopes import held, number, spent, table
+from slopes import format_number, markdown_table, measure_memory, min_processor_ms
 
 from kestrelplank.consensus.member_messages import ServerListUpdate
 from kestrelplank.forwarding.forwarder import Forwarder
@@ -28,13 +30,13 @@
 
 S, MS = 1_000_000_000, 1_000_000
 MEMBERS = ("10.0.0.1:80",)
-RANGES = 6  # a server, as the pass ends up with
-REQUESTS, REPORT = 500, S // 2
-PER_S = 71  # requests a second of one edge member: 39,000 before 550
+RANGES_PER_SERVER = 6  # what placement converges to
+REQUESTS, REPORT_INTERVAL_NS = 500, S // 2
+REQUESTS_PER_S = 71  # of one edge member: 39,000 requests a second over 550 members
 
 
 def configuration(services: list[str], sharded: bool) -> bytes:
-    """A route for each service."""
+    """A configuration with one route for each service."""
     routes = [
         {"path_prefix": f"/{name}/", "route_type": "idempotent", "timeout_s": 1.5, "target_service": name}
         for name in services
@@ -51,24 +53,30 @@
 
 
 class Edge:
-    """An edge member that knows so many servers of so many services."""
+    """An edge member with a server list of `count` servers over `services` services."""
 
     def __init__(self, count: int, services: int, sharded: bool) -> None:
         self.random, self.now = Random(1), 100 * S
-        listed = [(one[0], f"service-{at % services:03d}", *one[2:]) for at, one in enumerate(entries(count))]
-        self.services = sorted({one[1] for one in listed})
+        server_list = [
+            (server[0], f"service-{index % services:03d}", *server[2:]) for index, server in enumerate(entries(count))
+        ]
+        self.services = sorted({server[1] for server in server_list})
         self.view = EdgeView("edge-1", MEMBERS)
         self.forwarder = Forwarder(self.random, self.view, "zone-0", 0.2, 144)
         self.view.receive(self.now, MEMBERS[0], ConfigurationUpdate(7, configuration(self.services, sharded)))
-        self.view.receive(self.now, MEMBERS[0], ServerListUpdate(0, listed))
+        self.view.receive(self.now, MEMBERS[0], ServerListUpdate(0, server_list))
         self.forwarder.endpoints.update(self.now, self.view.servers.entries.values())
         for name in self.services if sharded else ():
-            self.view.receive(self.now, MEMBERS[0], ranges(name, [one for one in listed if one[1] == name], 1))
+            self.view.receive(
+                self.now,
+                MEMBERS[0],
+                key_ranges_update(name, [server for server in server_list if server[1] == name], 1),
+            )
 
     def requests(self) -> None:
-        """Requests one after the other, each answered at once, and told of every so often."""
+        """Forward requests one after the other; each is answered successfully."""
         for _ in range(REQUESTS):
-            self.now += S // PER_S
+            self.now += S // REQUESTS_PER_S
             service = self.random.choice(self.services)
             key = str(self.random.randrange(KEY_COUNT))
             request = self.forwarder.admit(self.now, "shop.example", f"/{service}/x", key, S)
@@ -77,8 +85,8 @@
             self.forwarder.attempt_ended(self.now + 100 * MS, request, CallOutcome.ANSWERED, (1, 0, 2))
 
     def report(self) -> bytes:
-        """What it tells in half a second, as it goes over the wire."""
-        for _ in range(PER_S * REPORT // S):
+        """The encoded load reports for half a second of requests."""
+        for _ in range(REQUESTS_PER_S * REPORT_INTERVAL_NS // S):
             service = self.random.choice(self.services)
             request = self.forwarder.admit(self.now, "shop.example", f"/{service}/x", "4711", S)
             self.forwarder.next_step(self.now, request)
@@ -89,63 +97,67 @@
         )
 
 
-def ranges(service: str, listed: list[tuple], seq: int) -> KeyRangesUpdate:
-    """All key ranges of a service, each server having some."""
-    count = RANGES * len(listed)
-    lines = [
+def key_ranges_update(service: str, servers: list[tuple], seq: int) -> KeyRangesUpdate:
+    """A complete update of a service's key ranges, dealt to its servers in turn."""
+    count = RANGES_PER_SERVER * len(servers)
+    holders = [
         RangeHolder(
-            KEY_COUNT * at // count,
-            KEY_COUNT * (at + 1) // count - 1,
-            listed[at % len(listed)][0],
-            listed[at % len(listed)][2],
+            KEY_COUNT * index // count,
+            KEY_COUNT * (index + 1) // count - 1,
+            servers[index % len(servers)][0],
+            servers[index % len(servers)][2],
         )
-        for at in range(count)
+        for index in range(count)
     ]
-    return KeyRangesUpdate(service, KeyRangesVersion(1, seq), lines)
+    return KeyRangesUpdate(service, KeyRangesVersion(1, seq), holders)
 
 
-def figures(count: int, services: int) -> dict[str, float]:
-    """Microseconds a request, milliseconds a list, kilobytes kept and told."""
-    plain, plain_kept = held(lambda: Edge(count, services, False))
-    keyed, keyed_kept = held(lambda: Edge(count, services, True))
-    whole = [
-        ranges(name, [one for one in keyed.view.servers.entries.values() if one.service == name], 2)
-        for name in keyed.services
+def measure(count: int, services: int) -> dict[str, float]:
+    """Time of a request in us and of an update in ms, and sizes in KB."""
+    unsharded, unsharded_kb = measure_memory(lambda: Edge(count, services, False))
+    sharded, sharded_kb = measure_memory(lambda: Edge(count, services, True))
+    updates = [
+        key_ranges_update(
+            name, [server for server in sharded.view.servers.entries.values() if server.service == name], 2
+        )
+        for name in sharded.services
     ]
-    whole = [decode_at_edge(encode(news)) for news in whole]
+    updates = [decode_at_edge(encode(update)) for update in updates]
     seq = 2
 
-    def told_whole() -> None:
+    def receive_all_ranges() -> None:
         nonlocal seq
         seq += 1
-        for news in whole:
-            keyed.view.receive(keyed.now, MEMBERS[0], msgspec.structs.replace(news, version=KeyRangesVersion(1, seq)))
+        for update in updates:
+            sharded.view.receive(
+                sharded.now, MEMBERS[0], msgspec.structs.replace(update, version=KeyRangesVersion(1, seq))
+            )
 
-    def told_one() -> None:
+    def receive_one_range() -> None:
         nonlocal seq
         seq += 1
-        news, since = whole[0], keyed.view.key_ranges[keyed.services[0]].version
-        changed = KeyRangesDelta(news.service, since, KeyRangesVersion(1, seq), news.key_ranges[3:4])
-        keyed.view.receive(keyed.now, MEMBERS[0], changed)
+        update, base_version = updates[0], sharded.view.key_ranges[sharded.services[0]].version
+        delta = KeyRangesDelta(update.service, base_version, KeyRangesVersion(1, seq), update.key_ranges[3:4])
+        sharded.view.receive(sharded.now, MEMBERS[0], delta)
 
     return {
-        "request, us": 1000 * spent(plain.requests) / REQUESTS,
-        "request by key, us": 1000 * spent(keyed.requests) / REQUESTS,
-        "all ranges taken, ms": spent(told_whole),
-        "one range changed, ms": spent(told_one),
-        "half a second and its report, ms": spent(keyed.report),
-        "reports, KB/s": 2 * len(keyed.report()) / 1000,
-        "a beat, KB": len(encode_frame(keyed.view.heartbeat(0))) / 1000,
-        "ranges, KB": sum(len(encode_frame(news)) for news in whole) / 1000,
-        "kept, KB": plain_kept,
-        "kept with ranges, KB": keyed_kept,
+        "request, us": 1000 * min_processor_ms(unsharded.requests) / REQUESTS,
+        "request with a key, us": 1000 * min_processor_ms(sharded.requests) / REQUESTS,
+        "all ranges updated, ms": min_processor_ms(receive_all_ranges),
+        "one range updated, ms": min_processor_ms(receive_one_range),
+        "half a second of requests and its report, ms": min_processor_ms(sharded.report),
+        "reports, KB/s": 2 * len(sharded.report()) / 1000,
+        "heartbeat, KB": len(encode_frame(sharded.view.heartbeat(0))) / 1000,
+        "ranges, KB": sum(len(encode_frame(update)) for update in updates) / 1000,
+        "memory, KB": unsharded_kb,
+        "memory with ranges, KB": sharded_kb,
     }
 
 
 def main() -> None:
     for services, sizes in ((1, (23, 230, 2300)), (180, (180, 1000, 6200))):
-        rows = [(f"{count:,}", count, figures(count, services)) for count in sizes]
-        print(table(f"servers in {number(services)} service{'s' * (services > 1)}", rows) + "\n")
+        rows = [(f"{count:,}", count, measure(count, services)) for count in sizes]
+        print(markdown_table(f"servers in {format_number(services)} service{'s' * (services > 1)}", rows) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/server_list.py
+++ b/benchmarks/server_list.py
@@ -1,9 +1,9 @@
-"""What the list of servers costs who keeps, tells and takes it, by hand: `python benchmarks/server_list.py`."""
+"""Measures storing, encoding and decoding the server list by its length: `python benchmarks/server_list.py`."""
 
 from random import Random
 
 import msgspec
-from slopes import held, spent, table
+from slopes import markdown_table, measure_memory, min_processor_ms
 
 from kestrelplank.forwarding.endpoints import Endpoints
 from kestrelplank.transport.messages import decode_at_edge
@@ -16,7 +16,7 @@
 
 
 def entries(count: int) -> list[tuple]:
-    """A list as the platform's adapter hands it over: names by chance, as the platform's are."""
+    """A list in the form that the platform adapter returns, with random names as the platform's are."""
     random = Random(count)
     return [
         (
@@ -32,57 +32,57 @@
     ]
 
 
-def figures(count: int) -> dict[str, float]:
-    """Milliseconds of processor and bytes for a list of that length."""
+def measure(count: int) -> dict[str, float]:
+    """Processor time in ms and sizes in KB for a list of that length."""
     listed, now = entries(count), 100 * S
     changed = [*listed[:-1], (*listed[-1][:4], 3, READY, 0)]
     servers = ServerList()
     servers.update(now, 0, listed)
 
-    def same() -> None:
+    def update_unchanged() -> None:
         nonlocal now
         now += S
         servers.update(now, 0, listed)
 
-    def other() -> None:
+    def update_changed() -> None:
         nonlocal now, listed, changed
         now += S
         listed, changed = changed, listed
         servers.update(now, 0, listed)
 
-    page = msgspec.json.encode([ListedServer(*one)._asdict() for one in listed])
+    json_text = msgspec.json.encode([ListedServer(*entry)._asdict() for entry in listed])
     frame = encode_frame(servers.update_message(now))
     body, compressed = frame[4:], bool(int.from_bytes(frame[:4]) >> 31)
     endpoints = Endpoints(Random(1), "zone-0")
     endpoints.update(now, servers.entries.values())
-    kept = held(lambda: taken(now, count))[1]
+    memory_kb = measure_memory(lambda: decoded_server_list(now, count))[1]
     return {
-        "read from JSON, ms": spent(lambda: msgspec.json.decode(page)),
-        "taken, the same, ms": spent(same),
-        "taken, one changed, ms": spent(other),
-        "packed, ms": spent(lambda: encode_frame(servers.update_message(now))),
-        "read, ms": spent(lambda: decode_at_edge(uncompressed_body(body, compressed))),
-        "endpoints, ms": spent(lambda: endpoints.update(now, servers.entries.values())),
-        "plain, KB": len(msgspec.msgpack.encode(servers.update_message(now))) / 1000,
+        "decoded from JSON, ms": min_processor_ms(lambda: msgspec.json.decode(json_text)),
+        "updated, unchanged, ms": min_processor_ms(update_unchanged),
+        "updated, one changed, ms": min_processor_ms(update_changed),
+        "encoded, ms": min_processor_ms(lambda: encode_frame(servers.update_message(now))),
+        "decoded, ms": min_processor_ms(lambda: decode_at_edge(uncompressed_body(body, compressed))),
+        "endpoints updated, ms": min_processor_ms(lambda: endpoints.update(now, servers.entries.values())),
+        "uncompressed, KB": len(msgspec.msgpack.encode(servers.update_message(now))) / 1000,
         "on the wire, KB": len(frame) / 1000,
-        "kept, KB": kept,
-        "kept as endpoints, KB": held(lambda: endpoints_of(now, servers))[1],
+        "memory, KB": memory_kb,
+        "memory of endpoints, KB": measure_memory(lambda: build_endpoints(now, servers))[1],
     }
 
 
-def taken(now: int, count: int) -> ServerList:
-    """A list that has come, alone."""
+def decoded_server_list(now: int, count: int) -> ServerList:
+    """A server list decoded from a message, without endpoints."""
     servers = ServerList()
     servers.update(now, 0, msgspec.msgpack.decode(msgspec.msgpack.encode(entries(count))))
     return servers
 
 
-def endpoints_of(now: int, servers: ServerList) -> Endpoints:
-    """What an edge member keeps of each server besides."""
+def build_endpoints(now: int, servers: ServerList) -> Endpoints:
+    """The endpoints that an edge member keeps in addition to the list."""
     endpoints = Endpoints(Random(1), "zone-0")
     endpoints.update(now, servers.entries.values())
     return endpoints
 
 
 if __name__ == "__main__":
-    print(table("servers", [(f"{count:,}", count, figures(count)) for count in SIZES]))
+    print(markdown_table("servers", [(f"{count:,}", count, measure(count)) for count in SIZES]))
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -1,5 +1,8 @@
-"""What sessions cost a control member, by hand: beats, reports and lines of so many edge machines, without sockets.
-Each message is packed, unpacked and answered as the program does it: `PYTHONPATH=.:tests python` runs this file."""
+"""Measures what edge sessions cost a control member, without sockets: heartbeats, load reports and key ranges.
+
+Each message is encoded, decoded and answered as the program does it: run with
+`PYTHONPATH=.:tests python benchmarks/sessions.py`.
+"""
 
 import time
 from random import Random
@@ -20,93 +23,97 @@
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import COMPRESSED_FLAG, encode_frame, uncompressed_body
 
-ME, PER_S, SECONDS = "10.0.0.1:80", 125, 10
+ME, REQUESTS_PER_S, SECONDS = "10.0.0.1:80", 125, 10
 HEARTBEAT_INTERVAL_NS, REPORT_INTERVAL_NS = 2 * SECOND // 5, SECOND // 2
 TEXT = b"""{"config_version": "00000007", "service_table": [{"name": "views", "sharded": true}], "virtual_hosts": [
 {"host_name": "shop.example", "host_routes": [{"path_prefix": "/a/", "route_type": "idempotent", "timeout_s": 1.5,
 "target_service": "views"}]}], "limits": {}}"""
 
 
-class End:
+class FakeConnection:
     def reset(self):
         pass
 
 
-def settled(member, disk, now, effects):
-    """The member alone: what it would write lasts at once, what it would call answers."""
+def execute_effects(member, disk, now, effects):
+    """Carry out the member's effects immediately: writes persist, and calls to servers succeed."""
     for effect in effects:
         if isinstance(effect, Persist):
             disk.write([effect])
-            settled(member, disk, now, member.handle_persisted(now, effect.number))
+            execute_effects(member, disk, now, member.handle_persisted(now, effect.number))
         elif isinstance(effect, CallServer):
-            done = member.handle_server_call_ended(now, effect, ServerCallResult(True, 200, "h"))
-            settled(member, disk, now, done)
+            next_effects = member.handle_server_call_ended(now, effect, ServerCallResult(True, 200, "h"))
+            execute_effects(member, disk, now, next_effects)
 
 
-def over(message, decode, tally):
-    """The message as it comes out at the other end; `tally`: bytes so far."""
+def transmit(message, decode, byte_count):
+    """Encode and decode the message, and add its size on the wire to `byte_count[0]`."""
     data = encode_frame(message)
-    tally[0] += 66 + len(data)  # and the packet round it
-    head = int.from_bytes(data[:4])
-    return decode(uncompressed_body(data[4:], bool(head & COMPRESSED_FLAG)))
+    byte_count[0] += 66 + len(data)  # headers of the packet
+    header = int.from_bytes(data[:4])
+    return decode(uncompressed_body(data[4:], bool(header & COMPRESSED_FLAG)))
 
 
-def alone(now, random, servers):
-    """A member that leads alone, with so many servers, and its disk."""
+def start_leader(now, random, servers):
+    """A leader without other voters that knows that many servers; returns the member, its disk and the time."""
     disk = MemoryLog()
     member = start_member(now, random, ME, MemberProfile("z", True, (ME,), 0, 6 * SECOND), disk, True)
     for _ in range(20):
         now += SECOND // 20
-        settled(member, disk, now, member.tick(now))
+        execute_effects(member, disk, now, member.tick(now))
     entries = [
         ListedServer(f"i-{number}", "views", f"10.1.0.{number}:80", "z", 2, "ready", 0) for number in range(servers)
     ]
-    settled(member, disk, now, member.handle_servers_fetched(now, entries))
-    settled(member, disk, now, member.handle_replace_call(now, 1, parse_configuration(TEXT).unwrap()))
+    execute_effects(member, disk, now, member.handle_servers_fetched(now, entries))
+    execute_effects(member, disk, now, member.handle_replace_call(now, 1, parse_configuration(TEXT).unwrap()))
     for _ in range(80):
         now += SECOND // 20
-        settled(member, disk, now, member.tick(now))
+        execute_effects(member, disk, now, member.tick(now))
     return member, disk, now
 
 
-def play(edges, servers=23):
-    """Milliseconds of processor and bytes, in and out, a second."""
+def measure(edges, servers=23):
+    """Processor time in ms, bytes received and bytes sent, each per second."""
     random = Random(1)
-    member, disk, now = alone(100 * SECOND, random, servers)
-    sessions, views, ends = Sessions(), [EdgeView(f"edge-{number}", (ME,)) for number in range(edges)], {}
-    into, out, spent = [0], [0], 0.0
+    member, disk, now = start_leader(100 * SECOND, random, servers)
+    sessions, views, connections = Sessions(), [EdgeView(f"edge-{number}", (ME,)) for number in range(edges)], {}
+    bytes_in, bytes_out, processor_s = [0], [0], 0.0
     for step in range(20 * SECONDS):
         now += SECOND // 20
         for number, view in enumerate(views):
             if not (step + number) * SECOND // 20 % HEARTBEAT_INTERVAL_NS:
-                beat = over(view.heartbeat(now), decode_at_member, into)
-                began = time.process_time()
-                session = sessions.on_message(now, ends.setdefault(number, End()), beat.edge)
-                session.reported_version = beat.configuration_version
-                answers = [
-                    over(answer, decode_at_edge, out) for answer in member.handle_edge_heartbeat(now, beat, edges)
+                heartbeat = transmit(view.heartbeat(now), decode_at_member, bytes_in)
+                started = time.process_time()
+                session = sessions.on_message(now, connections.setdefault(number, FakeConnection()), heartbeat.edge)
+                session.reported_version = heartbeat.configuration_version
+                responses = [
+                    transmit(response, decode_at_edge, bytes_out)
+                    for response in member.handle_edge_heartbeat(now, heartbeat, edges)
                 ]
-                spent += time.process_time() - began
-                for answer in answers:
-                    view.receive(now, ME, answer)
+                processor_s += time.process_time() - started
+                for response in responses:
+                    view.receive(now, ME, response)
             if not (step + number) * SECOND // 20 % REPORT_INTERVAL_NS:
                 keys = [
                     random.randrange(KEY_COUNT)
-                    for _ in range(round(PER_S * REPORT_INTERVAL_NS / SECOND / edges + random.random()))
+                    for _ in range(round(REQUESTS_PER_S * REPORT_INTERVAL_NS / SECOND / edges + random.random()))
                 ]
-                servers_met = {f"i-{random.randrange(servers)}": (1, 0, 1.0, 1, 0.0, 0) for _ in keys}
-                report = over(LoadReport("views", keys, servers_met), decode_at_member, into)
-                began = time.process_time()
+                server_statistics = {f"i-{random.randrange(servers)}": (1, 0, 1.0, 1, 0.0, 0) for _ in keys}
+                report = transmit(LoadReport("views", keys, server_statistics), decode_at_member, bytes_in)
+                started = time.process_time()
                 member.handle_load_report(now, report)
-                spent += time.process_time() - began
-        began = time.process_time()
-        settled(member, disk, now, member.tick(now))
-        spent += time.process_time() - began
+                processor_s += time.process_time() - started
+        started = time.process_time()
+        execute_effects(member, disk, now, member.tick(now))
+        processor_s += time.process_time() - started
     assert all(view.ready() for view in views)
-    return 1000 * spent / SECONDS, into[0] / SECONDS, out[0] / SECONDS
+    return 1000 * processor_s / SECONDS, bytes_in[0] / SECONDS, bytes_out[0] / SECONDS
 
 
 if __name__ == "__main__":
     for edges in (30, 100, 300, 1000):
-        cost, into, out = play(edges)
-        print(f"{edges} edges: {cost:.0f} ms/s of processor, {into / 1000:.0f} KB/s in, {out / 1000:.0f} KB/s out")
+        cost, bytes_in, bytes_out = measure(edges)
+        print(
+            f"{edges} edges: {cost:.0f} ms/s processor time, {bytes_in / 1000:.0f} KB/s in, "
+            f"{bytes_out / 1000:.0f} KB/s out"
+        )
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""What the benchmarks by hand share: the least processor time of a call, memory, and how a cost grows with a size."""
+"""Shared functions of the benchmarks: least processor time of a call, memory, and how a cost grows with a size."""
 
 import gc
 import math
@@ -8,48 +8,50 @@
 from typing import Any
 
 
-def spent(call: Callable[[], Any], seconds: float = 0.5) -> float:
-    """Milliseconds of processor that one call takes, the least of as many as fit into so many seconds."""
-    least, until = math.inf, time.process_time() + seconds
-    while least == math.inf or time.process_time() < until:
-        began = time.process_time()
+def min_processor_ms(call: Callable[[], Any], seconds: float = 0.5) -> float:
+    """Shortest processor time of a call in ms, over as many calls as fit into `seconds` of processor time."""
+    shortest, deadline = math.inf, time.process_time() + seconds
+    while shortest == math.inf or time.process_time() < deadline:
+        started = time.process_time()
         call()
-        least = min(least, time.process_time() - began)
-    return 1000 * least
+        shortest = min(shortest, time.process_time() - started)
+    return 1000 * shortest
 
 
-def held(make: Callable[[], Any]) -> tuple[Any, float]:
-    """What `make` returns, and the kilobytes that it keeps."""
+def measure_memory(build: Callable[[], Any]) -> tuple[Any, float]:
+    """What `build` returns, and the kilobytes of memory that it retains."""
     gc.collect()
     tracemalloc.start()
-    found = make()
+    value = build()
     gc.collect()
     kilobytes = tracemalloc.get_traced_memory()[0] / 1000
     tracemalloc.stop()
-    return found, kilobytes
+    return value, kilobytes
 
 
-def power(sizes: Sequence[float], costs: Sequence[float]) -> float:
-    """The exponent of the power law that fits best: the slope of a line through the logarithms, by least squares."""
+def fit_exponent(sizes: Sequence[float], costs: Sequence[float]) -> float:
+    """Exponent of the best-fitting power law: the least-squares slope of the logarithms."""
     points = [(math.log(size), math.log(cost)) for size, cost in zip(sizes, costs) if cost > 0]
-    middle = sum(x for x, _ in points) / len(points)
-    level = sum(y for _, y in points) / len(points)
-    return sum((x - middle) * (y - level) for x, y in points) / sum((x - middle) ** 2 for x, _ in points)
+    mean_x = sum(x for x, _ in points) / len(points)
+    mean_y = sum(y for _, y in points) / len(points)
+    return sum((x - mean_x) * (y - mean_y) for x, y in points) / sum((x - mean_x) ** 2 for x, _ in points)
 
 
-def table(first: str, rows: Sequence[tuple[str, float, dict[str, float]]], places: int = 3) -> str:
-    """A Markdown table: a row for each (name, size, figures), and the exponent of each figure below."""
+def markdown_table(first_heading: str, rows: Sequence[tuple[str, float, dict[str, float]]], digits: int = 3) -> str:
+    """A Markdown table: a row for each (name, size, figures), and a last row with the exponent of each figure."""
     names = list(rows[0][2])
-    lines = [f"| {first} | " + " | ".join(names) + " |", "| --- |" + " --- |" * len(names)]
+    lines = [f"| {first_heading} | " + " | ".join(names) + " |", "| --- |" + " --- |" * len(names)]
     for name, _, figures in rows:
-        lines.append(f"| {name} | " + " | ".join(number(figures[one], places) for one in names) + " |")
-    powers = [power([size for _, size, _ in rows], [figures[one] for _, _, figures in rows]) for one in names]
-    lines.append("| power | " + " | ".join(f"{one:.2f}" for one in powers) + " |")
+        lines.append(f"| {name} | " + " | ".join(format_number(figures[name], digits) for name in names) + " |")
+    exponents = [
+        fit_exponent([size for _, size, _ in rows], [figures[name] for _, _, figures in rows]) for name in names
+    ]
+    lines.append("| exponent | " + " | ".join(f"{exponent:.2f}" for exponent in exponents) + " |")
     return "\n".join(lines)
 
 
-def number(value: float, places: int = 3) -> str:
-    """With so many digits that count, thousands apart."""
-    if value >= 10 ** (places - 1):
+def format_number(value: float, digits: int = 3) -> str:
+    """The value with `digits` significant digits, and commas between thousands."""
+    if value >= 10 ** (digits - 1):
         return f"{value:,.0f}"
-    return f"{value:.{places}g}"
+    return f"{value:.{digits}g}"
