--- a/benchmarks/fuzz_relay.py
+++ b/benchmarks/fuzz_relay.py
@@ -1,10 +1,10 @@
-"""Fuzzes both HTTP sides of the reference relay with atheris, by hand; the tests do the same with hypothesis.
+"""Fuzzes both HTTP sides of the reference proxy with atheris; the tests do the same with hypothesis.
 
     python benchmarks/fuzz_relay.py -max_total_time=60      # with the extras test and fuzz
 
-The first byte says where to cut, the second how much is the client's; the rest goes to the proxy as a client's bytes
-and as a node's answer. Whatever raises in the loop ends the run, as does an op without exactly one end, or anything
-held after it.
+The first byte sets where a valid request is cut, the second how many of the bytes the client sends; the rest is the
+node's response. A run ends at any exception in the event loop, and when an op does not end exactly once or anything is
+still open after it.
 """
 
 import sys
@@ -22,26 +22,26 @@
     from test_proxy import GET, MS, OK, Site
 
 
-def one(data: bytes) -> None:
+def fuzz_one_input(data: bytes) -> None:
     if len(data) < 2:
         return
-    cut = 2 + data[1] * (len(data) - 2) // 255
-    sent, reply = data[2:cut], data[cut:]
-    here = Site(
+    split = 2 + data[1] * (len(data) - 2) // 255
+    sent, reply = data[2:split], data[split:]
+    site = Site(
         lambda peer: peer.gone or peer.write(reply) or peer.connection.close("end"), hold=0, timeouts=(30 * MS,) * 3
     )
-    client = here.client()
+    client = site.client()
     client.send(GET[: data[0] % len(GET)] + sent)
-    here.pass_time(2 * MS)
+    site.pass_time(2 * MS)
     client.close()
-    here.wait(lambda: not here.proxy.clients.connections and not here.proxy.exchanges)
-    counts = here.attempts.counts
-    assert counts["asked"] == sum(counts[word] for word in ("acked", "rejected", "aborted")) == len(here.ops)
-    here.close()
+    site.wait(lambda: not site.proxy.clients.connections and not site.proxy.exchanges)
+    counts = site.attempts.counts
+    assert counts["asked"] == sum(counts[word] for word in ("acked", "rejected", "aborted")) == len(site.ops)
+    site.close()
 
 
 if __name__ == "__main__":
-    atheris.Setup([*sys.argv, "-max_len=600"], one)
+    atheris.Setup([*sys.argv, "-max_len=600"], fuzz_one_input)
     for seed in (GET + OK,):
-        one(b"\x00\x80" + seed)
+        fuzz_one_input(b"\x00\x80" + seed)
     atheris.Fuzz()
--- a/benchmarks/log_file.py
+++ b/benchmarks/log_file.py
@@ -1,12 +1,13 @@
-"""What a member's log on disk costs: time of a write, of a compaction and of a start, and bytes, by the number of
-changes and by the configuration's size. Measured on the disk of `--folder`; each change is a whole configuration, as
-operators send it, in an entry of its own, compacted as a member does once the file exceeds the bound.
+"""Measures a member's log file: times of writes, compactions and starts, and bytes, by changes and configuration size.
+
+Measured on the disk of `--folder`. Each change is a complete configuration in an entry of its own, as operators send
+it, and the log is compacted as a member does it once the file exceeds the bound.
 
     python benchmarks/log_file.py [--folder DIR] [--changes 10 100 1000 5000] [--routes 10 4600] [--bound BYTES]
 
-Beside it what the disk itself takes: a write of as many bytes and an fdatasync, into a file that grows. A start is
-timed with the file as full as it ever was, and in the page cache: it tells the program's part. `most KB`: in the folder
-at once, with the file that takes the other's place.
+`disk`: a write of as many bytes and an fdatasync on a growing file, without the program. A start is timed with the file
+at its largest and in the page cache, so that it measures the program rather than the disk. `peak KB`: the largest size
+of the folder, including the file that replaces another during a compaction.
 """
 
 import argparse
@@ -24,9 +25,9 @@
 from kestrelplank.storage.log_file import LogFile
 
 MS, KB = 1_000_000, 1_000
-ROUTES_A_HOST, SERVICES = 20, 60
+ROUTES_PER_HOST, SERVICES = 20, 60
 MEMBERS = Membership(1, ("a:1/first", "b:1/first", "c:1/first"))
-STARTS = 5  # the shortest counts
+STARTS = 5  # the shortest is reported
 COLUMNS = (
     ("routes", 7),
     ("text KB", 8),
@@ -41,7 +42,7 @@
     ("start ms", 9),
     ("frames", 7),
     ("file KB", 8),
-    ("most KB", 8),
+    ("peak KB", 8),
     ("written MB", 11),
 )
 
@@ -55,9 +56,9 @@
     hosts = [
         {
             "host_name": f"host{first:05d}.example",
-            "host_routes": [route(number) for number in range(first, min(routes, first + ROUTES_A_HOST))],
+            "host_routes": [route(number) for number in range(first, min(routes, first + ROUTES_PER_HOST))],
         }
-        for first in range(0, routes, ROUTES_A_HOST)
+        for first in range(0, routes, ROUTES_PER_HOST)
     ]
     return json.dumps(
         {"config_version": f"{version:08x}", "service_table": services, "virtual_hosts": hosts}, separators=(",", ":")
@@ -77,68 +78,68 @@
     }
 
 
-def timed(call, *given) -> float:
-    """How long it took, in ms."""
-    began = time.perf_counter_ns()
-    call(*given)
-    return (time.perf_counter_ns() - began) / MS
+def duration_ms(call, *arguments) -> float:
+    """Duration of the call in ms."""
+    started = time.perf_counter_ns()
+    call(*arguments)
+    return (time.perf_counter_ns() - started) / MS
 
 
-def part(times: list[float], percent: int) -> float:
+def percentile(times: list[float], percent: int) -> float:
     return sorted(times)[min(len(times) - 1, len(times) * percent // 100)]
 
 
-def disk_alone(folder: str, size: int, count: int) -> list[float]:
-    """Times of a write of `size` bytes and an fdatasync each."""
+def disk_write_times(folder: str, size: int, count: int) -> list[float]:
+    """Durations in ms of `count` writes of `size` bytes, each with an fdatasync."""
     path, data = os.path.join(folder, "alone"), os.urandom(size)
     fd = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
 
-    def write(place: int) -> None:
-        os.pwrite(fd, data, place)
+    def write(offset: int) -> None:
+        os.pwrite(fd, data, offset)
         os.fdatasync(fd)
 
     try:
-        return [timed(write, number * size) for number in range(count)]
+        return [duration_ms(write, number * size) for number in range(count)]
     finally:
         os.close(fd)
         os.unlink(path)
 
 
-def run(folder: str, routes: int, changes: int, bound: int) -> tuple:
+def measure(folder: str, routes: int, changes: int, max_file_bytes: int) -> tuple:
     """One row of the table."""
-    fullest = os.path.join(folder, "fullest")
-    os.mkdir(fullest)
+    largest = os.path.join(folder, "fullest")
+    os.mkdir(largest)
     state, log = ControlState(), LogFile(os.path.join(folder, "member"))
     log.load()
     log.store_incarnation("first")
     log.write([Persist(1, HardState(1, "a:1/first", "a:1/first"))])
     texts = {version: configuration(routes, version) for version in range(8)}
     digest = parse_configuration(texts[0]).unwrap().key.digest
-    writes, compactions, most, written = [], [], 0, 0
+    writes, compactions, peak_bytes, written_bytes = [], [], 0, 0
     for index in range(1, changes + 1):
-        # The state is told of each version; its text stands for one of eight, as making each takes longer than a write.
+        # Each entry has its own version but one of eight texts, since formatting a text takes longer than a write.
         entry = Entry(index, 1, PutConfiguration(index, digest, texts[index % 8]))
-        before = log.size_bytes
-        writes.append(timed(log.write, [Persist(index, None, None, (entry,))]))
-        written += log.size_bytes - before
+        size_before = log.size_bytes
+        writes.append(duration_ms(log.write, [Persist(index, None, None, (entry,))]))
+        written_bytes += log.size_bytes - size_before
         state.apply(entry)
-        most = max(most, log.size_bytes)
-        if log.size_bytes > bound:
+        peak_bytes = max(peak_bytes, log.size_bytes)
+        if log.size_bytes > max_file_bytes:
             if not compactions:
-                shutil.copy(log.path, fullest)
-            before = log.size_bytes
+                shutil.copy(log.path, largest)
+            size_before = log.size_bytes
             snapshot = Snapshot(index, 1, MEMBERS, state.snapshot())
-            compactions.append(timed(log.write, [Persist(index, None, snapshot)]))
-            written += log.size_bytes
-            most = max(most, before + log.size_bytes)
+            compactions.append(duration_ms(log.write, [Persist(index, None, snapshot)]))
+            written_bytes += log.size_bytes
+            peak_bytes = max(peak_bytes, size_before + log.size_bytes)
     log.close()
     if not compactions:
-        shutil.copy(log.path, fullest)
-    alone = disk_alone(folder, len(texts[0]), min(changes, 200))
+        shutil.copy(log.path, largest)
+    disk_times = disk_write_times(folder, len(texts[0]), min(changes, 200))
     starts = []
     for _ in range(STARTS):
-        log = LogFile(fullest)
-        starts.append(timed(log.load))
+        log = LogFile(largest)
+        starts.append(duration_ms(log.load))
         frames, size = log.frame_count, log.size_bytes
         log.close()
     return (
@@ -147,36 +148,42 @@
         changes,
         *(
             f"{value:.2f}"
-            for value in (part(writes, 50), part(writes, 99), max(writes), part(alone, 50), part(alone, 99))
+            for value in (
+                percentile(writes, 50),
+                percentile(writes, 99),
+                max(writes),
+                percentile(disk_times, 50),
+                percentile(disk_times, 99),
+            )
         ),
         len(compactions),
         f"{max(compactions, default=0):.2f}",
         f"{min(starts):.2f}",
         frames,
         f"{size / KB:.1f}",
-        f"{most / KB:.1f}",
-        f"{written / KB / KB:.1f}",
+        f"{peak_bytes / KB:.1f}",
+        f"{written_bytes / KB / KB:.1f}",
     )
 
 
-def main(folder: str | None, changes: list[int], routes: list[int], bound: int) -> None:
-    print(f"bound {bound / KB:.0f} KB; load average {os.getloadavg()[0]:.1f} on {os.cpu_count()} cores")
+def main(folder: str | None, changes: list[int], routes: list[int], max_file_bytes: int) -> None:
+    print(f"bound {max_file_bytes / KB:.0f} KB; load average {os.getloadavg()[0]:.1f} on {os.cpu_count()} cores")
     print("".join(f"{name:>{width}}" for name, width in COLUMNS))
-    for number in routes:
+    for route_count in routes:
         for count in changes:
-            made = tempfile.mkdtemp(prefix="log-file-", dir=folder)
+            run_folder = tempfile.mkdtemp(prefix="log-file-", dir=folder)
             try:
-                row = run(made, number, count, bound)
+                row = measure(run_folder, route_count, count, max_file_bytes)
             finally:
-                shutil.rmtree(made)
+                shutil.rmtree(run_folder)
             print("".join(f"{value:>{width}}" for value, (_, width) in zip(row, COLUMNS)), flush=True)
 
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--folder", help="where; the system's folder for temporary files otherwise")
+    parser.add_argument("--folder", help="the folder to write in; default: the system's temporary folder")
     parser.add_argument("--changes", type=int, nargs="+", default=[10, 100, 1000, 5000])
     parser.add_argument("--routes", type=int, nargs="+", default=[10, 4600])
-    parser.add_argument("--bound", type=int, default=8_000_000, help="bytes of the file beyond which it is compacted")
-    given = parser.parse_args()
-    main(given.folder, given.changes, given.routes, given.bound)
+    parser.add_argument("--bound", type=int, default=8_000_000, help="file size in bytes above which it is compacted")
+    arguments = parser.parse_args()
+    main(arguments.folder, arguments.changes, arguments.routes, arguments.bound)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,5 +1,6 @@
-"""How soon conductors see a death, how often one that is none, over the loss of datagrams; and what the
-talk costs. Simulated: the cores of `state/membership` on a clock of this file.
+"""Measures failure detection between conductors: detection time, false detections and bytes sent, by datagram loss.
+
+Simulated: `state/membership` on a clock of this file.
 
     python benchmarks/membership.py [--runs 20]
 """
@@ -12,64 +13,72 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 STEP = 10 * MILLISECOND
-LATE = 3 * MILLISECOND, 25 * MILLISECOND
+DELAY_RANGE_NS = 3 * MILLISECOND, 25 * MILLISECOND
+
 
+def simulate(count: int, loss: float, seed: int, fault_free_ns: int) -> tuple[list[int], int, float]:
+    """Simulate a cluster in which member 0 stops after 3 s of start-up and `fault_free_ns` without a fault.
 
-def run(count: int, loss: float, seed: int, quiet: int) -> tuple[list[int], int, float]:
-    """Until each of the others has seen the death of member 0 (ns after it); false deaths seen by anybody in the
-    `quiet` ns before, counted once a judgement that begins; and bytes a second that one member sends to one other."""
-    random, now, order, sent = Random(seed), 0, 0, 0
+    Returns the detection times of the other members in ns, the number of false detections before the failure (one
+    for each change to DEAD), and the bytes a second that one member sends to one other.
+    """
+    random, now, sequence, sent_bytes = Random(seed), 0, 0, 0
     members = {number: Membership(0, number, 1, count, DetectorSettings()) for number in range(count)}
     for member in members.values():
         member.set_zone_sums([ZoneSums(zone, 100, 200, 5) for zone in range(3)])
-    under_way: list[tuple] = []
-    false, seen, dead_at, thought = 0, {}, 3 * SECOND + quiet, {}
-    while len(seen) < count - 1 and now < dead_at + 60 * SECOND:
+    in_flight: list[tuple] = []
+    false_detections, detected, failed_at, considered_dead = 0, {}, 3 * SECOND + fault_free_ns, {}
+    while len(detected) < count - 1 and now < failed_at + 60 * SECOND:
         now += STEP
         for number, member in members.items():
-            body = member.tick(now) if number or now < dead_at else None
+            body = member.tick(now) if number or now < failed_at else None
             if body is not None:
-                sent += len(body) if now < dead_at else 0
+                sent_bytes += len(body) if now < failed_at else 0
                 for to in members:
                     if to != number and random.random() >= loss:
-                        order += 1
-                        under_way.append((now + random.randint(*LATE), order, to, body))
-        due = sorted(one for one in under_way if one[0] <= now)
-        under_way = [one for one in under_way if one[0] > now]
+                        sequence += 1
+                        in_flight.append((now + random.randint(*DELAY_RANGE_NS), sequence, to, body))
+        due = sorted(datagram for datagram in in_flight if datagram[0] <= now)
+        in_flight = [datagram for datagram in in_flight if datagram[0] > now]
         for _, _, to, body in due:
             members[to].receive(now, body)
         if now % (50 * MILLISECOND):
             continue
         for number, member in members.items():
-            if now < dead_at:
+            if now < failed_at:
                 for other in members:
                     is_dead = member.liveness(now, other) == Liveness.DEAD
-                    false += is_dead and not thought.get((number, other), False) and now > 3 * SECOND
-                    thought[number, other] = is_dead
-            elif number and number not in seen and member.liveness(now, 0) == Liveness.DEAD:
-                seen[number] = now - dead_at
-    return sorted(seen.values()), false, sent / count / (dead_at / SECOND)
+                    false_detections += is_dead and not considered_dead.get((number, other), False) and now > 3 * SECOND
+                    considered_dead[number, other] = is_dead
+            elif number and number not in detected and member.liveness(now, 0) == Liveness.DEAD:
+                detected[number] = now - failed_at
+    return sorted(detected.values()), false_detections, sent_bytes / count / (failed_at / SECOND)
 
 
 def main(runs: int) -> None:
     print(
-        f"{'conductors':>10} {'loss':>5}  {'death seen: p50':>16} {'p90':>6} {'latest':>7}  {'false an hour':>14}"
+        f"{'conductors':>10} {'loss':>5}  {'detected: p50':>16} {'p90':>6} {'latest':>7}  {'false per hour':>14}"
         f" {'bytes/s':>8}"
     )
     for count in (2, 3, 8, 40):
         for loss in (0.0, 0.1, 0.2, 0.3, 0.4):
-            times, false, rate, quiet = [], 0, 0.0, 30 * SECOND
-            tries = max(1, runs if count < 40 else runs // 10)
-            for seed in range(tries):
-                seen, wrong, rate = run(count, loss, seed, quiet if count < 40 else 5 * SECOND)
-                times += seen
-                false += wrong
+            times, false_detections, rate, fault_free_ns = [], 0, 0.0, 30 * SECOND
+            run_count = max(1, runs if count < 40 else runs // 10)
+            for seed in range(run_count):
+                detection_times, false_in_run, rate = simulate(
+                    count, loss, seed, fault_free_ns if count < 40 else 5 * SECOND
+                )
+                times += detection_times
+                false_detections += false_in_run
             times.sort()
-            hours = tries * (quiet if count < 40 else 5 * SECOND) / 3600 / SECOND
-            pick = [times[min(len(times) - 1, len(times) * part // 100)] / SECOND for part in (50, 90, 100)]
+            hours = run_count * (fault_free_ns if count < 40 else 5 * SECOND) / 3600 / SECOND
+            percentiles = [
+                times[min(len(times) - 1, len(times) * percent // 100)] / SECOND for percent in (50, 90, 100)
+            ]
             print(
-                f"{count:>10} {loss:>5.0%}  {pick[0]:>14.2f} s {pick[1]:>4.2f} s {pick[2]:>5.2f} s  "
-                f"{false / hours:>14.1f} {rate:>8.0f}",
+                f"{count:>10} {loss:>5.0%}  {percentiles[0]:>14.2f} s {percentiles[1]:>4.2f} s "
+                f"{percentiles[2]:>5.2f} s  "
+                f"{false_detections / hours:>14.1f} {rate:>8.0f}",
                 flush=True,
             )
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,6 +1,8 @@
-"""Where keys go, by hand: the pass beside keys that never move and keys by consistent hashing, over servers with queues
-(`emulator/sharded_service`) whose busy keys lie close together, and what it costs. `python benchmarks/placement.py
-[SEEDS]`."""
+"""Compares key placement with fixed keys and consistent hashing: `python benchmarks/placement.py [SEEDS]`.
+
+The servers are those of `emulator/sharded_service`: they have queues, and their busy keys are contiguous. The processor
+cost is measured too.
+"""
 
 import sys
 import time
@@ -21,26 +23,35 @@
 
 
 class HashedService(ShardedService):
-    """Each key by itself, by consistent hashing."""
+    """Assigns each key on its own, by consistent hashing."""
 
     def owner_of_key(self, firsts, key):
         return f"s{rendezvous(str(key), [(number, 1.0) for number in range(len(self.servers))])}"
 
 
 def measure(service_type, moves_keys, servers, requests_per_s, seconds, seeds, has_hot_key):
-    """Share of requests beyond the target by quarters, the busiest server over the mean in the last one, keys that
-    moved after the first time, processor of the model and the decider in ms a second."""
-    late, busiest, moved, spent = [0.0] * 4, 0.0, 0.0, time.process_time()
+    """Run one service type, averaged over seeds.
+
+    Returns the share of requests above the latency target by quarter of the run, the load of the busiest server over
+    the mean in the last quarter, keys moved after the initial assignment as a share of all keys, and processor time of
+    model and placement in ms a second.
+    """
+    late_share, busiest_over_mean, moved_share, processor_start_s = [0.0] * 4, 0.0, 0.0, time.process_time()
     for seed in range(seeds):
         speeds = shuffled_speeds(seed, servers)
         service = service_type(seed, speeds, requests_per_s, MEAN_WORK_S, LATENCY_TARGET_S, moves_keys=moves_keys)
         for quarter in range(4):
-            hot = has_hot_key and quarter == 1
-            service.hot_key = (service.random.randrange(KEY_COUNT), 0.3) if hot else (0, 0.0)
-            late[quarter] += service.run(seconds / 4) / seeds
-        busiest += service.busiest_over_mean() / seeds
-        moved += (service.key_ranges.moved_keys / KEY_COUNT - 1) / seeds
-    return late, busiest, moved, 1000 * (time.process_time() - spent) / seconds / seeds
+            is_hot = has_hot_key and quarter == 1
+            service.hot_key = (service.random.randrange(KEY_COUNT), 0.3) if is_hot else (0, 0.0)
+            late_share[quarter] += service.run(seconds / 4) / seeds
+        busiest_over_mean += service.busiest_over_mean() / seeds
+        moved_share += (service.key_ranges.moved_keys / KEY_COUNT - 1) / seeds
+    return (
+        late_share,
+        busiest_over_mean,
+        moved_share,
+        1000 * (time.process_time() - processor_start_s) / seconds / seeds,
+    )
 
 
 def main():
@@ -52,12 +63,12 @@
         (500, 2700, 8, False),
     ):
         for name, service_type, moves_keys in (
-            ("never moved", ShardedService, False),
-            ("by hashing", HashedService, False),
-            ("the pass", ShardedService, True),
+            ("fixed", ShardedService, False),
+            ("hashed", HashedService, False),
+            ("placement", ShardedService, True),
         ):
             if servers < 100 or moves_keys:
-                late, busiest, moved, cost = measure(
+                late_share, busiest_over_mean, moved_share, processor_ms = measure(
                     service_type,
                     moves_keys,
                     servers,
@@ -67,9 +78,9 @@
                     has_hot_key,
                 )
                 print(
-                    f"{servers} servers, {requests_per_s}/s{', a hot key' if has_hot_key else ''}, {name}: late",
-                    " ".join(f"{share:.3f}" for share in late),
-                    f"busiest/mean {busiest:.2f}, moved {moved:.2f}, {cost:.0f} ms/s",
+                    f"{servers} servers, {requests_per_s}/s{', hot key' if has_hot_key else ''}, {name}: late share",
+                    " ".join(f"{share:.3f}" for share in late_share),
+                    f"busiest/mean {busiest_over_mean:.2f}, moved {moved_share:.2f}, {processor_ms:.0f} ms/s",
                 )
 
 
--- a/benchmarks/play_days.py
+++ b/benchmarks/play_days.py
@@ -1,12 +1,12 @@
-"""Plays days of our own (benchmarks/days/) on deployments, by hand, and sums up what the bench found.
+"""Plays the days of benchmarks/days/ on deployments with the bench, and summarizes its reports.
 
     python benchmarks/play_days.py --bench PATH --why TEXT [--seeds N] [--first SEED] [--jobs N] [--root DIR]
         [--out DIR] --site SITE.toml [--site ...] [DAY.toml ...]
 
-Each day is played once for each seed and site, in a process of its own, at most `--jobs` at a time; without DAY all of
-benchmarks/days are played. `--bench` (or the variable DAYS_BENCH) is the bench's program; it leaves its entries in
-`journal/` of `--root`, the checkout that is measured. One line a day as it ends, then a table by day. Reports are kept
-in `--out` (`DAY.SITE.SEED.json`) and are not played again if they stand there already.
+Each day is played once for each seed and site, in a process of its own, at most `--jobs` at a time. Without DAY, all
+days of benchmarks/days are played. `--bench` (or the variable DAYS_BENCH) is the path of the bench's program; it
+writes its entries to `journal/` of `--root`, the checkout that is measured. Prints one line when a day ends, then a
+table by day. Reports are kept in `--out` (`DAY.SITE.SEED.json`); a day whose report exists is not played again.
 """
 
 import argparse
@@ -24,12 +24,12 @@
 import msgspec
 
 DAYS = Path(__file__).parent / "days"
-ACKNOWLEDGED = "config acked"  # among the report's times: [median, 99th percentile], ms
-MOST_SECONDS = 1500  # of real time that one day may take
+ACKNOWLEDGED = "config acked"  # key in the report's times: [median, 99th percentile], ms
+MAX_DAY_SECONDS = 1500  # wall-clock limit of one day
 
 
 class Report(msgspec.Struct):
-    """What is read of the bench's report of a day."""
+    """The fields used from the bench's report of a day."""
 
     fault: Any = None
     breaks: dict[str, int] = {}
@@ -45,8 +45,8 @@
 
 
 @dataclass(frozen=True)
-class Play:
-    """One day, on one deployment, with one seed."""
+class Run:
+    """One run of a day on one deployment with one seed."""
 
     day: Path
     site: Path
@@ -59,96 +59,100 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """A play and its report; `trouble` says why there is no report."""
+    """A run and its report, or the `error` for which there is none."""
 
-    play: Play
+    run: Run
     report: Report | None
-    trouble: str = ""
+    error: str = ""
 
     @property
     def passed(self) -> bool:
         report = self.report
         return report is not None and not report.breaks and not report.fault and not report.short
 
-    def line(self) -> str:
+    def summary_line(self) -> str:
         report = self.report
         if report is None:
-            return f"{self.play.name:<44} NOT PLAYED  {self.trouble}"
+            return f"{self.run.name:<44} NOT PLAYED  {self.error}"
         return (
-            f"{self.play.name:<44} {'passed' if self.passed else 'FAILED':<7}"
-            f" rules {written(report.breaks)}; exits {report.exits_n}; missed {len(report.missed)};"
-            f" acknowledged {times(report)} ms; changes {report.configs}; worth {report.G:.3f}"
+            f"{self.run.name:<44} {'passed' if self.passed else 'FAILED':<7}"
+            f" broken rules {format_broken_rules(report.breaks)}; exits {report.exits_n}; missed {len(report.missed)};"
+            f" acknowledged {format_acknowledgement_times(report)} ms; changes {report.configs}; value {report.G:.3f}"
             + (f"; fault {report.fault}" if report.fault else "")
             + (f"; short {report.short}" if report.short else "")
         )
 
 
-def written(counts: dict[str, int]) -> str:
-    """Rules and how often each was broken."""
-    return ", ".join(f"{rule} {count}" for rule, count in counts.items()) or "kept"
+def format_broken_rules(counts: dict[str, int]) -> str:
+    """Broken rules and how often each was broken."""
+    return ", ".join(f"{rule} {count}" for rule, count in counts.items()) or "none"
 
 
-def times(report: Report) -> str:
-    """Median and 99th percentile until a change was acknowledged, in ms."""
-    found = report.times.get(ACKNOWLEDGED)
-    return "/".join(f"{value:.0f}" for value in found) if found else "-"
+def format_acknowledgement_times(report: Report) -> str:
+    """Median and 99th percentile of the time to the acknowledgement of a change, in ms."""
+    values = report.times.get(ACKNOWLEDGED)
+    return "/".join(f"{value:.0f}" for value in values) if values else "-"
 
 
-def play(bench: str, root: Path, out: Path, why: str, one: Play) -> Outcome:
-    """Plays one day, unless its report stands there already."""
-    target = out / f"{one.name}.json"
-    trouble = ""
-    if not target.exists():
-        command = [bench, "run", str(one.site), str(one.day), "--seed", str(one.seed), "--jobs", "1"]
-        command += ["--report", str(target), "--why", why]
+def play_day(bench: str, root: Path, out: Path, why: str, run: Run) -> Outcome:
+    """Play one day, unless its report exists already."""
+    report_path = out / f"{run.name}.json"
+    output_end = ""
+    if not report_path.exists():
+        command = [bench, "run", str(run.site), str(run.day), "--seed", str(run.seed), "--jobs", "1"]
+        command += ["--report", str(report_path), "--why", why]
         try:
-            done = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=MOST_SECONDS, check=False)
+            process = subprocess.run(
+                command, cwd=root, capture_output=True, text=True, timeout=MAX_DAY_SECONDS, check=False
+            )
         except subprocess.TimeoutExpired:
-            return Outcome(one, None, f"took over {MOST_SECONDS} s")
-        (out / f"{one.name}.txt").write_text(done.stdout + done.stderr)
-        trouble = (done.stderr or done.stdout).strip().rsplit("\n", 1)[-1]
+            return Outcome(run, None, f"took over {MAX_DAY_SECONDS} s")
+        (out / f"{run.name}.txt").write_text(process.stdout + process.stderr)
+        output_end = (process.stderr or process.stdout).strip().rsplit("\n", 1)[-1]
     try:
-        return Outcome(one, msgspec.json.decode(target.read_bytes(), type=Report))
+        return Outcome(run, msgspec.json.decode(report_path.read_bytes(), type=Report))
     except (OSError, msgspec.DecodeError) as err:
-        return Outcome(one, None, trouble or str(err))
+        return Outcome(run, None, output_end or str(err))
 
 
-def table(outcomes: Iterable[Outcome]) -> list[str]:
-    """One line for each day, over all its seeds and sites, and one for all days."""
+def summary_table(outcomes: Iterable[Outcome]) -> list[str]:
+    """One row for each day over all its seeds and sites, and one for all days."""
     by_day: dict[str, list[Outcome]] = {}
     for outcome in outcomes:
-        by_day.setdefault(outcome.play.day.stem, []).append(outcome)
-    lines = [f"{'day':<24}{'passed':>8}  {'rules broken (days)':<44}{'exits':>6}{'missed':>7}{'acked p50/p99 ms':>18}"]
-    for day, found in sorted(by_day.items()):
-        lines.append(summed(day, found))
-    lines.append(summed("all", [outcome for found in by_day.values() for outcome in found]))
-    return lines
+        by_day.setdefault(outcome.run.day.stem, []).append(outcome)
+    rows = [f"{'day':<24}{'passed':>8}  {'rules broken (days)':<44}{'exits':>6}{'missed':>7}{'acked p50/p99 ms':>18}"]
+    for day, day_outcomes in sorted(by_day.items()):
+        rows.append(summary_row(day, day_outcomes))
+    rows.append(summary_row("all", [outcome for day_outcomes in by_day.values() for outcome in day_outcomes]))
+    return rows
 
 
-def summed(title: str, outcomes: list[Outcome]) -> str:
-    """A line of the table: medians of the days' medians, and the worst 99th percentile."""
+def summary_row(title: str, outcomes: list[Outcome]) -> str:
+    """A row of the table, with the median of the runs' medians and the highest 99th percentile."""
     reports = [outcome.report for outcome in outcomes if outcome.report]
-    broken: dict[str, int] = {}
+    runs_by_rule: dict[str, int] = {}
     for report in reports:
-        kinds = list(report.breaks) + (["fault"] if report.fault else []) + (["gate"] if report.short else [])
-        for rule in kinds:
-            broken[rule] = broken.get(rule, 0) + 1
+        broken_rules = list(report.breaks) + (["fault"] if report.fault else []) + (["gate"] if report.short else [])
+        for rule in broken_rules:
+            runs_by_rule[rule] = runs_by_rule.get(rule, 0) + 1
     if len(reports) < len(outcomes):
-        broken["not played"] = len(outcomes) - len(reports)
-    acked = [found for report in reports if (found := report.times.get(ACKNOWLEDGED))]
-    shown = f"{median(pair[0] for pair in acked):.0f}/{max(pair[1] for pair in acked):.0f}" if acked else "-"
-    good = sum(outcome.passed for outcome in outcomes)
+        runs_by_rule["not played"] = len(outcomes) - len(reports)
+    ack_times = [times for report in reports if (times := report.times.get(ACKNOWLEDGED))]
+    shown = (
+        f"{median(pair[0] for pair in ack_times):.0f}/{max(pair[1] for pair in ack_times):.0f}" if ack_times else "-"
+    )
+    passed_count = sum(outcome.passed for outcome in outcomes)
     return (
-        f"{title:<24}{f'{good}/{len(outcomes)}':>8}  {written(broken):<44}"
+        f"{title:<24}{f'{passed_count}/{len(outcomes)}':>8}  {format_broken_rules(runs_by_rule):<44}"
         f"{sum(report.exits_n for report in reports):>6}{sum(len(report.missed) for report in reports):>7}{shown:>18}"
     )
 
 
 def main(arguments: list[str]) -> int:
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("--bench", default=os.environ.get("DAYS_BENCH"), help="the bench's program")
+    parser.add_argument("--bench", default=os.environ.get("DAYS_BENCH"), help="path of the bench's program")
     parser.add_argument("--site", action="append", type=Path, required=True, help="a site file; may be repeated")
-    parser.add_argument("--why", required=True, help="a line for the journal, under 120 characters")
+    parser.add_argument("--why", required=True, help="a line for the journal, less than 120 characters")
     parser.add_argument("--seeds", type=int, default=2)
     parser.add_argument("--first", type=int, default=1, help="the first seed")
     parser.add_argument("--jobs", type=int, default=4)
@@ -157,7 +161,7 @@
     parser.add_argument("day", nargs="*", type=Path)
     options = parser.parse_args(arguments)
     if not options.bench or not Path(options.bench).is_file():
-        parser.error("--bench: no such program")
+        parser.error("--bench: no such file; expected the path of the bench's program")
     out = (options.out or Path(tempfile.mkdtemp(prefix="days-"))).resolve()
     out.mkdir(parents=True, exist_ok=True)
     days = options.day or sorted(DAYS.glob("*.toml"))
@@ -165,14 +169,14 @@
         if not path.is_file():
             parser.error(f"{path}: no such file")
     seeds = range(options.first, options.first + options.seeds)
-    plays = [Play(day.resolve(), site.resolve(), seed) for seed in seeds for day in days for site in options.site]
+    runs = [Run(day.resolve(), site.resolve(), seed) for seed in seeds for day in days for site in options.site]
     outcomes = []
     with ThreadPoolExecutor(max(1, options.jobs)) as pool:
-        waiting = [pool.submit(play, options.bench, options.root, out, options.why, one) for one in plays]
-        for done in as_completed(waiting):
-            outcomes.append(done.result())
-            print(outcomes[-1].line(), flush=True)
-    print(f"\nreports in {out}", *table(outcomes), sep="\n")
+        futures = [pool.submit(play_day, options.bench, options.root, out, options.why, run) for run in runs]
+        for future in as_completed(futures):
+            outcomes.append(future.result())
+            print(outcomes[-1].summary_line(), flush=True)
+    print(f"\nreports in {out}", *summary_table(outcomes), sep="\n")
     return 0 if all(outcome.passed for outcome in outcomes) else 1
 
 
--- a/benchmarks/record_policy.py
+++ b/benchmarks/record_policy.py
@@ -1,16 +1,16 @@
-"""Record what the decision module orders, over the operators' simulator's wire, and compare or time another checkout.
+"""Record the decision module's orders over the simulator protocol, and compare or time another checkout.
 
     python benchmarks/record_policy.py record CHECKOUT MODULE FILE [--seed N]
     python benchmarks/record_policy.py compare CHECKOUT MODULE CHECKOUT MODULE --seeds 1-20
     python benchmarks/record_policy.py time CHECKOUT MODULE [CHECKOUT MODULE ...]
 
-A day is a small model of a site (nodes with a capacity, slices with heat, proxies that acknowledge marks late, faults)
-that answers the orders of `python -m MODULE`, run in CHECKOUT. What went in and what came out is kept line by line:
-`#` begins a day, `>` is a line to the program, `<` a line of its reply. The model needs no more of the program than
-its lines, so recordings of an older checkout stay usable.
+A day is a small model of a site (nodes with a capacity, slices with load, proxies that acknowledge watermarks late,
+faults) that responds to the orders of `python -m MODULE`, run in CHECKOUT. Input and output are recorded line by line:
+`#` begins a day, `>` is a line to the program, `<` a line of its reply. The model depends only on the program's lines,
+so recordings of an older checkout stay usable.
 
 `tests/recordings/policy_decisions.txt.xz` is `record` of 4f929ce (`kestrelplank.drill`) with the default seed;
-`tests/test_recorded_policy.py` replays it. `time` replays one day at fleet size and gives seconds of processor time.
+`tests/test_recorded_policy.py` replays it. `time` replays one day at fleet size and prints seconds of processor time.
 """
 
 import argparse
@@ -26,14 +26,14 @@
 from typing import Any
 
 ROUND_MS = 100.0
-REPORT_ROUNDS = 10  # reports come each second
-DELAY_ROUNDS = 3  # of an acknowledgement, and of what one conductor sends to another, at most
+REPORT_ROUNDS = 10  # reports are sent each second
+DELAY_ROUNDS = 3  # longest delay of an acknowledgement or of a message between conductors
 ZONES = ["east", "west"]
 
 
 @dataclass
 class Day:
-    """What a day is played with; `specifics` and `rules` go into the settings as the wire names them."""
+    """Parameters of a day; `specifics` and `rules` are merged into the settings under their names on the wire."""
 
     name: str
     rounds: int = 600
@@ -43,7 +43,7 @@
     conductors: int = 2
     ops_per_s: float = 400.0
     capacity: float = 70.0
-    fault_rate: float = 0.08  # a round
+    fault_rate: float = 0.08  # probability in a round
     specifics: dict[str, Any] = field(default_factory=dict)
     rules: dict[str, Any] = field(default_factory=dict)
     settings: dict[str, Any] = field(default_factory=dict)
@@ -69,7 +69,7 @@
 
 
 class Program:
-    """The decision module as a process on its wire."""
+    """The decision module as a process that reads and writes protocol lines."""
 
     def __init__(self, checkout: str, module: str) -> None:
         self._process = subprocess.Popen(
@@ -84,7 +84,7 @@
         while not reply or reply[-1] != '["DONE"]':
             line = self._process.stdout.readline()
             if not line:
-                raise SystemExit("the program has ended")
+                raise SystemExit('the program exited before ["DONE"]')
             reply.append(line.decode().rstrip("\n"))
         return reply
 
@@ -96,28 +96,28 @@
 
 
 class Site:
-    """The model: what the program is told next, and what its orders change."""
+    """The model: events for the program, and the effects of its orders."""
 
     def __init__(self, day: Day, seed: int) -> None:
         self.day, self.random, self.now = day, Random(f"{day.name}-{seed}"), 1000.0
         self.nodes: dict[int, dict[str, Any]] = {}
-        self.heats = [self.random.lognormvariate(0.0, 1.0) for _ in range(day.slices)]
-        scale = day.ops_per_s / sum(self.heats)
-        self.heats = [heat * scale for heat in self.heats]
+        self.slice_loads = [self.random.lognormvariate(0.0, 1.0) for _ in range(day.slices)]
+        scale = day.ops_per_s / sum(self.slice_loads)
+        self.slice_loads = [load * scale for load in self.slice_loads]
         self.owner = [number % day.conductors for number in range(day.slices)]
-        self.lines: list[dict[int, float]] = []
-        self.withdrawn: list[set[int]] = [set() for _ in range(day.conductors)]
-        self.later: dict[int, list[list[Any]]] = {}
+        self.slice_weights: list[dict[int, float]] = []
+        self.withdrawn_nodes: list[set[int]] = [set() for _ in range(day.conductors)]
+        self.scheduled: dict[int, list[list[Any]]] = {}
         self.round = self.next_node = 0
-        self.alive = [False] * day.conductors
-        self.joined = [set(range(day.proxies)) for _ in range(day.conductors)]
+        self.running = [False] * day.conductors
+        self.subscribed = [set(range(day.proxies)) for _ in range(day.conductors)]
         self.version = 0
         for _ in range(day.nodes):
             self.add_node(None)
         for _ in range(day.slices):
-            self.lines.append({self.random.choice(list(self.nodes)): 1.0})
+            self.slice_weights.append({self.random.choice(list(self.nodes)): 1.0})
 
-    # What the program is told.
+    # Events for the program.
 
     def add_node(self, boot: float | None) -> int:
         number, self.next_node = self.next_node, self.next_node + 1
@@ -131,17 +131,17 @@
         node = self.nodes[number]
         return [node["boot"], 0, node["condition"], node["zone"], number, "plain", node["weight"]]
 
-    def tell(self, conductor: int, name: str, *fields: Any, rounds: int = 0) -> None:
-        self.later.setdefault(self.round + rounds, []).append([name, conductor, *fields])
+    def schedule_event(self, conductor: int, name: str, *fields: Any, rounds: int = 0) -> None:
+        self.scheduled.setdefault(self.round + rounds, []).append([name, conductor, *fields])
 
-    def tell_all(self, name: str, *fields: Any) -> None:
-        for conductor, alive in enumerate(self.alive):
-            if alive:
-                self.tell(conductor, name, *fields, rounds=self.random.randrange(3))
+    def schedule_for_all(self, name: str, *fields: Any) -> None:
+        for conductor, running in enumerate(self.running):
+            if running:
+                self.schedule_event(conductor, name, *fields, rounds=self.random.randrange(3))
 
     def list_nodes(self, how: str, numbers: list[int]) -> None:
         self.version += 1
-        self.tell_all("ROSTER_CHANGE", self.version, how, [self.entry(number) for number in numbers])
+        self.schedule_for_all("ROSTER_CHANGE", self.version, how, [self.entry(number) for number in numbers])
 
     def settings(self, conductor: int) -> dict[str, Any]:
         kinds = [
@@ -161,25 +161,27 @@
         }  # fmt: skip
 
     def create(self, conductor: int) -> None:
-        self.alive[conductor], self.withdrawn[conductor] = True, set()
-        self.tell(conductor, "CREATE", self.random.getrandbits(48), self.settings(conductor))
+        self.running[conductor], self.withdrawn_nodes[conductor] = True, set()
+        self.schedule_event(conductor, "CREATE", self.random.getrandbits(48), self.settings(conductor))
         for how in ("cached", "full"):
-            self.tell(conductor, "ROSTER_CHANGE", self.version, how, [self.entry(number) for number in self.nodes])
-        for proxy in sorted(self.joined[conductor]):
-            self.tell(conductor, "SUBSCRIBED", proxy, self.random.choice(ZONES), 3, self.round == 0)
+            self.schedule_event(
+                conductor, "ROSTER_CHANGE", self.version, how, [self.entry(number) for number in self.nodes]
+            )
+        for proxy in sorted(self.subscribed[conductor]):
+            self.schedule_event(conductor, "SUBSCRIBED", proxy, self.random.choice(ZONES), 3, self.round == 0)
         for number, owner in enumerate(self.owner):
             if owner == conductor:
-                self.give(number, conductor)
+                self.assign_slice(number, conductor)
 
-    def give(self, number: int, conductor: int) -> None:
+    def assign_slice(self, number: int, conductor: int) -> None:
         self.owner[number] = conductor
-        self.tell(conductor, "TENURE", number, True)
-        for node, weight in self.lines[number].items():
-            self.tell(conductor, "CURRENT_OWNER", node, number, weight)
+        self.schedule_event(conductor, "TENURE", number, True)
+        for node, weight in self.slice_weights[number].items():
+            self.schedule_event(conductor, "CURRENT_OWNER", node, number, weight)
 
-    # What happens of itself.
+    # Faults and reports.
 
-    def misfortune(self) -> None:
+    def inject_fault(self) -> None:
         random = self.random
         number = random.choice([number for number, node in self.nodes.items() if node["condition"] != "removed"])
         node, conductor, proxy = (
@@ -187,7 +189,7 @@
             random.randrange(self.day.conductors),
             random.randrange(self.day.proxies),
         )
-        what = random.choice(
+        fault = random.choice(
             [
                 "drain",
                 "remove",
@@ -204,79 +206,89 @@
                 "move",
             ]
         )
-        if what in ("drain", "remove") and sum(node["condition"] == "up" for node in self.nodes.values()) > 4:
-            node["condition"] = "draining" if what == "drain" else "removed"
+        if fault in ("drain", "remove") and sum(node["condition"] == "up" for node in self.nodes.values()) > 4:
+            node["condition"] = "draining" if fault == "drain" else "removed"
             self.list_nodes("delta", [number])
-        elif what == "restart":
+        elif fault == "restart":
             node.update(condition="up", boot=self.now, broken=False)
             self.list_nodes("delta", [number])
-        elif what == "break":
+        elif fault == "break":
             node["broken"] = not node["broken"]
-        elif what == "new":
+        elif fault == "new":
             self.list_nodes("delta", [self.add_node(self.now)])
-        elif what == "leave" and self.alive[conductor]:
-            if proxy in self.joined[conductor]:
-                self.joined[conductor].discard(proxy)
-                self.tell(conductor, "LOST_STREAM", proxy)
+        elif fault == "leave" and self.running[conductor]:
+            if proxy in self.subscribed[conductor]:
+                self.subscribed[conductor].discard(proxy)
+                self.schedule_event(conductor, "LOST_STREAM", proxy)
             else:
-                self.joined[conductor].add(proxy)
-                self.tell(conductor, "SUBSCRIBED", proxy, random.choice(ZONES), 3, random.random() < 0.5)
-        elif what == "kill" and random.random() < 0.3:
-            self.alive[conductor] = not self.alive[conductor]
-            if self.alive[conductor]:
+                self.subscribed[conductor].add(proxy)
+                self.schedule_event(conductor, "SUBSCRIBED", proxy, random.choice(ZONES), 3, random.random() < 0.5)
+        elif fault == "kill" and random.random() < 0.3:
+            self.running[conductor] = not self.running[conductor]
+            if self.running[conductor]:
                 self.create(conductor)
             else:
-                self.tell(conductor, "KILLED")
-        elif what == "hot":
-            self.heats[random.randrange(self.day.slices)] = self.day.ops_per_s * random.uniform(0.02, 0.3)
-        elif what == "cool":
-            self.heats[self.heats.index(max(self.heats))] = 0.5
-        elif what == "stranger" and self.alive[conductor] and conductor in self.owner:  # a node that no list names
-            self.tell(conductor, "CURRENT_OWNER", 1000 + self.round, self.owner.index(conductor), 1.0)
-        elif what == "list":
+                self.schedule_event(conductor, "KILLED")
+        elif fault == "hot":
+            self.slice_loads[random.randrange(self.day.slices)] = self.day.ops_per_s * random.uniform(0.02, 0.3)
+        elif fault == "cool":
+            self.slice_loads[self.slice_loads.index(max(self.slice_loads))] = 0.5
+        elif fault == "stranger" and self.running[conductor] and conductor in self.owner:  # a node of no list
+            self.schedule_event(conductor, "CURRENT_OWNER", 1000 + self.round, self.owner.index(conductor), 1.0)
+        elif fault == "list":
             how = random.choice(["full", "failed", "cached"])
-            listed = [] if how == "failed" else [n for n, held in self.nodes.items() if held["condition"] != "removed"]
+            listed = [] if how == "failed" else [n for n, node in self.nodes.items() if node["condition"] != "removed"]
             self.list_nodes(how, listed)
-        elif what == "move" and self.alive[conductor]:
-            taken = random.randrange(self.day.slices)
-            if self.alive[self.owner[taken]]:
-                self.tell(self.owner[taken], "TENURE", taken, False)
-            self.give(taken, conductor)
+        elif fault == "move" and self.running[conductor]:
+            moved = random.randrange(self.day.slices)
+            if self.running[self.owner[moved]]:
+                self.schedule_event(self.owner[moved], "TENURE", moved, False)
+            self.assign_slice(moved, conductor)
 
     def report(self) -> None:
-        """A second's reports: by node and zone to those who own slices there, by slice to its owner."""
+        """Send a second's reports: by node and zone to the owners of slices there, and by slice to its owner."""
         random, loads = self.random, dict.fromkeys(self.nodes, 0.0)
         by_owner: dict[tuple[int, int], float] = {}
-        for number, lines in enumerate(self.lines):
-            usable = [node for node in lines if node not in self.withdrawn[self.owner[number]]]
+        for number, slice_weights in enumerate(self.slice_weights):
+            usable = [node for node in slice_weights if node not in self.withdrawn_nodes[self.owner[number]]]
             for node in usable:
-                ops = self.heats[number] / len(usable)
+                ops = self.slice_loads[number] / len(usable)
                 loads[node] += ops
                 key = (self.owner[number], node)
                 by_owner[key] = by_owner.get(key, 0.0) + ops
         for (conductor, number), ops in by_owner.items():
             node = self.nodes[number]
-            use = min(0.97, loads[number] / (self.day.capacity * node["weight"] * node["speed"]))
-            gone = node["broken"] or node["condition"] == "removed"
+            utilization = min(0.97, loads[number] / (self.day.capacity * node["weight"] * node["speed"]))
+            is_down = node["broken"] or node["condition"] == "removed"
             count = max(0, round(random.gauss(ops, ops**0.5)))
-            failed = round(count * (0.95 if gone else max(0.0, use - 0.85)))
-            stats = {"cpu_share": round(use, 2), "served_ps": round(loads[number])} if number % 3 else None
-            time_ms = round(30.0 / (1.0 - use) / node["speed"], 1)
+            failed = round(count * (0.95 if is_down else max(0.0, utilization - 0.85)))
+            statistics = {"cpu_share": round(utilization, 2), "served_ps": round(loads[number])} if number % 3 else None
+            time_ms = round(30.0 / (1.0 - utilization) / node["speed"], 1)
             for zone in ZONES:
-                part = round(count * (0.6 if zone == node["zone"] else 0.4))
-                if part and self.alive[conductor]:
-                    extra = 0.0 if zone == node["zone"] else 40.0
-                    bad = min(part, round(failed * part / max(1, count)))
-                    self.tell(conductor, "ROUNDUP", part, bad, time_ms + extra, 1000.0, zone, number, stats)
-        for number, heat in enumerate(self.heats):
+                requests = round(count * (0.6 if zone == node["zone"] else 0.4))
+                if requests and self.running[conductor]:
+                    zone_latency_ms = 0.0 if zone == node["zone"] else 40.0
+                    failed_requests = min(requests, round(failed * requests / max(1, count)))
+                    self.schedule_event(
+                        conductor,
+                        "ROUNDUP",
+                        requests,
+                        failed_requests,
+                        time_ms + zone_latency_ms,
+                        1000.0,
+                        zone,
+                        number,
+                        statistics,
+                    )
+        for number, load in enumerate(self.slice_loads):
             conductor = self.owner[number]
-            if self.alive[conductor]:
-                for name, part in (("look", 0.8), ("buy", 0.2)):
-                    count = max(0, round(random.gauss(heat * part, (heat * part) ** 0.5)))
+            if self.running[conductor]:
+                for name, share in (("look", 0.8), ("buy", 0.2)):
+                    count = max(0, round(random.gauss(load * share, (load * share) ** 0.5)))
                     if count:
-                        self.tell(conductor, "WEIGHT_SEEN", 1000.0, name, number, 0, count)
+                        self.schedule_event(conductor, "WEIGHT_SEEN", 1000.0, name, number, 0, count)
 
-    # A round.
+    # Rounds.
 
     def batch(self) -> list[str]:
         """The lines of the next round."""
@@ -284,43 +296,47 @@
             for conductor in range(self.day.conductors):
                 self.create(conductor)
         elif self.random.random() < self.day.fault_rate:
-            self.misfortune()
+            self.inject_fault()
         if self.round % REPORT_ROUNDS == REPORT_ROUNDS - 1:
             self.report()
-        events = [event for event in self.later.pop(self.round, []) if self._told(event)]
+        events = [event for event in self.scheduled.pop(self.round, []) if self._deliverable(event)]
         return [json.dumps(line, separators=(",", ":")) for line in (["ROUND", self.now], *events, ["GO"])]
 
-    def _told(self, event: list[Any]) -> bool:
+    def _deliverable(self, event: list[Any]) -> bool:
         name, conductor = event[:2]
         if name in ("CREATE", "KILLED"):
             return True
-        if name == "INSTALLED" and event[2] not in self.joined[conductor]:
+        if name == "INSTALLED" and event[2] not in self.subscribed[conductor]:
             return False
-        return self.alive[conductor]
+        return self.running[conductor]
 
-    def obey(self, reply: list[str]) -> None:
-        """Let the orders take effect, and plan what they cause."""
+    def apply_orders(self, reply: list[str]) -> None:
+        """Apply the orders, and schedule the events that follow from them."""
         for line in reply:
             name, *fields = json.loads(line)
             if name == "ENDPOINT":
                 conductor, node, weight, number = fields
                 if self.owner[number] == conductor:
-                    self.lines[number][node] = weight
+                    self.slice_weights[number][node] = weight
                     if not weight:
-                        del self.lines[number][node]
+                        del self.slice_weights[number][node]
             elif name == "TAKE_OUT":
-                (self.withdrawn[fields[0]].add if fields[2] else self.withdrawn[fields[0]].discard)(fields[1])
+                (self.withdrawn_nodes[fields[0]].add if fields[2] else self.withdrawn_nodes[fields[0]].discard)(
+                    fields[1]
+                )
             elif name == "NONCE":
-                for proxy in sorted(self.joined[fields[0]]):
+                for proxy in sorted(self.subscribed[fields[0]]):
                     delay = 1 + self.random.randrange(DELAY_ROUNDS)
-                    self.tell(fields[0], "INSTALLED", proxy, fields[1], delay * ROUND_MS, rounds=delay)
+                    self.schedule_event(fields[0], "INSTALLED", proxy, fields[1], delay * ROUND_MS, rounds=delay)
             elif name == "BROADCAST_TO":
-                for other, alive in enumerate(self.alive):
-                    if other != fields[0] and alive:
-                        self.tell(other, "DATAGRAM", fields[0], fields[2], rounds=1 + self.random.randrange(2))
+                for other, running in enumerate(self.running):
+                    if other != fields[0] and running:
+                        self.schedule_event(
+                            other, "DATAGRAM", fields[0], fields[2], rounds=1 + self.random.randrange(2)
+                        )
             elif name == "SET_ALARM":
                 rounds = max(1, round((fields[1] - self.now) / ROUND_MS))
-                self.tell(fields[0], "REMINDER", fields[2], rounds=rounds)
+                self.schedule_event(fields[0], "REMINDER", fields[2], rounds=rounds)
         self.round += 1
         self.now += ROUND_MS
 
@@ -332,19 +348,19 @@
     for _ in range(day.rounds):
         batch = site.batch()
         reply = program.answer(batch)
-        site.obey(reply)
+        site.apply_orders(reply)
         yield from (">" + line for line in batch)
         yield from ("<" + line for line in reply)
     program.close()
 
 
 def replay(recording: list[str], checkout: str, module: str) -> list[str]:
-    """What the program answers to a recorded day, as a recording would hold it."""
-    said = "".join(line[1:] + "\n" for line in recording if line[0] == ">")
-    done = subprocess.run(
-        [sys.executable, "-m", module], cwd=checkout, input=said.encode(), stdout=subprocess.PIPE, check=True
+    """The program's replies to a recorded day, in the form of a recording."""
+    input_lines = "".join(line[1:] + "\n" for line in recording if line[0] == ">")
+    process = subprocess.run(
+        [sys.executable, "-m", module], cwd=checkout, input=input_lines.encode(), stdout=subprocess.PIPE, check=True
     )
-    return ["<" + line for line in done.stdout.decode().splitlines()]
+    return ["<" + line for line in process.stdout.decode().splitlines()]
 
 
 def record(arguments: argparse.Namespace) -> None:
@@ -361,8 +377,8 @@
         for day in DAYS:
             recording = list(play(day, seed, arguments.checkout, arguments.module))
             batches += day.rounds
-            said = [line for line in recording if line[0] == "<"]
-            if replay(recording, arguments.other_checkout, arguments.other_module) != said:
+            replies = [line for line in recording if line[0] == "<"]
+            if replay(recording, arguments.other_checkout, arguments.other_module) != replies:
                 differing += 1
                 print(f"day {day.name}, seed {seed}: the decisions differ")
     print(f"{batches} batches, {differing} days that differ")
@@ -382,23 +398,23 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    verbs = parser.add_subparsers(required=True)
-    recording = verbs.add_parser("record")
-    comparing = verbs.add_parser("compare")
-    measuring = verbs.add_parser("time")
-    for verb in (recording, comparing):
-        verb.add_argument("checkout")
-        verb.add_argument("module")
-    recording.add_argument("file")
-    recording.add_argument("--seed", type=int, default=1)
-    comparing.add_argument("other_checkout")
-    comparing.add_argument("other_module")
-    comparing.add_argument("--seeds", default="1-5")
-    measuring.add_argument("programs", nargs="+")
-    measuring.add_argument("--repeats", type=int, default=3)
-    recording.set_defaults(run=record)
-    comparing.set_defaults(run=compare)
-    measuring.set_defaults(run=measure)
+    commands = parser.add_subparsers(required=True)
+    record_parser = commands.add_parser("record")
+    compare_parser = commands.add_parser("compare")
+    time_parser = commands.add_parser("time")
+    for command in (record_parser, compare_parser):
+        command.add_argument("checkout")
+        command.add_argument("module")
+    record_parser.add_argument("file")
+    record_parser.add_argument("--seed", type=int, default=1)
+    compare_parser.add_argument("other_checkout")
+    compare_parser.add_argument("other_module")
+    compare_parser.add_argument("--seeds", default="1-5")
+    time_parser.add_argument("programs", nargs="+")
+    time_parser.add_argument("--repeats", type=int, default=3)
+    record_parser.set_defaults(run=record)
+    compare_parser.set_defaults(run=compare)
+    time_parser.set_defaults(run=measure)
     arguments = parser.parse_args()
     arguments.run(arguments)
 
