--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What the program needs is built into .venv, as deploy/balancer.toml does it; tests and lint have .venv-dev.
+# The program's dependencies are installed into .venv, as in deploy/balancer.toml; those of tests and lint into .venv-dev.
 PYTHON ?= python3
 CONFIG ?= deploy/example-config.json
 
--- a/kestrelplank/__init__.py
+++ b/kestrelplank/__init__.py
@@ -1,1 +1,1 @@
-"""kestrelplank: an assigner that tells forwarding proxies where work goes."""
+"""kestrelplank: an API gateway, and an assigner that controls where forwarding proxies send requests."""
--- a/tests/by_position.py
+++ b/tests/by_position.py
@@ -1,4 +1,4 @@
-"""Values as fixtures have them: JSON in which a struct is its fields by position, so that names may change."""
+"""The form of values in fixtures: JSON with a struct as a list of its fields, so that fields can be renamed."""
 
 import json
 from typing import Any
@@ -7,5 +7,5 @@
 
 
 def by_position(value: Any) -> Any:
-    """A value with structs as lists (the tag first where there is one) and bytes as base64."""
+    """Convert a value to JSON types: structs to lists (a tag comes first) and bytes to base64."""
     return json.loads(msgspec.json.encode(value))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
 from hypothesis import settings
 
-# The same cases each time, and no case judged by how busy the machine is.
+# Deterministic cases, and no deadline, so that results don't depend on the load of the machine.
 settings.register_profile("same", derandomize=True, deadline=None, database=None, max_examples=60)
 settings.load_profile("same")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""What deploy/system.toml says of a clean build: its system packages, and that a build that failed does not pass."""
+"""deploy/system.toml: its system packages are valid and documented, and a failing build step fails the build."""
 
 import os
 import re
@@ -13,12 +13,12 @@
 DOCUMENT = REPOSITORY / "docs" / "system.md"
 SECTION = "## Packages of a clean build"
 
-# Debian Policy, 5.6.1: two characters or more of these, the first a letter or digit.
+# Debian Policy, 5.6.1: at least two characters, the first a letter or digit.
 DEBIAN_PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+")
 
 
 def build_with(folder, python_script):
-    """Run the build line in `folder`, with a `python3` that is `python_script`; returns the exit code."""
+    """Run the build command in `folder` with `python_script` as `python3`; returns the exit code."""
     programs = folder / "bin"
     programs.mkdir()
     python3 = programs / "python3"
@@ -29,8 +29,8 @@
 
 
 @pytest.fixture
-def checkout_built_before(tmp_path):
-    """A checkout whose dependencies are older than the list of what is required."""
+def outdated_checkout(tmp_path):
+    """A checkout with installed dependencies older than requirements-system.txt."""
     dependencies = tmp_path / "target" / "deps"
     dependencies.mkdir(parents=True)
     os.utime(dependencies, (1_000, 1_000))
@@ -40,7 +40,7 @@
     return tmp_path
 
 
-def test_packages_are_distinct_debian_names():
+def test_packages_are_sorted_distinct_debian_package_names():
     packages = DEPLOY["packages"]
     assert packages
     assert all(isinstance(name, str) for name in packages)
@@ -48,27 +48,27 @@
     assert packages == sorted(set(packages))
 
 
-def test_python_and_pip_are_listed_since_the_build_calls_them():
+def test_packages_include_python_and_pip_which_the_build_runs():
     assert "python3 -m pip" in DEPLOY["build"]
     assert {"python3", "python3-pip"} <= set(DEPLOY["packages"])
 
 
-def test_each_package_is_explained_and_none_that_is_not_listed():
+def test_documentation_explains_exactly_the_listed_packages():
     section = DOCUMENT.read_text().split(f"{SECTION}\n")[1].split("\n## ")[0]
     explained = re.findall(r"^\| `([^`]+)` \|", section, re.MULTILINE)
     assert sorted(explained) == DEPLOY["packages"]
 
 
-def test_the_build_succeeds_when_each_step_does(checkout_built_before):
-    assert build_with(checkout_built_before, "exit 0") == 0
+def test_build_succeeds_when_all_steps_succeed(outdated_checkout):
+    assert build_with(outdated_checkout, "exit 0") == 0
 
 
 @pytest.mark.parametrize("failing_step", ["pip", "compileall"])
-def test_a_failed_step_fails_the_build_and_is_tried_again(checkout_built_before, failing_step):
-    dependencies = checkout_built_before / "target" / "deps"
-    before = dependencies.stat().st_mtime
+def test_failing_step_fails_the_build_and_leaves_dependencies_outdated(outdated_checkout, failing_step):
+    dependencies = outdated_checkout / "target" / "deps"
+    modified_before = dependencies.stat().st_mtime
 
-    code = build_with(checkout_built_before, f'[ "$2" != {failing_step} ]')
+    exit_code = build_with(outdated_checkout, f'[ "$2" != {failing_step} ]')
 
-    assert code != 0
-    assert dependencies.stat().st_mtime == before
+    assert exit_code != 0
+    assert dependencies.stat().st_mtime == modified_before
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages name files that exist: links, other pages, modules and packages of the program, tests by name."""
+"""Files that the documentation names exist: linked files, pages, modules and packages of the program, tests."""
 
 import re
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 def missing_files(page: Path) -> list[str]:
-    """What `page` names that is not there."""
+    """The names in `page` of files that do not exist."""
     text = page.read_text()
     missing = [name for name in LINK.findall(text) if not (page.parent / name).exists()]
     missing += [name for name in (*PAGE.findall(text), *TEST.findall(text)) if not (ROOT / name).exists()]
@@ -30,11 +30,11 @@
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.name)
-def test_a_page_names_only_files_that_exist(page):
+def test_page_names_only_existing_files(page):
     assert missing_files(page) == []
 
 
-def test_a_name_of_no_file_is_noticed(tmp_path):
+def test_names_of_missing_files_are_reported(tmp_path):
     page = tmp_path / "page.md"
     page.write_text(
         "[x](gone.md), docs/gone.md, `consensus/gone`, `kestrelplank/control/gone.py`, tests/gone.py; `control/`"
