--- a/kestrelplank/file_discovery/node_files.py
+++ b/kestrelplank/file_discovery/node_files.py
@@ -1,7 +1,7 @@
-"""Nodes from watched files: reads them, hands what they say to the cores in `state/`, and tells the policy.
+"""Nodes from watched files: reads the files, passes their content to `state/`, and notifies the policy.
 
-It decides nothing: `Debounce` says when a reading counts, `NodeSetInForce` whether the set that it makes may
-be in force; `NodeListReporter` tells what follows from the set.
+Decisions are made elsewhere: `Debounce` decides when a file's content is stable, `NodeSetInForce` whether the resulting
+set of nodes takes effect; `NodeListReporter` converts that set into events for the policy.
 """
 
 import os
@@ -28,24 +28,24 @@
 def read_bounded_file(path: str, max_bytes: int) -> bytes:
     """Return a file's bytes.
 
-    :raises OSError: it cannot be read.
-    :raises InvalidSettingsError: it is larger than that.
+    :raises OSError: the file can't be read.
+    :raises InvalidSettingsError: the file is larger than `max_bytes`.
     """
-    descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a pipe put there must not block the loop
-    with open(descriptor, "rb") as file:  # noqa: PTH123 - a descriptor, no path
+    descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)  # a named pipe must not block the event loop
+    with open(descriptor, "rb") as file:  # noqa: PTH123 - a descriptor, not a path
         data = file.read(max_bytes + 1) or b""
     if len(data) > max_bytes:
-        raise InvalidSettingsError(f"over {max_bytes} bytes", file=path)
+        raise InvalidSettingsError(f"larger than {max_bytes} bytes", file=path)
     return data
 
 
 def load_state(path: str) -> StoredNodeSet | None:
-    """Return the state that a file keeps; None where there is no such file yet.
+    """Return the node set stored in a state file; None if there is no such file yet.
 
-    :raises InvalidSettingsError: it cannot be read.
+    :raises InvalidSettingsError: the file can't be read or parsed.
     """
     try:
-        with open(path, "rb") as file:  # noqa: PTH123 - one call less than by Path, at the start of a program
+        with open(path, "rb") as file:  # noqa: PTH123 - one call fewer than with Path, at startup
             return decode_stored_node_set(file.read())
     except FileNotFoundError:
         return None
@@ -56,12 +56,12 @@
 
 
 class NodeFiles:
-    """Watched node lists, from a change of a file to what the policy is told.
+    """Watched node lists, from a changed file to the policy's events.
 
-    :param settings: what the operator's file says of them.
-    :param default_grace_ns: holds where the operator's file gives none.
-    :param addresses: discovery's addresses by node index, for health checks; those of the files are added.
-    :param on_event: takes the policy's events.
+    :param settings: the section on node files in the operator's file.
+    :param default_grace_ns: used if the operator's file sets no grace period.
+    :param addresses: discovery's addresses by node index, for health checks; addresses from the files are added.
+    :param on_event: called with events for the policy.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._reporter = NodeListReporter(
             counters, ids, addresses, self._report_settings(), settings.authority, on_event
         )
-        self._read_timers: dict[str, Timer] = {}  # of files that are to be read again
+        self._read_timers: dict[str, Timer] = {}  # by path, for files to be read again
         self._decide_timer: Timer | None = None
         self._report_timer: Timer | None = None
         self.node_set_in_force = self._restore_node_set_in_force()
@@ -88,7 +88,7 @@
         self._watcher = self._new_watcher()
 
     def on_event(self, event: Event) -> None:
-        """Take discovery's events, on their way to the policy."""
+        """Pass an event of discovery to the policy, merged with the nodes from files."""
         self._reporter.on_discovery_event(event)
 
     def forget(self, node: int) -> None:
@@ -96,14 +96,14 @@
         self._reporter.forget(node)
 
     def reload(self, settings: NodeFileSettings) -> None:
-        """Take the operator's file as it was read anew; files that it no longer names are no longer waited for."""
+        """Apply a reloaded operator's file; files that no longer match its patterns leave the set."""
         self._settings = settings
-        self.node_set_in_force.limits = self._guard_terms()
-        self._reporter.set_terms(self._report_settings())
+        self.node_set_in_force.limits = self._change_limits()
+        self._reporter.set_settings(self._report_settings())
         former_paths = self._watcher.paths()
         self._watcher.close()
         self._watcher = self._new_watcher()
-        self._watcher.look()  # now, so that what is there is known below
+        self._watcher.poll()  # now, so that `paths` is complete below
         for path in former_paths:
             if path not in self._watcher.paths():
                 self._debounce.forget(path)
@@ -111,19 +111,19 @@
         self._decide()
 
     def close(self) -> None:
-        """End the watch and all that is due."""
+        """Stop watching and cancel all timers."""
         for timer in (*self._read_timers.values(), self._decide_timer, self._report_timer):
             if timer is not None:
                 timer.cancel()
         self._watcher.close()
 
-    # What the cores and the watcher are made with.
+    # Settings and components
 
     def _report_settings(self) -> ReportSettings:
         grace_ns = self._settings.grace_ns
         return ReportSettings(self._default_grace_ns if grace_ns is None else grace_ns, self._settings.weight_step)
 
-    def _guard_terms(self) -> ChangeLimits:
+    def _change_limits(self) -> ChangeLimits:
         settings = self._settings
         return ChangeLimits(settings.max_closed_fraction, settings.confirmation_period_ns, settings.zone_may_empty)
 
@@ -134,27 +134,27 @@
             self._settings.poll_interval_ns,
             use_events=self._settings.events,
             on_change=self._read,
-            on_trouble=lambda reason: self._counters.record_fault("files_watch_troubles", reason),
+            on_problem=lambda reason: self._counters.record_fault("files_watch_troubles", reason),
         )
 
     def _restore_node_set_in_force(self) -> NodeSetInForce:
         if not self._settings.state_path:
-            return NodeSetInForce(self._guard_terms())
+            return NodeSetInForce(self._change_limits())
         try:
             state = load_state(self._settings.state_path)
-        except InvalidSettingsError as err:  # the set in force is lost; the files still say what shall be
+        except InvalidSettingsError as err:  # the set in force is lost and is built anew from the files
             self._counters.record_fault("files_state_refused", err)
-            return NodeSetInForce(self._guard_terms())
+            return NodeSetInForce(self._change_limits())
         if state is None:
-            return NodeSetInForce(self._guard_terms())
+            return NodeSetInForce(self._change_limits())
         node_set, version, _ = state
         self._counters.info("files_restored", version=version, hash=node_set.short_hash, nodes=len(node_set))
-        return NodeSetInForce(self._guard_terms(), *state)
+        return NodeSetInForce(self._change_limits(), *state)
 
-    # Reading.
+    # Reading files
 
     def _read(self, path: str) -> None:
-        """Read a file that may have changed, and decide once what was read counts and no other file is written."""
+        """Read a file that may have changed; decide once its content, and that of all other files, is stable."""
         now, problem, data = self._loop.now(), "", b""
         try:
             data = read_bounded_file(path, self._settings.max_file_bytes)
@@ -168,14 +168,14 @@
         outcome = self._debounce.observe(now, path, digest)
         if outcome is DebounceResult.SETTLED:
             self._counters.add("files_read")
-            self.node_set_in_force.update_file(path, problem or self._parsed(path, data))
+            self.node_set_in_force.update_file(path, problem or self._parse_list(path, data))
         elif isinstance(outcome, int):
             self._read_again_at(path, outcome)
         if outcome in (DebounceResult.SETTLED, DebounceResult.SAME) and self._debounce.may_decide(now):
             self._decide()
 
-    def _parsed(self, path: str, data: bytes) -> NodeList | str:
-        """Return what the file lists, or why it cannot be used."""
+    def _parse_list(self, path: str, data: bytes) -> NodeList | str:
+        """Return the parsed node list, or the reason why it is invalid."""
         settings = self._settings
         try:
             return parse_node_list(path, data, max_nodes=settings.max_nodes, trailer_required=settings.trailer_required)
@@ -187,12 +187,12 @@
             self._read_timers[path].cancel()
         self._read_timers[path] = self._loop.at(at, lambda: self._read(path))
 
-    # Deciding is the cores' part; this does what they say.
+    # Carrying out decisions of `NodeSetInForce`
 
     def _decide(self) -> None:
         outcome = self.node_set_in_force.decide(self._loop.now())
         if self.node_set_in_force.decide_at is not None:
-            self._decide_timer = self._replaced(self._decide_timer, self.node_set_in_force.decide_at, self._decide)
+            self._decide_timer = self._reschedule(self._decide_timer, self.node_set_in_force.decide_at, self._decide)
         if outcome is None:
             return
         if outcome.decision is Decision.ACCEPTED:
@@ -209,23 +209,23 @@
         if path:
             try:
                 write_atomically(path, self.node_set_in_force.encode())
-            except OSError as err:  # the set holds all the same; a restart would know an older one
+            except OSError as err:  # the set stays in force, but a restart would restore an older one
                 self._counters.record_fault("files_state_not_saved", f"{path}: {err.strerror}")
 
     def _report_accepted(self) -> None:
-        """Tell the policy of the set that is in force now, if there is one."""
+        """Report the set in force to the policy, if there is one."""
         if self.node_set_in_force.node_set is not None:
             self._reporter.accept(self._loop.now(), self.node_set_in_force.node_set)
             self._report()
 
     def _report(self) -> None:
-        """Tell the policy what is due, and come back when more is."""
+        """Report due changes to the policy, and set a timer for the next ones."""
         due = self._reporter.report(self._loop.now())
         if due is not None:
-            self._report_timer = self._replaced(self._report_timer, due, self._report)
+            self._report_timer = self._reschedule(self._report_timer, due, self._report)
 
-    def _replaced(self, timer: Timer | None, at: int, callback: Callable[[], None]) -> Timer:
-        """Return a timer in place of one that is set already."""
+    def _reschedule(self, timer: Timer | None, at: int, callback: Callable[[], None]) -> Timer:
+        """Cancel a timer and return its replacement."""
         if timer is not None:
             timer.cancel()
         return self._loop.at(at, callback)
