--- a/kestrelplank/state/__init__.py
+++ b/kestrelplank/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is believed and must survive, without I/O: tables as a relay holds them, checked node sets, versions."""
+"""State machines without I/O: load-balancing tables, node sets, membership, the control state and a journal."""
--- a/kestrelplank/state/change_acceptor.py
+++ b/kestrelplank/state/change_acceptor.py
@@ -1,4 +1,4 @@
-"""A proxy's part in a change of configuration: it promises, stages and uses."""
+"""The acceptor side of a configuration change: a proxy answers a leader's prepare, stage and use requests."""
 
 from typing import NamedTuple, assert_never
 
@@ -17,12 +17,13 @@
 
 
 class AcceptorState(NamedTuple):
-    """What one proxy holds.
+    """A proxy's durable state.
 
-    It keeps this where it has a disk; one that has lost it has no vote until it has been given a decided version.
+    A proxy that has lost it must not vote until it has received a decided version.
 
-    :param promised_epoch: older ones are refused.
-    :param version: the one in use, with its content.
+    :param promised_epoch: requests of older epochs are rejected.
+    :param staged: the change that is stored but not yet known to be decided.
+    :param version: the version in use; `content` is its content.
     """
 
     promised_epoch: int = 0
@@ -32,10 +33,10 @@
 
 
 def handle_request(state: AcceptorState, request: Request) -> tuple[AcceptorState, Reply]:
-    """Return what a proxy holds after a leader's request, and its reply.
+    """Return a proxy's state after a leader's request, and its reply.
 
-    A request that comes twice changes nothing more and is answered again. What is decided is used whoever says so, but
-    never a version below the one in use.
+    A duplicate request changes nothing and gets the same kind of reply. A `Use` request is accepted whatever its epoch,
+    as its version is decided, but the version in use never decreases.
     """
     if isinstance(request, Use):
         state = _use(state, request)
--- a/kestrelplank/state/change_guard.py
+++ b/kestrelplank/state/change_guard.py
@@ -1,7 +1,7 @@
-"""Whether one set of nodes may follow another.
+"""Decides whether a new node set may replace the one in force.
 
-Decided from the two sets, what their writer confirms, and for how long the new content has stayed the same. Each limit
-is the operator's, with the default that `settings/operator.py` documents.
+The decision depends on both sets, on the confirmations in the files and on how long the new content has been unchanged.
+The operator sets the limits; `settings/operator.py` documents their defaults.
 """
 
 from enum import StrEnum
@@ -9,11 +9,11 @@
 
 from kestrelplank.state.node_set import SHORT_HASH_DIGITS, Difference, NodeSet, difference
 
-NS_PER_S = 1e9  # the program in service has no module for units of time
+NS_PER_S = 1e9
 
 
 class Decision(StrEnum):
-    """What becomes of a set; the values are in log lines and in the output of commands."""
+    """The decision on a node set; the values appear in log lines and in the output of commands."""
 
     ACCEPTED = "accepted"
     WAITING = "waiting"
@@ -21,12 +21,11 @@
 
 
 class ChangeLimits(NamedTuple):
-    """What a set may change without a second word.
+    """Limits on what a new set may change without confirmation.
 
-    :param max_closed_fraction: of the ready nodes, that one set may take away or drain.
-    :param confirmation_period_ns: content that stays the same for so long counts as confirmed; 0: time confirms
-        nothing.
-    :param zone_may_empty: whether a zone may be left without a ready node, which then counts as any other removal.
+    :param max_closed_fraction: the largest fraction of the ready nodes that one set may remove or drain.
+    :param confirmation_period_ns: content that is unchanged for this long counts as confirmed; 0 disables this.
+    :param zone_may_empty: whether a zone may be left without a ready node; if so, it counts as any other removal.
     """
 
     max_closed_fraction: float
@@ -35,9 +34,9 @@
 
 
 class Verdict(NamedTuple):
-    """What becomes of a set, and why.
+    """A decision and its reason.
 
-    :param remaining_ns: for one that waits, until time confirms it; None: time will not.
+    :param remaining_ns: for a waiting set, the time until it counts as confirmed; None if it needs a confirmation.
     """
 
     decision: Decision
@@ -48,18 +47,18 @@
 def evaluate_change(
     in_force: NodeSet | None, new: NodeSet, confirmed_hashes: tuple[str, ...], unchanged_ns: int, limits: ChangeLimits
 ) -> Verdict:
-    """Decide whether `new` may take the place of the set in force.
+    """Decide whether `new` may replace the set in force.
 
-    Guards against half a list, a list emptied by mistake, and a zone or the whole fleet closed by one edit. Harm: a
-    large release is held up until it is confirmed, which its refusal says how to do.
+    Guards against a truncated or accidentally emptied list, and against one edit that closes a zone or all nodes. A
+    large intended change is delayed until it is confirmed; the reason says how to confirm it.
 
-    :param in_force: None where there is none yet.
-    :param unchanged_ns: for which the new content has been the same.
+    :param in_force: None before the first set.
+    :param unchanged_ns: how long the new content has been unchanged.
     """
     if not new.ready_nodes():
         return Verdict(Decision.REFUSED, "it lists no node that is ready" if len(new) else "it lists no node")
     if in_force is None:
-        return Verdict(Decision.ACCEPTED, "there was none")
+        return Verdict(Decision.ACCEPTED, "no set was in force")
     emptied = [zone for zone, ready in in_force.zones.items() if ready and not new.zones.get(zone)]
     if emptied and not limits.zone_may_empty:
         more = f", and {len(emptied) - 1} more" if len(emptied) > 1 else ""
@@ -71,13 +70,13 @@
     if any(len(given) >= SHORT_HASH_DIGITS and in_force.hash.startswith(given) for given in confirmed_hashes):
         return Verdict(Decision.ACCEPTED, f"{found}; confirmed")
     if limits.confirmation_period_ns and unchanged_ns >= limits.confirmation_period_ns:
-        return Verdict(Decision.ACCEPTED, f"{found}; it has stood for {unchanged_ns / NS_PER_S:g} s")
+        return Verdict(Decision.ACCEPTED, f"{found}; unchanged for {unchanged_ns / NS_PER_S:g} s")
     reason = f"it would close {closed} of {ready} ready nodes, over {limits.max_closed_fraction:.0%}"
     return _waiting(in_force, reason, unchanged_ns, limits)
 
 
 def _waiting(in_force: NodeSet, reason: str, unchanged_ns: int, limits: ChangeLimits) -> Verdict:
-    """Return the verdict on a set that needs a second word, and how to give it."""
+    """Return the verdict on a set that needs a confirmation; its reason says how to confirm."""
     period_ns = limits.confirmation_period_ns
     reason = f"{reason}; to confirm, put `confirm = {in_force.short_hash}` into [list]"
     if not period_ns:
@@ -87,5 +86,5 @@
 
 
 def closed_nodes(in_force: NodeSet, found: Difference) -> list[str]:
-    """Return the ready nodes of the set in force that the difference takes away or closes."""
+    """Return the ready nodes of the set in force that the difference removes or closes."""
     return [name for name in found.gone if in_force.nodes[name].ready] + list(found.closed)
--- a/kestrelplank/state/change_merge.py
+++ b/kestrelplank/state/change_merge.py
@@ -1,4 +1,4 @@
-"""Contents of changes that are mappings, a node to what is said of it: differences, merges and undos."""
+"""Differences, merges and undos of changes whose content maps each node to its attributes."""
 
 from collections.abc import Mapping
 
@@ -6,23 +6,23 @@
 
 
 def changed_keys(base: Mapping[str, object], new: Mapping[str, object]) -> dict[str, object]:
-    """Return what `new` changes of `base`: key to its new value, None where it is removed."""
+    """Return the keys whose values differ between `base` and `new`: key to new value, None if removed."""
     changed = {key: value for key, value in new.items() if base.get(key) != value}
     removed = {key: None for key in base if key not in new}
     return dict(sorted((changed | removed).items()))
 
 
 def merge(base: Mapping[str, object], current: Mapping[str, object], new: Mapping[str, object]) -> dict[str, object]:
-    """Apply a change made from `base` to `current`, which others have changed meanwhile.
+    """Three-way merge: apply the change from `base` to `new` to `current`.
 
-    :raises StaleChangeError: both change the same key otherwise; the text names the keys.
+    :raises StaleChangeError: both sides changed a key to different values; the text names the keys.
     """
-    theirs, ours = changed_keys(base, current), changed_keys(base, new)
-    conflicts = [key for key in ours if key in theirs and ours[key] != theirs[key]]
+    current_changes, new_changes = changed_keys(base, current), changed_keys(base, new)
+    conflicts = [key for key in new_changes if key in current_changes and new_changes[key] != current_changes[key]]
     if conflicts:
-        raise StaleChangeError(f"changed by others meanwhile: {', '.join(map(str, conflicts))}")
+        raise StaleChangeError(f"keys changed to other values since the base version: {', '.join(map(str, conflicts))}")
     merged = dict(current)
-    for key, value in ours.items():
+    for key, value in new_changes.items():
         if value is None:
             merged.pop(key, None)
         else:
@@ -31,11 +31,11 @@
 
 
 def undo(before: Mapping[str, object], closed: Mapping[str, object]) -> tuple[dict[str, object], list[str]]:
-    """Return the content that an undo makes, and the nodes that stay closed in it.
+    """Return the content that undoes a change, and the nodes that stay closed in it.
 
-    It is `before`, but with every node that drains or was withdrawn since left as it is.
+    The content is `before`, except that nodes which now drain or are withdrawn keep their current value.
 
-    :param closed: those nodes, to what is said of them now.
+    :param closed: the current value of each such node.
     """
     content, kept_closed = dict(before), []
     for node in sorted(closed):
--- a/kestrelplank/state/change_messages.py
+++ b/kestrelplank/state/change_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the leader of a configuration change and the proxies, and what a leader wants done.
+"""Messages between the leader of a configuration change and the proxies, and the leader's effects.
 
 The protocol is single-decree Paxos for each version (L. Lamport, The Part-Time Parliament, 1998), with proxies as
 acceptors: `Prepare` and `Promise` are its first phase, `Stage` and `Staged` its second.
@@ -10,26 +10,26 @@
 
 @dataclass(frozen=True, slots=True)
 class StagedChange:
-    """A version that is staged but not known to be decided, and the epoch in which it was staged."""
+    """A version that is staged but not known to be decided, with the epoch in which it was staged."""
 
     version: int
     epoch: int
     content: object
 
 
-# From a leader to a proxy.
+# Requests from the leader to a proxy.
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Follow no older epoch from now on, and say what you hold."""
+    """Asks the proxy to reject older epochs from now on, and to report its state."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """Hold this version ready."""
+    """Asks the proxy to store this version without using it."""
 
     epoch: int
     version: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Use:
-    """This version is decided: use it."""
+    """Asks the proxy to use this version, which is decided."""
 
     epoch: int
     version: int
@@ -48,12 +48,12 @@
 Request = Prepare | Stage | Use
 
 
-# From a proxy to a leader. `epoch`: that of the request.
+# Replies from a proxy to the leader. `epoch` is that of the request.
 
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The proxy follows no older epoch; it uses `version`, and has `staged`."""
+    """The proxy rejects older epochs; it uses `version`, and has stored `staged`."""
 
     epoch: int
     version: int
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Staged:
-    """The proxy holds this version ready."""
+    """The proxy has stored this version."""
 
     epoch: int
     version: int
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """The proxy has promised to follow a newer epoch, and has done nothing."""
+    """The proxy rejected the request, as it has promised a newer epoch."""
 
     epoch: int
     promised_epoch: int
@@ -88,27 +88,27 @@
 Reply = Promise | Staged | Using | Fenced
 
 
-# What a leader wants done, in order.
+# Effects of the leader, to be carried out in order.
 
 
 class Outcome(Enum):
-    """What has become of a change."""
+    """The outcome of a change."""
 
-    COMMITTED = "committed"  # decided: it will be used by all
-    CONFIRMED = "confirmed"  # used by all that are joined
-    ABANDONED = "abandoned"  # this lead is over; another epoch settles what was under way
+    COMMITTED = "committed"  # decided: all proxies will use it
+    CONFIRMED = "confirmed"  # used by all joined proxies
+    ABANDONED = "abandoned"  # this leadership ended; a later epoch completes or drops the change
 
 
 @dataclass(frozen=True, slots=True)
 class StoreEpoch:
-    """Make the epoch durable before anything behind this is sent."""
+    """Make the epoch durable before carrying out any later effect."""
 
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class StoreStaged:
-    """Make durable what is about to be staged, before anything behind this is sent."""
+    """Make the change about to be staged durable before carrying out any later effect."""
 
     epoch: int
     version: int
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreDecided:
-    """Make the decision durable before anything behind this is sent."""
+    """Make the decision durable before carrying out any later effect."""
 
     epoch: int
     version: int
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToProxy:
-    """Send this to that proxy."""
+    """Send the request to the proxy."""
 
     proxy: int
     request: Request
@@ -134,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportOutcome:
-    """Answer whoever asked for the change."""
+    """Report the outcome to the client that proposed the change."""
 
     outcome: Outcome
     version: int
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -1,8 +1,7 @@
-"""The replicated state of the control members: what the log's entries, applied in order, add up to.
+"""The replicated state machine of the control members, to which the entries of the log are applied in order.
 
-No I/O, no clock, no chance: members that applied the same entries hold the same state, and their snapshots are the same
-bytes. The state is bounded by the configuration in force: one configuration, and one record for each service that it
-shards.
+No I/O, no clock, no randomness: members that applied the same entries have the same state, and their snapshots have the
+same bytes. The configuration in force bounds the state: one configuration, and one record for each service it shards.
 """
 
 from collections.abc import Mapping
@@ -21,7 +20,7 @@
 
 
 class SnapshotContent(msgspec.Struct, frozen=True, array_like=True):
-    """A snapshot as it is encoded: the order of the fields is the format on disk and on the wire.
+    """An encoded snapshot; the order of the fields is the format on disk and on the wire.
 
     :param format_version: `SNAPSHOT_FORMAT`.
     :param records: services and their records, in the order of the services' names.
@@ -33,25 +32,25 @@
 
 
 class ServiceOutline(msgspec.Struct, frozen=True):
-    """The part of a service that decides whether it may have a record."""
+    """The fields of a service that decide whether it may have a record."""
 
     name: str
     sharded: bool = False
 
 
 class ConfigurationOutline(msgspec.Struct, frozen=True):
-    """The part of a configuration, as the operator sent it, that decides which services may have records."""
+    """The fields of an operator's configuration that decide which services may have records."""
 
     service_table: list[ServiceOutline]
 
 
 @dataclass(frozen=True, slots=True)
 class ApplyResult:
-    """What one entry changed.
+    """The changes made by one entry.
 
     :param in_force: the configuration that the entry put in force.
-    :param dropped: services whose records were removed with that.
-    :param recorded_service: the service whose record is now the entry's.
+    :param dropped: services whose records were removed because that configuration does not shard them.
+    :param recorded_service: the service whose record the entry set.
     """
 
     in_force: PutConfiguration | None = None
@@ -68,21 +67,21 @@
 
 
 class ControlState:
-    """The replicated state machine. Before the first configuration it holds nothing.
+    """The replicated state machine; empty before the first configuration.
 
-    What holds at all times, and the test of each (`tests/state/test_control_state.py`):
+    Invariants, each with the test in `tests/state/test_control_state.py` that checks it:
 
-    - The version in force never falls, and a version has one text, the first that came:
-      `test_the_version_never_falls_and_the_state_stays_bounded`.
-    - Members that applied the same entries have snapshots of the same bytes, also after a restore:
-      `test_a_snapshot_holds_the_complete_state`.
-    - A snapshot that can't be read changes nothing: `test_a_snapshot_that_cannot_be_read_changes_nothing`.
+    - The version in force never decreases, and a version has one text, the first one applied:
+      `test_version_never_decreases_and_state_stays_bounded`.
+    - Members that applied the same entries have snapshots with the same bytes, also after a restore:
+      `test_snapshot_contains_the_complete_state`.
+    - A snapshot that can't be decoded changes nothing: `test_undecodable_snapshot_changes_nothing`.
     """
 
     def __init__(self) -> None:
         self._configuration: PutConfiguration | None = None
         self._records: dict[str, bytes] = {}
-        self._sharded_services: frozenset[str] | None = frozenset()  # None: any service may be
+        self._sharded_services: frozenset[str] | None = frozenset()  # None: unknown, so any service may be
         self._parsed: Configuration | None = None
         self._parse_pending = False
 
@@ -98,10 +97,9 @@
 
     @property
     def parsed(self) -> Configuration | None:
-        """The configuration in force, parsed when first asked for.
+        """The configuration in force, parsed on first use.
 
-        None where none is in force, and where this release rejects a text that the member which took the order had
-        accepted.
+        None if there is none, or if this release rejects a text that the release of the accepting member had accepted.
         """
         if self._parse_pending and self._configuration is not None:
             self._parse_pending = False
@@ -114,35 +112,35 @@
         return MappingProxyType(self._records)
 
     def is_in_force(self, order: PutConfiguration) -> bool:
-        """Whether the order's very text is in force."""
+        """Whether the configuration in force has the order's version and text."""
         in_force = self._configuration
         return in_force is not None and (in_force.version, in_force.digest) == (order.version, order.digest)
 
     def is_decided(self, order: PutConfiguration) -> bool:
-        """Whether the operator may be told that the order is decided.
+        """Whether the order is decided, so that the operator can be answered.
 
-        It is in force, or a higher version is, or its version has another text: it can't come into force any more.
+        Either it is in force, or it never will be: a higher version is in force, or its version with another text.
         """
         return order.version <= self.version
 
     def apply(self, entry: Entry) -> ApplyResult:
-        """Apply a committed entry; each index comes once, in order."""
+        """Apply a committed entry; the caller applies each index once, in order."""
         command = entry.command
         if isinstance(command, PutConfiguration):
             return self._put_configuration(command)
         if isinstance(command, PutRecord):
             return self._put_record(command)
-        return NO_CHANGE  # a membership is in effect from when it is in the log: the consensus core keeps it
+        return NO_CHANGE  # the consensus core applies a membership as soon as it is in the log
 
     def snapshot(self) -> bytes:
-        """Return the complete state, the same bytes at each member that applied the same entries."""
+        """Return the encoded state; members that applied the same entries return the same bytes."""
         records = tuple(sorted(self._records.items()))
         return msgspec.msgpack.encode(SnapshotContent(SNAPSHOT_FORMAT, self._configuration, records))
 
     def restore(self, snapshot: bytes) -> None:
-        """Replace the state by that of `snapshot`.
+        """Replace the state with that of `snapshot`.
 
-        :raises Malformed: it can't be read; then nothing has changed.
+        :raises Malformed: it can't be decoded; nothing has changed.
         """
         content = decode_snapshot(snapshot)
         self._set_configuration(content.configuration)
@@ -174,7 +172,7 @@
 
 
 def sharded_services(text: bytes) -> frozenset[str] | None:
-    """Return the services that a configuration shards, without reading the rest; None where the text does not say."""
+    """Return the services that a configuration shards, without parsing the rest; None if the text can't be decoded."""
     try:
         outline = msgspec.json.decode(text, type=ConfigurationOutline)
     except (msgspec.DecodeError, RecursionError):
@@ -185,14 +183,14 @@
 def decode_snapshot(snapshot: bytes) -> SnapshotContent:
     """Return a snapshot's content.
 
-    :raises Malformed: it can't be read, or is of an unknown form.
+    :raises Malformed: it can't be decoded, or its format version is not supported.
     """
     try:
         content = msgspec.msgpack.decode(snapshot, type=SnapshotContent)
     except msgspec.DecodeError as err:
-        raise Malformed(f"snapshot of the control state: {err}") from err
+        raise Malformed(f"control state snapshot: {err}") from err
     if content.format_version != SNAPSHOT_FORMAT:
         raise Malformed(
-            f"snapshot of the control state: form {content.format_version} is not known, {SNAPSHOT_FORMAT} is"
+            f"control state snapshot: format version {content.format_version} is not supported, expected {SNAPSHOT_FORMAT}"
         )
     return content
--- a/kestrelplank/state/debounce.py
+++ b/kestrelplank/state/debounce.py
@@ -1,34 +1,34 @@
-"""When the content of a file that is being written counts."""
+"""Debouncing of changes to files: content is accepted only once it has stopped changing."""
 
 from enum import Enum
 
-BUSY_FACTOR = 10  # quiet periods that files which have settled wait for one that is still written
+MAX_BUSY_PERIODS = 10  # quiet periods that settled files wait for a file that keeps changing
 
 
 class DebounceResult(Enum):
-    """What a reading of a file means, where it need not be read again."""
+    """The result of a read after which the file need not be read again."""
 
-    SAME = "same"  # as what counts already
-    SETTLED = "settled"  # it counts from now on
+    SAME = "same"  # equals the accepted content
+    SETTLED = "settled"  # accepted from now on
 
 
 class Debounce:
-    """A file's content counts once two readings at least a quiet period apart found the same.
+    """Accepts a file's content once two reads at least a quiet period apart found the same.
 
-    Guards against a write that is under way, and against a file that is gone for a moment, as editors rename. Harm: a
-    change counts that much later, and one that never rests never does.
+    Guards against reading a file while it is written, and against a file that is briefly missing while an editor
+    renames it. The cost: a change is accepted one quiet period later, and never if the content keeps changing.
     """
 
     def __init__(self, quiet_period_ns: int) -> None:
         self._quiet_period_ns = quiet_period_ns
-        self._settled: dict[str, str | None] = {}  # digests that count, by path
+        self._settled: dict[str, str | None] = {}  # accepted digests, by path
         self._pending: dict[str, tuple[str | None, int]] = {}  # digest, and when it was first seen
         self._busy_since = 0
 
     def observe(self, now: int, path: str, digest: str | None) -> DebounceResult | int:
-        """Take a reading; return what it means, or the time at which to read again.
+        """Record a read; return its result, or the time of the next read.
 
-        :param digest: of the file's content, None: no such file.
+        :param digest: digest of the file's content; None if there is no such file.
         """
         if path in self._settled and self._settled[path] == digest:
             self._pending.pop(path, None)
@@ -45,13 +45,13 @@
         return DebounceResult.SETTLED
 
     def forget(self, path: str) -> None:
-        """Forget a file: whatever is found there next counts as new."""
+        """Forget a file, so that its next content counts as new."""
         self._settled.pop(path, None)
         self._pending.pop(path, None)
 
     def may_decide(self, now: int) -> bool:
-        """Whether to decide now: no file is being written, or one has been for so long that others shall not wait.
+        """Whether to decide now: no file is changing, or one has been changing for too long to wait for it.
 
-        Guards against deciding between two writes that only make sense together.
+        Guards against deciding between two writes that belong together.
         """
-        return not self._pending or now - self._busy_since >= BUSY_FACTOR * self._quiet_period_ns
+        return not self._pending or now - self._busy_since >= MAX_BUSY_PERIODS * self._quiet_period_ns
--- a/kestrelplank/state/idempotency_cache.py
+++ b/kestrelplank/state/idempotency_cache.py
@@ -1,8 +1,7 @@
-"""Answers kept by idempotency key, so that a client that asks again with the same key gets the first answer.
+"""Answers cached by idempotency key, so that a client that retries with the same key gets the first answer.
 
-Bounded by number, by bytes and by age. The bounds are what the promise is worth: one proxy, so many answers, for so
-long; a client that asks again later, elsewhere, or after much else may run its op twice. The cache is lost with the
-proxy's process.
+The cache is bounded by entries, bytes and age, and is local to one proxy process. A retry that comes after its answer
+has expired or was evicted, at another proxy, or after a restart may run its op twice.
 """
 
 from collections import OrderedDict
@@ -11,13 +10,13 @@
 
 
 class LookupStatus(StrEnum):
-    """What the cache knows of a key; the values are in the names of counters."""
+    """The state of a key; the values appear in the names of counters."""
 
-    NEW = "new"  # nothing: its op is to be sent
-    PENDING = "busy"  # the first op with it has no answer yet
-    ANSWERED = "known"  # here is its answer, empty where the first op's end is unknown
-    FULL = "full"  # nothing, and as many ops are pending as may be kept
-    MISMATCH = "other"  # it was used with another body, which is a client's mistake
+    NEW = "new"  # not in the cache: send the op
+    PENDING = "busy"  # the first op with this key has no answer yet
+    ANSWERED = "known"  # the answer is cached; empty if the first op's outcome is unknown
+    FULL = "full"  # not in the cache, and the maximum number of ops is pending
+    MISMATCH = "other"  # the key was used with another body: a client error
 
 
 class Lookup(NamedTuple):
@@ -28,11 +27,11 @@
 
 
 class CacheLimits(NamedTuple):
-    """Bounds of the cache.
+    """Limits of the cache.
 
-    :param max_entries: pending and answered together.
-    :param max_bytes: of all answers.
-    :param max_age_ns: of an answer, from when its op was first asked.
+    :param max_entries: pending and answered ops together.
+    :param max_bytes: total size of all answers.
+    :param max_age_ns: age of an answer, counted from the first request with its key.
     """
 
     max_entries: int = 10_000
@@ -41,35 +40,35 @@
 
 
 class _Entry:
-    __slots__ = ("asked_at", "body_digest", "answer", "waiting")
+    __slots__ = ("first_requested_at", "body_digest", "answer", "waiting")
 
-    def __init__(self, asked_at: int, body_digest: str) -> None:
-        self.asked_at, self.body_digest = asked_at, body_digest
+    def __init__(self, first_requested_at: int, body_digest: str) -> None:
+        self.first_requested_at, self.body_digest = first_requested_at, body_digest
         self.answer: bytes | None = None  # None while the first op is pending
         self.waiting: list[int] = []
 
 
 class IdempotencyCache:
-    """Call `look_up` before an op is sent, then, where it is new, one of `handle_answered` and `handle_failed`.
+    """Call `look_up` before sending an op; if its key is new, then call `handle_answered` or `handle_failed` once.
 
     Invariant: at most `max_entries` ops are pending, answers stay within `max_bytes`, and no key is new while its op is
-    pending (`tests/state/test_idempotency_cache.py::test_bounds_hold_and_no_key_is_new_while_it_is_pending`).
+    pending (`tests/state/test_idempotency_cache.py::test_limits_hold_and_pending_key_is_never_new`).
     """
 
     def __init__(self, limits: CacheLimits) -> None:
         self._limits = limits
-        self._entries: OrderedDict[str, _Entry] = OrderedDict()  # in the order in which they were first asked
+        self._entries: OrderedDict[str, _Entry] = OrderedDict()  # in the order of first requests
         self.answer_bytes, self.pending = 0, 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def look_up(self, now: int, key: str, body_digest: str, number: int) -> Lookup:
-        """Look up an op's key. Where its first op is pending, `number` waits for that one's answer."""
+        """Look up an op's key. If its first op is pending, `number` is added to those waiting for the answer."""
         self.expire(now)
         entry = self._entries.get(key)
         if entry is not None:
-            return self._known(entry, body_digest, number)
+            return self._existing(entry, body_digest, number)
         if self.pending >= self._limits.max_entries:
             return Lookup(LookupStatus.FULL)
         self._entries[key] = _Entry(now, body_digest)
@@ -77,7 +76,7 @@
         self._evict()
         return Lookup(LookupStatus.NEW)
 
-    def _known(self, entry: _Entry, body_digest: str, number: int) -> Lookup:
+    def _existing(self, entry: _Entry, body_digest: str, number: int) -> Lookup:
         if entry.body_digest != body_digest:
             return Lookup(LookupStatus.MISMATCH)
         if entry.answer is None:
@@ -86,7 +85,7 @@
         return Lookup(LookupStatus.ANSWERED, entry.answer)
 
     def handle_answered(self, key: str, answer: bytes) -> list[int]:
-        """Keep the op's final answer; return who waits for it."""
+        """Store the op's final answer; return the numbers waiting for it."""
         entry = self._entries[key]
         entry.answer, waiting, entry.waiting = answer, entry.waiting, []
         self.pending -= 1
@@ -95,10 +94,10 @@
         return waiting
 
     def handle_failed(self, key: str, may_have_run: bool) -> list[int]:
-        """Take note that the op has no answer; return who waits for it.
+        """Record that the op ended without an answer; return the numbers waiting for it.
 
-        :param may_have_run: the key stays taken, with an empty answer, until it expires: whoever asks again must not
-            run the op a second time by our doing.
+        :param may_have_run: keep the key with an empty answer until it expires, so that a retry does not run the op a
+            second time.
         """
         entry = self._entries[key]
         waiting, entry.waiting = entry.waiting, []
@@ -110,21 +109,21 @@
         return waiting
 
     def cancel_wait(self, key: str, number: int) -> None:
-        """Take note that whoever waited for the first answer has left."""
+        """Stop waiting for the first answer on behalf of `number`."""
         entry = self._entries.get(key)
         if entry is not None and number in entry.waiting:
             entry.waiting.remove(number)
 
     def expire(self, now: int) -> None:
-        """Drop answers that are too old."""
+        """Drop answers older than `max_age_ns`."""
         while self._entries:
             key, entry = next(iter(self._entries.items()))
-            if entry.answer is None or now - entry.asked_at < self._limits.max_age_ns:
+            if entry.answer is None or now - entry.first_requested_at < self._limits.max_age_ns:
                 return
             self._drop(key)
 
     def _evict(self) -> None:
-        """Drop the oldest answers until the bounds hold; what is pending stays."""
+        """Drop the oldest answers until the limits hold; pending ops stay."""
         if self._within_limits():
             return
         for key in [key for key, entry in self._entries.items() if entry.answer is not None]:
--- a/tests/state/test_change_leader.py
+++ b/tests/state/test_change_leader.py
@@ -9,9 +9,9 @@
 from kestrelplank.state.change_acceptor import AcceptorState, handle_request
 from kestrelplank.state.change_leader import (
     ChangeLeader,
-    ChangeUnderWayError,
-    LeadStatus,
-    LeadTerms,
+    ChangeInProgressError,
+    LeaderStatus,
+    LeaderSettings,
     Phase,
     StaleChangeError,
 )
@@ -31,18 +31,18 @@
 )
 from kestrelplank.time_units import SECOND
 
-TERMS = LeadTerms((0, 1, 2), SECOND, 0.5)
+SETTINGS = LeaderSettings((0, 1, 2), SECOND, 0.5)
 
 
 class Site:
     """A leader and proxies, with messages that a test delivers, loses or keeps."""
 
-    def __init__(self, proxies=3, terms=TERMS):
-        self.proxies, self.terms = {number: AcceptorState() for number in range(proxies)}, terms
+    def __init__(self, proxies=3, settings=SETTINGS):
+        self.proxies, self.settings = {number: AcceptorState() for number in range(proxies)}, settings
         self.reported, self.stored = [], []
 
     def lead(self, epoch, now=0, joined=None, version=0, content=None):
-        leader = ChangeLeader(epoch, self.terms, version, content)
+        leader = ChangeLeader(epoch, self.settings, version, content)
         self.run(leader, leader.take_over(now, tuple(self.proxies) if joined is None else joined))
         return leader
 
@@ -81,10 +81,10 @@
     site = Site()
     leader = site.lead(1)
     site.run(leader, leader.propose(0, 0, "A"))
-    with pytest.raises(StaleChangeError, match="made from version 0, in use is 1"):
+    with pytest.raises(StaleChangeError, match="based on version 0, but 1 is in use"):
         leader.propose(0, 0, "B")
     leader.propose(0, 1, "B")
-    with pytest.raises(ChangeUnderWayError):
+    with pytest.raises(ChangeInProgressError):
         leader.propose(0, 1, "C")
 
 
@@ -134,20 +134,20 @@
     site.lead(1)
     for proxy in (0, 2):
         site.proxies[proxy], _ = handle_request(site.proxies[proxy], Stage(1, 1, "A"))
-    new = ChangeLeader(2, TERMS)
+    new = ChangeLeader(2, SETTINGS)
     site.run(new, new.take_over(0, (0, 1)))  # proxy 2 is not to be reached
     assert site.uses()[:2] == [(1, "A")] * 2
 
 
 def test_an_operator_is_shown_whom_a_lead_waits_for_and_for_how_long():
     site = Site()
-    leader = ChangeLeader(1, TERMS)
+    leader = ChangeLeader(1, SETTINGS)
     asked = leader.take_over(0, (0, 1, 2))
     assert leader.status(SECOND // 2).awaited == (0, 1, 2)
     assert leader.status(SECOND // 2).remaining_ns == SECOND // 2
     site.run(leader, asked)
     site.run(leader, leader.propose(0, 0, "A"), lose=(2,))
-    assert leader.status(2 * SECOND) == LeadStatus(1, Phase.STAGING, 0, 1, False, (2,), 0)
+    assert leader.status(2 * SECOND) == LeaderStatus(1, Phase.STAGING, 0, 1, False, (2,), 0)
     site.run(leader, leader.tick(0))
     assert leader.status(0).awaited == () and leader.status(0).version == 1
 
@@ -255,7 +255,7 @@
     for number, content in ((0, "A"), (1, "B")):
         leader = leaders[number]
         if leader is None:
-            new = ChangeLeader(number + 1, LeadTerms((0, 1, 2), SECOND, 1.0))
+            new = ChangeLeader(number + 1, LeaderSettings((0, 1, 2), SECOND, 1.0))
             yield f"leader {number} begins", put(state, number, new, new.take_over(0, (0, 1, 2)))
         elif leader.phase is Phase.IDLE and not leader.version:
             new = leader.copy()
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -163,7 +163,7 @@
     [
         (b"", "snapshot"),
         (b"\xc1", "snapshot"),
-        (msgspec.msgpack.encode([2, None, []]), "form 2"),
+        (msgspec.msgpack.encode([2, None, []]), "format version 2"),
         (msgspec.msgpack.encode([1, None, [["views"]]]), "snapshot"),
         (msgspec.msgpack.encode([1, 5, []]), "snapshot"),
     ],
--- a/tests/state/test_node_set_in_force.py
+++ b/tests/state/test_node_set_in_force.py
@@ -4,7 +4,7 @@
 
 from kestrelplank.decode import Malformed
 from kestrelplank.state.change_guard import ChangeLimits, Decision
-from kestrelplank.state.debounce import BUSY_FACTOR, Debounce, DebounceResult
+from kestrelplank.state.debounce import MAX_BUSY_PERIODS, Debounce, DebounceResult
 from kestrelplank.state.node_set import ListedNode, NodeList, NodeListEntry
 from kestrelplank.state.node_set_in_force import NodeSetInForce, decode_stored_node_set
 from kestrelplank.state.sealed import digest_of
@@ -44,17 +44,17 @@
     settling.observe(0, "a", "one")
     settling.observe(0, "b", "0")
     assert settling.observe(10, "a", "one") == DebounceResult.SETTLED
-    for at in range(10, 10 * BUSY_FACTOR, 5):
+    for at in range(10, 10 * MAX_BUSY_PERIODS, 5):
         settling.observe(at, "b", str(at))
         assert not settling.may_decide(at)
-    assert settling.may_decide(10 * BUSY_FACTOR)
+    assert settling.may_decide(10 * MAX_BUSY_PERIODS)
 
 
 def test_a_set_is_taken_and_told_once_and_the_next_version_is_the_next_number():
     in_force = NodeSetInForce(LIMITS)
     assert in_force.decide(0) is None
     in_force.update_file("a", part("a", *"abcdefgh"))
-    assert in_force.decide(1)[:3] == (Decision.ACCEPTED, "there was none", 1) and in_force.decide(2) is None
+    assert in_force.decide(1)[:3] == (Decision.ACCEPTED, "no set was in force", 1) and in_force.decide(2) is None
     in_force.update_file("a", part("a", *"abcdefghi"))
     assert in_force.decide(3)[:3] == (Decision.ACCEPTED, "1 added, 0 gone, 0 changed, 0 closed", 2)
     assert [entry[0] for entry in in_force.history] == [1, 2]
@@ -100,7 +100,7 @@
     in_force.update_file("a", part("a", *"abcde"))  # another content begins anew
     in_force.decide(30 * S)
     assert in_force.decide_at == 90 * S and in_force.decide(89 * S) is None
-    assert "it has stood for 60 s" in in_force.decide(90 * S).reason and len(in_force.node_set) == 5
+    assert "unchanged for 60 s" in in_force.decide(90 * S).reason and len(in_force.node_set) == 5
     in_force.update_file("a", part("a", *"ab", confirms=first))
     assert in_force.decide(91 * S).decision == Decision.WAITING  # the marker is of a list that is no longer in force
     in_force.update_file("a", part("a", *"ab", confirms=in_force.node_set.short_hash))
@@ -195,4 +195,4 @@
         assert outcome.decision == Decision.ACCEPTED and in_force.version == version + 1
         assert None not in said.values() and len(in_force.node_set) == sum(map(len, said.values())) > 0
         gone = [name for name in before.nodes if name not in in_force.node_set.nodes] if before else []
-        assert len(gone) <= 0.25 * len(before or ()) or "confirmed" in outcome.reason or "stood" in outcome.reason
+        assert len(gone) <= 0.25 * len(before or ()) or "confirmed" in outcome.reason or "unchanged" in outcome.reason
