--- a/kestrelplank/state/change_leader.py
+++ b/kestrelplank/state/change_leader.py
@@ -190,7 +190,7 @@
         return self._advance(now)
 
     def handle_reply(self, now: int, proxy: int, reply: Reply) -> list[Effect]:
-        """Handle a proxy's reply. Replies of other epochs are ignored, except that a newer promised epoch ends this one."""
+        """Handle a proxy's reply. Replies of other epochs are ignored; a newer promised epoch ends the leadership."""
         if isinstance(reply, Fenced) and reply.promised_epoch > self.epoch:
             return self._end("a newer epoch leads")
         if isinstance(reply, Using) and reply.version > self._versions_used.get(proxy, 0):
--- a/tests/state/test_change_leader.py
+++ b/tests/state/test_change_leader.py
@@ -8,10 +8,10 @@
 
 from kestrelplank.state.change_acceptor import AcceptorState, handle_request
 from kestrelplank.state.change_leader import (
-    ChangeLeader,
     ChangeInProgressError,
-    LeaderStatus,
+    ChangeLeader,
     LeaderSettings,
+    LeaderStatus,
     Phase,
     StaleChangeError,
 )
@@ -81,7 +81,7 @@
     site = Site()
     leader = site.lead(1)
     site.run(leader, leader.propose(0, 0, "A"))
-    with pytest.raises(StaleChangeError, match="based on version 0, but 1 is in use"):
+    with pytest.raises(StaleChangeError, match="based on version 0, but version 1 is in use"):
         leader.propose(0, 0, "B")
     leader.propose(0, 1, "B")
     with pytest.raises(ChangeInProgressError):
