--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -190,7 +190,5 @@
     except msgspec.DecodeError as err:
         raise Malformed(f"control state snapshot: {err}") from err
     if content.format_version != SNAPSHOT_FORMAT:
-        raise Malformed(
-            f"control state snapshot: format version {content.format_version} is not supported, expected {SNAPSHOT_FORMAT}"
-        )
+        raise Malformed(f"control state snapshot: format version {content.format_version}, expected {SNAPSHOT_FORMAT}")
     return content
--- a/kestrelplank/state/journal.py
+++ b/kestrelplank/state/journal.py
@@ -1,11 +1,11 @@
-"""A journal: records that are intact or recognisably torn, and what a file of them comes to after a crash.
+"""An append-only journal of checksummed records, and its recovery after a crash.
 
-No I/O: `Journal` says what to append, and `recover` what bytes read back mean. Each record is
+No I/O: `Journal` returns the bytes to append, and `recover` parses the bytes of a file. Each record is
 
     size of the body (4 bytes), sequence (8), checksum of both and of the body (16), body (JSON)
 
-A tail that was never acknowledged may be torn and is cut; damage before an intact record is no tear, and is refused
-with its offset, as something acknowledged would be lost silently.
+A torn tail was never acknowledged and is cut off. Damage before an intact record is an error that names its offset, as
+cutting there would silently lose acknowledged records.
 """
 
 import struct
@@ -27,11 +27,11 @@
 
 
 class RecoveredJournal(NamedTuple):
-    """What a journal file holds.
+    """The content of a journal file.
 
-    :param records: by sequence, in order.
-    :param intact_bytes: of the file; what is behind them is to be cut.
-    :param cut_reason: "" where nothing is cut.
+    :param records: sequence and value of each record, in order.
+    :param intact_bytes: size of the intact part of the file; the rest is to be cut off.
+    :param cut_reason: "" if nothing is to be cut off.
     """
 
     records: list[tuple[int, JsonValue]]
@@ -42,36 +42,36 @@
 class _Record(NamedTuple):
     sequence: int
     body: bytes
-    end: int  # offset of the byte behind it
+    end: int  # offset of the first byte after the record
 
 
 def encode_record(sequence: int, value: JsonValue) -> bytes:
-    """Return one record's bytes.
+    """Return the bytes of one record.
 
-    :raises ValueError: it would be too large.
+    :raises ValueError: its body is larger than `MAX_BODY_BYTES`.
     """
     body = msgspec.json.encode(value)
     if len(body) > MAX_BODY_BYTES:
-        raise ValueError(f"a record of {len(body)} bytes is over {MAX_BODY_BYTES}")
+        raise ValueError(f"the record has {len(body)} bytes, more than {MAX_BODY_BYTES}")
     return HEADER.pack(len(body), sequence, record_checksum(sequence, body)) + body
 
 
 def record_checksum(sequence: int, body: bytes) -> bytes:
-    """Return what tells an intact record from a torn one."""
+    """Return the checksum of a record's size, sequence and body."""
     header = CHECKSUMMED_HEADER.pack(len(body), sequence)
     return blake2b(header + body, digest_size=CHECKSUM_BYTES).digest()
 
 
 def recover(data: bytes) -> RecoveredJournal:
-    """Read a journal file.
+    """Parse a journal file.
 
-    :raises Malformed: it is none of ours, a record is damaged and an intact one follows, or sequences do not follow one
-        another; the text names the offset.
+    :raises Malformed: the magic bytes are missing, a damaged record is followed by an intact one, or sequences are not
+        consecutive; the text names the offset.
     """
     if not data.startswith(MAGIC):
-        if MAGIC.startswith(data):  # torn while it was made: nothing can have been acknowledged
+        if MAGIC.startswith(data):  # torn while the file was created: no record was acknowledged yet
             return RecoveredJournal([], 0, f"{len(data)} bytes of a journal that was being made")
-        raise Malformed("byte 0: no journal of this form")
+        raise Malformed("byte 0: expected the magic bytes of a journal")
     offset = len(MAGIC)
     records: list[tuple[int, JsonValue]] = []
     while offset < len(data):
@@ -81,14 +81,16 @@
             _check_is_tail(data, offset, last_sequence)
             return RecoveredJournal(records, offset, f"a torn record of {len(data) - offset} bytes at byte {offset}")
         if last_sequence is not None and record.sequence != last_sequence + 1:
-            raise Malformed(f"byte {offset}: record {record.sequence} follows {last_sequence}")
+            raise Malformed(
+                f"byte {offset}: record {record.sequence} follows {last_sequence}, expected the next sequence"
+            )
         records.append((record.sequence, msgspec.json.decode(record.body)))
         offset = record.end
     return RecoveredJournal(records, offset, "")
 
 
 def _record_at(data: bytes, offset: int) -> _Record | None:
-    """Return the intact record that begins there, None where none does."""
+    """Return the intact record that starts at `offset`, or None."""
     if len(data) - offset < HEADER.size:
         return None
     body_bytes, sequence, expected_checksum = HEADER.unpack_from(data, offset)
@@ -100,27 +102,27 @@
 
 
 def _check_is_tail(data: bytes, damaged_at: int, last_sequence: int | None) -> None:
-    """Check that no intact record follows a damaged one.
+    """Check that no intact record follows the damaged one.
 
-    :raises Malformed: one does.
+    :raises Malformed: an intact record follows.
     """
     for offset in range(damaged_at + 1, len(data) - HEADER.size + 1):
         later = _record_at(data, offset)
         if later is not None and (last_sequence is None or later.sequence > last_sequence):
-            raise Malformed(f"byte {damaged_at}: a damaged record, and an intact one follows at byte {offset}")
+            raise Malformed(f"byte {damaged_at}: the record is damaged, but an intact one follows at byte {offset}")
 
 
 class Journal:
-    """Gathers records and says what to append.
+    """Buffers records and returns the bytes to append.
 
-    Several that came before one write are one write and one fsync (group commit). A record counts once `handle_synced`
-    was called after its write, and whoever waits for it is answered then, not before
-    (`tests/state/test_journal.py::test_what_came_before_one_write_is_one_write_and_counts_once_it_is_on_the_disk`).
+    Records added before a write share one write and one fsync (group commit). A record is durable once `handle_synced`
+    is called after its write; callers that wait for it may be answered only then
+    (`tests/state/test_journal.py::test_records_added_before_a_write_share_it_and_are_durable_after_the_sync`).
 
-    After a write or fsync that failed nothing more is taken: what the disk holds is not known, and an fsync that is
-    repeated may report as durable what is lost (`test_after_an_fsync_that_failed_nothing_counts_any_more`).
+    After a failed write or fsync no more records are accepted: the content of the disk is unknown, and a repeated fsync
+    may report lost data as durable (`test_no_record_is_durable_after_a_failed_fsync`).
 
-    :param exists: whether the file has been made.
+    :param exists: whether the file exists already.
     """
 
     def __init__(self, next_sequence: int = 1, exists: bool = False) -> None:
@@ -130,7 +132,7 @@
         self.failure = ""
 
     def add(self, value: JsonValue) -> int:
-        """Take a record, and return its sequence.
+        """Add a record and return its sequence.
 
         :raises ValueError: the journal has failed.
         """
@@ -141,7 +143,7 @@
         return sequence
 
     def take_unwritten(self) -> bytes:
-        """Return all that is to be appended now, in one write; empty where there is nothing."""
+        """Return the bytes to append now in one write; empty if there are none."""
         if self.failure or not self._unwritten:
             return b""
         data = (b"" if self._exists else MAGIC) + b"".join(record for _, record in self._unwritten)
@@ -150,20 +152,20 @@
         return data
 
     def handle_synced(self) -> int:
-        """Count what was written as durable; return the last sequence that counts."""
+        """Mark all written records as durable; return the last durable sequence."""
         if not self.failure:
             self.durable_sequence = self._written_sequence
         return self.durable_sequence
 
     def handle_failure(self, reason: str) -> None:
-        """Take no more, as a write or an fsync did not do what it should."""
+        """Record that a write or an fsync failed; no more records are accepted."""
         self.failure = self.failure or reason
 
 
-def compacted(values: Iterable[JsonValue], first_sequence: int) -> bytes:
-    """Return a new journal that begins with a state in place of the records up to `first_sequence`.
+def encode_compacted(values: Iterable[JsonValue], first_sequence: int) -> bytes:
+    """Return the bytes of a new journal in which `values`, numbered from `first_sequence`, replace earlier records.
 
-    It is to take the old one's place completely or not at all.
+    The caller must replace the old file atomically.
     """
     records = [encode_record(first_sequence + index, value) for index, value in enumerate(values)]
     return MAGIC + b"".join(records)
--- a/kestrelplank/state/membership.py
+++ b/kestrelplank/state/membership.py
@@ -1,12 +1,12 @@
-"""What assigners know of each other by heartbeats.
+"""Membership and failure detection among assigners, by heartbeats.
 
-They come over short datagrams: late, never, twice, in another order, or from a former incarnation. No I/O: `receive` is
-given what came, `tick` returns what to send. With nothing coming at all an assigner knows itself.
+Heartbeats arrive in short datagrams, which may be late, lost, duplicated, reordered, or of a former incarnation. No
+I/O: `receive` handles a datagram, `tick` returns the one to send. An assigner that receives nothing knows only itself.
 
-A datagram says of its sender, and of as many others as fit, the highest heartbeat known of them: hearing of one through
-another counts, so that one way that is cut does not make a death. Whether one that is silent is dead is judged by how
-long it usually is silent: phi, the accrual detector (N. Hayashibara and others, 2004); that others' heartbeats go along
-is SWIM's (A. Das and others, 2002).
+A datagram contains the newest known heartbeats of its sender and of as many other members as fit. A heartbeat that
+arrives through another member counts too, so that a one-way partition does not make a member look dead. Silence is
+judged by a phi accrual failure detector (N. Hayashibara et al., 2004); passing on the heartbeats of others follows SWIM
+(A. Das et al., 2002).
 """
 
 from collections import deque
@@ -16,13 +16,13 @@
 
 from kestrelplank.state.membership_datagram import MalformedDatagramError, MemberHeartbeat, ZoneSums, decode, encode
 
-MAX_INTERVALS = 50  # of a member's heartbeats, from which its habit is known
-MIN_DEVIATION = 0.1  # of the mean interval: a steady member must not be suspected for one late packet
+MAX_INTERVALS = 50  # recent heartbeat intervals kept of each member
+MIN_DEVIATION = 0.1  # fraction of the mean interval; keeps one late packet from raising suspicion
 MAX_PHI = 40.0
 
 
 class Liveness(Enum):
-    """What is thought of a member."""
+    """The assumed state of a member."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
@@ -31,9 +31,9 @@
 
 
 class DetectorSettings(NamedTuple):
-    """When a member is suspected, and when it is taken for dead.
+    """Thresholds of the failure detector.
 
-    :param min_missed_heartbeats: before it is dead: a habit is only as good as what it has met.
+    :param min_missed_heartbeats: heartbeats that a member must miss before it counts as dead, whatever its phi is.
     """
 
     heartbeat_interval_ns: int = 200_000_000
@@ -43,32 +43,32 @@
 
 
 class Member:
-    """What is known of another: its incarnation, last heartbeat, when that was heard of, and the habit of intervals."""
+    """Another member: incarnation, last heartbeat, when that arrived, and recent intervals between heartbeats."""
 
-    __slots__ = ("incarnation", "heartbeat", "heard_at", "intervals_ns", "zone_sums", "zone_sums_at")
+    __slots__ = ("incarnation", "heartbeat", "last_heartbeat_at", "intervals_ns", "zone_sums", "zone_sums_at")
 
     def __init__(self, incarnation: int, heartbeat: int, now: int) -> None:
-        self.incarnation, self.heartbeat, self.heard_at = incarnation, heartbeat, now
+        self.incarnation, self.heartbeat, self.last_heartbeat_at = incarnation, heartbeat, now
         self.intervals_ns: deque[int] = deque(maxlen=MAX_INTERVALS)
         self.zone_sums: list[ZoneSums] = []
         self.zone_sums_at: int | None = None
 
     def phi(self, now: int, expected_interval_ns: int) -> float:
-        """Return how sure it is that the member is dead: -log10 of the chance that one alive would be silent so long.
+        """Return -log10 of the probability that a member that is alive would be silent for this long.
 
-        :param expected_interval_ns: for as long as nothing is known of its habit.
+        :param expected_interval_ns: assumed mean while no interval has been recorded; its half is the minimum mean.
         """
         intervals = self.intervals_ns
         mean = sum(intervals) / len(intervals) if intervals else float(expected_interval_ns)
         mean = max(mean, expected_interval_ns / 2)
         spread = sqrt(sum((interval - mean) ** 2 for interval in intervals) / len(intervals)) if intervals else 0.0
         spread = max(spread, MIN_DEVIATION * mean)
-        chance = erfc((now - self.heard_at - mean) / spread / sqrt(2)) / 2
+        chance = erfc((now - self.last_heartbeat_at - mean) / spread / sqrt(2)) / 2
         return min(MAX_PHI, -log10(chance)) if chance > 0 else MAX_PHI
 
 
 class View(NamedTuple):
-    """A number that only grows, and who was alive when it last did."""
+    """The members that are alive, with a version that increases when they change."""
 
     version: int
     alive: tuple[int, ...]
@@ -77,31 +77,32 @@
 class Membership:
     """One assigner's view of `count` assigners.
 
-    Invariant: views, incarnations and heartbeats never go back, and a former incarnation is never believed
-    (`tests/state/test_membership.py::test_views_incarnations_and_heartbeats_never_go_back`,
-    `test_a_former_incarnation_is_never_believed_and_a_new_one_at_once`).
+    Invariant: view versions, incarnations and heartbeats never decrease, and a former incarnation is ignored
+    (`tests/state/test_membership.py::test_views_incarnations_and_heartbeats_never_decrease`,
+    `test_former_incarnation_is_ignored_and_new_one_accepted_at_once`).
 
-    :param number: this one's.
-    :param incarnation: of this process, higher than in any former one.
+    :param number: this assigner's number.
+    :param incarnation: this process's incarnation, higher than that of any former process.
     """
 
     def __init__(self, now: int, number: int, incarnation: int, count: int, settings: DetectorSettings) -> None:
         self._number, self.incarnation, self._count, self._settings = number, incarnation, count, settings
         self._members: dict[int, Member] = {}
         self._heartbeat, self._next_heartbeat_at = 0, now
-        # Members are named in turn; were all to begin with the same one, who does not fit would be named by nobody.
-        self._turn = number
+        # Datagrams list members in rotation. If all started with the same member, those that don't fit would be left
+        # out by every assigner.
+        self._rotation = number
         self._zone_sums: list[ZoneSums] = []
         self._view = View(1, (number,))
 
     def set_zone_sums(self, sums: list[ZoneSums]) -> None:
-        """Set what this assigner's next datagrams say of zones."""
+        """Set the zone sums for this assigner's next datagrams."""
         self._zone_sums = sums
 
     def tick(self, now: int) -> bytes | None:
-        """Return the datagram to send to all, when one is due.
+        """Return the datagram to send to all members, or None if none is due.
 
-        Others are named in turn, so that each is named as often.
+        The other members are listed in rotation, so that each is included equally often.
         """
         if now < self._next_heartbeat_at:
             return None
@@ -109,8 +110,8 @@
         self._heartbeat += 1
         others = sorted(self._members)
         if others:
-            self._turn = (self._turn + 1) % len(others)
-            others = others[self._turn :] + others[: self._turn]
+            self._rotation = (self._rotation + 1) % len(others)
+            others = others[self._rotation :] + others[: self._rotation]
         known = [
             MemberHeartbeat(number, self._members[number].incarnation, self._members[number].heartbeat)
             for number in others
@@ -120,35 +121,35 @@
         return encode(self._number, [own, *known], self._zone_sums)
 
     def receive(self, now: int, body: bytes) -> bool:
-        """Take a datagram; return whether it said anything new.
+        """Handle a datagram; return whether it contained anything new.
 
-        :raises MalformedDatagramError: it is none of ours; nothing is taken.
+        :raises MalformedDatagramError: it is invalid; nothing has changed.
         """
         sender, members, zones = decode(body)
         if sender >= self._count or sender == self._number or members[0].number != sender:
-            raise MalformedDatagramError(f"from {sender}, who can't be")
+            raise MalformedDatagramError(f"unexpected sender {sender}")
         if any(member.number >= self._count for member in members):
-            raise MalformedDatagramError("it names a member that can't be")
+            raise MalformedDatagramError("it names a member whose number is out of range")
         newer = [self._record(now, member) for member in members if member.number != self._number]
-        if newer and newer[0] and zones:  # of an older datagram, sums would go back
+        if newer and newer[0] and zones:  # sums of an older datagram must not replace newer ones
             self._members[sender].zone_sums, self._members[sender].zone_sums_at = zones, now
         return any(newer)
 
     def _record(self, now: int, known: MemberHeartbeat) -> bool:
-        """Take a member's heartbeat; return whether it is newer than what was known."""
+        """Record a member's heartbeat; return whether it is newer than the last one."""
         member = self._members.get(known.number)
         if member is None or known.incarnation > member.incarnation:
             self._members[known.number] = Member(known.incarnation, known.heartbeat, now)
             return True
         if known.incarnation < member.incarnation or known.heartbeat <= member.heartbeat:
-            return False  # a former incarnation, or what is known already
-        # Of several heartbeats at once, lost ones between, the habit is of one: else loss would look like slowness.
-        member.intervals_ns.append(max(0, now - member.heard_at) // (known.heartbeat - member.heartbeat))
-        member.heartbeat, member.heard_at = known.heartbeat, now
+            return False  # a former incarnation, or not a newer heartbeat
+        # Heartbeats may have been lost since the last one: divide, so that loss does not look like a longer interval.
+        member.intervals_ns.append(max(0, now - member.last_heartbeat_at) // (known.heartbeat - member.heartbeat))
+        member.heartbeat, member.last_heartbeat_at = known.heartbeat, now
         return True
 
     def liveness(self, now: int, number: int) -> Liveness:
-        """Return what is thought of a member."""
+        """Return the assumed state of a member."""
         if number == self._number:
             return Liveness.ALIVE
         member = self._members.get(number)
@@ -157,12 +158,12 @@
         settings = self._settings
         phi = member.phi(now, settings.heartbeat_interval_ns)
         min_silence_ns = settings.min_missed_heartbeats * settings.heartbeat_interval_ns
-        if phi >= settings.dead_phi and now - member.heard_at >= min_silence_ns:
+        if phi >= settings.dead_phi and now - member.last_heartbeat_at >= min_silence_ns:
             return Liveness.DEAD
         return Liveness.SUSPECTED if phi >= settings.suspect_phi else Liveness.ALIVE
 
     def view(self, now: int) -> View:
-        """Return who is not thought dead, with a number that grows when that changes."""
+        """Return the members that are not dead, with a version that increases when they change."""
         not_dead = (Liveness.ALIVE, Liveness.SUSPECTED)
         alive = tuple(number for number in range(self._count) if self.liveness(now, number) in not_dead)
         if alive != self._view.alive:
@@ -170,7 +171,7 @@
         return self._view
 
     def zone_sums(self, now: int, max_age_ns: int) -> dict[int, list[ZoneSums]]:
-        """Return, by member that is alive, the sums of zones that came from it no longer ago than `max_age_ns`."""
+        """Return the zone sums of each member that is alive, unless they are older than `max_age_ns`."""
         return {
             number: member.zone_sums
             for number, member in sorted(self._members.items())
--- a/kestrelplank/state/node_list_merge.py
+++ b/kestrelplank/state/node_list_merge.py
@@ -1,9 +1,8 @@
-"""Nodes listed by files and by discovery at once: which of the two holds.
+"""Merges the node lists of two sources, files and discovery, one of which is the authority.
 
-Where files are the authority they say which nodes there are, their zone and weight; discovery may only take away: a
-node that it lists as draining or gone is so, and the later of two starts counts. Where discovery is the authority it is
-the other way round. What the authority does not list is not told; what the other does not list is as the authority
-says.
+The authority decides which nodes exist, their zone and their weight. The other source can only make a node's condition
+worse (draining or removed); of two start times the later counts. Nodes that the authority does not list are not
+reported; nodes that only the authority lists are reported as it lists them.
 """
 
 from collections.abc import Iterable
@@ -15,14 +14,14 @@
 
 
 class NodeSource(StrEnum):
-    """Who lists nodes; the values are those of `authority` in the operator's file."""
+    """A source of node lists; the values are those of `authority` in the operator's file."""
 
     FILES = "files"
     DISCOVERY = "discovery"
 
 
 class NodeListMerge:
-    """Takes entries of either source and says what that changes of what was told.
+    """Merges updates of both sources into the changes to report to the policy.
 
     :param authority: a value of `NodeSource`.
     """
@@ -34,28 +33,28 @@
         self._reported: dict[int, NodeEntry] = {}
 
     def update(self, source: NodeSource, kind: str, entries: Iterable[NodeEntry]) -> tuple[str, list[NodeEntry]]:
-        """Take a list of one source; return how to tell the policy, and the entries.
+        """Update the list of one source; return the kind of list to report, and its entries.
 
-        A complete list of the authority is told completely, anything else as what it changes.
+        A complete list of the authority is reported as a complete list, any other update as a delta.
 
-        :param kind: a value of `NodeListKind`, but `FAILED`.
+        :param kind: a value of `NodeListKind` other than `FAILED`.
         """
         listed = self._by_source[source]
-        touched: dict[int, None] = {}
-        if kind != NodeListKind.DELTA:  # whoever is no longer listed is gone
+        updated: dict[int, None] = {}
+        if kind != NodeListKind.DELTA:  # nodes that are no longer listed are removed
             for node, entry in listed.items():
-                touched[node] = None
+                updated[node] = None
                 listed[node] = entry._replace(condition=NodeCondition.REMOVED)
         for entry in entries:
-            touched[entry.node] = None
+            updated[entry.node] = None
             listed[entry.node] = entry
-        changed = self._changed(touched)
+        changed = self._changed(updated)
         if kind != NodeListKind.DELTA and source is self._authority:
             return kind, [entry for entry in self._reported.values() if entry.condition != NodeCondition.REMOVED]
         return NodeListKind.DELTA, changed
 
     def _changed(self, nodes: Iterable[int]) -> list[NodeEntry]:
-        """Return what is to be told of these nodes, and take it as told."""
+        """Return those of these nodes whose merged entry changed, and record it as reported."""
         changed = []
         for node in nodes:
             entry = self._merged(node)
@@ -65,7 +64,7 @@
         return changed
 
     def _merged(self, node: int) -> NodeEntry | None:
-        """Return what holds for a node; None where there is nothing to tell."""
+        """Return the merged entry of a node; None if the authority has never listed it."""
         first, second = self._by_source[self._authority].get(node), self._by_source[self._other].get(node)
         if first is None or second is None:
             return first
@@ -74,6 +73,6 @@
         return first._replace(condition=condition, started_at=max(starts, default=None))
 
     def forget(self, node: int) -> None:
-        """Hold nothing of a node any more."""
+        """Remove a node from both lists and from the reported entries."""
         for listed in (*self._by_source.values(), self._reported):
             listed.pop(node, None)
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as some
 
 from kestrelplank.decode import Malformed
-from kestrelplank.state.journal import MAGIC, Journal, compacted, recover
+from kestrelplank.state.journal import MAGIC, Journal, encode_compacted, recover
 
 VALUES = [["epoch", 1], ["stage", 1, 1, {"a": 1}], ["decided", 1, 1, {"a": 1}]]
 
@@ -62,7 +62,7 @@
 
 
 def test_a_snapshot_goes_on_where_the_records_ended():
-    found = recover(compacted([{"state": 1}], 3))
+    found = recover(encode_compacted([{"state": 1}], 3))
     journal = Journal(found.records[-1][0] + 1, True)
     assert found.records == [(3, {"state": 1})] and journal.add(["next"]) == 4
 
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -163,7 +163,9 @@
         made.add(value)
     assert made.take_unwritten() == (DATA / "journals/appended").read_bytes()
     (first, _), *_ = compacted = values("journals/values.json")["compacted"][0]
-    assert journal.compacted([value for _, value in compacted], first) == (DATA / "journals/compacted").read_bytes()
+    assert (
+        journal.encode_compacted([value for _, value in compacted], first) == (DATA / "journals/compacted").read_bytes()
+    )
 
 
 def test_a_node_lists_state_is_read_to_the_same_values_and_stored_as_the_same_bytes():
