--- a/kestrelplank/state/node_set.py
+++ b/kestrelplank/state/node_set.py
@@ -1,6 +1,6 @@
-"""A checked, immutable set of nodes, put together from the readings of several files, and what two sets differ in.
+"""A validated, immutable set of nodes, assembled from the lists of several files, and the difference of two sets.
 
-A set that exists is valid: `assemble` makes one completely, or says all that speaks against it with file and line.
+Every `NodeSet` returned by `assemble` is valid; otherwise it raises an error with the file and line of each conflict.
 """
 
 import hashlib
@@ -10,13 +10,13 @@
 
 import msgspec
 
-MAX_CONFLICTS_NAMED = 3  # in an error's text; the rest is counted
-SHORT_HASH_DIGITS = 8  # that a person compares or writes down
+MAX_CONFLICTS_NAMED = 3  # in an error's text; the others are only counted
+SHORT_HASH_DIGITS = 8  # hash prefix that operators compare or write down
 HASH_BYTES = 16
 
 
 class ListedNode(NamedTuple):
-    """A node as it is listed. Weight 0 asks for no work, and is a drain by another name."""
+    """A node's attributes in a list. Weight 0 has the same effect as draining."""
 
     zone: str
     address: str
@@ -26,12 +26,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it may be given work."""
+        """Whether the node may receive requests."""
         return not self.draining and self.weight > 0
 
 
 class NodeListEntry(NamedTuple):
-    """One node as one file has it, and the number of its line."""
+    """One node in a file, and the number of its line."""
 
     name: str
     listed: ListedNode
@@ -39,9 +39,9 @@
 
 
 class NodeList(NamedTuple):
-    """What one file says.
+    """The content of one file.
 
-    :param confirmed_hash: of the set that the file's writer means to replace, "" where they name none.
+    :param confirmed_hash: hash of the node set that the file's author confirms to replace, "" if there is none.
     """
 
     path: str
@@ -50,7 +50,7 @@
 
 
 class Conflict(NamedTuple):
-    """What speaks against a set, and where it stands; `path` "": in no one place."""
+    """A reason why a set is invalid, and its file and line; `path` is "" if it has no single location."""
 
     path: str
     line_number: int
@@ -61,7 +61,7 @@
 
 
 class InvalidNodeSetError(ValueError):
-    """No set can be made; the text names the first conflicts with file and line."""
+    """The lists do not make a valid set; the text names the first conflicts with file and line."""
 
     def __init__(self, conflicts: list[Conflict]) -> None:
         self.conflicts = conflicts
@@ -71,10 +71,10 @@
 
 
 class NodeSet:
-    """Name to what is listed, in the order of names, and a hash of the whole content.
+    """Nodes by name, in the order of names, and a hash of the complete content.
 
-    Equal sets have equal hashes, in whatever files and order they were written
-    (`tests/state/test_node_set.py::test_a_set_is_the_same_in_whatever_files_and_order_it_was_written`).
+    Equal sets have equal hashes, however the nodes are split into files and ordered
+    (`tests/state/test_node_set.py::test_set_and_hash_do_not_depend_on_files_or_order`).
     """
 
     __slots__ = ("nodes", "hash", "zones")
@@ -85,7 +85,7 @@
         for name, listed in self.nodes.items():
             digest.update(msgspec.json.encode((name, *listed)) + b"\n")
         self.hash = digest.hexdigest()
-        self.zones: dict[str, list[str]] = {}  # zone to its ready nodes, zones in the order of names
+        self.zones: dict[str, list[str]] = {}  # ready nodes by zone; zones in the order of names
         for zone in sorted({listed.zone for listed in self.nodes.values()}):
             self.zones[zone] = []
         for name, listed in self.nodes.items():
@@ -94,7 +94,7 @@
 
     @property
     def short_hash(self) -> str:
-        """The digits of the hash that a person compares."""
+        """The first digits of the hash, for operators."""
         return self.hash[:SHORT_HASH_DIGITS]
 
     def __eq__(self, other: object) -> bool:
@@ -107,40 +107,42 @@
         return len(self.nodes)
 
     def ready_nodes(self) -> list[str]:
-        """Return the names of the nodes that may be given work."""
+        """Return the names of the nodes that may receive requests."""
         return [name for name, listed in self.nodes.items() if listed.ready]
 
 
 def assemble(node_lists: Iterable[NodeList]) -> NodeSet:
-    """Return one set out of all lists.
+    """Return the set of all listed nodes.
 
-    :raises InvalidNodeSetError: a node is listed twice, differently or not, two nodes have one address, or the nodes of
-        a zone that do not drain weigh nothing together.
+    :raises InvalidNodeSetError: a node is listed more than once, two nodes have the same address, or the weights of a
+        zone's nodes that do not drain sum to 0.
     """
     assembly = _Assembly()
     for node_list in node_lists:
         for entry in node_list.entries:
             assembly.add(node_list.path, entry)
-    conflicts = [*assembly.conflicts, *assembly.weightless_zones()]
+    conflicts = [*assembly.conflicts, *assembly.zero_weight_zones()]
     if conflicts:
         raise InvalidNodeSetError(conflicts)
     return NodeSet({name: entry.listed for name, (_, entry) in assembly.by_name.items()})
 
 
 class _Assembly:
-    """What has been gathered of the lists so far."""
+    """The nodes and conflicts found in the lists so far."""
 
     def __init__(self) -> None:
-        self.by_name: dict[str, tuple[str, NodeListEntry]] = {}  # with the path of the list
+        self.by_name: dict[str, tuple[str, NodeListEntry]] = {}  # path of the list, and the entry
         self.conflicts: list[Conflict] = []
         self._by_address: dict[str, tuple[str, NodeListEntry]] = {}
         self._weights: dict[str, list[float]] = {}  # of nodes that do not drain, by zone
 
     def add(self, path: str, entry: NodeListEntry) -> None:
-        """Add a node, or what speaks against it."""
+        """Add a node, or the conflict that it causes."""
         listed = entry.listed
         if entry.name in self.by_name:
-            self._add_conflict(path, entry, f"{entry.name} stands {_how_twice(listed, self.by_name[entry.name])}")
+            self._add_conflict(
+                path, entry, f"{entry.name} stands {_describe_duplicate(listed, self.by_name[entry.name])}"
+            )
             return
         self.by_name[entry.name] = path, entry
         if listed.address in self._by_address:
@@ -152,10 +154,10 @@
         if not listed.draining:
             self._weights.setdefault(listed.zone, []).append(listed.weight)
 
-    def weightless_zones(self) -> list[Conflict]:
-        """Return a conflict for each zone whose nodes would get no work."""
+    def zero_weight_zones(self) -> list[Conflict]:
+        """Return a conflict for each zone whose nodes that do not drain have a total weight of 0."""
         return [
-            Conflict("", 0, f"zone {zone}: the weights of its {len(weights)} open nodes sum to nothing")
+            Conflict("", 0, f"zone {zone}: the weights of its {len(weights)} nodes that do not drain sum to 0")
             for zone, weights in self._weights.items()
             if not sum(weights)
         ]
@@ -164,23 +166,23 @@
         self.conflicts.append(Conflict(path, entry.line_number, reason))
 
 
-def _how_twice(listed: ListedNode, former: tuple[str, NodeListEntry]) -> str:
-    """Return how a node that is listed twice differs, and where it was listed first."""
+def _describe_duplicate(listed: ListedNode, former: tuple[str, NodeListEntry]) -> str:
+    """Return how the entries of a node that is listed twice differ, and the location of the first one."""
     path, other = former
     if listed.zone != other.listed.zone:
         how = f"in zone {listed.zone} and in zone {other.listed.zone}"
     elif listed.address != other.listed.address:
         how = f"at {listed.address} and at {other.listed.address}"
     else:
-        how = "twice"
+        how = "in the lists twice"
     return f"{how} ({path}, line {other.line_number})"
 
 
 class Difference(NamedTuple):
-    """Names, in order; the fields have their names in the output of `kestrelplank nodes diff` too.
+    """Node names in order, by kind of change; the field names appear in the output of `kestrelplank nodes diff`.
 
-    :param changed: in any way.
-    :param closed: of those left, the ones that no longer are ready.
+    :param changed: nodes with any changed attribute.
+    :param closed: nodes in both sets that were ready and are not any more.
     """
 
     added: tuple[str, ...]
@@ -193,7 +195,7 @@
 
 
 def difference(old: NodeSet, new: NodeSet) -> Difference:
-    """Return what `new` changes of `old`."""
+    """Return the difference from `old` to `new`."""
     both = [name for name in new.nodes if name in old.nodes]
     return Difference(
         tuple(name for name in new.nodes if name not in old.nodes),
--- a/kestrelplank/state/node_set_in_force.py
+++ b/kestrelplank/state/node_set_in_force.py
@@ -1,4 +1,4 @@
-"""From readings of several node lists to the one set in force: what all of them make, and whether that may follow."""
+"""The node set in force, and the candidate from several node lists that may replace it."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -10,11 +10,11 @@
 from kestrelplank.state.sealed import decode_checksummed, encode_checksummed
 
 MAX_HISTORY = 64
-FORMAT_VERSION = 1  # of what is stored
+FORMAT_VERSION = 1  # of the stored file
 
 
 class HistoryEntry(NamedTuple):
-    """A version that was in force, and what it changed."""
+    """A version that came into force, and a summary of its changes."""
 
     version: int
     short_hash: str
@@ -22,7 +22,7 @@
 
 
 class StoredNodeSet(NamedTuple):
-    """What survives a restart."""
+    """The state that survives a restart."""
 
     node_set: NodeSet
     version: int
@@ -30,7 +30,7 @@
 
 
 class Outcome(NamedTuple):
-    """What has become of a change, and which set is in force now ("": none)."""
+    """The decision on a change, and version and hash of the set in force afterwards ("" if there is none)."""
 
     decision: Decision
     reason: str
@@ -39,13 +39,13 @@
 
 
 class NodeSetInForce:
-    """The set that holds, and what the files say that may take its place.
+    """The node set in force, and the candidate that the files make.
 
-    A problem with any file keeps the set in force: nothing is made from the others alone, as two files may make sense
-    only together
-    (`tests/state/test_node_set_in_force.py::test_a_problem_with_one_file_keeps_what_stands_also_from_the_others`).
+    If any file has a problem, the set in force stays and the other files are not used without it, as two files may only
+    be valid together
+    (`tests/state/test_node_set_in_force.py::test_problem_with_one_file_keeps_the_set_in_force_despite_changes_in_others`).
 
-    :param node_set: what was in force before a restart, if anything was, with its version and history.
+    :param node_set: the set in force before a restart, if any, with its version and history.
     """
 
     def __init__(
@@ -57,19 +57,19 @@
     ) -> None:
         self.limits, self.node_set, self.version = limits, node_set, version
         self.history: deque[HistoryEntry] = deque(history, MAX_HISTORY)
-        self.decide_at: int | None = None  # when to decide again though no file changes
+        self.decide_at: int | None = None  # when to call `decide` again without a change of a file
         self._node_lists: dict[str, NodeList] = {}  # by path
         self._problems: dict[str, str] = {}
-        self._candidate: tuple[NodeSet, int] | None = None  # what the files make, and since when
+        self._candidate: tuple[NodeSet, int] | None = None  # the set that the files make, and since when
         self._reported: tuple[Decision, str] | None = None
 
     @property
     def waiting(self) -> bool:
-        """Whether the files make a set that needs a second word."""
+        """Whether a candidate set is waiting for confirmation."""
         return self._candidate is not None
 
     def update_file(self, path: str, reading: NodeList | str) -> None:
-        """Take a file's reading: its list, or what is wrong with it."""
+        """Record a file's list, or the problem with the file."""
         if isinstance(reading, NodeList):
             self._node_lists[path] = reading
             self._problems.pop(path, None)
@@ -77,14 +77,14 @@
             self._problems[path] = reading
 
     def remove_file(self, path: str) -> None:
-        """Forget a file that the operator no longer names."""
+        """Remove a file that is no longer configured."""
         self._node_lists.pop(path, None)
         self._problems.pop(path, None)
 
     def decide(self, now: int) -> Outcome | None:
-        """Decide what the readings come to; None where there is nothing new to report."""
+        """Decide on the set that the files make; None if there is nothing new to report."""
         self.decide_at = None
-        verdict = self._judge(now)
+        verdict = self._evaluate(now)
         if verdict is None:
             self._reported = None
             return None
@@ -99,15 +99,15 @@
 
     def _accept(self) -> None:
         """Put the candidate in force."""
-        assert self._candidate is not None  # it was judged
+        assert self._candidate is not None  # it was accepted
         former, self.node_set = self.node_set, self._candidate[0]
         self.version += 1
         summary = str(difference(former, self.node_set)) if former else f"{len(self.node_set)} nodes"
         self.history.append(HistoryEntry(self.version, self.node_set.short_hash, summary))
         self._candidate = self._reported = None
 
-    def _judge(self, now: int) -> Verdict | None:
-        """Return the verdict on what the files make; None where that is what is in force, or nothing yet."""
+    def _evaluate(self, now: int) -> Verdict | None:
+        """Return the verdict on the set that the files make; None if it is in force already or there is no file."""
         if self._problems or not self._node_lists:
             self._candidate = None
             return Verdict(Decision.REFUSED, next(iter(self._problems.values()))) if self._problems else None
@@ -128,10 +128,10 @@
             self.decide_at = now + verdict.remaining_ns
         return verdict
 
-    # What survives a restart.
+    # Persistence.
 
     def encode(self) -> bytes:
-        """Return the bytes to store, which `decode_stored_node_set` reads back. A set must be in force."""
+        """Return the bytes to store, for `decode_stored_node_set`. A set must be in force."""
         assert self.node_set is not None
         return encode_checksummed(
             FORMAT_VERSION,
@@ -145,12 +145,12 @@
 
 
 def decode_stored_node_set(data: bytes) -> StoredNodeSet:
-    """Return what `NodeSetInForce.encode` was called on.
+    """Decode what `NodeSetInForce.encode` returned.
 
-    :raises Malformed: the file is torn, changed, or of a form that is not known.
+    :raises Malformed: the data is torn or changed, or its format version is not supported.
     """
     found = decode_checksummed(FORMAT_VERSION, data)
     node_set = NodeSet({name: ListedNode(*listed) for name, listed in found["nodes"].items()})
     if node_set.hash != found["hash"]:
-        raise Malformed("its nodes do not make the set that it names")
+        raise Malformed("the hash of its nodes does not match the stored hash")
     return StoredNodeSet(node_set, found["version"], tuple(HistoryEntry(*entry) for entry in found["history"]))
--- a/kestrelplank/state/reported_nodes.py
+++ b/kestrelplank/state/reported_nodes.py
@@ -1,4 +1,4 @@
-"""What the policy is told of a set of nodes over time: drains before nodes go, cold returns, weights in steps."""
+"""Reports node sets to the policy over time: drains before removal, start times for slow start, weights in steps."""
 
 from typing import NamedTuple
 
@@ -9,9 +9,9 @@
 
 
 class ReportedEntry(NamedTuple):
-    """One node as it is told.
+    """One node as reported to the policy.
 
-    :param started_at: None: long ago.
+    :param started_at: None if the node has been running for long.
     """
 
     name: str
@@ -25,8 +25,8 @@
 class ReportSettings(NamedTuple):
     """How changes of the set are spread over time.
 
-    :param drain_grace_ns: a node that vanished from the files drains so long before it is gone.
-    :param weight_step: the most by which a weight may change in a second, as a share of itself; 0: at once.
+    :param drain_grace_ns: how long a node that is no longer listed drains before it is removed.
+    :param weight_step: the largest change of a weight per second, as a fraction of the weight; 0: unlimited.
     """
 
     drain_grace_ns: int
@@ -34,7 +34,7 @@
 
 
 class _ReportedNode:
-    """One node as it was last told, and where it is going."""
+    """A node's reported state, and the listed state that it moves towards."""
 
     __slots__ = ("listed", "condition", "weight", "started_at", "removed_at")
 
@@ -42,32 +42,32 @@
         self.listed, self.started_at = listed, started_at
         self.condition = NodeCondition.UP if listed.ready else NodeCondition.DRAINING
         self.weight = listed.weight
-        self.removed_at: int | None = None  # it has vanished from the files, and is gone then
+        self.removed_at: int | None = None  # set once the node is no longer listed
 
     def entry(self, name: str) -> ReportedEntry:
-        """Return how it is told."""
-        # A weight of 0 would read as none given; whoever drains is given no work anyway.
+        """Return the entry to report."""
+        # A weight of 0 would be taken for a missing one; a draining node gets no requests anyway.
         weight = self.weight or 1.0
         return ReportedEntry(name, self.condition, self.listed.zone, self.listed.cell, weight, self.started_at)
 
     def is_other_process(self, listed: ListedNode) -> bool:
-        """Whether the node is listed as another process under the same name."""
+        """Whether the list has another process under the same name."""
         return (self.listed.zone, self.listed.address) != (listed.zone, listed.address)
 
     def is_stepping(self) -> bool:
-        """Whether its weight is on its way to the listed one."""
+        """Whether the weight has not reached the listed one yet."""
         return self.condition is NodeCondition.UP and self.weight != self.listed.weight
 
-    def vanish(self, removed_at: int) -> None:
-        """Drain, as the files no longer list it, and be gone then."""
+    def start_removal(self, removed_at: int) -> None:
+        """Drain, as the node is no longer listed, and be removed at that time."""
         self.condition, self.removed_at = NodeCondition.DRAINING, removed_at
 
     def remove(self) -> None:
-        """Be gone."""
+        """Mark the node as removed."""
         self.condition, self.removed_at = NodeCondition.REMOVED, None
 
-    def follow(self, now: int, listed: ListedNode, weight_step: float) -> None:
-        """Follow the files, which list it otherwise, or again."""
+    def update(self, now: int, listed: ListedNode, weight_step: float) -> None:
+        """Update to changed attributes, or to being listed again."""
         returned = self.condition is NodeCondition.DRAINING and listed.ready
         self.listed, self.removed_at = listed, None
         if returned:
@@ -79,20 +79,20 @@
 
     def step_weight(self, factor: float) -> None:
         """Move the weight by one step towards the listed one."""
-        wanted = self.listed.weight
-        if wanted > self.weight:
-            self.weight = min(wanted, self.weight * factor)
+        target = self.listed.weight
+        if target > self.weight:
+            self.weight = min(target, self.weight * factor)
         else:
-            self.weight = max(wanted, self.weight / factor)
+            self.weight = max(target, self.weight / factor)
 
 
 class ReportedNodes:
-    """All nodes as they are told.
+    """All nodes as reported to the policy.
 
-    Guards against work that is cut off (a vanished node drains first), against a cold node taken for a warm one
-    (whoever was away, drained, or has moved comes back with a start of now), and against a typing error in a weight (it
-    moves by a step a second, so it is seen before it has done much). Harm: a node that was only renamed away and back
-    is warmed up again; a wanted change of weight takes its time. Held by
+    A node that is no longer listed drains first, so that its requests are not aborted. A node that was removed, was
+    draining or has moved returns with a start time of now, so that it goes through slow start. A weight moves by one
+    step per second, so that an error in it can be noticed before its full effect. The cost: a node that was removed and
+    added back by mistake goes through slow start again, and intended changes of weight take time. Checked by
     `tests/state/test_reported_nodes.py::test_any_sequence_of_sets_keeps_the_invariants`.
     """
 
@@ -103,32 +103,32 @@
         self._is_first_set, self._stepped_at = True, 0
 
     def accept(self, now: int, node_set: NodeSet) -> None:
-        """Take the set that shall hold from now on."""
+        """Make `node_set` the set to report from now on."""
         if not self._is_stepping():
             self._stepped_at = now
         for name, listed in node_set.nodes.items():
             self._accept_node(now, name, listed)
         for name, node in self._nodes.items():
             if name not in node_set.nodes and node.condition is not NodeCondition.REMOVED and node.removed_at is None:
-                node.vanish(now + self.settings.drain_grace_ns)
+                node.start_removal(now + self.settings.drain_grace_ns)
                 self._changed[name] = None
         self._is_first_set = False
 
     def _accept_node(self, now: int, name: str, listed: ListedNode) -> None:
         node = self._nodes.get(name)
         if node is None or node.condition is NodeCondition.REMOVED or node.is_other_process(listed):
-            # The first set of all is of nodes that have long been there.
+            # Nodes of the first set count as running for long.
             self._nodes[name] = _ReportedNode(listed, None if self._is_first_set else now)
             self._changed[name] = None
         elif node.listed != listed or node.removed_at is not None:
-            node.follow(now, listed, self.settings.weight_step)
+            node.update(now, listed, self.settings.weight_step)
             self._changed[name] = None
 
     def _is_stepping(self) -> bool:
         return any(node.is_stepping() for node in self._nodes.values())
 
     def advance(self, now: int) -> list[ReportedEntry]:
-        """Return what has changed since it was last asked, in the order of names."""
+        """Return the entries changed since the last call, in the order of names."""
         for name, node in self._nodes.items():
             if node.removed_at is not None and now >= node.removed_at:
                 node.remove()
@@ -150,13 +150,13 @@
                 self._changed[name] = None
 
     def due_at(self, now: int) -> int | None:
-        """Return when to advance next; None while nothing is on its way."""
+        """Return when to call `advance` next; None if no change is pending."""
         times = [node.removed_at for node in self._nodes.values() if node.removed_at is not None]
         if self._is_stepping():
             times.append(self._stepped_at + WEIGHT_STEP_INTERVAL_NS)
         return now if self._changed else min(times, default=None)
 
     def all_entries(self) -> list[ReportedEntry]:
-        """Return all that is told now, in the order of names; `advance` then has only what comes later."""
+        """Return all entries in the order of names; `advance` then returns only later changes."""
         self._changed.clear()
         return [self._nodes[name].entry(name) for name in sorted(self._nodes)]
--- a/kestrelplank/state/sealed.py
+++ b/kestrelplank/state/sealed.py
@@ -1,4 +1,4 @@
-"""State that is kept in a file, with a checksum, so that a torn or changed file is told from an intact one."""
+"""Encoding of state for a file, with a checksum that detects a torn or changed file."""
 
 import hashlib
 from collections.abc import Mapping
@@ -12,25 +12,27 @@
 
 
 def digest_of(data: bytes) -> str:
-    """Return what tells one content from another; 32 hexadecimal digits."""
+    """Return the digest of the data as 32 hexadecimal digits."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def encode_checksummed(form: int, state: Mapping[str, object]) -> bytes:
-    """Return the bytes to keep: JSON on one line, its checksum on the next."""
-    body = msgspec.json.encode({"form": form, **state})
+def encode_checksummed(format_version: int, state: Mapping[str, object]) -> bytes:
+    """Return the bytes to store: JSON on one line, its checksum on the next."""
+    body = msgspec.json.encode({"form": format_version, **state})
     return body + b"\n" + digest_of(body).encode() + b"\n"
 
 
-def decode_checksummed(form: int, data: bytes) -> dict[str, Any]:  # its users know the form's fields and their types
-    """Return what `encode_checksummed` was given, and the form.
+def decode_checksummed(format_version: int, data: bytes) -> dict[str, Any]:  # the callers know the types of the fields
+    """Return the state passed to `encode_checksummed`, and the format version under "form".
 
-    :raises Malformed: it is torn, changed, or of a form that is not known here; half of it is never used.
+    :raises Malformed: the data is torn or changed, or has another format version.
     """
     body, _, checksum = data.rstrip(b"\n").rpartition(b"\n")
     if not body or digest_of(body) != checksum.decode(errors="replace"):
-        raise Malformed("torn or changed: its checksum does not hold")
+        raise Malformed("torn or changed: the checksum does not match the content")
     state = parse_json(body)
-    if not isinstance(state, dict) or state.get("form") != form:
-        raise Malformed(f"form {state.get('form') if isinstance(state, dict) else None} is not known, {form} is")
+    if not isinstance(state, dict) or state.get("form") != format_version:
+        raise Malformed(
+            f"format version {state.get('form') if isinstance(state, dict) else None}, expected {format_version}"
+        )
     return state
--- a/kestrelplank/state/sums.py
+++ b/kestrelplank/state/sums.py
@@ -1,13 +1,13 @@
-"""Sums for reports: what attempts met at a node, and what became of ops of a slice."""
+"""Counters for reports: results of attempts at a node, and of the ops of a slice."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class AttemptSum:
-    """Attempts that have ended.
+    """Completed attempts.
 
-    :param latency_ns: the sum of those that succeeded.
+    :param latency_ns: total latency of the attempts that succeeded.
     """
 
     count: int = 0
@@ -15,7 +15,7 @@
     latency_ns: int = 0
 
     def add(self, succeeded: bool, latency_ns: int) -> None:
-        """Count an attempt that has ended."""
+        """Count a completed attempt."""
         self.count += 1
         if succeeded:
             self.latency_ns += latency_ns
@@ -23,14 +23,14 @@
             self.failed += 1
 
     def mean_latency_ns(self) -> float | None:
-        """Return the mean of the attempts that succeeded; None where there was none."""
+        """Return the mean latency of the attempts that succeeded; None if there was none."""
         succeeded = self.count - self.failed
         return self.latency_ns / succeeded if succeeded else None
 
 
 @dataclass(slots=True)
 class OpSum:
-    """Ops that were asked for, and those among them that were aborted."""
+    """Requested ops, and how many of them were aborted."""
 
     count: int = 0
     aborted: int = 0
--- a/kestrelplank/state/table_orders.py
+++ b/kestrelplank/state/table_orders.py
@@ -1,4 +1,4 @@
-"""What an assigner may order of a proxy's tables."""
+"""Orders that an assigner sends to change a proxy's tables."""
 
 import msgspec
 
@@ -18,17 +18,17 @@
 
 
 class SetWithdrawn(msgspec.Struct, frozen=True):
-    """Keep the proxy from a node whatever its tables say, or let it send there again."""
+    """Withdraw a node from all of the assigner's tables, or make it available again."""
 
     node: int
     withdrawn: bool
 
 
 class SetAdmission(msgspec.Struct, frozen=True):
-    """Set the share of ops to let in, and the retry mode.
+    """Set the share of ops to admit, and the retry mode.
 
-    :param table: one table, or `kestrelplank.interface.ALL_TABLES` for all that the assigner owns.
-    :param op_types: a bit mask; 0 for all.
+    :param table: one table, or `kestrelplank.interface.ALL_TABLES` for all tables that the assigner owns.
+    :param op_types: bit mask of op types; 0 for all.
     """
 
     table: int
--- a/kestrelplank/state/tables.py
+++ b/kestrelplank/state/tables.py
@@ -1,8 +1,8 @@
-"""Tables as one proxy holds them, ordered by several assigners, and what they let it send to.
+"""A proxy's load-balancing tables, which several assigners update, and the nodes available in them.
 
-Each assigner's orders come as numbered messages over a stream. A message takes effect completely, once, and in order;
-one that comes again changes nothing and is acknowledged again, as its acknowledgement may be lost. What a table holds
-outlives the stream it came on, as do withdrawals: a proxy that has lost its assigner goes on with what it has.
+Each assigner sends its orders in numbered messages over a stream. A message is applied atomically, once, and in order;
+a duplicate changes nothing and is acknowledged again, as the first acknowledgement may have been lost. Tables and
+withdrawals outlive the stream: a proxy that has lost its assigner continues with the last state.
 """
 
 from collections.abc import Callable, Sequence
@@ -19,24 +19,24 @@
     TableOrder,
 )
 
-RETRY_MODES = (0, 1)  # that a proxy of ours follows: no retry; one retry, with proof
+RETRY_MODES = (0, 1)  # 0: no retry; 1: one retry, if the first attempt provably did not run
 
 
 class UpdateRejectedError(ValueError):
-    """What came can't be applied; the text says why. Nothing of it has taken effect."""
+    """An update can't be applied; the text says why. Nothing of it has taken effect."""
 
 
 class MessageGapError(UpdateRejectedError):
-    """A message came before the one ahead of it: the stream has lost something and must begin anew."""
+    """A message of the stream is missing; the stream must be restarted."""
 
 
 class TablesContent(TypedDict):
-    """All that tables hold, as it is kept in a file; the keys are those of the file.
+    """The content of all tables as stored in a file; the keys are those of the file.
 
     :param lines: by table, the weight of each node by name.
-    :param sources: assigner, names of nodes that it withdrew, shares by op type, retry mode.
-    :param charge: by table, its owner.
-    :param levels: table, shares by op type.
+    :param sources: assigner, names of the nodes that it withdrew, admission shares by op type, retry mode.
+    :param charge: by table, the assigner that owns it.
+    :param levels: table, admission shares by op type.
     :param again: table, retry mode.
     """
 
@@ -48,9 +48,9 @@
 
 
 class AssignerOrders:
-    """What one assigner has ordered for all of its tables.
+    """The orders of one assigner that apply to all of its tables.
 
-    `next_message` is the number of the next message on its present stream.
+    `next_message` is the number expected of the next message on the current stream.
     """
 
     def __init__(self) -> None:
@@ -73,60 +73,59 @@
 class Tables:
     """All tables of a proxy, numbered from 0.
 
-    Which nodes are available is worked out once a change, not once an op.
+    The available nodes are computed once per change, not once per op.
 
-    What holds at all times, and the test of each (`tests/state/test_tables.py`):
+    Invariants, each with the test in `tests/state/test_tables.py` that checks it:
 
-    - A message with an order that can't be used changes nothing:
-      `test_a_message_with_an_order_that_cannot_be_used_changes_nothing_at_all`.
+    - A message with an invalid order changes nothing: `test_message_with_an_invalid_order_changes_nothing`.
     - The available nodes are those of the table that its owner has not withdrawn:
-      `test_available_nodes_are_those_that_a_plain_replay_of_the_orders_leaves`.
+      `test_available_nodes_equal_those_of_a_simple_replay`.
 
-    :param tables: how many there are.
-    :param op_types: how many there are.
-    :param initial_retry_mode: holds until an assigner orders another.
+    :param tables: the number of tables.
+    :param op_types: the number of op types.
+    :param initial_retry_mode: the retry mode until an assigner sets one.
     """
 
     def __init__(self, tables: int, op_types: int, initial_retry_mode: int) -> None:
         self.size, self._op_types, self._initial_retry_mode = tables, op_types, initial_retry_mode
-        self._weights: list[dict[int, float]] = [{}] * tables  # never changed in place: proxies may share them
+        self._weights: list[dict[int, float]] = [{}] * tables  # never modified in place: proxies may share them
         self._available: list[tuple[tuple[int, float], ...] | None] = [None] * tables
         self._owners: list[int | None] = [None] * tables
         self._shares: dict[int, dict[int, float]] = {}  # by table and op type
         self._retry_modes: dict[int, int] = {}  # by table
-        self._assigners: dict[int | None, AssignerOrders] = {}  # looked up by owner, of which None has no orders
+        self._assigners: dict[int | None, AssignerOrders] = {}  # by owner; there is no entry for None
 
-    # What comes in.
+    # Updates.
 
     def begin_stream(self, assigner: int) -> None:
-        """Begin an assigner's stream: its messages are numbered from 0 again."""
+        """Start a new stream of an assigner; its messages are numbered from 0."""
         self._assigners.setdefault(assigner, AssignerOrders()).next_message = 0
 
     def set_table(self, table: int, owner: int, weights: dict[int, float]) -> None:
-        """Give a table to an assigner, with the nodes that the store holds; shares and retry mode of its own end."""
+        """Set a table's owner and weights; reset its own admission shares and retry mode."""
         self._weights[table], self._owners[table], self._available[table] = weights, owner, None
         self._shares.pop(table, None)
         self._retry_modes.pop(table, None)
 
     def apply(self, assigner: int, number: int, orders: Sequence[TableOrder]) -> tuple[list[int], list[int]]:
-        """Apply a message of orders; of a message applied already, only the watermarks are returned again.
+        """Apply a message of orders; for a duplicate, only return its watermarks again.
 
-        :returns: the tables whose available nodes may have changed, and the watermarks to be acknowledged.
-        :raises UpdateRejectedError: an order can't be used; nothing has changed.
+        :returns: the tables whose available nodes may have changed, and the watermarks to acknowledge.
+        :raises UpdateRejectedError: an order is invalid, or the assigner has no stream; nothing has changed.
         :raises MessageGapError: a message before this one is missing; nothing has changed.
         """
         ordered = self._assigners.get(assigner)
         if ordered is None:
-            raise UpdateRejectedError(f"conductor {assigner} has no stream here")
+            raise UpdateRejectedError(f"assigner {assigner} has no open stream")
         watermarks = [order.watermark for order in orders if isinstance(order, RequestAcknowledgement)]
         if number < ordered.next_message:
             return [], watermarks
         if number > ordered.next_message:
-            raise MessageGapError(f"message {number} came where {ordered.next_message} is due")
+            raise MessageGapError(f"received message {number}, expected {ordered.next_message}")
         for index, order in enumerate(orders):
-            why = self._why_unusable(order)
-            if why:
-                raise UpdateRejectedError(f"order {index}: {why}")
+            problem = self._problem_with(order)
+            if problem:
+                raise UpdateRejectedError(f"order {index}: {problem}")
         ordered.next_message += 1
         changed = self._carry_out(assigner, ordered, orders)
         for table in changed:
@@ -134,9 +133,9 @@
         return list(changed), watermarks
 
     def _carry_out(self, assigner: int, ordered: AssignerOrders, orders: Sequence[TableOrder]) -> dict[int, None]:
-        """Carry out checked orders; return the tables whose available nodes may have changed, in order."""
+        """Apply valid orders; return the tables whose available nodes may have changed, in order."""
         changed: dict[int, None] = {}
-        nodes: dict[int, None] = {}  # withdrawn or let in again
+        nodes: dict[int, None] = {}  # whose withdrawal was set or cleared
         for order in orders:
             match order:
                 case SetEndpoint(table=table):
@@ -151,10 +150,10 @@
                 case SetAdmission():
                     self._set_admission(ordered, order)
                 case RequestAcknowledgement():
-                    pass  # `apply` returns its watermark
+                    pass  # `apply` has collected its watermark
                 case _:
                     assert_never(order)
-        if nodes:  # one walk a message, however many nodes a zone's loss withdraws
+        if nodes:  # one pass per message, however many nodes it withdraws
             changed.update(
                 (table, None)
                 for table, weights in enumerate(self._weights)
@@ -162,29 +161,33 @@
             )
         return changed
 
-    def _why_unusable(self, order: TableOrder) -> str:
-        """Return why an order can't be used; an empty text where it can."""
+    def _problem_with(self, order: TableOrder) -> str:
+        """Return why an order is invalid, or an empty text."""
         match order:
             case SetEndpoint():
                 if not self._has(order.table):
-                    return f"no table has the number {order.table}"
-                return "" if isfinite(order.weight) and order.weight >= 0 else f"{order.weight} is no weight"
+                    return f"table {order.table} does not exist"
+                return (
+                    ""
+                    if isfinite(order.weight) and order.weight >= 0
+                    else f"weight {order.weight}, expected a finite number >= 0"
+                )
             case ClearTable():
-                return "" if self._has(order.table) else f"no table has the number {order.table}"
+                return "" if self._has(order.table) else f"table {order.table} does not exist"
             case SetAdmission():
-                return self._why_unusable_admission(order)
+                return self._problem_with_admission(order)
             case SetWithdrawn() | RequestAcknowledgement():
                 return ""
             case _:
                 assert_never(order)
 
-    def _why_unusable_admission(self, order: SetAdmission) -> str:
+    def _problem_with_admission(self, order: SetAdmission) -> str:
         if order.table != ALL_TABLES and not self._has(order.table):
-            return f"no table has the number {order.table}"
+            return f"table {order.table} does not exist"
         if not (isfinite(order.share) and order.share >= 0):
-            return f"{order.share} is no level"
+            return f"admission share {order.share}, expected a finite number >= 0"
         if order.retry_mode not in RETRY_MODES:
-            return f"way {order.retry_mode} of trying again needs no proof"
+            return f"retry mode {order.retry_mode} is not supported"
         return ""
 
     def _has(self, table: int) -> bool:
@@ -207,10 +210,10 @@
         else:
             self._retry_modes[table] = order.retry_mode
 
-    # What survives this proxy's process.
+    # Persistence.
 
     def content(self, name_of: Callable[[int], str]) -> TablesContent:
-        """Return all that holds for a file, with nodes by name; streams and message numbers end with the process."""
+        """Return the content to store, with nodes by name; streams and message numbers are not stored."""
         return {
             "lines": [{name_of(node): weight for node, weight in weights.items()} for weights in self._weights],
             "sources": [
@@ -229,12 +232,12 @@
         }
 
     def restore(self, content: TablesContent, node_of: Callable[[str], int]) -> None:
-        """Replace what holds by what `content` returned.
+        """Replace all tables with those that `content` returned.
 
-        :raises UpdateRejectedError: it is of another number of tables; nothing has changed.
+        :raises UpdateRejectedError: the number of tables differs; nothing has changed.
         """
         if len(content["lines"]) != self.size or len(content["charge"]) != self.size:
-            raise UpdateRejectedError(f"{len(content['lines'])} tables were kept, {self.size} are configured")
+            raise UpdateRejectedError(f"{len(content['lines'])} tables are stored, but {self.size} are configured")
         self._weights = [{node_of(name): weight for name, weight in weights.items()} for weights in content["lines"]]
         self._owners, self._available = list(content["charge"]), [None] * self.size
         for assigner, withdrawn, shares, retry_mode in content["sources"]:
@@ -244,10 +247,10 @@
         self._shares = {table: dict(shares) for table, shares in content["levels"]}
         self._retry_modes = dict(content["again"])
 
-    # What holds.
+    # Queries.
 
     def has_assigner(self, assigner: int) -> bool:
-        """Whether a stream of that assigner has begun before."""
+        """Whether the assigner has ever started a stream, or its orders were restored."""
         return assigner in self._assigners
 
     def weights(self, table: int) -> dict[int, float]:
@@ -255,11 +258,11 @@
         return self._weights[table]
 
     def owner(self, table: int) -> int | None:
-        """Return the assigner that owns a table; None before any does."""
+        """Return the assigner that owns a table; None if it has no owner yet."""
         return self._owners[table]
 
     def withdrawn(self, assigner: int) -> list[int]:
-        """Return the nodes that an assigner has withdrawn, in the order of its orders."""
+        """Return the nodes that an assigner has withdrawn, in the order in which it withdrew them."""
         return list(self._assigners[assigner].withdrawn) if assigner in self._assigners else []
 
     def available(self, table: int) -> tuple[tuple[int, float], ...]:
@@ -274,13 +277,13 @@
         return available
 
     def admitted_share(self, table: int, op_type: int) -> float:
-        """Return the share of such ops to let in: the lower of the table's own and that for all of its owner's."""
+        """Return the share of ops to admit: the lower of the table's share and its owner's share for all tables."""
         ordered = self._assigners.get(self._owners[table])
         table_share = self._shares.get(table, {}).get(op_type, 1.0) if self._shares else 1.0
         return min(table_share, ordered.shares.get(op_type, 1.0) if ordered else 1.0)
 
     def retry_mode(self, table: int) -> int:
-        """Return the retry mode: the table's own, or its owner's, or the initial one."""
+        """Return the retry mode: the table's, else its owner's, else the initial one."""
         if table in self._retry_modes:
             return self._retry_modes[table]
         ordered = self._assigners.get(self._owners[table])
--- a/kestrelplank/state/zone_load.py
+++ b/kestrelplank/state/zone_load.py
@@ -1,4 +1,4 @@
-"""What an assigner tells others of zones, and what it makes of what they tell: sums, never nodes, in few bytes."""
+"""Per-zone sums that assigners exchange, and their combination."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 
 
 class ObservedNode(NamedTuple):
-    """One node as an assigner sees it.
+    """One node as observed by an assigner.
 
-    :param ready: whether it may be sent to.
-    :param attempts_per_s: that it met.
-    :param acknowledged_per_s: of these.
+    :param ready: whether the node may receive requests.
+    :param attempts_per_s: attempts sent to the node.
+    :param acknowledged_per_s: of these, the attempts acknowledged.
     """
 
     zone: int | None
@@ -21,12 +21,13 @@
 
 
 class ZoneTotals(NamedTuple):
-    """A zone as all that are heard see it; the fields have their names in the status output too.
+    """A zone's totals over all reporting assigners; the field names appear in the status output.
 
-    :param demand: attempts a second; they add up, as each assigner sees its own slices' part.
-    :param capacity: acknowledgements a second. The least counts, as each sees the same nodes, some of them from the
-        wrong side of a partition; of `ready` nodes too.
-    :param told_by: assigners whose sums are in it.
+    :param demand: attempts per second, the sum over assigners, as each sees only its own slices.
+    :param capacity: acknowledgements per second, the minimum over assigners: all see the same nodes, some possibly from
+        the wrong side of a partition.
+    :param ready: ready nodes, the minimum over assigners.
+    :param told_by: the number of assigners whose sums are included.
     """
 
     demand: int
@@ -36,9 +37,9 @@
 
 
 def zone_sums(nodes: Iterable[ObservedNode], best_node_per_s: float) -> list[ZoneSums]:
-    """Return the sums of each zone, in the order of zones; nodes whose zone is unknown are left out.
+    """Return the sums of each zone, in the order of zones; nodes of unknown zone are left out.
 
-    :param best_node_per_s: acknowledgements a second that one node was seen to do at its best.
+    :param best_node_per_s: the highest observed acknowledgements per second of one node.
     """
     demand: dict[int, float] = {}
     ready: dict[int, int] = {}
@@ -53,7 +54,7 @@
 
 
 def combine_zone_sums(own: Iterable[ZoneSums], others: Mapping[int, Iterable[ZoneSums]]) -> dict[int, ZoneTotals]:
-    """Return all zones, from one's own sums and those of members that are alive; with no others they are one's own."""
+    """Combine this assigner's sums with those of the other live members, by zone."""
     totals: dict[int, ZoneTotals] = {}
     for member_sums in (own, *(others[number] for number in sorted(others))):
         for sums in member_sums:
--- a/tests/state/test_node_set.py
+++ b/tests/state/test_node_set.py
@@ -39,7 +39,7 @@
             "order-4.toronto.example.org stands in zone windsor and in zone toronto (a.ini, line 1)",
         ),
         (("n", at("x", 1)), ("n", at("x", 2)), "n stands at 10.1.0.1:2 and at 10.1.0.1:1 (a.ini, line 1)"),
-        (("n", at("x", 1)), ("n", at("x", 1)), "n stands twice (a.ini, line 1)"),
+        (("n", at("x", 1)), ("n", at("x", 1)), "n stands in the lists twice (a.ini, line 1)"),
         (("n", at("x", 1)), ("m", at("y", 1)), "m has the address of n, 10.1.0.1:1 (a.ini, line 1)"),
     ],
 )
@@ -52,7 +52,7 @@
 
 
 def test_a_zone_whose_weights_sum_to_nothing_is_refused_and_one_that_drains_is_not():
-    with pytest.raises(InvalidNodeSetError, match="zone x: the weights of its 2 open nodes sum to nothing"):
+    with pytest.raises(InvalidNodeSetError, match="zone x: the weights of its 2 nodes that do not drain sum to 0"):
         assemble([part("a", ("n", at("x", 1, weight=0.0)), ("m", at("x", 2, weight=0.0)), ("o", at("y", 3)))])
     assert len(assemble([part("a", ("n", at("x", 1, weight=0.0, draining=True)), ("o", at("y", 3)))])) == 2
 
@@ -96,7 +96,7 @@
         assert (
             len(set(names)) < len(names)
             or len(set(addresses)) < len(addresses)
-            or any("sum to nothing" in conflict.reason for conflict in err.conflicts)
+            or any("sum to 0" in conflict.reason for conflict in err.conflicts)
         )
         return
     assert dict(made.nodes) == dict(lines) and len({listed.address for _, listed in lines}) == len(lines)
--- a/tests/state/test_node_set_in_force.py
+++ b/tests/state/test_node_set_in_force.py
@@ -167,7 +167,7 @@
 
 def test_a_form_that_is_not_known_is_refused_by_name():
     body = b'{"form":9}'
-    with pytest.raises(Malformed, match="form 9 is not known, 1 is"):
+    with pytest.raises(Malformed, match="format version 9, expected 1"):
         decode_stored_node_set(body + b"\n" + digest_of(body).encode() + b"\n")
 
 
--- a/tests/state/test_tables.py
+++ b/tests/state/test_tables.py
@@ -44,7 +44,7 @@
 
 def test_a_message_before_its_turn_is_a_gap_and_a_new_stream_begins_at_0():
     tables = made()
-    with pytest.raises(MessageGapError, match="message 1 came where 0 is due"):
+    with pytest.raises(MessageGapError, match="received message 1, expected 0"):
         tables.apply(0, 1, [SetEndpoint(1, 5, 2.0)])
     tables.apply(0, 0, [SetWithdrawn(9, True)])
     tables.begin_stream(0)
@@ -55,13 +55,13 @@
 @pytest.mark.parametrize(
     "order, says",
     [
-        (SetEndpoint(4, 1, 1.0), "no table has the number 4"),
-        (SetEndpoint(0, 1, -1.0), "no weight"),
-        (SetEndpoint(0, 1, float("nan")), "no weight"),
-        (ClearTable(-1), "no table"),
-        (SetAdmission(0, 0, -0.1, 1), "no level"),
-        (SetAdmission(9, 0, 1.0, 1), "no table"),
-        (SetAdmission(0, 0, 1.0, 2), "needs no proof"),
+        (SetEndpoint(4, 1, 1.0), "table 4 does not exist"),
+        (SetEndpoint(0, 1, -1.0), "weight -1.0, expected a finite number >= 0"),
+        (SetEndpoint(0, 1, float("nan")), "weight nan, expected a finite number >= 0"),
+        (ClearTable(-1), "table -1 does not exist"),
+        (SetAdmission(0, 0, -0.1, 1), "admission share -0.1, expected a finite number >= 0"),
+        (SetAdmission(9, 0, 1.0, 1), "table 9 does not exist"),
+        (SetAdmission(0, 0, 1.0, 2), "retry mode 2 is not supported"),
     ],
 )
 def test_a_message_with_an_order_that_cannot_be_used_changes_nothing_at_all(order, says):
@@ -74,7 +74,7 @@
 
 
 def test_an_assigner_without_a_stream_orders_nothing():
-    with pytest.raises(UpdateRejectedError, match="no stream"):
+    with pytest.raises(UpdateRejectedError, match="assigner 7 has no open stream"):
         made().apply(7, 0, [])
 
 
