--- a/kestrelplank/storage/__init__.py
+++ b/kestrelplank/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a control member must not lose, on its disk: the file format, recovery and compaction of one log file."""
+"""Durable state of a control member: the format, recovery and compaction of its log file."""
--- a/kestrelplank/storage/disk_thread.py
+++ b/kestrelplank/storage/disk_thread.py
@@ -1,4 +1,4 @@
-"""The one thread that calls a disk, so that neither the loop nor the end of the process waits for one that hangs."""
+"""Runs disk calls in one daemon thread, so that a disk that hangs blocks neither the event loop nor the exit."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,10 +13,10 @@
 
 
 class DiskThread:
-    """Calls made one after the other in a thread of their own, in the order in which they were handed over.
+    """Runs calls one after the other in its own thread, in the order of submission.
 
-    The thread is a daemon: one that hangs in a call is left behind when the process ends, where a thread of an executor
-    would be waited for (`test_a_process_ends_though_a_call_to_its_disk_hangs`).
+    It is a daemon thread, as the exit of the process would wait for an executor's thread that hangs in a call
+    (`test_process_exits_while_a_disk_call_hangs`).
     """
 
     def __init__(self) -> None:
@@ -28,20 +28,20 @@
     ) -> Result:
         """Call the function in the thread and return what it returns, or raise what it raises.
 
-        A caller that is cancelled does not take its call back: it may be under way.
+        Cancelling the caller does not cancel the call, which may be running already.
         """
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Result] = loop.create_future()
 
-        def carry_out() -> None:
+        def run_call() -> None:
             try:
                 result = function(*args, **kwargs)
-            except BaseException as err:  # noqa: BLE001 - the caller gets it, whatever it is
+            except BaseException as err:  # noqa: BLE001 - passed on to the caller
                 _finish(loop, future, partial(future.set_exception, err))
             else:
                 _finish(loop, future, partial(future.set_result, result))
 
-        self._calls.put(carry_out)
+        self._calls.put(run_call)
         return await future
 
     def _run(self) -> None:
@@ -49,7 +49,7 @@
             self._calls.get()()
 
 
-def _finish(loop: asyncio.AbstractEventLoop, future: asyncio.Future[Result], end: Callable[[], None]) -> None:
-    """End the future in its loop, unless its caller was cancelled or the loop is closed."""
-    with suppress(RuntimeError):  # closed: the process ends
-        loop.call_soon_threadsafe(lambda: None if future.done() else end())
+def _finish(loop: asyncio.AbstractEventLoop, future: asyncio.Future[Result], complete: Callable[[], None]) -> None:
+    """Complete the future in its loop, unless its caller was cancelled or the loop is closed."""
+    with suppress(RuntimeError):  # the loop is closed: the process is exiting
+        loop.call_soon_threadsafe(lambda: None if future.done() else complete())
--- a/kestrelplank/storage/entries.py
+++ b/kestrelplank/storage/entries.py
@@ -1,4 +1,4 @@
-"""Merging of writes: a later entry replaces that of the same index and all entries behind it."""
+"""Merging of writes: an entry replaces an earlier one with the same index and all entries after it."""
 
 from collections.abc import Sequence
 
@@ -8,12 +8,12 @@
 
 
 def merge_persists(persists: Sequence[Persist], snapshot_index: int) -> Persist:
-    """Return one Persist with the effect of all these in order. Entries that a snapshot covers are dropped.
+    """Return one `Persist` with the combined effect of all, in order; entries that a snapshot covers are dropped.
 
-    Its number is 0 and means nothing.
+    The number of the returned `Persist` is 0 and has no meaning.
 
-    :param snapshot_index: index of the snapshot on disk before them, 0 where there is none.
-    :raises MissingEntryError: entries do not follow each other.
+    :param snapshot_index: index of the snapshot on disk before the writes, 0 if there is none.
+    :raises MissingEntryError: the entries' indices are not contiguous.
     """
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
@@ -28,9 +28,9 @@
 
 
 def replace_from(entries: list[Entry], newer: Sequence[Entry]) -> None:
-    """Replace, in `entries`, those from the first newer one's index on.
+    """Replace the entries from the index of the first newer entry on with the newer ones.
 
-    :raises MissingEntryError: an index would be missing between them.
+    :raises MissingEntryError: an index would be missing between the kept and the newer entries.
     """
     if not newer:
         return
@@ -41,16 +41,16 @@
 
 
 def entries_after(index: int, entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
-    """Return those entries that a snapshot at `index` does not cover."""
+    """Return the entries that a snapshot at `index` does not cover."""
     if not entries or entries[0].index > index:
         return entries
     return tuple(entry for entry in entries if entry.index > index)
 
 
 def check_contiguous(entries: Sequence[Entry], last_index: int) -> None:
-    """Check that no index is missing between `last_index` and the first entry; later entries are not looked at.
+    """Check that no index is missing between `last_index` and the first entry; later entries are not checked.
 
-    :raises MissingEntryError: one is.
+    :raises MissingEntryError: an index is missing.
     """
     if entries and entries[0].index > last_index + 1:
         raise MissingEntryError(entries[0].index, last_index)
--- a/kestrelplank/storage/files.py
+++ b/kestrelplank/storage/files.py
@@ -1,4 +1,4 @@
-"""Operations on files that the log file is built from. All block, and raise OSError where the disk refuses."""
+"""File operations for the log file. All block, and raise OSError if the disk fails."""
 
 import logging
 import os
@@ -10,20 +10,20 @@
 log = logging.getLogger("storage")
 
 
-def make_folder(folder: Path) -> None:
-    """Make the folder, and those above it, where they are missing, durably."""
+def create_folder(folder: Path) -> None:
+    """Create the folder and its missing parents durably."""
     if folder.is_dir():
         return
     parent = folder.absolute().parent
-    make_folder(parent)
+    create_folder(parent)
     folder.mkdir(parents=True, exist_ok=True)
     sync_directory(str(parent))
 
 
 def replace_file(path: Path, data: bytes, temporary_prefix: str) -> int:
-    """Put a new file in the place of the one at `path`, complete or not at all, and return its open descriptor.
+    """Atomically replace the file at `path` and return the open descriptor of the new one.
 
-    Until the folder is synced, a loss of power may bring the old file back under the name.
+    Until the folder is synced, the old file may reappear under the name after a power loss.
     """
     fd, temporary = tempfile.mkstemp(dir=path.parent, prefix=temporary_prefix)
     try:
@@ -46,19 +46,19 @@
 
 
 def truncate_durably(fd: int, size_bytes: int) -> None:
-    """Cut the file to that size, and sync it."""
+    """Truncate the file to that size, and sync it."""
     os.ftruncate(fd, size_bytes)
     os.fsync(fd)
 
 
 def read_all(fd: int) -> bytes:
-    """Return the file's content from its first byte on."""
+    """Return the file's complete content."""
     with os.fdopen(os.dup(fd), "rb") as file:
         return file.read()
 
 
 def remove_if_possible(path: Path) -> None:
-    """Remove a temporary file; where the disk refuses, the next start removes it (`remove_leftovers`)."""
+    """Remove a temporary file; if that fails, the next start removes it (`remove_leftovers`)."""
     try:
         path.unlink()
     except OSError as err:
@@ -66,7 +66,7 @@
 
 
 def remove_leftovers(folder: Path, prefixes: tuple[str, ...]) -> None:
-    """Remove the files in the folder whose names begin with one of these."""
+    """Remove the files in the folder whose names start with one of the prefixes."""
     for path in list(folder.iterdir()):
         if path.name.startswith(prefixes):
             path.unlink()
--- a/kestrelplank/storage/frames.py
+++ b/kestrelplank/storage/frames.py
@@ -1,9 +1,9 @@
-"""Frames, the units of a log file: each is intact, or recognisably is not.
+"""Frames, the units of a log file, with a checksum that detects torn or changed ones.
 
     magic (4 bytes), size of the body (4, big-endian), checksum (16), body
 
 The checksum (blake2b, keyed with the file's salt) covers the frame's offset in the file, the body's size and the body.
-So neither blocks of an older file, nor what a refused write left, nor frames inside an operator's text pass for one.
+So blocks of an older file, remains of a failed write and frames inside an operator's text are not taken for frames.
 """
 
 import hashlib
@@ -18,11 +18,11 @@
 CHECKSUMMED_HEADER = struct.Struct(">QI")
 CHECKSUM_BYTES = 16
 SALT_BYTES = 16
-HEAD_SALT = b""  # of the first frame, which contains the salt of all others: its checksum is not keyed
+HEAD_SALT = b""  # the first frame contains the salt of all others, so its own checksum is not keyed
 
 
 class Frame(NamedTuple):
-    """The body of an intact frame, and the offsets of the frame's first byte and of the byte behind it."""
+    """The body of an intact frame, the offset of its first byte, and that of the first byte after it."""
 
     start: int
     end: int
@@ -30,7 +30,7 @@
 
 
 def encode_frame(salt: bytes, offset: int, body: bytes) -> bytes:
-    """Return the bytes of a frame that is to start at `offset`."""
+    """Return the bytes of a frame to be written at `offset`."""
     return HEADER.pack(MAGIC, len(body), checksum(salt, offset, body)) + body
 
 
@@ -43,7 +43,7 @@
 
 
 def frame_at(data: bytes, salt: bytes, offset: int) -> Frame | None:
-    """Return the frame that starts at `offset`, None where no intact one does."""
+    """Return the intact frame that starts at `offset`, or None."""
     body_start = offset + HEADER.size
     if body_start > len(data):
         return None
@@ -60,7 +60,7 @@
 def head_frame(data: bytes) -> Frame:
     """Return the first frame.
 
-    :raises CorruptLogError: it is not intact, though it was synced before the file had its name.
+    :raises CorruptLogError: it is damaged, although it was synced before the file got its name.
     """
     head = frame_at(data, HEAD_SALT, 0)
     if head is None:
@@ -69,9 +69,9 @@
 
 
 def frames_after(data: bytes, salt: bytes, head: Frame) -> Iterator[Frame]:
-    """Yield the intact frames behind the first one, up to the end or a last one that is torn.
+    """Yield the intact frames after the first one, up to the end of the data or to a torn last frame.
 
-    :raises CorruptLogError: a frame is not intact and an intact one follows, so something synced is missing.
+    :raises CorruptLogError: an intact frame follows a damaged one, so synced data is missing.
     """
     offset = head.end
     while frame := frame_at(data, salt, offset):
@@ -83,7 +83,7 @@
 
 
 def first_intact_frame(data: bytes, salt: bytes, start: int) -> Frame | None:
-    """Return the first intact frame at `start` or behind it."""
+    """Return the first intact frame at or after `start`."""
     offset = data.find(MAGIC, start)
     while offset >= 0:
         frame = frame_at(data, salt, offset)
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -3,10 +3,10 @@
     log                             the member's incarnation, hard state, snapshot and entries
     configuration-<version>.json    plain copies for operators (`readable_copies`), never read here
 
-`log` is a sequence of frames (`frames`). The first, the head, has the member's incarnation, hard state, snapshot and
-entries as they were when the file was made; each later one has one batch: a hard state, entries, or both (`records`).
-How a start reads them, and a file that is torn or damaged, is in `recovery`. No `log` at all is an empty disk: the
-member draws an incarnation and keeps it.
+`log` is a sequence of frames (`frames`). The first, the head, contains the member's incarnation, hard state, snapshot
+and entries at the time when the file was created; each later one contains one batch: a hard state, entries, or both
+(`records`). `recovery` describes how a start reads the file, also if it is torn or damaged. A missing `log` means that
+the disk is empty: the member chooses a new incarnation and stores it.
 """
 
 import errno
@@ -27,7 +27,7 @@
     NoIncarnationError,
 )
 from kestrelplank.storage.files import (
-    make_folder,
+    create_folder,
     read_all,
     remove_leftovers,
     replace_file,
@@ -39,54 +39,53 @@
 from kestrelplank.storage.recovery import recover
 
 FILE_NAME = "log"
-TEMPORARY_PREFIX = f".{FILE_NAME}."  # of the names of log files that are being made
+TEMPORARY_PREFIX = f".{FILE_NAME}."  # names of log files that are being written
 NOT_OPEN = -1
 log = logging.getLogger("storage")
 
 
 class LogFile:
-    """The log in one folder, which is made where it is missing.
-
-    `load` comes first, then, where it found no incarnation, `store_incarnation`, then `write`. All calls block, and
-    raise OSError where the disk refuses: an adapter makes them in a thread of its own, one at a time. The file grows
-    with each batch; its owner compares `size_bytes` with a bound and writes a snapshot when that is exceeded. So the
-    file is at most a batch larger than the bound; while a new file replaces it, the folder has both.
-
-    Invariants, each with the test in `tests/storage/` that holds it:
-
-    - A write is durable completely or not at all, wherever power is lost
-      (`test_power_lost_at_each_call_of_a_write_leaves_all_of_it_or_none`), and after a refusal too
-      (`test_power_lost_after_a_refusal_leaves_all_or_none`).
-    - A batch is one write and one sync, however many `Persist` it joins
-      (`test_one_write_and_one_sync_for_each_batch_however_many_it_joins`).
-    - What `load` returns is durable: power lost later does not take it back
-      (`test_what_a_start_finds_after_a_refusal_lasts`).
-    - Nothing is appended behind what a refused write left
-      (`test_a_refused_write_is_cut_off_durably_before_the_next_and_no_other_pays_for_it`), nor to a file whose name may
-      yet be forgotten (`test_nothing_is_appended_to_a_new_file_before_its_name_is_durable`).
-    - Damage is never believed (`test_a_byte_changed_anywhere_is_never_believed`).
-    - A disk has one incarnation for good (`test_the_incarnation_is_kept_and_no_other_takes_its_place`).
+    """The log in one folder, which is created if it is missing.
+
+    Call `load` first, then `store_incarnation` if there was no incarnation, then `write`. All calls block, and raise
+    OSError if the disk fails; the caller runs them in a separate thread, one at a time. The file grows with each batch;
+    its owner compares `size_bytes` with a limit and writes a snapshot once that is exceeded. So the file exceeds the
+    limit by one batch at most; while a new file replaces it, the folder contains both.
+
+    Invariants, each with the test in `tests/storage/` that checks it:
+
+    - A write is atomic, wherever power is lost (`test_power_loss_at_any_call_of_a_write_leaves_all_or_nothing`), also
+      after a disk error (`test_power_loss_after_a_disk_error_leaves_all_or_nothing`).
+    - A batch takes one write and one sync, however many `Persist` it merges
+      (`test_batch_takes_one_write_and_one_sync_however_many_persists_it_merges`).
+    - What `load` returns is durable and survives a later power loss
+      (`test_state_loaded_after_a_disk_error_survives_power_loss`).
+    - Nothing is appended after the remains of a failed write
+      (`test_failed_write_is_truncated_once_durably_before_the_next_write`), nor to a new file whose name is not durable
+      (`test_nothing_is_appended_to_a_new_file_before_its_name_is_durable`).
+    - Damaged data is never loaded (`test_data_with_a_changed_byte_is_never_loaded`).
+    - A disk keeps its first incarnation (`test_incarnation_is_stored_and_cannot_be_replaced`).
     """
 
     def __init__(self, folder: str | Path) -> None:
         self.folder = Path(folder)
         self.path = self.folder / FILE_NAME
-        self.size_bytes = 0  # of the file, as far as it is durable
-        self.frame_count = 0  # in the file, the head included
+        self.size_bytes = 0  # of the durable part of the file
+        self.frame_count = 0  # in the file, including the head
         self._fd = NOT_OPEN
         self._salt = b""
-        self._tail_cut_due = False  # a refused write may have left something behind the durable end
-        self._folder_sync_due = False  # the file was renamed since the folder was last synced
+        self._tail_cut_due = False  # a failed write may have left bytes after the durable end
+        self._folder_sync_due = False  # the folder was not synced since the file was renamed
         self._incarnation: str | None = None
         self._hard_state = HardState()
         self._first_index = 1
         self._last_index = 0
-        make_folder(self.folder)
+        create_folder(self.folder)
 
     def load(self) -> LogContent:
-        """Read the disk, and make sure that what is returned is durable.
+        """Read the log, and ensure that the returned content is durable.
 
-        :raises LogFormatError: another release wrote the file; nothing is removed then.
+        :raises LogFormatError: the format is not supported by this release; the file is not changed.
         """
         self.close()
         self.size_bytes, self.frame_count = 0, 0
@@ -98,26 +97,26 @@
         except CorruptLogError as err:
             log.warning("Storage: %s: %s; this disk counts as empty", self.path, err)
         self.close()
-        self.path.unlink()  # should a loss of power bring it back, it is found corrupt again
+        self.path.unlink()  # if it reappears after a power loss, the next start finds it corrupt again
         return LogContent()
 
     def store_incarnation(self, incarnation: str) -> None:
-        """Make this member's identity durable on an empty disk, with an empty log.
+        """Store this member's incarnation durably on an empty disk, with an empty log.
 
-        :raises IncarnationMismatchError: the disk is another member's.
+        :raises IncarnationMismatchError: the disk stores another incarnation.
         """
         if self._incarnation is not None and self._incarnation != incarnation:
             raise IncarnationMismatchError(self._incarnation, incarnation)
         if self._incarnation is None:
             self._replace(incarnation, LogContent(incarnation))
-        self._finish_replacing()  # also where a call before made the file, and failed to sync its name
+        self._finish_replacing()  # needed too if an earlier call wrote the file but failed to sync the folder
 
     def write(self, persists: Sequence[Persist]) -> None:
-        """Make all of these durable, or none.
+        """Make all the writes durable, or none.
 
-        :raises OSError: the disk refuses; the next call must begin with the same ones.
-        :raises MissingEntryError: the entries do not follow those on disk.
-        :raises NoIncarnationError: no incarnation is kept yet.
+        :raises OSError: the disk failed; the next call must start with the same writes.
+        :raises MissingEntryError: the entries are not contiguous with those on disk.
+        :raises NoIncarnationError: no incarnation is stored yet.
         """
         if self._incarnation is None:
             raise NoIncarnationError
@@ -134,11 +133,11 @@
             self._append(Batch(merged.hard_state, merged.entries))
 
     def write_configuration_copy(self, version: int, text: bytes) -> None:
-        """Write a readable copy of a configuration for operators; a refusal is only logged."""
+        """Write a readable copy of a configuration for operators; errors are only logged."""
         readable_copies.write_readable_copy(self.folder, version, text)
 
     def close(self) -> None:
-        """Close the file; what `write` returned from is durable already."""
+        """Close the file; completed writes are durable already."""
         if self._fd != NOT_OPEN:
             os.close(self._fd)
         self._fd, self._incarnation = NOT_OPEN, None
@@ -146,9 +145,9 @@
     # Reading.
 
     def _open(self) -> LogContent:
-        """Read the file and make it ready to be appended to.
+        """Read the file and prepare it for appending.
 
-        :raises CorruptLogError: the disk lost what it had synced.
+        :raises CorruptLogError: the disk lost or changed synced data.
         """
         self._fd = os.open(self.path, os.O_RDWR)
         data = read_all(self._fd)
@@ -158,21 +157,22 @@
         return recovered.content
 
     def _make_durable(self, data: bytes, last_frame: Frame) -> None:
-        """Make durable what was read, and cut off what is behind it.
+        """Make the intact frames durable, and truncate the file after them.
 
-        A process that ended between a write and its sync, or in a sync that failed, left a last frame or a length that
-        only memory may have, and that no further sync would write (A. Rebello et al., Can Applications Recover from
-        fsync Failures?, ATC 2020). The frame is written again over itself, which does not change blocks that are on the
-        disk already, and the length is set anew; a head was synced before it had its name.
+        If the process ended between a write and its sync, or after a failed sync, the last frame or the file's length
+        may exist only in the page cache, and no later sync would write them (A. Rebello et al., Can Applications
+        Recover from fsync Failures?, ATC 2020). So the last frame is rewritten in place, which leaves blocks already on
+        disk unchanged, and the length is set again. A head needs no rewrite: it was synced before the file got its
+        name.
         """
         if last_frame.start > 0:
             write_at(self._fd, data[last_frame.start : last_frame.end], last_frame.start)
-        os.ftruncate(self._fd, last_frame.end + 1)  # another length, so that the cut below is a change to be synced
+        os.ftruncate(self._fd, last_frame.end + 1)  # so that the truncation below changes the length and is synced
         truncate_durably(self._fd, last_frame.end)
         sync_directory(str(self.folder))
 
     def _set_content(self, content: LogContent, salt: bytes, size_bytes: int, frame_count: int) -> None:
-        """Take note of what the open file contains, so that batches can be appended to it."""
+        """Record the content of the open file, as appending needs it."""
         self._incarnation, self._hard_state, self._salt = content.incarnation, content.hard_state, salt
         self._first_index, self._last_index = content.first_index, content.last_index
         self.size_bytes, self.frame_count = size_bytes, frame_count
@@ -200,26 +200,26 @@
             self._last_index = batch.entries[-1].index
 
     def _cut_tail(self) -> None:
-        """Cut off what a refused write may have left.
+        """Truncate what a failed write may have left.
 
-        After a failed sync the system may hold pages for written that are not on disk, so the frame can't be kept.
+        After a failed sync the kernel may treat pages as written that are not on disk, so the frame can't be kept.
         """
         truncate_durably(self._fd, self.size_bytes)
         self._tail_cut_due = False
 
     def _cut_tail_if_possible(self) -> None:
-        """Cut it off now where the disk lets us; else the next write does so first."""
+        """Truncate now if possible; otherwise the next write does so first."""
         try:
             self._cut_tail()
         except OSError as err:
-            log.warning("Storage: what a refused write left behind can't be removed yet: %s", err)
+            log.warning("Storage: can't truncate the remains of a failed write, the next write tries again: %s", err)
 
     def _check_not_replaced(self) -> None:
-        """Check that the open file is the one that the next start will read.
+        """Check that the open file is still the one at the log's path, which the next start reads.
 
-        By length and not by inode: some file systems number an open file and its name apart.
+        Compares lengths, as some file systems report different inodes for an open file and its path.
 
-        :raises LogReplacedError: it is another file.
+        :raises LogReplacedError: the path leads to another file.
         """
         if self.path.stat().st_size != self.size_bytes:
             raise LogReplacedError(errno.ESTALE, "the log was moved or replaced", str(self.path))
@@ -227,9 +227,9 @@
     # Compaction.
 
     def _replace(self, incarnation: str, content: LogContent) -> None:
-        """Put a new file with this content in the place of the old one, complete or not at all.
+        """Atomically replace the old file with a new one that has this content.
 
-        `_finish_replacing` must follow before anything in the new file counts as durable.
+        The content is durable only after `_finish_replacing`.
         """
         salt = os.urandom(SALT_BYTES)
         head = encode_frame(HEAD_SALT, 0, encode_head(salt, incarnation, content))
@@ -240,7 +240,7 @@
             os.close(old_fd)
 
     def _finish_replacing(self) -> None:
-        """Make the new file's name durable; until then a loss of power may bring the old file back."""
+        """Make the new file's name durable; until then the old file may reappear after a power loss."""
         if self._folder_sync_due:
             sync_directory(str(self.folder))
             self._folder_sync_due = False
--- a/kestrelplank/storage/records.py
+++ b/kestrelplank/storage/records.py
@@ -1,6 +1,6 @@
 """The bodies of a log file's frames, in msgpack: a head, then batches.
 
-The order of fields decides the bytes on disk. A change of it needs another `FORMAT_VERSION`.
+The order of fields determines the bytes on disk; changing it requires a new `FORMAT_VERSION`.
 """
 
 from dataclasses import dataclass
@@ -15,9 +15,9 @@
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
-    """The first frame's body: the member's complete durable state when the file was made.
+    """The body of the first frame: the member's complete durable state when the file was created.
 
-    `format_version` comes first in every release.
+    `format_version` comes first in all formats.
     """
 
     format_version: int
@@ -29,13 +29,13 @@
 
 
 class FormatVersionOnly(msgspec.Struct, frozen=True, array_like=True):
-    """The first field of a head of any format; the others are not decoded."""
+    """The first field of a head in any format; the other fields are not decoded."""
 
     format_version: int
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True):
-    """The body of each later frame; its entries replace those from the first one's index on."""
+    """The body of a later frame; its entries replace earlier ones from the first entry's index on."""
 
     hard_state: HardState | None
     entries: tuple[Entry, ...]
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LogContent:
-    """The content of a log file: what a start finds on a member's disk, or what a new file is to hold.
+    """The content of a log file, either loaded from a member's disk or to be written to a new file.
 
-    :param incarnation: None for a disk that is empty, or counts as empty because its file is damaged.
+    :param incarnation: None if the disk is empty, or counts as empty because its file is damaged.
     """
 
     incarnation: str | None = None
@@ -55,25 +55,25 @@
 
     @property
     def first_index(self) -> int:
-        """The index that the entries begin with, or would."""
+        """The index of the first entry, or of the next one if there are no entries."""
         return 1 + (self.snapshot.index if self.snapshot else 0)
 
     @property
     def last_index(self) -> int:
-        """The newest entry's index, the snapshot's where there is no entry, 0 where there is neither."""
+        """The index of the last entry, else of the snapshot, else 0."""
         return self.entries[-1].index if self.entries else self.first_index - 1
 
 
 def encode_head(salt: bytes, incarnation: str, content: LogContent) -> bytes:
-    """Return the body of the first frame of a file that holds this."""
+    """Return the body of the first frame of a file with this content."""
     head = Head(FORMAT_VERSION, salt, incarnation, content.hard_state, content.snapshot, content.entries)
     return msgspec.msgpack.encode(head)
 
 
 def decode_head(frame: Frame) -> Head:
-    """Return what the first frame contains.
+    """Decode the first frame.
 
-    :raises LogFormatError: another release wrote it.
+    :raises LogFormatError: its format is not supported by this release.
     """
     try:
         format_version = msgspec.msgpack.decode(frame.body, type=FormatVersionOnly).format_version
@@ -81,7 +81,7 @@
             return msgspec.msgpack.decode(frame.body, type=Head)
     except msgspec.DecodeError as err:
         raise LogFormatError(f"log: {err}") from err
-    raise LogFormatError(f"log: format version {format_version} is not known, {FORMAT_VERSION} is")
+    raise LogFormatError(f"log: format version {format_version} is not supported, expected {FORMAT_VERSION}")
 
 
 def encode_batch(batch: Batch) -> bytes:
@@ -90,9 +90,9 @@
 
 
 def decode_batch(frame: Frame) -> Batch:
-    """Return what a later frame contains.
+    """Decode a later frame.
 
-    :raises LogFormatError: another release wrote it.
+    :raises LogFormatError: its format is not supported by this release.
     """
     try:
         return msgspec.msgpack.decode(frame.body, type=Batch)
--- a/kestrelplank/storage/recovery.py
+++ b/kestrelplank/storage/recovery.py
@@ -1,11 +1,11 @@
-"""Recovery of a log file's content from its bytes, at a start.
+"""Recovery of a log file's content from its bytes at a start.
 
-- A last frame that is torn: power was lost while it was written. It was never acknowledged, and is cut off.
-- A torn frame with an intact one behind it, or a torn head: the disk lost what it had synced. Nothing that the member
-  promised can be relied on, so the disk counts as empty, and the member takes a new identity.
+- Torn last frame: power was lost during its write. It was never acknowledged, and is truncated.
+- Damaged frame before an intact one, or damaged head: the disk lost or changed synced data, so the member's votes and
+  acknowledgements can't be relied on. The disk counts as empty, and the member gets a new incarnation.
 
-A disk that damages the last frame after it was synced can't be told from a loss of power in that write (R. Alagappan et
-al., Protocol-Aware Recovery for Consensus-Based Storage, FAST 2018).
+Damage to the last frame after its sync can't be distinguished from a power loss during its write (R. Alagappan et al.,
+Protocol-Aware Recovery for Consensus-Based Storage, FAST 2018).
 """
 
 from collections.abc import Sequence
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLog:
-    """The content of a log file, and what appending to it needs to know of its frames."""
+    """The content of a log file, and the data about its frames that appending needs."""
 
     content: LogContent
     salt: bytes
@@ -27,10 +27,10 @@
 
 
 def recover(data: bytes) -> RecoveredLog:
-    """Return what a log file's bytes contain.
+    """Decode the bytes of a log file.
 
-    :raises CorruptLogError: the disk lost what it had synced.
-    :raises LogFormatError: another release wrote the file.
+    :raises CorruptLogError: the disk lost or changed synced data.
+    :raises LogFormatError: the format is not supported by this release.
     """
     first_frame = head_frame(data)
     head = decode_head(first_frame)
@@ -40,7 +40,7 @@
 
 
 def replay(head: Head, batches: Sequence[Batch]) -> LogContent:
-    """Return what a file holds that begins with this head and has these batches in order."""
+    """Return the content of a file with this head, followed by these batches in order."""
     hard_state = head.hard_state
     entries = list(head.entries)
     for batch in batches:
--- a/tests/storage/test_log_folder.py
+++ b/tests/storage/test_log_folder.py
@@ -89,6 +89,6 @@
         scenario.disk.install(patched)
         scenario.disk.arm(at, REFUSALS[1])
         log.write_configuration_copy(5, b"five")
-    assert "no plain copy of configuration 00000005" in caplog.text
+    assert "can't write the plain copy of configuration 00000005" in caplog.text
     log.write([BIG])
     assert found_in(scenario.folder) == WITH_BIG
