--- a/tests/storage/conftest.py
+++ b/tests/storage/conftest.py
@@ -1,4 +1,4 @@
-"""Logs that a test is run with: one in memory, one on disk."""
+"""Fixtures: each test with `log` runs with a log in memory and with one on disk."""
 
 import pytest
 from storage.memory import MemoryLog
@@ -13,6 +13,6 @@
 
 @pytest.fixture(params=["memory", "disk"])
 def log(request, folder):
-    made = MemoryLog() if request.param == "memory" else LogFile(folder)
-    made.load()
-    return made
+    member_log = MemoryLog() if request.param == "memory" else LogFile(folder)
+    member_log.load()
+    return member_log
--- a/tests/storage/memory.py
+++ b/tests/storage/memory.py
@@ -1,4 +1,4 @@
-"""A member's disk in memory: what the contract of `test_log_contract` says of the one on disk."""
+"""An in-memory replacement for a member's log file; `test_log_contract` runs with both."""
 
 import msgspec
 
@@ -8,11 +8,10 @@
 
 
 class MemoryLog:
-    """A member's log in memory: what the contract of `test_log_contract` says of `LogFile`, for members that are simulated.
+    """The log of a simulated member, with the interface of `LogFile`.
 
-    It outlives the member: to lose a member's power is to drop the member and `load` again. What `write` returned from
-    is there then, of what it refused nothing, or all where `keeps_failed_writes`. `write_error`: raised by each write while it is
-    set. `empty`: the disk is lost.
+    To simulate a power loss, drop the member and call `load` again: completed writes are kept. While `write_error` is
+    set, each write raises it, and is dropped, or kept if `keeps_failed_writes`. `empty` simulates the loss of the disk.
     """
 
     def __init__(self):
@@ -25,15 +24,15 @@
         self._incarnation, self._written = None, []
 
     def load(self):
-        found = LogContent(self._incarnation)
+        content = LogContent(self._incarnation)
         for persist in self._written:
-            entries = () if persist.snapshot else found.entries
-            snapshot = persist.snapshot or found.snapshot
+            entries = () if persist.snapshot else content.entries
+            snapshot = persist.snapshot or content.snapshot
             new = [entry for entry in persist.entries if snapshot is None or entry.index > snapshot.index]
             if new:
                 entries = (*(entry for entry in entries if entry.index < new[0].index), *new)
-            found = LogContent(self._incarnation, persist.hard_state or found.hard_state, snapshot, entries)
-        return found
+            content = LogContent(self._incarnation, persist.hard_state or content.hard_state, snapshot, entries)
+        return content
 
     def store_incarnation(self, incarnation):
         if self._incarnation not in (None, incarnation):
@@ -48,10 +47,10 @@
             raise NoIncarnationError
         before = self._written
         self._written = [*before, *persists]
-        found = self.load()
-        indices = [entry.index for entry in found.entries]
+        content = self.load()
+        indices = [entry.index for entry in content.entries]
         first = indices[0] if indices else 0
-        start = 1 + (found.snapshot.index if found.snapshot else 0)
+        start = 1 + (content.snapshot.index if content.snapshot else 0)
         if indices and (indices != list(range(first, first + len(indices))) or first != start):
             self._written = before
             raise MissingEntryError(first, start - 1)
@@ -59,12 +58,14 @@
             self._written = self._written if self.keeps_failed_writes else before
             raise self.write_error
         self.syncs += 1
-        # What counts is what all of them add up to; kept so, it stays bounded as a file does.
-        self._written = [Persist(0, found.hard_state, found.snapshot, found.entries)]
+        # Merged into one, so that the list stays bounded like a compacted file.
+        self._written = [Persist(0, content.hard_state, content.snapshot, content.entries)]
 
     @property
     def size_bytes(self):
-        return len(msgspec.msgpack.encode([(one.hard_state, one.snapshot, one.entries) for one in self._written]))
+        return len(
+            msgspec.msgpack.encode([(write.hard_state, write.snapshot, write.entries) for write in self._written])
+        )
 
     def write_configuration_copy(self, version, text):
         self.copies[version] = text
--- a/tests/storage/scenario.py
+++ b/tests/storage/scenario.py
@@ -1,57 +1,57 @@
-"""A log file on a disk that loses its power, or refuses, at each of its calls in turn."""
+"""Runs a log on a simulated disk that loses power, or fails, at each of its calls in turn."""
 
 import os
 
 from storage.histories import (
     CONFIGURATION,
+    HARD_STATE_2,
+    HARD_STATE_6,
     MEMBERS,
-    SIX,
     STRIDE,
-    TWO,
+    create_log,
     entries,
     entry,
-    filled,
-    found_in,
+    load_content,
+    load_log,
     persist,
     snapshot,
-    started,
 )
-from storage.power_loss import Disk, PowerLost, fill
+from storage.power_loss import Disk, PowerLostError, fill
 
 from kestrelplank.consensus.log_entries import ChangeMembership
 from kestrelplank.storage.records import LogContent
 
 
 class Scenario:
-    """A disk that power may leave at any call, and a second folder in which what is left is looked at."""
+    """A disk that may lose power at any call, and a second folder to check what it left."""
 
     def __init__(self, tmp_path, monkeypatch, *persists):
-        self.folder, self.left = str(tmp_path / "member"), str(tmp_path / "left")
+        self.folder, self.crashed_folder = str(tmp_path / "member"), str(tmp_path / "left")
         self.monkeypatch = monkeypatch
         self.persists = persists
         self.run = 0
-        self.ends = []
+        self.results = []
 
     def begin(self):
-        """A fresh disk on which all before is durable."""
+        """Return a log on a new disk, with the initial writes durable."""
         self.run += 1
         fill(self.folder, {})
-        log = filled(self.folder, *self.persists)
+        log = create_log(self.folder, *self.persists)
         self.disk = Disk(self.folder)
         return log
 
     def after_power_loss(self, stride=STRIDE):
-        """What a start finds, for each folder that may be left; a start that loses its power too finds the same."""
+        """Yield the content that a start loads from each folder that a power loss may leave; a second start loads it too."""
         for number, contents in enumerate(self.disk.outcomes(stride)):
-            fill(self.left, contents)
-            log, loaded = started(self.left)
-            assert not [name for name in os.listdir(self.left) if name.startswith(".")]
+            fill(self.crashed_folder, contents)
+            log, loaded = load_log(self.crashed_folder)
+            assert not [name for name in os.listdir(self.crashed_folder) if name.startswith(".")]
             log.close()
-            assert found_in(self.left) == loaded
+            assert load_content(self.crashed_folder) == loaded
             yield loaded
 
     def lose_power_at_each_call(self, write, check):
-        """Calls `write(log)` on a fresh disk, with the power lost before each of its calls in turn, and at its end."""
+        """Call `write(log)` on new disks, with power lost before each of its calls in turn, and after the last one."""
         at, lost = 0, True
         while lost:
             log = self.begin()
@@ -61,42 +61,44 @@
                 try:
                     write(log)
                     lost = False
-                except PowerLost:
+                except PowerLostError:
                     lost = True
             for loaded in self.after_power_loss():
                 check(lost, loaded)
-                self.ends.append((at, loaded))
+                self.results.append((at, loaded))
             at += 1
         self.calls = at - 1
-        print(f"{self.calls} calls, {len(self.ends)} losses of power")
+        print(f"{self.calls} calls, {len(self.results)} power losses")
 
 
-BEFORE = [persist(*entries(1, 4), term=1), persist(entry(5), term=2)]
-HELD = LogContent("first", TWO, None, entries(1, 5))
-BIG = persist(entry(6, 2, CONFIGURATION), entry(7, 2, ChangeMembership(MEMBERS)), term=6)
-WITH_BIG = LogContent("first", SIX, None, HELD.entries + BIG.entries)
+WRITES_BEFORE = [persist(*entries(1, 4), term=1), persist(entry(5), term=2)]
+CONTENT_BEFORE = LogContent("first", HARD_STATE_2, None, entries(1, 5))
+LARGE_WRITE = persist(entry(6, 2, CONFIGURATION), entry(7, 2, ChangeMembership(MEMBERS)), term=6)
+CONTENT_WITH_LARGE_WRITE = LogContent("first", HARD_STATE_6, None, CONTENT_BEFORE.entries + LARGE_WRITE.entries)
 COMPACTION = persist(entry(5), snapshot=snapshot(4))
-COMPACTED = LogContent("first", TWO, snapshot(4), (entry(5),))
+COMPACTED_CONTENT = LogContent("first", HARD_STATE_2, snapshot(4), (entry(5),))
 
 
-def refuse_each_call(scenario, write, refusal, lasting=False):
-    """Runs `write(log)` on fresh disks with one of its calls refused, or all from that one on; yields the log after
-    each refusal, while the disk is still patched and refuses nothing any more."""
-    at, refused = 0, True
-    while refused:
+def fail_each_call(scenario, write, error, persistent=False):
+    """Run `write(log)` on new disks, with each of its calls in turn failing, or all from that one on.
+
+    Yields the log after each error, while the disk is still patched but no longer fails.
+    """
+    at, failed = 0, True
+    while failed:
         log = scenario.begin()
         with scenario.monkeypatch.context() as patched:
             scenario.disk.install(patched)
-            scenario.disk.arm(at, refusal, lasting)
+            scenario.disk.arm(at, error, persistent)
             try:
                 write(log)
-                refused = False
+                failed = False
             except OSError as err:
-                assert err is refusal
+                assert err is error
                 scenario.disk.arm()
                 yield log
         at += 1
     assert at > 2
 
 
-WRITES = [([BIG], WITH_BIG), ([COMPACTION], COMPACTED)]
+WRITES = [([LARGE_WRITE], CONTENT_WITH_LARGE_WRITE), ([COMPACTION], COMPACTED_CONTENT)]
--- a/tests/storage/test_disk_thread.py
+++ b/tests/storage/test_disk_thread.py
@@ -1,4 +1,4 @@
-"""Calls of a disk in a thread of their own."""
+"""Disk calls in a separate thread must run in order, and must not block the exit of the process."""
 
 import asyncio
 import subprocess
@@ -9,7 +9,7 @@
 
 from kestrelplank.storage.disk_thread import DiskThread
 
-HANGS = """
+HANGING_PROGRAM = """
 import asyncio, threading
 from kestrelplank.storage.disk_thread import DiskThread
 
@@ -23,47 +23,49 @@
 """
 
 
-def test_calls_are_made_in_the_order_in_which_they_were_handed_over():
-    made = []
+def test_calls_run_in_the_order_of_submission():
+    calls = []
 
-    async def play():
+    async def run():
         disk = DiskThread()
-        return await asyncio.gather(*(disk.call(lambda n=number: made.append(n) or n * n) for number in range(20)))
+        return await asyncio.gather(*(disk.call(lambda n=number: calls.append(n) or n * n) for number in range(20)))
 
-    assert asyncio.run(play()) == [number * number for number in range(20)]
-    assert made == list(range(20))
+    assert asyncio.run(run()) == [number * number for number in range(20)]
+    assert calls == list(range(20))
 
 
-def test_the_caller_gets_what_a_call_raises_and_the_next_call_is_made():
-    async def play():
+def test_caller_gets_the_error_of_its_call_and_the_next_call_runs():
+    async def run():
         disk = DiskThread()
         with pytest.raises(OSError, match="no room"):
-            await disk.call(refuse)
+            await disk.call(fail)
         return await disk.call(threading.current_thread)
 
-    def refuse():
+    def fail():
         raise OSError("no room")
 
-    assert asyncio.run(play()).daemon
+    assert asyncio.run(run()).daemon
 
 
-def test_a_caller_that_is_cancelled_does_not_take_its_call_back():
-    made, let = [], threading.Event()
+def test_cancelling_the_caller_does_not_cancel_its_call():
+    calls, release = [], threading.Event()
 
-    async def play():
+    async def run():
         disk = DiskThread()
-        first = asyncio.create_task(disk.call(let.wait, 10))
-        second = asyncio.create_task(disk.call(made.append, 1))
+        first = asyncio.create_task(disk.call(release.wait, 10))
+        second = asyncio.create_task(disk.call(calls.append, 1))
         await asyncio.sleep(0)
         second.cancel()
-        let.set()
+        release.set()
         await first
-        await disk.call(made.append, 2)
+        await disk.call(calls.append, 2)
 
-    asyncio.run(play())
-    assert made == [1, 2]
+    asyncio.run(run())
+    assert calls == [1, 2]
 
 
-def test_a_process_ends_though_a_call_to_its_disk_hangs():
-    done = subprocess.run([sys.executable, "-c", HANGS], capture_output=True, text=True, timeout=20, check=False)
-    assert (done.returncode, done.stdout) == (0, "ended\n")
+def test_process_exits_while_a_disk_call_hangs():
+    result = subprocess.run(
+        [sys.executable, "-c", HANGING_PROGRAM], capture_output=True, text=True, timeout=20, check=False
+    )
+    assert (result.returncode, result.stdout) == (0, "ended\n")
--- a/tests/storage/test_log_power_loss.py
+++ b/tests/storage/test_log_power_loss.py
@@ -1,9 +1,17 @@
-"""What a loss of power at any call of a log on disk leaves behind."""
+"""A power loss at any call of a log on disk must leave each write complete or absent."""
 
 import pytest
-from storage.histories import SIX, TWO, distinct, entries, entry, found_in, persist, snapshot
-from storage.power_loss import Disk, PowerLost, fill
-from storage.scenario import BEFORE, BIG, COMPACTED, COMPACTION, HELD, WITH_BIG, Scenario
+from storage.histories import HARD_STATE_2, HARD_STATE_6, distinct, entries, entry, load_content, persist, snapshot
+from storage.power_loss import Disk, PowerLostError, fill
+from storage.scenario import (
+    COMPACTED_CONTENT,
+    COMPACTION,
+    CONTENT_BEFORE,
+    CONTENT_WITH_LARGE_WRITE,
+    LARGE_WRITE,
+    WRITES_BEFORE,
+    Scenario,
+)
 
 from kestrelplank.storage.log_file import LogFile
 from kestrelplank.storage.records import LogContent
@@ -12,26 +20,29 @@
 @pytest.mark.parametrize(
     "persists, expected, calls",
     [
-        ([BIG], WITH_BIG, 2),
-        ([persist(term=6)], LogContent("first", SIX, None, entries(1, 5)), 2),
-        ([persist(entry(4, 2))], LogContent("first", TWO, None, (*entries(1, 3), entry(4, 2))), 2),
-        ([persist(term=6), persist(BIG.entries[0]), persist(BIG.entries[1])], WITH_BIG, 2),
-        ([COMPACTION], COMPACTED, 5),
-        ([persist(entry(6), term=6), persist(*entries(5, 6), snapshot=snapshot(4))], LogContent("first", SIX, snapshot(4), entries(5, 6)), 5),
+        ([LARGE_WRITE], CONTENT_WITH_LARGE_WRITE, 2),
+        ([persist(term=6)], LogContent("first", HARD_STATE_6, None, entries(1, 5)), 2),
+        ([persist(entry(4, 2))], LogContent("first", HARD_STATE_2, None, (*entries(1, 3), entry(4, 2))), 2),
+        ([persist(term=6), persist(LARGE_WRITE.entries[0]), persist(LARGE_WRITE.entries[1])], CONTENT_WITH_LARGE_WRITE, 2),
+        ([COMPACTION], COMPACTED_CONTENT, 5),
+        ([persist(entry(6), term=6), persist(*entries(5, 6), snapshot=snapshot(4))], LogContent("first", HARD_STATE_6, snapshot(4), entries(5, 6)), 5),
     ],
 )  # fmt: skip
-def test_power_lost_at_each_call_of_a_write_leaves_all_of_it_or_none(tmp_path, monkeypatch, persists, expected, calls):
-    scenario = Scenario(tmp_path, monkeypatch, *BEFORE)
+def test_power_loss_at_any_call_of_a_write_leaves_all_or_nothing(tmp_path, monkeypatch, persists, expected, calls):
+    scenario = Scenario(tmp_path, monkeypatch, *WRITES_BEFORE)
 
     def check(lost, loaded):
-        assert loaded == expected if not lost else loaded in (HELD, expected)
+        assert loaded == expected if not lost else loaded in (CONTENT_BEFORE, expected)
 
     scenario.lose_power_at_each_call(lambda log: log.write(persists), check)
     assert scenario.calls == calls
-    assert distinct(loaded for _, loaded in scenario.ends) in ([HELD, expected], [expected, HELD])
+    assert distinct(loaded for _, loaded in scenario.results) in (
+        [CONTENT_BEFORE, expected],
+        [expected, CONTENT_BEFORE],
+    )
 
 
-def test_power_lost_at_each_call_of_the_first_start_leaves_an_empty_disk_or_the_incarnation(tmp_path, monkeypatch):
+def test_power_loss_at_any_call_of_the_first_start_leaves_an_empty_disk_or_the_incarnation(tmp_path, monkeypatch):
     scenario = Scenario(tmp_path, monkeypatch)
 
     def first_start(log):
@@ -45,30 +56,30 @@
         return LogFile(scenario.folder)
 
     scenario.begin = begin
-    kept = LogContent("5f2c", TWO)
+    written = LogContent("5f2c", HARD_STATE_2)
 
     def check(lost, loaded):
-        assert loaded == kept if not lost else loaded in (LogContent(), LogContent("5f2c"), kept)
+        assert loaded == written if not lost else loaded in (LogContent(), LogContent("5f2c"), written)
 
     scenario.lose_power_at_each_call(first_start, check)
-    assert distinct(loaded for _, loaded in scenario.ends) == [LogContent(), LogContent("5f2c"), kept]
+    assert distinct(loaded for _, loaded in scenario.results) == [LogContent(), LogContent("5f2c"), written]
 
 
-def test_power_lost_again_at_each_call_of_a_start_and_the_write_after_it(tmp_path, monkeypatch):
-    """The first loss left a torn batch, in each of its forms."""
-    first = Scenario(tmp_path, monkeypatch, *BEFORE)
+def test_second_power_loss_at_any_call_of_a_start_and_its_first_write(tmp_path, monkeypatch):
+    """The first power loss left a torn batch, in each possible form."""
+    first = Scenario(tmp_path, monkeypatch, *WRITES_BEFORE)
     log = first.begin()
     with monkeypatch.context() as patched:
         first.disk.install(patched)
         first.disk.arm(1)
-        with pytest.raises(PowerLost):
-            log.write([BIG])
-    left = list(first.disk.outcomes(40))
-    assert len(left) > 20
+        with pytest.raises(PowerLostError):
+            log.write([LARGE_WRITE])
+    outcomes = list(first.disk.outcomes(40))
+    assert len(outcomes) > 20
     second = Scenario(tmp_path, monkeypatch)
-    for contents in left:
+    for contents in outcomes:
         fill(second.folder, contents)
-        assert found_in(second.folder) in (HELD, WITH_BIG)
+        assert load_content(second.folder) in (CONTENT_BEFORE, CONTENT_WITH_LARGE_WRITE)
         at, lost = 0, True
         while lost:
             fill(second.folder, contents)
@@ -81,10 +92,16 @@
                     loaded = log.load()
                     log.write([persist(entry(6, 9), term=6)])
                     lost = False
-                except PowerLost:
+                except PowerLostError:
                     lost = True
-            written = LogContent("first", SIX, None, (*entries(1, 5), entry(6, 9)))
-            allowed = (HELD, WITH_BIG) if loaded is None else (loaded, written) if lost else (written,)
+            written = LogContent("first", HARD_STATE_6, None, (*entries(1, 5), entry(6, 9)))
+            allowed = (
+                (CONTENT_BEFORE, CONTENT_WITH_LARGE_WRITE)
+                if loaded is None
+                else (loaded, written)
+                if lost
+                else (written,)
+            )
             for found in second.after_power_loss(40):
                 assert found in allowed, (at, loaded)
             at += 1
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -1,5 +1,7 @@
-"""Files and records that commit 4f929ce left on disks: today's code reads them to the same values, and writes the same
-bytes for those values. `data/4f929ce/README.md` says how they were made."""
+"""Files and records written by commit 4f929ce must decode to the recorded values, and encode to the recorded bytes.
+
+`data/4f929ce/README.md` describes how they were recorded.
+"""
 
 import json
 import os
@@ -35,7 +37,7 @@
 
 
 def loaded(folder):
-    """What a start finds in that folder: incarnation, hard state, snapshot, entries."""
+    """Return what a start loads from the folder: incarnation, hard state, snapshot, entries."""
     log = LogFile(os.fspath(folder))
     found = log.load()
     log.close()
@@ -50,14 +52,14 @@
 
 
 @pytest.mark.parametrize("name", LOG_FILES["files"])
-def test_a_log_file_is_read_to_the_same_values(name, tmp_path):
+def test_log_file_loads_to_the_recorded_values(name, tmp_path):
     folder = copied(name, tmp_path)
     assert loaded(folder) == LOG_FILES["files"][name]["loaded"]
-    assert loaded(folder) == LOG_FILES["files"][name]["loaded"]  # and again, after what reading has changed
+    assert loaded(folder) == LOG_FILES["files"][name]["loaded"]  # loading may have changed the file
 
 
 @pytest.mark.parametrize("name", [name for name, file in LOG_FILES["files"].items() if "writes" in file])
-def test_a_log_file_of_the_same_writes_has_the_same_bytes(name, tmp_path, monkeypatch):
+def test_log_file_of_the_recorded_writes_has_the_recorded_bytes(name, tmp_path, monkeypatch):
     salt = bytes.fromhex(LOG_FILES["salt"])
     monkeypatch.setattr(os, "urandom", lambda size: salt[:size])
     log = LogFile(os.fspath(tmp_path))
@@ -79,19 +81,19 @@
     assert (tmp_path / "log").read_bytes() == (DATA / "log_files" / name / "log").read_bytes()
 
 
-def test_a_log_file_is_not_changed_by_reading_it(tmp_path):
+def test_loading_a_log_file_does_not_change_it(tmp_path):
     folder = copied("compacted", tmp_path)
     loaded(folder)
     assert (folder / "log").read_bytes() == (DATA / "log_files/compacted/log").read_bytes()
 
 
-def test_a_torn_tail_is_cut_off(tmp_path):
+def test_torn_tail_is_truncated(tmp_path):
     folder = copied("torn_tail", tmp_path)
     loaded(folder)
     assert (DATA / "log_files/appended/log").read_bytes().startswith((folder / "log").read_bytes())
 
 
-def test_a_log_file_damaged_before_its_end_counts_as_empty(tmp_path):
+def test_log_file_damaged_before_its_end_counts_as_empty(tmp_path):
     folder = copied("appended", tmp_path)
     data = bytearray((folder / "log").read_bytes())
     data[len(data) // 2] ^= 1
@@ -99,12 +101,12 @@
     assert loaded(folder) == [None, by_position(HardState()), None, []]
 
 
-def test_every_kind_of_command_is_in_a_log_file():
+def test_recorded_log_files_contain_every_kind_of_command():
     commands = [entry[2][0] for file in LOG_FILES["files"].values() for entry in file["loaded"][3]]
     assert set(commands) == {kind.__struct_config__.tag for kind in Command.__args__}
 
 
-def test_a_readable_copy_has_the_same_name_and_bytes(tmp_path):
+def test_configuration_copy_has_the_recorded_name_and_bytes(tmp_path):
     copies = sorted((DATA / "log_files/compacted").glob("configuration-*"))
     assert len(copies) == 2
     log = LogFile(os.fspath(tmp_path))
@@ -116,7 +118,7 @@
 
 
 @pytest.mark.parametrize("name", values("control_state_snapshots.json"))
-def test_a_snapshot_of_the_control_state_is_read_to_the_same_values(name):
+def test_control_state_snapshot_is_restored_to_the_recorded_values(name):
     example = values("control_state_snapshots.json")[name]
     data = bytes.fromhex(example["bytes"])
     state = ControlState()
@@ -127,7 +129,7 @@
     assert state.snapshot() == data
 
 
-def test_a_snapshot_on_its_way_to_a_follower_has_the_same_bytes_and_checksum():
+def test_snapshot_sent_to_a_follower_has_the_recorded_bytes_and_checksum():
     example = values("consensus_snapshot.json")
     data = bytes.fromhex(example["bytes"])
     snapshot = snapshots.decoder.decode(data)
@@ -137,7 +139,7 @@
 
 
 @pytest.mark.parametrize("name", values("key_ranges_records.json"))
-def test_a_record_of_key_ranges_is_read_to_the_same_values(name):
+def test_key_ranges_record_is_read_to_the_recorded_values(name):
     example = values("key_ranges_records.json")[name]
     data = bytes.fromhex(example["bytes"])
     record = read_record(data)
@@ -147,28 +149,28 @@
         assert encode_record(record) == data
 
 
-# The house's other durable files.
+# Other durable files.
 
 
 @pytest.mark.parametrize("name", values("journals/values.json"))
-def test_a_journal_is_read_to_the_same_values(name):
+def test_journal_is_read_to_the_recorded_values(name):
     found = journal.recover((DATA / "journals" / name).read_bytes())
     assert by_position(list(found)) == values("journals/values.json")[name]
 
 
-def test_a_journal_of_the_same_values_has_the_same_bytes():
+def test_journal_of_the_recorded_values_has_the_recorded_bytes():
     records = [value for _, value in values("journals/values.json")["appended"][0]]
-    made = journal.Journal()
+    new_journal = journal.Journal()
     for value in records:
-        made.add(value)
-    assert made.take_unwritten() == (DATA / "journals/appended").read_bytes()
+        new_journal.add(value)
+    assert new_journal.take_unwritten() == (DATA / "journals/appended").read_bytes()
     (first, _), *_ = compacted = values("journals/values.json")["compacted"][0]
     assert (
         journal.encode_compacted([value for _, value in compacted], first) == (DATA / "journals/compacted").read_bytes()
     )
 
 
-def test_a_node_lists_state_is_read_to_the_same_values_and_stored_as_the_same_bytes():
+def test_node_set_is_read_to_the_recorded_values_and_encoded_to_the_recorded_bytes():
     data = (DATA / "node_list_state").read_bytes()
     nodes, version, history = decode_stored_node_set(data)
     assert {
@@ -182,7 +184,7 @@
         decode_stored_node_set(data[:-3])
 
 
-def test_a_reference_proxys_tables_are_read_to_the_same_values_and_kept_as_the_same_bytes():
+def test_tables_are_read_to_the_recorded_values_and_encoded_to_the_recorded_bytes():
     data, expected = (DATA / "reference_proxy_state").read_bytes(), values("reference_proxy_state.values.json")
     found = decode_checksummed(1, data)
     assert found == expected["unsealed"]
@@ -202,5 +204,5 @@
     assert {
         source: [names[node] for node in tables.withdrawn(int(source))] for source in expected["withdrawn"]
     } == expected["withdrawn"]
-    kept = {"at": found["at"], "tables": tables.content(names.__getitem__), "addresses": found["addresses"]}
-    assert encode_checksummed(1, kept) == data
+    state = {"at": found["at"], "tables": tables.content(names.__getitem__), "addresses": found["addresses"]}
+    assert encode_checksummed(1, state) == data
