--- a/tests/state/test_change_guard.py
+++ b/tests/state/test_change_guard.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    "new, how, says",
+    "new, decision, reason",
     [
         (nodes(5, 4), Decision.ACCEPTED, "1 added"),
         (nodes(3, 3), Decision.ACCEPTED, "2 gone"),
@@ -29,17 +29,17 @@
         (nodes(1, 0, ("x0",)), Decision.REFUSED, "it lists no node that is ready"),
     ],
 )
-def test_what_may_follow_a_set_of_eight(new, how, says):
+def test_decision_on_a_new_set_for_a_set_of_eight_nodes(new, decision, reason):
     verdict = evaluate_change(nodes(), new, (), 0, LIMITS)
-    assert verdict.decision == how and says in verdict.reason
+    assert verdict.decision == decision and reason in verdict.reason
 
 
 @pytest.mark.parametrize(
-    "confirms, unchanged_ns, limits, how",
+    "confirmed_hashes, unchanged_ns, limits, decision",
     [
         ((nodes().short_hash,), 0, LIMITS, Decision.ACCEPTED),
         ((nodes().hash,), 0, LIMITS, Decision.ACCEPTED),
-        ((nodes(9).short_hash,), 0, LIMITS, Decision.WAITING),  # a marker for another list is stale
+        ((nodes(9).short_hash,), 0, LIMITS, Decision.WAITING),  # the hash of another set
         ((nodes().hash[:4],), 0, LIMITS, Decision.WAITING),
         (("",), 0, LIMITS, Decision.WAITING),
         ((), 60 * S, LIMITS, Decision.ACCEPTED),
@@ -47,24 +47,26 @@
         ((), 900 * S, ChangeLimits(0.25, 0, False), Decision.WAITING),
     ],
 )
-def test_a_large_closure_needs_a_marker_that_names_the_set_in_force_or_time(confirms, unchanged_ns, limits, how):
-    assert evaluate_change(nodes(), nodes(2, 3), confirms, unchanged_ns, limits).decision == how
+def test_large_closure_needs_the_hash_of_the_set_in_force_or_the_confirmation_period(
+    confirmed_hashes, unchanged_ns, limits, decision
+):
+    assert evaluate_change(nodes(), nodes(2, 3), confirmed_hashes, unchanged_ns, limits).decision == decision
 
 
-def test_who_waits_is_told_how_long_yet_unless_waiting_does_not_help():
+def test_waiting_verdict_has_the_remaining_time_unless_only_a_confirmation_helps():
     assert evaluate_change(nodes(), nodes(2, 3), (), 20 * S, LIMITS).remaining_ns == 40 * S
     assert evaluate_change(nodes(), nodes(2, 3), (), 20 * S, ChangeLimits(0.25, 0, False)).remaining_ns is None
 
 
-def test_a_zone_may_be_emptied_where_the_operator_says_so_and_then_counts_as_a_removal():
+def test_zone_may_be_emptied_if_configured_and_then_counts_as_a_removal():
     limits = ChangeLimits(0.25, 60 * S, True)
     assert evaluate_change(nodes(), nodes(0, 4), (), 0, limits).decision == Decision.WAITING
     assert evaluate_change(nodes(), nodes(0, 4), (nodes().short_hash,), 0, limits).decision == Decision.ACCEPTED
     assert (
         evaluate_change(nodes(), nodes(0, 0), (nodes().short_hash,), 900 * S, limits).decision == Decision.REFUSED
-    )  # never the last
+    )  # a set without ready nodes is never accepted
 
 
-def test_the_first_set_of_all_needs_no_second_word():
+def test_first_set_needs_no_confirmation():
     assert evaluate_change(None, nodes(1, 0), (), 0, LIMITS).decision == Decision.ACCEPTED
     assert evaluate_change(None, nodes(0, 0), (), 0, LIMITS).decision == Decision.REFUSED
--- a/tests/state/test_change_merge.py
+++ b/tests/state/test_change_merge.py
@@ -1,4 +1,4 @@
-"""Contents of changes put together, and undone."""
+"""Merges and undos must keep all changes or report the conflict."""
 
 from hypothesis import given
 from hypothesis import strategies as some
@@ -10,20 +10,22 @@
 
 
 @given(contents, contents, contents)
-def test_a_merge_has_both_changes_or_is_refused_by_name(base, current, new):
-    theirs, mine = changed_keys(base, current), changed_keys(base, new)
-    clash = sorted(key for key in mine if key in theirs and mine[key] != theirs[key])
+def test_merge_contains_both_changes_or_fails_with_the_conflicting_keys(base, current, new):
+    current_changes, new_changes = changed_keys(base, current), changed_keys(base, new)
+    conflicts = sorted(
+        key for key in new_changes if key in current_changes and new_changes[key] != current_changes[key]
+    )
     try:
-        found = merge(base, current, new)
+        merged = merge(base, current, new)
     except StaleChangeError as err:
-        assert clash and str(err).endswith(", ".join(clash))
+        assert conflicts and str(err).endswith(", ".join(conflicts))
         return
-    assert not clash and changed_keys(base, found) == dict(sorted((theirs | mine).items()))
+    assert not conflicts and changed_keys(base, merged) == dict(sorted((current_changes | new_changes).items()))
 
 
 @given(contents, some.dictionaries(some.sampled_from("abcde"), some.just(0), max_size=3))
-def test_an_undo_brings_back_what_was_but_for_what_is_closed(before, closed):
-    found, stays = undo(before, closed)
+def test_undo_restores_the_former_content_except_for_closed_nodes(before, closed):
+    content, kept_closed = undo(before, closed)
     for node in "abcde":
-        assert found.get(node) == (closed[node] if node in closed else before.get(node))
-    assert stays == sorted(closed)
+        assert content.get(node) == (closed[node] if node in closed else before.get(node))
+    assert kept_closed == sorted(closed)
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -1,4 +1,4 @@
-"""The replicated state machine, as tables of entries and what they add up to."""
+"""The replicated state machine must reach the expected state for each sequence of entries."""
 
 from random import Random
 
@@ -24,7 +24,7 @@
 
 
 def order(version, sharded=("views",), mark=""):
-    """An order whose configuration shards these of its services; `mark` makes another text of the same version."""
+    """Return an order that shards the services in `sharded`; `mark` makes another text of the same version."""
     services = [{"name": name, "sharded": name in sharded} for name in ("views", "orders", "carts")]
     text = encoded(version=f"{version:08x}", service_table=services) + mark.encode()
     return PutConfiguration(version, parse_configuration(text).unwrap().key.digest, text)
@@ -37,14 +37,14 @@
 
 
 FIVE, OTHER_FIVE, SEVEN = order(5), order(5, mark=" "), order(7)
-BOTH, NONE = order(6, ("views", "orders")), order(8, ())
+BOTH_SHARDED, NONE_SHARDED = order(6, ("views", "orders")), order(8, ())
 VIEWS, VIEWS_2, ORDERS = PutRecord("views", b"v"), PutRecord("views", b"v2"), PutRecord("orders", b"o")
 
 
 @pytest.mark.parametrize(
-    "commands, in_force, records, last",
+    "commands, in_force, records, last_result",
     [
-        # nothing yet
+        # before the first configuration
         ([], None, {}, None),
         ([Noop()], None, {}, NO_CHANGE),
         ([MEMBERS], None, {}, NO_CHANGE),
@@ -64,19 +64,29 @@
         ([FIVE, ORDERS], FIVE, {}, NO_CHANGE),
         ([FIVE, PutRecord("nobody", b"n")], FIVE, {}, NO_CHANGE),
         ([FIVE, VIEWS, Noop(), MEMBERS], FIVE, {"views": b"v"}, NO_CHANGE),
-        # records go with the configuration that shards their service no longer
+        # a configuration that no longer shards a service drops its record
         ([FIVE, VIEWS, SEVEN], SEVEN, {"views": b"v"}, ApplyResult(in_force=SEVEN)),
-        ([BOTH, VIEWS, ORDERS, SEVEN], SEVEN, {"views": b"v"}, ApplyResult(in_force=SEVEN, dropped=("orders",))),
-        ([BOTH, VIEWS, ORDERS, NONE], NONE, {}, ApplyResult(in_force=NONE, dropped=("orders", "views"))),
-        ([BOTH, VIEWS, ORDERS, FIVE], BOTH, {"views": b"v", "orders": b"o"}, NO_CHANGE),
-        ([BOTH, ORDERS, NONE, order(9, ("orders",))], order(9, ("orders",)), {}, None),
-        ([NONE, order(9), VIEWS], order(9), {"views": b"v"}, ApplyResult(recorded_service="views")),
+        (
+            [BOTH_SHARDED, VIEWS, ORDERS, SEVEN],
+            SEVEN,
+            {"views": b"v"},
+            ApplyResult(in_force=SEVEN, dropped=("orders",)),
+        ),
+        (
+            [BOTH_SHARDED, VIEWS, ORDERS, NONE_SHARDED],
+            NONE_SHARDED,
+            {},
+            ApplyResult(in_force=NONE_SHARDED, dropped=("orders", "views")),
+        ),
+        ([BOTH_SHARDED, VIEWS, ORDERS, FIVE], BOTH_SHARDED, {"views": b"v", "orders": b"o"}, NO_CHANGE),
+        ([BOTH_SHARDED, ORDERS, NONE_SHARDED, order(9, ("orders",))], order(9, ("orders",)), {}, None),
+        ([NONE_SHARDED, order(9), VIEWS], order(9), {"views": b"v"}, ApplyResult(recorded_service="views")),
     ],
 )
-def test_entries_add_up_to(commands, in_force, records, last):
+def test_entries_result_in_the_expected_state(commands, in_force, records, last_result):
     state, results = applied(*commands)
     assert state.configuration == in_force and state.records == records
-    assert last is None or results[-1] == last
+    assert last_result is None or results[-1] == last_result
     assert state.version == (-1 if in_force is None else in_force.version)
 
 
@@ -89,12 +99,12 @@
         (ApplyResult(recorded_service="views"), True),
     ],
 )
-def test_a_result_tells_whether_anything_changed(result, changed):
+def test_result_reports_whether_the_entry_changed_anything(result, changed):
     assert result.changed is changed
 
 
 @pytest.mark.parametrize(
-    "commands, asked, answer",
+    "commands, requested, expected",
     [
         ([], FIVE, False),
         ([], order(0), False),
@@ -105,11 +115,11 @@
         ([FIVE, SEVEN], SEVEN, True),
     ],
 )
-def test_an_order_is_acknowledged_once_it_is_in_force_or_overtaken(commands, asked, answer):
-    assert applied(*commands)[0].is_decided(asked) is answer
+def test_order_is_decided_once_it_is_in_force_or_superseded(commands, requested, expected):
+    assert applied(*commands)[0].is_decided(requested) is expected
 
 
-def test_the_configuration_in_force_is_compiled_once_and_again_for_the_next():
+def test_configuration_in_force_is_parsed_once_per_version():
     state, _ = applied(FIVE)
     assert state.parsed.key.version == 5 and state.parsed.text == FIVE.text
     assert state.parsed is state.parsed
@@ -117,14 +127,14 @@
     assert state.parsed.key.version == 7
 
 
-def test_a_text_that_this_release_refuses_is_in_force_by_number_and_drops_no_record():
+def test_unparsable_configuration_is_in_force_and_drops_no_record():
     state, _ = applied(FIVE, VIEWS, PutConfiguration(6, "d", b"{not whole"))
     assert state.version == 6 and state.parsed is None and state.records == {"views": b"v"}
     state.apply(Entry(4, 1, SEVEN))
     assert state.parsed.key.version == 7 and state.records == {"views": b"v"}
 
 
-def test_records_cannot_be_changed_from_outside():
+def test_records_are_read_only_for_callers():
     state, _ = applied(FIVE, VIEWS)
     with pytest.raises(TypeError):
         state.records["views"] = b"other"
@@ -134,16 +144,16 @@
     [],
     [FIVE],
     [FIVE, VIEWS],
-    [BOTH, VIEWS, ORDERS],
-    [BOTH, VIEWS, ORDERS, NONE],
+    [BOTH_SHARDED, VIEWS, ORDERS],
+    [BOTH_SHARDED, VIEWS, ORDERS, NONE_SHARDED],
     [PutConfiguration(6, "d", b"{not whole"), VIEWS],
 ]
 
 
 @pytest.mark.parametrize("commands", HISTORIES)
-def test_a_snapshot_holds_the_complete_state(commands):
+def test_snapshot_contains_the_complete_state(commands):
     state, _ = applied(*commands)
-    for target in (ControlState(), applied(BOTH, VIEWS, PutRecord("orders", b"stale"))[0]):
+    for target in (ControlState(), applied(BOTH_SHARDED, VIEWS, PutRecord("orders", b"stale"))[0]):
         target.restore(state.snapshot())
         assert target.configuration == state.configuration and target.records == state.records
         assert target.snapshot() == state.snapshot()
@@ -154,12 +164,12 @@
         assert target.snapshot() == expected.snapshot()
 
 
-def test_snapshots_are_the_same_bytes_in_whatever_order_records_came():
-    assert applied(BOTH, VIEWS, ORDERS)[0].snapshot() == applied(BOTH, ORDERS, VIEWS)[0].snapshot()
+def test_snapshot_bytes_do_not_depend_on_the_order_of_records():
+    assert applied(BOTH_SHARDED, VIEWS, ORDERS)[0].snapshot() == applied(BOTH_SHARDED, ORDERS, VIEWS)[0].snapshot()
 
 
 @pytest.mark.parametrize(
-    "snapshot, names",
+    "snapshot, message",
     [
         (b"", "snapshot"),
         (b"\xc1", "snapshot"),
@@ -168,29 +178,41 @@
         (msgspec.msgpack.encode([1, 5, []]), "snapshot"),
     ],
 )
-def test_a_snapshot_that_cannot_be_read_changes_nothing(snapshot, names):
+def test_undecodable_snapshot_changes_nothing(snapshot, message):
     state, _ = applied(FIVE, VIEWS)
     before = state.snapshot()
-    with pytest.raises(Malformed, match=names):
+    with pytest.raises(Malformed, match=message):
         state.restore(snapshot)
     assert state.snapshot() == before and state.parsed.key.version == 5
 
 
-def test_a_torn_snapshot_is_refused_at_each_length():
-    state, _ = applied(BOTH, VIEWS, ORDERS)
-    whole = state.snapshot()
-    for end in range(len(whole)):
+def test_truncated_snapshot_is_rejected_at_any_length():
+    state, _ = applied(BOTH_SHARDED, VIEWS, ORDERS)
+    snapshot = state.snapshot()
+    for end in range(len(snapshot)):
         with pytest.raises(Malformed):
-            ControlState().restore(whole[:end])
+            ControlState().restore(snapshot[:end])
 
 
 @given(some.integers(0, 1 << 32), some.integers(0, 30))
-def test_the_version_never_falls_and_the_state_stays_bounded(seed, cut):
-    chance = Random(seed)
-    choices = [Noop(), MEMBERS, VIEWS, VIEWS_2, ORDERS, PutRecord("carts", b"c"), FIVE, OTHER_FIVE, BOTH, SEVEN, NONE]
-    commands = [chance.choice(choices) for _ in range(30)]
+def test_version_never_decreases_and_state_stays_bounded(seed, cut):
+    random = Random(seed)
+    choices = [
+        Noop(),
+        MEMBERS,
+        VIEWS,
+        VIEWS_2,
+        ORDERS,
+        PutRecord("carts", b"c"),
+        FIVE,
+        OTHER_FIVE,
+        BOTH_SHARDED,
+        SEVEN,
+        NONE_SHARDED,
+    ]
+    commands = [random.choice(choices) for _ in range(30)]
     state, restored = ControlState(), ControlState()
-    bound = {}
+    first_texts = {}
     for index, command in enumerate(commands, 1):
         before = state.version
         state.apply(Entry(index, 1, command))
@@ -200,7 +222,7 @@
             restored.apply(Entry(index, 1, command))
         assert state.version >= before
         if state.configuration:
-            assert bound.setdefault(state.version, state.configuration) == state.configuration
+            assert first_texts.setdefault(state.version, state.configuration) == state.configuration
             sharded = {name for name, service in state.parsed.services.items() if service.sharded}
             assert set(state.records) <= sharded
     assert restored.snapshot() == state.snapshot()
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -8,39 +8,39 @@
 VALUES = [["epoch", 1], ["stage", 1, 1, {"a": 1}], ["decided", 1, 1, {"a": 1}]]
 
 
-def written(values=VALUES):
+def journal_bytes(values=VALUES):
     journal = Journal()
     for value in values:
         journal.add(value)
     return journal.take_unwritten()
 
 
-def test_every_prefix_of_a_journal_is_its_first_whole_records_and_says_what_was_cut():
-    data, ends = written(), []
+def test_any_prefix_recovers_its_complete_records_and_reports_the_cut():
+    data, record_counts = journal_bytes(), []
     for cut in range(len(data) + 1):
-        found = recover(data[:cut])
-        assert [value for _, value in found.records] == VALUES[: len(found.records)] and data[
-            : found.intact_bytes
-        ] == data[:cut][: found.intact_bytes]
-        assert bool(found.cut_reason) == (found.intact_bytes < cut or not cut)
-        ends.append(len(found.records))
-    assert ends == sorted(ends) and ends[-1] == 3
-
-
-def test_every_flipped_bit_is_refused_or_cuts_no_more_than_the_last_record():
-    data = written()
-    for place in range(len(data) * 8):
-        spoilt = bytearray(data)
-        spoilt[place // 8] ^= 1 << place % 8
+        recovered = recover(data[:cut])
+        assert [value for _, value in recovered.records] == VALUES[: len(recovered.records)] and data[
+            : recovered.intact_bytes
+        ] == data[:cut][: recovered.intact_bytes]
+        assert bool(recovered.cut_reason) == (recovered.intact_bytes < cut or not cut)
+        record_counts.append(len(recovered.records))
+    assert record_counts == sorted(record_counts) and record_counts[-1] == 3
+
+
+def test_any_flipped_bit_is_rejected_or_cuts_only_the_last_record():
+    data = journal_bytes()
+    for bit in range(len(data) * 8):
+        corrupted = bytearray(data)
+        corrupted[bit // 8] ^= 1 << bit % 8
         try:
-            found = recover(bytes(spoilt))
+            recovered = recover(bytes(corrupted))
         except Malformed as err:
             assert "byte " in str(err)
         else:
-            assert [value for _, value in found.records] == VALUES[:2] and found.cut_reason
+            assert [value for _, value in recovered.records] == VALUES[:2] and recovered.cut_reason
 
 
-def test_what_came_before_one_write_is_one_write_and_counts_once_it_is_on_the_disk():
+def test_records_added_before_a_write_share_it_and_are_durable_after_the_sync():
     journal = Journal()
     assert [journal.add(value) for value in VALUES] == [1, 2, 3] and journal.durable_sequence == 0
     assert (
@@ -51,7 +51,7 @@
     )
 
 
-def test_after_an_fsync_that_failed_nothing_counts_any_more():
+def test_no_record_is_durable_after_a_failed_fsync():
     journal = Journal()
     journal.add(VALUES[0])
     journal.take_unwritten()
@@ -61,22 +61,22 @@
         journal.add(VALUES[1])
 
 
-def test_a_snapshot_goes_on_where_the_records_ended():
-    found = recover(encode_compacted([{"state": 1}], 3))
-    journal = Journal(found.records[-1][0] + 1, True)
-    assert found.records == [(3, {"state": 1})] and journal.add(["next"]) == 4
+def test_compacted_journal_continues_the_sequence():
+    recovered = recover(encode_compacted([{"state": 1}], 3))
+    journal = Journal(recovered.records[-1][0] + 1, True)
+    assert recovered.records == [(3, {"state": 1})] and journal.add(["next"]) == 4
 
 
 @pytest.mark.parametrize(
-    "data, says", [(b"other\n", "byte 0"), (written() + written()[len(MAGIC) :], "record 1 follows 3")]
+    "data, message", [(b"other\n", "byte 0"), (journal_bytes() + journal_bytes()[len(MAGIC) :], "record 1 follows 3")]
 )
-def test_what_is_no_journal_is_refused_with_its_place(data, says):
-    with pytest.raises(Malformed, match=says):
+def test_invalid_journal_is_rejected_with_the_offset(data, message):
+    with pytest.raises(Malformed, match=message):
         recover(data)
 
 
 @given(some.binary(max_size=60))
-def test_no_bytes_raise_anything_but_malformed(data):
+def test_arbitrary_bytes_raise_only_malformed(data):
     try:
         recover(MAGIC + data)
     except Malformed:
--- a/tests/state/test_node_list_merge.py
+++ b/tests/state/test_node_list_merge.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    "files, discovery, holds",
+    "files, discovery, expected",
     [
         (entry(1), entry(1, "draining"), "draining"),
         (entry(1), entry(1, "removed"), "removed"),
@@ -19,18 +19,18 @@
     ],
 )
 @pytest.mark.parametrize("files_first", [True, False])
-def test_where_files_are_the_authority_discovery_may_only_take_away(files, discovery, holds, files_first):
-    merge, told = NodeListMerge(NodeSource.FILES), {}
-    for side, listed in (
+def test_discovery_can_only_worsen_a_condition_if_files_are_the_authority(files, discovery, expected, files_first):
+    merge, reported = NodeListMerge(NodeSource.FILES), {}
+    for source, listed in (
         ((NodeSource.FILES, files), (NodeSource.DISCOVERY, discovery))
         if files_first
         else ((NodeSource.DISCOVERY, discovery), (NodeSource.FILES, files))
     ):
-        told.update({entry[0]: entry for entry in merge.update(side, "full", [listed] if listed else [])[1]})
-    assert told.get(1, entry(1, "removed"))[1] == holds  # who is gone need not stand in a whole list
+        reported.update({entry[0]: entry for entry in merge.update(source, "full", [listed] if listed else [])[1]})
+    assert reported.get(1, entry(1, "removed"))[1] == expected  # a complete list may omit a removed node
 
 
-def test_zone_and_weight_are_the_authoritys_and_the_later_start_counts():
+def test_authority_decides_zone_and_weight_and_the_later_start_counts():
     merge = NodeListMerge(NodeSource.FILES)
     merge.update(NodeSource.FILES, "full", [entry(1, zone=0, weight=2.0, boot=5)])
     assert merge.update(NodeSource.DISCOVERY, "delta", [entry(1, zone=1, weight=9.0, boot=7)]) == (
@@ -42,7 +42,7 @@
     ]
 
 
-def test_what_the_authority_does_not_list_is_not_told_and_is_gone_once_it_is_dropped():
+def test_node_not_listed_by_the_authority_is_not_reported_or_is_removed():
     merge = NodeListMerge(NodeSource.DISCOVERY)
     assert merge.update(NodeSource.FILES, "full", [entry(1), entry(2)]) == ("delta", [])
     assert merge.update(NodeSource.DISCOVERY, "cached", [entry(1), entry(3)]) == ("cached", [entry(1), entry(3)])
@@ -51,14 +51,14 @@
     assert merge.update(NodeSource.DISCOVERY, "delta", [entry(3, "removed")]) == ("delta", [entry(3, "removed")])
 
 
-def test_a_whole_list_of_the_other_that_lacks_a_node_takes_it_away():
+def test_node_missing_from_a_complete_list_of_the_other_source_is_removed():
     merge = NodeListMerge(NodeSource.FILES)
     merge.update(NodeSource.FILES, "full", [entry(1), entry(2)])
     merge.update(NodeSource.DISCOVERY, "full", [entry(1), entry(2)])
     assert merge.update(NodeSource.DISCOVERY, "full", [entry(2)]) == ("delta", [entry(1, "removed")])
 
 
-def test_what_changes_nothing_is_not_told_again_and_what_was_forgotten_is():
+def test_unchanged_entry_is_not_reported_again_until_it_is_forgotten():
     merge = NodeListMerge(NodeSource.FILES)
     merge.update(NodeSource.FILES, "full", [entry(1)])
     assert merge.update(NodeSource.FILES, "delta", [entry(1)]) == ("delta", [])
--- a/tests/state/test_node_set.py
+++ b/tests/state/test_node_set.py
@@ -13,69 +13,100 @@
 )
 
 
-def part(path, *lines, confirms=""):
+def node_list(path, *lines, confirmed_hash=""):
     return NodeList(
-        path, tuple(NodeListEntry(name, listed, number) for number, (name, listed) in enumerate(lines, 1)), confirms
+        path,
+        tuple(NodeListEntry(name, listed, number) for number, (name, listed) in enumerate(lines, 1)),
+        confirmed_hash,
     )
 
 
-def at(zone, port, **more):
-    return ListedNode(zone, f"10.1.0.1:{port}", **more)
+def listed_node(zone, port, **attributes):
+    return ListedNode(zone, f"10.1.0.1:{port}", **attributes)
 
 
-def test_a_set_is_the_same_in_whatever_files_and_order_it_was_written():
-    one = assemble([part("a", ("n2", at("x", 2)), ("n1", at("x", 1)))])
-    two = assemble([part("b", ("n1", at("x", 1))), part("c", ("n2", at("x", 2)))])
-    assert one == two and one.hash == two.hash and list(one.nodes) == ["n1", "n2"]
-    assert assemble([part("a", ("n1", at("x", 1)), ("n2", at("x", 2, weight=1.5)))]) != one
+def test_set_and_hash_do_not_depend_on_files_or_order():
+    first = assemble([node_list("a", ("n2", listed_node("x", 2)), ("n1", listed_node("x", 1)))])
+    second = assemble([node_list("b", ("n1", listed_node("x", 1))), node_list("c", ("n2", listed_node("x", 2)))])
+    assert first == second and first.hash == second.hash and list(first.nodes) == ["n1", "n2"]
+    assert assemble([node_list("a", ("n1", listed_node("x", 1)), ("n2", listed_node("x", 2, weight=1.5)))]) != first
 
 
 @pytest.mark.parametrize(
-    "first, second, says",
+    "first, second, message",
     [
         (
-            ("order-4.toronto.example.org", at("toronto", 4)),
-            ("order-4.toronto.example.org", at("windsor", 4)),
+            ("order-4.toronto.example.org", listed_node("toronto", 4)),
+            ("order-4.toronto.example.org", listed_node("windsor", 4)),
             "order-4.toronto.example.org stands in zone windsor and in zone toronto (a.ini, line 1)",
         ),
-        (("n", at("x", 1)), ("n", at("x", 2)), "n stands at 10.1.0.1:2 and at 10.1.0.1:1 (a.ini, line 1)"),
-        (("n", at("x", 1)), ("n", at("x", 1)), "n stands in the lists twice (a.ini, line 1)"),
-        (("n", at("x", 1)), ("m", at("y", 1)), "m has the address of n, 10.1.0.1:1 (a.ini, line 1)"),
+        (
+            ("n", listed_node("x", 1)),
+            ("n", listed_node("x", 2)),
+            "n stands at 10.1.0.1:2 and at 10.1.0.1:1 (a.ini, line 1)",
+        ),
+        (("n", listed_node("x", 1)), ("n", listed_node("x", 1)), "n stands in the lists twice (a.ini, line 1)"),
+        (("n", listed_node("x", 1)), ("m", listed_node("y", 1)), "m has the address of n, 10.1.0.1:1 (a.ini, line 1)"),
     ],
 )
-@pytest.mark.parametrize("apart", [False, True])
-def test_what_speaks_against_a_set_is_named_with_both_places(first, second, says, apart):
-    parts = [part("a.ini", first), part("b.ini", second)] if apart else [part("a.ini", first, second)]
+@pytest.mark.parametrize("in_two_files", [False, True])
+def test_conflict_names_both_locations(first, second, message, in_two_files):
+    node_lists = (
+        [node_list("a.ini", first), node_list("b.ini", second)] if in_two_files else [node_list("a.ini", first, second)]
+    )
     with pytest.raises(InvalidNodeSetError) as found:
-        assemble(parts)
-    assert str(found.value) == ("b.ini, line 1: " if apart else "a.ini, line 2: ") + says
+        assemble(node_lists)
+    assert str(found.value) == ("b.ini, line 1: " if in_two_files else "a.ini, line 2: ") + message
 
 
-def test_a_zone_whose_weights_sum_to_nothing_is_refused_and_one_that_drains_is_not():
+def test_zone_with_total_weight_0_is_rejected_unless_it_drains():
     with pytest.raises(InvalidNodeSetError, match="zone x: the weights of its 2 nodes that do not drain sum to 0"):
-        assemble([part("a", ("n", at("x", 1, weight=0.0)), ("m", at("x", 2, weight=0.0)), ("o", at("y", 3)))])
-    assert len(assemble([part("a", ("n", at("x", 1, weight=0.0, draining=True)), ("o", at("y", 3)))])) == 2
+        assemble(
+            [
+                node_list(
+                    "a",
+                    ("n", listed_node("x", 1, weight=0.0)),
+                    ("m", listed_node("x", 2, weight=0.0)),
+                    ("o", listed_node("y", 3)),
+                )
+            ]
+        )
+    assert (
+        len(
+            assemble(
+                [node_list("a", ("n", listed_node("x", 1, weight=0.0, draining=True)), ("o", listed_node("y", 3)))]
+            )
+        )
+        == 2
+    )
 
 
-def test_of_many_conflicts_the_first_are_told_and_the_rest_counted():
+def test_error_names_the_first_conflicts_and_counts_the_others():
     with pytest.raises(InvalidNodeSetError) as found:
-        assemble([part("a", *(("n", at("x", 1)) for _ in range(9)))])
+        assemble([node_list("a", *(("n", listed_node("x", 1)) for _ in range(9)))])
     assert len(found.value.conflicts) == 8 and str(found.value).endswith("; and 5 more")
 
 
-def test_a_difference_names_what_came_went_changed_and_closed():
-    old = NodeSet({name: at("x", port) for port, name in enumerate("abcd")})
-    new = NodeSet({"a": at("x", 0), "b": at("x", 1, weight=2.0), "c": at("x", 2, draining=True), "e": at("x", 9)})
+def test_difference_lists_added_gone_changed_and_closed_nodes():
+    old = NodeSet({name: listed_node("x", port) for port, name in enumerate("abcd")})
+    new = NodeSet(
+        {
+            "a": listed_node("x", 0),
+            "b": listed_node("x", 1, weight=2.0),
+            "c": listed_node("x", 2, draining=True),
+            "e": listed_node("x", 9),
+        }
+    )
     found = difference(old, new)
     assert found == (("e",), ("d",), ("b", "c"), ("c",)) and str(found) == "1 added, 1 gone, 2 changed, 1 closed"
 
 
-def test_nobody_changes_a_set():
-    made = NodeSet({"a": at("x", 1)})
+def test_set_is_immutable():
+    node_set = NodeSet({"a": listed_node("x", 1)})
     with pytest.raises(TypeError):
-        made.nodes["b"] = at("x", 2)
+        node_set.nodes["b"] = listed_node("x", 2)
     with pytest.raises(AttributeError):
-        made.more = 1
+        node_set.more = 1
 
 
 listed = some.builds(
@@ -88,9 +119,9 @@
 
 
 @given(some.lists(some.tuples(some.sampled_from("abcdefgh"), listed), max_size=8), some.integers(0, 8))
-def test_what_is_assembled_has_every_node_once_at_an_address_of_its_own_in_any_split(lines, cut):
+def test_assembled_set_has_unique_names_and_addresses_in_any_split(lines, cut):
     try:
-        made = assemble([part("a", *lines[:cut]), part("b", *lines[cut:])])
+        node_set = assemble([node_list("a", *lines[:cut]), node_list("b", *lines[cut:])])
     except InvalidNodeSetError as err:
         names, addresses = [name for name, _ in lines], [listed.address for _, listed in lines]
         assert (
@@ -99,5 +130,5 @@
             or any("sum to 0" in conflict.reason for conflict in err.conflicts)
         )
         return
-    assert dict(made.nodes) == dict(lines) and len({listed.address for _, listed in lines}) == len(lines)
-    assert assemble([part("c", *reversed(lines))]) == made
+    assert dict(node_set.nodes) == dict(lines) and len({listed.address for _, listed in lines}) == len(lines)
+    assert assemble([node_list("c", *reversed(lines))]) == node_set
--- a/tests/state/test_tables.py
+++ b/tests/state/test_tables.py
@@ -7,24 +7,24 @@
 from kestrelplank.state.tables import MessageGapError, Tables, UpdateRejectedError
 
 
-def made(*sources):
+def new_tables(*assigners):
     tables = Tables(4, 3, 1)
-    for source in sources or (0,):
-        tables.begin_stream(source)
+    for assigner in assigners or (0,):
+        tables.begin_stream(assigner)
     for table in range(4):
-        tables.set_table(table, table % max(1, len(sources)), {table: 1.0, 9: 2.0})
+        tables.set_table(table, table % max(1, len(assigners)), {table: 1.0, 9: 2.0})
     return tables
 
 
-def all_of(tables):
+def state_of(tables):
     return [
         (tables.available(table), tables.retry_mode(table), [tables.admitted_share(table, kind) for kind in range(3)])
         for table in range(4)
     ]
 
 
-def test_a_message_takes_effect_completely_and_returns_its_watermarks():
-    tables = made()
+def test_message_is_applied_completely_and_returns_its_watermarks():
+    tables = new_tables()
     changed, watermarks = tables.apply(
         0, 0, [SetEndpoint(1, 5, 2.0), SetEndpoint(1, 9, 0), SetWithdrawn(2, True), RequestAcknowledgement(77)]
     )
@@ -32,28 +32,28 @@
     assert tables.available(1) == ((1, 1.0), (5, 2.0)) and tables.available(2) == ((9, 2.0),)
 
 
-def test_a_message_that_comes_again_changes_nothing_and_returns_its_watermarks_again():
-    tables = made()
+def test_duplicate_message_changes_nothing_and_returns_its_watermarks_again():
+    tables = new_tables()
     tables.apply(0, 0, [SetEndpoint(1, 5, 2.0)])
     tables.apply(0, 1, [SetEndpoint(1, 5, 0), RequestAcknowledgement(3)])
-    before = all_of(tables)
+    before = state_of(tables)
     assert tables.apply(0, 0, [SetEndpoint(1, 5, 2.0), RequestAcknowledgement(2)]) == ([], [2])
     assert tables.apply(0, 1, [SetEndpoint(1, 5, 0), RequestAcknowledgement(3)]) == ([], [3])
-    assert all_of(tables) == before and tables.available(1) == ((1, 1.0), (9, 2.0))
+    assert state_of(tables) == before and tables.available(1) == ((1, 1.0), (9, 2.0))
 
 
-def test_a_message_before_its_turn_is_a_gap_and_a_new_stream_begins_at_0():
-    tables = made()
+def test_skipped_message_number_is_a_gap_and_a_new_stream_starts_at_0():
+    tables = new_tables()
     with pytest.raises(MessageGapError, match="received message 1, expected 0"):
         tables.apply(0, 1, [SetEndpoint(1, 5, 2.0)])
     tables.apply(0, 0, [SetWithdrawn(9, True)])
     tables.begin_stream(0)
     assert tables.apply(0, 0, [SetEndpoint(1, 5, 2.0)])[0] == [1]
-    assert tables.available(1) == ((1, 1.0), (5, 2.0)) and tables.withdrawn(0) == [9]  # which outlive the stream
+    assert tables.available(1) == ((1, 1.0), (5, 2.0)) and tables.withdrawn(0) == [9]  # both outlive the stream
 
 
 @pytest.mark.parametrize(
-    "order, says",
+    "order, message_text",
     [
         (SetEndpoint(4, 1, 1.0), "table 4 does not exist"),
         (SetEndpoint(0, 1, -1.0), "weight -1.0, expected a finite number >= 0"),
@@ -64,31 +64,31 @@
         (SetAdmission(0, 0, 1.0, 2), "retry mode 2 is not supported"),
     ],
 )
-def test_a_message_with_an_order_that_cannot_be_used_changes_nothing_at_all(order, says):
-    tables = made()
-    before = all_of(tables)
-    with pytest.raises(UpdateRejectedError, match=says) as found:
+def test_message_with_an_invalid_order_changes_nothing(order, message_text):
+    tables = new_tables()
+    before = state_of(tables)
+    with pytest.raises(UpdateRejectedError, match=message_text) as error:
         tables.apply(0, 0, [SetEndpoint(1, 5, 2.0), SetWithdrawn(9, True), order])
-    assert "order 2" in str(found.value) and all_of(tables) == before
-    assert tables.apply(0, 0, [SetEndpoint(1, 5, 2.0)])[0] == [1]  # its number is still due
+    assert "order 2" in str(error.value) and state_of(tables) == before
+    assert tables.apply(0, 0, [SetEndpoint(1, 5, 2.0)])[0] == [1]  # its number is still expected
 
 
-def test_an_assigner_without_a_stream_orders_nothing():
+def test_message_of_an_assigner_without_a_stream_is_rejected():
     with pytest.raises(UpdateRejectedError, match="assigner 7 has no open stream"):
-        made().apply(7, 0, [])
+        new_tables().apply(7, 0, [])
 
 
-def test_a_withdrawal_holds_for_the_tables_that_its_assigner_owns():
-    tables = made(0, 1)
+def test_withdrawal_applies_to_the_tables_that_the_assigner_owns():
+    tables = new_tables(0, 1)
     assert tables.apply(0, 0, [SetWithdrawn(9, True)])[0] == [0, 2]
     assert tables.available(0) == ((0, 1.0),) and tables.available(1) == ((1, 1.0), (9, 2.0))
-    tables.set_table(0, 1, {0: 1.0, 9: 2.0})  # given into the other's charge
+    tables.set_table(0, 1, {0: 1.0, 9: 2.0})  # now owned by the other assigner
     assert tables.available(0) == ((0, 1.0), (9, 2.0))
     assert tables.apply(0, 1, [SetWithdrawn(9, False)])[0] == [2] and tables.withdrawn(0) == []
 
 
-def test_of_two_admission_shares_the_lower_holds_and_a_table_set_anew_has_none():
-    tables = made()
+def test_lower_admission_share_applies_and_setting_a_table_resets_its_share():
+    tables = new_tables()
     tables.apply(0, 0, [SetAdmission(ALL_TABLES, 0b011, 0.5, 0), SetAdmission(1, 0b110, 0.7, 1)])
     assert [[tables.admitted_share(table, kind) for kind in range(3)] for table in (0, 1)] == [
         [0.5, 0.5, 1.0],
@@ -99,8 +99,8 @@
     assert tables.admitted_share(1, 2) == 1.0 and tables.retry_mode(1) == 0
 
 
-def test_a_cleared_table_has_no_nodes_and_no_admission_shares():
-    tables = made()
+def test_cleared_table_has_no_nodes_and_no_admission_share():
+    tables = new_tables()
     tables.apply(0, 0, [SetAdmission(1, 0, 0.5, 0), ClearTable(1)])
     assert tables.available(1) == () and tables.admitted_share(1, 0) == 1.0 and tables.weights(1) == {}
 
@@ -113,13 +113,18 @@
 
 
 @given(some.lists(some.tuples(some.integers(0, 1), some.lists(orders, max_size=6)), max_size=12))
-def test_available_nodes_are_those_that_a_plain_replay_of_the_orders_leaves(messages):
-    tables, weights, withdrawn, numbers = made(0, 1), [{table: 1.0, 9: 2.0} for table in range(4)], ({}, {}), [0, 0]
+def test_available_nodes_equal_those_of_a_simple_replay(messages):
+    tables, weights, withdrawn, numbers = (
+        new_tables(0, 1),
+        [{table: 1.0, 9: 2.0} for table in range(4)],
+        ({}, {}),
+        [0, 0],
+    )
     owner = [table % 2 for table in range(4)]
-    for source, message in messages:
-        message = [order for order in message if isinstance(order, SetWithdrawn) or owner[order.table] == source]
-        tables.apply(source, numbers[source], message)
-        numbers[source] += 1
+    for assigner, message in messages:
+        message = [order for order in message if isinstance(order, SetWithdrawn) or owner[order.table] == assigner]
+        tables.apply(assigner, numbers[assigner], message)
+        numbers[assigner] += 1
         for order in message:
             if isinstance(order, SetEndpoint):
                 if order.weight:
@@ -129,7 +134,7 @@
             elif isinstance(order, ClearTable):
                 weights[order.table].clear()
             else:
-                withdrawn[source][order.node] = order.withdrawn
+                withdrawn[assigner][order.node] = order.withdrawn
         for table in range(4):
             assert dict(tables.available(table)) == {
                 node: weight for node, weight in weights[table].items() if not withdrawn[owner[table]].get(node)
