--- a/kestrelplank/state/change_leader.py
+++ b/kestrelplank/state/change_leader.py
@@ -220,7 +220,7 @@
     def _advance(self, now: int) -> list[Effect]:
         """Enter the next phase if enough proxies have replied, or end the leadership if staging timed out."""
         if self.phase is Phase.PREPARING and self._enough_promises(now):
-            return self._choose(now)
+            return self._resolve_former_changes(now)
         if self.phase is Phase.STAGING:
             if self._enough_staged(now):
                 return self._decide()
@@ -243,7 +243,7 @@
         )
         return votes >= self._settings.quorum and (not missing or may_leave_behind)
 
-    def _choose(self, now: int) -> list[Effect]:
+    def _resolve_former_changes(self, now: int) -> list[Effect]:
         """Complete what former leaders left, now that a quorum has promised to reject all older epochs.
 
         A version that a promise reports in use is decided. A change staged as the next version may have been decided
@@ -271,8 +271,8 @@
             return None
         newest = max(candidates, key=lambda change: change.epoch)
         holders = sum(change.epoch == newest.epoch for change in candidates)
-        unheard = sum(proxy not in self._promises for proxy in self._settings.voters)
-        return newest if holders + unheard >= self._settings.quorum else None
+        unanswered = sum(proxy not in self._promises for proxy in self._settings.voters)
+        return newest if holders + unanswered >= self._settings.quorum else None
 
     def _stage(self, now: int, content: object, *, own_change: bool) -> list[Effect]:
         """Start staging this content as the next version."""
--- a/kestrelplank/state/tables.py
+++ b/kestrelplank/state/tables.py
@@ -127,12 +127,12 @@
             if problem:
                 raise UpdateRejectedError(f"order {index}: {problem}")
         ordered.next_message += 1
-        changed = self._carry_out(assigner, ordered, orders)
+        changed = self._apply_orders(assigner, ordered, orders)
         for table in changed:
             self._available[table] = None
         return list(changed), watermarks
 
-    def _carry_out(self, assigner: int, ordered: AssignerOrders, orders: Sequence[TableOrder]) -> dict[int, None]:
+    def _apply_orders(self, assigner: int, ordered: AssignerOrders, orders: Sequence[TableOrder]) -> dict[int, None]:
         """Apply valid orders; return the tables whose available nodes may have changed, in order."""
         changed: dict[int, None] = {}
         nodes: dict[int, None] = {}  # whose withdrawal was set or cleared
--- a/kestrelplank/storage/log_file.py
+++ b/kestrelplank/storage/log_file.py
@@ -74,8 +74,8 @@
         self.frame_count = 0  # in the file, including the head
         self._fd = NOT_OPEN
         self._salt = b""
-        self._tail_cut_due = False  # a failed write may have left bytes after the durable end
-        self._folder_sync_due = False  # the folder was not synced since the file was renamed
+        self._tail_truncation_pending = False  # a failed write may have left bytes after the durable end
+        self._folder_sync_pending = False  # the folder was not synced since the file was renamed
         self._incarnation: str | None = None
         self._hard_state = HardState()
         self._first_index = 1
@@ -176,22 +176,22 @@
         self._incarnation, self._hard_state, self._salt = content.incarnation, content.hard_state, salt
         self._first_index, self._last_index = content.first_index, content.last_index
         self.size_bytes, self.frame_count = size_bytes, frame_count
-        self._tail_cut_due = False
+        self._tail_truncation_pending = False
 
     # Appending.
 
     def _append(self, batch: Batch) -> None:
         """Append a batch: one write and one sync."""
-        if self._tail_cut_due:
-            self._cut_tail()
+        if self._tail_truncation_pending:
+            self._truncate_tail()
         self._check_not_replaced()
         frame = encode_frame(self._salt, self.size_bytes, encode_batch(batch))
         try:
             write_at(self._fd, frame, self.size_bytes)
             os.fdatasync(self._fd)
         except OSError:
-            self._tail_cut_due = True
-            self._cut_tail_if_possible()
+            self._tail_truncation_pending = True
+            self._truncate_tail_if_possible()
             raise
         self.size_bytes += len(frame)
         self.frame_count += 1
@@ -199,18 +199,18 @@
         if batch.entries:
             self._last_index = batch.entries[-1].index
 
-    def _cut_tail(self) -> None:
+    def _truncate_tail(self) -> None:
         """Truncate what a failed write may have left.
 
         After a failed sync the kernel may treat pages as written that are not on disk, so the frame can't be kept.
         """
         truncate_durably(self._fd, self.size_bytes)
-        self._tail_cut_due = False
+        self._tail_truncation_pending = False
 
-    def _cut_tail_if_possible(self) -> None:
+    def _truncate_tail_if_possible(self) -> None:
         """Truncate now if possible; otherwise the next write does so first."""
         try:
-            self._cut_tail()
+            self._truncate_tail()
         except OSError as err:
             log.warning("Storage: can't truncate the remains of a failed write, the next write tries again: %s", err)
 
@@ -234,13 +234,13 @@
         salt = os.urandom(SALT_BYTES)
         head = encode_frame(HEAD_SALT, 0, encode_head(salt, incarnation, content))
         old_fd, self._fd = self._fd, replace_file(self.path, head, TEMPORARY_PREFIX)
-        self._folder_sync_due = True
+        self._folder_sync_pending = True
         self._set_content(content, salt, len(head), 1)
         if old_fd != NOT_OPEN:
             os.close(old_fd)
 
     def _finish_replacing(self) -> None:
         """Make the new file's name durable; until then the old file may reappear after a power loss."""
-        if self._folder_sync_due:
+        if self._folder_sync_pending:
             sync_directory(str(self.folder))
-            self._folder_sync_due = False
+            self._folder_sync_pending = False
