--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -13,7 +13,7 @@
 from kestrelplank.configuration.parsing import parse_configuration
 from kestrelplank.configuration.route_table import Configuration
 from kestrelplank.consensus.log_entries import Entry, PutConfiguration, PutRecord
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 
 SNAPSHOT_FORMAT = 1
 NO_VERSION = -1
@@ -140,7 +140,7 @@
     def restore(self, snapshot: bytes) -> None:
         """Replace the state with that of `snapshot`.
 
-        :raises Malformed: it can't be decoded; nothing has changed.
+        :raises MalformedError: it can't be decoded; nothing has changed.
         """
         content = decode_snapshot(snapshot)
         self._set_configuration(content.configuration)
@@ -183,12 +183,14 @@
 def decode_snapshot(snapshot: bytes) -> SnapshotContent:
     """Return a snapshot's content.
 
-    :raises Malformed: it can't be decoded, or its format version is not supported.
+    :raises MalformedError: it can't be decoded, or its format version is not supported.
     """
     try:
         content = msgspec.msgpack.decode(snapshot, type=SnapshotContent)
     except msgspec.DecodeError as err:
-        raise Malformed(f"control state snapshot: {err}") from err
+        raise MalformedError(f"control state snapshot: {err}") from err
     if content.format_version != SNAPSHOT_FORMAT:
-        raise Malformed(f"control state snapshot: format version {content.format_version}, expected {SNAPSHOT_FORMAT}")
+        raise MalformedError(
+            f"control state snapshot: format version {content.format_version}, expected {SNAPSHOT_FORMAT}"
+        )
     return content
--- a/kestrelplank/state/journal.py
+++ b/kestrelplank/state/journal.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 
 MAGIC = b"kestrelplank journal 1\n"
 HEADER = struct.Struct("!IQ16s")
@@ -65,13 +65,13 @@
 def recover(data: bytes) -> RecoveredJournal:
     """Parse a journal file.
 
-    :raises Malformed: the magic bytes are missing, a damaged record is followed by an intact one, or sequences are not
-        consecutive; the text names the offset.
+    :raises MalformedError: the magic bytes are missing, a damaged record is followed by an intact one, or sequences are
+        not consecutive; the text names the offset.
     """
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):  # torn while the file was created: no record was acknowledged yet
             return RecoveredJournal([], 0, f"{len(data)} bytes of a journal that was being made")
-        raise Malformed("byte 0: expected the magic bytes of a journal")
+        raise MalformedError("byte 0: expected the magic bytes of a journal")
     offset = len(MAGIC)
     records: list[tuple[int, JsonValue]] = []
     while offset < len(data):
@@ -81,7 +81,7 @@
             _check_is_tail(data, offset, last_sequence)
             return RecoveredJournal(records, offset, f"a torn record of {len(data) - offset} bytes at byte {offset}")
         if last_sequence is not None and record.sequence != last_sequence + 1:
-            raise Malformed(
+            raise MalformedError(
                 f"byte {offset}: record {record.sequence} follows {last_sequence}, expected the next sequence"
             )
         records.append((record.sequence, msgspec.json.decode(record.body)))
@@ -104,12 +104,14 @@
 def _check_is_tail(data: bytes, damaged_at: int, last_sequence: int | None) -> None:
     """Check that no intact record follows the damaged one.
 
-    :raises Malformed: an intact record follows.
+    :raises MalformedError: an intact record follows.
     """
     for offset in range(damaged_at + 1, len(data) - HEADER.size + 1):
         later = _record_at(data, offset)
         if later is not None and (last_sequence is None or later.sequence > last_sequence):
-            raise Malformed(f"byte {damaged_at}: the record is damaged, but an intact one follows at byte {offset}")
+            raise MalformedError(
+                f"byte {damaged_at}: the record is damaged, but an intact one follows at byte {offset}"
+            )
 
 
 class Journal:
--- a/kestrelplank/state/node_set_in_force.py
+++ b/kestrelplank/state/node_set_in_force.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.change_guard import ChangeLimits, Decision, Verdict, evaluate_change
 from kestrelplank.state.node_set import InvalidNodeSetError, ListedNode, NodeList, NodeSet, assemble, difference
 from kestrelplank.state.sealed import decode_checksummed, encode_checksummed
@@ -147,10 +147,10 @@
 def decode_stored_node_set(data: bytes) -> StoredNodeSet:
     """Decode what `NodeSetInForce.encode` returned.
 
-    :raises Malformed: the data is torn or changed, or its format version is not supported.
+    :raises MalformedError: the data is torn or changed, or its format version is not supported.
     """
     found = decode_checksummed(FORMAT_VERSION, data)
     node_set = NodeSet({name: ListedNode(*listed) for name, listed in found["nodes"].items()})
     if node_set.hash != found["hash"]:
-        raise Malformed("the hash of its nodes does not match the stored hash")
+        raise MalformedError("the hash of its nodes does not match the stored hash")
     return StoredNodeSet(node_set, found["version"], tuple(HistoryEntry(*entry) for entry in found["history"]))
--- a/kestrelplank/state/sealed.py
+++ b/kestrelplank/state/sealed.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from kestrelplank.decode import Malformed, parse_json
+from kestrelplank.decode import MalformedError, parse_json
 
 DIGEST_BYTES = 16
 
@@ -25,14 +25,14 @@
 def decode_checksummed(format_version: int, data: bytes) -> dict[str, Any]:  # the callers know the types of the fields
     """Return the state passed to `encode_checksummed`, and the format version under "form".
 
-    :raises Malformed: the data is torn or changed, or has another format version.
+    :raises MalformedError: the data is torn or changed, or has another format version.
     """
     body, _, checksum = data.rstrip(b"\n").rpartition(b"\n")
     if not body or digest_of(body) != checksum.decode(errors="replace"):
-        raise Malformed("torn or changed: the checksum does not match the content")
+        raise MalformedError("torn or changed: the checksum does not match the content")
     state = parse_json(body)
     if not isinstance(state, dict) or state.get("form") != format_version:
-        raise Malformed(
+        raise MalformedError(
             f"format version {state.get('form') if isinstance(state, dict) else None}, expected {format_version}"
         )
     return state
--- a/tests/state/test_control_state.py
+++ b/tests/state/test_control_state.py
@@ -17,7 +17,7 @@
     PutRecord,
 )
 from kestrelplank.consensus.membership import Membership
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.control_state import NO_CHANGE, ApplyResult, ControlState
 
 MEMBERS = ChangeMembership(Membership(2, ("a:1/first", "b:1/first")))
@@ -181,7 +181,7 @@
 def test_undecodable_snapshot_changes_nothing(snapshot, message):
     state, _ = applied(FIVE, VIEWS)
     before = state.snapshot()
-    with pytest.raises(Malformed, match=message):
+    with pytest.raises(MalformedError, match=message):
         state.restore(snapshot)
     assert state.snapshot() == before and state.parsed.key.version == 5
 
@@ -190,7 +190,7 @@
     state, _ = applied(BOTH_SHARDED, VIEWS, ORDERS)
     snapshot = state.snapshot()
     for end in range(len(snapshot)):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedError):
             ControlState().restore(snapshot[:end])
 
 
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.journal import MAGIC, Journal, encode_compacted, recover
 
 VALUES = [["epoch", 1], ["stage", 1, 1, {"a": 1}], ["decided", 1, 1, {"a": 1}]]
@@ -34,7 +34,7 @@
         corrupted[bit // 8] ^= 1 << bit % 8
         try:
             recovered = recover(bytes(corrupted))
-        except Malformed as err:
+        except MalformedError as err:
             assert "byte " in str(err)
         else:
             assert [value for _, value in recovered.records] == VALUES[:2] and recovered.cut_reason
@@ -71,7 +71,7 @@
     "data, message", [(b"other\n", "byte 0"), (journal_bytes() + journal_bytes()[len(MAGIC) :], "record 1 follows 3")]
 )
 def test_invalid_journal_is_rejected_with_the_offset(data, message):
-    with pytest.raises(Malformed, match=message):
+    with pytest.raises(MalformedError, match=message):
         recover(data)
 
 
@@ -79,5 +79,5 @@
 def test_arbitrary_bytes_raise_only_malformed(data):
     try:
         recover(MAGIC + data)
-    except Malformed:
+    except MalformedError:
         pass
--- a/tests/state/test_node_set_in_force.py
+++ b/tests/state/test_node_set_in_force.py
@@ -2,7 +2,7 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.state.change_guard import ChangeLimits, Decision
 from kestrelplank.state.debounce import MAX_BUSY_PERIODS, Debounce, DebounceResult
 from kestrelplank.state.node_set import ListedNode, NodeList, NodeListEntry
@@ -155,20 +155,20 @@
     ],
 )
 def test_torn_or_changed_stored_set_is_rejected(corrupt):
-    with pytest.raises(Malformed, match="torn or changed"):
+    with pytest.raises(MalformedError, match="torn or changed"):
         decode_stored_node_set(corrupt(with_two_versions().encode()))
 
 
 @given(some.integers(0, 10**4))
 def test_truncated_stored_set_is_rejected_at_any_length(cut):
     data = with_two_versions().encode()
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         decode_stored_node_set(data[: cut % (len(data) - 1)])
 
 
 def test_unsupported_format_version_is_rejected_and_named():
     body = b'{"form":9}'
-    with pytest.raises(Malformed, match="format version 9, expected 1"):
+    with pytest.raises(MalformedError, match="format version 9, expected 1"):
         decode_stored_node_set(body + b"\n" + digest_of(body).encode() + b"\n")
 
 
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -16,7 +16,7 @@
 from kestrelplank.consensus.effects import Persist
 from kestrelplank.consensus.log_entries import Command, Entry, HardState, Snapshot
 from kestrelplank.control.shard_record import encode_record, read_record
-from kestrelplank.decode import Malformed
+from kestrelplank.decode import MalformedError
 from kestrelplank.sharding.timing import LEASE_DURATION_NS
 from kestrelplank.state import journal
 from kestrelplank.state.change_guard import ChangeLimits
@@ -180,7 +180,7 @@
         "history": [list(entry) for entry in history],
     } == values("node_list_state.values.json")
     assert NodeSetInForce(ChangeLimits(0.25, 0, False), nodes, version, history).encode() == data
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         decode_stored_node_set(data[:-3])
 
 
