--- a/kestrelplank/reference_proxy/assembly.py
+++ b/kestrelplank/reference_proxy/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of a reference proxy, made from its settings and joined: proxy, cores, tables, the client of its hub."""
+"""Builds a reference proxy from its settings: proxy, decision components, tables, and the update client."""
 
 import socket
 from random import Random
@@ -29,10 +29,10 @@
 
 
 class ReferenceProxy:
-    """All parts of one proxy.
+    """All components of one proxy.
 
-    :param listening: a predecessor's socket, or the address to listen at.
-    :raises OSError: where it can't listen.
+    :param listening: a predecessor's listening socket, or the address to listen on.
+    :raises OSError: it can't listen.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self._ids = Ids(text)
         self._tables = Tables(process.slices, len(settings.op_types), int(settings.attempts.retry))
         self._addresses: dict[int, str] = {}
-        self._zone_of: dict[int, int] = {}
+        self._node_zones: dict[int, int] = {}
         limits = ConcurrencyLimits(core_settings.concurrency_limit_settings(settings))
         self.zones = self._make_zone_preference(limits) if settings.zones.prefer_near else None
         self._distances = ZoneDistances()
@@ -51,13 +51,13 @@
         by_path = process.slice_key == SLICE_BY_PATH
         self._slice_header = b"" if by_path else process.slice_key.lower().encode()
         self._tables_file = TablesFile(process.state_path, io.counters, self._ids, self._tables, self._addresses)
-        self.has_kept_tables = self._tables_file.restore()
+        self.has_restored_tables = self._tables_file.restore()
         self.proxy = self._make_proxy(listening)
         self._update_client = self._make_update_client() if process.update_source_address else None
         self._distances_timer = io.loop.at(io.loop.now() + REPORT_INTERVAL_NS, self._update_distances)
         self._save_timer = io.loop.at(io.loop.now() + process.state_interval_ns, self._save_regularly)
 
-    # The parts.
+    # Components
 
     def _make_attempts(self, limits: ConcurrencyLimits) -> Attempts:
         settings, ops = self._settings.attempts, list(self._settings.op_types.values())
@@ -121,43 +121,43 @@
             self._set_node_zone,
         )
 
-    # What the hub's client tells.
+    # Callbacks of the update client
 
     def _tables_changed(self, tables: list[int]) -> None:
-        self._tables_file.note_change()
+        self._tables_file.mark_changed()
         self.proxy.tables_changed(tables)
 
     def _set_node_zone(self, node: int, zone: int) -> None:
-        self._zone_of[node] = zone
+        self._node_zones[node] = zone
         if self.zones:
             self.zones.set_node_zone(node, zone)
 
-    # What the proxy asks and tells (`ProxyHooks`).
+    # Callbacks of the proxy (`ProxyHooks`)
 
     def _table_of(self, request: ClientRequest) -> int:
-        """Return the slice of a request: by the header that the file names, or its path."""
+        """Return the table of a request, by a hash of the configured header or of the path."""
         key = request.header(self._slice_header) if self._slice_header else request.target.partition(b"?")[0]
         return crc32(key or b"") % self._tables.size
 
     def _attempt_ended(self, table: int, node: int, _op_type: int, succeeded: bool, latency_ns: int) -> None:
         if self._update_client:
-            self._update_client.attempt_ended(table, node, succeeded, latency_ns)
-        if self.zones and succeeded and node in self._zone_of:
+            self._update_client.record_attempt(table, node, succeeded, latency_ns)
+        if self.zones and succeeded and node in self._node_zones:
             own_zone = self._ids.zone(self._settings.process.zone)
-            self._distances.add(own_zone, self._zone_of[node], 1, latency_ns)
+            self._distances.add(own_zone, self._node_zones[node], 1, latency_ns)
 
     def _op_ended(self, table: int, op_type: int, verdict: Verdict) -> None:
         if self._update_client:
-            self._update_client.op_ended(table, op_type, verdict)
+            self._update_client.record_op(table, op_type, verdict)
 
     def _weight_factor(self, node: int) -> float:
         pool = self.proxy.nodes.pools.get(node)
         return 1.0 if pool is None else pool.weight_factor(self._io.loop.now())
 
-    # What is done regularly.
+    # Periodic tasks
 
     def _update_distances(self) -> None:
-        """Take what the last period's answers say of how far zones are."""
+        """Update the distances of zones from the latencies of the last period."""
         loop = self._io.loop
         self._distances_timer = loop.at(loop.now() + REPORT_INTERVAL_NS, self._update_distances)
         self._distances.close_period()
@@ -172,25 +172,23 @@
         loop = self._io.loop
         self._save_timer = loop.at(loop.now() + self._settings.process.state_interval_ns, self._save_regularly)
 
-    # Settings, and the end.
+    # Reload and shutdown
 
     def reload(self, settings: ReferenceProxySettings) -> None:
-        """Use the settings of clients, bodies and op types from now on; no connection is dropped.
+        """Apply changed settings of clients, bodies and op types without dropping a connection.
 
-        What concerns the process, tables and limits waits for a restart, which a successor can be.
+        Settings of the process, tables and limits take effect only after a restart or a handover to a successor.
 
-        :raises InvalidSettingsError: where op types are others.
+        :raises InvalidSettingsError: the names or the order of op types have changed.
         """
         if list(settings.op_types) != list(self._settings.op_types):
-            raise InvalidSettingsError(
-                "op types can't be added, taken away or put in another order while the relay runs"
-            )
+            raise InvalidSettingsError("op types can't be added, removed or reordered while the relay runs")
         self._settings = settings
         self.proxy.reconfigure(core_settings.op_types(settings), core_settings.exchange_limits(settings))
         self.proxy.admission.settings = core_settings.admission_settings(settings)
 
     def close(self) -> None:
-        """Save the tables, and end every connection."""
+        """Save the tables and close every connection."""
         self._save_timer.cancel()
         self._distances_timer.cancel()
         self._tables_file.save()
