--- a/kestrelplank/sharding/attempt_window.py
+++ b/kestrelplank/sharding/attempt_window.py
@@ -23,7 +23,7 @@
 class AttemptWindow:
     """Sums by server over all reports received within `WINDOW_NS`.
 
-    Guarded by `test_window_sums_equal_the_sums_of_the_reports_in_the_window`.
+    Tested by `test_window_sums_equal_the_sums_of_the_reports_in_the_window`.
     """
 
     def __init__(self) -> None:
--- a/kestrelplank/sharding/key_range.py
+++ b/kestrelplank/sharding/key_range.py
@@ -40,7 +40,7 @@
     `call_in_flight`: a grant or release is in flight, at most one for a range.
     `answer_is_stale`: the call in flight went to a server that has ended, so its answer is ignored.
     `next_call_at`: when the next grant or release is due (ns).
-    `refusals`: consecutive grants rejected because the server had seen a higher fencing token.
+    `rejections`: consecutive grants rejected because the server had seen a higher fencing token.
     `successor`: the server to assign once the range is UNOWNED, if known.
     `unowned_since`: when the keys were left without a server, as far as is known (ns); None while one serves them.
     `stall_reported`: it was logged that the range is stalled.
@@ -59,7 +59,7 @@
         "call_in_flight",
         "answer_is_stale",
         "next_call_at",
-        "refusals",
+        "rejections",
         "successor",
         "unowned_since",
         "stall_reported",
@@ -80,7 +80,7 @@
         self.call_in_flight = False
         self.answer_is_stale = False
         self.next_call_at = 0
-        self.refusals = 0
+        self.rejections = 0
         self.successor: str | None = None
         self.unowned_since: int | None = None
         self.stall_reported = False
@@ -119,7 +119,7 @@
         self.recorded = False
         self.held_until = 0
         self.next_call_at = 0
-        self.refusals = 0
+        self.rejections = 0
 
     def mark_unowned(self, now: int) -> None:
         """Set `unowned_since` to `now` unless it is set."""
--- a/kestrelplank/sharding/key_ranges.py
+++ b/kestrelplank/sharding/key_ranges.py
@@ -33,7 +33,7 @@
 )
 
 FENCING_TOKENS_PER_TERM = 1_000_000
-MAX_REFUSALS = 24  # consecutive rejected grants, each followed by a higher fencing token, before the range is released
+MAX_REJECTIONS = 24  # consecutive rejected grants, after each of which the fencing token is raised, before a release
 GRANTED, FENCED = 200, 409  # HTTP statuses of a server's answers
 CLIENT_ERROR = 4  # first digit of statuses with which a server reports that it did nothing
 
@@ -191,7 +191,7 @@
         if outcome is CallOutcome.ANSWERED:
             key_range.held_until = max(key_range.held_until, latest_lease_end(now, grant.lease_ns))
             key_range.handover = None
-            key_range.refusals = 0
+            key_range.rejections = 0
             self._mark_owned(now, key_range)
             return
         if verdict(CallKind.GRANT, outcome).execution is not Execution.NOT_EXECUTED:
@@ -223,14 +223,14 @@
     def _raise_fencing_token(self, now: int, key_range: KeyRange) -> None:
         """Raise the range's fencing token, as the server has seen a higher one; it is recorded before it is used.
 
-        After `MAX_REFUSALS` consecutive rejections the range is released instead.
+        After `MAX_REJECTIONS` consecutive rejections the range is released instead.
         """
-        key_range.refusals += 1
-        if key_range.refusals > MAX_REFUSALS and key_range.state is HELD:
+        key_range.rejections += 1
+        if key_range.rejections > MAX_REJECTIONS and key_range.state is HELD:
             self.start_release(now, key_range, None)
             return
         # In growing steps: the server may have seen tokens of a log that was lost with all disks.
-        self.highest_token += 1 if key_range.refusals == 1 else FENCING_TOKENS_PER_TERM << key_range.refusals
+        self.highest_token += 1 if key_range.rejections == 1 else FENCING_TOKENS_PER_TERM << key_range.rejections
         key_range.fencing_token = self.highest_token
         key_range.recorded = False
 
--- a/kestrelplank/sharding/lease_terms.py
+++ b/kestrelplank/sharding/lease_terms.py
@@ -1,8 +1,8 @@
 """Chooses the duration and renewal interval of leases on keys. No I/O.
 
 A short lease frees the keys of a crashed server sooner; a long one survives a longer outage of the control plane. So
-leases are short while all voters respond, and long while one is missing, as the next loss may leave no majority. With
-very many ranges leases are always long, as renewals every second did not keep up (docs/sharding.md; cause unknown).
+leases are short while all voters respond, and long while one is missing, as the next loss may leave no majority. Above
+`MAX_RANGES_WITH_SHORT_LEASES` ranges they are always long, as renewals every second fall behind (docs/sharding.md).
 """
 
 from dataclasses import dataclass
--- a/kestrelplank/sharding/placement.py
+++ b/kestrelplank/sharding/placement.py
@@ -1,7 +1,7 @@
 """Decides which server each key range of a service should be assigned to.
 
 The greedy pass decides by the reports of edge machines and the measured speed of servers. This module adds: request
-rates over a longer window than the pass averages over; server weights for which the mean request time is least; and
+rates over a longer window than the pass averages over; server weights that minimize the mean request time; and
 splitting of busy ranges, as moving one as a whole would only move the overload.
 """
 
--- a/kestrelplank/sharding/range_resizing.py
+++ b/kestrelplank/sharding/range_resizing.py
@@ -13,8 +13,8 @@
 from kestrelplank.sharding.request_window import RequestWindow
 
 SPLIT_LOAD_SHARE = 0.4  # share of a mean server's load above which a range is split; as for the policy's hot slices
-UPPER_SHARE_BOUNDS = 0.05, 0.95  # no split if the upper range gets less or more of the requests: one key has nearly all
-MAX_RANGES_PER_SERVER = 6  # no range is split above it
+UPPER_SHARE_BOUNDS = 0.05, 0.95  # no split if the upper range's share of requests is outside: one key has nearly all
+MAX_RANGES_PER_SERVER = 6  # no range is split beyond it
 MERGE_ABOVE_RANGES_PER_SERVER = 5
 MERGE_LOAD_SHARE = 0.1  # share of a mean server's load, for both ranges together
 
--- a/kestrelplank/sharding/request_window.py
+++ b/kestrelplank/sharding/request_window.py
@@ -16,14 +16,14 @@
 NEWEST_NS = 1500 * MILLISECOND  # requests within this time are the newest
 SIGNIFICANT_DEVIATIONS = 3.0  # standard deviations that make a difference significant
 BASELINE_SHARE = 0.02  # share of all requests that is added, spread evenly over the keys
-MIN_SAMPLE = 10  # requests for a range's keys that a sample needs
+MIN_SAMPLE = 10  # fewest requests for a range's keys that make a sample
 
 
 class RequestWindow:
     """The keys of all requests that edge machines reported within `WINDOW_NS`.
 
     `sorted_keys`: these keys, sorted, as of the last `advance`. `newest_keys`: likewise, those within `NEWEST_NS`.
-    Guarded by `test_window_sums_equal_the_sums_of_the_reports_in_the_window`.
+    Tested by `test_window_sums_equal_the_sums_of_the_reports_in_the_window`.
     """
 
     def __init__(self) -> None:
--- a/kestrelplank/sharding/server_weights.py
+++ b/kestrelplank/sharding/server_weights.py
@@ -1,7 +1,7 @@
 """Computes from measured speeds which share of all requests each server should take.
 
-With these weights the mean time of all requests is least: a server's weight is its capacity in requests a second less
-its part of the total spare capacity, which is divided in proportion to the square root of capacity. So fast servers
+These weights minimize the mean time of all requests: a server's weight is its capacity in requests a second, minus its
+share of the total spare capacity, which is divided in proportion to the square root of capacity. So fast servers
 keep relatively less spare capacity than slow ones, where a queued request waits longer.
 
 Source: the square-root rule of Bell and Stidham (1983) for parallel servers.
--- a/kestrelplank/sharding/service_time.py
+++ b/kestrelplank/sharding/service_time.py
@@ -13,9 +13,9 @@
     when answers leave, which gives the mean over time (PASTA and level crossing). The second is the mean logarithm of
     the times of answers that left no queue behind; the logarithm limits the influence of single long times.
 
-    `busy_s`: sum of the seconds that slots were busy. `answers`: number of answers that it was measured with.
-    `log_seconds`: sum of the logarithms of the seconds of answers that left no queue. `unqueued_answers`: their number.
-    All four are weighted by age.
+    `busy_s`: sum of the times that slots were busy, in s. `answers`: number of answers that it was measured with.
+    `log_seconds`: sum of the logarithms of the times in s of answers that left no queue. `unqueued_answers`: number of
+    these answers. All four are weighted by age.
     """
 
     __slots__ = ("busy_s", "answers", "log_seconds", "unqueued_answers")
@@ -32,8 +32,8 @@
     ) -> None:
         """Add the measurements of one period.
 
-        :param busy_slots: sum over `answers` of the slots that were busy when the answer left.
-        :param log_seconds: sum of the logarithms of the seconds of the `unqueued_answers`, which left no queue.
+        :param busy_slots: sum over `answers` of the number of slots that were busy when the answer left.
+        :param log_seconds: sum of the logarithms of the times in s of the `unqueued_answers`, which left no queue.
         """
         busy_s = busy_slots / answers * period_s if answers else 0.0
         self.busy_s = self.busy_s * RETENTION_PER_PERIOD + busy_s
--- a/kestrelplank/sharding/shard_server.py
+++ b/kestrelplank/sharding/shard_server.py
@@ -8,7 +8,7 @@
 
     :param slots: the number of requests that it processes at a time.
     :param ready: it may be given keys; False while it is draining.
-    :param warming_until: when its warm-up ends, until which it is slower (ns of this process's monotonic clock).
+    :param warming_until: when its warm-up, during which it is slower, ends (ns of this process's monotonic clock).
     """
 
     name: str
--- a/tests/sharding/recorded_run.py
+++ b/tests/sharding/recorded_run.py
@@ -26,7 +26,7 @@
     def __init__(self, subject_type, seed):
         self.subject_type, self.seed, self.random = subject_type, seed, Random(seed)
         self.now, self.term = 100 * SECOND, 0
-        # by name: address, zone, slots, ready, warm_at, speed
+        # by name: address, zone, slots, ready, warming_until, speed
         self.servers = {f"s{number}": self.server(number, speed) for number, speed in enumerate(SPEEDS)}
         self.next_server = len(SPEEDS)
         self.first_popular_key = self.random.randrange(KEY_COUNT)
@@ -37,8 +37,8 @@
         self.digest, self.digests = sha256(), []
         self.start_leader()
 
-    def server(self, number, speed, address=None, warm_at=0):
-        return [address or f"10.0.0.{number}:80", f"z{number % 3}", 2, True, warm_at, speed]
+    def server(self, number, speed, address=None, warming_until=0):
+        return [address or f"10.0.0.{number}:80", f"z{number % 3}", 2, True, warming_until, speed]
 
     def observe(self, *observation):
         self.digest.update(repr(observation).encode())
@@ -98,7 +98,7 @@
         self.servers[f"s{number}"] = self.server(number, speed, address, self.now + 3 * SECOND)
 
     def report(self):
-        """Send the reports of two edge members: keys near the popular region, times by the servers' speeds."""
+        """Send the reports of two edge machines: keys near the popular region, times by the servers' speeds."""
         for _ in range(2):
             keys, measurements = [], {}
             for _ in range(15):
--- a/tests/sharding/test_model.py
+++ b/tests/sharding/test_model.py
@@ -14,6 +14,8 @@
     grant m       m sends a grant to the server of its record; `late`: it may arrive after a tick
     release m     the server answers a release: its lease ends and its token rises
     stop m        m sends no more grants and waits for the end of the server's lease
+    out m         that lease has ended: no server holds the key
+    arrives       a late grant reaches its server; `is lost`: it never does
     move m Q s    no server holds the key: server s is recorded at Q and may be granted the key
     restart m     m loses its memory and makes no promise for the time of a lease; one restart or wipe in total
     wipe m        m loses its disk too; `rejoin` restores it from as many other members as a majority has
