--- a/kestrelplank/consensus/consensus_messages.py
+++ b/kestrelplank/consensus/consensus_messages.py
@@ -43,7 +43,7 @@
     """The leader's log entries after `previous_index`; a heartbeat has none.
 
     :param previous_index: log index of the entry before the first of `entries`; also 0 in a heartbeat to a follower
-        that needs a snapshot, which asks for a reply but says nothing about the log.
+        that needs a snapshot, which only requests a reply and does not check the log.
     :param previous_term: term of that entry.
     :param commit_index: log index up to which the leader knows entries to be committed.
     :param heartbeat_round: number of the leader's newest heartbeat round, echoed in the reply; the lease is counted
--- a/kestrelplank/consensus/election.py
+++ b/kestrelplank/consensus/election.py
@@ -120,7 +120,7 @@
         self._pre_vote, self._votes = False, set()
         self._schedule_retry(now)
         state.update_hard_state(state.term + 1, state.identity, "")
-        # The own vote is sent to this member itself, to count only once durable: see `ConsensusNode.persisted`.
+        # This member's own vote is sent to itself, so that it counts only once durable: see `ConsensusNode.persisted`.
         own_vote = VoteReply(state.term, state.epoch, granted=True)
         state.effects.send_when_durable(state.identity, own_vote)
         request = self._vote_request(state.term, transfer=transfer)
@@ -186,21 +186,21 @@
         state.effects.send(sender, reply)
 
     def _would_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
-        """Whether to grant a vote: one a term, not in an older term, and not to a candidate with an older log."""
+        """Whether to grant a vote: at most one a term, none in an older term, none to a candidate with an older log."""
         state = self._state
         if request.term < state.term or not self._free_to_vote(now, sender, request):
             return False
         if request.term == state.term:
             voted_for = state.hard_state.voted_for
             voted_for_another = bool(voted_for) and voted_for != sender
-            # A pre-vote asks for the candidate's term + 1: one for the current term of this member is too late.
+            # A pre-vote requests the candidate's term + 1: if that is this member's current term, it is too late.
             if request.pre_vote or voted_for_another or state.role is Role.LEADER:
                 return False
         # Section 3.6.1, "at least as up-to-date".
         return (request.last_term, request.last_index) >= (state.log.last_term, state.log.last_index)
 
     def _free_to_vote(self, now: int, sender: str, request: VoteRequest) -> bool:
-        """Whether the committed membership, the own lease and the last promise allow a vote for that member."""
+        """Whether the committed membership, this member's lease and its last promise allow a vote for the sender."""
         state = self._state
         committed = state.log.membership_at(state.commit_index)
         if committed is not None and sender not in committed.all_voters() and request.epoch <= committed.epoch:
--- a/kestrelplank/consensus/follower.py
+++ b/kestrelplank/consensus/follower.py
@@ -37,7 +37,7 @@
         log = self._state.log
         self.contact.update(message)
         only_asks_for_reply = message.previous_index == 0 and not message.entries
-        if only_asks_for_reply and log.base_index > 0:  # if it is 0, the code below replies the same
+        if only_asks_for_reply and log.base_index > 0:  # with base index 0, the code below sends the same reply
             self._reply(now, sender, message.heartbeat_round, match_index=0)
             return
         previous_index, previous_term, entries = self._after_base(message)
@@ -83,7 +83,7 @@
     def _likely_match(self, mismatch_index: int) -> int:
         """Return an index below `mismatch_index` up to which the logs may match: before the term that differs.
 
-        So the leader backs up by a term with each message, not by an entry (section 5.3 of the 2014 paper, last part).
+        So each reply lets the leader go back by a term instead of an entry (end of section 5.3 of the 2014 paper).
         """
         log, commit_index = self._state.log, self._state.commit_index
         if mismatch_index > log.last_index:
@@ -105,7 +105,9 @@
             return
         first_index = differing[0].index
         if first_index <= state.commit_index:
-            raise CommittedEntryError(f"entry {first_index} differs, but all up to {state.commit_index} are committed")
+            raise CommittedEntryError(
+                f"leader's entry {first_index} differs, although local entries up to {state.commit_index} are committed"
+            )
         if first_index <= state.log.last_index:
             state.log.truncate(first_index)
             state.effects.truncate(first_index)
--- a/kestrelplank/consensus/leadership.py
+++ b/kestrelplank/consensus/leadership.py
@@ -17,7 +17,7 @@
 from kestrelplank.consensus.timing import HEARTBEAT_INTERVAL_NS
 from kestrelplank.time_units import SECOND
 
-SUCCESSOR_TIMEOUT_NS = 2 * HEARTBEAT_INTERVAL_NS  # a voter whose last reply is older is not asked to take over
+SUCCESSOR_TIMEOUT_NS = 2 * HEARTBEAT_INTERVAL_NS  # `best_successor` skips a voter whose last reply is older
 WRITE_STALL_NS = 1 * SECOND  # a leader hands over if one disk write takes longer
 
 
--- a/kestrelplank/consensus/lease.py
+++ b/kestrelplank/consensus/lease.py
@@ -71,7 +71,7 @@
     """How recent the leader's messages to a follower are.
 
     Each reply of a follower carries a new nonce, which the leader echoes. A message counts as being as old as the
-    nonce in it, which was sent earlier, so a delayed message never counts as newer than it is.
+    nonce in it, which was sent before the message, so a delayed message never counts as newer than it is.
 
     - `heard_at`: when the last message from a leader arrived; 0: never.
     - `leader`: the identity of that leader; "": none yet.
--- a/kestrelplank/consensus/log.py
+++ b/kestrelplank/consensus/log.py
@@ -6,7 +6,7 @@
 from kestrelplank.consensus.log_entries import ChangeMembership, Entry, PutConfiguration, PutRecord, Snapshot
 from kestrelplank.consensus.membership import Membership
 
-ENTRIES_KEPT_BEFORE_SNAPSHOT = 64  # so that a follower that lags a little needs no snapshot
+ENTRIES_KEPT_BEFORE_SNAPSHOT = 64  # a follower that lacks only these needs no snapshot
 ENTRY_OVERHEAD_BYTES = 64  # of an entry on the wire, without its payload
 
 
--- a/kestrelplank/consensus/member_messages.py
+++ b/kestrelplank/consensus/member_messages.py
@@ -16,7 +16,8 @@
     :param term: term of the sender.
     :param epoch: epoch of the newest membership that the sender knows.
     :param zone: the sender's failure domain; "": unknown.
-    :param eligible: whether the sender may be a voter (`quorum_member` in its settings).
+    :param eligible: whether the sender may be a voter (`quorum_member` in its settings: the platform counts the loss of
+        its machine).
     :param leaving: whether the sender is about to stop.
     """
 
--- a/kestrelplank/consensus/membership_planning.py
+++ b/kestrelplank/consensus/membership_planning.py
@@ -32,11 +32,12 @@
 
     :param identity: address and incarnation.
     :param zone: failure domain; "": unknown.
-    :param eligible: whether it may be a voter (`quorum_member` in its settings).
+    :param eligible: whether it may be a voter (`quorum_member` in its settings: the platform counts the loss of its
+        machine).
     :param leaving: whether it has announced that it is about to stop.
     :param heard_at: when it last replied, on the leader's steady clock; for a voter that has not replied since the
         election, when its last message before arrived, or else when the leader was elected.
-    :param caught_up: whether it has the leader's log up to the newest entry, or nearly.
+    :param caught_up: whether it has all committed entries except a few, see `Progress.caught_up`.
     """
 
     identity: str
@@ -62,7 +63,8 @@
 ) -> Membership | None:
     """Return the joint membership that the leader should propose.
 
-    None: nothing needs to change, a change is in progress, or too few voters are reachable to complete one.
+    None: nothing needs to change, a change is in progress, the leader is not a voter, or too few voters are reachable
+    to complete a change.
 
     :param membership: the current one, which is committed.
     :param leader: identity of the leader, which is the caller.
--- a/kestrelplank/consensus/node.py
+++ b/kestrelplank/consensus/node.py
@@ -205,7 +205,7 @@
         return now - self._follower.contact.heard_at < CONTACT_TIMEOUT_NS
 
     def voter_missing(self, now: int) -> bool:
-        """Whether this member leads and another voter has not replied for a while."""
+        """Whether this member leads and another voter has not replied for `FOLLOWER_TIMEOUT_NS`."""
         return self._leadership is not None and self._leadership.voter_missing(now)
 
     def catch_up_state(self, now: int) -> CatchUpState:
@@ -245,10 +245,10 @@
         return index, self._state.effects.take_effects()
 
     def persisted(self, now: int, number: int) -> list[Effect]:
-        """Handle that the `Persist` with that number, and all before it, are durable."""
+        """Process the completion of the `Persist` with that number and of all before it, which are now durable."""
         for send in self._state.effects.complete(number):
             if send.to == self._state.identity:
-                self._dispatch(now, send.to, send.message)  # the own vote, which counts from now on
+                self._dispatch(now, send.to, send.message)  # this member's own vote, which counts from now on
             else:
                 self._state.effects.emit(send)
         if self._leadership is not None:
--- a/kestrelplank/consensus/progress.py
+++ b/kestrelplank/consensus/progress.py
@@ -10,13 +10,13 @@
 from kestrelplank.time_units import MILLISECOND, SECOND
 
 MAX_UNCONFIRMED_ENTRIES = 256
-MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 64 << 10, 1 << 20  # bytes of entries in flight; the last entry may exceed it
+MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 64 << 10, 1 << 20  # of entries in flight; the last entry may exceed it
 FAST_CONFIRMATION_NS = 400 * MILLISECOND  # an entry confirmed faster widens the window
 SLOW_CONFIRMATION_NS = 600 * MILLISECOND  # an entry confirmed more slowly narrows the window
 FOLLOWER_TIMEOUT_NS = 1 * SECOND  # a follower whose last reply is older is sent no snapshot
 CHUNK_RETRY_INTERVAL_NS = 1 * SECOND  # doubled with each retry, reset by a confirmed chunk
 MAX_CHUNK_RETRY_INTERVAL_NS = 8 * SECOND
-CAUGHT_UP_LAG_ENTRIES = 8  # a follower that lacks at most this many is caught up
+CAUGHT_UP_LAG_ENTRIES = 8  # a follower that lacks at most this many committed entries is caught up
 
 
 class EntryInFlight(NamedTuple):
@@ -52,7 +52,7 @@
         self.outgoing_snapshot: OutgoingSnapshot | None = None
         self._in_flight: deque[EntryInFlight] = deque()
         self._bytes_in_flight = 0
-        self._window_bytes = MIN_WINDOW_BYTES  # small, as heartbeats queue behind the entries in flight
+        self._window_bytes = MIN_WINDOW_BYTES  # starts small, as heartbeats queue behind the entries in flight
         self._chunk_retry_at = 0
         self._chunk_retry_ns = CHUNK_RETRY_INTERVAL_NS
 
--- a/kestrelplank/consensus/replication.py
+++ b/kestrelplank/consensus/replication.py
@@ -92,7 +92,7 @@
         if not self._needs_snapshot(peer):
             self._send_append(now, identity, peer, ())
             return
-        # The entry before `next_index` was compacted: `previous_index` 0 says nothing about the log.
+        # The entry before `next_index` was compacted: with `previous_index` 0 the follower does not check its log.
         self._state.effects.send(identity, self._append(now, peer, 0, 0, ()))
         if peer.timed_out(now):
             peer.drop_snapshot()
--- a/tests/consensus/invariants.py
+++ b/tests/consensus/invariants.py
@@ -1,7 +1,7 @@
 """The safety invariants of a simulated cluster (see `simulated_cluster`), checked on the members' observable actions.
 
 An `Invariants` object is notified of each entry applied, each snapshot restored, each message sent, each durable write and
-each answer to an operator, and raises `InvariantViolation` at the first that contradicts an earlier one."""
+each answer to an operator, and raises `InvariantViolationError` at the first that contradicts an earlier one."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 from kestrelplank.consensus.membership import Membership
 
 
-class InvariantViolation(AssertionError):
+class InvariantViolationError(AssertionError):
     """An invariant does not hold; the text names it and lists the last steps."""
 
 
@@ -67,9 +67,9 @@
         self._leaders: dict[int, str] = {}  # term -> identity
 
     def require(self, holds: bool, *reason: object) -> None:
-        """Raise `InvariantViolation` unless `holds`."""
+        """Raise `InvariantViolationError` unless `holds`."""
         if not holds:
-            raise InvariantViolation(" ".join(str(part) for part in reason) + "\n" + self._trace_text())
+            raise InvariantViolationError(" ".join(str(part) for part in reason) + "\n" + self._trace_text())
 
     def membership(self, initial: Membership) -> Membership:
         """The newest committed membership; `initial` if no change was ever committed."""
--- a/tests/consensus/replacing_cluster.py
+++ b/tests/consensus/replacing_cluster.py
@@ -119,16 +119,16 @@
         node, now = machine.node, machine.clock(self.time)
         if self._led_since.get(machine.identity, (0, 0))[0] != node.term:
             self._led_since[machine.identity] = (node.term, now)
-        found = [self._known_member(machine.identity, now, caught_up=True)]
+        known_members = [self._known_member(machine.identity, now, caught_up=True)]
         for identity, peer in node.peers.items():
             heard_at = peer.heard_at
             if identity in node.membership.all_voters():
                 heard_at = max(heard_at, self._heard_before_election(machine, identity))
-            found.append(self._known_member(identity, heard_at, peer.caught_up(node.commit_index)))
-        return found
+            known_members.append(self._known_member(identity, heard_at, peer.caught_up(node.commit_index)))
+        return known_members
 
     def _heard_before_election(self, machine: Machine, voter: str) -> int:
-        """When a voter's last message before the election arrived: of the former leader, its last heartbeat; else the election."""
+        """When the voter last counts as heard before the election: a former leader at its last message, others at the election."""
         former, heard_at = self._followed.get(machine.identity, ("", 0))
         return heard_at if voter == former else self._led_since[machine.identity][1]
 
@@ -195,7 +195,7 @@
     lasts: int = 3 * SECOND
 
 
-def _come_back(cluster: ReplacingCluster, name: str) -> None:
+def _start_if_stopped(cluster: ReplacingCluster, name: str) -> None:
     if not cluster.machines[name].runs:
         cluster.start(name)
 
@@ -205,9 +205,9 @@
         cluster.restart(machine.address, after=cluster.random.randrange(SECOND))
 
 
-KILLED = Loss("killed", ReplacingCluster.kill, _come_back)
-GONE = Loss("gone", ReplacingCluster.kill, _come_back, lasts=60 * SECOND)
-WIPED = Loss("wiped", ReplacingCluster.wipe, _come_back)
+KILLED = Loss("killed", ReplacingCluster.kill, _start_if_stopped)
+GONE = Loss("gone", ReplacingCluster.kill, _start_if_stopped, lasts=60 * SECOND)
+WIPED = Loss("wiped", ReplacingCluster.wipe, _start_if_stopped)
 FROZEN = Loss("frozen", ReplacingCluster.freeze, ReplacingCluster.thaw)
 ISOLATED = Loss(
     "isolated", lambda cluster, name: cluster.isolate(name, keep=True), lambda cluster, name: cluster.heal()
--- a/tests/consensus/simulated_cluster.py
+++ b/tests/consensus/simulated_cluster.py
@@ -253,8 +253,8 @@
             if machine.node.current(machine.clock(self.time)):
                 self.invariants.current(machine.identity, machine.replica, self.time - MAX_STALENESS_NS)
 
-    def trace(self, *what: object) -> None:
-        self._trace.append((self.time, *what))
+    def trace(self, *step: object) -> None:
+        self._trace.append((self.time, *step))
 
     def trace_text(self) -> str:
         """The last steps, as text."""
@@ -555,11 +555,11 @@
             if self._partitions[direction]:
                 self._held_back.setdefault(direction, []).append(arrive)
             return
-        when = max(self._arrival.get(direction, 0), self.time + self.random.randint(*self.conditions.delay))
+        arrives_at = max(self._arrival.get(direction, 0), self.time + self.random.randint(*self.conditions.delay))
         if self.conditions.bytes_per_s:
-            when += size * SECOND // self.conditions.bytes_per_s
-        self._arrival[direction] = when
-        self.schedule(when - self.time, arrive)
+            arrives_at += size * SECOND // self.conditions.bytes_per_s
+        self._arrival[direction] = arrives_at
+        self.schedule(arrives_at - self.time, arrive)
 
     def _receive(self, machine: Machine, sender: str, message: Message) -> None:
         self.trace(sender, "->", machine.identity, message)
@@ -689,13 +689,13 @@
         return self.leader()
 
     def put(self, version: int, text: bytes, at: str | None = None, within: int = 20 * SECOND) -> str:
-        """Send an order, retry every 200 ms until it is answered, and return the answer."""
+        """Send an order, retry it until it is in force or superseded, and return that answer."""
         end = self.time + within
         while True:
             names = [at] if at else [machine.address for machine in self.running()]
             attempt = self.order(self.random.choice(names), version, text)
-            again = self.time + SECOND
-            while attempt.answer is None and self.time < again and self._queue:
+            retry_at = self.time + SECOND
+            while attempt.answer is None and self.time < retry_at and self._queue:
                 self.step()
             if attempt.answer in (IN_FORCE, SUPERSEDED):
                 return attempt.answer
--- a/tests/consensus/test_cases.py
+++ b/tests/consensus/test_cases.py
@@ -16,9 +16,9 @@
 CHUNKS = 5
 
 
-def started_cluster(count=3, seed=1, **others):
+def started_cluster(count=3, seed=1, **settings):
     """A cluster with a leader, and the addresses of the leader and of the others."""
-    cluster = Cluster(count, seed, **others)
+    cluster = Cluster(count, seed, **settings)
     leader = cluster.elect().address
     cluster.until(cluster.caught_up)
     return cluster, leader, [name for name in cluster.machines if name != leader]
@@ -142,9 +142,9 @@
 def test_order_retried_after_200_later_versions_is_superseded(lost_disk):
     cluster, _, others = started_cluster()
     cluster.conditions = Conditions(answer_loss=1.0)
-    lost = cluster.order("b", 7, b"text")
+    attempt = cluster.order("b", 7, b"text")
     cluster.run(SECOND)
-    assert lost.result == IN_FORCE and lost.answer is None
+    assert attempt.result == IN_FORCE and attempt.answer is None
     cluster.conditions = Conditions()
     put_all(cluster, range(8, 208))
     if lost_disk:
@@ -165,13 +165,13 @@
         cluster.hang(name)
     first = cluster.order(leader, 7, b"text")
     cluster.run(100 * MILLISECOND)
-    again = [cluster.order(name, 7, b"text") for name in cluster.machines]
+    retries = [cluster.order(name, 7, b"text") for name in cluster.machines]
     cluster.run(100 * MILLISECOND)
-    assert first.answer is None and {attempt.answer for attempt in again} == {None}
+    assert first.answer is None and {attempt.answer for attempt in retries} == {None}
     for name in others:
         cluster.hang(name, False)
     cluster.run(SECOND)
-    assert first.answer == IN_FORCE and {attempt.answer for attempt in again} == {IN_FORCE}
+    assert first.answer == IN_FORCE and {attempt.answer for attempt in retries} == {IN_FORCE}
 
 
 @pytest.mark.parametrize("keep", [False, True])
@@ -232,8 +232,8 @@
     attempt = cluster.order(leader, 7, b"text")
 
     def on_two_disks():
-        results = [machine for machine in cluster.machines.values() if 7 in versions_on_disk(machine)]
-        return len(results) >= 2
+        machines = [machine for machine in cluster.machines.values() if 7 in versions_on_disk(machine)]
+        return len(machines) >= 2
 
     cluster.until(on_two_disks)
     assert attempt.result is None
@@ -272,11 +272,11 @@
     cluster.conditions = Conditions(
         delay=(1 * MILLISECOND, 150 * MILLISECOND), loss=0.05, duplication=0.2, answer_loss=0.2
     )
-    numbers = list(range(10, 18))
-    cluster.random.shuffle(numbers)
-    orders = [(cluster.random.choice("abc"), version, b"%d" % version) for version in numbers]
+    versions = list(range(10, 18))
+    cluster.random.shuffle(versions)
+    orders = [(cluster.random.choice("abc"), version, b"%d" % version) for version in versions]
     results = answers(cluster, orders, within=2 * RECOVERY_TIMEOUT_NS)
-    assert results[numbers.index(17)] == IN_FORCE
+    assert results[versions.index(17)] == IN_FORCE
     cluster.recover()
     assert texts(cluster) == {b"17"}
 
@@ -358,16 +358,16 @@
 
 
 def behind_by_a_large_snapshot(seed=1, first=1):
-    """A cluster whose stopped member `away` lacks a snapshot of five chunks."""
+    """A cluster, its leader, and the stopped member `lagging`, which lacks a snapshot of five chunks."""
     cluster, leader, others = started_cluster(seed=seed)
-    away = others[0]
-    cluster.kill(away)
+    lagging = others[0]
+    cluster.kill(lagging)
     for machine in cluster.machines.values():
         machine.compact_after = 8
     put_all(cluster, range(first, first + 100))
     cluster.put(1000, LARGE_TEXT)
     append_records(cluster, 70)
-    return cluster, cluster.leader().address, away
+    return cluster, cluster.leader().address, lagging
 
 
 def append_records(cluster, count):
@@ -388,49 +388,49 @@
 @pytest.mark.parametrize("fault", ["reset", "partition", "frozen"])
 @pytest.mark.parametrize("chunk", range(1, CHUNKS))
 def test_interrupted_snapshot_transfer_resumes_where_it_stopped(chunk, fault):
-    cluster, leader, away = behind_by_a_large_snapshot()
-    cluster.start(away)
-    cluster.until(lambda: chunks_received(cluster, away, chunk))
-    assert cluster.machines[away].replica.text != LARGE_TEXT
+    cluster, leader, lagging = behind_by_a_large_snapshot()
+    cluster.start(lagging)
+    cluster.until(lambda: chunks_received(cluster, lagging, chunk))
+    assert cluster.machines[lagging].replica.text != LARGE_TEXT
     if fault == "reset":
-        cluster.reset(leader, away)
+        cluster.reset(leader, lagging)
     elif fault == "partition":
-        cluster.partition(leader, away)
+        cluster.partition(leader, lagging)
         cluster.run(5 * SECOND)
         cluster.heal()
     else:
-        cluster.freeze(away)
+        cluster.freeze(lagging)
         cluster.run(5 * SECOND)
-        cluster.thaw(away)
+        cluster.thaw(lagging)
     before = cluster.chunks_sent
-    cluster.until(lambda: current(cluster, away), RECOVERY_TIMEOUT_NS)
-    assert cluster.machines[away].replica.text == LARGE_TEXT
+    cluster.until(lambda: current(cluster, lagging), RECOVERY_TIMEOUT_NS)
+    assert cluster.machines[lagging].replica.text == LARGE_TEXT
     assert cluster.chunks_sent - before <= CHUNKS - chunk + 3
 
 
 def test_returning_member_is_sent_only_the_newest_snapshot():
-    cluster, leader, away = behind_by_a_large_snapshot()
+    cluster, leader, lagging = behind_by_a_large_snapshot()
     before = cluster.chunks_sent
-    cluster.start(away)
-    results = []
+    cluster.start(lagging)
+    restored_versions = []
 
     def restored():
-        version = cluster.machines[away].replica.version
-        if version and version not in results:
-            results.append(version)
-        return current(cluster, away)
+        version = cluster.machines[lagging].replica.version
+        if version and version not in restored_versions:
+            restored_versions.append(version)
+        return current(cluster, lagging)
 
     cluster.until(restored, RECOVERY_TIMEOUT_NS)
-    assert results == [1000] and cluster.chunks_sent - before <= CHUNKS + 1
+    assert restored_versions == [1000] and cluster.chunks_sent - before <= CHUNKS + 1
 
 
 def test_snapshot_over_a_slow_link_does_not_cause_an_election():
-    cluster, leader, away = behind_by_a_large_snapshot()
+    cluster, leader, lagging = behind_by_a_large_snapshot()
     cluster.conditions = Conditions(bytes_per_s=250_000)
     before, elections = cluster.chunks_sent, cluster.machines[leader].elections
-    cluster.start(away)
-    cluster.until(lambda: current(cluster, away), RECOVERY_TIMEOUT_NS)
-    assert cluster.machines[away].replica.text == LARGE_TEXT
+    cluster.start(lagging)
+    cluster.until(lambda: current(cluster, lagging), RECOVERY_TIMEOUT_NS)
+    assert cluster.machines[lagging].replica.text == LARGE_TEXT
     assert cluster.chunks_sent - before <= 2 * CHUNKS
     assert cluster.leader().address == leader and cluster.machines[leader].elections == elections
 
@@ -449,68 +449,70 @@
 
 @pytest.mark.parametrize("chunk", range(1, CHUNKS + 1))
 def test_receiver_killed_at_any_chunk_restarts_and_never_has_a_partial_snapshot(chunk):
-    cluster, leader, away = behind_by_a_large_snapshot()
-    cluster.start(away)
-    cluster.until(lambda: chunks_received(cluster, away, chunk) or cluster.machines[away].replica.text == LARGE_TEXT)
-    cluster.kill(away)
-    cluster.start(away)
-    assert cluster.machines[away].replica.version < 1000 or cluster.machines[away].replica.text == LARGE_TEXT
-    cluster.until(lambda: current(cluster, away), RECOVERY_TIMEOUT_NS)
-    assert cluster.machines[away].replica.text == LARGE_TEXT
+    cluster, leader, lagging = behind_by_a_large_snapshot()
+    cluster.start(lagging)
+    cluster.until(
+        lambda: chunks_received(cluster, lagging, chunk) or cluster.machines[lagging].replica.text == LARGE_TEXT
+    )
+    cluster.kill(lagging)
+    cluster.start(lagging)
+    assert cluster.machines[lagging].replica.version < 1000 or cluster.machines[lagging].replica.text == LARGE_TEXT
+    cluster.until(lambda: current(cluster, lagging), RECOVERY_TIMEOUT_NS)
+    assert cluster.machines[lagging].replica.text == LARGE_TEXT
 
 
 @pytest.mark.parametrize("chunk", range(1, CHUNKS))
 def test_newer_snapshot_replaces_one_in_transfer(chunk):
-    cluster, leader, away = behind_by_a_large_snapshot()
-    cluster.start(away)
-    cluster.until(lambda: chunks_received(cluster, away, chunk))
-    cluster.partition(leader, away)
+    cluster, leader, lagging = behind_by_a_large_snapshot()
+    cluster.start(lagging)
+    cluster.until(lambda: chunks_received(cluster, lagging, chunk))
+    cluster.partition(leader, lagging)
     assert cluster.put(2000, LARGE_TEXT + b"newer", at=leader) == IN_FORCE
     append_records(cluster, 200)
     cluster.heal()
-    cluster.until(lambda: current(cluster, away), RECOVERY_TIMEOUT_NS)
-    assert cluster.machines[away].replica.text == LARGE_TEXT + b"newer"
+    cluster.until(lambda: current(cluster, lagging), RECOVERY_TIMEOUT_NS)
+    assert cluster.machines[lagging].replica.text == LARGE_TEXT + b"newer"
 
 
 @pytest.mark.parametrize("chunk", range(1, CHUNKS))
 def test_snapshot_transfer_completes_after_the_sender_is_killed(chunk):
-    cluster, leader, away = behind_by_a_large_snapshot()
-    cluster.start(away)
-    cluster.until(lambda: chunks_received(cluster, away, chunk))
+    cluster, leader, lagging = behind_by_a_large_snapshot()
+    cluster.start(lagging)
+    cluster.until(lambda: chunks_received(cluster, lagging, chunk))
     cluster.kill(leader)
     cluster.until(lambda: cluster.leader() is not None, RECOVERY_TIMEOUT_NS)
     assert cluster.leader().address != leader and cluster.leader().replica.text == LARGE_TEXT
-    cluster.until(lambda: current(cluster, away), RECOVERY_TIMEOUT_NS)
-    assert cluster.machines[away].replica.text == LARGE_TEXT
+    cluster.until(lambda: current(cluster, lagging), RECOVERY_TIMEOUT_NS)
+    assert cluster.machines[lagging].replica.text == LARGE_TEXT
 
 
 @pytest.mark.parametrize("lost_disk", [False, True])
 def test_member_catches_up_during_changes_every_100_ms(lost_disk):
-    cluster, leader, away = behind_by_a_large_snapshot()
+    cluster, leader, lagging = behind_by_a_large_snapshot()
     cluster.conditions = Conditions(delay=(100 * MILLISECOND, 200 * MILLISECOND))
     if lost_disk:
-        cluster.wipe(away)
-    cluster.start(away)
+        cluster.wipe(lagging)
+    cluster.start(lagging)
     for version in range(2000, 2150):
         cluster.order(leader, version, LARGE_TEXT + b"%d" % version)
         cluster.run(100 * MILLISECOND)
-    assert current(cluster, away) and cluster.machines[away].replica.version > 2100
+    assert current(cluster, lagging) and cluster.machines[lagging].replica.version > 2100
 
 
 def test_member_whose_disk_hangs_during_a_snapshot_catches_up_after_a_restart():
-    cluster, leader, away = behind_by_a_large_snapshot()
-    cluster.start(away)
-    cluster.until(lambda: chunks_received(cluster, away, 2))
-    cluster.hang(away)
+    cluster, leader, lagging = behind_by_a_large_snapshot()
+    cluster.start(lagging)
+    cluster.until(lambda: chunks_received(cluster, lagging, 2))
+    cluster.hang(lagging)
     cluster.run(10 * SECOND)
     assert cluster.put(2000, b"on", at=leader) == IN_FORCE
-    assert not current(cluster, away)
-    cluster.kill(away)
-    cluster.hang(away, False)
-    cluster.start(away)
-    assert cluster.machines[away].replica.version < 1000
-    cluster.until(lambda: current(cluster, away), RECOVERY_TIMEOUT_NS)
-    assert cluster.machines[away].replica.text == b"on"
+    assert not current(cluster, lagging)
+    cluster.kill(lagging)
+    cluster.hang(lagging, False)
+    cluster.start(lagging)
+    assert cluster.machines[lagging].replica.version < 1000
+    cluster.until(lambda: current(cluster, lagging), RECOVERY_TIMEOUT_NS)
+    assert cluster.machines[lagging].replica.text == b"on"
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -537,32 +539,32 @@
 
 def test_outdated_member_that_runs_alone_neither_leads_nor_is_current():
     cluster, leader, others = started_cluster()
-    away, stays = others
-    cluster.kill(away)
+    lagging, up_to_date = others
+    cluster.kill(lagging)
     put_all(cluster, range(1, 301))
     cluster.kill(leader)
-    cluster.kill(stays)
-    cluster.start(away)
-    attempt = cluster.order(away, 400, b"to the old one")
+    cluster.kill(up_to_date)
+    cluster.start(lagging)
+    attempt = cluster.order(lagging, 400, b"to the old one")
     for _ in range(2000):
         cluster.run(10 * MILLISECOND)
-        assert not leads(cluster, away) and not current(cluster, away)
+        assert not leads(cluster, lagging) and not current(cluster, lagging)
     assert attempt.answer in (None, UNKNOWN)
-    cluster.start(stays)
+    cluster.start(up_to_date)
     cluster.until(cluster.leader, RECOVERY_TIMEOUT_NS)
-    assert cluster.leader().address == stays
+    assert cluster.leader().address == up_to_date
     cluster.until(cluster.caught_up, RECOVERY_TIMEOUT_NS)
     assert texts(cluster) == {b"300"}
 
 
 def test_member_that_is_catching_up_is_not_elected():
-    cluster, leader, away = behind_by_a_large_snapshot()
-    stays = next(name for name in cluster.machines if name not in (leader, away))
-    cluster.start(away)
-    cluster.until(lambda: chunks_received(cluster, away, 2))
+    cluster, leader, lagging = behind_by_a_large_snapshot()
+    up_to_date = next(name for name in cluster.machines if name not in (leader, lagging))
+    cluster.start(lagging)
+    cluster.until(lambda: chunks_received(cluster, lagging, 2))
     cluster.restart(leader, after=5 * SECOND)
-    while not leads(cluster, stays):
-        assert not leads(cluster, away)
+    while not leads(cluster, up_to_date):
+        assert not leads(cluster, lagging)
         cluster.step()
-    cluster.until(lambda: current(cluster, away), RECOVERY_TIMEOUT_NS)
-    assert cluster.machines[away].replica.text == LARGE_TEXT and cluster.put(2000, b"on") == IN_FORCE
+    cluster.until(lambda: current(cluster, lagging), RECOVERY_TIMEOUT_NS)
+    assert cluster.machines[lagging].replica.text == LARGE_TEXT and cluster.put(2000, b"on") == IN_FORCE
--- a/tests/consensus/test_consensus_node.py
+++ b/tests/consensus/test_consensus_node.py
@@ -35,7 +35,7 @@
         self.without_messages, self.hanging_disks = (
             set(),
             set(),
-        )  # members that receive no messages; members whose disks hang
+        )  # names of members
         for name in names:
             self.start(name, Membership(0, names), first=True)
 
@@ -129,12 +129,12 @@
 def test_partitioned_leader_steps_down_and_its_uncommitted_entry_is_discarded():
     group = Group()
     group.advance(1)
-    lost = group.leader()
-    others = [name for name in NAMES if name != lost]
-    group.partitions = {frozenset((lost, other)) for other in others}
+    former = group.leader()
+    others = [name for name in NAMES if name != former]
+    group.partitions = {frozenset((former, other)) for other in others}
     group.propose(order(9))
     group.advance(LEASE_NS / SECOND + 1)
-    assert not group.nodes[lost].leads(group.now) and not group.nodes[lost].current(group.now)
+    assert not group.nodes[former].leads(group.now) and not group.nodes[former].current(group.now)
     assert group.leader() in others
     group.propose(order(5))
     group.advance(0.3)
@@ -160,8 +160,8 @@
     group = Group()
     group.advance(1)
     leader = group.leader()
-    away = next(name for name in NAMES if name != leader)
-    del group.nodes[away]
+    lagging = next(name for name in NAMES if name != leader)
+    del group.nodes[lagging]
     for version in range(1, 301):
         group.propose(order(version, b"x" * 2000))
         group.advance(0.01)
@@ -169,13 +169,13 @@
     group.carry_out(leader, node.compact(b"s" * 200_000))
     group.propose(order(400))
     group.advance(0.3)
-    group.start(away, Membership(0, NAMES))
+    group.start(lagging, Membership(0, NAMES))
     group.advance(1)
-    assert group.applied[away][0].state == b"s" * 200_000 and group.versions(away)[-1] == 400
-    assert group.nodes[away].current(group.now)
-    group.start(away, Membership(0, NAMES))
+    assert group.applied[lagging][0].state == b"s" * 200_000 and group.versions(lagging)[-1] == 400
+    assert group.nodes[lagging].current(group.now)
+    group.start(lagging, Membership(0, NAMES))
     group.advance(1)
-    assert group.versions(away)[-1] == 400
+    assert group.versions(lagging)[-1] == 400
 
 
 def test_dead_voter_is_replaced_by_a_caught_up_learner():
--- a/tests/consensus/test_effects_recorded.py
+++ b/tests/consensus/test_effects_recorded.py
@@ -70,7 +70,7 @@
         self._digest.update(msgspec.msgpack.encode((self.cluster.time, *values)))
 
     def run(self, steps: int) -> str:
-        """Scenario so many steps; the digest after them."""
+        """Execute this many steps of the cluster; return the digest after them."""
         for _ in range(steps):
             self.cluster.step()
             for machine in self.cluster.running():
@@ -99,27 +99,27 @@
 
 
 def replacements(seed: int, text_bytes: int = 4) -> Recorder:
-    """Leaving voters, including the leader, are replaced by standbys while orders of `text_bytes` are sent."""
+    """Leaving leaders are replaced by standbys while orders of `text_bytes` are sent."""
     cluster = ReplacingCluster(voter_count=3, losses=1, seed=seed, spare=3)
     recorder = Recorder(cluster)
     for machine in cluster.machines.values():
         machine.compact_after = 16
 
-    def leave() -> None:
+    def replace_leader() -> None:
         leader = cluster.leader()
         if leader is not None:
             cluster.terminate(leader.address)
             down = [name for name, machine in cluster.machines.items() if not machine.runs]
             cluster.start(cluster.random.choice(down))
-        cluster.schedule(7 * SECOND, leave)
+        cluster.schedule(7 * SECOND, replace_leader)
 
-    def operate(version: int) -> None:
+    def send_order(version: int) -> None:
         running = [machine.address for machine in cluster.running()]
         cluster.order(cluster.random.choice(running), version, (b"%d" % version).ljust(text_bytes))
-        cluster.schedule(SECOND // 10, lambda: operate(version + 1))
+        cluster.schedule(SECOND // 10, lambda: send_order(version + 1))
 
-    cluster.schedule(2 * SECOND, leave)
-    cluster.schedule(SECOND, lambda: operate(1))
+    cluster.schedule(2 * SECOND, replace_leader)
+    cluster.schedule(SECOND, lambda: send_order(1))
     return recorder
 
 
@@ -131,17 +131,17 @@
         machine.compact_after = 4
     cluster.conditions = Conditions(bytes_per_s=200_000, loss=0.05)
 
-    def leave() -> None:
+    def freeze_follower() -> None:
         leader = cluster.leader()
         name = cluster.random.choice([name for name in cluster.machines if leader is None or name != leader.address])
         cluster.freeze(name)
         cluster.schedule(cluster.random.randrange(16 * SECOND), lambda: cluster.thaw(name))
-        cluster.schedule(20 * SECOND, leave)
+        cluster.schedule(20 * SECOND, freeze_follower)
 
-    def operate(version: int) -> None:
+    def send_order(version: int) -> None:
         running = [machine.address for machine in cluster.running()]
         cluster.order(cluster.random.choice(running), version, (b"%d" % version).ljust(100_000))
-        cluster.schedule(2 * SECOND, lambda: operate(version + 1))
+        cluster.schedule(2 * SECOND, lambda: send_order(version + 1))
 
     def record(number: int) -> None:
         leader = cluster.leader()
@@ -149,8 +149,8 @@
             cluster.propose(leader, b"%d" % number)
         cluster.schedule(SECOND // 20, lambda: record(number + 1))
 
-    cluster.schedule(2 * SECOND, leave)
-    cluster.schedule(SECOND, lambda: operate(1))
+    cluster.schedule(2 * SECOND, freeze_follower)
+    cluster.schedule(SECOND, lambda: send_order(1))
     cluster.schedule(SECOND, lambda: record(1))
     return recorder
 
--- a/tests/consensus/test_membership_model.py
+++ b/tests/consensus/test_membership_model.py
@@ -75,7 +75,7 @@
     remaining: Bounds  # remaining steps of each kind
 
 
-class InvariantViolation(Exception):
+class InvariantViolationError(Exception):
     """An invariant does not hold in a reached state."""
 
 
@@ -111,7 +111,7 @@
 
 @cache
 def minimal_quorums(group, defect=None):
-    """The quorums that are no quorum without any one of their members."""
+    """The quorums of which no smaller subset is a quorum."""
     found = []
     for agreeing in range(1 << len(ALL_MEMBERS)):
         if is_quorum(group, agreeing, defect):
@@ -122,7 +122,7 @@
 
 
 def freshness(log):
-    """The value that a voter compares: a candidate's must not be lower than its own."""
+    """The sort key of logs: a voter votes for no candidate whose key is lower than its own."""
     return (log[-1].term if log else 0, len(log))
 
 
@@ -185,14 +185,16 @@
             members[identity] = members[identity]._replace(term=term, match=None)
         members[member_id] = members[member_id]._replace(match=own_match(member_id, member.log))
         if member.log[: len(state.committed)] != state.committed:
-            raise InvariantViolation("durability: elected without all committed entries", f"elect {member_id} {chosen}")
+            raise InvariantViolationError(
+                "durability: elected without all committed entries", f"elect {member_id} {chosen}"
+            )
         yield f"elect {member_id} {chosen}", state._replace(members=tuple(members))
 
 
 def would_vote(state, voter, candidate, defect):
     """Whether `voter` runs and the candidate's log is at least as up-to-date as its own."""
-    own, asked = state.members[voter], state.members[candidate]
-    if own.wiped or freshness(own.log) > freshness(asked.log):
+    own, other = state.members[voter], state.members[candidate]
+    if own.wiped or freshness(own.log) > freshness(other.log):
         return False
     if defect != "votes denied to candidates that an uncommitted membership excludes":
         return True
@@ -200,7 +202,7 @@
     if known == 0 and voter >= INITIAL_VOTERS:
         return True  # it knows no membership yet
     group, _ = newest(own.log)
-    return bool(group.all_voters >> candidate & 1) or epoch(asked.log) > known
+    return bool(group.all_voters >> candidate & 1) or epoch(other.log) > known
 
 
 def own_match(leader_id, log):
@@ -267,7 +269,7 @@
         if is_quorum(group, bits(identity for identity in ALL_MEMBERS if leader.match[identity] >= index), defect):
             common = min(index, len(state.committed))
             if leader.log[:common] != state.committed[:common]:
-                raise InvariantViolation("durability: two leaders committed different entries", name)
+                raise InvariantViolationError("durability: two leaders committed different entries", name)
             if index > len(state.committed):
                 return state._replace(committed=leader.log[:index])
             return state
@@ -303,7 +305,7 @@
 
 
 def check(state, defect):
-    """Raise `InvariantViolation` if two leaders can commit, or if fewer losses than `TOLERATED` are tolerated."""
+    """Raise `InvariantViolationError` if two leaders can commit, or if fewer losses than `TOLERATED` are tolerated."""
     leaders = [(member.term, member_id) for member_id, member in enumerate(state.members) if member.match is not None]
     newest_term = max(leaders, default=(0, 0))[0]
     for term, member_id in leaders:
@@ -316,14 +318,14 @@
             if not state.members[identity].wiped and state.members[identity].term <= term
         )
         if term == newest_term or is_quorum(newest(state.members[member_id].log)[0], answering, defect):
-            raise InvariantViolation("single leader: two leaders have quorums that do not intersect", "")
+            raise InvariantViolationError("single leader: two leaders have quorums that do not intersect", "")
     lost = bits(lost_members(state))
     if lost.bit_count() < TOLERATED:
         running = [identity for identity in ALL_MEMBERS if not state.members[identity].wiped]
         if not all(electable(state, identity, defect) for identity in running):
-            raise InvariantViolation("availability: the next loss is not tolerated", "")
+            raise InvariantViolationError("availability: the next loss is not tolerated", "")
     elif not electable(state, None, defect):
-        raise InvariantViolation("availability: no member can be elected", "")
+        raise InvariantViolationError("availability: no member can be elected", "")
 
 
 def electable(state, missing, defect):
@@ -424,7 +426,7 @@
                 visited.add(found)
                 check(after, defect)
                 queue.append((after, (name, trace_links) if traced else None))
-        except InvariantViolation as violation:
+        except InvariantViolationError as violation:
             invariant, last = violation.args
             trace = [last or name]
             while trace_links is not None:
--- a/tests/consensus/test_membership_planning.py
+++ b/tests/consensus/test_membership_planning.py
@@ -36,8 +36,8 @@
 
 def known_members(text, now=NOW):
     known = []
-    for written in text.split():
-        member, _, states = written.partition(":")
+    for notation in text.split():
+        member, _, states = notation.partition(":")
         name, _, zone = member.partition("@")
         states = states.split("+") if states else []
         age = max([HEARD_BEFORE.get(state, 0) for state in states] + [RECENTLY])
@@ -69,8 +69,14 @@
     ("a silent voter without a standby stays", "a b c", "a@x b@y c@z:silent", 3, None),
     ("a silent voter is replaced", "a b c", "a@x b@y c@z:silent d@z", 3, "a b d"),
     ("a standby of the same zone is preferred", "a b c", "a@x b@y c@z:silent d@w e@z", 3, "a b e"),
-    ("else one of the zone with fewest voters", "a b c", "a@x b@y c@z:silent d@x e@w", 3, "a b e"),
-    ("else one of any zone", "a b c", "a@x b@y c@z:silent d@x", 3, "a b d"),
+    (
+        "without one of the same zone, one of the zone with fewest voters",
+        "a b c",
+        "a@x b@y c@z:silent d@x e@w",
+        3,
+        "a b e",
+    ),
+    ("the only standby is used whatever its zone", "a b c", "a@x b@y c@z:silent d@x", 3, "a b d"),
     ("a fading voter is not silent", "a b c", "a@x b@y c@z:fading d@z", 3, None),
     ("a voter that the leader does not know stays", "a b c", "a@x b@y d@z", 3, None),
     ("a flapping voter that is back stays", "a b c", "a@x b@y c@z d@z", 3, None),
@@ -155,13 +161,19 @@
     ("a silent voter is replaced before voters are added", "a b c", "a b c:silent d e", 5, "a b d"),
     ("replacement and growth in one change", "a b c", "a b c:silent d e f", 5, "a b d e f"),
     ("surplus voters: a silent one is removed first", "a b c d e", "a b c:silent d e", 3, "a b d"),
-    ("surplus voters: then a leaving one", "a b c d e", "a b:leaving c d e:silent", 3, "a c d"),
-    ("surplus voters: then one of the zone with most voters", "a b c d e", "a@x b@x c@x d@y e@z", 3, "a d e"),
+    ("surplus voters: after silent ones a leaving one is removed", "a b c d e", "a b:leaving c d e:silent", 3, "a c d"),
+    (
+        "surplus voters: if all are healthy, those of the zone with most voters are removed",
+        "a b c d e",
+        "a@x b@x c@x d@y e@z",
+        3,
+        "a d e",
+    ),
     ("surplus voters: the leader stays", "a b c d", "a@x b@y c@z d@w", 1, "a"),
     ("four voters, two silent: no majority", "a b c d", "a b c:silent d:silent e", 3, None),
     ("removal and replacement in one change", "a b c d e f g", "a b c d e:silent f:silent g:silent h", 5, "a b c d h"),
     ("seven voters, two losses, three silent", "a b c d e f g", "a b c d e:silent f:silent g:silent", 5, "a b c d e"),
-    ("never below the target", "a b c", "a b c:silent", 3, None),
+    ("voters are not removed below the target", "a b c", "a b c:silent", 3, None),
     ("eleven voters shrink to five", "a b c d e f g h i j k", "a b c d e f g h i j k", 5, "a b c d e"),
 ]
 
@@ -267,7 +279,9 @@
         pytest.param("a b c", "", "a:leaving b@z c@y", "c", id="a leaving leader hands over among zones"),
         pytest.param("a b c", "", "a:leaving b:behind c", "c", id="only a caught-up voter can take over"),
         pytest.param("a b c", "", "a:leaving b:fading c", "c", id="only a voter that replied recently can take over"),
-        pytest.param("a b c", "", "a:leaving b:leaving c:silent", None, id="no voter that stays"),
+        pytest.param(
+            "a b c", "", "a:leaving b:leaving c:silent", None, id="a leaving leader stays if no other voter can lead"
+        ),
         pytest.param("a b c", "", "a:leaving b:leaving c:silent d", None, id="a standby cannot take over"),
         pytest.param("a b c", "", "a:leaving b b2 c", "c", id="a voter that lost its disk cannot take over"),
         pytest.param("a", "", "a:leaving b", None, id="a leader that is the only voter stays"),
--- a/tests/consensus/test_model.py
+++ b/tests/consensus/test_model.py
@@ -7,11 +7,13 @@
 
     campaign m      m starts a term and votes for itself, once its promise has expired
     vote c v        v votes for c, if no promise, earlier vote or newer log forbids it; `lost`: c does not get the vote
+    refuse c v      v has a newer log than c: it adopts c's term without a vote
     append l f      f copies the leader's log, renews its promise and replies; the leader commits entries of its term
                     that a majority has; `lost`: the leader does not get the reply; `old`: only entries of earlier terms
     heartbeat l f   the same without entries, for example while the follower's disk is slow
     propose l o     the leader appends order `o`, a version and a text
     transfer l h    the leader releases its lease and asks h to campaign at once
+    depose l        a leader learns of a newer term from a follower and steps down
     quit l          a leader without a lease becomes a follower
     restart m       m loses its memory; a leader also loses entries that only its own memory had
     wipe m          m also loses its disk; its machine returns as a new member without a vote
@@ -88,7 +90,7 @@
     crashes: int = 1
 
 
-class InvariantViolation(Exception):
+class InvariantViolationError(Exception):
     """An invariant does not hold."""
 
 
@@ -260,7 +262,7 @@
     for name, count in sent.items():
         log, changed = merged(follower.log, own.log[:count])
         if changed < min(follower.commit, count):
-            raise InvariantViolation(f"{name} {member_id} {other}: replaces a committed entry")
+            raise InvariantViolationError(f"{name} {member_id} {other}: replaces a committed entry")
         if name != "append" and log == merged(follower.log, own.log)[0]:
             continue
         if name == "append old" and log == follower.log:
@@ -305,23 +307,23 @@
 
 
 def check(state, defect):
-    """The state with its committed log updated; raises `InvariantViolation` if an invariant does not hold."""
+    """The state with its committed log updated; raises `InvariantViolationError` if an invariant does not hold."""
     committed = state.committed
     for member in state.members:
         applied = member.log[: member.commit]
         if applied[: len(committed)] != committed[: len(applied)]:
-            raise InvariantViolation("two different entries committed at one index")
+            raise InvariantViolationError("two different entries committed at one index")
         if len(applied) > len(committed):
             committed = applied
     texts = {}
     for number, text in in_force(committed, defect):
         if texts.setdefault(number, text) != text:
-            raise InvariantViolation("two texts in force for one version")
+            raise InvariantViolationError("two texts in force for one version")
     leaders = [member for member in state.members if leads(member, defect)]
     if any(leader.commit < len(committed) for leader in leaders):
-        raise InvariantViolation("a member leads without all committed entries")
+        raise InvariantViolationError("a member leads without all committed entries")
     if len(leaders) > 1:
-        raise InvariantViolation("two members lead at once")
+        raise InvariantViolationError("two members lead at once")
     return state if committed is state.committed else state._replace(committed=committed)
 
 
@@ -375,7 +377,7 @@
                 if key not in visited:
                     visited.add(key)
                     queue.append((after, (name, trace_links)))
-        except InvariantViolation as violation:
+        except InvariantViolationError as violation:
             trace = [str(violation)] if str(violation).startswith(("append", "heartbeat")) else [name]
             while trace_links is not None:
                 trace.append(trace_links[0])
--- a/tests/consensus/test_replacement.py
+++ b/tests/consensus/test_replacement.py
@@ -128,12 +128,12 @@
 def test_disk_loss_before_any_event_of_a_planned_replacement_is_tolerated():
     """Three voters. d replaces the leaving c while a machine loses its disk and returns with a new identity."""
 
-    def kept(cluster):
+    def has_three_voters(cluster):
         return len(cluster.voters()) == 3 and cluster.has_voters(cluster.voters())
 
     for scenario in scenarios_with_loss(planned_replacement(1), d_is_a_voter, "abcd", (WIPED,), stride=3):
         scenario.cluster.run(scenario.loss.lasts)
-        scenario.cluster.until(lambda cluster=scenario.cluster: kept(cluster), RECOVERY_TIMEOUT_NS)
+        scenario.cluster.until(lambda cluster=scenario.cluster: has_three_voters(cluster), RECOVERY_TIMEOUT_NS)
         scenario.cluster.check_serves(2)
 
 
@@ -147,10 +147,10 @@
         cluster.elect()
         return cluster
 
-    def five(cluster):
+    def has_five_voters(cluster):
         return len(cluster.voters()) == 5 and cluster.has_voters(cluster.voters())
 
-    for scenario in scenarios_with_loss(begin, five, "abcde", (GONE, WIPED), stride=60):
+    for scenario in scenarios_with_loss(begin, has_five_voters, "abcde", (GONE, WIPED), stride=60):
         scenario.cluster.check_serves(1)
         scenario.cluster.run(SYNC_TIMEOUT_NS)
         assert len(scenario.cluster.voters()) == 5
@@ -211,12 +211,12 @@
     cluster.run(SYNC_TIMEOUT_NS)
     assert cluster.has_voters("abd") or cluster.has_voters("abe")
     assert len(cluster.changes) == 1
-    taken, waits = ("d", "e") if "d" in cluster.voters() else ("e", "d")
+    new_voter, standby = ("d", "e") if "d" in cluster.voters() else ("e", "d")
     cluster.kill("b")
     cluster.until_voters("ade", SYNC_TIMEOUT_NS)
-    cluster.wipe(taken)
+    cluster.wipe(new_voter)
     cluster.check_serves(2)
-    assert waits in cluster.voters()
+    assert standby in cluster.voters()
 
 
 def test_new_member_of_the_same_zone_is_preferred():
@@ -270,7 +270,7 @@
     cluster.start("d")
     cluster.run(SECOND)
     cluster.isolate(leader, keep=keep)
-    old = cluster.machines[leader]
+    former = cluster.machines[leader]
     stale = [cluster.order(leader, 2, b"stale")]
     cluster.run(LEASE_NS)
     members = "".join(sorted([*others, "d"]))
@@ -279,13 +279,13 @@
         stale.append(cluster.order(leader, version, b"stale"))
         assert cluster.put(version, b"%d" % version, at="d") == IN_FORCE
         assert cluster.read(leader).answer != IN_FORCE
-    assert old.node.epoch < cluster.machines["d"].node.epoch
+    assert former.node.epoch < cluster.machines["d"].node.epoch
     cluster.heal()
     cluster.until(cluster.caught_up)
     cluster.run(3 * SECOND)
     assert all(attempt.answer != IN_FORCE for attempt in stale)
-    assert old.node.epoch == cluster.machines["d"].node.epoch
-    assert not old.node.is_voter and old.replica.text == b"3"
+    assert former.node.epoch == cluster.machines["d"].node.epoch
+    assert not former.node.is_voter and former.replica.text == b"3"
     assert cluster.has_voters(members)
 
 
@@ -349,8 +349,8 @@
     cluster.start("d")
     cluster.run(SECOND)
     cluster.terminate("a", grace=60 * SECOND)
-    old = cluster.machines["a"]
-    cluster.until(lambda: has_final(old) or old.node.role != Role.LEADER, 2 * SECOND)
+    former = cluster.machines["a"]
+    cluster.until(lambda: has_final(former) or former.node.role != Role.LEADER, 2 * SECOND)
     cluster.partition_off("a", "d")
     cluster.run(500 * MILLISECOND)
     if power_lost:
@@ -386,12 +386,12 @@
     first = Entry(1, 1, Noop())
     change_of_a = Entry(2, 1, ChangeMembership(Membership(2, (a, b, d), (a, b, c))))
     change_of_b = Entry(2, 2, ChangeMembership(Membership(2, (b, c, e), (a, b, c))))
-    more = Entry(3, 2, Noop())
+    last = Entry(3, 2, Noop())
     logs = {
         "a": (HardState(1, a, a), [first, change_of_a]),
         "c": (HardState(2, b, b), [first, change_of_b]),
         "d": (HardState(1, "", a), [first]),
-        "e": (HardState(2, "", b), [first, change_of_b, more]),
+        "e": (HardState(2, "", b), [first, change_of_b, last]),
     }
     for name, (hard_state, entries) in logs.items():
         disk = cluster.machines[name].disk
@@ -434,11 +434,11 @@
 
 def print_times(seeds):
     """Print median and longest times over `seeds` runs for each case."""
-    for who, leaver in (("leader", 0), ("follower", 1)):
+    for role, leaver in (("leader", 0), ("follower", 1)):
         times = sorted(measure_handover(leaver, seed) for seed in range(1, seeds + 1))
-        print(f"{who} leaves, new member ready: {times[seeds // 2]} ms since the SIGTERM, at most {times[-1]} ms")
-    for who, lost in (("leader", 0), ("follower", 1)):
-        for what, wait in (
+        print(f"{role} leaves, new member ready: {times[seeds // 2]} ms since the SIGTERM, at most {times[-1]} ms")
+    for role, lost in (("leader", 0), ("follower", 1)):
+        for start, wait in (
             ("at once", 0),
             ("after 1 s", SECOND),
             ("after 5 s", 5 * SECOND),
@@ -447,7 +447,7 @@
             times_by_seed = [measure_replacement(lost, wait, seed) for seed in range(1, seeds + 1)]
             results = [f"{sorted(times)[len(times) // 2]}, at most {max(times)} ms" for times in zip(*times_by_seed)]
             print(
-                f"{who} lost, new member {what}: since the loss {results[0]}; since the new member's start {results[1]}"
+                f"{role} lost, new member {start}: since the loss {results[0]}; since the new member's start {results[1]}"
             )
 
 
--- a/tests/consensus/test_review.py
+++ b/tests/consensus/test_review.py
@@ -109,7 +109,7 @@
 
 
 def test_a_member_killed_while_a_snapshot_replaces_old_entries_catches_up_after_its_restart():
-    """As above, but the member is killed before the snapshot is durable, and restarts with its old entries."""
+    """As in the previous test, but the member is killed before the snapshot is durable, and restarts with its old entries."""
     follower, chunk = follower_with_uncommitted_tail()
     now = START + 10 * MILLISECOND
     hard_state = next(effect for effect in follower.receive(now, C, chunk) if isinstance(effect, Persist))
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_former_leader_killed_while_a_snapshot_replaces_its_entries_catches_up_within_3000_steps(seed):
-    """The same in a complete cluster: a leader is isolated with 30 uncommitted orders, the others commit more and restart, and
+    """The same on a simulated cluster: a leader is isolated with 30 uncommitted orders, the others commit more and restart, and
     it is killed after replying twice to the snapshot's chunk, before its disk has the snapshot."""
     cluster = Cluster(3, seed)
     for machine in cluster.machines.values():
@@ -237,7 +237,7 @@
 
 
 def test_stale_vote_request_by_transfer_is_rejected():
-    """The leader of term 1 transferred leadership; its successor's vote request arrives when term 2 has another leader."""
+    """The leader of term 1 transferred leadership; the successor's vote request arrives after term 2 got another leader."""
     node = member(B, HardState(1, A, A), [order(1, 1)], first_start=False)
     heartbeat = Append(2, 1, 1, 1, (), 0, 1)
     persist_all(node, START, node.receive(START, C, heartbeat))
