--- a/kestrelplank/control/log_writer.py
+++ b/kestrelplank/control/log_writer.py
@@ -21,7 +21,7 @@
 
     - Writes are made, and reported durable, in the order in which they were submitted:
       `test_pending_writes_are_batched_and_reported_in_order`.
-    - A failed write is retried before any later write is made:
+    - A failed write is retried unchanged before any later write is made:
       `test_a_failed_write_is_retried_unchanged_before_any_later_write`.
 
     :param handle_persisted: called in the loop's thread with the number of each `Persist` that is durable.
--- a/kestrelplank/control/member.py
+++ b/kestrelplank/control/member.py
@@ -157,7 +157,7 @@
         return self._take_effects(now)
 
     def handle_persisted(self, now: int, number: int) -> list[Effect]:
-        """Handle that the `Persist` with that number, and all before it, are durable."""
+        """Handle the report that the `Persist` with that number, and all before it, are durable."""
         self._replica.handle_persisted(now, number)
         return self._take_effects(now)
 
@@ -214,7 +214,7 @@
         self.lifecycle.tick(now)
         return self._take_effects(now)
 
-    # Queries of the program.
+    # Queries by the program.
 
     def may_stop(self, now: int) -> bool:
         """Whether this member may exit, as waiting longer would make no data safer."""
--- a/kestrelplank/control/member_lifecycle.py
+++ b/kestrelplank/control/member_lifecycle.py
@@ -64,7 +64,7 @@
         return newest is not None and self._node.identity in newest.all_voters()
 
     def is_searching(self, now: int) -> bool:
-        """Whether to search all known addresses, as contact with the known voters has not made this member current."""
+        """Whether to search all known addresses: without a membership at once, otherwise after `SEARCH_DELAY_NS`."""
         if self._last_current_at is None:
             knows_members = self._node.membership is not None
             return not knows_members or now - self._started_at >= SEARCH_DELAY_NS
@@ -100,7 +100,7 @@
         self._replica.send(sender, MembershipUpdate(membership, leader, self.standbys(now)))
 
     def standbys(self, now: int) -> tuple[str, ...]:
-        """Return the members that run and are not voters."""
+        """Return the running members that are not voters."""
         membership = self.committed_membership()
         voters = membership.all_voters() if membership else ()
         return tuple(identity for identity in self._directory.running(now) if identity not in voters)
@@ -131,7 +131,7 @@
                 self._replica.send(identity, MembershipQuery())
 
     def _likely_leaders(self, searching: bool) -> list[str]:
-        """Return the known leader; if there is none or this member is searching, all voters."""
+        """Return the known leader; without one, or while searching, the leader last reported and all voters."""
         if self._node.leader and not searching:
             identities = [self._node.leader]
         else:
--- a/kestrelplank/control/member_sessions.py
+++ b/kestrelplank/control/member_sessions.py
@@ -49,20 +49,20 @@
         self._port = port
         self._handle_message = handle_message
         self._inbound: Sessions[MemberConnection] = Sessions()
-        self._dialled: dict[str, MemberConnection] = {}  # by control address
-        self._dialling: dict[str, asyncio.Task[None]] = {}  # by control address
+        self._outbound: dict[str, MemberConnection] = {}  # by control address
+        self._outbound_tasks: dict[str, asyncio.Task[None]] = {}  # by control address
         # By control address: time of the first message sent on the outbound connection since the member was last heard.
         self._unanswered_since: dict[str, int] = {}
 
     def keep_sessions_with(self, addresses: list[str]) -> None:
         """Keep an outbound connection to each of these addresses, and close those to all other addresses."""
         for address in addresses:
-            if address not in self._dialling:
-                self._dialling[address] = asyncio.create_task(self._keep_connected(address))
-        for address in [address for address in self._dialling if address not in addresses]:
-            self._dialling.pop(address).cancel()
+            if address not in self._outbound_tasks:
+                self._outbound_tasks[address] = asyncio.create_task(self._keep_connected(address))
+        for address in [address for address in self._outbound_tasks if address not in addresses]:
+            self._outbound_tasks.pop(address).cancel()
             self._unanswered_since.pop(address, None)
-            connection = self._dialled.pop(address, None)
+            connection = self._outbound.pop(address, None)
             if connection is not None:
                 connection.reset()
 
@@ -71,14 +71,14 @@
         for address, since in list(self._unanswered_since.items()):
             if now - since > UNANSWERED_TIMEOUT_NS:
                 del self._unanswered_since[address]
-                connection = self._dialled.get(address)
+                connection = self._outbound.get(address)
                 if connection is not None:
                     connection.reset()
 
     def send(self, to: str, message: Message) -> None:
         """Send to the member with that identity; the message is dropped if there is no session."""
         address = address_of(to)
-        connection = self._dialled.get(address)
+        connection = self._outbound.get(address)
         session = self._inbound.by_name.get(to)
         if connection is not None and connection.is_open:
             self._unanswered_since.setdefault(address, time.monotonic_ns())
@@ -88,7 +88,7 @@
 
     def send_to_address(self, address: str, message: Message) -> None:
         """Send to the member at that control address; the message is dropped if there is no outbound connection."""
-        connection = self._dialled.get(address)
+        connection = self._outbound.get(address)
         if connection is not None:
             self._unanswered_since.setdefault(address, time.monotonic_ns())
             connection.send(Envelope(self._identity, "", message))
@@ -106,17 +106,17 @@
         """Close all outbound connections."""
         self.keep_sessions_with([])
 
-    def _handle_dialled(self, connection: MemberConnection, envelope: ToMember) -> None:
+    def _handle_outbound(self, connection: MemberConnection, envelope: ToMember) -> None:
         """Deliver a message from an outbound connection.
 
         `connection.peer` is the dialled address and the identity of the first sender, None until a message arrives.
         """
-        address, speaker = connection.peer
-        if self._dialled.get(address) is not connection or not isinstance(envelope, Envelope):
+        address, first_sender = connection.peer
+        if self._outbound.get(address) is not connection or not isinstance(envelope, Envelope):
             return
-        if speaker is None:
+        if first_sender is None:
             connection.peer = (address, envelope.sender)
-        elif speaker != envelope.sender:
+        elif first_sender != envelope.sender:
             return
         self._deliver(envelope)
 
@@ -135,14 +135,14 @@
                 await asyncio.sleep(REDIAL_INTERVAL_S)
                 continue
             connection.peer = (address, None)
-            self._dialled[address] = connection
+            self._outbound[address] = connection
             self._unanswered_since.pop(address, None)
             try:
                 await ended.wait()
             finally:
                 connection.reset()
-                if self._dialled.get(address) is connection:
-                    del self._dialled[address]
+                if self._outbound.get(address) is connection:
+                    del self._outbound[address]
             await asyncio.sleep(REDIAL_AFTER_END_S)
 
     async def _connect(self, address: str, ended: asyncio.Event) -> MemberConnection:
@@ -154,7 +154,7 @@
         host = parse_address(address)[0]
         async with asyncio.timeout(DIAL_TIMEOUT_S):
             _, connection = await asyncio.get_running_loop().create_connection(
-                lambda: FrameConnection(decode_at_member, self._handle_dialled, lambda _: ended.set()),
+                lambda: FrameConnection(decode_at_member, self._handle_outbound, lambda _: ended.set()),
                 host,
                 self._port,
             )
--- a/kestrelplank/control/membership_reconciler.py
+++ b/kestrelplank/control/membership_reconciler.py
@@ -38,7 +38,8 @@
     def handle_elected(self, now: int) -> None:
         """Count each voter as heard now, as a newly elected leader has no replies from them yet.
 
-        The exception is the former leader, which was last heard at its last heartbeat.
+        The exception is the former leader: it counts as heard at its last heartbeat, or as late as leaves it
+        `FIRST_REPLY_TIME_NS` to reply.
         """
         self._elected_at = now
         self._former_leader = self._node.last_heard_leader
@@ -110,7 +111,7 @@
         self._replica.transfer_leadership(now)
 
     def _reconcile_learners(self, now: int) -> None:
-        """Make exactly the members that ask to be voters and are not voters yet the learners."""
+        """Add and remove learners, so that they are the members that ask to be voters and are not voters yet."""
         voters = self._replica.voters()
         requesting = [member.identity for member in self._directory.requesting(now) if member.identity not in voters]
         for identity in requesting:
--- a/kestrelplank/control/replica.py
+++ b/kestrelplank/control/replica.py
@@ -63,7 +63,7 @@
         self.log(f"steps down from leading term {self._led_term}: {reason}")
 
     def handle_persisted(self, now: int, number: int) -> None:
-        """Handle that the `Persist` with that number, and all before it, are durable."""
+        """Handle the report that the `Persist` with that number, and all before it, are durable."""
         if self._compaction_number is not None and number >= self._compaction_number:
             self._compaction_number = None
         self.add_events(self.node.persisted(now, number))
--- a/kestrelplank/control/server_discovery.py
+++ b/kestrelplank/control/server_discovery.py
@@ -16,7 +16,7 @@
 FETCH_INTERVAL_NS = SECOND // 2
 """Age of the list at which the leader fetches it."""
 FETCH_STAGGER_NS = SECOND // 2
-"""Additional age of the list at which each next voter, in order, fetches it in place of those before it."""
+"""The n-th voter after the leader fetches the list at an age that is n times this higher, if no other has."""
 
 
 class ServerDiscovery:
--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -32,7 +32,7 @@
 DEFAULT_MAX_LEASE_NS = 10 * SECOND
 FIRST_RANGES_PER_SERVER = 4
 SERVER_LIST_STABLE_NS = 1600 * MILLISECOND
-"""The first list fills slowly; it counts as complete once it is unchanged for this time."""
+"""At the first start the list fills slowly; it counts as complete once it has not changed for this time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,8 +116,8 @@
         record, self._proposed = self._proposed, None
         self.key_ranges.handle_recorded(now)
         changes = self._changes(record)
-        since, self._committed, self._version = self._version, record, record.version
-        return PushKeyRanges(KeyRangesDelta(self.service, since, self._version, changes))
+        base_version, self._committed, self._version = self._version, record, record.version
+        return PushKeyRanges(KeyRangesDelta(self.service, base_version, self._version, changes))
 
     def _changes(self, record: ShardRecord) -> list[RangeHolder]:
         """Return the key ranges that `record` changes for edge machines.
@@ -177,11 +177,11 @@
         return CommitRecord(encode_record(self._proposed))
 
     def _push_releasing(self, releasing: list[KeyRange]) -> PushKeyRanges:
-        since = self._version
-        self._version = KeyRangesVersion(since.term, since.record, since.notice + 1)
+        base_version = self._version
+        self._version = KeyRangesVersion(base_version.term, base_version.record, base_version.notice + 1)
         in_order = sorted(releasing, key=lambda key_range: key_range.first)
         changes = [without_holder(key_range) for key_range in in_order]
-        return PushKeyRanges(KeyRangesDelta(self.service, since, self._version, changes))
+        return PushKeyRanges(KeyRangesDelta(self.service, base_version, self._version, changes))
 
     def full_update(self) -> KeyRangesUpdate:
         """Return all recorded ranges, and those that left their servers since, for an edge machine that lacks some."""
--- a/kestrelplank/policy/assigner_policy.py
+++ b/kestrelplank/policy/assigner_policy.py
@@ -22,8 +22,9 @@
     """All decisions of one assigner.
 
     Decisions depend on the order of steps in a round and on the order in which nodes and slices became known
-    (`test_recorded_day_gives_the_recorded_orders`). A withdrawal never leaves a slice without an endpoint, except
-    late in its deadline (`test_withdrawal_is_ordered_only_with_a_replacement_endpoint_for_the_slice`). An exclusive
+    (`test_recorded_day_gives_the_recorded_orders`). A withdrawal never leaves a slice without an endpoint
+    (`test_withdrawal_is_ordered_only_with_a_replacement_endpoint_for_the_slice`), except that of a restarted node, or
+    late in its deadline (`test_late_drains_and_restarts_are_withdrawn_without_a_replacement_endpoint`). An exclusive
     slice has one owner at a time (`test_exclusive_slice_opens_only_after_its_old_owner_has_surely_stopped`).
     """
 
@@ -258,9 +259,9 @@
     def _handle_joined_proxy(self, now: int, event: interface.ProxyJoined) -> None:
         """Mark the withdrawals that must be ordered again for a proxy that joined.
 
-        A proxy keeps withdrawals when the assigner restarts: a stale one leaves it without an endpoint, after a missed
-        one it keeps sending (rules 1, 3). A proxy known before gets only those it may have missed, to keep the queue
-        short.
+        A proxy keeps its withdrawals when the assigner restarts. A stale one can leave it without an endpoint; if it
+        missed one, it keeps sending to the node (rules 1, 3). A proxy known before is sent only those that it may have
+        missed, to keep the queue short.
         """
         applied_until = self.channel.join(now, event.proxy)
         known_before = applied_until >= 0
--- a/kestrelplank/policy/balancing.py
+++ b/kestrelplank/policy/balancing.py
@@ -40,14 +40,14 @@
         self._slice_loads = {owned.number: owned.load(state.period_ns) for owned in state.slices.values()}
 
     def _fits(self, load: float, index: int, max_level: float) -> bool:
-        """Whether a node with this load added stays within its own limit and at most at `max_level`."""
+        """Whether, with this load added, a node stays within its own limit and its level within `max_level`."""
         fleet = self._fleet
         if fleet.loads[index] + load > fleet.limits[index]:
             return False
         return self.levels[index] + load / fleet.weights[index] <= max_level
 
     def _least_loaded(self, load: float, nodes: Iterable[int]) -> int | None:
-        """Return the least loaded of the nodes that stay below the ceiling with this load added, if any."""
+        """Return the least loaded of the nodes that stay below the ceiling with this load added; None if none does."""
         levels, weights = self.levels, self._fleet.weights
         candidates = [index for index in nodes if self._fits(load, index, self.ceiling)]
         return min(candidates, key=lambda index: levels[index] + load / weights[index], default=None)
@@ -63,7 +63,7 @@
         self.levels[source] -= load / self._fleet.weights[source]
 
     def fill_new_nodes(self) -> None:
-        """Give each new node the busiest endpoint that keeps it below the mean, from the most loaded node with one."""
+        """Move one endpoint to each new node: from the most loaded node, the busiest that fits below the mean."""
         nodes = self._state.nodes
         new = sorted((index for index in self.levels if nodes[index].awaiting_load), key=self.levels.__getitem__)
         candidates = self._endpoints_above_mean() if new else []
--- a/kestrelplank/policy/ejection.py
+++ b/kestrelplank/policy/ejection.py
@@ -1,7 +1,7 @@
 """Ejection of unhealthy nodes before the node list reports them.
 
-At most a seventh of the nodes are ejected, and no slow node: it is overloaded, and without it the others would be next.
-Cost: a node that fails half of its ops keeps them.
+At most a seventh of the nodes are ejected, or one if there are fewer than seven. No slow node is ejected, as it is
+overloaded and the others would be next. Cost: a node that fails nearly half of its ops stays in use.
 """
 
 from collections.abc import Iterable
--- a/kestrelplank/policy/evacuation.py
+++ b/kestrelplank/policy/evacuation.py
@@ -22,9 +22,9 @@
     if not fleet.weights:
         readmit_all(state, now)
         return
-    # Slices just taken over count with the mean load until their reports arrive, as zeros would all go to one node.
+    # Slices just taken over count with the mean load until their reports arrive: with 0 all would go to one node.
     mean = sum(owned.load(state.period_ns) for owned in state.slices.values()) / len(state.slices) or 1.0
-    # Every peer evacuates now as well, with loads not known yet: each slice counts once more for every peer.
+    # Every peer evacuates now as well, and its moves are not reported yet: each slice counts once more for every peer.
     assigners = 1 + sum(
         now - received_at < PEER_LOADS_VALID_NS for received_at in state.peer_loads_received_at.values()
     )
--- a/kestrelplank/policy/node.py
+++ b/kestrelplank/policy/node.py
@@ -10,13 +10,13 @@
 
 
 class NodeState(Enum):
-    """A node's condition by the node lists."""
+    """A node's condition according to the node lists."""
 
     UNLISTED = "unlisted"
     UP = "up"
     DRAINING = "draining"
     REMOVED = "removed"
-    DROPPED = "dropped"  # missing from the list where only draining binds: used until it fails
+    DROPPED = "dropped"  # absent from or removed by a list, where only draining binds: used until it fails
 
 
 TO_EVACUATE = (NodeState.DRAINING, NodeState.REMOVED)
--- a/kestrelplank/policy/parameters.py
+++ b/kestrelplank/policy/parameters.py
@@ -24,7 +24,7 @@
 MIN_FAILURES = 4  # and that has at least this many failures
 MIN_ANSWERS = 4  # before a node's latency is used as its speed
 SLOW_MULTIPLE = 1.5  # of the median latency; slower nodes count as overloaded, not unhealthy
-EJECTED_DIVISOR = 7  # at most one in this many nodes is ejected
+EJECTED_DIVISOR = 7  # at most one in this many nodes is ejected, but one always may be
 MIN_EJECTION_NS, MAX_EJECTION_NS = 6 * SECOND, 24 * SECOND  # doubles with each ejection, between these bounds
 FLAP_WINDOW_NS = 60 * SECOND  # a node with several starts within it gets no slices for a while
 
--- a/kestrelplank/policy/publication.py
+++ b/kestrelplank/policy/publication.py
@@ -68,7 +68,7 @@
         return urgent, ordinary
 
     def _order_unconditional_withdrawals(self, now: int, due: list[Node], out: OrderWriter) -> None:
-        """Readmit nodes; withdraw restarted ones, and required ones late in their deadline, even if still needed."""
+        """Readmit nodes; withdraw restarted ones, and any that a rule requires late in its deadline, even if needed."""
         late_ns = self._state.settings.withdrawal_deadline_ns // 4
         for node in due:
             late = node.withdrawal_required() and now - node.withdrawal_changed_at > late_ns
--- a/kestrelplank/policy/state.py
+++ b/kestrelplank/policy/state.py
@@ -38,7 +38,7 @@
         return node
 
     def capacity_share(self, node: Node, now: int) -> float:
-        """Return the share of its capacity that a node has reached while it warms up."""
+        """Return the share of its capacity that a node can be relied on to have; below 1 while it warms up."""
         warm_up_ns, initial_share = self.settings.warm_up_ns, self.settings.cold_capacity_share
         if node.started_at is None or not warm_up_ns or now - node.started_at >= warm_up_ns:
             return 1.0
--- a/kestrelplank/transport/messages.py
+++ b/kestrelplank/transport/messages.py
@@ -6,7 +6,8 @@
   session. The member answers with a `MemberHeartbeat`, followed by updates of what the heartbeat shows to be outdated:
   a `ConfigurationUpdate`, a `KeyRangesUpdate` for each service, a `ServerListUpdate`.
 - Changes between heartbeats are pushed to all edge machines in session: a new configuration as a `ConfigurationUpdate`;
-  key ranges that the leader recorded, or that their holder is releasing, as a `KeyRangesDelta`.
+  a changed server list as a `ServerListUpdate`; all key ranges as a `KeyRangesUpdate` when a leader begins to assign
+  them, then those that it recorded, or that their holder is releasing, as a `KeyRangesDelta`.
 - Twice a second an edge machine sends a `LoadReport` for each service to the member that assigns the service's keys.
 - Every message between control members is sent in an `Envelope`.
 
@@ -54,7 +55,7 @@
     :param configuration_version: of the configuration in force at the machine; None: none yet.
     :param key_ranges: versions of the machine's key ranges, by service.
     :param server_list_digest: digest of the machine's server list; None: none yet.
-    :param sent_at: ns on the machine's own steady clock; the answer returns it.
+    :param sent_at: ns on the machine's own monotonic clock; the answer returns it.
     """
 
     edge: str
--- a/kestrelplank/transport/server_list.py
+++ b/kestrelplank/transport/server_list.py
@@ -1,7 +1,7 @@
 """The platform's list of servers, as the gateway's processes send it to each other.
 
 The list that was fetched later is the newer one. Each message has the age of its list, from which the receiver computes
-the time of the fetch on its own steady clock.
+the time of the fetch on its own monotonic clock.
 """
 
 from collections.abc import Iterable
--- a/tests/control/simulation.py
+++ b/tests/control/simulation.py
@@ -173,7 +173,7 @@
                 self.log_lines.append((self.now, name, effect.text))
             else:
                 assert isinstance(effect, WriteConfigurationCopy)
-                self.check_one_text(effect.version, effect.text)
+                self.check_version_has_one_text(effect.version, effect.text)
 
     # Messages.
 
@@ -197,7 +197,7 @@
 
     def send_to_edge(self, name, message):
         if isinstance(message, ConfigurationUpdate):
-            self.check_one_text(message.version, message.text)
+            self.check_version_has_one_text(message.version, message.text)
         before = self.edge.configuration.key.version if self.edge.configuration else -1
         self.edge.receive(self.now, name, message)
         assert (self.edge.configuration.key.version if self.edge.configuration else -1) >= before
@@ -274,7 +274,7 @@
             return
         server = self.servers[call.request.server]
         is_release = isinstance(call.request, ReleaseKeyRange)
-        sent = (is_release or self.now < call.leader_lease_until) and server.up  # else the connection is refused
+        sent = (is_release or self.now < call.leader_lease_until) and server.up  # otherwise the connection is refused
         status = None
         if sent and frozenset((name, call.request.server)) not in self.partitions:
             status = server.handle_call(self.now, call.request, body)
@@ -341,7 +341,7 @@
         leading = [name for name, member in self.members.items() if member.node.leads(self.now)]
         assert len(leading) <= 1, (leading, self.now)
 
-    def check_one_text(self, version, text):
+    def check_version_has_one_text(self, version, text):
         assert self.text_by_version.setdefault(version, text) == text
 
     def handle_order_answer(self, answer):
@@ -359,7 +359,7 @@
             version = parse_configuration(answer.text).unwrap().key.version if answer.text else -1
             assert version >= read.min_version
             if answer.text:
-                self.check_one_text(version, answer.text)
+                self.check_version_has_one_text(version, answer.text)
 
     # The operator.
 
--- a/tests/control/test_member_sessions.py
+++ b/tests/control/test_member_sessions.py
@@ -159,14 +159,14 @@
     async def scenario(first, second):
         first.sessions.keep_sessions_with([f"{SECOND_IP}:80"])
         await send_until_received(first, lambda: first.sessions.send(second.identity, UPDATE), second)
-        (vanished,) = first.sessions._dialled.values()
+        (vanished,) = first.sessions._outbound.values()
         sent_at = time.monotonic_ns()
         first.sessions.reset_unanswered(sent_at + UNANSWERED_TIMEOUT_NS // 2)
         assert vanished.is_open
         first.sessions.reset_unanswered(sent_at + UNANSWERED_TIMEOUT_NS + SECOND)
         assert not vanished.is_open
         await send_until_received(first, lambda: first.sessions.send(second.identity, UPDATE), second)
-        assert list(first.sessions._dialled.values()) != [vanished]
+        assert list(first.sessions._outbound.values()) != [vanished]
 
     run_scenario(scenario)
 
@@ -176,7 +176,7 @@
         first.sessions.keep_sessions_with([f"{SECOND_IP}:80"])
         await send_until_received(first, lambda: first.sessions.send(second.identity, UPDATE), second)
         await send_until_received(second, lambda: second.sessions.send(first.identity, UPDATE), first)
-        (connection,) = first.sessions._dialled.values()
+        (connection,) = first.sessions._outbound.values()
         first.sessions.reset_unanswered(time.monotonic_ns() + 3600 * SECOND)
         assert connection.is_open
 
--- a/tests/control/test_operator_orders.py
+++ b/tests/control/test_operator_orders.py
@@ -136,7 +136,8 @@
         name, other = NAMES[seed % 3], NAMES[(seed + 1) % 3]
         first, second = system.submit_order(name, 5), system.submit_order(other, 5, **OTHER_SERVICES)
         system.run_for(1)
-        assert first.acknowledged and second.acknowledged  # the losing one as not above the version in force
+        # The losing order is acknowledged too, as its version is not above the one in force.
+        assert first.acknowledged and second.acknowledged
         assert sorted((first.in_force, second.in_force)) == [False, True]  # only one is reported as in force
         assert len(in_force(system)) == 1 and in_force(system) <= {first.text, second.text}
 
--- a/tests/control/test_server_calls.py
+++ b/tests/control/test_server_calls.py
@@ -14,25 +14,25 @@
 from kestrelplank.time_units import SECOND
 
 
-def answer(status=200, more=""):
-    return f"HTTP/1.1 {status} X\r\n{more}Content-Length: 0\r\n\r\n".encode()
+def answer(status=200, extra_headers=""):
+    return f"HTTP/1.1 {status} X\r\n{extra_headers}Content-Length: 0\r\n\r\n".encode()
 
 
-RELEASED = answer(more="X-Handover: h\r\n")
+RELEASED = answer(extra_headers="X-Handover: h\r\n")
 
 
 class Calls:
     """The calls to one scripted server. `ended`: the type and the result of each request, by its first key."""
 
     def __init__(self, server):
-        self.server, self.ended, self.more = server, {}, asyncio.Event()
+        self.server, self.ended, self.result_added = server, {}, asyncio.Event()
         self.calls = ServerCalls(self.call_ended, f"{IP}:{server.port}")
 
     def call_ended(self, call, result):
         first = call.request.key_range.first
         assert first not in self.ended and call.service == "views"
         self.ended[first] = (type(call.request), result)
-        self.more.set()
+        self.result_added.set()
 
     def grant(self, first, lease_until=None):
         self.put(GrantKeyRange("s", "a", KeyRange(first, first, "s", "a", 7, "old")), lease_until)
@@ -46,8 +46,8 @@
 
     async def until_ended(self, count):
         while len(self.ended) < count:
-            self.more.clear()
-            await self.more.wait()
+            self.result_added.clear()
+            await self.result_added.wait()
 
 
 def run_against(script, scenario):
@@ -85,19 +85,19 @@
             await connection._read(int(headers["content-length"]))
             if "release" in head:
                 server.waiting = getattr(server, "waiting", 0) + 1
-                server.more.set()
+                server.release_arrived.set()
                 await may_answer.wait()
                 connection.write(RELEASED)
             else:
                 connection.write(answer())
 
     async def scenario(calls):
-        calls.server.more = asyncio.Event()
+        calls.server.release_arrived = asyncio.Event()
         for first in range(MAX_CONCURRENT_RELEASES + 3):
             calls.release(first)
         while getattr(calls.server, "waiting", 0) < MAX_CONCURRENT_RELEASES:
-            calls.server.more.clear()
-            await calls.server.more.wait()
+            calls.server.release_arrived.clear()
+            await calls.server.release_arrived.wait()
         for first in range(100, 100 + 3 * MAX_CONCURRENT_GRANTS):
             calls.grant(first)
         await calls.until_ended(3 * MAX_CONCURRENT_GRANTS)
@@ -114,12 +114,12 @@
     run_against(script, scenario)
 
 
-@pytest.mark.parametrize("ends", ["reset", "close", "half", "garbage"])
-def test_a_call_whose_connection_ends_is_sent_once_and_reported_as_sent(ends):
+@pytest.mark.parametrize("ending", ["reset", "close", "half", "garbage"])
+def test_a_call_whose_connection_ends_is_sent_once_and_reported_as_sent(ending):
     async def script(server, connection):
         await connection.request()
-        connection.write({"half": b"HTTP/1.1 20", "garbage": b"\x00\x01\r\n\r\n"}.get(ends, b""))
-        if ends == "reset":
+        connection.write({"half": b"HTTP/1.1 20", "garbage": b"\x00\x01\r\n\r\n"}.get(ending, b""))
+        if ending == "reset":
             connection.reset()
 
     async def scenario(calls):
@@ -205,16 +205,16 @@
     async def script(server, connection):
         while True:
             await connection.request()
-            connection.write(answer(more="Keep-Alive: timeout=10\r\n"))
+            connection.write(answer(extra_headers="Keep-Alive: timeout=10\r\n"))
 
     async def scenario(calls):
         for first in (1, 2):
             calls.grant(first)
             await calls.until_ended(first)
         assert len(calls.server.connections) == 1
-        wanted = {"target_version": 1, "fence": 7, "hold_s": 4.0, "handover": "old"}
+        expected_fields = {"target_version": 1, "fence": 7, "hold_s": 4.0, "handover": "old"}
         assert requests_in(calls.server.connections[0].received) == [
-            ("/api/grant", {"source": first, **wanted, "target_version": first}) for first in (1, 2)
+            ("/api/grant", {"source": first, **expected_fields, "target_version": first}) for first in (1, 2)
         ]
 
     run_against(script, scenario)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -172,7 +172,7 @@
 def test_node_known_only_from_the_store_is_removed_once_a_list_should_have_named_it(
     listed, only_draining_binds, after, removed
 ):
-    """Within the grace its slices move and it is withdrawn; later if no list came or removals from lists don't bind."""
+    """It is then withdrawn and its slices move; this takes longer if no list came or removals from lists don't bind."""
     policy, out = policy_with(["up"], {}, only_draining_binds=only_draining_binds), Orders()
     policy.list_received = listed
     policy.handle(0, SliceOwnership(3, True))
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize(
-    "state, named, owns_slice, final_state",
+    "state, in_table, owns_slice, final_state",
     [
         ("removed", False, True, "forgotten"),
         ("dropped", False, True, "forgotten"),
@@ -226,17 +226,17 @@
         ("removed", True, True, "removed"),
     ],
 )
-def test_removed_node_in_no_table_is_readmitted_and_forgotten(state, named, owns_slice, final_state):
-    policy, out = policy_with([state, "up"], {3: {0: 1.0} if named else {1: 1.0}} if owns_slice else {}), Orders()
+def test_removed_node_in_no_table_is_readmitted_and_forgotten(state, in_table, owns_slice, final_state):
+    policy, out = policy_with([state, "up"], {3: {0: 1.0} if in_table else {1: 1.0}} if owns_slice else {}), Orders()
     policy.nodes[0].withdrawn = NodeState(state) in TO_EVACUATE
     for round_number in range(600):
         policy.round(round_number * S // 10, [], out)
-        if named:
-            policy.slices[3].ordered = {0: 1.0}  # the table still contains it
+        if in_table:
+            policy.slices[3].ordered = {0: 1.0}  # the table still contains the node
     assert (policy.nodes[0].state.value if 0 in policy.nodes else "forgotten") == final_state
     assert (("forget_node", 0) in out) is (final_state == "forgotten")
     if state == "removed" and owns_slice:
-        assert (("set_withdrawn", 0, False) in out) is not named
+        assert (("set_withdrawn", 0, False) in out) is not in_table
 
 
 @pytest.mark.parametrize("loads_known_at, owner", [(9 * S, 2), (0, 1)])
@@ -552,5 +552,7 @@
 
 
 def test_deploy_file_lists_every_policy_module():
-    named = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-    assert sorted(named) == sorted(str(path.relative_to(ROOT)) for path in (ROOT / "kestrelplank/policy").glob("*.py"))
+    listed_modules = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    assert sorted(listed_modules) == sorted(
+        str(path.relative_to(ROOT)) for path in (ROOT / "kestrelplank/policy").glob("*.py")
+    )
