--- a/kestrelplank/configuration/errors.py
+++ b/kestrelplank/configuration/errors.py
@@ -1,4 +1,4 @@
-"""Errors for which a configuration is refused. The text of each is one line for the operator."""
+"""Errors for which a configuration is rejected. The text of each is one line for the operator."""
 
 
 class ConfigurationError(ValueError):
--- a/kestrelplank/configuration/parsing.py
+++ b/kestrelplank/configuration/parsing.py
@@ -16,7 +16,7 @@
 
 
 def parse_configuration(text: bytes) -> Result[Configuration, ConfigurationError]:
-    """Return the configuration that the bytes encode, or the error for which it is refused.
+    """Return the configuration that the bytes encode, or the error for which it is rejected.
 
     The error's text is one line that names the field, or the byte at which the JSON is invalid.
     """
--- a/kestrelplank/configuration/validation.py
+++ b/kestrelplank/configuration/validation.py
@@ -1,7 +1,7 @@
 """Validation of a document's values: known services, distinct routes, time-outs and weights within bounds.
 
 Each function raises InvalidFieldError for the first invalid field, in this order: version, services, then hosts and
-routes in the order of the document. `limits` and `max_attempts` are not checked here.
+routes in the order of the document. Other fields, such as `limits` and `max_attempts`, are not checked here.
 """
 
 import math
--- a/kestrelplank/control/platform_client.py
+++ b/kestrelplank/control/platform_client.py
@@ -47,7 +47,7 @@
 
 
 class PlatformClient:
-    """Client of the platform at `address`. It owns the connection and resets it when a fetch fails."""
+    """Client of the platform at `address`. It owns the connection and resets it after any of `FETCH_ERRORS`."""
 
     def __init__(self, address: str) -> None:
         self._address = parse_address(address)
--- a/kestrelplank/control/shard_assigner.py
+++ b/kestrelplank/control/shard_assigner.py
@@ -145,7 +145,7 @@
         """Return the effects that are due. Only called while this member leads.
 
         :param list_changed_at: when the platform's list of servers last changed (ns).
-        :param voter_missing: whether a voter of the replicated log is currently unreachable.
+        :param voter_missing: whether a voter of the replicated log has not replied recently.
         """
         if not self.key_ranges.ranges:
             if not self.key_ranges.servers or now - list_changed_at < SERVER_LIST_STABLE_NS:
--- a/kestrelplank/control/status.py
+++ b/kestrelplank/control/status.py
@@ -75,7 +75,7 @@
     :param state: how far it has caught up with the committed log (`ConsensusNode.catch_up_state`).
     :param leader: identity of the leader known here; "" if none is known.
     :param leads: whether this member may currently answer calls as the leader.
-    :param current: whether it leads, or recently heard from the leader and has all committed entries.
+    :param current: whether it leads, or has applied all entries up to a recent commit index of the leader.
     :param epoch: of the newest committed membership known; None if none is known.
     :param voters: identities in that membership; during a change, both old and new voters.
     :param standbys: identities of running members that are not voters.
--- a/kestrelplank/policy/channel.py
+++ b/kestrelplank/policy/channel.py
@@ -71,7 +71,8 @@
     def capacity(self, now: int, queue_share: float, reserved_messages: int, orders_due: int) -> float:
         """Return how many orders the next message may hold.
 
-        0 until all due orders fit, or half of what an empty queue holds: small messages would fill it with overhead.
+        0 while the message limit is reached, and until all due orders fit or half of what an empty queue holds: small
+        messages would fill it with overhead.
         """
         while self.recent_messages and now - self.recent_messages[0] > self.message_window_ns:
             self.recent_messages.popleft()
--- a/kestrelplank/policy/evacuation.py
+++ b/kestrelplank/policy/evacuation.py
@@ -12,7 +12,7 @@
 
 
 def evacuate(state: AssignerState, now: int) -> None:
-    """Move all slices off nodes that are draining, gone, ejected or restarted."""
+    """Move slices off nodes that are draining, gone, ejected or restarted, and place slices without an endpoint."""
     mark_former_slices_removed(state)
     unfit = {index for index, node in state.nodes.items() if node.must_withdraw(now)}
     affected = [owned for owned in state.slices.values() if not owned.desired or not unfit.isdisjoint(owned.desired)]
--- a/kestrelplank/policy/node.py
+++ b/kestrelplank/policy/node.py
@@ -57,7 +57,7 @@
         self.current_period = NO_REPORTS
         self.periods: deque[ReportSums] = deque(maxlen=LOAD_PERIODS)
         self.ejected_until, self.ejection_ns = -MAX_EJECTION_NS, MIN_EJECTION_NS
-        self.moves_allowed_at = 0  # the balancing pass moves no slice from or to it before
+        self.moves_allowed_at = 0  # `BalancingPass.move_slices` moves none from or to it before
         self.peer_loads: dict[int, tuple[float, int]] = {}  # by peer: ops a second of its slices here, received at
         self.recent_starts: tuple[int, ...] = ()
         self.flapping_until = 0  # until then it gets slices only if no other node is usable
@@ -93,7 +93,7 @@
         self.current_period = ReportSums(*map(add, self.current_period, counted))
 
     def close_period(self) -> None:
-        """Begin a report period."""
+        """End the current report period and begin the next."""
         self.periods.append(self.current_period)
         self.current_period = NO_REPORTS
 
--- a/kestrelplank/policy/slices.py
+++ b/kestrelplank/policy/slices.py
@@ -32,7 +32,7 @@
         return next(iter(self.desired), None)
 
     def close_period(self) -> None:
-        """Begin a report period."""
+        """End the current report period and begin the next."""
         self.ops_by_period.append(self.current_ops)
         self.current_ops = 0.0
 
--- a/tests/configuration/test_parsing.py
+++ b/tests/configuration/test_parsing.py
@@ -103,11 +103,11 @@
         ({"virtual_hosts": "none"}, "virtual_hosts"),
     ],
 )
-def test_an_invalid_document_is_refused_with_the_name_of_the_field(changes, expected):
+def test_an_invalid_document_is_rejected_with_the_name_of_the_field(changes, expected):
     assert expected in str(parse_configuration(encoded(**changes)).failure())
 
 
-def test_a_document_truncated_at_any_byte_is_refused():
+def test_a_document_truncated_at_any_byte_is_rejected():
     complete = encoded()
     for end in range(len(complete)):
         assert parse_configuration(complete[:end]).value_or(None) is None
