--- a/kestrelplank/assigner/node_discovery.py
+++ b/kestrelplank/assigner/node_discovery.py
@@ -41,7 +41,7 @@
     max_backoff_ns=500 * NS_PER_MS,
     max_line_bytes=MAX_LIST_BYTES,
 )
-POLL_INTERVAL_NS = 400 * NS_PER_MS  # leaves an order one second to arrive within the shortest withdrawal deadline
+POLL_INTERVAL_NS = 400 * NS_PER_MS  # leaves an order one second to arrive within the shortest deadline
 ANSWER_TIMEOUT_NS = 300 * NS_PER_MS
 
 
--- a/kestrelplank/load_balancing/admission.py
+++ b/kestrelplank/load_balancing/admission.py
@@ -1,4 +1,4 @@
-"""Admission of client connections up to a limit, at which a new one may evict one of the client with the most.
+"""Admission of client connections: at the limit, a new one may evict one of the client that has the most connections.
 
 Guards against one client that opens ever more connections, and against connections that send nothing. Drawback: many
 clients behind one address count as one client.
@@ -75,7 +75,7 @@
         return len(self._connections)
 
     def connect(self, now: int, connection: int, client: str) -> AdmissionDecision:
-        """Admit or reject a new connection; at the limit, one of the largest client may be evicted for it."""
+        """Admit or reject a new connection; at the limit, it may evict one of the client that has the most."""
         evicted = None
         if len(self._connections) >= self.settings.max_connections:
             largest_client = max(self._by_client, key=lambda name: len(self._by_client[name]))
--- a/kestrelplank/settings/reference_proxy.py
+++ b/kestrelplank/settings/reference_proxy.py
@@ -102,7 +102,7 @@
     max_requests_per_connection: Count = field(default=0, name="uses")
     # Time within which requests in flight must end after a node is withdrawn.
     grace_ns: Duration = field(default=1_500 * MILLISECOND, name="grace")
-    # Duration of slow start, and the fraction of its weight that a node has at the start of it.
+    # Duration of slow start (0: none), and the fraction of its weight that a node has at its beginning.
     slow_start_ns: Duration = field(default=0, name="warm_up")
     slow_start_from: Fraction = field(default=0.2, name="cold_from")
 
