--- a/benchmarks/fuzz_relay.py
+++ b/benchmarks/fuzz_relay.py
@@ -28,7 +28,9 @@
     split = 2 + data[1] * (len(data) - 2) // 255
     sent, reply = data[2:split], data[split:]
     site = Site(
-        lambda peer: peer.gone or peer.write(reply) or peer.connection.close("end"), hold=0, timeouts=(30 * MS,) * 3
+        lambda peer: peer.closed_because or peer.write(reply) or peer.connection.close("end"),
+        hold=0,
+        timeouts=(30 * MS,) * 3,
     )
     client = site.client()
     client.send(GET[: data[0] % len(GET)] + sent)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -32,9 +32,9 @@
 def measure(service_type, moves_keys, servers, requests_per_s, seconds, seeds, has_hot_key):
     """Run one service type, averaged over seeds.
 
-    Returns the share of requests above the latency target by quarter of the run, the load of the busiest server over
-    the mean in the last quarter, keys moved after the initial assignment as a share of all keys, and processor time of
-    model and placement in ms a second.
+    Returns the share of requests above the latency target by quarter of the run, the load of the busiest server
+    divided by the mean in the last quarter, keys moved after the initial assignment as a share of all keys, and
+    processor time of model and placement in ms a second.
     """
     late_share, busiest_over_mean, moved_share, processor_start_s = [0.0] * 4, 0.0, 0.0, time.process_time()
     for seed in range(seeds):
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -193,17 +193,17 @@
         )
         return started[-1]
 
-    def handle_request(visitor: object, path: str, body: bytes) -> None:
+    def handle_request(connection: object, path: str, body: bytes) -> None:
         if not path.startswith("/v1/tables"):
-            visitor.reply({})
+            connection.reply({})
             return
-        visitor.begin_stream()
+        connection.begin_stream()
         for number in range(nodes):
-            visitor.send({"type": "node", "object": {"name": f"s-{number}", "address": node_address}})
-        visitor.send({"type": "joined", "object": {"source": 0}})
+            connection.send({"type": "node", "object": {"name": f"s-{number}", "address": node_address}})
+        connection.send({"type": "joined", "object": {"source": 0}})
         for table in range(64):
             lines = {f"s-{table % nodes}": 1.0}
-            visitor.send({"type": "table", "object": {"table": table, "source": 0, "lines": lines}})
+            connection.send({"type": "table", "object": {"table": table, "source": 0, "lines": lines}})
 
     try:
         node_address = start(__file__, "--serve", "node").stdout.readline().decode().strip()
--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -23,7 +23,7 @@
 from kestrelplank.transport.sessions import Sessions
 from kestrelplank.transport.wire import COMPRESSED_FLAG, encode_frame, uncompressed_body
 
-ME, REQUESTS_PER_S, SECONDS = "10.0.0.1:80", 125, 10
+MEMBER_ADDRESS, REQUESTS_PER_S, SECONDS = "10.0.0.1:80", 125, 10
 HEARTBEAT_INTERVAL_NS, REPORT_INTERVAL_NS = 2 * SECOND // 5, SECOND // 2
 TEXT = b"""{"config_version": "00000007", "service_table": [{"name": "views", "sharded": true}], "virtual_hosts": [
 {"host_name": "shop.example", "host_routes": [{"path_prefix": "/a/", "route_type": "idempotent", "timeout_s": 1.5,
@@ -57,7 +57,9 @@
 def start_leader(now, random, servers):
     """A leader without other voters that knows that many servers; returns the member, its disk and the time."""
     disk = MemoryLog()
-    member = start_member(now, random, ME, MemberProfile("z", True, (ME,), 0, 6 * SECOND), disk, True)
+    member = start_member(
+        now, random, MEMBER_ADDRESS, MemberProfile("z", True, (MEMBER_ADDRESS,), 0, 6 * SECOND), disk, True
+    )
     for _ in range(20):
         now += SECOND // 20
         execute_effects(member, disk, now, member.tick(now))
@@ -76,7 +78,11 @@
     """Processor time in ms, bytes received and bytes sent, each per second."""
     random = Random(1)
     member, disk, now = start_leader(100 * SECOND, random, servers)
-    sessions, views, connections = Sessions(), [EdgeView(f"edge-{number}", (ME,)) for number in range(edges)], {}
+    sessions, views, connections = (
+        Sessions(),
+        [EdgeView(f"edge-{number}", (MEMBER_ADDRESS,)) for number in range(edges)],
+        {},
+    )
     bytes_in, bytes_out, processor_s = [0], [0], 0.0
     for step in range(20 * SECONDS):
         now += SECOND // 20
@@ -92,7 +98,7 @@
                 ]
                 processor_s += time.process_time() - started
                 for response in responses:
-                    view.receive(now, ME, response)
+                    view.receive(now, MEMBER_ADDRESS, response)
             if not (step + number) * SECOND // 20 % REPORT_INTERVAL_NS:
                 keys = [
                     random.randrange(KEY_COUNT)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,4 +1,4 @@
-"""Shared functions of the benchmarks: least processor time of a call, memory, and how a cost grows with a size."""
+"""Shared functions of the benchmarks: shortest processor time of a call, memory, and how a cost grows with a size."""
 
 import gc
 import math
--- a/benchmarks/watched_files.py
+++ b/benchmarks/watched_files.py
@@ -58,11 +58,11 @@
 def measure_parsing(nodes: int, files: int) -> None:
     lists = [data.encode() for data in node_list_texts(nodes, files)]
     tracemalloc.start()
-    parts = [
+    node_lists = [
         parse_node_list(f"{index}.ini", data, max_nodes=nodes, trailer_required=True)
         for index, data in enumerate(lists)
     ]
-    node_set = assemble(parts)
+    node_set = assemble(node_lists)
     print(
         f"{nodes} nodes in {files} files: {tracemalloc.get_traced_memory()[0] / 1e6:.1f} MB retained, "
         f"{tracemalloc.get_traced_memory()[1] / 1e6:.1f} MB peak"
@@ -71,7 +71,7 @@
     print_duration(
         "one file parsed", lambda: parse_node_list("0.ini", lists[0], max_nodes=nodes, trailer_required=True)
     )
-    print_duration("all files checked and assembled, with the hash", lambda: assemble(parts))
+    print_duration("all files checked and assembled, with the hash", lambda: assemble(node_lists))
     fewer = NodeSet(dict(list(node_set.nodes.items())[: -nodes // 100]))
     print_duration(
         "change between two sets evaluated",
--- a/kestrelplank/cli/config.py
+++ b/kestrelplank/cli/config.py
@@ -8,7 +8,7 @@
 from kestrelplank.settings.ini_fields import NS_PER_UNIT
 from kestrelplank.settings.operator import read_operator_settings
 
-DURATIONS = {
+DURATION_FIELDS = {
     ("[nodes]", "quiet"),
     ("[nodes]", "poll"),
     ("[nodes]", "stand"),
@@ -44,7 +44,7 @@
         return "yes" if value else "no"
     if isinstance(value, tuple):
         return ", ".join(map(str, value))
-    if isinstance(value, int) and (origin.section, origin.field) in DURATIONS:
+    if isinstance(value, int) and (origin.section, origin.field) in DURATION_FIELDS:
         return format_duration(value)
     return "" if value is None else str(value)
 
--- a/kestrelplank/cli/nodes/check.py
+++ b/kestrelplank/cli/nodes/check.py
@@ -5,11 +5,11 @@
 import click
 
 from kestrelplank.cli.nodes.files import (
+    exit_on_unusable_files,
     expand_patterns,
     read_node_file_settings,
     read_node_lists,
     read_state,
-    refusing_unusable_files,
 )
 from kestrelplank.cli.options import ini_option
 from kestrelplank.command_output import ExitCode
@@ -21,7 +21,7 @@
 @ini_option
 def check(path: str | None) -> None:
     """Check whether the set from the files may replace the set in force. Exit 1: it would wait or be refused."""
-    with refusing_unusable_files():
+    with exit_on_unusable_files():
         settings = read_node_file_settings(path)
         node_lists = read_node_lists(expand_patterns(settings), settings)
         node_set = assemble(node_lists)
--- a/kestrelplank/cli/nodes/diff.py
+++ b/kestrelplank/cli/nodes/diff.py
@@ -4,7 +4,7 @@
 
 import click
 
-from kestrelplank.cli.nodes.files import read_node_lists, refusing_unusable_files
+from kestrelplank.cli.nodes.files import exit_on_unusable_files, read_node_lists
 from kestrelplank.cli.options import json_option
 from kestrelplank.command_output import ExitCode, print_json
 from kestrelplank.settings.operator import NodeFileSettings
@@ -18,7 +18,7 @@
 def diff(old: str, new: str, as_json: bool) -> None:
     """Print the differences between two node lists."""
     limits = NodeFileSettings()
-    with refusing_unusable_files():
+    with exit_on_unusable_files():
         before, after = (assemble(read_node_lists([path], limits)) for path in (old, new))
     found = difference(before, after)
     if as_json:
--- a/kestrelplank/cli/nodes/files.py
+++ b/kestrelplank/cli/nodes/files.py
@@ -16,7 +16,7 @@
 
 
 @contextmanager
-def refusing_unusable_files() -> Iterator[None]:
+def exit_on_unusable_files() -> Iterator[None]:
     """End the command if the files are invalid, with a line for each conflict or a single reason."""
     try:
         with exit_on_invalid_settings():
--- a/kestrelplank/cli/nodes/history.py
+++ b/kestrelplank/cli/nodes/history.py
@@ -2,7 +2,7 @@
 
 import click
 
-from kestrelplank.cli.nodes.files import read_node_file_settings, read_state, refusing_unusable_files
+from kestrelplank.cli.nodes.files import exit_on_unusable_files, read_node_file_settings, read_state
 from kestrelplank.cli.options import ini_option, json_option
 from kestrelplank.command_output import print_json
 
@@ -12,7 +12,7 @@
 @json_option
 def history(path: str | None, as_json: bool) -> None:
     """Print the versions of the node set that have been in force."""
-    with refusing_unusable_files():
+    with exit_on_unusable_files():
         state = read_state(read_node_file_settings(path))
     versions = state[2] if state else ()
     if as_json:
--- a/kestrelplank/cli/nodes/list.py
+++ b/kestrelplank/cli/nodes/list.py
@@ -5,11 +5,11 @@
 import click
 
 from kestrelplank.cli.nodes.files import (
+    exit_on_unusable_files,
     expand_patterns,
     read_node_file_settings,
     read_node_lists,
     read_state,
-    refusing_unusable_files,
 )
 from kestrelplank.cli.options import ini_option, json_option
 from kestrelplank.command_output import ExitCode, print_error, print_json
@@ -22,7 +22,7 @@
 @click.option("--in-force", is_flag=True, help="Read the state file instead of the node lists.")
 def list_nodes(path: str | None, as_json: bool, in_force: bool) -> None:
     """Show every node of the files or of the node set in force."""
-    with refusing_unusable_files():
+    with exit_on_unusable_files():
         settings = read_node_file_settings(path)
         if in_force:
             state = read_state(settings)
--- a/kestrelplank/cli/rehearsal_report.py
+++ b/kestrelplank/cli/rehearsal_report.py
@@ -63,7 +63,7 @@
 
 
 def loss_lines(report: Report) -> list[str]:
-    """Return the lines on lost ops and on nodes that overload has taken down, if any."""
+    """Return the lines on lost ops and on nodes that failed from overload, if any."""
     lines = []
     if report["lost"]:
         lines += ["", "lost: " + ", ".join(f"{reason} {count}" for reason, count in report["lost"].items())]
--- a/kestrelplank/emulator/discovery.py
+++ b/kestrelplank/emulator/discovery.py
@@ -72,7 +72,7 @@
             self._notify_at(notified_at, assigner, entries, changes)
 
     def _describes_last_start(self, node: int) -> bool:
-        """Whether the listed entry describes the node's last start."""
+        """Whether the listed start is the node's last one, or no start is listed."""
         return self.listed[node].started_at in (None, self.environment.node_started_at[node])
 
     def _notify_at(self, at: int, assigner: Assigner, entries: list[NodeEntry], changes: list[NodeChange]) -> None:
--- a/kestrelplank/emulator/ideal_placement.py
+++ b/kestrelplank/emulator/ideal_placement.py
@@ -15,9 +15,9 @@
 from kestrelplank.time_units import MILLISECOND
 
 INTERVAL_NS = 50 * MILLISECOND
-REBALANCE_FACTOR = 1.25  # times the mean load, above which slices are moved off the most loaded node
-MAX_MOVES = 4  # because of load, per interval
-COLD_SHARE = 0.5  # of `fall_multiple`: limit of the load that is placed on a cold node
+REBALANCE_FACTOR = 1.25  # above this multiple of the mean load, slices are moved off the most loaded node
+MAX_MOVES = 4  # of slices off loaded nodes, per interval
+COLD_SHARE = 0.5  # a cold node is given at most this share of `fall_multiple` times its present capacity
 
 
 class NodeLoads:
--- a/kestrelplank/emulator/node.py
+++ b/kestrelplank/emulator/node.py
@@ -2,8 +2,8 @@
 
 All running ops share the cores evenly, so they advance at the same pace (processor sharing). The node's progress is the
 work that an op running since the beginning would have received; an op ends when the progress has grown by the op's
-work since it began. A step costs O(log n) in the number of running ops, and the work done is the pace times the number
-of running ops, which is never over cores x time.
+work since it began. A step costs O(log n) in the number of running ops. The work done per ns is the pace times the
+number of running ops, at most cores x speed.
 """
 
 import heapq
@@ -16,8 +16,8 @@
 from kestrelplank.emulator.script_sections import NodeKind
 from kestrelplank.time_units import MILLISECOND
 
-COLD_STEP_NS = 50 * MILLISECOND  # the longest step of a cold node, whose pace grows
-OVERLOAD_TOLERANCE = 1.1  # times the budget of a cold node, for random variation of the load
+COLD_STEP_NS = 50 * MILLISECOND  # longest time between steps of a cold node, as its pace grows
+OVERLOAD_TOLERANCE = 1.1  # factor on the budget of a cold node, for random variation of the load
 COMPLETION_TOLERANCE = 0.5  # ns of work that may be missing at an op's end
 
 
@@ -64,7 +64,7 @@
         self._key_seen_at: dict[int, int] = {}
         self.faults = NodeFaults()
         self.down, self.fallen, self.work_done = False, False, 0.0
-        self.worst_overload = 0.0  # of work mostly from senders that could know of the start; above 1: rule broken
+        self.worst_overload = 0.0  # as a multiple of the budget, where most senders could know of the start
         self.counts: Counter[str] = Counter()
 
     # Faults and the process.
@@ -187,9 +187,9 @@
     def _count_cold_load(self, now: int, work: float, start_known_work: float) -> None:
         """Count work sent to a cold node; the node fails if it exceeds its budget.
 
-        The work sent within any `tip_after` must stay below `fall_multiple` times what the node can do by then. All
-        work counts for the failure; the rule is broken only where senders of at least two thirds of it could know of
-        the node's start.
+        The budget for the work sent within any `tip_after` is `fall_multiple` times what the node can do in that time
+        at its present capacity. All work counts for the failure; the rule is broken only where senders of at least two
+        thirds of it could know of the node's start.
         """
         if self._warming_from is None or self.down:
             return
--- a/kestrelplank/emulator/node_faults.py
+++ b/kestrelplank/emulator/node_faults.py
@@ -49,7 +49,7 @@
         return factor
 
     def effective_slowdown(self) -> float:
-        """Return by which factor the useful work is less, where failed ops count as useless."""
+        """Return the factor by which useful work is reduced by slowdowns and by failing ops, which count as useless."""
         factor = 1.0
         for kind, strength in self._faults.values():
             factor *= strength if kind is NodeFaultKind.SLOW else 1.0
--- a/kestrelplank/emulator/proxies.py
+++ b/kestrelplank/emulator/proxies.py
@@ -74,7 +74,7 @@
         ...
 
     def slice_needs_node(self, slice_: int) -> bool:
-        """Whether a slice's owner lists a warm node as up."""
+        """Whether the slice's owner is alive and discovery lists a warm node as up."""
         ...
 
 
--- a/kestrelplank/emulator/rule_checks.py
+++ b/kestrelplank/emulator/rule_checks.py
@@ -19,12 +19,12 @@
     SLICE_WITHOUT_NODE = "bare"  # how long a proxy has no node for a slice (s)
     REPEATED_OP = "repeats"  # repeated runs of ops that may run at most once
     DRAIN = "drains"  # how long ops are still sent to a node that drains or has been removed (s)
-    COLD_NODE = "cold"  # work sent to a cold node over its budget
+    COLD_NODE = "cold"  # work sent to a cold node, as a multiple of its budget
     CHANNEL_QUEUE = "queue"  # orders queued in an assigner's channel
 
 
 class RuleReport(msgspec.Struct, frozen=True):
-    """One rule in a report; `margin`: the unused share of the limit; `where`: the place of the worst figure."""
+    """One rule in a report; `margin`: the unused share of the limit; `where`: process, slice or op of the worst."""
 
     worst: float
     limit: float
@@ -71,7 +71,7 @@
     ) -> None:
         """Record whether a proxy now has an available node for a slice.
 
-        :param rule_applies: whether the slice's owner lists a warm node as up, so that the time without one counts.
+        :param rule_applies: whether the time without a node counts: the slice's owner is alive and a warm node is up.
         """
         if has_node or not rule_applies(slice_):
             since = self._without_node_since.pop((proxy, slice_), None) if self._without_node_since else None
@@ -149,7 +149,7 @@
         return known_at is not None and (ordered_at >= known_at or now - known_at >= self._withdrawal_deadline_ns)
 
     def cold_node_loaded(self, node: int, share: float) -> None:
-        """Record the work sent to a cold node over its budget, where senders mostly could know of its start."""
+        """Record the work sent to a cold node, divided by its budget, if most senders could know of its start."""
         self._record(Rule.COLD_NODE, share, f"node {node}")
 
     # The channel.
--- a/kestrelplank/emulator/script_sections.py
+++ b/kestrelplank/emulator/script_sections.py
@@ -18,7 +18,7 @@
     """[site].
 
     :param settle: ops requested before then are run but not counted.
-    :param load: requested work over the capacity of all nodes.
+    :param load: requested work divided by the capacity of all nodes.
     """
 
     zones: Words
@@ -63,7 +63,7 @@
 
 
 class OpType(Struct, frozen=True, kw_only=True):
-    """[op NAME]; `spread` is the standard deviation of its work, which is lognormal, over the mean."""
+    """[op NAME]; `spread`: the standard deviation of its work, which is lognormal, divided by the mean."""
 
     share: Fraction
     work: Duration
@@ -90,7 +90,10 @@
 class ProxyBehaviour(Struct, frozen=True, kw_only=True):
     """[relays].
 
-    :param notice: delay until the end of a proxy or assigner is detected where no connection was reset.
+    :param strikes: consecutive failures after which a proxy ejects a node, for a time in the range `avoid`.
+    :param hold: longest time that an op waits for a node.
+    :param redial: delay until a proxy connects to an assigner after either has restarted.
+    :param notice: delay until assigners are notified that a proxy has ended.
     :param apply_line: time to apply one order.
     """
 
@@ -155,7 +158,12 @@
 
 
 class NodeFileGuards(Struct, frozen=True, kw_only=True):
-    """[files]: node lists in files instead of discovery, with the operator's change limits."""
+    """[files]: node lists in files instead of discovery, with the operator's change limits.
+
+    :param quiet: how long a file must be unchanged before it is used.
+    :param most_closed: share of the nodes that may be closed without confirmation.
+    :param stand: how long a larger change must be unchanged to take effect without confirmation.
+    """
 
     quiet: Duration = 200 * MILLISECOND
     most_closed: Fraction = 0.25
--- a/kestrelplank/emulator/service_score.py
+++ b/kestrelplank/emulator/service_score.py
@@ -14,7 +14,7 @@
 
 
 class ServiceScore:
-    """Service is the value acked within the latency target over the value requested, counted by op, not by attempt."""
+    """Service: value acked within the latency target, divided by the value requested; counted by op, not by attempt."""
 
     def __init__(self, script: Script, started_at: int) -> None:
         self._op_types, self._names = list(script.op_types.values()), list(script.op_types)
@@ -83,7 +83,7 @@
 
     @property
     def service(self) -> float:
-        """The value acked in time over the value requested."""
+        """The value acked in time, divided by the value requested."""
         return self._value_in_time / self._value_asked if self._value_asked else 1.0
 
     def report(self) -> dict[str, object]:
--- a/kestrelplank/emulator/sharded_service.py
+++ b/kestrelplank/emulator/sharded_service.py
@@ -19,7 +19,7 @@
 from kestrelplank.time_units import SECOND
 
 WORK_SPREAD = 0.8  # standard deviation of the logarithm of a request's work
-MAX_WORK_FACTOR = 6  # of a request's work, over the mean
+MAX_WORK_FACTOR = 6  # a request's work is at most this multiple of the mean
 REPORT_PERIOD_S, TICKS_PER_REPORT = 0.5, 10
 TICK_S = REPORT_PERIOD_S / TICKS_PER_REPORT
 STARTED_AT = 100 * SECOND  # on the clock of the code under test
@@ -95,7 +95,7 @@
         return self.late_count / max(1, self.request_count)
 
     def busiest_over_mean(self) -> float:
-        """Return the busiest server's requests over the mean of all servers, since the last `run` began."""
+        """Return the busiest server's requests divided by the mean of all servers, since the last `run` began."""
         return max(self.requests_by_server.values()) * len(self.servers) / max(1, self.request_count)
 
     def owner_of_key(self, firsts: list[int], key: int) -> str:
--- a/kestrelplank/emulator/simulation.py
+++ b/kestrelplank/emulator/simulation.py
@@ -158,7 +158,7 @@
         self.assigners[assigner].notify(event, self.network.delay_ns(0, 0))
 
     def slice_needs_node(self, slice_: int) -> bool:
-        """Whether the slice's owner is alive and lists a warm node as up."""
+        """Whether the slice's owner is alive and discovery lists a warm node as up."""
         owner = self.store.owner[slice_]
         if owner is None or not self.assigners[owner].alive:
             return False
--- a/kestrelplank/file_discovery/node_list.py
+++ b/kestrelplank/file_discovery/node_list.py
@@ -44,7 +44,7 @@
     try:
         text = data.decode()
     except UnicodeDecodeError as err:
-        raise InvalidSettingsError(f"not text: byte {err.start} is not valid UTF-8", file=path) from None
+        raise InvalidSettingsError(f"expected UTF-8 text, but byte {err.start} is not valid", file=path) from None
     if not text.strip():
         raise InvalidSettingsError("the file is empty", file=path)
     ini = IniFile(path, text)
@@ -83,13 +83,13 @@
 def _with_attributes(listed: ListedNode, words: list[str]) -> ListedNode:
     """Return a node with the attributes that follow its address.
 
-    :raises ValueError: an attribute is invalid or given twice.
+    :raises ValueError: an attribute is invalid or duplicate.
     """
     seen: set[str] = set()
     remaining = iter(words)
     for word in remaining:
         if word in seen:
-            raise ValueError(f"{word} is given twice")
+            raise ValueError(f"duplicate attribute {word}")
         seen.add(word)
         value = next(remaining, None) if word in ("weight", "cell") else None
         if word == "draining":
--- a/kestrelplank/reference_proxy/client_connection.py
+++ b/kestrelplank/reference_proxy/client_connection.py
@@ -97,22 +97,22 @@
         """Begin a request."""
         self._incoming, self._in_trailers = Exchange(self, self._handler), False
 
-    def _in_parser(self) -> Exchange:
+    def _incoming_exchange(self) -> Exchange:
         assert self._incoming is not None, "the parser calls on_message_begin before any other callback of a message"
         return self._incoming
 
     def on_url(self, url: bytes) -> None:
         """Append to the request's target."""
-        self._in_parser().request.target += url
+        self._incoming_exchange().request.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a header; trailers are dropped."""
         if not self._in_trailers:
-            self._in_parser().request.headers.append((name, value))
+            self._incoming_exchange().request.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         """Queue the request, or reject it."""
-        incoming, parser = self._in_parser(), self._parser
+        incoming, parser = self._incoming_exchange(), self._parser
         max_body_bytes = self._handler.limits.max_body_bytes
         rejection = incoming.request.complete_head(parser.get_method(), parser.get_http_version(), max_body_bytes)
         self._in_trailers, self._head_bytes, incoming.stage = True, 0, Stage.QUEUED
@@ -124,12 +124,12 @@
     def on_body(self, data: bytes) -> None:
         """Pass body data to the exchange."""
         if self._rejection is None:
-            self._in_parser().receive(data)
+            self._incoming_exchange().receive(data)
 
     def on_message_complete(self) -> None:
         """Handle the end of a request."""
         if self._rejection is None:
-            incoming = self._in_parser()
+            incoming = self._incoming_exchange()
             incoming.keep = self._parser.should_keep_alive()
             incoming.body_complete()
             self._handler.body_received(incoming)
--- a/kestrelplank/reference_proxy/node_connection.py
+++ b/kestrelplank/reference_proxy/node_connection.py
@@ -1,4 +1,4 @@
-"""A connection from the proxy to a node: sends one request at a time and parses its response for an `ResponseSink`."""
+"""A connection from the proxy to a node: sends one request at a time and parses its response for a `ResponseSink`."""
 
 from collections.abc import Callable
 from typing import Protocol
--- a/kestrelplank/rehearsal/live_network.py
+++ b/kestrelplank/rehearsal/live_network.py
@@ -20,7 +20,7 @@
     200: AttemptOutcome.SUCCEEDED,
     503: AttemptOutcome.NOT_STARTED,
     500: AttemptOutcome.FAILED,
-}  # any other: TRUNCATED
+}  # any other status: TRUNCATED
 DIAL_FAILURES = ("does not come up", "ECONNREFUSED")
 
 
--- a/kestrelplank/rehearsal/simulated_server.py
+++ b/kestrelplank/rehearsal/simulated_server.py
@@ -21,7 +21,7 @@
 
 
 class KeyGrant(NamedTuple):
-    """A range of keys that the server owns until that time (s)."""
+    """A range of keys that the server owns until `until` (s, monotonic clock)."""
 
     first_key: int
     last_key: int
--- a/tests/emulator/test_node.py
+++ b/tests/emulator/test_node.py
@@ -49,17 +49,17 @@
     assert runs == dict.fromkeys(range(7), 1)
 
 
-@pytest.mark.parametrize("kind, strength, ends", [("slow", 4.0, 400), ("stall", 1.0, 300), ("silent", 1.0, 300)])
-def test_a_fault_delays_ops_while_it_is_active(kind, strength, ends):
+@pytest.mark.parametrize("kind, strength, end_ms", [("slow", 4.0, 400), ("stall", 1.0, 300), ("silent", 1.0, 300)])
+def test_a_fault_delays_ops_while_it_is_active(kind, strength, end_ms):
     node, _, _ = make_node()
     offer(node, 0, 1)
     node.add_fault(0, "f", NodeFaultKind(kind), strength)
     if kind != "slow":
         assert node.next_step_at(0) is None
         node.remove_fault(200 * MS, "f")
-        assert [round(at / MS) for _, at in finish(node, 200 * MS)] == [ends]
+        assert [round(at / MS) for _, at in finish(node, 200 * MS)] == [end_ms]
     else:
-        assert [round(at / MS) for _, at in finish(node, 0)] == [ends]
+        assert [round(at / MS) for _, at in finish(node, 0)] == [end_ms]
 
 
 def test_two_faults_on_a_node_combine_and_are_removed_separately():
@@ -83,14 +83,14 @@
     assert sorted(runs) == [1, 2, 3, 4]
 
 
-@pytest.mark.parametrize("cancel, left", [("waiting", (4, 1)), ("all", (4, 0)), ("none", (4, 2))])
-def test_a_cancellation_ends_the_ops_that_the_cancel_mode_names(cancel, left):
+@pytest.mark.parametrize("cancel, expected_load", [("waiting", (4, 1)), ("all", (4, 0)), ("none", (4, 2))])
+def test_a_cancellation_ends_the_ops_that_the_cancel_mode_names(cancel, expected_load):
     node, runs, _ = make_node(cancel=cancel)
     for number in range(6):
         offer(node, 0, number)
     node.cancel(1, 5)
     node.cancel(1, 0)
-    assert node.load() == left
+    assert node.load() == expected_load
 
 
 def test_an_op_that_fails_at_once_does_not_run():
@@ -108,8 +108,8 @@
     assert node.down and node.load() == (0, 0)
 
 
-@pytest.mark.parametrize("keeps, runs_then", [(True, [4, 5]), (False, [])])
-def test_a_silent_node_restarts_cold_and_keeps_its_queue_only_if_asked_to(keeps, runs_then):
+@pytest.mark.parametrize("keeps_queue, expected_runs", [(True, [4, 5]), (False, [])])
+def test_a_silent_node_restarts_cold_and_keeps_its_queue_only_if_asked_to(keeps_queue, expected_runs):
     node, runs, _ = make_node()
     for number in range(6):
         offer(node, 0, number)
@@ -117,9 +117,9 @@
     assert offer(node, 0, 9) == TAKEN and node.silent
     node.remove_fault(5 * S, "f")
     runs.clear()
-    node.start(5 * S, keeps_queue=keeps)
+    node.start(5 * S, keeps_queue=keeps_queue)
     assert node.capacity_share(5 * S) == node.kind.cold_from
-    assert sorted(runs) == ([*runs_then, 9] if keeps else [])
+    assert sorted(runs) == ([*expected_runs, 9] if keeps_queue else [])
 
 
 def test_capacity_grows_linearly_in_a_warm_up_by_time_and_a_cold_node_is_slower():
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize(
-    "before, at, key, new, cost",
+    "before, at, key, new, cost_ms",
     [
         ((), 0, 7, False, 100),
         (((0, 7),), 500, 7, False, 50),
@@ -174,13 +174,13 @@
         ((), 0, 7, True, 110),
     ],
 )
-def test_a_cached_key_costs_less_the_cache_is_limited_and_a_new_connection_costs_more(before, at, key, new, cost):
+def test_a_cached_key_costs_less_the_cache_is_limited_and_a_new_connection_costs_more(before, at, key, new, cost_ms):
     node, _, _ = make_node(key_gain=0.5, key_for=S, keys=2, connection=10 * MS)
     for seen_at_ms, seen_key in before:
         offer(node, seen_at_ms * MS, 100 + seen_key, work=1, key=seen_key)
         finish(node, seen_at_ms * MS)
     offer(node, at * MS, 1, key=key, new=new)
-    assert [round((ended - at * MS) / MS) for _, ended in finish(node, at * MS)] == [cost]
+    assert [round((ended - at * MS) / MS) for _, ended in finish(node, at * MS)] == [cost_ms]
 
 
 @given(
--- a/tests/emulator/test_rehearsal.py
+++ b/tests/emulator/test_rehearsal.py
@@ -147,9 +147,9 @@
     assert "aborted: reset" in report["lost"] and report["broken"] == [] and report["duplicates"]["order-place"] == 0
 
 
-@pytest.mark.parametrize("keeps", ["yes", "no"])
-def test_a_silent_node_that_restarts_with_or_without_its_queue_runs_no_op_twice(keeps):
-    script = site_with(f"kind = silent, who = nodes 34%, start = 3s, length = 4s, keeps_queue = {keeps}")
+@pytest.mark.parametrize("keeps_queue", ["yes", "no"])
+def test_a_silent_node_that_restarts_with_or_without_its_queue_runs_no_op_twice(keeps_queue):
+    script = site_with(f"kind = silent, who = nodes 34%, start = 3s, length = 4s, keeps_queue = {keeps_queue}")
     report = play(script, 2)
     assert report["lost"]["aborted: op timeout"] > 10 and report["broken"] == []
     assert report["duplicates"] == {"look": 0, "order-place": 0}
@@ -161,8 +161,8 @@
         "kind = fail, who = nodes, start = 3s, length = 9s, strength = 0.2",
     )
     slower = site_with("kind = slow, who = nodes, start = 3s, length = 9s, strength = 2")
-    both, slow, calm = (play(each, 2) for each in (script, slower, site_with()))
-    assert both["service"] < slow["service"] < calm["service"] and "aborted: failed" in both["lost"]
+    both, slow, fault_free = (play(each_script, 2) for each_script in (script, slower, site_with()))
+    assert both["service"] < slow["service"] < fault_free["service"] and "aborted: failed" in both["lost"]
 
 
 def test_a_drain_ends_within_its_grace_period_and_breaks_no_rule():
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -367,7 +367,7 @@
     assert site.count("files_refused") == 0 and site.empty_tables == 0
 
 
-def rewrites(site, random, number):
+def rewrite_file(site, random, number):
     """Rewrite the file `number` times, mostly with invalid lists, and check that no table of a relay is ever empty.
 
     Return the names of all nodes in valid lists, including lists that a changed byte left valid with another name.
@@ -419,7 +419,7 @@
         list_text(range(1, 17)), trailer_required=True, events=events, quiet_period_ns=2 * MS, poll_interval_ns=3 * MS
     )
     site.wait(lambda: len(site.in_force()) == 16 and len(site.policy.slices) == SLICES)
-    valid_names = rewrites(site, Random(seed), int(os.environ.get("REWRITES", 500)))
+    valid_names = rewrite_file(site, Random(seed), int(os.environ.get("REWRITES", 500)))
     last = list_text(range(1, 17))
     site.write("a.ini", f"[list]\nconfirm = {site.node_files.node_set_in_force.node_set.short_hash}\n{last}")
     site.wait(lambda: format_node_list(NodeSet(site.in_force())) == last)
--- a/tests/file_discovery/test_node_list.py
+++ b/tests/file_discovery/test_node_list.py
@@ -55,7 +55,7 @@
         ("weight 1.5", "weight 1e9", "expected a weight of at most 1e+06"),
         ("weight 1.5", "weight", "line 7"),
         ("weight 1.5", "weigth 1.5", "expected weight W, cell N or draining, got 'weigth'"),
-        ("cell 3", "weight 3", "weight is given twice"),
+        ("cell 3", "weight 3", "duplicate attribute weight"),
         ("cell 3", "cell 3.5", "expected a whole number"),
         (
             "order-1.windsor.example.org =",
@@ -83,7 +83,12 @@
 
 
 @pytest.mark.parametrize(
-    "data, expected", [("", "the file is empty"), (" \n\n", "the file is empty"), (b"\xff", "not valid UTF-8")]
+    "data, expected",
+    [
+        ("", "the file is empty"),
+        (" \n\n", "the file is empty"),
+        (b"\xff", "expected UTF-8 text, but byte 0 is not valid"),
+    ],
 )
 def test_a_file_without_text_is_refused(data, expected):
     with pytest.raises(InvalidSettingsError, match=expected):
--- a/tests/reference_proxy/test_proxy.py
+++ b/tests/reference_proxy/test_proxy.py
@@ -41,7 +41,7 @@
     """A connection that a stub node has accepted: records received bytes and writes the test's replies."""
 
     def __init__(self, node, sock):
-        self.node, self.data, self.gone = node, b"", None
+        self.node, self.data, self.closed_because = node, b"", None
         self.connection = Connection(node.kit.loop, node.kit.pool, sock, self, 1 << 26)
 
     def on_data(self, data):
@@ -50,7 +50,7 @@
             self.node.handler(self)
 
     def on_close(self, why):
-        self.gone = why
+        self.closed_because = why
 
     def write(self, data):
         self.connection.write(data)
@@ -272,7 +272,9 @@
     assert client.data.startswith(b"HTTP/1.1 504") and b"aborted: op timeout" in client.data
     site.pass_time(50 * MS)
     assert site.requests() == 1 and site.attempts.counts["second_tries"] == 0
-    assert all(peer.gone for node in site.nodes for peer in node.peers)  # closed, as a late response might still arrive
+    assert all(
+        peer.closed_because for node in site.nodes for peer in node.peers
+    )  # closed, as a late response might still arrive
 
 
 def test_attempt_reset_after_the_complete_request_is_not_retried(make_site):
@@ -321,7 +323,7 @@
     site.wait(lambda: second.data == OK)
     site.nodes[0].peers[0].write(OK)
     site.wait(lambda: first.data == OK)
-    site.wait(lambda: site.nodes[0].peers[0].gone)
+    site.wait(lambda: site.nodes[0].peers[0].closed_because)
     assert site.nodes[0].seen().count(b"HTTP/1.1") == 1
 
 
@@ -354,7 +356,7 @@
     client = site.client(b"POST /place HTTP/1.1\r\nHost: a\r\nContent-Length: 1000\r\n\r\nbegin")
     site.wait(lambda: client.ended)
     assert client.data.startswith(b"HTTP/1.1 413") and b"Connection: close" in client.data
-    assert site.nodes[0].peers[0].gone  # closed, as the request was not sent completely
+    assert site.nodes[0].peers[0].closed_because  # closed, as the request was not sent completely
 
 
 def test_pipelined_requests_behind_a_slow_one_are_answered_in_order(make_site):
@@ -381,7 +383,7 @@
         site.wait(lambda: len(site.proxy.admission))
     client.close()
     site.wait(lambda: not len(site.proxy.admission))
-    site.wait(lambda: all(peer.gone for peer in site.nodes[0].peers))
+    site.wait(lambda: all(peer.closed_because for peer in site.nodes[0].peers))
     assert site.attempts.counts["second_tries"] == 0
 
 
@@ -442,14 +444,14 @@
     client = site.client(post())
     site.wait(lambda: client.data)
     assert client.data.startswith(b"HTTP/1.1 502") and site.requests() == 1
-    site.wait(lambda: all(peer.gone for node in site.nodes for peer in node.peers))
+    site.wait(lambda: all(peer.closed_because for node in site.nodes for peer in node.peers))
 
 
 def test_bytes_after_a_response_are_not_taken_as_the_next_response(make_site):
     site = make_site(answers_with(OK + OK.replace(b"ok", b"no"), OK))
     client = site.client(GET + GET)
     site.wait(lambda: client.data.count(b"HTTP/1.1") == 2)
-    assert client.data == OK * 2 and site.nodes[0].peers[0].gone
+    assert client.data == OK * 2 and site.nodes[0].peers[0].closed_because
 
 
 @pytest.mark.parametrize(
@@ -723,7 +725,9 @@
 def test_arbitrary_bytes_from_client_and_node_raise_nothing_and_leak_nothing(sent, reply, cut):
     """The loop re-raises exceptions of its callbacks; `Site.close` asserts that all resources were released."""
     site = Site(
-        lambda peer: peer.gone or peer.write(reply) or peer.connection.close("end"), timeouts=(60 * MS,) * 3, hold=0
+        lambda peer: peer.closed_because or peer.write(reply) or peer.connection.close("end"),
+        timeouts=(60 * MS,) * 3,
+        hold=0,
     )
     client = site.client()
     for index in range(0, len(sent), cut):
