--- a/kestrelplank/rehearsal/assigner_process.py
+++ b/kestrelplank/rehearsal/assigner_process.py
@@ -1,4 +1,4 @@
-"""An assigner of a live rehearsal: the real program as a process, with its relay and its agent on sockets."""
+"""An assigner of a live rehearsal: the real program as a process, with stubs of its relay and its agent."""
 
 import json
 import signal
@@ -49,7 +49,7 @@
 
 
 class AssignerProcess(Assigner):
-    """An assigner's process, and its relay and agent, which live across its incarnations.
+    """An assigner's process, and its relay (`hub` in its settings) and agent, which outlive its incarnations.
 
     :param node_addresses: of the nodes, by number.
     :param folder: for the process's settings file.
--- a/kestrelplank/rehearsal/relay_messages.py
+++ b/kestrelplank/rehearsal/relay_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the relay and the agent to an assigner, as their protocol's specification defines them."""
+"""Messages of the relay (`hub` in settings) and the agent to an assigner, as their protocol specification says."""
 
 JsonObject = dict[str, object]
 
--- a/tests/file_discovery/test_node_files.py
+++ b/tests/file_discovery/test_node_files.py
@@ -1,5 +1,5 @@
-"""Tests of node files from a saved file to the tables of relays, with real components over loopback and a stub hub: an
-invalid or partly written file must change no table."""
+"""Tests of node files from a saved file to the tables of proxies, with real components over loopback and a stub update
+source: an invalid or partly written file must change no table."""
 
 import json
 import os
@@ -25,12 +25,12 @@
 from kestrelplank.state.table_orders import RequestAcknowledgement, SetEndpoint, SetWithdrawn
 from kestrelplank.state.tables import Tables
 
-RELAYS, SLICES = 2, 12
+PROXIES, SLICES = 2, 12
 SETTINGS = {
     "Areas": ["toronto", "windsor"],
     "Categories": [{"Name": "look"}],
     "Tick": 2.0,
-    "Specifics": {"Shards": SLICES, "DataPlaneSize": RELAYS, "MostWaiting": 9e6, "EgressPerS": 9e6, "BaseMode": 1},
+    "Specifics": {"Shards": SLICES, "DataPlaneSize": PROXIES, "MostWaiting": 9e6, "EgressPerS": 9e6, "BaseMode": 1},
     "Rules": {"StopSendingWithin": 40.0, "WarmUp": 0.0, "ColdFrom": 1.0, "FallMultiple": 3.0},
 }
 
@@ -48,30 +48,30 @@
 
 
 class Site:
-    """A conductor with node files in place of discovery, a stub hub, and relays whose tables follow the hub's orders."""
+    """An assigner with node files, a stub update source, and proxies whose tables follow the assigner's orders."""
 
     def __init__(self, folder, first, **fields):
         self.kit, self.folder = Kit(), folder
         self.write("a.ini", first)
-        self.relays = [Tables(SLICES, 1, 1) for _ in range(RELAYS)]
+        self.proxies = [Tables(SLICES, 1, 1) for _ in range(PROXIES)]
         self.next_number, self.calls, self.empty_tables, self.at_orders = 0, [], 0, None
-        for relay in self.relays:
-            relay.begin_stream(0)
+        for proxy in self.proxies:
+            proxy.begin_stream(0)
             for table in range(SLICES):
-                relay.set_table(table, 0, {name(1 + table % 2): 1.0})
-        self.hub = StubServer(self.kit, self.handle_request)
+                proxy.set_table(table, 0, {name(1 + table % 2): 1.0})
+        self.update_source = StubServer(self.kit, self.handle_request)
         self.agent = StubServer(self.kit)  # sends nothing
         ids = self.ids = Ids(text)
         settings = read_settings(SETTINGS, ids, "settings")
         kit = self.kit
         self.events = []
-        orders = OrderQueue(kit.loop, kit.pool, kit.counters, self.hub.at, ids, ["look"], 7)
+        orders = OrderQueue(kit.loop, kit.pool, kit.counters, self.update_source.at, ids, ["look"], 7)
         discovery = NodeDiscovery(kit.loop, kit.pool, kit.counters, self.agent.at, ids, self.on_discovery_event)
         health_checks = HealthChecks(
             kit.loop, kit.pool, kit.counters, discovery.addresses, False, MS, False, self.on_event
         )
         self.policy = Policy(kit.loop.now(), 5, PolicySettings.from_mapping(settings))
-        self.conductor = RoundRunner(
+        self.round_runner = RoundRunner(
             kit.loop, kit.counters, self.policy, settings["tick"], orders, discovery, health_checks, None
         )
         nodes = NodeFileSettings(
@@ -86,15 +86,15 @@
             }
         )
         self.node_files = NodeFiles(kit.loop, kit.counters, nodes, 40 * MS, ids, discovery.addresses, self.on_event)
-        self.conductor.holders.append(self.node_files)
+        self.round_runner.holders.append(self.node_files)
         proxy_updates = ProxyUpdates(
-            kit.loop, kit.pool, kit.counters, self.hub.at, ids, RELAYS, SLICES, orders, self.on_event
+            kit.loop, kit.pool, kit.counters, self.update_source.at, ids, PROXIES, SLICES, orders, self.on_event
         )
-        self.components = [proxy_updates, orders, self.node_files, health_checks, self.hub, self.agent]
+        self.components = [proxy_updates, orders, self.node_files, health_checks, self.update_source, self.agent]
 
     def on_event(self, event):
         self.events.append(event)
-        self.conductor.on_event(event)
+        self.round_runner.on_event(event)
 
     def on_discovery_event(self, event):
         self.node_files.on_event(event)
@@ -102,13 +102,13 @@
     def handle_request(self, connection, path, body):
         if path == "/api/stream":
             connection.begin_stream()
-            connection.send(*(attach(relay) | {"type": "attach"} for relay in range(RELAYS)))
+            connection.send(*(attach(proxy) | {"type": "attach"} for proxy in range(PROXIES)))
             for table in range(SLICES):
                 connection.send(
                     message("owner", shard=table, set=True),
                     *(
                         message("entry", shard=table, endpoint=node, w=weight)
-                        for node, weight in self.relays[0].weights(table).items()
+                        for node, weight in self.proxies[0].weights(table).items()
                     ),
                 )
             connection.send({})
@@ -123,20 +123,20 @@
             for op in ops
             if op["verb"] != "gate"
         ]
-        for relay in self.relays:
-            relay.apply(0, self.next_number, orders)
-            self.empty_tables += sum(not relay.available(table) for table in range(SLICES))
+        for proxy in self.proxies:
+            proxy.apply(0, self.next_number, orders)
+            self.empty_tables += sum(not proxy.available(table) for table in range(SLICES))
         self.next_number += 1
         self.calls.append((self.kit.loop.now(), orders))
         connection.reply({"ok_count": len(ops)})
         for order in orders:
             if isinstance(order, RequestAcknowledgement):
-                for stream in self.hub.connections:
+                for stream in self.update_source.connections:
                     if stream.path == "/api/stream" and stream.closed_because is None:
                         stream.send(
                             *(
-                                message("done", node=relay, nonce=order.watermark, latency=1.0)
-                                for relay in range(RELAYS)
+                                message("done", node=proxy, nonce=order.watermark, latency=1.0)
+                                for proxy in range(PROXIES)
                             )
                         )
 
@@ -368,7 +368,7 @@
 
 
 def rewrite_file(site, random, number):
-    """Rewrite the file `number` times, mostly with invalid lists, and check that no table of a relay is ever empty.
+    """Rewrite the file `number` times, mostly with invalid lists, and check that no table of a proxy is ever empty.
 
     Return the names of all nodes in valid lists, including lists that a changed byte left valid with another name.
     """
@@ -414,7 +414,7 @@
 
 
 @pytest.mark.parametrize("seed, events", [(1, True), (2, False)])
-def test_relays_only_see_complete_valid_tables_over_a_thousand_rewrites(make_site, seed, events):
+def test_proxies_only_see_complete_valid_tables_over_a_thousand_rewrites(make_site, seed, events):
     site = make_site(
         list_text(range(1, 17)), trailer_required=True, events=events, quiet_period_ns=2 * MS, poll_interval_ns=3 * MS
     )
@@ -429,8 +429,8 @@
     names_in_force = set(site.in_force())
     site.wait(
         lambda: all(
-            set(dict(relay.available(table))) <= names_in_force and relay.available(table)
-            for relay in site.relays
+            set(dict(proxy.available(table))) <= names_in_force and proxy.available(table)
+            for proxy in site.proxies
             for table in range(SLICES)
         )
     )
