--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -270,7 +270,9 @@
 
     async def _forward_answer(self) -> None:
         """Forward the server's answer to the client, without its hop-by-hop headers."""
-        assert self._last_result is not None and self._last_result.answer is not None  # as the step is not `Refuse`
+        assert (
+            self._last_result is not None and self._last_result.answer is not None
+        )  # `ForwardAnswer` follows an answer
         answer: Answer = self._last_result.answer
         headers = [
             (lower_name, value)
--- a/kestrelplank/edge/counters.py
+++ b/kestrelplank/edge/counters.py
@@ -8,7 +8,7 @@
 from kestrelplank.forwarding.retry_policy import CallOutcome
 
 UPSTREAM_RQ_RETRY = "upstream_rq_retry"  # attempts after the first of a request
-UPSTREAM_RQ_PENDING = "upstream_rq_pending"  # waits for server capacity or for an owner of the shard key
+UPSTREAM_RQ_PENDING = "upstream_rq_pending"  # waits for server capacity or for a holder of the shard key
 UPSTREAM_RQ_ENDED = {outcome: f"upstream_rq_{outcome.value}" for outcome in CallOutcome}
 DOWNSTREAM_RQ_REFUSED = {
     error: f"downstream_rq_refused_{error.reason.replace(' ', '_')}"
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -179,7 +179,9 @@
         try:
             async with asyncio.timeout_at(deadline_at_s):
                 answer = await connection.call(request.method, request.target, request.headers, request.body)
-                while not is_answer_to(answer, request.attempt_id):  # an answer to an earlier request; ours may follow
+                while not is_answer_to(
+                    answer, request.attempt_id
+                ):  # an answer to an earlier request; this one's may follow
                     answer = await connection.next_answer(request.method, request.target)
             pool.limit_idle_time(answer.max_idle_ns())
             return AttemptResult(outcome_of(answer), answer), connection.reusable
--- a/kestrelplank/forwarding/endpoint.py
+++ b/kestrelplank/forwarding/endpoint.py
@@ -59,7 +59,9 @@
         self.number, self.server, self.service, self.address = number, entry.server, entry.service, entry.address
         self.zone, self.slots = entry.zone, max(1, entry.slots)
         self.ready, self.listed, self.warm_up_ends_at = entry.state == READY, True, 0
-        self.drain_listed_at = 0  # when the first list that showed it draining was fetched; 0: it was never ready here
+        self.drain_listed_at = (
+            0  # when the first list that showed it draining was fetched; 0: it has not gone from ready to draining
+        )
         self.in_flight = 0  # requests of this edge at the server
         self.idle_connections = 0  # connections of this edge, set by the adapter
         self.other_edges_load, self.load_reported_at = 0.0, 0  # requests, as of the last load report
--- a/kestrelplank/forwarding/forwarder.py
+++ b/kestrelplank/forwarding/forwarder.py
@@ -41,7 +41,7 @@
 
 # Deadline.
 ANSWER_MARGIN_NS = 30 * MILLISECOND  # kept before the deadline for an answer of the gateway's own
-MIN_ATTEMPT_DIVISOR = 10  # an attempt needs at least latency target / 10 before the deadline
+MIN_ATTEMPT_DIVISOR = 10  # an attempt needs at min_connections latency target / 10 before the deadline
 
 # Attempts.
 MAX_UNSENT_ATTEMPTS = 4  # of one request, whose connections failed; not counted towards `max_attempts`
@@ -141,8 +141,8 @@
 
     def next_step(self, now: int, request: ForwardedRequest) -> Step:
         """Decide where the request goes: after its admission, after a wait, and before a retry."""
-        least_ns = max(ANSWER_MARGIN_NS, request.route.latency_target_ns // MIN_ATTEMPT_DIVISOR)
-        if now + least_ns >= request.deadline_at:
+        min_remaining_ns = max(ANSWER_MARGIN_NS, request.route.latency_target_ns // MIN_ATTEMPT_DIVISOR)
+        if now + min_remaining_ns >= request.deadline_at:
             return self._refuse(request, DeadlineTooNearError)
         if request.key is None:
             return self._to_any_server(now, request)
@@ -203,9 +203,9 @@
         endpoint.attempt_started()
         timeout_ns = request.deadline_at - now
         if self._may_time_out_early(request):
-            usual_ns = int(EARLY_TIMEOUT_LATENCIES * endpoint.latency_s * SECOND)
+            latency_based_ns = int(EARLY_TIMEOUT_LATENCIES * endpoint.latency_s * SECOND)
             timeout_ns = min(
-                timeout_ns, max(usual_ns, int(EARLY_TIMEOUT_TARGET_FRACTION * request.route.latency_target_ns))
+                timeout_ns, max(latency_based_ns, int(EARLY_TIMEOUT_TARGET_FRACTION * request.route.latency_target_ns))
             )
         return Send(endpoint, timeout_ns)
 
@@ -224,8 +224,10 @@
     def max_connections(self, request: ForwardedRequest) -> int:
         """Return how many connections this edge may have to a server of the service; all edges have equal shares."""
         share = int(CONNECTION_SHARE * request.max_connections / self.view.edge_count)
-        least = WANTED_CONNECTIONS if WANTED_CONNECTIONS * self.view.edge_count <= request.max_connections else 1
-        return max(least, share)
+        min_connections = (
+            WANTED_CONNECTIONS if WANTED_CONNECTIONS * self.view.edge_count <= request.max_connections else 1
+        )
+        return max(min_connections, share)
 
     @staticmethod
     def may_abandon(request: ForwardedRequest) -> bool:
--- a/kestrelplank/forwarding/retry_policy.py
+++ b/kestrelplank/forwarding/retry_policy.py
@@ -30,14 +30,14 @@
     """How a call ended, as its caller saw it. The values are names of counters and appear in logs."""
 
     ANSWERED = "answered"  # a complete answer that matches the call
-    SERVER_ERROR = "5xx"  # the same, a 5xx that does not say that the call has not run
-    NOT_EXECUTED = "not_executed"  # an answer that matches the call says that it has not run
+    SERVER_ERROR = "5xx"  # a complete 5xx answer that matches the call, without the statement that it has not run
+    NOT_EXECUTED = "not_executed"  # a complete answer that matches the call states that it has not run
     NO_CONNECTION_FREE = "no_connection_free"  # nothing was sent: all connections allowed to the server are in use
     UNSENDABLE = "unsendable"  # can't be encoded: no byte was sent, nor would be to another server
     NOT_SENT = "not_sent"  # abandoned before its first byte, as the client had disconnected
     CONNECT_FAIL = "connect_fail"  # connecting failed, or the connection had ended: no byte was sent
     RESET = "reset"  # after the first byte sent, before the first of an answer
-    CLOSED = "closed"  # the same, by an orderly close of the connection
+    CLOSED = "closed"  # an orderly close of the connection, also between these two bytes
     TRUNCATED = "truncated"  # the connection ended within an answer
     MALFORMED = "malformed"  # not a valid answer, or one that can't belong to the call
     TIMEOUT = "timeout"  # bytes were sent and no answer arrived in time
--- a/kestrelplank/gateway/rehearse.py
+++ b/kestrelplank/gateway/rehearse.py
@@ -4,7 +4,7 @@
 from kestrelplank.rehearsal.gateway_rehearsal import play
 
 # Report fields that count rule violations: a request ran twice, a request ran although the client was promised that it
-# had not, a key had two owners.
+# had not, a key had two holders.
 RULE_VIOLATION_FIELDS = ("run_twice", "promised_and_ran", "held_twice")
 
 
--- a/kestrelplank/gateway/replace.py
+++ b/kestrelplank/gateway/replace.py
@@ -28,7 +28,7 @@
 
     @property
     def acknowledged(self) -> bool:
-        """Whether the control member accepted the call; a version that is too low still changes nothing."""
+        """Whether the control member answered 200, which it also does for a version too low to come into force."""
         return self.answer.status == HTTP_OK
 
     @property
--- a/kestrelplank/http/connection.py
+++ b/kestrelplank/http/connection.py
@@ -99,7 +99,7 @@
         return ConnectionClosedWithoutAnswerError if stream.error is None else ConnectionResetWithoutAnswerError
 
     def is_stale(self) -> bool:
-        """Whether it can't be reused: it has ended, has received unsolicited bytes or has bytes still to send."""
+        """Whether the connection can't be reused: it has ended, received unsolicited bytes, or has bytes to send."""
         return (
             not self.stream.has_no_input()
             or self.stream.has_unsent_bytes()
--- a/kestrelplank/http/stream.py
+++ b/kestrelplank/http/stream.py
@@ -22,7 +22,7 @@
         self.buffer = bytearray()
         self.ended, self.discards_writes = False, False
         self.sent_bytes, self.received_bytes = 0, 0
-        self.error: Exception | None = None  # why the connection was lost; None: orderly end
+        self.error: Exception | None = None  # why the connection was lost; None: still open, or ended in order
         self._reader: asyncio.Future[None] | None = None  # set while `read` waits for bytes
         self._writer: asyncio.Future[None] | None = None  # set while the transport's write buffer is full
 
--- a/kestrelplank/state/change_guard.py
+++ b/kestrelplank/state/change_guard.py
@@ -63,14 +63,14 @@
     if emptied and not limits.zone_may_empty:
         more = f", and {len(emptied) - 1} more" if len(emptied) > 1 else ""
         return Verdict(Decision.REFUSED, f"zone {emptied[0]} would be left without a ready node{more}")
-    found = difference(in_force, new)
-    closed, ready = len(closed_nodes(in_force, found)), len(in_force.ready_nodes())
+    changes = difference(in_force, new)
+    closed, ready = len(closed_nodes(in_force, changes)), len(in_force.ready_nodes())
     if closed <= limits.max_closed_fraction * ready:
-        return Verdict(Decision.ACCEPTED, str(found))
+        return Verdict(Decision.ACCEPTED, str(changes))
     if any(len(given) >= SHORT_HASH_DIGITS and in_force.hash.startswith(given) for given in confirmed_hashes):
-        return Verdict(Decision.ACCEPTED, f"{found}; confirmed")
+        return Verdict(Decision.ACCEPTED, f"{changes}; confirmed")
     if limits.confirmation_period_ns and unchanged_ns >= limits.confirmation_period_ns:
-        return Verdict(Decision.ACCEPTED, f"{found}; unchanged for {unchanged_ns / NS_PER_S:g} s")
+        return Verdict(Decision.ACCEPTED, f"{changes}; unchanged for {unchanged_ns / NS_PER_S:g} s")
     reason = f"it would close {closed} of {ready} ready nodes, over {limits.max_closed_fraction:.0%}"
     return _waiting(in_force, reason, unchanged_ns, limits)
 
@@ -85,6 +85,6 @@
     return Verdict(Decision.WAITING, reason, period_ns - unchanged_ns)
 
 
-def closed_nodes(in_force: NodeSet, found: Difference) -> list[str]:
-    """Return the ready nodes of the set in force that the difference removes or closes."""
-    return [name for name in found.gone if in_force.nodes[name].ready] + list(found.closed)
+def closed_nodes(in_force: NodeSet, changes: Difference) -> list[str]:
+    """Return the ready nodes of the set in force that the changes remove or close."""
+    return [name for name in changes.gone if in_force.nodes[name].ready] + list(changes.closed)
--- a/kestrelplank/state/change_leader.py
+++ b/kestrelplank/state/change_leader.py
@@ -107,7 +107,7 @@
         self._staging: tuple[int, object] | None = None  # version and content being staged
         self._own_change = False  # proposed to this leader, not taken over from a former one
         self._promises: dict[int, Promise] = {}  # by voter, in this epoch
-        self._staged_at: dict[int, None] = {}
+        self._staged_by: dict[int, None] = {}  # proxies that have staged it, in order
         self._versions_used: dict[int, int] = {}  # by proxy
         self._deadline_at = 0
 
@@ -116,7 +116,7 @@
         other = ChangeLeader(self.epoch, self._settings, self.version, self.content)
         other.phase, other.joined = self.phase, self.joined
         other._staging, other._own_change = self._staging, self._own_change
-        other._promises, other._staged_at = dict(self._promises), dict(self._staged_at)
+        other._promises, other._staged_by = dict(self._promises), dict(self._staged_by)
         other._versions_used, other._deadline_at = dict(self._versions_used), self._deadline_at
         return other
 
@@ -131,7 +131,7 @@
             self._staging,
             self._own_change,
             tuple(sorted(self._promises.items())),
-            tuple(sorted(self._staged_at)),
+            tuple(sorted(self._staged_by)),
             tuple(sorted(self._versions_used.items())),
         )
 
@@ -160,7 +160,7 @@
         """Start leading: send `Prepare` to all joined proxies and wait for their promises."""
         self.joined, self.phase = joined, Phase.PREPARING
         self._deadline_at = now + self._settings.staging_timeout_ns
-        self._promises, self._staged_at, self._staging = {}, {}, None
+        self._promises, self._staged_by, self._staging = {}, {}, None
         return [StoreEpoch(self.epoch), *self._send_to_all(Prepare(self.epoch))]
 
     def propose(self, now: int, base_version: int, content: object) -> list[Effect]:
@@ -200,7 +200,7 @@
         if isinstance(reply, Promise) and self.phase is Phase.PREPARING and proxy in self._settings.voters:
             self._promises[proxy] = reply
         elif isinstance(reply, Staged) and self._staging is not None and reply.version == self._staging[0]:
-            self._staged_at[proxy] = None
+            self._staged_by[proxy] = None
         return self._advance(now)
 
     def tick(self, now: int) -> list[Effect]:
@@ -236,7 +236,7 @@
         return len(self._promises) >= self._settings.quorum and (not awaited or now >= self._deadline_at)
 
     def _enough_staged(self, now: int) -> bool:
-        votes = sum(proxy in self._settings.voters for proxy in self._staged_at)
+        votes = sum(proxy in self._settings.voters for proxy in self._staged_by)
         missing = len(self._missing())
         may_leave_behind = now >= self._deadline_at and missing <= self._settings.max_missing_fraction * len(
             self.joined
@@ -277,7 +277,7 @@
     def _stage(self, now: int, content: object, *, own_change: bool) -> list[Effect]:
         """Start staging this content as the next version."""
         version = self.version + 1
-        self.phase, self._staging, self._staged_at = Phase.STAGING, (version, content), {}
+        self.phase, self._staging, self._staged_by = Phase.STAGING, (version, content), {}
         self._own_change, self._deadline_at = own_change, now + self._settings.staging_timeout_ns
         return [
             StoreStaged(self.epoch, version, content),
@@ -305,7 +305,7 @@
 
     def _missing(self) -> list[int]:
         """Return the joined proxies that have not acknowledged the change being staged."""
-        return [proxy for proxy in self.joined if proxy not in self._staged_at]
+        return [proxy for proxy in self.joined if proxy not in self._staged_by]
 
     def _behind(self) -> list[int]:
         """Return the joined proxies that are not known to use the decided version."""
@@ -318,7 +318,7 @@
         effects: list[Effect] = []
         if self.version and self._versions_used.get(proxy, 0) < self.version:
             effects.append(SendToProxy(proxy, Use(self.epoch, self.version, self.content)))
-        if self._staging is not None and proxy not in self._staged_at:
+        if self._staging is not None and proxy not in self._staged_by:
             effects.append(SendToProxy(proxy, Stage(self.epoch, *self._staging)))
         return effects
 
--- a/kestrelplank/state/control_state.py
+++ b/kestrelplank/state/control_state.py
@@ -87,12 +87,12 @@
 
     @property
     def configuration(self) -> PutConfiguration | None:
-        """The configuration in force."""
+        """The configuration in force; None if there is none."""
         return self._configuration
 
     @property
     def version(self) -> int:
-        """The version in force; `NO_VERSION` where none is."""
+        """The version in force; `NO_VERSION` if there is none."""
         return NO_VERSION if self._configuration is None else self._configuration.version
 
     @property
--- a/kestrelplank/state/debounce.py
+++ b/kestrelplank/state/debounce.py
@@ -35,11 +35,11 @@
             return DebounceResult.SAME
         if not self._pending:
             self._busy_since = now
-        seen = self._pending.get(path)
-        if seen is None or seen[0] != digest:
-            seen = self._pending[path] = digest, now
-        if now - seen[1] < self._quiet_period_ns:
-            return seen[1] + self._quiet_period_ns
+        pending = self._pending.get(path)
+        if pending is None or pending[0] != digest:
+            pending = self._pending[path] = digest, now
+        if now - pending[1] < self._quiet_period_ns:
+            return pending[1] + self._quiet_period_ns
         del self._pending[path]
         self._settled[path] = digest
         return DebounceResult.SETTLED
--- a/kestrelplank/state/journal.py
+++ b/kestrelplank/state/journal.py
@@ -4,8 +4,8 @@
 
     size of the body (4 bytes), sequence (8), checksum of both and of the body (16), body (JSON)
 
-A torn tail was never acknowledged and is cut off. Damage before an intact record is an error that names its offset, as
-cutting there would silently lose acknowledged records.
+A torn tail was never acknowledged and is to be truncated. Damage before an intact record is an error that names its
+offset, as truncating there would silently lose acknowledged records.
 """
 
 import struct
@@ -30,13 +30,13 @@
     """The content of a journal file.
 
     :param records: sequence and value of each record, in order.
-    :param intact_bytes: size of the intact part of the file; the rest is to be cut off.
-    :param cut_reason: "" if nothing is to be cut off.
+    :param intact_bytes: size of the intact part of the file; the rest is to be truncated.
+    :param truncation_reason: "" if nothing is to be truncated.
     """
 
     records: list[tuple[int, JsonValue]]
     intact_bytes: int
-    cut_reason: str
+    truncation_reason: str
 
 
 class _Record(NamedTuple):
@@ -70,7 +70,7 @@
     """
     if not data.startswith(MAGIC):
         if MAGIC.startswith(data):  # torn while the file was created: no record was acknowledged yet
-            return RecoveredJournal([], 0, f"{len(data)} bytes of a journal that was being made")
+            return RecoveredJournal([], 0, f"{len(data)} bytes of a journal that was being created")
         raise MalformedError("byte 0: expected the magic bytes of a journal")
     offset = len(MAGIC)
     records: list[tuple[int, JsonValue]] = []
--- a/kestrelplank/state/membership.py
+++ b/kestrelplank/state/membership.py
@@ -68,7 +68,7 @@
 
 
 class View(NamedTuple):
-    """The members that are alive, with a version that increases when they change."""
+    """The members that are not dead (alive or suspected), with a version that increases when they change."""
 
     version: int
     alive: tuple[int, ...]
@@ -135,17 +135,17 @@
             self._members[sender].zone_sums, self._members[sender].zone_sums_at = zones, now
         return any(newer)
 
-    def _record(self, now: int, known: MemberHeartbeat) -> bool:
+    def _record(self, now: int, received: MemberHeartbeat) -> bool:
         """Record a member's heartbeat; return whether it is newer than the last one."""
-        member = self._members.get(known.number)
-        if member is None or known.incarnation > member.incarnation:
-            self._members[known.number] = Member(known.incarnation, known.heartbeat, now)
+        member = self._members.get(received.number)
+        if member is None or received.incarnation > member.incarnation:
+            self._members[received.number] = Member(received.incarnation, received.heartbeat, now)
             return True
-        if known.incarnation < member.incarnation or known.heartbeat <= member.heartbeat:
+        if received.incarnation < member.incarnation or received.heartbeat <= member.heartbeat:
             return False  # a former incarnation, or not a newer heartbeat
         # Heartbeats may have been lost since the last one: divide, so that loss does not look like a longer interval.
-        member.intervals_ns.append(max(0, now - member.last_heartbeat_at) // (known.heartbeat - member.heartbeat))
-        member.heartbeat, member.last_heartbeat_at = known.heartbeat, now
+        member.intervals_ns.append(max(0, now - member.last_heartbeat_at) // (received.heartbeat - member.heartbeat))
+        member.heartbeat, member.last_heartbeat_at = received.heartbeat, now
         return True
 
     def liveness(self, now: int, number: int) -> Liveness:
--- a/kestrelplank/state/node_list_merge.py
+++ b/kestrelplank/state/node_list_merge.py
@@ -68,7 +68,7 @@
         first, second = self._by_source[self._authority].get(node), self._by_source[self._other].get(node)
         if first is None or second is None:
             return first
-        condition = max(first.condition, second.condition, key=lambda each: SEVERITY[NodeCondition(each)])
+        condition = max(first.condition, second.condition, key=lambda value: SEVERITY[NodeCondition(value)])
         starts = [entry.started_at for entry in (first, second) if entry.started_at is not None]
         return first._replace(condition=condition, started_at=max(starts, default=None))
 
--- a/kestrelplank/state/node_set_in_force.py
+++ b/kestrelplank/state/node_set_in_force.py
@@ -149,8 +149,8 @@
 
     :raises MalformedError: the data is torn or changed, or its format version is not supported.
     """
-    found = decode_checksummed(FORMAT_VERSION, data)
-    node_set = NodeSet({name: ListedNode(*listed) for name, listed in found["nodes"].items()})
-    if node_set.hash != found["hash"]:
+    stored = decode_checksummed(FORMAT_VERSION, data)
+    node_set = NodeSet({name: ListedNode(*listed) for name, listed in stored["nodes"].items()})
+    if node_set.hash != stored["hash"]:
         raise MalformedError("the hash of its nodes does not match the stored hash")
-    return StoredNodeSet(node_set, found["version"], tuple(HistoryEntry(*entry) for entry in found["history"]))
+    return StoredNodeSet(node_set, stored["version"], tuple(HistoryEntry(*entry) for entry in stored["history"]))
--- a/kestrelplank/state/tables.py
+++ b/kestrelplank/state/tables.py
@@ -114,25 +114,27 @@
         :raises UpdateRejectedError: an order is invalid, or the assigner has no stream; nothing has changed.
         :raises MessageGapError: a message before this one is missing; nothing has changed.
         """
-        ordered = self._assigners.get(assigner)
-        if ordered is None:
+        assigner_orders = self._assigners.get(assigner)
+        if assigner_orders is None:
             raise UpdateRejectedError(f"assigner {assigner} has no open stream")
         watermarks = [order.watermark for order in orders if isinstance(order, RequestAcknowledgement)]
-        if number < ordered.next_message:
+        if number < assigner_orders.next_message:
             return [], watermarks
-        if number > ordered.next_message:
-            raise MessageGapError(f"received message {number}, expected {ordered.next_message}")
+        if number > assigner_orders.next_message:
+            raise MessageGapError(f"received message {number}, expected {assigner_orders.next_message}")
         for index, order in enumerate(orders):
             problem = self._problem_with(order)
             if problem:
                 raise UpdateRejectedError(f"order {index}: {problem}")
-        ordered.next_message += 1
-        changed = self._apply_orders(assigner, ordered, orders)
+        assigner_orders.next_message += 1
+        changed = self._apply_orders(assigner, assigner_orders, orders)
         for table in changed:
             self._available[table] = None
         return list(changed), watermarks
 
-    def _apply_orders(self, assigner: int, ordered: AssignerOrders, orders: Sequence[TableOrder]) -> dict[int, None]:
+    def _apply_orders(
+        self, assigner: int, assigner_orders: AssignerOrders, orders: Sequence[TableOrder]
+    ) -> dict[int, None]:
         """Apply valid orders; return the tables whose available nodes may have changed, in order."""
         changed: dict[int, None] = {}
         nodes: dict[int, None] = {}  # whose withdrawal was set or cleared
@@ -145,10 +147,10 @@
                     self.set_table(table, assigner, {})
                     changed[table] = None
                 case SetWithdrawn():
-                    self._set_withdrawn(ordered, order)
+                    self._set_withdrawn(assigner_orders, order)
                     nodes[order.node] = None
                 case SetAdmission():
-                    self._set_admission(ordered, order)
+                    self._set_admission(assigner_orders, order)
                 case RequestAcknowledgement():
                     pass  # `apply` has collected its watermark
                 case _:
@@ -193,20 +195,20 @@
     def _has(self, table: int) -> bool:
         return 0 <= table < self.size
 
-    def _set_withdrawn(self, ordered: AssignerOrders, order: SetWithdrawn) -> None:
+    def _set_withdrawn(self, assigner_orders: AssignerOrders, order: SetWithdrawn) -> None:
         if order.withdrawn:
-            ordered.withdrawn[order.node] = None
+            assigner_orders.withdrawn[order.node] = None
         else:
-            ordered.withdrawn.pop(order.node, None)
+            assigner_orders.withdrawn.pop(order.node, None)
 
-    def _set_admission(self, ordered: AssignerOrders, order: SetAdmission) -> None:
+    def _set_admission(self, assigner_orders: AssignerOrders, order: SetAdmission) -> None:
         table = order.table
-        shares = ordered.shares if table == ALL_TABLES else self._shares.setdefault(table, {})
+        shares = assigner_orders.shares if table == ALL_TABLES else self._shares.setdefault(table, {})
         for op_type in range(self._op_types):
             if not order.op_types or order.op_types >> op_type & 1:
                 shares[op_type] = order.share
         if table == ALL_TABLES:
-            ordered.retry_mode = order.retry_mode
+            assigner_orders.retry_mode = order.retry_mode
         else:
             self._retry_modes[table] = order.retry_mode
 
@@ -219,11 +221,11 @@
             "sources": [
                 (
                     assigner,
-                    [name_of(node) for node in ordered.withdrawn],
-                    list(ordered.shares.items()),
-                    ordered.retry_mode,
+                    [name_of(node) for node in assigner_orders.withdrawn],
+                    list(assigner_orders.shares.items()),
+                    assigner_orders.retry_mode,
                 )
-                for assigner, ordered in self._assigners.items()
+                for assigner, assigner_orders in self._assigners.items()
                 if assigner is not None
             ],
             "charge": self._owners,
@@ -241,9 +243,9 @@
         self._weights = [{node_of(name): weight for name, weight in weights.items()} for weights in content["lines"]]
         self._owners, self._available = list(content["charge"]), [None] * self.size
         for assigner, withdrawn, shares, retry_mode in content["sources"]:
-            ordered = self._assigners[assigner] = AssignerOrders()
-            ordered.withdrawn = dict.fromkeys(map(node_of, withdrawn))
-            ordered.shares, ordered.retry_mode = dict(shares), retry_mode
+            assigner_orders = self._assigners[assigner] = AssignerOrders()
+            assigner_orders.withdrawn = dict.fromkeys(map(node_of, withdrawn))
+            assigner_orders.shares, assigner_orders.retry_mode = dict(shares), retry_mode
         self._shares = {table: dict(shares) for table, shares in content["levels"]}
         self._retry_modes = dict(content["again"])
 
@@ -269,8 +271,8 @@
         """Return (node, weight) of the table's nodes that its owner has not withdrawn."""
         available = self._available[table]
         if available is None:
-            ordered = self._assigners.get(self._owners[table])
-            withdrawn = ordered.withdrawn if ordered else {}
+            assigner_orders = self._assigners.get(self._owners[table])
+            withdrawn = assigner_orders.withdrawn if assigner_orders else {}
             weights = self._weights[table].items()
             available = tuple((node, weight) for node, weight in weights if node not in withdrawn)
             self._available[table] = available
@@ -278,13 +280,17 @@
 
     def admitted_share(self, table: int, op_type: int) -> float:
         """Return the share of ops to admit: the lower of the table's share and its owner's share for all tables."""
-        ordered = self._assigners.get(self._owners[table])
+        assigner_orders = self._assigners.get(self._owners[table])
         table_share = self._shares.get(table, {}).get(op_type, 1.0) if self._shares else 1.0
-        return min(table_share, ordered.shares.get(op_type, 1.0) if ordered else 1.0)
+        return min(table_share, assigner_orders.shares.get(op_type, 1.0) if assigner_orders else 1.0)
 
     def retry_mode(self, table: int) -> int:
         """Return the retry mode: the table's, else its owner's, else the initial one."""
         if table in self._retry_modes:
             return self._retry_modes[table]
-        ordered = self._assigners.get(self._owners[table])
-        return self._initial_retry_mode if ordered is None or ordered.retry_mode is None else ordered.retry_mode
+        assigner_orders = self._assigners.get(self._owners[table])
+        return (
+            self._initial_retry_mode
+            if assigner_orders is None or assigner_orders.retry_mode is None
+            else assigner_orders.retry_mode
+        )
--- a/tests/edge/test_every_byte.py
+++ b/tests/edge/test_every_byte.py
@@ -25,14 +25,14 @@
 @pytest.mark.parametrize("end", ["reset", "close"])
 def test_answer_truncated_at_any_byte_gives_502_and_no_retry_of_a_non_idempotent_request(end):
     """Counts bytes and connections: httpcore, h11 and uvicorn must not send a request again on their own."""
-    cut_at, deadline_digits = [], []
+    truncate_at, deadline_digits = [], []
 
     async def script(server, connection):
         while True:
             fields, _ = await connection.request()
             deadline_digits.append(len(fields["x-deadline-remaining"]))  # varies with the time left
-            connection.write(answer(fields)[: cut_at[0]])
-            if cut_at[0] < ANSWER:
+            connection.write(answer(fields)[: truncate_at[0]])
+            if truncate_at[0] < ANSWER:
                 await connection.writer.drain()
                 getattr(connection, end)()
                 return
@@ -40,7 +40,7 @@
     async def scenario(harness):
         server, sizes, request_count = harness.servers[0], [], 0
         for position in range(ANSWER + 1):
-            cut_at[:] = [position]
+            truncate_at[:] = [position]
             before = received_byte_count(server)
             status, fields, body = await harness.send_request(NON_IDEMPOTENT, b"pay", f"a-{position:03}")
             sizes.append(received_byte_count(server) - before - deadline_digits[position])
@@ -62,21 +62,21 @@
 
 
 def test_idempotent_request_with_truncated_answers_is_sent_exactly_twice():
-    cut_at = []
+    truncate_at = []
 
     async def script(server, connection):
         fields, _ = await connection.request()
-        connection.write(answer(fields)[: cut_at[0]])
+        connection.write(answer(fields)[: truncate_at[0]])
         await connection.writer.drain()
 
     async def scenario(harness):
         harness.program.forwarder.retry_budget.capacity = lambda: 10_000.0
         harness.program.forwarder.retry_budget._balance.clear()
         for position in range(0, ANSWER, 3):
-            cut_at[:] = [position]
+            truncate_at[:] = [position]
             assert (await harness.send_request(IDEMPOTENT, b"", f"a-{position:03}"))[0] == 502
-        sent = [len(server.request_lines()) for server in harness.servers]
-        assert sum(sent) == 2 * len(range(0, ANSWER, 3)) and sent[0] == sent[1]
+        request_counts = [len(server.request_lines()) for server in harness.servers]
+        assert sum(request_counts) == 2 * len(range(0, ANSWER, 3)) and request_counts[0] == request_counts[1]
 
     run_scenario(scenario, script, script)
 
@@ -121,14 +121,14 @@
     """Also if the client's deadline ends during the connect: nothing was sent, so the answer is 503 instead of 504."""
 
     async def scenario(harness):
-        with socket.socket() as full, contextlib.ExitStack() as waiting:
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)
+        with socket.socket() as full_listener, contextlib.ExitStack() as waiting:
+            full_listener.bind(("127.0.0.1", 0))
+            full_listener.listen(0)
             for _ in range(4):  # fills the accept queue: further SYN packets get no answer
                 filler = waiting.enter_context(socket.socket())
                 filler.setblocking(False)
-                filler.connect_ex(full.getsockname())
-            harness.servers[0].name, harness.servers[0].port = "views-9", full.getsockname()[1]
+                filler.connect_ex(full_listener.getsockname())
+            harness.servers[0].name, harness.servers[0].port = "views-9", full_listener.getsockname()[1]
             harness.set_servers(harness.servers[0])
             status, _, body = await harness.send_request(NON_IDEMPOTENT, b"pay", "me", 120)
         assert (status, body) in ((503, b"too late to begin"), (503, b"no server"))
--- a/tests/edge/test_hard_cases.py
+++ b/tests/edge/test_hard_cases.py
@@ -14,7 +14,7 @@
 
 
 def failing_script(kind):
-    """Return a script: the first attempt at each request fails in this way once read; later attempts are answered."""
+    """Return a server script that fails the first attempt at each request after reading it, and answers later ones."""
     failed = []
 
     async def script(server, connection):
@@ -82,12 +82,12 @@
 def test_request_for_a_former_incarnation_gets_503_until_the_server_list_is_updated():
     """A new incarnation at the same address answers 421; the connection to the former one is not reused."""
 
-    async def former(server, connection):
+    async def former_incarnation(server, connection):
         fields, _ = await connection.request()
         connection.write(answer(fields, b"former"))
         connection.close()
 
-    async def present(server, connection):
+    async def new_incarnation(server, connection):
         while True:
             fields, _ = await connection.request()
             is_target = fields["x-target-instance"] == server.name
@@ -98,14 +98,14 @@
         assert (await harness.send_request(NON_IDEMPOTENT, b"", "one"))[2] == b"former"
         server.listening.close()
         await server.listening.wait_closed()
-        server.name, server.script = "views-9", present
+        server.name, server.script = "views-9", new_incarnation
         await server.start(server.port)
         status, fields, _ = await harness.send_request(NON_IDEMPOTENT, b"", "two")
         assert status == 503 and "retry-after" in fields  # 421 proves that it has not run
         harness.set_servers(server)
         assert (await harness.send_request(NON_IDEMPOTENT, b"", "three"))[2] == b"present"
 
-    run_scenario(scenario, former)
+    run_scenario(scenario, former_incarnation)
 
 
 def test_answer_to_an_earlier_request_on_the_connection_is_skipped():
@@ -330,7 +330,7 @@
 
     async def scenario(harness):
         harness.program.server.config.timeout_graceful_shutdown = 0.05
-        sent = [
+        sent_requests = [
             asyncio.create_task(harness.send_request(NON_IDEMPOTENT, b"", f"out-{number}", 9000)) for number in range(8)
         ]
         while len(harness.servers[0].request_lines()) < 8:
@@ -344,7 +344,7 @@
         ):
             await asyncio.sleep(0)
         await harness.program.drain(0)
-        assert [(await request)[0] for request in sent] == [502] * 8
+        assert [(await request)[0] for request in sent_requests] == [502] * 8
         for status, fields, _ in (await waiting, await uploading.answer()):
             assert status == 503 and "retry-after" in fields
         assert all(endpoint.in_flight == 0 for endpoint in harness.program.forwarder.endpoints.by_name.values())
--- a/tests/edge/test_server_connections.py
+++ b/tests/edge/test_server_connections.py
@@ -106,11 +106,11 @@
 
 
 def test_answer_to_an_earlier_request_is_skipped_and_the_next_answer_is_read():
-    other = answer(head=b"X-Attempt-Id: other\r\nX-Server-Seal: o\r\n", body=b"not yours")
-    results, _ = run_attempts(other + answer(body=b"mine"))
+    earlier_answer = answer(head=b"X-Attempt-Id: other\r\nX-Server-Seal: o\r\n", body=b"not yours")
+    results, _ = run_attempts(earlier_answer + answer(body=b"mine"))
     assert results[0].outcome == CallOutcome.ANSWERED and results[0].answer.body == b"mine"
-    assert outcomes((other, answer(body=b"mine")), "close", timeout_s=0.3)[0] == CallOutcome.ANSWERED
-    assert outcomes(other, timeout_s=0.2) == [CallOutcome.TIMEOUT]
+    assert outcomes((earlier_answer, answer(body=b"mine")), "close", timeout_s=0.3)[0] == CallOutcome.ANSWERED
+    assert outcomes(earlier_answer, timeout_s=0.2) == [CallOutcome.TIMEOUT]
 
 
 def test_connection_with_surplus_bytes_after_an_answer_is_not_reused():
--- a/tests/edge/test_wire_fuzz.py
+++ b/tests/edge/test_wire_fuzz.py
@@ -51,12 +51,12 @@
 
 @dataclass
 class Request:
-    """One client request, and the servers' action at each arrival. `cut`: the length of truncated answers."""
+    """One client request, and the servers' action at each arrival. `truncated_length`: of truncated answers, in bytes."""
 
     non_idempotent: bool
     size: int
     actions: list[str]
-    cut: int
+    truncated_length: int
 
 
 @dataclass
@@ -74,7 +74,7 @@
     non_idempotent=st.booleans(),
     size=st.sampled_from([0, 1, 300]),
     actions=st.lists(st.sampled_from(ACTIONS), min_size=1, max_size=2),
-    cut=st.integers(0, 150),
+    truncated_length=st.integers(0, 150),
 )
 # Each connection: its requests, the offsets at which their bytes are split, and the length of a final partial request.
 connections = st.tuples(
@@ -115,15 +115,15 @@
                 observed.violations.append(f"changed body of {name}")
             if not action.startswith("not run"):
                 observed.runs[name] = observed.runs.get(name, 0) + 1
-            other = answer({"x-attempt-id": previous_id[0]}, answer_of(previous_id[0]))
+            earlier_answer = answer({"x-attempt-id": previous_id[0]}, answer_of(previous_id[0]))
             rejection = answer(fields, b"", 503, "X-Not-Executed: 1\r\n")
-            truncated = complete[: min(requests_by_id[name].cut, len(complete) - 1)]
+            truncated = complete[: min(requests_by_id[name].truncated_length, len(complete) - 1)]
             without_id = b"HTTP/1.1 200 X\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nno"
             connection.write(
                 {
                     "answer twice": complete * 2,
-                    "answer of another first": other + complete,
-                    "answer of another only": other,
+                    "answer of another first": earlier_answer + complete,
+                    "answer of another only": earlier_answer,
                     "answer without id": without_id,
                     "answer with two ids": answer(fields, b"no", 200, "X-Attempt-Id: another\r\n"),
                     "answer without seal": complete.replace(b"X-Server-Seal: s\r\n", b""),
@@ -158,7 +158,7 @@
 
 async def client(harness, number, example, requests_by_id, observed):
     """Pipeline a client's requests in fragments with a final partial request, and read the answers in order."""
-    drawn_requests, cuts, partial_length = example
+    drawn_requests, split_offsets, partial_length = example
     names = [f"c{number}-r{position}" for position in range(len(drawn_requests))]
     data = b""
     for name, request in zip(names, drawn_requests):
@@ -167,7 +167,7 @@
         data += request_head(path, request.size, name, TIMEOUT_MS) + body_of(name, request.size)
     data += request_head(NON_IDEMPOTENT, 7, "never")[:partial_length]
     connection = await harness.client()
-    positions = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
+    positions = sorted({0, len(data), *(offset for offset in split_offsets if offset < len(data))})
     for first, last in zip(positions, positions[1:]):
         connection.writer.write(data[first:last])
         for _ in range(3):
--- a/tests/state/test_change_leader.py
+++ b/tests/state/test_change_leader.py
@@ -34,7 +34,7 @@
 SETTINGS = LeaderSettings((0, 1, 2), SECOND, 0.5)
 
 
-class Site:
+class Cluster:
     """Proxies and the messages of leaders, which a test delivers or drops."""
 
     def __init__(self, proxies=3, settings=SETTINGS):
@@ -67,20 +67,20 @@
 
 
 def test_change_is_staged_by_all_before_use_and_confirmed_once_all_use_it():
-    site = Site()
-    leader = site.lead(1)
+    cluster = Cluster()
+    leader = cluster.lead(1)
     effects = leader.propose(0, 0, "A")
-    site.run(leader, [effect for effect in effects if not isinstance(effect, SendToProxy) or effect.proxy != 2])
-    assert site.uses() == [(0, None)] * 3 and site.reported == []
-    site.run(leader, leader.tick(1))
-    assert site.uses() == [(1, "A")] * 3 and site.reported == [(Outcome.COMMITTED, 1), (Outcome.CONFIRMED, 1)]
-    assert site.stored == [StoreEpoch(1), StoreStaged(1, 1, "A"), StoreDecided(1, 1, "A")]
+    cluster.run(leader, [effect for effect in effects if not isinstance(effect, SendToProxy) or effect.proxy != 2])
+    assert cluster.uses() == [(0, None)] * 3 and cluster.reported == []
+    cluster.run(leader, leader.tick(1))
+    assert cluster.uses() == [(1, "A")] * 3 and cluster.reported == [(Outcome.COMMITTED, 1), (Outcome.CONFIRMED, 1)]
+    assert cluster.stored == [StoreEpoch(1), StoreStaged(1, 1, "A"), StoreDecided(1, 1, "A")]
 
 
 def test_change_of_a_stale_version_or_during_another_change_is_rejected():
-    site = Site()
-    leader = site.lead(1)
-    site.run(leader, leader.propose(0, 0, "A"))
+    cluster = Cluster()
+    leader = cluster.lead(1)
+    cluster.run(leader, leader.propose(0, 0, "A"))
     with pytest.raises(StaleChangeError, match="based on version 0, but version 1 is in use"):
         leader.propose(0, 0, "B")
     leader.propose(0, 1, "B")
@@ -89,88 +89,88 @@
 
 
 def test_missing_proxies_within_the_limit_are_left_behind_and_updated_when_they_rejoin():
-    site = Site()
-    leader = site.lead(1)
-    site.run(leader, leader.propose(0, 0, "A"), lose=(2,))
-    assert site.reported == []
-    site.run(leader, leader.tick(SECOND), SECOND, lose=(2,))
-    assert site.uses() == [(1, "A"), (1, "A"), (0, None)] and site.reported == [(Outcome.COMMITTED, 1)]
-    site.run(leader, leader.proxy_joined(2))
-    assert site.uses() == [(1, "A")] * 3 and site.reported[-1] == (Outcome.CONFIRMED, 1)
+    cluster = Cluster()
+    leader = cluster.lead(1)
+    cluster.run(leader, leader.propose(0, 0, "A"), lose=(2,))
+    assert cluster.reported == []
+    cluster.run(leader, leader.tick(SECOND), SECOND, lose=(2,))
+    assert cluster.uses() == [(1, "A"), (1, "A"), (0, None)] and cluster.reported == [(Outcome.COMMITTED, 1)]
+    cluster.run(leader, leader.proxy_joined(2))
+    assert cluster.uses() == [(1, "A")] * 3 and cluster.reported[-1] == (Outcome.CONFIRMED, 1)
 
 
 def test_change_is_abandoned_if_too_many_proxies_are_missing():
-    site = Site()
-    leader = site.lead(1)
-    site.run(leader, leader.propose(0, 0, "A"), lose=(1, 2))
-    site.run(leader, leader.tick(SECOND), SECOND, lose=(1, 2))
-    assert site.uses() == [(0, None)] * 3 and site.reported == [(Outcome.ABANDONED, 1)]
+    cluster = Cluster()
+    leader = cluster.lead(1)
+    cluster.run(leader, leader.propose(0, 0, "A"), lose=(1, 2))
+    cluster.run(leader, leader.tick(SECOND), SECOND, lose=(1, 2))
+    assert cluster.uses() == [(0, None)] * 3 and cluster.reported == [(Outcome.ABANDONED, 1)]
 
 
 def test_next_leader_drops_a_change_without_quorum_and_completes_one_that_may_be_decided():
     for staged, expected in (((0,), (0, None)), ((0, 1), (1, "A")), ((0, 1, 2), (1, "A"))):
-        site = Site()
-        old = site.lead(1)
+        cluster = Cluster()
+        old = cluster.lead(1)
         for proxy in staged:
-            site.proxies[proxy], _ = handle_request(site.proxies[proxy], Stage(1, 1, "A"))
-        new = site.lead(2)
-        assert site.uses() == [expected] * 3 and new.phase is Phase.IDLE and new.version == expected[0]
-        site.run(old, old.propose(0, 0, "A"))  # the old leader does not know yet that its leadership has ended
-        assert site.reported[-1][0] == Outcome.ABANDONED and site.uses() == [expected] * 3
+            cluster.proxies[proxy], _ = handle_request(cluster.proxies[proxy], Stage(1, 1, "A"))
+        new = cluster.lead(2)
+        assert cluster.uses() == [expected] * 3 and new.phase is Phase.IDLE and new.version == expected[0]
+        cluster.run(old, old.propose(0, 0, "A"))  # the old leader does not know yet that its leadership has ended
+        assert cluster.reported[-1][0] == Outcome.ABANDONED and cluster.uses() == [expected] * 3
 
 
 def test_partitioned_old_leader_is_fenced_when_it_returns():
-    site = Site()
-    old = site.lead(1)
+    cluster = Cluster()
+    old = cluster.lead(1)
     stages = old.propose(0, 0, "A")
-    new = site.lead(2)
-    site.run(new, new.propose(0, 0, "B"))
-    site.run(old, stages)
-    assert site.uses() == [(1, "B")] * 3 and site.reported[-1] == (Outcome.ABANDONED, 1)
+    new = cluster.lead(2)
+    cluster.run(new, new.propose(0, 0, "B"))
+    cluster.run(old, stages)
+    assert cluster.uses() == [(1, "B")] * 3 and cluster.reported[-1] == (Outcome.ABANDONED, 1)
 
 
 def test_change_reported_by_one_proxy_is_completed_if_an_unreachable_proxy_may_have_staged_it():
-    site = Site()
-    site.lead(1)
+    cluster = Cluster()
+    cluster.lead(1)
     for proxy in (0, 2):
-        site.proxies[proxy], _ = handle_request(site.proxies[proxy], Stage(1, 1, "A"))
+        cluster.proxies[proxy], _ = handle_request(cluster.proxies[proxy], Stage(1, 1, "A"))
     new = ChangeLeader(2, SETTINGS)
-    site.run(new, new.take_over(0, (0, 1)))  # proxy 2 is unreachable
-    assert site.uses()[:2] == [(1, "A")] * 2
+    cluster.run(new, new.take_over(0, (0, 1)))  # proxy 2 is unreachable
+    assert cluster.uses()[:2] == [(1, "A")] * 2
 
 
 def test_status_shows_the_awaited_proxies_and_the_remaining_time():
-    site = Site()
+    cluster = Cluster()
     leader = ChangeLeader(1, SETTINGS)
     effects = leader.take_over(0, (0, 1, 2))
     assert leader.status(SECOND // 2).awaited == (0, 1, 2)
     assert leader.status(SECOND // 2).remaining_ns == SECOND // 2
-    site.run(leader, effects)
-    site.run(leader, leader.propose(0, 0, "A"), lose=(2,))
+    cluster.run(leader, effects)
+    cluster.run(leader, leader.propose(0, 0, "A"), lose=(2,))
     assert leader.status(2 * SECOND) == LeaderStatus(1, Phase.STAGING, 0, 1, False, (2,), 0)
-    site.run(leader, leader.tick(0))
+    cluster.run(leader, leader.tick(0))
     assert leader.status(0).awaited == () and leader.status(0).version == 1
 
 
-def test_lost_reply_to_use_followed_by_a_reconnect():
-    site = Site()
-    leader = site.lead(1)
-    site.run(leader, leader.propose(0, 0, "A"), lose_answers=(1,))
-    site.run(leader, leader.proxy_left(0, 1))
-    assert (Outcome.COMMITTED, 1) in site.reported
-    site.run(leader, leader.proxy_joined(1))
-    assert site.uses() == [(1, "A")] * 3
+def test_change_is_used_by_all_if_a_reply_to_use_is_lost_and_its_proxy_reconnects():
+    cluster = Cluster()
+    leader = cluster.lead(1)
+    cluster.run(leader, leader.propose(0, 0, "A"), lose_answers=(1,))
+    cluster.run(leader, leader.proxy_left(0, 1))
+    assert (Outcome.COMMITTED, 1) in cluster.reported
+    cluster.run(leader, leader.proxy_joined(1))
+    assert cluster.uses() == [(1, "A")] * 3
 
 
 def test_proxy_that_joins_between_staging_and_use_is_included():
-    site = Site()
-    leader = site.lead(1, joined=(0, 1))
+    cluster = Cluster()
+    leader = cluster.lead(1, joined=(0, 1))
     stages = leader.propose(0, 0, "A")
-    site.run(leader, stages[:2])
-    site.run(leader, leader.proxy_joined(2))
-    assert site.reported == [] and site.proxies[2].staged == StagedChange(1, 1, "A")
-    site.run(leader, leader.tick(0))
-    assert site.uses() == [(1, "A")] * 3
+    cluster.run(leader, stages[:2])
+    cluster.run(leader, leader.proxy_joined(2))
+    assert cluster.reported == [] and cluster.proxies[2].staged == StagedChange(1, 1, "A")
+    cluster.run(leader, leader.tick(0))
+    assert cluster.uses() == [(1, "A")] * 3
 
 
 def test_duplicate_request_changes_nothing_and_is_answered_again():
@@ -186,6 +186,7 @@
 # arrive at any time, repeatedly, in any order, or never, and its reply is delivered or lost. The second leader may take
 # over at any time, so that both lead at once; a leader that takes no further step has crashed.
 
+# Steps that lead to the states from which `explore` starts.
 PROPOSED = (
     "leader 0 takes over",
     "proxy 0 gets Prepare(epoch=1), its reply is delivered",
@@ -193,7 +194,7 @@
     "leader 0 times out",
     "leader 0 proposes A",
 )
-BOTH = (
+BOTH_LEADING = (
     *PROPOSED,
     "leader 1 takes over",
     "proxy 0 gets Stage(epoch=1, version=1, content='A'), its reply is delivered",
@@ -201,7 +202,7 @@
     "proxy 0 gets Prepare(epoch=2), its reply is delivered",
     "leader 1 times out",
 )
-RIVAL = (
+SECOND_PROPOSED = (
     *PROPOSED,
     "leader 1 takes over",
     "proxy 0 gets Prepare(epoch=2), its reply is delivered",
@@ -312,7 +313,7 @@
 
     All 115,636 states that follow the first leader's proposal were checked once, outside this test.
     """
-    count, complete, trace = explore(handle_request, 60_000, BOTH)
+    count, complete, trace = explore(handle_request, 60_000, BOTH_LEADING)
     assert trace is None and complete and count > 1_000
 
 
@@ -327,7 +328,7 @@
     return after, replace(reply, staged=None) if isinstance(reply, Promise) else reply
 
 
-@pytest.mark.parametrize("defect, prefix", [(unfenced, RIVAL), (forgetful, BOTH)])
+@pytest.mark.parametrize("defect, prefix", [(unfenced, SECOND_PROPOSED), (forgetful, BOTH_LEADING)])
 def test_model_checker_finds_the_shortest_trace_of_a_known_defect(defect, prefix):
     assert explore(handle_request, 15_000, prefix)[2] is None
     _, _, trace = explore(defect, 60_000, prefix)
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -15,19 +15,19 @@
     return journal.take_unwritten()
 
 
-def test_any_prefix_recovers_its_complete_records_and_reports_the_cut():
+def test_any_prefix_recovers_its_complete_records_and_reports_the_truncation():
     data, record_counts = journal_bytes(), []
-    for cut in range(len(data) + 1):
-        recovered = recover(data[:cut])
+    for length in range(len(data) + 1):
+        recovered = recover(data[:length])
         assert [value for _, value in recovered.records] == VALUES[: len(recovered.records)] and data[
             : recovered.intact_bytes
-        ] == data[:cut][: recovered.intact_bytes]
-        assert bool(recovered.cut_reason) == (recovered.intact_bytes < cut or not cut)
+        ] == data[:length][: recovered.intact_bytes]
+        assert bool(recovered.truncation_reason) == (recovered.intact_bytes < length or not length)
         record_counts.append(len(recovered.records))
     assert record_counts == sorted(record_counts) and record_counts[-1] == 3
 
 
-def test_any_flipped_bit_is_rejected_or_cuts_only_the_last_record():
+def test_any_flipped_bit_is_rejected_or_truncates_only_the_last_record():
     data = journal_bytes()
     for bit in range(len(data) * 8):
         corrupted = bytearray(data)
@@ -37,7 +37,7 @@
         except MalformedError as err:
             assert "byte " in str(err)
         else:
-            assert [value for _, value in recovered.records] == VALUES[:2] and recovered.cut_reason
+            assert [value for _, value in recovered.records] == VALUES[:2] and recovered.truncation_reason
 
 
 def test_records_added_before_a_write_share_it_and_are_durable_after_the_sync():
--- a/tests/state/test_membership.py
+++ b/tests/state/test_membership.py
@@ -64,13 +64,13 @@
 
 
 def test_assigner_without_datagrams_knows_only_itself():
-    alone = Membership(0, 1, 1, 3, DetectorSettings())
+    member = Membership(0, 1, 1, 3, DetectorSettings())
     for at in range(0, 60):
-        alone.tick(at * S)
+        member.tick(at * S)
     assert (
-        alone.view(60 * S) == (1, (1,))
-        and alone.liveness(60 * S, 0) == Liveness.UNKNOWN
-        and alone.zone_sums(60 * S, S) == {}
+        member.view(60 * S) == (1, (1,))
+        and member.liveness(60 * S, 0) == Liveness.UNKNOWN
+        and member.zone_sums(60 * S, S) == {}
     )
 
 
@@ -104,9 +104,9 @@
     old = encode(0, [(0, 1, 10_000)], [ZoneSums(0, 99, 99, 9)])
     network.restart(0, 7)
     network.run(4 * S)
-    seen = network.members[1]
-    assert seen._members[0].incarnation == 7 and not seen.receive(network.now, old)
-    assert seen._members[0].incarnation == 7 and seen.zone_sums(network.now, S) == {}
+    observer = network.members[1]
+    assert observer._members[0].incarnation == 7 and not observer.receive(network.now, old)
+    assert observer._members[0].incarnation == 7 and observer.zone_sums(network.now, S) == {}
 
 
 def test_duplicate_or_late_datagram_is_not_new_and_does_not_replace_newer_sums():
@@ -120,8 +120,10 @@
     network = Network(2)
     network.run(10 * S)
     del network.members[0]
-    seen = {network.members[1].liveness(network.now + at * MS, 0): at for at in range(3000, 0, -5)}
-    assert seen[Liveness.ALIVE] < seen[Liveness.SUSPECTED] < seen[Liveness.DEAD] < 2000
+    last_ms = {
+        network.members[1].liveness(network.now + silence_ms * MS, 0): silence_ms for silence_ms in range(3000, 0, -5)
+    }
+    assert last_ms[Liveness.ALIVE] < last_ms[Liveness.SUSPECTED] < last_ms[Liveness.DEAD] < 2000
 
 
 @pytest.mark.parametrize("loss", [0.1, 0.2, 0.3])
--- a/tests/state/test_node_set.py
+++ b/tests/state/test_node_set.py
@@ -54,9 +54,9 @@
     node_lists = (
         [node_list("a.ini", first), node_list("b.ini", second)] if in_two_files else [node_list("a.ini", first, second)]
     )
-    with pytest.raises(InvalidNodeSetError) as found:
+    with pytest.raises(InvalidNodeSetError) as caught:
         assemble(node_lists)
-    assert str(found.value) == ("b.ini, line 1: " if in_two_files else "a.ini, line 2: ") + message
+    assert str(caught.value) == ("b.ini, line 1: " if in_two_files else "a.ini, line 2: ") + message
 
 
 def test_zone_with_total_weight_0_is_rejected_unless_it_drains():
@@ -82,9 +82,9 @@
 
 
 def test_error_names_the_first_conflicts_and_counts_the_others():
-    with pytest.raises(InvalidNodeSetError) as found:
+    with pytest.raises(InvalidNodeSetError) as caught:
         assemble([node_list("a", *(("n", listed_node("x", 1)) for _ in range(9)))])
-    assert len(found.value.conflicts) == 8 and str(found.value).endswith("; and 5 more")
+    assert len(caught.value.conflicts) == 8 and str(caught.value).endswith("; and 5 more")
 
 
 def test_difference_lists_added_gone_changed_and_closed_nodes():
@@ -97,8 +97,8 @@
             "e": listed_node("x", 9),
         }
     )
-    found = difference(old, new)
-    assert found == (("e",), ("d",), ("b", "c"), ("c",)) and str(found) == "1 added, 1 gone, 2 changed, 1 closed"
+    changes = difference(old, new)
+    assert changes == (("e",), ("d",), ("b", "c"), ("c",)) and str(changes) == "1 added, 1 gone, 2 changed, 1 closed"
 
 
 def test_set_is_immutable():
--- a/tests/storage/power_loss.py
+++ b/tests/storage/power_loss.py
@@ -33,7 +33,7 @@
         self.length_unsynced |= len(visible) != len(self.visible)
         self._set_visible(visible)
 
-    def cut(self, visible):
+    def truncated(self, visible):
         self.length_unsynced |= len(visible) != len(self.visible)
         self._set_visible(visible)
 
@@ -64,11 +64,11 @@
 
     def contents(self, stride):
         """Return each content that a power loss may leave, without duplicates."""
-        found = dict.fromkeys([*self.durable, *self.versions])
+        contents = dict.fromkeys([*self.durable, *self.versions])
         if self.unsynced or self.length_unsynced:
             for old in self.durable:
-                found.update(dict.fromkeys(self._torn(old, stride)))
-        return list(found)
+                contents.update(dict.fromkeys(self._torn(old, stride)))
+        return list(contents)
 
     def _torn(self, old, stride):
         new = self.visible
@@ -164,7 +164,7 @@
         if self._fails("ftruncate"):
             raise self.error
         self.real["ftruncate"](fd, length)
-        self._file(fd).cut(content_of(fd))
+        self._file(fd).truncated(content_of(fd))
 
     def fsync(self, fd):
         self._sync(fd, "fsync")
--- a/tests/storage/test_log_contract.py
+++ b/tests/storage/test_log_contract.py
@@ -148,7 +148,7 @@
 
 
 def random_persists(random, count):
-    """Return a random history: each write, and the content expected after it."""
+    """Return a random history: existing write, and the content expected after it."""
     content, history = LogContent("i"), []
     for _ in range(count):
         first = 1 + (content.snapshot.index if content.snapshot else 0)
@@ -159,7 +159,9 @@
         if content.entries and random.random() < 0.15:
             at = random.randrange(first, following)
             new_snapshot = snapshot(at, term)
-            kept = tuple(each for each in content.entries if each.index > at) if random.random() < 0.7 else ()
+            kept = (
+                tuple(existing for existing in content.entries if existing.index > at) if random.random() < 0.7 else ()
+            )
             new, content = kept, LogContent("i", content.hard_state, new_snapshot, kept)
         else:
             start = random.randrange(first, following + 1) if random.random() < 0.2 else following
@@ -169,7 +171,7 @@
                     "i",
                     content.hard_state,
                     content.snapshot,
-                    (*(each for each in content.entries if each.index < start), *new),
+                    (*(existing for existing in content.entries if existing.index < start), *new),
                 )
         content = LogContent("i", hard_state or content.hard_state, content.snapshot, content.entries)
         history.append((Persist(0, hard_state, new_snapshot, new), content))
--- a/tests/storage/test_log_folder.py
+++ b/tests/storage/test_log_folder.py
@@ -27,7 +27,7 @@
     assert max_frames <= frame_limit
     log, loaded = load_log(folder)
     assert loaded.hard_state.term == 5000 and log.frame_count <= frame_limit and log.size_bytes <= limit
-    assert [each.index for each in loaded.entries] == list(range(loaded.snapshot.index + 1, 5001))
+    assert [loaded_entry.index for loaded_entry in loaded.entries] == list(range(loaded.snapshot.index + 1, 5001))
     assert os.listdir(folder) == ["log"]
 
 
--- a/tests/storage/test_log_power_loss.py
+++ b/tests/storage/test_log_power_loss.py
@@ -65,7 +65,7 @@
     assert distinct(loaded for _, loaded in scenario.results) == [LogContent(), LogContent("5f2c"), written]
 
 
-def test_second_power_loss_at_any_call_of_a_start_and_its_first_write(tmp_path, monkeypatch):
+def test_second_power_loss_at_any_call_of_a_start_and_its_first_write_leaves_all_or_nothing(tmp_path, monkeypatch):
     """The first power loss left a torn batch, in each possible form."""
     first = Scenario(tmp_path, monkeypatch, *WRITES_BEFORE)
     log = first.begin()
@@ -102,6 +102,6 @@
                 if lost
                 else (written,)
             )
-            for found in second.after_power_loss(40):
-                assert found in allowed, (at, loaded)
+            for content in second.after_power_loss(40):
+                assert content in allowed, (at, loaded)
             at += 1
--- a/tests/storage/test_log_refusals.py
+++ b/tests/storage/test_log_refusals.py
@@ -55,7 +55,7 @@
 ):
     scenario = Scenario(tmp_path, monkeypatch, *WRITES_BEFORE)
     for _ in fail_each_call(scenario, lambda log: log.write(persists), error, persistent):
-        assert all(found in (CONTENT_BEFORE, expected) for found in scenario.after_power_loss())
+        assert all(content in (CONTENT_BEFORE, expected) for content in scenario.after_power_loss())
 
 
 @pytest.mark.parametrize("persists, expected", WRITES)
@@ -71,7 +71,7 @@
                 assert distinct(scenario.after_power_loss()) == [expected]
             except PowerLostError:
                 lost = True
-                assert all(found in (CONTENT_BEFORE, expected) for found in scenario.after_power_loss())
+                assert all(content in (CONTENT_BEFORE, expected) for content in scenario.after_power_loss())
         at += 1
 
 
--- a/tests/storage/test_stored_by_4f929ce.py
+++ b/tests/storage/test_stored_by_4f929ce.py
@@ -39,9 +39,11 @@
 def loaded(folder):
     """Return what a start loads from the folder: incarnation, hard state, snapshot, entries."""
     log = LogFile(os.fspath(folder))
-    found = log.load()
+    content = log.load()
     log.close()
-    return [by_position(value) for value in (found.incarnation, found.hard_state, found.snapshot, found.entries)]
+    return [
+        by_position(value) for value in (content.incarnation, content.hard_state, content.snapshot, content.entries)
+    ]
 
 
 def copied(name, folder):
