--- a/kestrelplank/edge/client_exchange.py
+++ b/kestrelplank/edge/client_exchange.py
@@ -270,9 +270,7 @@
 
     async def _forward_answer(self) -> None:
         """Forward the server's answer to the client, without its hop-by-hop headers."""
-        assert (
-            self._last_result is not None and self._last_result.answer is not None
-        )  # `ForwardAnswer` follows an answer
+        assert self._last_result is not None and self._last_result.answer is not None  # the step is `ForwardAnswer`
         answer: Answer = self._last_result.answer
         headers = [
             (lower_name, value)
--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -197,9 +197,9 @@
         return pool.counts()[1] if pool is not None else 0
 
     def close_unused(self, usable_addresses: set[str]) -> None:
-        """Close connections that have been idle too long, and all idle connections to servers no longer in use.
+        """Close connections that have been idle too long, and all idle connections to servers that are not usable.
 
-        :param usable_addresses: addresses of the servers in use.
+        :param usable_addresses: addresses of the servers that may be sent requests.
         """
         for address, pool in list(self._pools.items()):
             connections = self._connections[address]
--- a/kestrelplank/forwarding/retry_policy.py
+++ b/kestrelplank/forwarding/retry_policy.py
@@ -37,7 +37,7 @@
     NOT_SENT = "not_sent"  # abandoned before its first byte, as the client had disconnected
     CONNECT_FAIL = "connect_fail"  # connecting failed, or the connection had ended: no byte was sent
     RESET = "reset"  # after the first byte sent, before the first of an answer
-    CLOSED = "closed"  # an orderly close of the connection, also between these two bytes
+    CLOSED = "closed"  # orderly close after the first byte sent, before the first of an answer
     TRUNCATED = "truncated"  # the connection ended within an answer
     MALFORMED = "malformed"  # not a valid answer, or one that can't belong to the call
     TIMEOUT = "timeout"  # bytes were sent and no answer arrived in time
--- a/kestrelplank/http/critical_tasks.py
+++ b/kestrelplank/http/critical_tasks.py
@@ -29,7 +29,7 @@
         task.add_done_callback(self._on_task_done)
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        """If the task raised an exception, log it and stop the program; a cancelled task has not failed."""
+        """If the task raised an exception, log it and stop the program; being cancelled or returning is no failure."""
         if task.cancelled() or task.exception() is None:
             return
         log.critical("%s: stopping because a critical task failed", self._program, exc_info=task.exception())
--- a/kestrelplank/state/membership.py
+++ b/kestrelplank/state/membership.py
@@ -33,7 +33,8 @@
 class DetectorSettings(NamedTuple):
     """Thresholds of the failure detector.
 
-    :param min_missed_heartbeats: heartbeats that a member must miss before it counts as dead, whatever its phi is.
+    :param min_missed_heartbeats: heartbeats that a member must miss before it counts as dead, whatever its phi is, as
+        phi reflects only the intervals recorded so far.
     """
 
     heartbeat_interval_ns: int = 200_000_000
