--- /dev/null
+++ b/tests/test_known_red.py
@@ -0,0 +1,24 @@
+"""KNOWN-RED.txt names tests that exist, and each entry is complete."""
+
+import ast
+from pathlib import Path
+
+import pytest
+from conftest import KNOWN_RED, KNOWN_RED_TESTS
+
+ROOT = Path(__file__).parents[1]
+
+
+@pytest.mark.parametrize("name", KNOWN_RED_TESTS or [None])
+def test_a_known_failure_names_an_existing_test(name):
+    if name is None:
+        return
+    path, function = name.split("[")[0].split("::")
+    tree = ast.parse((ROOT / path).read_text())
+    assert function in {part.name for part in tree.body if isinstance(part, ast.FunctionDef)}
+
+
+def test_each_known_failure_has_test_command_observation_and_issue():
+    entries = KNOWN_RED.read_text().split("\n\n")[1:]
+    fields = [[line.split(": ")[0] for line in entry.strip().splitlines()] for entry in entries]
+    assert fields == [["test", "command", "seen", "issue"]] * len(KNOWN_RED_TESTS)
