--- a/kestrelplank/edge/server_connections.py
+++ b/kestrelplank/edge/server_connections.py
@@ -179,7 +179,9 @@
         try:
             async with asyncio.timeout_at(deadline_at_s):
                 answer = await connection.call(request.method, request.target, request.headers, request.body)
-                while not is_answer_to(answer, request.attempt_id):  # an answer to an earlier request; ours may follow
+                while not is_answer_to(
+                    answer, request.attempt_id
+                ):  # an answer to an earlier request; this one's may follow
                     answer = await connection.next_answer(request.method, request.target)
             pool.limit_idle_time(answer.max_idle_ns())
             return AttemptResult(outcome_of(answer), answer), connection.reusable
@@ -195,9 +197,9 @@
         return pool.counts()[1] if pool is not None else 0
 
     def close_unused(self, usable_addresses: set[str]) -> None:
-        """Close connections that have been idle too long, and all idle connections to servers no longer in use.
+        """Close connections that have been idle too long, and all idle connections to servers that are not usable.
 
-        :param usable_addresses: addresses of the servers in use.
+        :param usable_addresses: addresses of the servers that may be sent requests.
         """
         for address, pool in list(self._pools.items()):
             connections = self._connections[address]
